--- a/test/integration/postgres/backend-standin.test.ts
+++ b/test/integration/postgres/backend-standin.test.ts
@@ -11,7 +11,7 @@
 } from '../../../src/postgres/backend/position-query.js';
 import type {
   BackendBatch,
-  BackendBatchEnd,
+  BackendBatchResult,
   BackendConnection,
 } from '../../../src/postgres/contract.js';
 
@@ -64,12 +64,12 @@
 function run(
   connection: BackendConnection,
   batch: Partial<BackendBatch>,
-): Promise<BackendBatchEnd> {
+): Promise<BackendBatchResult> {
   return new Promise((resolve) => {
     connection.run({
       requires: [],
       messages: serialize.sync(),
-      trailingQuery: POSITION_QUERY,
+      appendedQuery: POSITION_QUERY,
       onMessages: () => undefined,
       onFinished: resolve,
       ...batch,
@@ -85,7 +85,7 @@
     }),
   );
   assert.is(states.filter((state) => state.writable).length, 1);
-  assert.is(new Set(states.map((state) => state.received.timeline)).size, 1);
+  assert.is(new Set(states.map((state) => state.receivedPosition.timeline)).size, 1);
 });
 
 test('a wrong password and a full instance are told apart', async () => {
@@ -122,16 +122,16 @@
   const written = await run(connection, insert);
   assert.ok(written.type === 'ready' && written.errorSqlState === undefined);
   assert.match(written.heldBack.toString('latin1'), 'INSERT 0 1');
-  const after = parseInstanceState(written.trailingRows ?? [])._unsafeUnwrap();
-  assert.ok(after.replayed.lsn > before._unsafeUnwrap().replayed.lsn);
+  const after = parseInstanceState(written.appendedQueryRows ?? [])._unsafeUnwrap();
+  assert.ok(after.replayedPosition.lsn > before._unsafeUnwrap().replayedPosition.lsn);
   const doubled = await run(connection, insert);
   assert.ok(doubled.type === 'ready' && doubled.status === 'I');
   assert.is(doubled.errorSqlState, '23505');
-  assert.ok(doubled.trailingRows !== undefined);
+  assert.ok(doubled.appendedQueryRows !== undefined);
   (await connection.query('BEGIN'))._unsafeUnwrap();
   const aborted = await run(connection, insert);
   assert.ok(aborted.type === 'ready' && aborted.status === 'E');
-  assert.is(aborted.trailingRows, undefined);
+  assert.is(aborted.appendedQueryRows, undefined);
   (await connection.query('ROLLBACK'))._unsafeUnwrap();
 });
 
@@ -156,7 +156,7 @@
   const connection = await connectToPrimary();
   const sleeping = run(connection, {
     messages: serialize.query('SELECT pg_sleep(60)'),
-    trailingQuery: undefined,
+    appendedQuery: undefined,
   });
   (await connection.cancel())._unsafeUnwrap();
   const end = await sleeping;
--- a/test/integration/postgres/caller-fixture.ts
+++ b/test/integration/postgres/caller-fixture.ts
@@ -66,7 +66,9 @@
       this.batches.push(batch);
       if (this.intercept?.(connection, batch) === true) return;
       const classes = batch.statements.map((text) => classify(text, status !== 'I'));
-      const refused = classes.find(({ unsupported }) => unsupported !== undefined)?.unsupported;
+      const refused = classes.find(
+        ({ unsupportedFeature: unsupported }) => unsupported !== undefined,
+      )?.unsupportedFeature;
       if (refused !== undefined) {
         connection.writeError(new UnsupportedFeatureError(refused));
       } else {
--- a/test/integration/postgres/caller-messages.test.ts
+++ b/test/integration/postgres/caller-messages.test.ts
@@ -159,7 +159,7 @@
   const [caller, { handler }] = await rawCaller();
   caller.send(parse('a', 'select 1'), describe('S', 'a'), flush());
   assert.equal(await caller.until('T'), '1 t T');
-  assert.equal(handler.batches[0]?.flush, true);
+  assert.equal(handler.batches[0]?.endsWithFlush, true);
   caller.send(bind({ statement: 'a' }), execute(), sync());
   assert.equal(await caller.until('ZI'), '2 D C ZI');
   caller.send(bind({ statement: 'a' }), execute(), flush());
--- a/test/property/membership.test.ts
+++ b/test/property/membership.test.ts
@@ -27,7 +27,7 @@
 /** Time within which a death must be known everywhere: two rounds, suspicion, spreading. */
 function deathBoundMs(network: MembershipNetwork): number {
   const members = network.nodes.size;
-  const { probePeriodMs, suspicionMultiplier, remoteShare } = network.options;
+  const { probePeriodMs, suspicionMultiplier, crossZoneFraction: remoteShare } = network.options;
   const roundPeriods = (2 * members) / Math.min(remoteShare, 1 - remoteShare);
   const suspicionPeriods = suspicionMultiplier * Math.max(1, Math.log10(members));
   return (roundPeriods + suspicionPeriods + 10) * probePeriodMs;
@@ -223,13 +223,13 @@
   network.list = network.list.map((node) => ({ ...node, leaving: node.nodeId === 'n1' }));
   network.node('n1').crashed = true;
   const restarted = network.restart('n1');
-  network.run(network.options.listLagMs / 2);
+  network.run(network.options.maxMachineListLagMs / 2);
   assert.not.ok(restarted.changes.includes('told-to-leave'));
   network.list = network.list.map((node) => ({ ...node, leaving: false }));
   for (const node of network.running()) {
     network.dispatch(node, { type: 'list-changed', nodes: network.list });
   }
-  network.run(network.options.listLagMs);
+  network.run(network.options.maxMachineListLagMs);
   assert.not.ok(restarted.changes.includes('told-to-leave'));
   assert.ok(network.isConverged());
 });
--- a/test/property/peer-stream.test.ts
+++ b/test/property/peer-stream.test.ts
@@ -6,12 +6,12 @@
 import { decodeValue, encodeValue } from '../../src/peer/codec.js';
 import { FrameDecoder, FrameType, type FrameTypeCode } from '../../src/peer/frame.js';
 import { FrameBatch } from '../../src/peer/frame-batch.js';
-import { DEFAULT_LIMITS } from '../../src/peer/options.js';
+import { DEFAULT_PEER_LINK_LIMITS } from '../../src/peer/options.js';
 import { LinkStream, type StreamLink } from '../../src/peer/stream.js';
 
 const SEED = 20261202;
 const WINDOW_BYTES = 1000;
-const LIMITS = { ...DEFAULT_LIMITS, windowBytes: WINDOW_BYTES };
+const LIMITS = { ...DEFAULT_PEER_LINK_LIMITS, windowBytes: WINDOW_BYTES };
 
 /** One side: a stream, and the frames that it has sent and that have not arrived. */
 class Side {
--- a/test/property/postgres/backend-chunking.test.ts
+++ b/test/property/postgres/backend-chunking.test.ts
@@ -89,7 +89,7 @@
       reader.begin({
         prelude: names.map((name) => ({ type: 0x31, prepared: name })),
         batch: true,
-        trailingQuery: true,
+        hasAppendedQuery: true,
       });
       const whole = Buffer.concat([
         ...names.map(() => messages.PARSE_COMPLETE),
@@ -111,7 +111,7 @@
       assert.equal(prepared, names);
       assert.is(Buffer.concat(relayed).toString('hex'), bytesOf(steps.slice(0, split)));
       assert.is(end?.heldBack.toString('hex'), bytesOf(steps.slice(split)));
-      assert.equal(end?.trailingRows, [['position']]);
+      assert.equal(end?.appendedQueryRows, [['position']]);
     },
   );
   fc.assert(property, { seed: SEED, numRuns: RUNS });
--- a/test/support/group-fixtures.ts
+++ b/test/support/group-fixtures.ts
@@ -53,8 +53,8 @@
 ): InstanceState {
   return {
     writable,
-    replayed: { timeline, lsn: BigInt(replayed) },
-    received: { timeline, lsn: BigInt(received) },
+    replayedPosition: { timeline, lsn: BigInt(replayed) },
+    receivedPosition: { timeline, lsn: BigInt(received) },
   };
 }
 
--- a/test/support/lease-network.ts
+++ b/test/support/lease-network.ts
@@ -6,9 +6,9 @@
 import { Voter } from '../../src/core/limits/election.js';
 import {
   DEFAULT_TENANT_LEASE_OPTIONS,
-  lapseMsOf,
+  maxShareLifetimeMs,
   type TenantLeaseOptions,
-  voteMsOf,
+  voteDurationMs,
 } from '../../src/core/limits/lease-options.js';
 import { type AllocatorEffect, TenantAllocator } from '../../src/core/limits/tenant-allocator.js';
 import { type TenantShareRequest, TenantShares } from '../../src/core/limits/tenant-shares.js';
@@ -22,8 +22,8 @@
   authorityMs: 600,
   renewMs: 500,
   electionPeriodMs: 200,
-  listLagMs: 1500,
-  idleMs: 1000,
+  maxMachineListLagMs: 1500,
+  idleReleaseMs: 1000,
 };
 
 const TENANT = 'tenant';
@@ -134,10 +134,13 @@
     const now = node.clock(this.now);
     node.lives += 1;
     const life = `${node.id}#${node.lives}`;
-    const rememberMs = 2 * lapseMsOf(this.options);
-    const voteMs = voteMsOf(this.options);
+    const rememberMs = 2 * maxShareLifetimeMs(this.options);
+    const voteMs = voteDurationMs(this.options);
     node.voter = new Voter({ life, startedAt: now, voteMs, rememberMs });
-    node.voterSets = new VoterSets(this.#hash, { listLagMs: this.options.listLagMs, rememberMs });
+    node.voterSets = new VoterSets(this.#hash, {
+      maxMachineListLagMs: this.options.maxMachineListLagMs,
+      rememberMs,
+    });
     node.voterSets.setList(this.#listed(), now);
     node.shares = new TenantShares(life, this.options);
     node.shares.setNodeCount(this.#list.length);
@@ -166,7 +169,7 @@
     this.#listVersion += 1;
     const listed = this.#listed();
     for (const node of this.nodes) {
-      const at = this.now + this.random() * this.options.listLagMs * 0.9;
+      const at = this.now + this.random() * this.options.maxMachineListLagMs * 0.9;
       const version = this.#listVersion;
       const action = (): void => {
         if (version === this.#listVersion) node.voterSets.setList(listed, node.clock(this.now));
--- a/test/support/machine-list-network.ts
+++ b/test/support/machine-list-network.ts
@@ -5,7 +5,7 @@
 import { Schedule } from '../../bench/simulation/schedule.js';
 import type { ConfigurationMember } from '../../src/core/configuration/relays.js';
 import { MachineListAgent } from '../../src/core/machine-list/agent.js';
-import type { ListEffect, ListEvent } from '../../src/core/machine-list/contract.js';
+import type { MachineListEffect, MachineListEvent } from '../../src/core/machine-list/contract.js';
 import type { ListEntry, ListStamp } from '../../src/core/machine-list/replica.js';
 import { seededRandom } from './random.js';
 
@@ -24,8 +24,8 @@
   readonly name: string;
   readonly state: MachineState;
 }
-type Event = ListEvent<NamedState>;
-type Effect = ListEffect<NamedState>;
+type Event = MachineListEvent<NamedState>;
+type Effect = MachineListEffect<NamedState>;
 
 /** One life of one node. */
 export interface ListNode {
@@ -166,7 +166,7 @@
   #carryOut(node: ListNode, effect: Effect): void {
     switch (effect.type) {
       case 'set-reading':
-        node.isReading = effect.isReading;
+        node.isReading = effect.isPolling;
         this.#poll(node);
         return;
       case 'apply':
@@ -267,7 +267,7 @@
     if (!node.isReading) return;
     const entries = version === node.askedVersion ? undefined : entriesOf(published);
     node.askedVersion = version;
-    this.#deliver(node, { type: 'read', reading: { asked, version, entries } });
+    this.#deliver(node, { type: 'read', reading: { knownVersion: asked, version, entries } });
     this.#schedule.after(1, () => this.#poll(node));
   }
 
--- a/test/support/memory-store.ts
+++ b/test/support/memory-store.ts
@@ -7,12 +7,12 @@
 import { MeadowstackError } from '../../src/core/errors.js';
 import type {
   KeyValue,
-  RangeAnswer,
+  RangeResponse,
   RevisionCompare,
   Store,
   StoreError,
-  TransactionAnswer,
   TransactionOperation,
+  TransactionResponse,
   WatchEvent,
   WatchHandlers,
 } from '../../src/platform/contract.js';
@@ -52,7 +52,7 @@
   #requests = 0;
   #nextLease = 1;
 
-  range(prefix: string): ResultAsync<RangeAnswer, StoreError> {
+  range(prefix: string): ResultAsync<RangeResponse, StoreError> {
     return this.#request(() => ({
       revision: this.revision,
       entries: [...this.entries.values()]
@@ -64,7 +64,7 @@
   transaction(
     compares: readonly RevisionCompare[],
     operations: readonly TransactionOperation[],
-  ): ResultAsync<TransactionAnswer, StoreError> {
+  ): ResultAsync<TransactionResponse, StoreError> {
     return this.#request(() => this.#commit(compares, operations));
   }
 
@@ -134,7 +134,7 @@
   #commit(
     compares: readonly RevisionCompare[],
     operations: readonly TransactionOperation[],
-  ): TransactionAnswer {
+  ): TransactionResponse {
     const holds = compares.every(
       ({ key, modRevision }) => (this.entries.get(key)?.modRevision ?? 0) === modRevision,
     );
--- a/test/support/relay-fleet.ts
+++ b/test/support/relay-fleet.ts
@@ -75,7 +75,7 @@
     this.transport = new TcpPeerTransport({
       identity: { nodeId, incarnation: 1 },
       handlers: this.server,
-      limits: { heartbeatMs: HEARTBEAT_MS },
+      limits: { heartbeatPeriodMs: HEARTBEAT_MS },
     });
   }
 
@@ -126,7 +126,7 @@
   readonly transport = new TcpPeerTransport({
     identity: { nodeId: 'borrower', incarnation: 1 },
     handlers: NO_HANDLERS,
-    limits: { heartbeatMs: HEARTBEAT_MS },
+    limits: { heartbeatPeriodMs: HEARTBEAT_MS },
   });
   readonly pool: InstancePool;
 
--- a/test/unit/at-most-once.test.ts
+++ b/test/unit/at-most-once.test.ts
@@ -15,8 +15,8 @@
 const CLAIM = parseOnceClaim("o'brien", 'unlock-17')._unsafeUnwrap();
 const IN_TRANSACTION: OnceAnswer = { type: 'ready', status: 'T', errorSqlState: undefined };
 const COMMITTED: OnceAnswer = { type: 'ready', status: 'I', errorSqlState: undefined };
-const LOST: OnceAnswer = { type: 'lost', bytesWritten: true };
-const UNSENT: OnceAnswer = { type: 'lost', bytesWritten: false };
+const LOST: OnceAnswer = { type: 'lost', anyBytesWritten: true };
+const UNSENT: OnceAnswer = { type: 'lost', anyBytesWritten: false };
 
 function failed(errorSqlState: string): OnceAnswer {
   return { type: 'ready', status: 'E', errorSqlState };
--- a/test/unit/batch-runner.test.ts
+++ b/test/unit/batch-runner.test.ts
@@ -23,7 +23,13 @@
 
 function ready(status: 'I' | 'T', heldBack = NOTHING, errorSqlState?: string) {
   return (batch: BackendBatch): void =>
-    batch.onFinished({ type: 'ready', status, heldBack, errorSqlState, trailingRows: undefined });
+    batch.onFinished({
+      type: 'ready',
+      status,
+      heldBack,
+      errorSqlState,
+      appendedQueryRows: undefined,
+    });
 }
 
 function runKeyed(connection: BackendConnection): BatchResult | undefined {
@@ -39,7 +45,7 @@
     },
     tenant: 'bureau',
     onceMode: 'autocommit',
-    trailingQuery: undefined,
+    appendedQuery: undefined,
     onMessages: () => undefined,
     onResult: (ended) => {
       result = ended;
--- a/test/unit/database-group.test.ts
+++ b/test/unit/database-group.test.ts
@@ -172,7 +172,7 @@
 });
 
 test('without majority election an instance promoted alone would be written to', () => {
-  const driver = healthyGroup({ without: new Set(['majority-election']) });
+  const driver = healthyGroup({ disabledMechanisms: new Set(['majority-election']) });
   driver.states.set('c', state(true, 6, 90));
   driver.wait(500);
   arrive(driver, request('w1'));
@@ -189,8 +189,8 @@
   assert.ok(interrupted.some((effect) => effect.requestId === 'r1'));
   driver.finish('r1', {
     type: 'connection-lost',
-    bytesWritten: true,
-    answerRelayed: false,
+    anyBytesWritten: true,
+    anyBytesRelayed: false,
     mayHaveCommitted: true,
   });
   driver.wait(10);
@@ -279,14 +279,17 @@
 
 test('retries are bounded by the budget; without it they are not', () => {
   const retriesOf = (without: Set<Mechanism>): number => {
-    const driver = healthyGroup({ without, bounds: { retryCapacity: 2, retryRatio: 0 } });
+    const driver = healthyGroup({
+      disabledMechanisms: without,
+      bounds: { retryCapacity: 2, retryRatio: 0 },
+    });
     for (let index = 0; index < 10; index += 1) {
       const id = `r${index}`;
       arrive(driver, staleRead(id, { deadline: 100_000 }));
       driver.finish(id, {
         type: 'connection-lost',
-        bytesWritten: true,
-        answerRelayed: false,
+        anyBytesWritten: true,
+        anyBytesRelayed: false,
         mayHaveCommitted: true,
       });
       driver.wait(200);
--- a/test/unit/election.test.ts
+++ b/test/unit/election.test.ts
@@ -70,7 +70,7 @@
 
 test('after a change of the list the voters of both lists count, and then the new ones alone', async () => {
   const sets = new VoterSets(await loadHash64(), {
-    listLagMs: LIST_LAG_MS,
+    maxMachineListLagMs: LIST_LAG_MS,
     rememberMs: REMEMBER_MS,
   });
   const nodes = ['a', 'b', 'c', 'd'].map((nodeId) => ({ nodeId, zone: nodeId }));
--- a/test/unit/gateway-session.test.ts
+++ b/test/unit/gateway-session.test.ts
@@ -59,7 +59,13 @@
     const flush = false;
     return new Promise((resolve) => {
       this.#ended = resolve;
-      this.onBatch?.({ protocol: 'simple', statements: [text], requires: [], messages, flush });
+      this.onBatch?.({
+        protocol: 'simple',
+        statements: [text],
+        requires: [],
+        messages,
+        endsWithFlush: flush,
+      });
     });
   }
 
--- a/test/unit/machine-list-agent.test.ts
+++ b/test/unit/machine-list-agent.test.ts
@@ -19,7 +19,10 @@
 function agentWith(version: number, ...texts: readonly string[]): MachineListAgent<string> {
   const agent = new MachineListAgent<string>({ self: SELF, random: () => 0.5 });
   agent.handle({ type: 'started' }, 0);
-  agent.handle({ type: 'read', reading: { asked: 0, version, entries: entries(...texts) } }, 0);
+  agent.handle(
+    { type: 'read', reading: { knownVersion: 0, version, entries: entries(...texts) } },
+    0,
+  );
   return agent;
 }
 
@@ -29,7 +32,10 @@
   version: number,
   ...texts: readonly string[]
 ): void {
-  agent.handle({ type: 'read', reading: { asked, version, entries: entries(...texts) } }, 0);
+  agent.handle(
+    { type: 'read', reading: { knownVersion: asked, version, entries: entries(...texts) } },
+    0,
+  );
 }
 
 test('an answer that pushes have overtaken is no news, however often it comes', () => {
@@ -92,7 +98,7 @@
     const push = { type: 'push-received', nodeId, root: nodeId, delta } as const;
     return agent
       .handle(push, LONG_MS)
-      .some((effect) => effect.type === 'set-reading' && !effect.isReading);
+      .some((effect) => effect.type === 'set-reading' && !effect.isPolling);
   });
   assert.is(ended.filter(Boolean).length, 2);
 });
--- a/test/unit/platform/directory-follower.test.ts
+++ b/test/unit/platform/directory-follower.test.ts
@@ -11,7 +11,7 @@
 import { DirectoryFollower } from '../../../src/direct/directory-follower.js';
 import type {
   KeyValue,
-  RangeAnswer,
+  RangeResponse,
   Store,
   StoreError,
   WatchEvent,
@@ -31,14 +31,14 @@
 
 /** Both prefixes of a store, answered by the test. */
 class FakeStore implements Pick<Store, 'range' | 'watch'> {
-  readonly ranges = new Map<string, RangeAnswer | StoreError>();
+  readonly ranges = new Map<string, RangeResponse | StoreError>();
   readonly reads: string[] = [];
   readonly watches = new Map<string, OpenWatch[]>();
 
-  range(prefix: string): ResultAsync<RangeAnswer, StoreError> {
+  range(prefix: string): ResultAsync<RangeResponse, StoreError> {
     this.reads.push(prefix);
     const answer = this.ranges.get(prefix) ?? { revision: 1, entries: [] };
-    return answer instanceof Error ? errAsync(answer) : okAsync(answer as RangeAnswer);
+    return answer instanceof Error ? errAsync(answer) : okAsync(answer as RangeResponse);
   }
 
   watch(prefix: string, fromRevision: number, handlers: WatchHandlers): () => void {
--- a/test/unit/postgres/backend-answer-reader.test.ts
+++ b/test/unit/postgres/backend-answer-reader.test.ts
@@ -18,7 +18,7 @@
   readonly events: readonly string[];
 }
 
-const BATCH: ExpectedAnswers = { prelude: [], batch: true, trailingQuery: false };
+const BATCH: ExpectedAnswers = { prelude: [], batch: true, hasAppendedQuery: false };
 const ERROR = messages.errorResponse({ severity: 'ERROR', code: '25P02', message: 'aborted' });
 const FATAL = messages.errorResponse({ severity: 'FATAL', code: '57P01', message: 'stopping' });
 const DONE = messages.commandComplete('INSERT 0 1');
@@ -76,7 +76,7 @@
 
 test('a failed trailing query gives no rows and is never relayed', () => {
   const { relayed, end } = read(
-    { ...BATCH, trailingQuery: true },
+    { ...BATCH, hasAppendedQuery: true },
     ERROR,
     ready('E'),
     ERROR,
@@ -84,14 +84,14 @@
   );
   assert.is(relayed, '');
   assert.is(end?.heldBack.toString('latin1'), bytes(ERROR));
-  assert.is(end?.trailingRows, undefined);
+  assert.is(end?.appendedQueryRows, undefined);
   assert.is(end?.trailingError?.sqlState, '25P02');
   assert.is(end?.status, 'E');
 });
 
 test('rows of the trailing query are read, not relayed', () => {
   const { relayed, end } = read(
-    { ...BATCH, trailingQuery: true },
+    { ...BATCH, hasAppendedQuery: true },
     DONE,
     ready(),
     ROW_DESCRIPTION,
@@ -100,7 +100,7 @@
     ready(),
   );
   assert.is(relayed, '');
-  assert.equal(end?.trailingRows, [['0/16']]);
+  assert.equal(end?.appendedQueryRows, [['0/16']]);
   assert.is(end?.heldBack.toString('latin1'), bytes(DONE));
 });
 
--- a/test/unit/postgres/backend-position-query.test.ts
+++ b/test/unit/postgres/backend-position-query.test.ts
@@ -7,22 +7,22 @@
 test('a primary: the timeline being written, not the one of the control file', () => {
   const state = parseInstanceState([['f', '10', WAL_FILE, null, '1/2', '1/2']])._unsafeUnwrap();
   const position = { timeline: 11, lsn: 0x1_0000_0002n };
-  assert.equal(state, { writable: true, replayed: position, received: position });
+  assert.equal(state, { writable: true, replayedPosition: position, receivedPosition: position });
 });
 
 test('a replica: the later timeline counts for what was received only', () => {
   const state = parseInstanceState([['t', '10', null, '11', '0/1', '0/2']])._unsafeUnwrap();
   assert.equal(state, {
     writable: false,
-    replayed: { timeline: 10, lsn: 1n },
-    received: { timeline: 11, lsn: 2n },
+    replayedPosition: { timeline: 10, lsn: 1n },
+    receivedPosition: { timeline: 11, lsn: 2n },
   });
 });
 
 test('a replica that never streamed', () => {
   const state = parseInstanceState([['t', '3', null, null, null, null]])._unsafeUnwrap();
   const position = { timeline: 3, lsn: 0n };
-  assert.equal(state, { writable: false, replayed: position, received: position });
+  assert.equal(state, { writable: false, replayedPosition: position, receivedPosition: position });
 });
 
 test('other shapes are typed errors', () => {
--- a/test/unit/postgres/classify.test.ts
+++ b/test/unit/postgres/classify.test.ts
@@ -100,7 +100,7 @@
 
 test('statements that surely only read', () => {
   for (const text of READS) {
-    const { access, unsupported } = classify(text);
+    const { access, unsupportedFeature: unsupported } = classify(text);
     assert.deepEqual(
       { text, access, unsupported },
       { text, access: 'read', unsupported: undefined },
@@ -114,7 +114,7 @@
 
 test('what pooling cannot keep is named', () => {
   for (const [text, feature] of UNSUPPORTED)
-    assert.equal(classify(text).unsupported, feature, text);
+    assert.equal(classify(text).unsupportedFeature, feature, text);
 });
 
 test('local forms are taken', () => {
@@ -124,8 +124,8 @@
     "select set_config('a.b', 'c', true)",
     'select pg_advisory_xact_lock(1)',
   ];
-  for (const text of texts) assert.equal(classify(text).unsupported, undefined, text);
-  assert.equal(classify('declare c cursor for select 1', true).unsupported, undefined);
+  for (const text of texts) assert.equal(classify(text).unsupportedFeature, undefined, text);
+  assert.equal(classify('declare c cursor for select 1', true).unsupportedFeature, undefined);
 });
 
 test('transaction control', () => {
@@ -162,7 +162,7 @@
   for (const [text, action, name, value] of settings) {
     const found = classify(text);
     assert.deepEqual(found.sessionSetting, { action, name, value }, text);
-    assert.equal(found.unsupported, undefined);
+    assert.equal(found.unsupportedFeature, undefined);
   }
 });
 
@@ -177,10 +177,13 @@
 test('bulk inserts have one normal form, and overlong texts are refused', () => {
   const rows = Array.from({ length: 50_000 }, (_, index) => `(${index}, 'x')`).join(', ');
   assert.equal(normalize(`insert into t values ${rows}`), 'insert into t values (1)');
-  assert.equal(classify(`insert into t values ${rows}`).unsupported, undefined);
+  assert.equal(classify(`insert into t values ${rows}`).unsupportedFeature, undefined);
   const columns = Array.from({ length: 50_000 }, (_, index) => `c${index}`).join();
-  assert.match(classify(`select ${columns}`).unsupported ?? '', /^statement with more than/);
-  assert.match(classify(`select ${'1 '.repeat(600_000)}`).unsupported ?? '', /^statement with/);
+  assert.match(classify(`select ${columns}`).unsupportedFeature ?? '', /^statement with more than/);
+  assert.match(
+    classify(`select ${'1 '.repeat(600_000)}`).unsupportedFeature ?? '',
+    /^statement with/,
+  );
 });
 
 test('beyond the parse budget statements are writes, and reads again after it', () => {
--- a/test/unit/topology.test.ts
+++ b/test/unit/topology.test.ts
@@ -57,7 +57,7 @@
   const topology = topologyOf({ a: state(true, 5, 9), b: state(false, 5, 9) });
   const raised = withPassingState(topology, 'b', state(false, 5, 12));
   const lowered = withPassingState(raised, 'b', state(false, 5, 3));
-  assert.is(lowered.instances.get('b')?.state?.replayed.lsn, 12n);
+  assert.is(lowered.instances.get('b')?.state?.replayedPosition.lsn, 12n);
   assert.is(lowered.instances.get('b')?.observedAt, 10);
 });
 
