--- a/src/core/directory/snapshot.ts
+++ b/src/core/directory/snapshot.ts
@@ -49,17 +49,21 @@
 }
 
 /** How far a node knows the store's line; 0 for what it knows nothing of. */
-export interface DirectoryMarks {
+export interface DirectoryVersions {
   readonly version: number;
   readonly instancesRevision: number;
   readonly primariesRevision: number;
 }
 
-export const NO_MARKS: DirectoryMarks = { version: 0, instancesRevision: 0, primariesRevision: 0 };
+export const NO_VERSIONS: DirectoryVersions = {
+  version: 0,
+  instancesRevision: 0,
+  primariesRevision: 0,
+};
 
 /** The parts of a snapshot that are newer than what is known; the others are left out. */
-export function newerParts<Instance>(
-  known: DirectoryMarks,
+export function selectNewerParts<Instance>(
+  known: DirectoryVersions,
   offered: DirectorySnapshot<Instance>,
 ): DirectorySnapshot<Instance> {
   const { configuration, instances, primaries } = offered;
@@ -72,10 +76,10 @@
 }
 
 /** What is known once a snapshot's newer parts have been taken. */
-export function marksAfter<Instance>(
-  known: DirectoryMarks,
+export function versionsAfter<Instance>(
+  known: DirectoryVersions,
   { configuration, instances, primaries }: DirectorySnapshot<Instance>,
-): DirectoryMarks {
+): DirectoryVersions {
   return {
     version: Math.max(known.version, configuration?.version ?? 0),
     instancesRevision: Math.max(known.instancesRevision, instances?.revision ?? 0),
--- a/src/core/directory/store-position.ts
+++ b/src/core/directory/store-position.ts
@@ -6,22 +6,22 @@
 /** Changes that one era has room for: 34 years of 1,000 a second. */
 const REVISIONS_PER_ERA = 2 ** 40;
 /** Eras after which positions begin anew: they must stay exact numbers. */
-const ERAS = 2 ** 12;
+const ERA_MODULUS = 2 ** 12;
 /** The highest revision that a position can hold; the store gives out none so high. */
-export const HIGHEST_REVISION = REVISIONS_PER_ERA - 1;
+export const MAX_REVISION = REVISIONS_PER_ERA - 1;
 
 /** Position of a revision of an era. */
-export function positionOf(era: number, revision: number): number {
-  return (era % ERAS) * REVISIONS_PER_ERA + revision;
+export function toStorePosition(era: number, revision: number): number {
+  return (era % ERA_MODULUS) * REVISIONS_PER_ERA + revision;
 }
 
 /** Whether a position lies in this era. */
-export function isOfEra(position: number, era: number): boolean {
-  return Math.floor(position / REVISIONS_PER_ERA) === era % ERAS;
+export function isInEra(position: number, era: number): boolean {
+  return Math.floor(position / REVISIONS_PER_ERA) === era % ERA_MODULUS;
 }
 
 /** Whether two positions lie in one era. */
-export function isOfSameEra(left: number, right: number): boolean {
+export function isInSameEra(left: number, right: number): boolean {
   return Math.floor(left / REVISIONS_PER_ERA) === Math.floor(right / REVISIONS_PER_ERA);
 }
 
--- a/src/core/fleet/fleet-digests.ts
+++ b/src/core/fleet/fleet-digests.ts
@@ -5,11 +5,11 @@
  */
 import type { Milliseconds } from '../units.js';
 import {
+  countObservations,
   type DigestRefusal,
   type FleetView,
   type InstanceDigest,
   type InstanceObservation,
-  observationsOf,
 } from './instance-digest.js';
 import { OwnObservations } from './own-observations.js';
 import { weightedMedian } from './weighted-median.js';
@@ -136,13 +136,13 @@
   #sources(instanceId: string, now: Milliseconds): readonly Source[] {
     const own = this.#ownOf(instanceId, now);
     const sources: Source[] = [];
-    if (own !== undefined) sources.push(sourceOf(own, own.ageMs, observationsOf(own)));
+    if (own !== undefined) sources.push(sourceOf(own, own.ageMs, countObservations(own)));
     const told = [...(this.#told.get(instanceId)?.values() ?? [])].slice(-MOST_TELLERS);
     for (const { digest, at } of told) {
       const ageMs = digest.ageMs + Math.max(0, now - at);
       if (ageMs >= OLDEST_MS) continue;
       const most = MOST_TOLD_PER_OBSERVER * digest.observers;
-      sources.push(sourceOf(digest, ageMs, Math.min(most, observationsOf(digest))));
+      sources.push(sourceOf(digest, ageMs, Math.min(most, countObservations(digest))));
     }
     return bounded(sources);
   }
@@ -171,8 +171,8 @@
   const observed = sources.reduce((total, one) => total + one.observed * part(one), 0);
   const median = (measure: (digest: InstanceDigest) => number, used = sources): number =>
     weightedMedian(used.map((one) => ({ value: measure(one.digest), weight: weightOf(one) })));
-  const refusedShare = median((digest) => digest.refused / observationsOf(digest));
-  const failedShare = median((digest) => digest.failed / observationsOf(digest));
+  const refusedShare = median((digest) => digest.refused / countObservations(digest));
+  const failedShare = median((digest) => digest.failed / countObservations(digest));
   const timed = sources.filter(({ digest }) => digest.answerMs > 0);
   return {
     observers: sources.reduce((total, { digest }) => total + digest.observers, 0),
@@ -194,7 +194,7 @@
   const { ageMs, observers, answered, refused, failed, answerMs, waitMs } = digest;
   const isCounted = observers >= 1 && observers <= MOST_OBSERVERS;
   const hasCounts = [answered, refused, failed].every((count) => count >= 0);
-  const observed = observationsOf(digest);
+  const observed = countObservations(digest);
   const isWithinBounds = observed > 0 && observed <= MOST_PER_OBSERVER * observers;
   const hasTimes = [answerMs, waitMs].every((time) => time >= 0 && time <= LONGEST_TIME_MS);
   return isCounted && ageMs >= 0 && hasCounts && isWithinBounds && hasTimes;
--- a/src/core/fleet/instance-digest.ts
+++ b/src/core/fleet/instance-digest.ts
@@ -50,7 +50,7 @@
 export type DigestRefusal = 'stale' | 'implausible';
 
 /** Observations behind a digest or view. */
-export function observationsOf({
+export function countObservations({
   answered,
   refused,
   failed,
--- a/src/core/fleet/recent-view.ts
+++ b/src/core/fleet/recent-view.ts
@@ -1,6 +1,6 @@
 /** What was seen of an instance over some seconds, gathered from views of the last moment. No I/O and no clock. */
 import type { Milliseconds } from '../units.js';
-import { type FleetView, observationsOf } from './instance-digest.js';
+import { countObservations, type FleetView } from './instance-digest.js';
 
 /** What is older by this weighs half: long enough for evidence of instances that get few requests. */
 const HALF_LIFE_MS: Milliseconds = 1500;
@@ -26,7 +26,7 @@
     const left = 0.5 ** ((now - this.#at) / HALF_LIFE_MS);
     this.#at = now;
     const before = this.#view && scaled(this.#view, left);
-    const isGone = before === undefined || observationsOf(before) < LEAST_OBSERVATIONS;
+    const isGone = before === undefined || countObservations(before) < LEAST_OBSERVATIONS;
     this.#view = joined(isGone ? undefined : before, seen && scaled(seen, freshShare));
   }
 
@@ -60,6 +60,6 @@
       ({ answerMs }) => answerMs,
       ({ answerMs, answered }) => (answerMs > 0 ? Math.min(answered, MOST_TIMED) : 0),
     ),
-    waitMs: mean(({ waitMs }) => waitMs, observationsOf),
+    waitMs: mean(({ waitMs }) => waitMs, countObservations),
   };
 }
--- a/src/core/placement/ejection.ts
+++ b/src/core/placement/ejection.ts
@@ -3,7 +3,7 @@
  * service. By the outcome of requests, never by a health check. Capped: a service keeps most of its instances. What
  * only a primary can do goes to it all the same. No I/O and no clock.
  */
-import { type FleetView, observationsOf } from '../fleet/instance-digest.js';
+import { countObservations, type FleetView } from '../fleet/instance-digest.js';
 import { weightedMedian } from '../fleet/weighted-median.js';
 import type { Milliseconds } from '../units.js';
 
@@ -170,7 +170,7 @@
 }
 
 function hasAtLeast(seen: FleetView | undefined, least: number): seen is FleetView {
-  return seen !== undefined && observationsOf(seen) >= least;
+  return seen !== undefined && countObservations(seen) >= least;
 }
 
 function isCompared(seen: FleetView | undefined): seen is FleetView {
@@ -196,7 +196,7 @@
 }
 
 function failedShareOf(views: readonly FleetView[]): number {
-  const observed = views.reduce((sum, view) => sum + observationsOf(view), 0);
+  const observed = views.reduce((sum, view) => sum + countObservations(view), 0);
   return observed === 0 ? 0 : views.reduce((sum, { failed }) => sum + failed, 0) / observed;
 }
 
--- a/src/core/placement/expected-time.ts
+++ b/src/core/placement/expected-time.ts
@@ -2,7 +2,7 @@
  * Expected time to the answer of the next read at an instance: work, queue and way, from what this node and its fleet
  * lately saw there. No I/O and no clock.
  */
-import { type FleetView, observationsOf } from '../fleet/instance-digest.js';
+import { countObservations, type FleetView } from '../fleet/instance-digest.js';
 import type { InstanceLoad } from '../statements/instance-choice.js';
 import type { Milliseconds } from '../units.js';
 
@@ -90,7 +90,7 @@
   priorMs: Milliseconds,
   options = DEFAULT_EXPECTED_TIME_OPTIONS,
 ): Milliseconds {
-  const observed = seen === undefined ? 0 : observationsOf(seen);
+  const observed = seen === undefined ? 0 : countObservations(seen);
   if (seen === undefined || observed === 0) return priorMs;
   const { answerMs, waitMs, refused, failed } = seen;
   const troubleMs = (refused * options.refusalMs + failed * options.failureMs) / observed;
--- a/src/core/promotion/aftercare.ts
+++ b/src/core/promotion/aftercare.ts
@@ -62,14 +62,14 @@
   }
 
   #follow(member: InstanceEntry, status: InstanceStatus, isLast: boolean): void {
-    const { aftercareEveryMs, aftercareLastMs } = this.runtime.timings;
+    const { heldCheckPeriodMs, heldCheckDurationMs } = this.runtime.timings;
     if (status.role === 'primary') {
       if (status.term < this.options.term) this.#demote(member);
     } else if (status.heldTerm > 0) {
-      this.#scope.after(isLast ? 0 : aftercareEveryMs, () => this.#letGo(member, 0));
+      this.#scope.after(isLast ? 0 : heldCheckPeriodMs, () => this.#letGo(member, 0));
     } else if (!isLast) {
       // A call of an earlier leader may arrive late and hold it once more.
-      this.#scope.after(aftercareLastMs, () => this.#look(member, 0, true));
+      this.#scope.after(heldCheckDurationMs, () => this.#look(member, 0, true));
     }
   }
 
@@ -86,7 +86,7 @@
   }
 
   #again(member: InstanceEntry, failures: number): void {
-    const delayMs: Milliseconds = this.runtime.timings.aftercareEveryMs * 2 ** failures;
+    const delayMs: Milliseconds = this.runtime.timings.heldCheckPeriodMs * 2 ** failures;
     const next = (): void => this.#look(member, failures + 1, false);
     this.#scope.after(Math.min(SLOWEST_RETRY_MS, delayMs), next);
   }
--- a/src/core/promotion/calls.ts
+++ b/src/core/promotion/calls.ts
@@ -55,13 +55,13 @@
 
   /** An earlier leader named this instance, and may have called for it. */
   noteEarlierLeader(instanceId: string): void {
-    const { callSettledMs, confirmFirstMs } = this.runtime.timings;
+    const { callSettledMs, confirmFirstDelayMs } = this.runtime.timings;
     this.#instanceId = instanceId;
     this.#refusals = 0;
     this.#isOfEarlierLeader = true;
     this.#settledAt = Math.max(this.#settledAt, this.runtime.now + callSettledMs);
     // Looks before it calls again.
-    this.#nextAt = Math.max(this.#nextAt, this.runtime.now + confirmFirstMs);
+    this.#nextAt = Math.max(this.#nextAt, this.runtime.now + confirmFirstDelayMs);
   }
 
   /**
@@ -85,11 +85,11 @@
   /** Calls for an instance, if that may be done now; true if a call was made. */
   call(instanceId: string): boolean {
     const { runtime, election, lease } = this;
-    const { promoteTimeoutMs, promoteMarginMs } = runtime.timings;
+    const { promoteTimeoutMs, promoteMinLeaseLeftMs } = runtime.timings;
     const token = election.token;
     if (this.#isCalling || runtime.now < this.#nextAt || token === undefined) return false;
     if (instanceId !== this.#instanceId && !this.isSettled) return false;
-    if (!election.mayAct(promoteMarginMs)) return false;
+    if (!election.mayAct(promoteMinLeaseLeftMs)) return false;
     if (instanceId !== this.#instanceId) this.#refusals = 0;
     if (instanceId !== this.#instanceId || this.isSettled) this.#begin(instanceId);
     this.#isCalling = true;
@@ -104,9 +104,9 @@
 
   /** Refused calls count against the rate that all services share, and an instance that is down may take its time. */
   #pauseAfterNothing(): Milliseconds {
-    const { promoteBusyMs, promoteAgainMs } = this.runtime.timings;
+    const { promoteBusyRetryMs, promoteRetryAfterMs } = this.runtime.timings;
     const doublings = Math.max(0, this.#refusals - 1);
-    return Math.min(promoteAgainMs, promoteBusyMs * 2 ** doublings);
+    return Math.min(promoteRetryAfterMs, promoteBusyRetryMs * 2 ** doublings);
   }
 
   #begin(instanceId: string): void {
@@ -122,7 +122,7 @@
     if (outcome === 'accepted' || outcome === 'unknown') {
       this.#open += 1;
       this.#settledAt = now + timings.callSettledMs;
-      this.#nextAt = now + timings.promoteAgainMs;
+      this.#nextAt = now + timings.promoteRetryAfterMs;
     } else {
       this.#nextAt = now + this.#pauseAfterNothing();
     }
--- a/src/core/promotion/change.ts
+++ b/src/core/promotion/change.ts
@@ -16,7 +16,7 @@
 import type { Election } from './election.js';
 import { GroupHold } from './hold.js';
 import type { Primaries } from './primaries.js';
-import { type ChangingRecord, placeOf } from './records.js';
+import { addressOfInstance, type ChangingRecord } from './records.js';
 import type { PromotionRuntime } from './runtime.js';
 import { Scope } from './scope.js';
 
@@ -104,7 +104,7 @@
     if (this.#scope.isEnded || !election.mayAct()) return;
     this.#noteAcknowledgements();
     this.#hold.noteReplicas(this.#replicas());
-    const isLate = runtime.now - this.#begunAt >= runtime.timings.plannedGraceMs;
+    const isLate = runtime.now - this.#begunAt >= runtime.timings.plannedChangeGraceMs;
     if (this.#isFree || isLate) this.#startHold();
     if (this.#found !== undefined) return;
     this.#lookForLeader();
@@ -150,7 +150,7 @@
 
   #readDuty(): void {
     const { runtime, store } = this.context;
-    if (runtime.now - this.#readAt < runtime.timings.dutyReadMs) return;
+    if (runtime.now - this.#readAt < runtime.timings.acknowledgementRereadMs) return;
     this.#readAt = runtime.now;
     store.readAnew();
   }
@@ -167,7 +167,7 @@
       from: this.#findingOfOld(),
       successor: this.#findingOfSuccessor(),
       syncReplicas: this.context.syncReplicasOf(this.service),
-      acceptAny: runtime.now - this.#begunAt >= runtime.timings.betterCandidateMs,
+      acceptAny: runtime.now - this.#begunAt >= runtime.timings.betterCandidateWaitMs,
       withoutProof: runtime.isDisabled('hold'),
     };
   }
@@ -217,7 +217,7 @@
     const { runtime, calls } = this.context;
     if (this.#writing || !this.#isStillCertain(candidate) || !calls.call(candidate)) return;
     this.#progressAt = runtime.now;
-    this.#confirmAfter(runtime.timings.confirmFirstMs);
+    this.#confirmAfter(runtime.timings.confirmFirstDelayMs);
   }
 
   /**
@@ -255,7 +255,7 @@
     const { runtime } = this.context;
     const onAnswer = this.#scope.guard((answer: InstanceStatus | ControlFailure) => {
       if (typeof answer !== 'string') this.#noteStatus(instance, answer);
-      this.#confirmAfter(runtime.timings.confirmEveryMs);
+      this.#confirmAfter(runtime.timings.confirmPeriodMs);
     });
     runtime.control('status', instance, 0, onAnswer);
   }
@@ -289,7 +289,7 @@
     }
     this.#writing = true;
     const { change } = this.record;
-    const at = placeOf(instance);
+    const at = addressOfInstance(instance);
     const record = { phase: 'serving', change, instance: instance.id, at, term } as const;
     const known = store.noteOf(this.service);
     const note = { ...known, primary: instance.id, candidate: undefined, change };
@@ -315,7 +315,7 @@
       ...{ service: this.service, change: this.record.change, candidate: this.#namedCandidate() },
       ...{ refusals: calls.refusals, unheard: this.#unheardMembers() },
     });
-    election.resign(runtime.timings.abstainMs);
+    election.resign(runtime.timings.candidacyCooldownMs);
   }
 
   /** Members whose logs this leader can't vouch for now. */
--- a/src/core/promotion/contract.ts
+++ b/src/core/promotion/contract.ts
@@ -67,7 +67,7 @@
   | {
       readonly type: 'store-failed';
       /** The store said that the lease is over. */
-      readonly leaseOver: boolean;
+      readonly isLeaseGone: boolean;
       readonly retryAfterMs: Milliseconds | undefined;
     }
   | { readonly type: 'status'; readonly status: InstanceStatus }
--- a/src/core/promotion/duty-store.ts
+++ b/src/core/promotion/duty-store.ts
@@ -11,27 +11,27 @@
 import type { Election } from './election.js';
 import type { Primaries } from './primaries.js';
 import {
-  acknowledgementForm,
   acknowledgementKeyOf,
   acknowledgementPrefixOf,
-  DUTY_PREFIX,
-  type DutyNote,
   decodeRecord,
-  dutyNoteForm,
   FLEET_KEY,
   type FleetRecord,
-  fleetForm,
+  type HandoverRecord,
+  handoverKeyOf,
   LEADER_KEY,
+  LEADER_WATCH_PREFIX,
   type MembersRecord,
-  membersForm,
   membersKeyOf,
-  nodeForm,
   nodeKeyOf,
   nodeOfNodeKey,
-  noteKeyOf,
   type PrimaryRecord,
+  parseAcknowledgementRecord,
+  parseFleetRecord,
+  parseHandoverRecord,
+  parseMembersRecord,
+  parseNodeRecord,
+  parseSuspicionRecord,
   primaryKeyOf,
-  suspicionForm,
   suspicionPrefixOf,
 } from './records.js';
 import { isTrouble, type PromotionRuntime } from './runtime.js';
@@ -41,7 +41,7 @@
 export interface DutyWrite {
   readonly service: string;
   readonly record?: PrimaryRecord;
-  readonly note?: DutyNote;
+  readonly note?: HandoverRecord;
 }
 
 /** One value of a write, and the view of the store that it belongs to. */
@@ -51,8 +51,8 @@
   readonly value: string;
 }
 
-const NODE_PREFIX = `${DUTY_PREFIX}nodes/`;
-const EMPTY_NOTE: DutyNote = {
+const NODE_PREFIX = `${LEADER_WATCH_PREFIX}nodes/`;
+const EMPTY_NOTE: HandoverRecord = {
   members: [],
   departed: [],
   primary: undefined,
@@ -67,7 +67,10 @@
 const FIRST_MEMBERS_MS: Milliseconds = 3000;
 
 export class DutyStore {
-  readonly #decodedNotes = new Map<string, { readonly entry: KeyValue; readonly note: DutyNote }>();
+  readonly #decodedNotes = new Map<
+    string,
+    { readonly entry: KeyValue; readonly note: HandoverRecord }
+  >();
 
   #begunAt: Milliseconds = Number.NEGATIVE_INFINITY;
 
@@ -102,12 +105,12 @@
     return this.noteOf(service).primary;
   }
 
-  noteOf(service: string): DutyNote {
-    const entry = this.duty.get(noteKeyOf(service));
+  noteOf(service: string): HandoverRecord {
+    const entry = this.duty.get(handoverKeyOf(service));
     if (entry === undefined) return EMPTY_NOTE;
     const known = this.#decodedNotes.get(service);
     if (known?.entry === entry) return known.note;
-    const note = decodeRecord(entry, dutyNoteForm) ?? EMPTY_NOTE;
+    const note = decodeRecord(entry, parseHandoverRecord) ?? EMPTY_NOTE;
     this.#decodedNotes.set(service, { entry, note });
     return note;
   }
@@ -118,9 +121,9 @@
    */
   membersBeyondNote(service: string): readonly InstanceEntry[] {
     const record = this.records.get(membersKeyOf(service));
-    const note = this.duty.get(noteKeyOf(service));
+    const note = this.duty.get(handoverKeyOf(service));
     if (record === undefined || (note?.modRevision ?? 0) >= record.modRevision) return [];
-    return decodeRecord(record, membersForm)?.members ?? [];
+    return decodeRecord(record, parseMembersRecord)?.members ?? [];
   }
 
   /** Members that nodes have seen and no record names, as told with their acknowledgements of the change under way. */
@@ -129,7 +132,7 @@
     if (record?.phase !== 'changing') return [];
     const told: InstanceEntry[] = [];
     for (const entry of this.duty.under(acknowledgementPrefixOf(service))) {
-      const acknowledged = decodeRecord(entry, acknowledgementForm);
+      const acknowledged = decodeRecord(entry, parseAcknowledgementRecord);
       if (acknowledged?.change === record.change) told.push(...(acknowledged.unlisted ?? []));
     }
     return told;
@@ -145,7 +148,7 @@
     const reachable: ReachableNode[] = [];
     for (const entry of this.duty.under(NODE_PREFIX)) {
       const nodeId = nodeOfNodeKey(entry.key);
-      const peer = decodeRecord(entry, nodeForm)?.peer;
+      const peer = decodeRecord(entry, parseNodeRecord)?.peer;
       if (nodeId !== undefined && peer !== undefined) reachable.push({ nodeId, ...peer });
     }
     return reachable;
@@ -156,7 +159,7 @@
     const nodes: ReaderCandidate[] = [];
     for (const entry of this.duty.under(NODE_PREFIX)) {
       const nodeId = nodeOfNodeKey(entry.key);
-      const { peer, directoryAt, linkMbps = 0 } = decodeRecord(entry, nodeForm) ?? {};
+      const { peer, directoryAt, linkMbps = 0 } = decodeRecord(entry, parseNodeRecord) ?? {};
       if (nodeId === undefined || peer === undefined || directoryAt === undefined) continue;
       nodes.push({ nodeId, zone: peer.zone, ...directoryAt, linkMbps });
     }
@@ -164,14 +167,14 @@
   }
 
   publishedFleet(): FleetRecord | undefined {
-    return decodeRecord(this.records.get(FLEET_KEY), fleetForm);
+    return decodeRecord(this.records.get(FLEET_KEY), parseFleetRecord);
   }
 
   /** Nodes that suspect this primary. */
   suspicionsOf(service: string, instance: string): number {
     let count = 0;
     for (const entry of this.duty.under(suspicionPrefixOf(service))) {
-      if (decodeRecord(entry, suspicionForm)?.instance === instance) count += 1;
+      if (decodeRecord(entry, parseSuspicionRecord)?.instance === instance) count += 1;
     }
     return count;
   }
@@ -195,7 +198,7 @@
   endOf(service: string, { change }: PrimaryRecord): Position | undefined {
     let latest: Position | undefined;
     for (const entry of this.duty.under(acknowledgementPrefixOf(service))) {
-      const record = decodeRecord(entry, acknowledgementForm);
+      const record = decodeRecord(entry, parseAcknowledgementRecord);
       if (record?.change !== change || record.end === undefined) continue;
       latest = latest === undefined ? record.end : laterPosition(latest, record.end);
     }
@@ -209,7 +212,7 @@
 
   write({ service, record, note }: DutyWrite, onDone: (succeeded: boolean) => void): void {
     const recordKey = primaryKeyOf(service);
-    const noteKey = noteKeyOf(service);
+    const noteKey = handoverKeyOf(service);
     const puts: Put[] = [];
     if (note !== undefined) {
       puts.push({ view: this.duty, key: noteKey, value: JSON.stringify(note) });
@@ -240,7 +243,7 @@
   }
 
   /** The members of a note where all nodes hear of them; undefined if they have heard, or may hear later. */
-  #membersToPublish(service: string, note: DutyNote): Omit<Put, 'view'> | undefined {
+  #membersToPublish(service: string, note: HandoverRecord): Omit<Put, 'view'> | undefined {
     const { members } = note;
     const key = membersKeyOf(service);
     const known = this.records.get(key);
@@ -251,7 +254,7 @@
   }
 
   /** Those that this leader counts no more, other nodes need not hear of. */
-  #departedToPublish(service: string, { departed }: DutyNote): readonly InstanceEntry[] {
+  #departedToPublish(service: string, { departed }: HandoverRecord): readonly InstanceEntry[] {
     if (departed.length === 0 || this.runtime.isDisabled('forgotten-members')) return [];
     const remembered = new Set(this.primaries.remembered(service).map(({ id }) => id));
     return departed.filter(({ id }) => remembered.has(id));
@@ -277,10 +280,10 @@
   #hasAcknowledged(service: string, record: PrimaryRecord, node: string): boolean {
     const registered = decodeRecord(
       this.duty.get(`${NODE_PREFIX}${encodeURIComponent(node)}`),
-      nodeForm,
+      parseNodeRecord,
     );
     const key = acknowledgementKeyOf(service, node);
-    const acknowledged = decodeRecord(this.duty.get(key), acknowledgementForm);
+    const acknowledged = decodeRecord(this.duty.get(key), parseAcknowledgementRecord);
     if (registered === undefined || acknowledged === undefined) return false;
     return acknowledged.change === record.change && acknowledged.leaseId === registered.leaseId;
   }
--- a/src/core/promotion/election.ts
+++ b/src/core/promotion/election.ts
@@ -5,7 +5,7 @@
 import type { Milliseconds } from '../units.js';
 import type { NodeLease } from './lease.js';
 import type { Participation } from './participation.js';
-import { decodeRecord, LEADER_KEY, type LeaderRecord, leaderForm } from './records.js';
+import { decodeRecord, LEADER_KEY, type LeaderRecord, parseLeaderRecord } from './records.js';
 import { isTrouble, type PromotionRuntime } from './runtime.js';
 import type { StoreView } from './store-view.js';
 
@@ -55,13 +55,13 @@
 
   /** False while a promotion by the next holder would follow too soon upon one by this. */
   get mayHandOn(): boolean {
-    return this.runtime.now - this.#calledAt > this.runtime.timings.handOnAfterMs;
+    return this.runtime.now - this.#calledAt > this.runtime.timings.minHandoverDelayMs;
   }
 
   /** The leader's key or this node's registration may have changed. */
   update(): void {
     const entry = this.records.get(LEADER_KEY);
-    const leader = decodeRecord(entry, leaderForm);
+    const leader = decodeRecord(entry, parseLeaderRecord);
     if (leader !== undefined && this.#isOwn(leader)) this.#setToken(entry?.modRevision, leader);
     else this.#setToken(undefined);
     if (entry === undefined) this.#planAttempt();
@@ -94,7 +94,7 @@
       this.#removing = undefined;
       onDone();
       if (!isTrouble(answer)) return;
-      this.runtime.after(this.runtime.timings.storeRetryMs, () => {
+      this.runtime.after(this.runtime.timings.storeRetryDelayMs, () => {
         if (this.records.get(LEADER_KEY)?.modRevision === modRevision) this.#remove(modRevision);
       });
     });
@@ -138,7 +138,7 @@
     if (this.#attemptPlanned || this.#stopped) return;
     this.#attemptPlanned = true;
     const waitMs = Math.max(0, this.#abstainUntil - this.runtime.now);
-    const spreadMs = this.runtime.timings.electionSpreadMs * this.runtime.options.random();
+    const spreadMs = this.runtime.timings.maxElectionDelayMs * this.runtime.options.random();
     this.runtime.after(waitMs + spreadMs, () => {
       this.#attemptPlanned = false;
       this.#attempt();
@@ -169,7 +169,7 @@
   }
 
   #planLater(): void {
-    this.runtime.after(this.runtime.timings.storeRetryMs, () => {
+    this.runtime.after(this.runtime.timings.storeRetryDelayMs, () => {
       if (this.records.get(LEADER_KEY) === undefined) this.#planAttempt();
     });
   }
--- a/src/core/promotion/hold.ts
+++ b/src/core/promotion/hold.ts
@@ -135,11 +135,11 @@
   }
 
   #secure(member: MemberState): void {
-    const { secureEveryMs } = this.runtime.timings;
+    const { holdRetryPeriodMs } = this.runtime.timings;
     if (!this.#members.includes(member)) return;
     if (!this.options.mayAct()) {
       const { calls } = member;
-      this.#scope.after(secureEveryMs, () => {
+      this.#scope.after(holdRetryPeriodMs, () => {
         if (calls === member.calls) this.#secure(member);
       });
       return;
@@ -153,7 +153,7 @@
       this.#noteAnswer(member, answer, askedAt);
       if (call === member.calls) {
         member.triedAt = this.runtime.now;
-        const waitMs = answer === 'busy' ? BUSY_RETRY_MS : secureEveryMs;
+        const waitMs = answer === 'busy' ? BUSY_RETRY_MS : holdRetryPeriodMs;
         this.#scope.after(waitMs, () => {
           if (call === member.calls) this.#secure(member);
         });
--- a/src/core/promotion/lives.ts
+++ b/src/core/promotion/incarnations.ts
@@ -4,13 +4,13 @@
  */
 
 /** What tells the lives of one instance from one another. */
-export interface InstanceLife {
+export interface InstanceIncarnation {
   readonly id: string;
   /** What all lives of the instance have in common; absent where the platform does not tell lives. */
   readonly lifeOf?: string | undefined;
 }
 
 /** Whether both are lives of one instance, and not the same life. */
-export function isOtherLife(left: InstanceLife, right: InstanceLife): boolean {
+export function isOtherIncarnation(left: InstanceIncarnation, right: InstanceIncarnation): boolean {
   return left.lifeOf !== undefined && left.lifeOf === right.lifeOf && left.id !== right.id;
 }
--- a/src/core/promotion/leader.ts
+++ b/src/core/promotion/leader.ts
@@ -8,7 +8,7 @@
 import type { NodeLease } from './lease.js';
 import { PeerPublisher } from './peer-publisher.js';
 import type { Primaries } from './primaries.js';
-import { DUTY_PREFIX } from './records.js';
+import { LEADER_WATCH_PREFIX } from './records.js';
 import type { PromotionRuntime } from './runtime.js';
 import { Scope } from './scope.js';
 import { ServiceDuty } from './service-duty.js';
@@ -46,7 +46,7 @@
     records: StoreView,
   ) {
     this.#scope = new Scope(runtime);
-    this.#duty = new StoreView(runtime, DUTY_PREFIX);
+    this.#duty = new StoreView(runtime, LEADER_WATCH_PREFIX);
     this.#duty.onChange = () => this.update();
     this.#store = new DutyStore(runtime, election, primaries, records, this.#duty);
     this.#peers = new PeerPublisher(runtime, election, records, this.#duty);
--- a/src/core/promotion/lease.ts
+++ b/src/core/promotion/lease.ts
@@ -61,7 +61,7 @@
       this.#failures = 0;
       this.#leaseId = answer;
       this.#validUntil = this.#endOf(sentAt);
-      this.#renewAfter(this.runtime.timings.leaseRenewMs - (this.runtime.now - sentAt));
+      this.#renewAfter(this.runtime.timings.leaseRenewPeriodMs - (this.runtime.now - sentAt));
       this.onGranted(answer);
     });
   }
@@ -87,8 +87,8 @@
   }
 
   #endOf(sentAt: Milliseconds): Milliseconds {
-    const { leaseSeconds, leaseMarginMs } = this.runtime.timings;
-    return sentAt + leaseSeconds * MILLISECONDS_PER_SECOND - leaseMarginMs;
+    const { leaseSeconds, leaseSafetyMarginMs } = this.runtime.timings;
+    return sentAt + leaseSeconds * MILLISECONDS_PER_SECOND - leaseSafetyMarginMs;
   }
 
   #renewAfter(delayMs: Milliseconds): void {
@@ -103,9 +103,9 @@
       this.#look();
       return;
     }
-    const { leaseRenewMs, leaseRetryMs } = this.runtime.timings;
+    const { leaseRenewPeriodMs, leaseRetryAfterMs } = this.runtime.timings;
     const sentAt = this.runtime.now;
-    this.#cancelNext = this.runtime.after(leaseRetryMs, () => {
+    this.#cancelNext = this.runtime.after(leaseRetryAfterMs, () => {
       this.#silences += 1;
       this.#noteTrouble();
       this.#renew();
@@ -116,7 +116,7 @@
       if (answer === true) {
         this.#failures = 0;
         this.#validUntil = Math.max(this.#validUntil, this.#endOf(sentAt));
-        this.#renewAfter(Math.max(0, leaseRenewMs - (this.runtime.now - sentAt)));
+        this.#renewAfter(Math.max(0, leaseRenewPeriodMs - (this.runtime.now - sentAt)));
       } else if (answer.leaseOver) {
         this.#replace();
       } else {
@@ -131,7 +131,7 @@
    * promotions, which wait for this node's acknowledgement. Renews no more until an answer comes.
    */
   #look(): void {
-    this.#cancelNext = this.runtime.after(this.runtime.timings.leaseRetryMs, () => {
+    this.#cancelNext = this.runtime.after(this.runtime.timings.leaseRetryAfterMs, () => {
       this.#noteTrouble();
       this.#look();
     });
@@ -157,7 +157,7 @@
   }
 
   #backoff({ retryAfterMs }: StoreTrouble): Milliseconds {
-    const bound = this.runtime.timings.storeRetryMs * 2 ** this.#failures;
+    const bound = this.runtime.timings.storeRetryDelayMs * 2 ** this.#failures;
     this.#failures += 1;
     return Math.max(retryAfterMs, this.runtime.jittered(Math.min(BACKOFF_MAXIMUM_MS, bound)));
   }
--- a/src/core/promotion/lost-records.ts
+++ b/src/core/promotion/lost-records.ts
@@ -7,12 +7,12 @@
 import type { Milliseconds } from '../units.js';
 import {
   decodeRecord,
+  isHandoverKey,
   isMembersKey,
-  isNoteKey,
   type MembersRecord,
-  membersForm,
   type PrimaryRecord,
-  primaryForm,
+  parseMembersRecord,
+  parsePrimaryRecord,
   serviceOfPrimaryKey,
 } from './records.js';
 import { isTrouble, type PromotionRuntime } from './runtime.js';
@@ -80,12 +80,12 @@
     if (known.value === stored?.value) return undefined;
     if (serviceOfPrimaryKey(known.key) !== undefined) {
       const isLater = this.runtime.isDisabled('later-term') ? isLaterChange : isLaterRecord;
-      const record = decodeRecord(known, primaryForm);
-      return isLater(record, decodeRecord(stored, primaryForm)) ? known.value : undefined;
+      const record = decodeRecord(known, parsePrimaryRecord);
+      return isLater(record, decodeRecord(stored, parsePrimaryRecord)) ? known.value : undefined;
     }
     if (isMembersKey(known.key)) return joinedMembers(known, stored);
     // The leader that lives on has written its notes alone.
-    return isNoteKey(known.key) ? known.value : undefined;
+    return isHandoverKey(known.key) ? known.value : undefined;
   }
 
   #writeLater(): void {
@@ -114,9 +114,9 @@
 
 /** Which of two lists is later can't be told over several returns: a member too many only has to answer once more. */
 function joinedMembers(known: KeyValue, stored: KeyValue | undefined): string | undefined {
-  const listed = decodeRecord(stored, membersForm);
+  const listed = decodeRecord(stored, parseMembersRecord);
   if (listed === undefined) return known.value;
-  const before = decodeRecord(known, membersForm);
+  const before = decodeRecord(known, parseMembersRecord);
   const members = joined(listed.members, before?.members ?? []);
   const departed = joined(listed.departed, before?.departed ?? []);
   const isWhole =
--- a/src/core/promotion/machine.ts
+++ b/src/core/promotion/machine.ts
@@ -18,12 +18,12 @@
 import {
   decodeRecord,
   ERA_KEY,
-  eraForm,
   FLEET_KEY,
   type FleetRecord,
-  fleetForm,
   PEERS_KEY,
-  peersForm,
+  parseEraRecord,
+  parseFleetRecord,
+  parsePeersRecord,
   RECORD_PREFIX,
   serviceOfMembersKey,
   serviceOfPrimaryKey,
@@ -172,7 +172,7 @@
 
   /** Where nodes answer questions for their directory, as the leader told last. */
   peerAddresses(): readonly PeerAddress[] {
-    return decodeRecord(this.#records.get(PEERS_KEY), peersForm)?.addresses ?? [];
+    return decodeRecord(this.#records.get(PEERS_KEY), parsePeersRecord)?.addresses ?? [];
   }
 
   /** True if a success of the primary needs no telling: nothing depends on it. */
@@ -193,7 +193,7 @@
     const entry = this.#records.get(FLEET_KEY);
     if (entry !== this.#fleetEntry) {
       this.#fleetEntry = entry;
-      this.#fleetRecord = decodeRecord(entry, fleetForm);
+      this.#fleetRecord = decodeRecord(entry, parseFleetRecord);
     }
     return this.#fleetRecord;
   }
@@ -259,7 +259,7 @@
    */
   #start(): void {
     this.#lease.start();
-    this.#runtime.after(this.#runtime.timings.readUnregisteredMs, () => this.#records.start());
+    this.#runtime.after(this.#runtime.timings.unregisteredReadDelayMs, () => this.#records.start());
   }
 
   /** Leases, registrations and what hangs on them may be gone, or back: each is shown or written anew before it counts. */
@@ -294,7 +294,7 @@
   }
 
   #noteRecords(keys: ReadonlySet<string>): void {
-    const settled = decodeRecord(this.#records.get(ERA_KEY), eraForm);
+    const settled = decodeRecord(this.#records.get(ERA_KEY), parseEraRecord);
     this.#runtime.era.noteRecorded(settled?.era);
     this.#tellChanges();
     for (const key of keys) {
--- a/src/core/promotion/members.ts
+++ b/src/core/promotion/members.ts
@@ -107,7 +107,7 @@
     const note = { ...known, members, primary, departed: departed ?? known.departed };
     const onDone = this.#scope.guard((succeeded: boolean) => {
       this.#writing = false;
-      const waitMs = succeeded ? 0 : this.runtime.timings.storeRetryMs;
+      const waitMs = succeeded ? 0 : this.runtime.timings.storeRetryDelayMs;
       this.#scope.after(waitMs, () => this.update());
     });
     this.store.write({ service: this.service, note }, onDone);
@@ -225,9 +225,9 @@
 export function isMemberDead(
   answer: InstanceStatus | ControlFailure,
   silentForMs: Milliseconds,
-  { memberSilentMs }: Pick<PromotionTimings, 'memberSilentMs'>,
+  { memberDeadAfterMs }: Pick<PromotionTimings, 'memberDeadAfterMs'>,
 ): boolean {
-  return answer === 'refused' || (answer === 'silent' && silentForMs >= memberSilentMs);
+  return answer === 'refused' || (answer === 'silent' && silentForMs >= memberDeadAfterMs);
 }
 
 function addressOf({ host, port }: InstanceEntry): string {
--- a/src/core/promotion/monitor.ts
+++ b/src/core/promotion/monitor.ts
@@ -59,7 +59,7 @@
    */
   start(): void {
     this.#followPrimary();
-    this.#aliveAt = this.runtime.now + FIRST_LOOK_MS - this.runtime.timings.probeEveryMs;
+    this.#aliveAt = this.runtime.now + FIRST_LOOK_MS - this.runtime.timings.probePeriodMs;
     this.#probeIfNeeded();
   }
 
@@ -84,7 +84,7 @@
 
   /** Suspicions are let rest for a while after a change. */
   noteChanged(): void {
-    this.#restUntil = this.runtime.now + this.runtime.timings.suspectRestMs;
+    this.#restUntil = this.runtime.now + this.runtime.timings.suspicionCooldownMs;
   }
 
   /** Looks for a reason in what is known without a probe. */
@@ -100,7 +100,7 @@
     const isPresent = this.primaries.isPresent(id);
     if (isPresent && this.primaries.instance(id)?.draining) return 'draining';
     const goneForMs = this.primaries.goneForMs(id, this.runtime.now);
-    if (goneForMs !== undefined && goneForMs >= this.runtime.timings.entryGoneMs) {
+    if (goneForMs !== undefined && goneForMs >= this.runtime.timings.missingEntryReplaceAfterMs) {
       return 'entry-gone';
     }
     if (this.#timesReplica >= MISSES_UNTIL_DEAD) return 'lost-lead';
@@ -140,14 +140,14 @@
 
   #probeIfNeeded(): void {
     this.#cancelProbe();
-    const { probeEveryMs } = this.runtime.timings;
+    const { probePeriodMs } = this.runtime.timings;
     const id = this.#followPrimary();
     const instance = id === undefined ? undefined : this.primaries.instance(id);
     // An answer shows that it lives; whether it leads, only its own word does.
     const isDenied = instance?.role === 'replica';
-    const dueInMs = isDenied ? 0 : this.#aliveAt + probeEveryMs - this.runtime.now;
+    const dueInMs = isDenied ? 0 : this.#aliveAt + probePeriodMs - this.runtime.now;
     if (instance === undefined || dueInMs > 0) {
-      const waitMs = instance === undefined ? probeEveryMs : dueInMs;
+      const waitMs = instance === undefined ? probePeriodMs : dueInMs;
       this.#probeAfter(waitMs);
       this.evaluate();
       return;
@@ -179,8 +179,8 @@
   }
 
   #nextProbeMs(): Milliseconds {
-    const { probeConfirmMs, probeEveryMs } = this.runtime.timings;
-    if (this.#refusals === 1) return probeConfirmMs;
-    return this.#silences === 1 ? 0 : probeEveryMs;
+    const { probeRetryDelayMs, probePeriodMs } = this.runtime.timings;
+    if (this.#refusals === 1) return probeRetryDelayMs;
+    return this.#silences === 1 ? 0 : probePeriodMs;
   }
 }
--- a/src/core/promotion/participation.ts
+++ b/src/core/promotion/participation.ts
@@ -8,15 +8,15 @@
 import type { Milliseconds } from '../units.js';
 import type { NodeLease } from './lease.js';
 import {
-  acknowledgementForm,
   acknowledgementKeyOf,
   type ChangingRecord,
   decodeRecord,
   encodeAcknowledgement,
   type NodeRecord,
-  nodeForm,
   nodeKeyOf,
   type PrimaryRecord,
+  parseAcknowledgementRecord,
+  parseNodeRecord,
 } from './records.js';
 import { isTrouble, type PromotionRuntime } from './runtime.js';
 import type { StoreView } from './store-view.js';
@@ -124,7 +124,7 @@
       }
       const current = answer.current.find((entry) => entry.key === key);
       const currentRevision = current?.modRevision ?? 0;
-      const isOwn = decodeRecord(current, nodeForm)?.leaseId === leaseId;
+      const isOwn = decodeRecord(current, parseNodeRecord)?.leaseId === leaseId;
       if (answer.succeeded) this.#noteRegistered(leaseId, answer.revision);
       else if (isOwn) this.#noteRegistered(leaseId, currentRevision);
       else this.#register(leaseId, currentRevision);
@@ -151,8 +151,8 @@
       end: undefined,
     };
     this.#acknowledgements.set(service, state);
-    const { endUseMs } = this.runtime.timings;
-    state.cancel = this.runtime.after(endUseMs, () => this.#demote(service, state));
+    const { endUseTimeoutMs } = this.runtime.timings;
+    state.cancel = this.runtime.after(endUseTimeoutMs, () => this.#demote(service, state));
     this.runtime.emit({ type: 'end-use', service, change });
   }
 
@@ -173,7 +173,7 @@
         return;
       }
       const current = answer.current.find((entry) => entry.key === key);
-      const written = decodeRecord(current, acknowledgementForm);
+      const written = decodeRecord(current, parseAcknowledgementRecord);
       const isOwn = written?.change === change && written.leaseId === leaseId;
       if (!answer.succeeded && !isOwn) {
         this.#write(service, state, current?.modRevision ?? 0);
@@ -221,6 +221,6 @@
   }
 
   #retryDelay(atLeastMs: Milliseconds): Milliseconds {
-    return Math.max(atLeastMs, this.runtime.jittered(this.runtime.timings.storeRetryMs));
+    return Math.max(atLeastMs, this.runtime.jittered(this.runtime.timings.storeRetryDelayMs));
   }
 }
--- a/src/core/promotion/peer-publisher.ts
+++ b/src/core/promotion/peer-publisher.ts
@@ -9,10 +9,10 @@
   decodeRecord,
   LEADER_KEY,
   NODE_PREFIX,
-  nodeForm,
   PEERS_KEY,
   type PeersRecord,
-  peersForm,
+  parseNodeRecord,
+  parsePeersRecord,
 } from './records.js';
 import type { PromotionRuntime } from './runtime.js';
 import type { Scope } from './scope.js';
@@ -36,7 +36,7 @@
   /** Looks for new addresses; `scope` ends with this node's duty. */
   update(scope: Scope): void {
     if (this.#busyIn === scope || !this.election.mayAct() || !this.duty.isReady) return;
-    const published = decodeRecord(this.records.get(PEERS_KEY), peersForm)?.addresses ?? [];
+    const published = decodeRecord(this.records.get(PEERS_KEY), parsePeersRecord)?.addresses ?? [];
     const known = new Set(published.map(keyOf));
     const live = this.#registered();
     if (live.every((address) => known.has(keyOf(address)))) return;
@@ -59,7 +59,7 @@
   /** In one order whoever leads, so that the same ones have a place. */
   #registered(): PeerAddress[] {
     return [...this.duty.under(NODE_PREFIX)]
-      .map((entry) => decodeRecord(entry, nodeForm)?.directoryAt)
+      .map((entry) => decodeRecord(entry, parseNodeRecord)?.directoryAt)
       .filter((address) => address !== undefined)
       .sort((left, right) => (keyOf(left) < keyOf(right) ? -1 : 1))
       .slice(0, MAX_ADDRESSES);
--- a/src/core/promotion/primaries.ts
+++ b/src/core/promotion/primaries.ts
@@ -5,15 +5,15 @@
 import type { InstanceEntry } from '../../direct/contract.js';
 import type { KeyValue } from '../../platform/contract.js';
 import type { Milliseconds } from '../units.js';
-import { isOtherLife } from './lives.js';
+import { isOtherIncarnation } from './incarnations.js';
 import type { PromotionTimings } from './options.js';
 import {
   decodeRecord,
   type MembersRecord,
-  membersForm,
   membersKeyOf,
   type PrimaryRecord,
-  primaryForm,
+  parseMembersRecord,
+  parsePrimaryRecord,
   primaryKeyOf,
 } from './records.js';
 import type { StoreView } from './store-view.js';
@@ -73,7 +73,7 @@
   /** Whether the store has an entry of another life of this instance: the one that is meant is over, with its log. */
   isBornAgain(instance: InstanceEntry): boolean {
     if (instance.lifeOf === undefined || this.isPresent(instance.id)) return false;
-    return this.present(instance.service).some((other) => isOtherLife(instance, other));
+    return this.present(instance.service).some((other) => isOtherIncarnation(instance, other));
   }
 
   /** Entries of a service that the store has now. */
@@ -144,7 +144,7 @@
   }
 
   #membersRecordOf(service: string): MembersRecord | undefined {
-    return decodeRecord(this.records.get(membersKeyOf(service)), membersForm);
+    return decodeRecord(this.records.get(membersKeyOf(service)), parseMembersRecord);
   }
 
   isPresent(id: string): boolean {
@@ -166,7 +166,7 @@
     if (entry === undefined) return undefined;
     const known = this.#decoded.get(service);
     if (known?.entry === entry) return known.record;
-    const record = decodeRecord(entry, primaryForm);
+    const record = decodeRecord(entry, parsePrimaryRecord);
     this.#decoded.set(service, { entry, record });
     return record;
   }
@@ -189,7 +189,7 @@
     const id = this.primaryIdOf(service);
     if (id === undefined) return undefined;
     const goneForMs = this.goneForMs(id, now);
-    if (goneForMs !== undefined && goneForMs >= this.timings.entryUsedMs) return undefined;
+    if (goneForMs !== undefined && goneForMs >= this.timings.missingEntryUsableMs) return undefined;
     return this.instance(id);
   }
 
--- a/src/core/promotion/records.ts
+++ b/src/core/promotion/records.ts
@@ -7,7 +7,7 @@
 import type { InstanceEntry, InstanceRole } from '../../direct/contract.js';
 import type { PeerAddress } from '../../peer/contract.js';
 import type { KeyValue } from '../../platform/contract.js';
-import { type Fields, isFields } from '../fields.js';
+import { isObject, type UncheckedFields } from '../fields.js';
 import type { OwnerRoster, ReachableNode } from '../ownership/owner-roster.js';
 import type { Position } from '../position.js';
 import type { QuotaKeepers } from '../tenancy/quota-keepers.js';
@@ -19,7 +19,7 @@
 /** Prefix that every node follows. */
 export const RECORD_PREFIX = 'server-groups/';
 /** Prefix that the leader follows. */
-export const DUTY_PREFIX = 'meadowstack-duty/';
+export const LEADER_WATCH_PREFIX = 'meadowstack-duty/';
 export const LEADER_KEY = `${RECORD_PREFIX}leader`;
 export const FLEET_KEY = `${RECORD_PREFIX}fleet`;
 /** The era of the store after whose beginning a leader has waited until nothing of the one before binds. */
@@ -28,15 +28,15 @@
 const PRIMARY_PREFIX = `${RECORD_PREFIX}primary/`;
 const MEMBERS_PREFIX = `${RECORD_PREFIX}members/`;
 /** Keys of the nodes, one each. */
-export const NODE_PREFIX = `${DUTY_PREFIX}nodes/`;
-const ACKNOWLEDGEMENT_PREFIX = `${DUTY_PREFIX}acks/`;
-const SUSPICION_PREFIX = `${DUTY_PREFIX}suspects/`;
-const NOTE_PREFIX = `${DUTY_PREFIX}notes/`;
+export const NODE_PREFIX = `${LEADER_WATCH_PREFIX}nodes/`;
+const ACKNOWLEDGEMENT_PREFIX = `${LEADER_WATCH_PREFIX}acks/`;
+const SUSPICION_PREFIX = `${LEADER_WATCH_PREFIX}suspects/`;
+const HANDOVER_PREFIX = `${LEADER_WATCH_PREFIX}notes/`;
 
 export const primaryKeyOf = (service: string): string => PRIMARY_PREFIX + encode(service);
 export const membersKeyOf = (service: string): string => MEMBERS_PREFIX + encode(service);
 export const nodeKeyOf = (node: string): string => NODE_PREFIX + encode(node);
-export const noteKeyOf = (service: string): string => NOTE_PREFIX + encode(service);
+export const handoverKeyOf = (service: string): string => HANDOVER_PREFIX + encode(service);
 export const acknowledgementPrefixOf = (service: string): string =>
   `${ACKNOWLEDGEMENT_PREFIX}${encode(service)}/`;
 export const acknowledgementKeyOf = (service: string, node: string): string =>
@@ -60,8 +60,8 @@
 }
 
 /** Whether a key holds what one leader leaves to the next. */
-export function isNoteKey(key: string): boolean {
-  return key.startsWith(NOTE_PREFIX);
+export function isHandoverKey(key: string): boolean {
+  return key.startsWith(HANDOVER_PREFIX);
 }
 
 /** Whether a key holds a node's acknowledgement of a change. */
@@ -97,7 +97,7 @@
   /** Where it answers other nodes' questions for its directory. */
   readonly directoryAt?: PeerAddress | undefined;
   /** Where other nodes reach it for connections that it owns; absent if they can't. */
-  readonly peer?: PeerPlace | undefined;
+  readonly peer?: PeerLocation | undefined;
   /** What its link carries; absent if it is not known. */
   readonly linkMbps?: number | undefined;
 }
@@ -112,7 +112,7 @@
 }
 
 /** Where other nodes reach a node. */
-export type PeerPlace = Omit<ReachableNode, 'nodeId'>;
+export type PeerLocation = Omit<ReachableNode, 'nodeId'>;
 
 /** How many nodes there are, as the leader counts them, and how they share connections. */
 export interface FleetRecord {
@@ -178,7 +178,7 @@
 }
 
 /** What one leader leaves to the next about a service. */
-export interface DutyNote {
+export interface HandoverRecord {
   /** Every instance that may have counted towards an acknowledged commit. */
   readonly members: readonly InstanceEntry[];
   /** Members that were forgotten last: one that comes back may count once more at once. */
@@ -197,26 +197,26 @@
   return JSON.stringify({ change, leaseId, end: text, unlisted });
 }
 
-function positionForm({ timeline, lsn }: Fields): Position | undefined {
-  if (!isNumber(timeline) || !isText(lsn) || !/^\d+$/.test(lsn)) return undefined;
+function parsePosition({ timeline, lsn }: UncheckedFields): Position | undefined {
+  if (!isNumber(timeline) || !isString(lsn) || !/^\d+$/.test(lsn)) return undefined;
   return { timeline, lsn: BigInt(lsn) };
 }
 
 /** The leader looks at every node's entry at every change: each is parsed once. */
-const PARSED = new WeakMap<KeyValue, unknown>();
+const parsedValues = new WeakMap<KeyValue, unknown>();
 
 /** Decodes a value of this module's making; anything else gives undefined. */
 export function decodeRecord<Form>(
   entry: KeyValue | undefined,
-  form: (value: Fields) => Form | undefined,
+  form: (value: UncheckedFields) => Form | undefined,
 ): Form | undefined {
   if (entry === undefined) return undefined;
-  if (!PARSED.has(entry)) PARSED.set(entry, parse(entry.value));
-  const value = PARSED.get(entry);
-  return isFields(value) ? form(value) : undefined;
+  if (!parsedValues.has(entry)) parsedValues.set(entry, parseJson(entry.value));
+  const value = parsedValues.get(entry);
+  return isObject(value) ? form(value) : undefined;
 }
 
-function parse(text: string): unknown {
+function parseJson(text: string): unknown {
   try {
     return JSON.parse(text);
   } catch {
@@ -224,141 +224,151 @@
   }
 }
 
-export function leaderForm({ node, incarnation, leaseId }: Fields): LeaderRecord | undefined {
-  if (!isText(node) || !isText(incarnation) || !isText(leaseId)) return undefined;
+export function parseLeaderRecord({
+  node,
+  incarnation,
+  leaseId,
+}: UncheckedFields): LeaderRecord | undefined {
+  if (!isString(node) || !isString(incarnation) || !isString(leaseId)) return undefined;
   return { node, incarnation, leaseId };
 }
 
-export function nodeForm(fields: Fields): NodeRecord | undefined {
+export function parseNodeRecord(fields: UncheckedFields): NodeRecord | undefined {
   const { incarnation, leaseId, directoryAt, peer, linkMbps } = fields;
-  if (!isText(incarnation) || !isText(leaseId)) return undefined;
-  const place = isFields(peer) ? peerForm(peer) : undefined;
-  const record = { incarnation, leaseId, directoryAt: addressForm(directoryAt), peer: place };
+  if (!isString(incarnation) || !isString(leaseId)) return undefined;
+  const place = isObject(peer) ? parsePeerLocation(peer) : undefined;
+  const record = { incarnation, leaseId, directoryAt: parseNodeAddress(directoryAt), peer: place };
   return isNumber(linkMbps) ? { ...record, linkMbps } : record;
 }
 
-export function eraForm({ era }: Fields): EraRecord | undefined {
+export function parseEraRecord({ era }: UncheckedFields): EraRecord | undefined {
   return isNumber(era) ? { era } : undefined;
 }
 
-export function peersForm({ addresses }: Fields): PeersRecord | undefined {
+export function parsePeersRecord({ addresses }: UncheckedFields): PeersRecord | undefined {
   if (!Array.isArray(addresses)) return undefined;
-  return { addresses: addresses.map(addressForm).filter((address) => address !== undefined) };
+  return { addresses: addresses.map(parseNodeAddress).filter((address) => address !== undefined) };
 }
 
-export function fleetForm({
+export function parseFleetRecord({
   nodes,
   owners,
   returnOwners,
   readers,
   keepers,
-}: Fields): FleetRecord | undefined {
+}: UncheckedFields): FleetRecord | undefined {
   if (!isNumber(nodes)) return undefined;
   return {
     nodes,
-    owners: isFields(owners) ? rosterForm(owners) : undefined,
-    returnOwners: isFields(returnOwners) ? rosterForm(returnOwners) : undefined,
-    readers: nodesForm(readers),
-    keepers: nodesForm(keepers),
+    owners: isObject(owners) ? parseOwnerRoster(owners) : undefined,
+    returnOwners: isObject(returnOwners) ? parseOwnerRoster(returnOwners) : undefined,
+    readers: parseReachableNodes(readers),
+    keepers: parseReachableNodes(keepers),
   };
 }
 
-function peerForm({ zone, host, port }: Fields): PeerPlace | undefined {
-  return isText(zone) && isText(host) && isNumber(port) ? { zone, host, port } : undefined;
+function parsePeerLocation({ zone, host, port }: UncheckedFields): PeerLocation | undefined {
+  return isString(zone) && isString(host) && isNumber(port) ? { zone, host, port } : undefined;
 }
 
-function rosterForm({ ownersPerInstance, nodes }: Fields): OwnerRoster | undefined {
-  const members = nodesForm(nodes);
+function parseOwnerRoster({ ownersPerInstance, nodes }: UncheckedFields): OwnerRoster | undefined {
+  const members = parseReachableNodes(nodes);
   if (!isNumber(ownersPerInstance) || members === undefined) return undefined;
   return { ownersPerInstance, nodes: members };
 }
 
-function nodesForm(value: unknown): readonly ReachableNode[] | undefined {
+function parseReachableNodes(value: unknown): readonly ReachableNode[] | undefined {
   if (!Array.isArray(value)) return undefined;
-  const nodes = value.map(reachableForm).filter((node) => node !== undefined);
+  const nodes = value.map(parseReachableNode).filter((node) => node !== undefined);
   return nodes.length === value.length ? nodes : undefined;
 }
 
-function reachableForm(value: unknown): ReachableNode | undefined {
-  if (!isFields(value) || !isText(value.nodeId)) return undefined;
-  const place = peerForm(value);
+function parseReachableNode(value: unknown): ReachableNode | undefined {
+  if (!isObject(value) || !isString(value.nodeId)) return undefined;
+  const place = parsePeerLocation(value);
   return place === undefined ? undefined : { nodeId: value.nodeId, ...place };
 }
 
-export function acknowledgementForm(fields: Fields): AcknowledgementRecord | undefined {
+export function parseAcknowledgementRecord(
+  fields: UncheckedFields,
+): AcknowledgementRecord | undefined {
   const { change, leaseId, end, unlisted } = fields;
-  if (!isNumber(change) || !isText(leaseId)) return undefined;
-  const position = isFields(end) ? positionForm(end) : undefined;
-  return { change, leaseId, end: position, unlisted: instancesForm(unlisted) };
+  if (!isNumber(change) || !isString(leaseId)) return undefined;
+  const position = isObject(end) ? parsePosition(end) : undefined;
+  return { change, leaseId, end: position, unlisted: parseInstanceEntries(unlisted) };
 }
 
-export function suspicionForm({ instance }: Fields): SuspicionRecord | undefined {
-  return isText(instance) ? { instance } : undefined;
+export function parseSuspicionRecord({ instance }: UncheckedFields): SuspicionRecord | undefined {
+  return isString(instance) ? { instance } : undefined;
 }
 
-export function primaryForm(fields: Fields): PrimaryRecord | undefined {
+export function parsePrimaryRecord(fields: UncheckedFields): PrimaryRecord | undefined {
   const { phase, change, from, at, term, planned, instance } = fields;
   if (!isNumber(change) || !isNumber(term)) return undefined;
-  const place = placeForm(at);
-  if (phase === 'serving' && isText(instance)) return { phase, change, instance, at: place, term };
-  if (phase !== 'changing' || !isText(from) || typeof planned !== 'boolean') return undefined;
+  const place = parseInstanceAddress(at);
+  if (phase === 'serving' && isString(instance))
+    return { phase, change, instance, at: place, term };
+  if (phase !== 'changing' || !isString(from) || typeof planned !== 'boolean') return undefined;
   return { phase, change, from, at: place, term, planned };
 }
 
 /** Where an instance is reached, as a record keeps it. */
-export function placeOf({ host, port }: InstanceEntry): PeerAddress {
+export function addressOfInstance({ host, port }: InstanceEntry): PeerAddress {
   return { host, port };
 }
 
 /** An instance's address, of whatever form the platform gives it. */
-function placeForm(value: unknown): PeerAddress | undefined {
-  if (!isFields(value) || !isText(value.host) || !isNumber(value.port)) return undefined;
+function parseInstanceAddress(value: unknown): PeerAddress | undefined {
+  if (!isObject(value) || !isString(value.host) || !isNumber(value.port)) return undefined;
   return { host: value.host, port: value.port };
 }
 
-export function membersForm({ members, departed }: Fields): MembersRecord | undefined {
-  const known = instancesForm(members);
+export function parseMembersRecord({
+  members,
+  departed,
+}: UncheckedFields): MembersRecord | undefined {
+  const known = parseInstanceEntries(members);
   if (known === undefined) return undefined;
   // Records of older programs name none.
-  return { members: known, departed: instancesForm(departed) ?? [] };
+  return { members: known, departed: parseInstanceEntries(departed) ?? [] };
 }
 
-export function dutyNoteForm(fields: Fields): DutyNote | undefined {
+export function parseHandoverRecord(fields: UncheckedFields): HandoverRecord | undefined {
   const { members, departed, primary, candidate, change } = fields;
-  const present = instancesForm(members);
-  const gone = instancesForm(departed);
+  const present = parseInstanceEntries(members);
+  const gone = parseInstanceEntries(departed);
   if (present === undefined || gone === undefined || !isNumber(change)) return undefined;
   return {
     members: present,
     departed: gone,
-    primary: isText(primary) ? primary : undefined,
-    candidate: isText(candidate) ? candidate : undefined,
+    primary: isString(primary) ? primary : undefined,
+    candidate: isString(candidate) ? candidate : undefined,
     change,
   };
 }
 
-function instancesForm(value: unknown): InstanceEntry[] | undefined {
+function parseInstanceEntries(value: unknown): InstanceEntry[] | undefined {
   if (!Array.isArray(value)) return undefined;
-  const entries = value.map(instanceForm).filter((entry) => entry !== undefined);
+  const entries = value.map(parseInstanceEntry).filter((entry) => entry !== undefined);
   return entries.length === value.length ? entries : undefined;
 }
 
 /** An instance as a record or a peer tells it; undefined if the value is none. */
-export function instanceForm(value: unknown): InstanceEntry | undefined {
-  if (!isFields(value)) return undefined;
+export function parseInstanceEntry(value: unknown): InstanceEntry | undefined {
+  if (!isObject(value)) return undefined;
   const { id, lifeOf, service, host, port, zone, slots, draining, role } = value;
-  if (!isText(id) || !isText(service) || !isText(host) || !isNumber(port)) return undefined;
-  if (!isText(zone) || !isNumber(slots) || typeof draining !== 'boolean') return undefined;
+  if (!isString(id) || !isString(service) || !isString(host) || !isNumber(port)) return undefined;
+  if (!isString(zone) || !isNumber(slots) || typeof draining !== 'boolean') return undefined;
   if (!isRole(role)) return undefined;
   const entry = { id, service, host, port, zone, slots, draining, role };
-  return isText(lifeOf) ? { ...entry, lifeOf } : entry;
+  return isString(lifeOf) ? { ...entry, lifeOf } : entry;
 }
 
 /** Where a node listens; undefined if the value is no such address. */
-export function addressForm(value: unknown): PeerAddress | undefined {
-  if (!isFields(value)) return undefined;
+export function parseNodeAddress(value: unknown): PeerAddress | undefined {
+  if (!isObject(value)) return undefined;
   const { host, port } = value;
-  if (!isText(host) || !HOST_PATTERN.test(host) || !isNumber(port)) return undefined;
+  if (!isString(host) || !HOST_PATTERN.test(host) || !isNumber(port)) return undefined;
   const isPort = Number.isInteger(port) && port > 0 && port <= MAX_PORT;
   return isPort ? { host, port } : undefined;
 }
@@ -367,7 +377,7 @@
   return value === 'primary' || value === 'replica';
 }
 
-function isText(value: unknown): value is string {
+function isString(value: unknown): value is string {
   return typeof value === 'string';
 }
 
--- a/src/core/promotion/runtime.ts
+++ b/src/core/promotion/runtime.ts
@@ -179,5 +179,5 @@
 
 function troubleOf(answer: RequestAnswer | undefined): StoreTrouble {
   if (answer?.type !== 'store-failed') return NO_ANSWER;
-  return { leaseOver: answer.leaseOver, retryAfterMs: answer.retryAfterMs ?? 0 };
+  return { leaseOver: answer.isLeaseGone, retryAfterMs: answer.retryAfterMs ?? 0 };
 }
--- a/src/core/promotion/service-duty.ts
+++ b/src/core/promotion/service-duty.ts
@@ -8,7 +8,7 @@
 import { GroupMembers } from './members.js';
 import { type ChangeReason, PrimaryMonitor } from './monitor.js';
 import { type PreflightResult, preflight } from './preflight.js';
-import { placeOf, type ServingRecord } from './records.js';
+import { addressOfInstance, type ServingRecord } from './records.js';
 import { Scope } from './scope.js';
 
 const PREFLIGHT_EVERY_MS = 300;
@@ -197,7 +197,7 @@
     const change = (known?.change ?? 0) + 1;
     const term = Math.max(result.term, known?.term ?? 0);
     const { planned } = result;
-    const at = placeOf(from);
+    const at = addressOfInstance(from);
     const record = { phase: 'changing', change, from: from.id, at, term, planned } as const;
     this.#begunChange = change;
     const note = {
@@ -221,7 +221,7 @@
     const { runtime, primaries, store } = this.context;
     const known = primaries.recordOf(this.service);
     if (known?.phase !== 'serving' || known.term !== term) return;
-    const at = placeOf(from);
+    const at = addressOfInstance(from);
     const record = { phase: 'serving', change: known.change + 1, instance: by, at, term } as const;
     const note = { ...store.noteOf(this.service), members: this.#members.current(), primary: by };
     this.#looking = true;
@@ -249,6 +249,6 @@
     if (this.#deafLooks < DEAF_LOOKS_UNTIL_RESIGNING) return;
     if (store.liveNodes() <= 1 || !election.mayHandOn) return;
     runtime.log('warn', 'no member answers, resigning', { service: this.service });
-    election.resign(runtime.timings.abstainMs);
+    election.resign(runtime.timings.candidacyCooldownMs);
   }
 }
--- a/src/core/promotion/store-view.ts
+++ b/src/core/promotion/store-view.ts
@@ -3,7 +3,7 @@
  * What is known never goes back: older news of a key is passed over.
  */
 import type { KeyValue, WatchEvent } from '../../platform/contract.js';
-import { isOfSameEra } from '../directory/store-position.js';
+import { isInSameEra } from '../directory/store-position.js';
 import { keyOf } from '../directory/watch-history.js';
 import { LostRecords } from './lost-records.js';
 import { RetryPause } from './retry-pause.js';
@@ -146,7 +146,7 @@
     if (revision < this.#revision) return;
     const changed = new Set<string>();
     const present = new Map(entries.map((entry) => [entry.key, entry]));
-    const isReturn = this.#revision > 0 && !isOfSameEra(this.#revision, revision);
+    const isReturn = this.#revision > 0 && !isInSameEra(this.#revision, revision);
     if (isReturn) {
       for (const [key, known] of this.#entries) this.#lost.noteReturn(known, present.get(key));
     }
@@ -187,7 +187,7 @@
   /** What is known from an era before the store has not. */
   #storedRevisionOf(key: string): number {
     const modRevision = this.#entries.get(key)?.modRevision ?? 0;
-    return isOfSameEra(modRevision, this.#revision) ? modRevision : 0;
+    return isInSameEra(modRevision, this.#revision) ? modRevision : 0;
   }
 
   #takeStored(entry: KeyValue): void {
@@ -212,7 +212,7 @@
   #later(action: () => void, atLeastMs: number): void {
     const bound = Math.min(
       BACKOFF_MAXIMUM_MS,
-      this.runtime.timings.storeRetryMs * 2 ** this.#failures,
+      this.runtime.timings.storeRetryDelayMs * 2 ** this.#failures,
     );
     this.#failures += 1;
     this.#pause.begin(Math.max(atLeastMs, this.runtime.jittered(bound)), action);
--- a/src/core/promotion/suspicion.ts
+++ b/src/core/promotion/suspicion.ts
@@ -121,7 +121,7 @@
       written.instance = UNKNOWN_INSTANCE;
       written.revision = 0;
       // Not before the lease is renewed.
-      this.runtime.after(this.runtime.timings.leaseRenewMs, () => this.#update(service));
+      this.runtime.after(this.runtime.timings.leaseRenewPeriodMs, () => this.#update(service));
     }
   }
 
@@ -147,7 +147,7 @@
   ): void {
     const key = suspicionKeyOf(service, this.runtime.options.nodeName);
     written.writing = true;
-    written.nextAt = this.runtime.now + this.runtime.timings.suspectEveryMs;
+    written.nextAt = this.runtime.now + this.runtime.timings.suspicionPeriodMs;
     const operation =
       instance === undefined
         ? ({ type: 'delete', key } as const)
@@ -162,8 +162,8 @@
       written.writing = false;
       if (isTrouble(answer)) {
         // Nothing was told yet: the pause between tellings has no say.
-        const { storeRetryMs } = this.runtime.timings;
-        const delayMs = Math.max(answer.retryAfterMs, this.runtime.jittered(storeRetryMs));
+        const { storeRetryDelayMs } = this.runtime.timings;
+        const delayMs = Math.max(answer.retryAfterMs, this.runtime.jittered(storeRetryDelayMs));
         written.nextAt = this.runtime.now + delayMs;
       } else {
         const currentRevision = answer.current.find((entry) => entry.key === key)?.modRevision;
--- a/src/core/statements/statement.ts
+++ b/src/core/statements/statement.ts
@@ -51,7 +51,7 @@
   readonly position: Position | undefined;
 }
 
-const NOT_RUN_CODES: ReadonlySet<StatementErrorCode> = new Set([
+const NOT_EXECUTED_CODES: ReadonlySet<StatementErrorCode> = new Set([
   'busy',
   'lagging',
   'read-only',
@@ -61,6 +61,6 @@
 ]);
 
 /** True if an instance that answers so has not run the statement, and will not. */
-export function isNotRun(code: StatementErrorCode): boolean {
-  return NOT_RUN_CODES.has(code);
+export function isNotExecuted(code: StatementErrorCode): boolean {
+  return NOT_EXECUTED_CODES.has(code);
 }
--- a/src/direct/instance-pool.ts
+++ b/src/direct/instance-pool.ts
@@ -34,7 +34,7 @@
   PoolAdmission,
   type QueuedWork,
 } from './pool-admission.js';
-import type { ConnectionLessor } from './relay/contract.js';
+import type { ConnectionLender } from './relay/contract.js';
 import type { StatementWire } from './wire.js';
 
 export interface InstancePoolOptions {
@@ -136,7 +136,7 @@
   readonly #all = new Set<SocketConnection>();
   /** Connections that other nodes lend. */
   readonly #leased = new Set<InstanceConnection>();
-  #lessor: ConnectionLessor | undefined;
+  #lessor: ConnectionLender | undefined;
   #opening = 0;
   /** Connections being opened for each account. */
   readonly #openingFor = new Map<string | undefined, number>();
@@ -196,12 +196,12 @@
   }
 
   /** Lends connections of other nodes, if these own the instance. */
-  get lessor(): ConnectionLessor | undefined {
+  get lessor(): ConnectionLender | undefined {
     return this.#lessor;
   }
 
   /** From now on connections are leased there; without one, this node opens its own. */
-  setLessor(lessor: ConnectionLessor | undefined): void {
+  setLessor(lessor: ConnectionLender | undefined): void {
     this.#lessor = lessor;
     if (lessor === undefined) return;
     for (const waiter of this.#waiters.takeAll()) {
@@ -333,7 +333,7 @@
   }
 
   async #lease(
-    lessor: ConnectionLessor,
+    lessor: ConnectionLender,
     request: ConnectionRequest,
   ): Promise<Result<InstanceConnection, AcquireError>> {
     if (this.#closed) {
--- a/src/direct/promotion/lives.ts
+++ b/src/direct/promotion/incarnation-guard.ts
@@ -3,22 +3,22 @@
 import type { InstanceControl, InstanceEntry } from '../contract.js';
 import { InstanceControlError } from '../errors.js';
 
-/** @param isOver whether another life has the instance's id now */
-export function forOneLife(
+/** @param isReplaced whether another life has the instance's id now */
+export function rejectReplacedIncarnations(
   control: InstanceControl,
-  isOver: (instance: InstanceEntry) => boolean,
+  isReplaced: (instance: InstanceEntry) => boolean,
 ): InstanceControl {
-  const over = ({ id }: InstanceEntry) =>
+  const rejectReplaced = ({ id }: InstanceEntry) =>
     errAsync(new InstanceControlError(`${id}: it was born again since`, 'misrouted'));
   return {
     status: (instance, ...rest) =>
-      isOver(instance) ? over(instance) : control.status(instance, ...rest),
+      isReplaced(instance) ? rejectReplaced(instance) : control.status(instance, ...rest),
     pause: (instance, ...rest) =>
-      isOver(instance) ? over(instance) : control.pause(instance, ...rest),
+      isReplaced(instance) ? rejectReplaced(instance) : control.pause(instance, ...rest),
     resume: (instance, ...rest) =>
-      isOver(instance) ? over(instance) : control.resume(instance, ...rest),
+      isReplaced(instance) ? rejectReplaced(instance) : control.resume(instance, ...rest),
     demote: (instance, ...rest) =>
-      isOver(instance) ? over(instance) : control.demote(instance, ...rest),
+      isReplaced(instance) ? rejectReplaced(instance) : control.demote(instance, ...rest),
     close: () => control.close(),
   };
 }
--- a/src/direct/promotion/request-runner.ts
+++ b/src/direct/promotion/request-runner.ts
@@ -81,13 +81,13 @@
 /** A renewal of a lease that has run out may be answered with no time to live. */
 function answerOfKeep(seconds: number): RequestAnswer {
   if (seconds > 0) return { type: 'done' };
-  return { type: 'store-failed', leaseOver: true, retryAfterMs: undefined };
+  return { type: 'store-failed', isLeaseGone: true, retryAfterMs: undefined };
 }
 
 function answerOfStoreError(error: StoreError): RequestAnswer {
   return {
     type: 'store-failed',
-    leaseOver: error instanceof StoreLeaseNotFoundError,
+    isLeaseGone: error instanceof StoreLeaseNotFoundError,
     retryAfterMs: error.retryAfterMs,
   };
 }
--- a/src/direct/promotion/service.ts
+++ b/src/direct/promotion/service.ts
@@ -12,7 +12,7 @@
 } from '../../core/promotion/contract.js';
 import { PromotionMachine } from '../../core/promotion/machine.js';
 import { DEFAULT_PROMOTION_TIMINGS, type PromotionTimings } from '../../core/promotion/options.js';
-import type { PeerPlace } from '../../core/promotion/records.js';
+import type { PeerLocation } from '../../core/promotion/records.js';
 import type { QuotaKeepers } from '../../core/tenancy/quota-keepers.js';
 import { MILLISECONDS_PER_SECOND, type Milliseconds } from '../../core/units.js';
 import type { Logger } from '../../observability/logger.js';
@@ -21,7 +21,7 @@
 import type { InstanceControl, InstanceEntry, PublishedConfiguration } from '../contract.js';
 import type { BoundedPromotionCaller, EndPrimaryUse, PrimaryUse, PrimaryView } from './contract.js';
 import { type ClassifyControlFailure, classifyBySystemCall } from './control-failure.js';
-import { forOneLife } from './lives.js';
+import { rejectReplacedIncarnations } from './incarnation-guard.js';
 import { RequestRunner } from './request-runner.js';
 import { TermConfirmation } from './term-confirmation.js';
 
@@ -35,7 +35,7 @@
   /** Where this node answers other nodes' questions for its directory. */
   readonly directoryAt?: PeerAddress | undefined;
   /** Where other nodes reach this one; absent if they can't. */
-  readonly peer?: PeerPlace | undefined;
+  readonly peer?: PeerLocation | undefined;
   /** What this node's link carries, as far as it is known. */
   readonly linkMbps?: number | undefined;
   /** Larger fleets share connections through owners; by default the instances' limits decide. */
@@ -81,8 +81,10 @@
   constructor(private readonly options: PromotionServiceOptions) {
     const { nodeName, incarnation, store, promotion } = options;
     const isOver = (instance: InstanceEntry): boolean => this.#machine.isBornAgain(instance);
-    const control = forOneLife(options.control, isOver);
-    const asking = options.status && forOneLife({ ...control, ...bound(options.status) }, isOver);
+    const control = rejectReplacedIncarnations(options.control, isOver);
+    const asking =
+      options.status &&
+      rejectReplacedIncarnations({ ...control, ...bound(options.status) }, isOver);
     const timings = { ...DEFAULT_PROMOTION_TIMINGS, ...options.timings };
     const minimumSeconds = Math.ceil(options.minimumLeaseMs / MILLISECONDS_PER_SECOND);
     const leaseSeconds = Math.max(timings.leaseSeconds, minimumSeconds);
--- a/src/direct/quota/messages.ts
+++ b/src/direct/quota/messages.ts
@@ -1,5 +1,5 @@
 /** What nodes ask each other about quotas; read by hand, since a start costs time. */
-import { fieldsOf } from '../../core/fields.js';
+import { asObject } from '../../core/fields.js';
 import type { PermitGrant, PermitRequest } from '../../core/tenancy/quota-ledger.js';
 import type { WireValue } from '../../peer/contract.js';
 
@@ -13,7 +13,7 @@
 
 /** Undefined for what is not in its form. */
 export function parsePartRequest(value: WireValue): PartRequest | undefined {
-  const { part, tenant, node, needed, held, wanted, priority = 0 } = fieldsOf(value) ?? {};
+  const { part, tenant, node, needed, held, wanted, priority = 0 } = asObject(value) ?? {};
   if (typeof tenant !== 'string' || typeof node !== 'string' || !isCount(part)) return undefined;
   if (!isCount(needed) || !isCount(held) || !isCount(wanted)) return undefined;
   if (!isCount(priority)) return undefined;
@@ -22,7 +22,7 @@
 
 /** Undefined for what is not in its form, as from a node that does not keep the part. */
 export function parsePermitGrant(value: WireValue): PermitGrant | undefined {
-  const { granted, retryAfterMs } = fieldsOf(value) ?? {};
+  const { granted, retryAfterMs } = asObject(value) ?? {};
   if (!isCount(granted)) return undefined;
   if (typeof retryAfterMs !== 'number' || !(retryAfterMs >= 0)) return undefined;
   return { granted, retryAfterMs };
--- a/src/direct/readers/contract.ts
+++ b/src/direct/readers/contract.ts
@@ -15,7 +15,7 @@
  * All changes of the prefix in a stretch, or that there are none. A stretch that begins after what was told
  * before stands for changes that the reader does not pass on, since they are too many or too large.
  */
-export interface ToldStretch extends WatchStretch {
+export interface RelayedRange extends WatchStretch {
   /** How long ago the store vouched for it. */
   readonly ageMs: Milliseconds;
   /** The reader's steady clock, now and when the poll was sent that this rests on. */
@@ -25,7 +25,7 @@
 
 /** Hears one reader. */
 export interface ReaderListener {
-  onTold(told: ToldStretch): void;
+  onRelayed(told: RelayedRange): void;
   /** Called once, unless closed before: the reader is gone, or does not read any more. */
   onLost(): void;
 }
--- a/src/direct/readers/digest-messages.ts
+++ b/src/direct/readers/digest-messages.ts
@@ -1,6 +1,6 @@
 /** How digests of instances travel: short rows of whole numbers, a bounded number of them in each message. */
 
-import { type InstanceDigest, observationsOf } from '../../core/fleet/instance-digest.js';
+import { countObservations, type InstanceDigest } from '../../core/fleet/instance-digest.js';
 import { instanceKey } from '../../core/fleet/instance-key.js';
 import type { WireValue } from '../../peer/contract.js';
 
@@ -18,7 +18,7 @@
 /** The digests with the most observations; with one bound of bytes whatever the number of instances is. */
 export function encodeDigests(digests: readonly InstanceDigest[]): WireValue {
   return [...digests]
-    .sort((left, right) => observationsOf(right) - observationsOf(left))
+    .sort((left, right) => countObservations(right) - countObservations(left))
     .slice(0, MAX_ROWS)
     .map((digest) => [
       instanceKey(digest.instanceId),
--- a/src/direct/readers/followed-prefix.ts
+++ b/src/direct/readers/followed-prefix.ts
@@ -11,7 +11,7 @@
 import type { Milliseconds } from '../../core/units.js';
 import type { WatchEvent, WatchHandlers } from '../../platform/contract.js';
 import { StoreCompactedError } from '../../platform/errors.js';
-import type { ReaderCounters, SubscribeToReader, ToldStretch } from './contract.js';
+import type { ReaderCounters, RelayedRange, SubscribeToReader } from './contract.js';
 import { ReaderSubscriptions, type Subscription } from './subscriptions.js';
 
 /** That nothing has changed is passed on so often at most. */
@@ -290,7 +290,7 @@
     this.#closeDirect();
   }
 
-  #noteTold(key: string, subscription: Subscription, told: ToldStretch): void {
+  #noteTold(key: string, subscription: Subscription, told: RelayedRange): void {
     const { clock } = subscription;
     const { ageMs, clockMs, provenMs, ...stretch } = told;
     clock.noteAnswer(clockMs);
--- a/src/direct/readers/messages.ts
+++ b/src/direct/readers/messages.ts
@@ -1,12 +1,12 @@
 /** Forms of what readers and their followers send; read by hand, since a start costs time. */
-import { type Fields, fieldsOf } from '../../core/fields.js';
+import { asObject, type UncheckedFields } from '../../core/fields.js';
 import type { WireValue } from '../../peer/contract.js';
 import type { KeyValue, WatchEvent } from '../../platform/contract.js';
-import type { ToldStretch, WatchRequest } from './contract.js';
+import type { RelayedRange, WatchRequest } from './contract.js';
 
 /** Undefined for what is not in its form. */
 export function parseWatchRequest(value: WireValue): WatchRequest | undefined {
-  const fields = fieldsOf(value);
+  const fields = asObject(value);
   const { prefix, after } = fields ?? {};
   if (fields?.type !== 'watch' || typeof prefix !== 'string' || !isRevision(after))
     return undefined;
@@ -14,8 +14,8 @@
 }
 
 /** Undefined for what is not in its form. */
-export function parseToldStretch(value: WireValue): ToldStretch | undefined {
-  const { after, revision, ageMs, clockMs, provenMs, events } = fieldsOf(value) ?? {};
+export function parseToldStretch(value: WireValue): RelayedRange | undefined {
+  const { after, revision, ageMs, clockMs, provenMs, events } = asObject(value) ?? {};
   if (!isRevision(after) || !isRevision(revision) || revision < after) return undefined;
   if (!isTime(ageMs) || ageMs < 0 || !isTime(clockMs) || !isTime(provenMs)) return undefined;
   if (provenMs > clockMs) return undefined;
@@ -26,7 +26,9 @@
 }
 
 /** By type of event. */
-const EVENTS: Readonly<Record<WatchEvent['type'], (fields: Fields) => WatchEvent | undefined>> = {
+const EVENTS: Readonly<
+  Record<WatchEvent['type'], (fields: UncheckedFields) => WatchEvent | undefined>
+> = {
   put: (fields) => {
     const entry = parseEntry(fields.entry);
     return entry && { type: 'put', entry };
@@ -38,13 +40,13 @@
 };
 
 function parseEvent(value: unknown): WatchEvent | undefined {
-  const fields = fieldsOf(value);
+  const fields = asObject(value);
   if (fields?.type !== 'put' && fields?.type !== 'delete') return undefined;
   return EVENTS[fields.type](fields);
 }
 
 function parseEntry(value: unknown): KeyValue | undefined {
-  const { key, value: text, createRevision, modRevision } = fieldsOf(value) ?? {};
+  const { key, value: text, createRevision, modRevision } = asObject(value) ?? {};
   if (typeof key !== 'string' || typeof text !== 'string') return undefined;
   if (!isRevision(createRevision) || !isRevision(modRevision)) return undefined;
   return { key, value: text, createRevision, modRevision };
--- a/src/direct/readers/reader-store.ts
+++ b/src/direct/readers/reader-store.ts
@@ -214,7 +214,7 @@
       const told = parseToldStretch(message);
       if (isOver) return;
       if (told === undefined) end();
-      else listener.onTold(told);
+      else listener.onRelayed(told);
     };
     stream.onClose = () => end();
     return () => {
--- a/src/direct/readers/subscriptions.ts
+++ b/src/direct/readers/subscriptions.ts
@@ -5,7 +5,7 @@
 import { PeerClock } from '../../core/directory/peer-clock.js';
 import type { ReachableNode } from '../../core/ownership/owner-roster.js';
 import type { Milliseconds } from '../../core/units.js';
-import type { SubscribeToReader, ToldStretch } from './contract.js';
+import type { RelayedRange, SubscribeToReader } from './contract.js';
 
 /** A reader that was lost is asked again after half of this to all of it. */
 const ASK_AGAIN_MS: Milliseconds = 1200;
@@ -39,7 +39,7 @@
   readonly subscribe: SubscribeToReader;
   /** True right after this node's first watch. */
   readonly isBeginning: () => boolean;
-  readonly onTold: (key: string, subscription: Subscription, told: ToldStretch) => void;
+  readonly onTold: (key: string, subscription: Subscription, told: RelayedRange) => void;
   /** A reader ended what it told. */
   readonly onLost: (key: string) => void;
   /** A reader is not asked any more. */
@@ -139,7 +139,7 @@
       entry.reader,
       { prefix, after },
       {
-        onTold: (told) => this.options.onTold(key, entry, told),
+        onRelayed: (told) => this.options.onTold(key, entry, told),
         onLost: () => {
           entry.close = undefined;
           entry.askAt = this.#nextAskAt();
--- a/src/direct/readers/watch-server.ts
+++ b/src/direct/readers/watch-server.ts
@@ -2,7 +2,7 @@
 import { sizeOfEvents } from '../../core/directory/watch-history.js';
 import type { Milliseconds } from '../../core/units.js';
 import type { PeerStream, WireValue } from '../../peer/contract.js';
-import type { ReaderCounters, ToldStretch } from './contract.js';
+import type { ReaderCounters, RelayedRange } from './contract.js';
 import type { FollowedPrefix } from './followed-prefix.js';
 import { parseWatchRequest } from './messages.js';
 
@@ -87,7 +87,7 @@
     const passed = isPassedOn ? stretch : { after: revision, revision, events: [] };
     const clockMs = this.now();
     const ageMs = Math.max(0, clockMs - answeredAt);
-    const told: ToldStretch = { ...passed, ageMs, clockMs, provenMs: provenAt };
+    const told: RelayedRange = { ...passed, ageMs, clockMs, provenMs: provenAt };
     follower.stream.send(told);
     this.counters.eventsTold += passed.events.length;
     follower.told = passed.revision;
--- a/src/direct/readers/zone-positions.ts
+++ b/src/direct/readers/zone-positions.ts
@@ -6,7 +6,7 @@
  * asked the primary no earlier than that, and took the answer while it trusted the primary.
  */
 
-import { fieldsOf } from '../../core/fields.js';
+import { asObject } from '../../core/fields.js';
 import type { ReachableNode } from '../../core/ownership/owner-roster.js';
 import type { ReadersOfNode } from '../../core/ownership/watch-readers.js';
 import type { Position } from '../../core/position.js';
@@ -98,7 +98,7 @@
     );
     const told = answer.isOk() ? parseToldPositions(positionsOf(answer.value)) : undefined;
     if (told === undefined) this.#avoided.set(nodeId, this.options.now() + AVOID_MS);
-    const digests = answer.isOk() ? fieldsOf(answer.value)?.digests : undefined;
+    const digests = answer.isOk() ? asObject(answer.value)?.digests : undefined;
     if (exchange !== undefined && digests !== undefined) {
       exchange.take(digests, nodeId);
       this.#heardAt = this.options.now();
@@ -129,7 +129,7 @@
   const services = parsePositionsQuestion(question);
   if (services === undefined) return undefined;
   const positions = encodeToldPositions(newestOf(services));
-  const told = fieldsOf(question)?.digests;
+  const told = asObject(question)?.digests;
   // Nodes of an earlier version tell none, and know only the shorter answer.
   if (digests === undefined || told === undefined) return positions;
   const { exchange, asker } = digests;
@@ -138,12 +138,12 @@
 }
 
 function positionsOf(answer: WireValue): WireValue {
-  return fieldsOf(answer)?.positions ?? answer;
+  return asObject(answer)?.positions ?? answer;
 }
 
 /** The services that are asked for; undefined for what is not in its form. */
 export function parsePositionsQuestion(value: WireValue): readonly string[] | undefined {
-  const services = fieldsOf(value)?.services;
+  const services = asObject(value)?.services;
   if (!Array.isArray(services) || services.length > MAX_SERVICES) return undefined;
   return services.every((service) => typeof service === 'string') ? services : undefined;
 }
@@ -161,7 +161,7 @@
 }
 
 function parseToldPosition(value: unknown): ToldPosition | undefined {
-  const { service, instanceId, ageMs, position: text } = fieldsOf(value) ?? {};
+  const { service, instanceId, ageMs, position: text } = asObject(value) ?? {};
   const position = parsePosition(text);
   if (typeof service !== 'string' || typeof instanceId !== 'string') return undefined;
   if (typeof ageMs !== 'number' || !Number.isFinite(ageMs) || ageMs < 0) return undefined;
--- a/src/direct/relay/contract.ts
+++ b/src/direct/relay/contract.ts
@@ -122,7 +122,7 @@
 export type OwnerReadError = AcquireError | InstanceConnectionLostError;
 
 /** Gives connections of one instance that others own. */
-export interface ConnectionLessor {
+export interface ConnectionLender {
   acquire(request: ConnectionRequest): Promise<Result<InstanceConnection, AcquireError>>;
   /** Has an owner run one read outside any transaction. */
   read(read: OwnerRead): Promise<Result<StatementAnswer, OwnerReadError>>;
@@ -162,14 +162,14 @@
   /** This node holds connections to the instance. */
   readonly isOwned: boolean;
   /** Otherwise, gives connections of its owners. */
-  readonly lessor: ConnectionLessor | undefined;
+  readonly lender: ConnectionLender | undefined;
 }
 
 /** Tells who owns an instance in the roster that is in force. */
 export interface OwnershipView {
   readonly roster: OwnerRoster | undefined;
   /** True while owners are named, and the links to them are being made ready; false by default. */
-  readonly isComing?: boolean;
+  readonly isPending?: boolean;
   /** Undefined if this node is to connect by itself. */
   ownershipOf(instance: InstanceEntry): InstanceOwnership | undefined;
 }
--- a/src/direct/relay/messages.ts
+++ b/src/direct/relay/messages.ts
@@ -2,7 +2,7 @@
  * Checks what comes over a peer link before anything is done with it. By hand: a schema library takes
  * 0.12 s of processor time at each start of a node in a fleet with owners.
  */
-import { type Fields, fieldsOf } from '../../core/fields.js';
+import { asObject, type UncheckedFields } from '../../core/fields.js';
 import type { PreparedStatement } from '../../core/statements/session-values.js';
 import type {
   StatementAnswer,
@@ -72,7 +72,7 @@
 });
 
 const policy: Form<ConnectionPolicy> = (value) => {
-  const fields = fieldsOf(value);
+  const fields = asObject(value);
   const queueWeight = bound(fields?.queueWeight);
   const maxWaiting = bound(fields?.maxWaiting);
   const inFlightShare = bound(fields?.inFlightShare);
@@ -84,7 +84,7 @@
 };
 
 const prepared: Form<PreparedStatement> = (value) => {
-  const fields = fieldsOf(value);
+  const fields = asObject(value);
   const access = fields?.access;
   const shape = text(fields?.shape);
   const sharedName = text(fields?.sharedName);
@@ -93,7 +93,7 @@
   return { access, shape, sharedName };
 };
 
-function ownerRequestOf(fields: Fields): Omit<LeaseRequest, 'type'> | undefined {
+function ownerRequestOf(fields: UncheckedFields): Omit<LeaseRequest, 'type'> | undefined {
   const service = text(fields.service);
   const instanceId = text(fields.instanceId);
   const tenant = text(fields.tenant);
@@ -114,7 +114,9 @@
 }
 
 /** What an older node does not tell; undefined if it is not in its form. */
-function urgencyOf(fields: Fields): Pick<LeaseRequest, 'aimMs' | 'isTransaction'> | undefined {
+function urgencyOf(
+  fields: UncheckedFields,
+): Pick<LeaseRequest, 'aimMs' | 'isTransaction'> | undefined {
   const { aimMs, isTransaction } = fields;
   if (aimMs !== undefined && finite(aimMs) === undefined) return undefined;
   if (isTransaction !== undefined && isTransaction !== true) return undefined;
@@ -125,7 +127,7 @@
 }
 
 const answer: Form<StatementAnswer> = (value) => {
-  const fields = fieldsOf(value);
+  const fields = asObject(value);
   const payload = text(fields?.payload);
   if (fields === undefined || payload === undefined) return undefined;
   if (!STATES.has(fields.state as string)) return undefined;
@@ -133,7 +135,7 @@
   const at = fields.position === undefined ? undefined : parsePosition(fields.position);
   if (at === undefined && fields.position !== undefined) return undefined;
   if (fields.error === undefined) return { payload, error: undefined, state, position: at };
-  const told = fieldsOf(fields.error);
+  const told = asObject(fields.error);
   const code = errorCode(told?.code);
   const reason = text(told?.text);
   if (code === undefined || reason === undefined) return undefined;
@@ -144,7 +146,7 @@
 /** The form of each kind of message, by its type. */
 type FormsByType<Message extends { readonly type: string }> = {
   readonly [Type in Message['type']]: (
-    fields: Fields,
+    fields: UncheckedFields,
   ) => Extract<Message, { readonly type: Type }> | undefined;
 };
 
@@ -205,7 +207,7 @@
   forms: FormsByType<Message>,
   value: WireValue,
 ): Message | undefined {
-  const fields = fieldsOf(value);
+  const fields = asObject(value);
   const type = text(fields?.type);
   if (fields === undefined || type === undefined || !Object.hasOwn(forms, type)) return undefined;
   return forms[type as Message['type']](fields);
@@ -225,7 +227,7 @@
 }
 
 export function parsePositionRequest(value: WireValue): PositionRequest | undefined {
-  const fields = fieldsOf(value);
+  const fields = asObject(value);
   const service = text(fields?.service);
   const instanceId = text(fields?.instanceId);
   if (service === undefined || instanceId === undefined) return undefined;
--- a/src/direct/relay/owner-lessor.ts
+++ b/src/direct/relay/owner-lessor.ts
@@ -24,7 +24,7 @@
 import { afterReading } from '../within.js';
 import {
   CANCEL_READ,
-  type ConnectionLessor,
+  type ConnectionLender,
   type LeaseEvent,
   type LeaseRefusal,
   type LeaseRequest,
@@ -78,7 +78,7 @@
   ) => StreamOutcome | undefined;
 };
 
-export class OwnerLessor implements ConnectionLessor {
+export class OwnerLessor implements ConnectionLender {
   readonly #byAccount = new Map<string, readonly ReachableNode[]>();
   readonly #handlers: EventHandlers = {
     queued: () => undefined,
--- a/src/direct/relay/relay-host.ts
+++ b/src/direct/relay/relay-host.ts
@@ -23,7 +23,7 @@
   }
 
   /** Owners are named, and this node can't ask them yet. */
-  get isComing(): boolean {
+  get isPending(): boolean {
     return this.#wanted !== undefined && this.#isInForce && this.#relay === undefined;
   }
 
@@ -37,7 +37,7 @@
     this.#isInForce = isInForce;
     if (roster === undefined || this.#relay !== undefined) this.#apply();
     else if (!this.#starting) void this.#start();
-    if (this.isComing) this.onChange();
+    if (this.isPending) this.onChange();
   }
 
   /** Who owns an instance; undefined if this node is to connect by itself. */
--- a/src/direct/relay/relay.ts
+++ b/src/direct/relay/relay.ts
@@ -58,13 +58,13 @@
   ownershipOf(instance: InstanceEntry, roster: OwnerRoster): InstanceOwnership {
     const { nodeName, counters, now } = this.options;
     const owners = ownersOf(instance, roster.nodes, roster.ownersPerInstance, hash64);
-    if (mayConnect(owners, nodeName)) return { isOwned: true, lessor: undefined };
-    const lessor = new OwnerLessor({
+    if (mayConnect(owners, nodeName)) return { isOwned: true, lender: undefined };
+    const lender = new OwnerLessor({
       ...{ instance, counters, now, transport: this.#transport, health: this.#health },
       owners: preferenceOf(owners, nodeName, hash64),
       ownersFor: (account) => preferenceOf(owners, account, hash64),
     });
-    return { isOwned: false, lessor };
+    return { isOwned: false, lender };
   }
 
   /** Leases of other nodes, in use or waited for. */
--- a/src/direct/service-runtime.ts
+++ b/src/direct/service-runtime.ts
@@ -4,7 +4,7 @@
 import { UNSETTLED_SHARE, unsettledConnections } from '../core/ownership/unsettled-share.js';
 import type { PlacedInstance } from '../core/placement/expected-time.js';
 import type { Position } from '../core/position.js';
-import { isOtherLife } from '../core/promotion/lives.js';
+import { isOtherIncarnation } from '../core/promotion/incarnations.js';
 import { rankInstances } from '../core/statements/instance-choice.js';
 import { type PositionSample, PositionSamples } from '../core/statements/position-samples.js';
 import type { KnownPrimary } from '../core/statements/primary-evidence.js';
@@ -171,7 +171,8 @@
     }
     for (const [id, state] of this.#instances) {
       if (present.has(id)) continue;
-      if (entries.some((entry) => isOtherLife(state.pool.instance, entry))) this.#end(state, now);
+      if (entries.some((entry) => isOtherIncarnation(state.pool.instance, entry)))
+        this.#end(state, now);
       if (!state.leaving) state.vanished = true;
       this.#leave(state, now);
     }
@@ -222,7 +223,7 @@
 
   /** What all nodes opened until they can ask the owners would leave these no room. */
   #limitUntilOwners({ pool }: InstanceState, limit: number): number {
-    return this.options.ownership.isComing === true ? Math.min(limit, pool.size) : limit;
+    return this.options.ownership.isPending === true ? Math.min(limit, pool.size) : limit;
   }
 
   /** A process that replaces another may meet the connections that the other left behind. */
@@ -240,7 +241,7 @@
     state.ownership = ownership.ownershipOf(state.pool.instance);
     if (!state.isOwned) state.ownedSince = Number.POSITIVE_INFINITY;
     else if (!wasOwned) state.ownedSince = this.options.now();
-    state.pool.setLessor(state.ownership?.lessor);
+    state.pool.setLessor(state.ownership?.lender);
   }
 
   /** Only an owner holds connections; the owners share the slots of the instance. */
--- a/src/direct/snapshots/form.ts
+++ b/src/direct/snapshots/form.ts
@@ -3,15 +3,15 @@
 import { err, ok, type Result } from 'neverthrow';
 import type {
   ConfigurationPart,
-  DirectoryMarks,
   DirectorySnapshot,
+  DirectoryVersions,
   InstancesPart,
   PrimariesPart,
   ServicePrimary,
   ServiceTerm,
 } from '../../core/directory/snapshot.js';
-import { type Fields, isFields } from '../../core/fields.js';
-import { addressForm, instanceForm } from '../../core/promotion/records.js';
+import { isObject, type UncheckedFields } from '../../core/fields.js';
+import { parseInstanceEntry, parseNodeAddress } from '../../core/promotion/records.js';
 import type { PeerAddress, WireValue } from '../../peer/contract.js';
 import type { InstanceEntry } from '../contract.js';
 import { SnapshotFormError } from './errors.js';
@@ -24,7 +24,7 @@
 
 /** What a node asks its peers. */
 export interface SnapshotQuestion {
-  readonly known: DirectoryMarks;
+  readonly known: DirectoryVersions;
   /** Where the asking node answers such questions itself. */
   readonly from: PeerAddress;
 }
@@ -32,8 +32,8 @@
 export type InstanceSnapshot = DirectorySnapshot<InstanceEntry>;
 
 export function parseQuestion(value: WireValue): Result<SnapshotQuestion, SnapshotFormError> {
-  const known = isFields(value) ? marksForm(value.known) : undefined;
-  const from = isFields(value) ? addressForm(value.from) : undefined;
+  const known = isObject(value) ? marksForm(value.known) : undefined;
+  const from = isObject(value) ? parseNodeAddress(value.from) : undefined;
   if (known === undefined || from === undefined) {
     return err(new SnapshotFormError('malformed question for a snapshot'));
   }
@@ -42,7 +42,7 @@
 
 /** The answer of a peer; refused as a whole if any part of it is malformed. */
 export function parseSnapshot(value: WireValue): Result<InstanceSnapshot, SnapshotFormError> {
-  if (!isFields(value)) return malformed('answer');
+  if (!isObject(value)) return malformed('answer');
   const configuration = optional(value.configuration, configurationForm);
   const instances = optional(value.instances, instancesForm);
   const primaries = optional(value.primaries, primariesForm);
@@ -65,17 +65,17 @@
 /** Undefined if the part is absent, null if it is malformed. */
 function optional<Form>(
   value: unknown,
-  form: (fields: Fields) => Form | undefined,
+  form: (fields: UncheckedFields) => Form | undefined,
 ): Form | undefined | null {
   if (value === undefined || value === null) return undefined;
-  return (isFields(value) ? form(value) : undefined) ?? null;
+  return (isObject(value) ? form(value) : undefined) ?? null;
 }
 
-function configurationForm({ version, text }: Fields): ConfigurationPart | undefined {
+function configurationForm({ version, text }: UncheckedFields): ConfigurationPart | undefined {
   return isMark(version) && typeof text === 'string' ? { version, text } : undefined;
 }
 
-function instancesForm(fields: Fields): InstancesPart<InstanceEntry> | undefined {
+function instancesForm(fields: UncheckedFields): InstancesPart<InstanceEntry> | undefined {
   const { revision } = fields;
   const instances = listForm(fields.instances, reachableForm);
   const departed = listForm(fields.departed, reachableForm);
@@ -85,31 +85,31 @@
 
 /** An entry whose address a connection can be opened to. */
 function reachableForm(value: unknown): InstanceEntry | undefined {
-  const entry = instanceForm(value);
+  const entry = parseInstanceEntry(value);
   return entry !== undefined && isPort(entry.port) && isMark(entry.slots) ? entry : undefined;
 }
 
-function primariesForm(fields: Fields): PrimariesPart | undefined {
+function primariesForm(fields: UncheckedFields): PrimariesPart | undefined {
   const { revision } = fields;
   const primaries = listForm(fields.primaries, primaryForm);
   return isMark(revision) && primaries !== undefined ? { revision, primaries } : undefined;
 }
 
 function primaryForm(value: unknown): ServicePrimary | undefined {
-  if (!isFields(value)) return undefined;
+  if (!isObject(value)) return undefined;
   const { service, instanceId } = value;
   return isText(service) && isText(instanceId) ? { service, instanceId } : undefined;
 }
 
 function termForm(value: unknown): ServiceTerm | undefined {
-  if (!isFields(value)) return undefined;
+  if (!isObject(value)) return undefined;
   const { service, instanceId, term } = value;
   if (!isText(service) || !isText(instanceId) || !isMark(term)) return undefined;
   return { service, instanceId, term };
 }
 
-function marksForm(value: unknown): DirectoryMarks | undefined {
-  if (!isFields(value)) return undefined;
+function marksForm(value: unknown): DirectoryVersions | undefined {
+  if (!isObject(value)) return undefined;
   const { version, instancesRevision, primariesRevision } = value;
   if (!isMark(version) || !isMark(instancesRevision) || !isMark(primariesRevision)) {
     return undefined;
--- a/src/direct/snapshots/node-directory.ts
+++ b/src/direct/snapshots/node-directory.ts
@@ -1,8 +1,8 @@
 /** A node's own directory as the exchange of snapshots sees it: what it can tell, and how it takes more. */
 import {
-  type DirectoryMarks,
+  type DirectoryVersions,
   type InstancesPart,
-  newerParts,
+  selectNewerParts,
 } from '../../core/directory/snapshot.js';
 import type { Milliseconds } from '../../core/units.js';
 import type { Logger } from '../../observability/logger.js';
@@ -52,7 +52,7 @@
     return this.options.peers();
   }
 
-  known(): DirectoryMarks {
+  known(): DirectoryVersions {
     const { follower, primaries } = this.options;
     return {
       version: follower.configuration()?.version ?? 0,
@@ -61,12 +61,12 @@
     };
   }
 
-  describe(known: DirectoryMarks): InstanceSnapshot | undefined {
+  describe(known: DirectoryVersions): InstanceSnapshot | undefined {
     const { follower, primaries, now } = this.options;
     const confirmedAt = follower.lastConfirmedAt() ?? this.#adoptedFrom;
     const configuration = follower.configurationPart();
     if (confirmedAt === undefined || configuration === undefined) return undefined;
-    return newerParts(known, {
+    return selectNewerParts(known, {
       configuration,
       instances: {
         revision: follower.instancesRevision(),
@@ -83,7 +83,7 @@
   /** The configuration goes first: what follows is of its services. */
   adopt(snapshot: InstanceSnapshot, askedAt: Milliseconds): void {
     const { follower, gateway, primaries, logger, now } = this.options;
-    const newer = newerParts(this.known(), snapshot);
+    const newer = selectNewerParts(this.known(), snapshot);
     const isFirst = follower.configuration() === undefined;
     if (newer.configuration !== undefined) follower.adoptConfiguration(newer.configuration);
     this.#adoptProof(snapshot, askedAt);
--- a/src/direct/snapshots/service.ts
+++ b/src/direct/snapshots/service.ts
@@ -2,7 +2,7 @@
  * Exchanges the directory with other nodes over peer links: answers their questions from memory, and
  * asks them for what is newer for as long as the store does not tell it.
  */
-import type { DirectoryMarks } from '../../core/directory/snapshot.js';
+import type { DirectoryVersions } from '../../core/directory/snapshot.js';
 import type { MeadowstackError } from '../../core/errors.js';
 import { fullBucket, refill, type TokenBucket, takeToken } from '../../core/limits/token-bucket.js';
 import type { Milliseconds } from '../../core/units.js';
@@ -54,9 +54,9 @@
   isWanted(): boolean;
   /** Where the store says that other nodes answer; none while it says nothing. */
   peers(): readonly PeerAddress[];
-  known(): DirectoryMarks;
+  known(): DirectoryVersions;
   /** What this node knows that is newer; undefined if it has no directory itself. */
-  describe(known: DirectoryMarks): InstanceSnapshot | undefined;
+  describe(known: DirectoryVersions): InstanceSnapshot | undefined;
   /** Takes an answer of a peer to what was asked at a time. */
   adopt(snapshot: InstanceSnapshot, askedAt: Milliseconds): void;
 }
@@ -203,7 +203,7 @@
   }
 
   /** Who asks may know more, where none of the seeds does: it is asked back. */
-  #askIfAhead(peer: PeerAddress, its: DirectoryMarks): void {
+  #askIfAhead(peer: PeerAddress, its: DirectoryVersions): void {
     const { node } = this.options;
     const own = node.known();
     const isAhead = its.version > own.version || its.instancesRevision > own.instancesRevision;
--- a/src/direct/statement-attempts.ts
+++ b/src/direct/statement-attempts.ts
@@ -1,6 +1,6 @@
 /** One attempt of a statement at one instance, over a connection of this node's own or through an owner. */
 import type { Access } from '../core/request.js';
-import { isNotRun, type StatementAnswer } from '../core/statements/statement.js';
+import { isNotExecuted, type StatementAnswer } from '../core/statements/statement.js';
 import type { Milliseconds } from '../core/units.js';
 import type { Cancellation } from './cancellation.js';
 import { InstanceConnectionLostError, InstanceQueueFullError } from './errors.js';
@@ -8,7 +8,7 @@
 import type { InstanceFeedback } from './instance-feedback.js';
 import type { AcquireError } from './instance-pool.js';
 import type { PrimaryView } from './promotion/contract.js';
-import type { ConnectionLessor } from './relay/contract.js';
+import type { ConnectionLender } from './relay/contract.js';
 import type { RequestTrace } from './request-trace.js';
 import type { InstanceRuntime, ServiceRuntime } from './service-runtime.js';
 import {
@@ -86,7 +86,7 @@
   async #readThroughOwner(
     request: StatementRequest,
     target: Target,
-    lessor: ConnectionLessor,
+    lessor: ConnectionLender,
     settled: Cancellation | undefined,
   ): Promise<Attempt> {
     const { instance, after } = target;
@@ -185,7 +185,7 @@
       return { type: 'answered', answer, instance };
     }
     const { code, text } = answer.error;
-    if (isNotRun(code)) {
+    if (isNotExecuted(code)) {
       return { type: 'not-run', refusal: { code, text }, instance, isReached: true };
     }
     if (request.access === 'read' && code !== 'malformed') {
--- a/src/direct/transaction.ts
+++ b/src/direct/transaction.ts
@@ -5,7 +5,7 @@
 import type { Position } from '../core/position.js';
 import type { Access } from '../core/request.js';
 import { statementPause } from '../core/retry/statement-pause.js';
-import { isNotRun, type StatementAnswer } from '../core/statements/statement.js';
+import { isNotExecuted, type StatementAnswer } from '../core/statements/statement.js';
 import type { Milliseconds } from '../core/units.js';
 import { WITHHELD } from './commit-trust.js';
 import type { RouteDescription } from './contract.js';
@@ -198,7 +198,7 @@
     if (outcome.type === 'refused')
       return outcome.refusal.code === 'aborted' ? outcome.refusal : undefined;
     const { error } = outcome.answer;
-    return error !== undefined && isNotRun(error.code) ? error : undefined;
+    return error !== undefined && isNotExecuted(error.code) ? error : undefined;
   }
 
   #retryPause(refusals: number): Milliseconds {
--- a/src/peer/message-forms.ts
+++ b/src/peer/message-forms.ts
@@ -2,7 +2,7 @@
  * Forms of the values that the link itself reads: hello, call and call error. Checked by hand and not by
  * a schema library, whose loading takes a starting process longer than all else that it loads.
  */
-import { isFields } from '../core/fields.js';
+import { isObject } from '../core/fields.js';
 
 /** Identity, version and nonce of one side; the proof is empty in the dialler's. */
 export interface Hello {
@@ -33,7 +33,7 @@
 
 /** The hello in a decoded payload; undefined if it is none. */
 export function helloForm(value: unknown): Hello | undefined {
-  if (!isFields(value)) return undefined;
+  if (!isObject(value)) return undefined;
   const { protocol, version, nodeId, incarnation, nonce, proof } = value;
   if (typeof protocol !== 'string' || !isWhole(version) || !isWhole(incarnation)) return undefined;
   if (incarnation < 0 || !isNodeId(nodeId)) return undefined;
--- a/test/property/directory-snapshot.test.ts
+++ b/test/property/directory-snapshot.test.ts
@@ -3,10 +3,10 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import {
-  type DirectoryMarks,
-  marksAfter,
-  NO_MARKS,
-  newerParts,
+  type DirectoryVersions,
+  NO_VERSIONS,
+  selectNewerParts,
+  versionsAfter,
 } from '../../src/core/directory/snapshot.js';
 import {
   type InstanceSnapshot,
@@ -55,10 +55,10 @@
 const marks = fc.record({ version: mark, instancesRevision: mark, primariesRevision: mark }, PLAIN);
 
 /** Takes all in this order, and checks that no mark ever falls. */
-function takeAll(known: DirectoryMarks, offers: readonly InstanceSnapshot[]): DirectoryMarks {
+function takeAll(known: DirectoryVersions, offers: readonly InstanceSnapshot[]): DirectoryVersions {
   return offers.reduce((before, offer) => {
-    const taken = newerParts(before, offer);
-    const after = marksAfter(before, taken);
+    const taken = selectNewerParts(before, offer);
+    const after = versionsAfter(before, taken);
     if (taken.configuration !== undefined) assert.ok(taken.configuration.version > before.version);
     if (taken.instances !== undefined) {
       assert.ok(taken.instances.revision > before.instancesRevision);
@@ -142,11 +142,14 @@
 
 test('a question names a mark of each part and an address by number', () => {
   const from = { host: '10.0.0.1', port: 8782 };
-  assert.equal(parseQuestion({ known: NO_MARKS, from })._unsafeUnwrap(), { known: NO_MARKS, from });
+  assert.equal(parseQuestion({ known: NO_VERSIONS, from })._unsafeUnwrap(), {
+    known: NO_VERSIONS,
+    from,
+  });
   for (const bad of [{ ...from, host: 'a.name' }, { ...from, port: 0 }, { host: from.host }]) {
-    assert.ok(parseQuestion({ known: NO_MARKS, from: bad }).isErr());
+    assert.ok(parseQuestion({ known: NO_VERSIONS, from: bad }).isErr());
   }
-  assert.ok(parseQuestion({ known: { ...NO_MARKS, version: '1' }, from }).isErr());
+  assert.ok(parseQuestion({ known: { ...NO_VERSIONS, version: '1' }, from }).isErr());
 });
 
 test('peers that were heard of are bounded, and a node never asks itself', () => {
--- a/test/property/foreign-documents.test.ts
+++ b/test/property/foreign-documents.test.ts
@@ -11,11 +11,11 @@
 import { readItem, readPollAnswer, readRangePage } from '../../platform/store-messages.js';
 import {
   decodeRecord,
-  fleetForm,
-  instanceForm,
-  membersForm,
-  nodeForm,
-  primaryForm,
+  parseFleetRecord,
+  parseInstanceEntry,
+  parseMembersRecord,
+  parseNodeRecord,
+  parsePrimaryRecord,
 } from '../../src/core/promotion/records.js';
 import { parsePartRequest, parsePermitGrant } from '../../src/direct/quota/messages.js';
 import { parseToldStretch, parseWatchRequest } from '../../src/direct/readers/messages.js';
@@ -70,7 +70,7 @@
       const parsed = parseInstance('servers/i-1', text);
       if (parsed.isErr()) return;
       const entry = parsed.value;
-      assert.equal(instanceForm(JSON.parse(JSON.stringify(entry))), entry);
+      assert.equal(parseInstanceEntry(JSON.parse(JSON.stringify(entry))), entry);
       assert.ok(Number.isSafeInteger(entry.slots) && entry.slots >= 0);
       assert.ok(entry.port >= 0 && entry.port <= 65_535);
       assert.ok(entry.id === 'i-1' || entry.lifeOf === 'i-1');
@@ -110,9 +110,9 @@
 const READERS: Readonly<Record<string, (value: unknown) => unknown>> = {
   ...{ readItem, readPollAnswer, readRangePage, parsePartRequest, parsePermitGrant },
   ...{ parseToldStretch, parseWatchRequest, parseLeaseEvent, parseStreamRequest },
-  ...{ parseQuestion, parseSnapshot, instanceForm },
+  ...{ parseQuestion, parseSnapshot, instanceForm: parseInstanceEntry },
 };
-const FORMS = [fleetForm, membersForm, nodeForm, primaryForm];
+const FORMS = [parseFleetRecord, parseMembersRecord, parseNodeRecord, parsePrimaryRecord];
 
 test('no message of a store or a peer, and no record, makes the program throw', () => {
   fc.assert(
--- a/test/property/leaving-members.test.ts
+++ b/test/property/leaving-members.test.ts
@@ -9,7 +9,7 @@
 import type { SimulatedInstance } from '../support/promotion/group.js';
 import { PromotionSimulation } from '../support/promotion/simulation.js';
 
-const { memberSilentMs } = DEFAULT_PROMOTION_TIMINGS;
+const { memberDeadAfterMs } = DEFAULT_PROMOTION_TIMINGS;
 const SEEDS = [1, 2, 3, 4, 5];
 /** An instance that leaves serves on for the time to drain and some seconds more; longer than a change of primary takes. */
 const LONG_LEAVE_MS = 8000;
@@ -55,7 +55,7 @@
 test('one silence late in a long leave makes no member dead', () => {
   for (const seed of SEEDS) {
     const { simulation, leaver } = startWithLeaver(seed);
-    simulation.run(memberSilentMs + 1000);
+    simulation.run(memberDeadAfterMs + 1000);
     cutFromNodes(simulation, leaver, 1200);
     simulation.run(3000);
     endWithPrimary(simulation);
--- a/test/support/promotion/store.ts
+++ b/test/support/promotion/store.ts
@@ -4,10 +4,10 @@
  */
 
 import {
-  HIGHEST_REVISION,
-  isOfEra,
-  positionOf,
+  isInEra,
+  MAX_REVISION,
   revisionWithinEra,
+  toStorePosition,
 } from '../../../src/core/directory/store-position.js';
 import type {
   PromotionRequest,
@@ -20,10 +20,10 @@
 export const STORE = 'store';
 const FAILED: RequestAnswer = {
   type: 'store-failed',
-  leaseOver: false,
+  isLeaseGone: false,
   retryAfterMs: undefined,
 };
-const LEASE_OVER: RequestAnswer = { ...FAILED, leaseOver: true };
+const LEASE_OVER: RequestAnswer = { ...FAILED, isLeaseGone: true };
 
 interface StoredEntry extends KeyValue {
   readonly leaseId: string | undefined;
@@ -173,8 +173,8 @@
   #asked(request: StoreRequest, era: number): StoreRequest {
     if (request.type !== 'transaction') return request;
     const compares = request.compares.map(({ key, modRevision }) => {
-      const isKnown = modRevision === 0 || isOfEra(modRevision, era);
-      return { key, modRevision: isKnown ? revisionWithinEra(modRevision) : HIGHEST_REVISION };
+      const isKnown = modRevision === 0 || isInEra(modRevision, era);
+      return { key, modRevision: isKnown ? revisionWithinEra(modRevision) : MAX_REVISION };
     });
     return { ...request, compares };
   }
@@ -246,7 +246,7 @@
     const watch = { machine, prefix, onEvents, onEnd, era, deafUntil: 0, ended: false };
     this.#watches.add(watch);
     if (this.#refuses(machine)) this.#endLater(watch, 5);
-    if (!isOfEra(fromRevision, era)) this.#endLater(watch, 5);
+    if (!isInEra(fromRevision, era)) this.#endLater(watch, 5);
     // What changed between the read and the watch is told by a whole new read.
     const from = revisionWithinEra(fromRevision);
     if (from > this.#revision + 1 || this.#changedSince(prefix, from)) this.#endLater(watch, 5);
@@ -346,7 +346,7 @@
   }
 
   #position(revision: number): number {
-    return positionOf(this.era, revision);
+    return toStorePosition(this.era, revision);
   }
 
   #placed(entry: StoredEntry): StoredEntry {
--- a/test/support/reader-network.ts
+++ b/test/support/reader-network.ts
@@ -272,7 +272,7 @@
       if (to?.isAlive !== true) return;
       carry(() => {
         const told = parseToldStretch(message);
-        if (!isOver && told !== undefined) listener.onTold(told);
+        if (!isOver && told !== undefined) listener.onRelayed(told);
       });
     });
     far.end = () => {
--- a/test/unit/direct/node-directory.test.ts
+++ b/test/unit/direct/node-directory.test.ts
@@ -1,7 +1,7 @@
 /** Members whose entries are gone, as nodes tell each other of them. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { NO_MARKS } from '../../../src/core/directory/snapshot.js';
+import { NO_VERSIONS } from '../../../src/core/directory/snapshot.js';
 import type { InstanceEntry } from '../../../src/direct/contract.js';
 import type { DirectoryFollower } from '../../../src/direct/directory-follower.js';
 import type { DirectGateway } from '../../../src/direct/gateway.js';
@@ -57,7 +57,7 @@
 
 test('a node tells of the members that the records name, and of each once', () => {
   const { directory } = nodeWith(['present', 'left-before', 'used-once']);
-  const departed = directory.describe(NO_MARKS)?.instances?.departed ?? [];
+  const departed = directory.describe(NO_VERSIONS)?.instances?.departed ?? [];
   assert.equal(departed.map(({ id }) => id).sort(), ['left-before', 'used-once']);
 });
 
--- a/test/unit/direct/relay-host.test.ts
+++ b/test/unit/direct/relay-host.test.ts
@@ -16,13 +16,13 @@
     ...{ counters: { ...COUNTERS }, now: () => 0 },
   });
   const told: boolean[] = [];
-  host.onChange = () => told.push(host.isComing);
-  assert.not(host.isComing);
+  host.onChange = () => told.push(host.isPending);
+  assert.not(host.isPending);
   const nodes = [{ nodeId: 'n-2', zone: 'a', host: '127.0.0.1', port: 1 }];
   host.update({ ownersPerInstance: 2, nodes });
-  assert.equal([host.isComing, told], [true, [true]]);
+  assert.equal([host.isPending, told], [true, [true]]);
   await until('the relay', () => host.roster !== undefined);
-  assert.equal([host.isComing, told], [false, [true, false]]);
+  assert.equal([host.isPending, told], [false, [true, false]]);
   host.close();
 });
 
@@ -38,11 +38,11 @@
     changes += 1;
   };
   host.update(roster, false);
-  assert.not(host.isComing);
+  assert.not(host.isPending);
   await until('the relay', () => changes > 0);
   assert.is(host.roster, undefined);
   host.update(roster, true);
-  assert.equal([host.isComing, host.roster], [false, roster]);
+  assert.equal([host.isPending, host.roster], [false, roster]);
   host.update(roster, false);
   assert.is(host.roster, undefined);
   host.close();
@@ -54,7 +54,7 @@
     ...{ counters: { ...COUNTERS }, now: () => 0 },
   });
   host.update(undefined);
-  assert.not(host.isComing);
+  assert.not(host.isPending);
 });
 
 test.run();
--- a/test/unit/direct/service-runtime.test.ts
+++ b/test/unit/direct/service-runtime.test.ts
@@ -159,7 +159,7 @@
 
 test('nothing is opened while owners are named that this node can not ask yet', () => {
   const { world, service } = setUp();
-  Object.assign(world.ownership, { isComing: true });
+  Object.assign(world.ownership, { isPending: true });
   service.setInstances([entry('i-1')]);
   service.setMaxConnections(39);
   const pool = () => service.members()[0]?.pool;
@@ -167,7 +167,7 @@
   const nodes = [{ nodeId: 'n-1', zone: 'a', host: '10.0.0.9', port: 1 }];
   const roster: OwnerRoster = { ownersPerInstance: 2, nodes };
   const ownershipOf = () => ({ isOwned: true });
-  Object.assign(world.ownership, { isComing: false, roster, ownershipOf });
+  Object.assign(world.ownership, { isPending: false, roster, ownershipOf });
   service.setOwners();
   assert.is(pool()?.limit, 4);
 });
--- a/test/unit/lives.test.ts
+++ b/test/unit/lives.test.ts
@@ -2,37 +2,43 @@
 import { errAsync, okAsync } from 'neverthrow';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
+import { incarnationIdOf, platformIdOf } from '../../platform/incarnation-ids.js';
 import { lineWire } from '../../platform/line-wire.js';
-import { lifeIdOf, platformIdOf } from '../../platform/lives.js';
-import { isOtherLife } from '../../src/core/promotion/lives.js';
+import { isOtherIncarnation } from '../../src/core/promotion/incarnations.js';
 import { DEFAULT_PROMOTION_TIMINGS } from '../../src/core/promotion/options.js';
 import { Primaries } from '../../src/core/promotion/primaries.js';
-import { instanceForm } from '../../src/core/promotion/records.js';
+import { parseInstanceEntry } from '../../src/core/promotion/records.js';
 import type { StoreView } from '../../src/core/promotion/store-view.js';
 import type { InstanceControl, InstanceEntry, InstanceStatus } from '../../src/direct/contract.js';
 import { classifyControlFailure } from '../../src/direct/instance-control.js';
-import { forOneLife } from '../../src/direct/promotion/lives.js';
+import { rejectReplacedIncarnations } from '../../src/direct/promotion/incarnation-guard.js';
 
 const FIRST: InstanceEntry = {
-  ...{ id: lifeIdOf('i-1', 100), lifeOf: 'i-1', service: 'orders', host: '10.0.0.1', port: 80 },
+  ...{
+    id: incarnationIdOf('i-1', 100),
+    lifeOf: 'i-1',
+    service: 'orders',
+    host: '10.0.0.1',
+    port: 80,
+  },
   ...{ zone: 'a', slots: 3, draining: false, role: 'replica' },
 };
-const SECOND: InstanceEntry = { ...FIRST, id: lifeIdOf('i-1', 200) };
+const SECOND: InstanceEntry = { ...FIRST, id: incarnationIdOf('i-1', 200) };
 const STATUS: InstanceStatus = {
   ...{ role: 'replica', term: 0, received: { timeline: 0, lsn: 0n }, heldTerm: 0 },
   ...{ lagMs: 0, busySlots: 0, connections: 0 },
 };
 
 test('lives of one instance differ, and are no lives of another', () => {
-  assert.ok(isOtherLife(FIRST, SECOND));
-  assert.not(isOtherLife(FIRST, FIRST));
-  assert.not(isOtherLife(FIRST, { ...SECOND, lifeOf: 'i-2' }));
-  assert.not(isOtherLife({ id: 'a' }, { id: 'b' }), 'where lives are not told apart');
+  assert.ok(isOtherIncarnation(FIRST, SECOND));
+  assert.not(isOtherIncarnation(FIRST, FIRST));
+  assert.not(isOtherIncarnation(FIRST, { ...SECOND, lifeOf: 'i-2' }));
+  assert.not(isOtherIncarnation({ id: 'a' }, { id: 'b' }), 'where lives are not told apart');
 });
 
 test('the platform is told its own ids', () => {
   assert.is(platformIdOf(FIRST.id), 'i-1');
-  assert.is(platformIdOf(lifeIdOf('i-1', undefined)), 'i-1');
+  assert.is(platformIdOf(incarnationIdOf('i-1', undefined)), 'i-1');
   assert.is(lineWire.encodeStart('orders', FIRST.id), 'START orders meadowstack i-1\r\n');
 });
 
@@ -51,9 +57,9 @@
 });
 
 test('records and peers carry lives', () => {
-  assert.equal(instanceForm(JSON.parse(JSON.stringify(FIRST))), FIRST);
+  assert.equal(parseInstanceEntry(JSON.parse(JSON.stringify(FIRST))), FIRST);
   const { lifeOf: _, ...plain } = FIRST;
-  assert.equal(instanceForm(plain), plain);
+  assert.equal(parseInstanceEntry(plain), plain);
 });
 
 test('a life that is over answers nothing, whoever answers under its id', async () => {
@@ -61,7 +67,7 @@
   const control: InstanceControl = {
     ...{ status: answer, pause: answer, resume: answer, demote: answer, close: () => {} },
   };
-  const checked = forOneLife(control, ({ id }) => id === FIRST.id);
+  const checked = rejectReplacedIncarnations(control, ({ id }) => id === FIRST.id);
   for (const asked of [
     checked.status(FIRST, 100),
     checked.pause(FIRST, 4, 100),
--- a/test/unit/platform/store-calls.test.ts
+++ b/test/unit/platform/store-calls.test.ts
@@ -6,11 +6,11 @@
 import { kindOfTransaction } from '../../../platform/store-call-kinds.js';
 import {
   acknowledgementKeyOf,
-  DUTY_PREFIX,
   FLEET_KEY,
+  handoverKeyOf,
   LEADER_KEY,
+  LEADER_WATCH_PREFIX,
   nodeKeyOf,
-  noteKeyOf,
   RECORD_PREFIX,
   suspicionKeyOf,
 } from '../../../src/core/promotion/records.js';
@@ -130,11 +130,11 @@
   const kindOf = (key: string) => kindOfTransaction([], [{ type: 'put', key, value: '' }]);
   assert.is(kindOf(LEADER_KEY), 'election');
   assert.is(kindOf(FLEET_KEY), 'record');
-  assert.is(kindOf(noteKeyOf('s')), 'record');
+  assert.is(kindOf(handoverKeyOf('s')), 'record');
   assert.is(kindOf(nodeKeyOf('n')), 'registration');
   assert.is(kindOf(acknowledgementKeyOf('s', 'n')), 'acknowledgement');
   assert.is(kindOf(suspicionKeyOf('s', 'n')), 'suspicion');
-  assert.is(kindOf(`${DUTY_PREFIX}else`), 'record');
+  assert.is(kindOf(`${LEADER_WATCH_PREFIX}else`), 'record');
   assert.is(kindOf('strange'), 'other-write');
 });
 
--- a/test/unit/platform/store-era.test.ts
+++ b/test/unit/platform/store-era.test.ts
@@ -3,7 +3,7 @@
 import * as assert from 'uvu/assert';
 import { KeyValueStore } from '../../../platform/store.js';
 import { type EraReading, StoreEra } from '../../../src/core/directory/store-era.js';
-import { HIGHEST_REVISION, positionOf } from '../../../src/core/directory/store-position.js';
+import { MAX_REVISION, toStorePosition } from '../../../src/core/directory/store-position.js';
 import {
   type ScriptedAnswer,
   type ScriptedServer,
@@ -81,7 +81,7 @@
   const polled = inEra('4', { events: [], at_revision: 9 });
   await withStore([range('3', 9), polled], async (store, _server, told) => {
     await store.range('my/');
-    assert.equal(await endOf(store, positionOf(3, 10)), ['MS-STORE-COMPACTED', true]);
+    assert.equal(await endOf(store, toStorePosition(3, 10)), ['MS-STORE-COMPACTED', true]);
     assert.is(told.length, 1);
   });
 });
@@ -90,7 +90,7 @@
   await withStore([range('3', 9), range('4', 9)], async (store, server) => {
     await store.range('my/');
     await store.range('my/');
-    assert.equal(await endOf(store, positionOf(3, 10)), ['MS-STORE-COMPACTED', true]);
+    assert.equal(await endOf(store, toStorePosition(3, 10)), ['MS-STORE-COMPACTED', true]);
     assert.is(server.requests.length, 2, 'without a call');
   });
 });
@@ -98,7 +98,7 @@
 test('a watch that waits ends when another call hears of the rise', async () => {
   await withStore([range('3', 9), 'silent', range('4', 9)], async (store) => {
     await store.range('my/');
-    const ended = endOf(store, positionOf(3, 10));
+    const ended = endOf(store, toStorePosition(3, 10));
     await store.range('my/');
     assert.equal(await ended, ['MS-STORE-COMPACTED', true]);
   });
@@ -110,15 +110,18 @@
     await store.range('my/');
     await store.range('my/');
     const compares = [
-      { key: 'my/a', modRevision: positionOf(3, 9) },
+      { key: 'my/a', modRevision: toStorePosition(3, 9) },
       { key: 'my/b', modRevision: 0 },
     ];
     const answer = (await store.transaction(compares, PUT))._unsafeUnwrap();
-    assert.equal([answer.succeeded, answer.current[0]?.modRevision], [false, positionOf(4, 9)]);
+    assert.equal(
+      [answer.succeeded, answer.current[0]?.modRevision],
+      [false, toStorePosition(4, 9)],
+    );
     const body = server.requests[2]?.body as { expected_revision: { revision: number }[] };
     assert.equal(
       body.expected_revision.map(({ revision }) => revision),
-      [HIGHEST_REVISION, 0],
+      [MAX_REVISION, 0],
     );
   });
 });
@@ -126,7 +129,7 @@
 test('a change that was done in an era other than its conditions has an unknown outcome', async () => {
   await withStore([range('3', 9), inEra('4', { revision: 10 })], async (store) => {
     await store.range('my/');
-    const compares = [{ key: 'my/a', modRevision: positionOf(3, 9) }];
+    const compares = [{ key: 'my/a', modRevision: toStorePosition(3, 9) }];
     const error = (await store.transaction(compares, PUT))._unsafeUnwrapErr();
     assert.equal([error.code, error.outcomeUnknown], ['MS-STORE-ERA', true]);
   });
--- a/test/unit/promotion-monitor.test.ts
+++ b/test/unit/promotion-monitor.test.ts
@@ -6,7 +6,7 @@
 import { PromotionRuntime } from '../../src/core/promotion/runtime.js';
 import type { InstanceEntry, InstanceRole } from '../../src/direct/contract.js';
 
-const { probeEveryMs } = DEFAULT_PROMOTION_TIMINGS;
+const { probePeriodMs } = DEFAULT_PROMOTION_TIMINGS;
 const STEP_MS = 50;
 
 class Watched {
@@ -78,23 +78,23 @@
 test('a primary that answers other questions is not probed', () => {
   const watched = new Watched();
   watched.monitor.start();
-  watched.run(10 * probeEveryMs, true);
+  watched.run(10 * probePeriodMs, true);
   assert.is(watched.probes, 0);
 });
 
 test('a primary that nothing else is heard of is probed', () => {
   const watched = new Watched();
   watched.monitor.start();
-  watched.run(10 * probeEveryMs, false);
+  watched.run(10 * probePeriodMs, false);
   assert.ok(watched.probes >= 8, `${watched.probes} probes`);
 });
 
 test('a primary that announces itself as a replica is asked, though it answers', () => {
   const watched = new Watched();
   watched.monitor.start();
-  watched.run(2 * probeEveryMs, true);
+  watched.run(2 * probePeriodMs, true);
   watched.role = 'replica';
-  watched.run(4 * probeEveryMs, true);
+  watched.run(4 * probePeriodMs, true);
   assert.ok(watched.reasons.includes('lost-lead'), `${watched.probes} probes`);
 });
 
--- a/test/unit/promotion-start.test.ts
+++ b/test/unit/promotion-start.test.ts
@@ -66,7 +66,7 @@
   return { machine, asked, tick: (now: number) => handle([{ type: 'tick' }], now) };
 }
 
-const { readUnregisteredMs } = DEFAULT_PROMOTION_TIMINGS;
+const { unregisteredReadDelayMs } = DEFAULT_PROMOTION_TIMINGS;
 
 for (const [name, answered] of [
   ['its lease', ['range']],
@@ -75,16 +75,16 @@
   test(`a node whose store does not answer for ${name} knows the primaries, and trusts none`, () => {
     const { machine, tick } = startWith(answered);
     assert.is(machine.primaryOf(SERVICE, 0), undefined);
-    tick(readUnregisteredMs);
-    assert.is(machine.primaryOf(SERVICE, readUnregisteredMs)?.id, PRIMARY.id);
-    assert.not(machine.mayTrustPrimary(SERVICE, readUnregisteredMs));
+    tick(unregisteredReadDelayMs);
+    assert.is(machine.primaryOf(SERVICE, unregisteredReadDelayMs)?.id, PRIMARY.id);
+    assert.not(machine.mayTrustPrimary(SERVICE, unregisteredReadDelayMs));
   });
 }
 
 test('a node that is registered at once reads the records once', () => {
   const { machine, asked, tick } = startWith(['grant-lease', 'transaction', 'range']);
   assert.ok(machine.mayTrustPrimary(SERVICE, 0));
-  tick(readUnregisteredMs);
+  tick(unregisteredReadDelayMs);
   assert.is(asked.filter((type) => type === 'range').length, 1);
 });
 
--- a/test/unit/quota-keepers.test.ts
+++ b/test/unit/quota-keepers.test.ts
@@ -76,10 +76,10 @@
 });
 
 test('a keeper has stopped by its own clock before the leader names another one', () => {
-  const { leaseSeconds, leaseMarginMs } = DEFAULT_PROMOTION_TIMINGS;
+  const { leaseSeconds, leaseSafetyMarginMs } = DEFAULT_PROMOTION_TIMINGS;
   const leaseMs = leaseSeconds * 1000;
   // Both count from when a renewal was sent; it arrives no earlier, and its lease ends there no earlier than it lasts.
-  const stoppedAtMs = leaseMs - leaseMarginMs + KEEPER_GRACE_MS;
+  const stoppedAtMs = leaseMs - leaseSafetyMarginMs + KEEPER_GRACE_MS;
   const replacedAtMs = leaseMs + KEEPER_REPLACED_MS;
   assert.ok(stoppedAtMs + 200 <= replacedAtMs);
 });
--- a/test/unit/return/returning-fleet.test.ts
+++ b/test/unit/return/returning-fleet.test.ts
@@ -5,7 +5,11 @@
 import { RESERVED_CONNECTIONS } from '../../../src/core/ownership/connection-sharing.js';
 import { FleetPublisher } from '../../../src/core/promotion/fleet-publisher.js';
 import { DEFAULT_PROMOTION_TIMINGS } from '../../../src/core/promotion/options.js';
-import { decodeRecord, type FleetRecord, fleetForm } from '../../../src/core/promotion/records.js';
+import {
+  decodeRecord,
+  type FleetRecord,
+  parseFleetRecord,
+} from '../../../src/core/promotion/records.js';
 import { PromotionRuntime } from '../../../src/core/promotion/runtime.js';
 import {
   isReturning,
@@ -102,7 +106,7 @@
 test('what the leader publishes is read as it was written', () => {
   const fleet = publishedBy(36);
   const entry = { key: 'k', value: JSON.stringify(fleet), createRevision: 1, modRevision: 1 };
-  assert.equal(decodeRecord(entry, fleetForm)?.returnOwners, fleet?.returnOwners);
+  assert.equal(decodeRecord(entry, parseFleetRecord)?.returnOwners, fleet?.returnOwners);
 });
 
 test('a process that replaces another returns for as long as connections may be left, each for a little longer', () => {
--- a/test/unit/store-return.test.ts
+++ b/test/unit/store-return.test.ts
@@ -35,15 +35,15 @@
     random: () => 0.5,
   });
   const refuse = (): RequestAnswer => ({
-    ...{ type: 'store-failed', leaseOver: false, retryAfterMs: undefined },
+    ...{ type: 'store-failed', isLeaseGone: false, retryAfterMs: undefined },
   });
   const ask = (event: PromotionEvent, at: number): string[] =>
     feed(machine, [event], at, refuse).map(({ type }) => type);
-  const { readUnregisteredMs } = DEFAULT_PROMOTION_TIMINGS;
+  const { unregisteredReadDelayMs } = DEFAULT_PROMOTION_TIMINGS;
   ask({ type: 'start' }, 0);
-  ask({ type: 'tick' }, readUnregisteredMs);
-  assert.equal(ask({ type: 'tick' }, readUnregisteredMs + 1), [], 'both wait');
-  const asked = ask({ type: 'store-returned' }, readUnregisteredMs + 1);
+  ask({ type: 'tick' }, unregisteredReadDelayMs);
+  assert.equal(ask({ type: 'tick' }, unregisteredReadDelayMs + 1), [], 'both wait');
+  const asked = ask({ type: 'store-returned' }, unregisteredReadDelayMs + 1);
   assert.equal(asked.sort(), ['grant-lease', 'range']);
 });
 
--- a/test/unit/unlisted-members.test.ts
+++ b/test/unit/unlisted-members.test.ts
@@ -1,9 +1,9 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import {
-  acknowledgementForm,
   decodeRecord,
   encodeAcknowledgement,
+  parseAcknowledgementRecord,
 } from '../../src/core/promotion/records.js';
 import { UnlistedMembers } from '../../src/core/promotion/unlisted-members.js';
 import type { InstanceEntry } from '../../src/direct/contract.js';
@@ -55,7 +55,10 @@
 test('an acknowledgement tells of them, and one of an older program tells of none', () => {
   const record = { change: 2, leaseId: '7', end: undefined };
   const decode = (value: string) =>
-    decodeRecord({ key: 'k', value, createRevision: 1, modRevision: 1 }, acknowledgementForm);
+    decodeRecord(
+      { key: 'k', value, createRevision: 1, modRevision: 1 },
+      parseAcknowledgementRecord,
+    );
   const told = decode(encodeAcknowledgement({ ...record, unlisted: [entry('late')] }));
   assert.equal(told?.unlisted, [entry('late')]);
   assert.is(decode(encodeAcknowledgement(record))?.unlisted, undefined);
