--- a/src/core/failover/monitor.ts
+++ b/src/core/failover/monitor.ts
@@ -1,6 +1,6 @@
 /**
- * Watches a group's instances: takes in what they say, decides which one is the primary and when
- * each is to be asked again.
+ * Monitors a group's instances: records their probe answers, determines the primary and schedules
+ * the next probes.
  */
 import type {
   GroupEffect,
@@ -16,64 +16,65 @@
 import { Prober, type SentProbe } from './prober.js';
 import {
   confirmedAt,
+  type ElectedPrimary,
   EMPTY_TOPOLOGY,
   electPrimary,
-  type InstanceKnowledge,
   latestTimeline,
-  type PrimaryView,
+  type ObservedInstance,
   type Topology,
   withConnectionError,
   withInstances,
+  withMissedProbe,
   withNotWritable,
-  withPassingState,
+  withPiggybackedState,
   withProbeAnswer,
-  withProbeMissed,
 } from './topology.js';
 
-/** Who waits for fresh knowledge at the moment. */
+/** What currently needs recent probe answers; determines how often instances are probed. */
 export interface ProbeDemand {
-  /** Requests came lately. */
+  /** Requests have arrived recently. */
   readonly active: boolean;
-  /** How long the oldest thing that ran on the primary has waited; undefined if none waits. */
+  /** Waiting time of the oldest unconfirmed run on the primary; undefined if there is none. */
   readonly confirmationAgeMs: Milliseconds | undefined;
-  /** Each replica is to be sent a probe later than this in the owner's order. */
+  /** Each replica must be sent a probe with a sequence number of at least this. */
   readonly confirmationSequence: number;
-  /** Reads wait for a replica to catch up. */
+  /** Reads are waiting for a replica to replay up to their position. */
   readonly replicaProgress: boolean;
-  /** A session has seen a later timeline than this owner knows of. */
+  /** A session's position is on a later timeline than any that this owner knows. */
   readonly laterTimelineExpected: boolean;
 }
 
-const CONFIRMATION_PERIOD_SHARE_OF_AGE = 0.2;
+/** Period of confirmation probes, as a fraction of the confirmation's waiting time. */
+const CONFIRMATION_PROBE_PERIOD_PER_AGE = 0.2;
 
-/** A timeline later than the primary's that no majority supports. */
+/** A timeline later than the primary's that is not supported by a majority. */
 interface LaterTimeline {
   readonly timeline: number;
-  readonly seenAt: Milliseconds;
+  readonly firstSeenAt: Milliseconds;
 }
 
-/** `confirmedAt` of one topology. */
-interface ConfirmedTime {
+/** Result of `confirmedAt` for one topology and primary. */
+interface CachedConfirmation {
   readonly topology: Topology;
-  readonly primary: PrimaryView;
+  readonly primary: ElectedPrimary;
   readonly at: Milliseconds;
 }
 
-/** Knowledge of a group's instances. */
+/** Tracks the state of a group's instances and determines its primary. */
 export class InstanceMonitor {
   topology: Topology = EMPTY_TOPOLOGY;
-  /** The primary that a majority supports at present. */
-  primary: PrimaryView | undefined;
-  /** Latest timeline whose primary was adopted; never goes back. */
+  /** The primary that a majority currently supports. */
+  primary: ElectedPrimary | undefined;
+  /** Highest timeline whose primary has been adopted; never decreases. */
   timeline = 0;
   private readonly prober: Prober;
-  private readonly history = new PrimaryHistory();
-  private readonly lastSequence = new Map<InstanceName, number>();
+  private readonly positionHistory = new PrimaryHistory();
+  private readonly lastProbeSequence = new Map<InstanceName, number>();
   private laterTimeline: LaterTimeline | undefined;
-  private confirmed: ConfirmedTime | undefined;
+  private cachedConfirmation: CachedConfirmation | undefined;
   private newlyUnreachable: InstanceName[] = [];
-  /** Connections of these broke since their last probe was sent. */
-  private readonly probeAtOnce = new Set<InstanceName>();
+  /** Instances with a connection error since their last probe was sent. */
+  private readonly probeImmediately = new Set<InstanceName>();
   private sequence = 0;
 
   constructor(
@@ -83,7 +84,7 @@
     this.prober = new Prober({ timeoutMs: timing.probeTimeoutMs });
   }
 
-  /** Next number in this owner's order of probes sent and runs finished. */
+  /** Next sequence number; probes sent and runs finished by this owner share one sequence. */
   nextSequence(): number {
     this.sequence += 1;
     return this.sequence;
@@ -100,31 +101,34 @@
     this.adoptPrimary(now, effects);
   }
 
-  knowledgeOf(name: InstanceName): InstanceKnowledge | undefined {
+  observedInstance(name: InstanceName): ObservedInstance | undefined {
     return this.topology.instances.get(name);
   }
 
   /**
-   * The primary if it may be sent work now: supported by a majority, not under suspicion, and no
-   * later timeline is being looked into.
+   * The primary if requests may be sent to it now: a majority supports it, it is reachable, and no
+   * later timeline is being investigated.
    */
-  usablePrimary(now: Milliseconds): PrimaryView | undefined {
+  usablePrimary(now: Milliseconds): ElectedPrimary | undefined {
     if (this.primary === undefined) return undefined;
-    if (this.laterTimeline !== undefined && this.strayTimeline(now) === undefined) return undefined;
-    const knowledge = this.knowledgeOf(this.primary.instance);
-    return knowledge?.reachability === 'reachable' ? this.primary : undefined;
+    if (this.laterTimeline !== undefined && this.minorityTimeline(now) === undefined)
+      return undefined;
+    const observed = this.observedInstance(this.primary.instance);
+    return observed?.reachability === 'reachable' ? this.primary : undefined;
   }
 
   /**
-   * A later timeline that has found no majority for so long that it is taken for an instance
-   * promoted by mistake. In mode `term` there is no such thing: a vote that has not shown in the
-   * voters' timeline yet would be overlooked, while in mode `received` a voter that has stopped
-   * receiving the old primary's log confirms nothing.
+   * A later timeline that has had no majority for `laterTimelineSearchMs`, so that it is attributed
+   * to an instance promoted by mistake. Always undefined in mode `term`: a vote that is not visible
+   * in the voters' timeline yet would be missed. Mode `received` is safe, because a voter that has
+   * stopped receiving the old primary's log confirms nothing.
    */
-  strayTimeline(now: Milliseconds): number | undefined {
-    const later = this.laterTimeline;
-    if (later === undefined || this.options.confirmationMode === 'term') return undefined;
-    return now - later.seenAt >= this.timing.laterTimelineSearchMs ? later.timeline : undefined;
+  minorityTimeline(now: Milliseconds): number | undefined {
+    const laterTimeline = this.laterTimeline;
+    if (laterTimeline === undefined || this.options.confirmationMode === 'term') return undefined;
+    return now - laterTimeline.firstSeenAt >= this.timing.laterTimelineSearchMs
+      ? laterTimeline.timeline
+      : undefined;
   }
 
   /** Instances that have become unreachable since the last call. */
@@ -134,30 +138,33 @@
     return names;
   }
 
-  /** As of when an instance's data are known to be complete. */
+  /** Latest time as of which an instance is known to have replayed all of the primary's writes. */
   freshAsOf(name: InstanceName): Milliseconds {
-    const replayed = this.knowledgeOf(name)?.state?.replayed;
+    const replayed = this.observedInstance(name)?.state?.replayed;
     if (replayed === undefined || this.primary === undefined) return Number.NEGATIVE_INFINITY;
-    return this.history.freshAsOf(replayed, this.confirmedUntil(this.primary));
+    return this.positionHistory.freshAsOf(replayed, this.confirmedUntil(this.primary));
   }
 
-  /** The latest time at which a majority, the primary itself among it, had no later timeline. */
+  /** Latest time at which a majority that includes the primary was on no later timeline. */
   primaryConfirmedAt(): Milliseconds {
     if (this.primary === undefined) return Number.NEGATIVE_INFINITY;
-    const ownAnswerAt = this.knowledgeOf(this.primary.instance)?.observedAt;
+    const ownAnswerAt = this.observedInstance(this.primary.instance)?.observedAt;
     return Math.min(ownAnswerAt ?? Number.NEGATIVE_INFINITY, this.confirmedUntil(this.primary));
   }
 
-  /** Computed once for each topology: it is asked for every request. */
-  private confirmedUntil(primary: PrimaryView): Milliseconds {
+  /** Cached for each topology, because it is needed for every request. */
+  private confirmedUntil(primary: ElectedPrimary): Milliseconds {
     const { topology } = this;
-    if (this.confirmed?.topology !== topology || this.confirmed.primary !== primary) {
-      this.confirmed = { topology, primary, at: confirmedAt(topology, primary) };
+    if (
+      this.cachedConfirmation?.topology !== topology ||
+      this.cachedConfirmation.primary !== primary
+    ) {
+      this.cachedConfirmation = { topology, primary, at: confirmedAt(topology, primary) };
     }
-    return this.confirmed.at;
+    return this.cachedConfirmation.at;
   }
 
-  /** Takes in an answer; undefined if the probe is not known any more. */
+  /** Records a probe's answer; returns undefined if the probe is no longer tracked. */
   recordProbeAnswer(
     id: ProbeId,
     state: InstanceState,
@@ -175,15 +182,15 @@
     return probe;
   }
 
-  /** A probe failed outright. */
+  /** Records that a probe's connection was refused or lost. */
   recordProbeFailed(id: ProbeId, now: Milliseconds, effects: GroupEffect[]): void {
     const settled = this.prober.settle(id);
-    // One that failed late has counted as missed already.
+    // A probe that fails after its timeout has already been counted as missed.
     if (settled === undefined || settled.late) return;
-    this.recordMiss(settled.probe, true, now, effects);
+    this.recordMissedProbe(settled.probe, true, now, effects);
   }
 
-  /** An instance refused a write because it is in recovery. */
+  /** Records that an instance refused a write because it is in recovery. */
   recordNotWritable(name: InstanceName, now: Milliseconds, effects: GroupEffect[]): void {
     this.topology = withNotWritable(this.topology, name);
     this.adoptPrimary(now, effects);
@@ -191,75 +198,82 @@
 
   recordConnectionError(name: InstanceName): void {
     this.topology = withConnectionError(this.topology, name);
-    this.probeAtOnce.add(name);
+    this.probeImmediately.add(name);
   }
 
-  /** Takes in what a query that trailed a statement said. */
-  recordPassingState(
+  /** Records the state returned by the query that is appended to a statement. */
+  recordPiggybackedState(
     name: InstanceName,
     state: InstanceState,
     now: Milliseconds,
     effects: GroupEffect[],
   ): void {
-    this.topology = withPassingState(this.topology, name, state);
+    this.topology = withPiggybackedState(this.topology, name, state);
     this.adoptPrimary(now, effects);
   }
 
   /** At `at`, the primary had written at most up to `position`. */
   recordPrimaryPosition(position: Position, at: Milliseconds): void {
     if (position.timeline !== this.primary?.timeline) return;
-    this.history.add({ at, position });
+    this.positionHistory.add({ at, position });
   }
 
-  /** Gives up probes whose time is over, and sends those that are due. */
+  /** Counts timed-out probes as missed and sends the probes that are due. */
   advance(demand: ProbeDemand, now: Milliseconds, effects: GroupEffect[]): void {
-    for (const probe of this.prober.takeTimedOut(now)) this.recordMiss(probe, false, now, effects);
+    for (const probe of this.prober.takeTimedOut(now))
+      this.recordMissedProbe(probe, false, now, effects);
     for (const name of this.topology.instances.keys()) {
-      if (!this.prober.isDue(name, this.periodOf(name, demand, now), now)) continue;
+      if (!this.prober.isDue(name, this.probePeriodOf(name, demand, now), now)) continue;
       const probe = this.prober.send(name, this.nextSequence(), now);
-      this.lastSequence.set(name, probe.sequence);
-      this.probeAtOnce.delete(name);
+      this.lastProbeSequence.set(name, probe.sequence);
+      this.probeImmediately.delete(name);
       effects.push({ type: 'probe', probeId: probe.id, instance: name });
     }
   }
 
-  /** When `advance` next has something to do. */
+  /** Time at which `advance` must next be called. */
   nextDeadline(demand: ProbeDemand, now: Milliseconds): Milliseconds {
     let earliest = Number.POSITIVE_INFINITY;
     for (const name of this.topology.instances.keys()) {
-      const period = this.periodOf(name, demand, now);
+      const period = this.probePeriodOf(name, demand, now);
       earliest = Math.min(earliest, this.prober.nextDueAt(name, period));
     }
     return earliest;
   }
 
-  private periodOf(name: InstanceName, demand: ProbeDemand, now: Milliseconds): Milliseconds {
-    if (this.probeAtOnce.has(name)) return 0;
+  private probePeriodOf(name: InstanceName, demand: ProbeDemand, now: Milliseconds): Milliseconds {
+    if (this.probeImmediately.has(name)) return 0;
     const { timing } = this;
-    const knowledge = this.knowledgeOf(name);
-    const answers = knowledge?.reachability === 'reachable';
-    if (answers && name !== this.primary?.instance) {
-      if ((this.lastSequence.get(name) ?? 0) < demand.confirmationSequence) return 0;
+    const observed = this.observedInstance(name);
+    const isReachable = observed?.reachability === 'reachable';
+    if (isReachable && name !== this.primary?.instance) {
+      if ((this.lastProbeSequence.get(name) ?? 0) < demand.confirmationSequence) return 0;
       if (demand.confirmationAgeMs !== undefined) {
         return confirmationPeriod(timing, demand.confirmationAgeMs);
       }
     }
-    if (answers && demand.replicaProgress) return timing.replicaProgressProbePeriodMs;
-    const searching = this.usablePrimary(now) === undefined || demand.laterTimelineExpected;
-    if (searching || knowledge?.reachability === 'suspect') return timing.fastProbePeriodMs;
+    if (isReachable && demand.replicaProgress) return timing.replicaProgressProbePeriodMs;
+    const isSearchingPrimary =
+      this.usablePrimary(now) === undefined || demand.laterTimelineExpected;
+    if (isSearchingPrimary || observed?.reachability === 'suspect') return timing.fastProbePeriodMs;
     return demand.active ? timing.probePeriodMs : timing.quietProbePeriodMs;
   }
 
-  private recordMiss(
+  private recordMissedProbe(
     probe: SentProbe,
     failedOutright: boolean,
     now: Milliseconds,
     effects: GroupEffect[],
   ): void {
-    const limit = this.timing.unreachableAfterMisses;
-    const before = this.knowledgeOf(probe.instance)?.reachability;
-    this.topology = withProbeMissed(this.topology, probe.instance, limit, failedOutright);
-    const after = this.knowledgeOf(probe.instance)?.reachability;
+    const unreachableAfterMisses = this.timing.unreachableAfterMisses;
+    const before = this.observedInstance(probe.instance)?.reachability;
+    this.topology = withMissedProbe(
+      this.topology,
+      probe.instance,
+      unreachableAfterMisses,
+      failedOutright,
+    );
+    const after = this.observedInstance(probe.instance)?.reachability;
     if (after === 'unreachable' && before !== after) this.newlyUnreachable.push(probe.instance);
     this.adoptPrimary(now, effects);
   }
@@ -268,14 +282,15 @@
     const requireMajority = !this.options.without?.has('majority-election');
     const elected = electPrimary(this.topology, requireMajority);
     const next = elected !== undefined && elected.timeline >= this.timeline ? elected : undefined;
-    this.noteLaterTimeline(next?.timeline ?? this.timeline, now);
+    this.trackLaterTimeline(next?.timeline ?? this.timeline, now);
     const previous = this.primary;
-    const same = previous?.instance === next?.instance && previous?.timeline === next?.timeline;
-    if (same) return;
+    const isUnchanged =
+      previous?.instance === next?.instance && previous?.timeline === next?.timeline;
+    if (isUnchanged) return;
     this.primary = next;
     if (next !== undefined) {
       this.timeline = next.timeline;
-      this.history.clear();
+      this.positionHistory.clear();
       this.recordKnownPosition(next);
     }
     effects.push({
@@ -287,24 +302,24 @@
     });
   }
 
-  private recordKnownPosition(primary: PrimaryView): void {
-    const knowledge = this.knowledgeOf(primary.instance);
-    if (knowledge?.state === undefined) return;
-    this.recordPrimaryPosition(knowledge.state.replayed, knowledge.observedAt);
+  private recordKnownPosition(primary: ElectedPrimary): void {
+    const observed = this.observedInstance(primary.instance);
+    if (observed?.state === undefined) return;
+    this.recordPrimaryPosition(observed.state.replayed, observed.observedAt);
   }
 
-  private noteLaterTimeline(adopted: number, now: Milliseconds): void {
+  private trackLaterTimeline(adoptedTimeline: number, now: Milliseconds): void {
     const latest = latestTimeline(this.topology);
-    if (latest <= adopted) this.laterTimeline = undefined;
+    if (latest <= adoptedTimeline) this.laterTimeline = undefined;
     else if (this.laterTimeline?.timeline !== latest) {
-      this.laterTimeline = { timeline: latest, seenAt: now };
+      this.laterTimeline = { timeline: latest, firstSeenAt: now };
     }
   }
 }
 
-/** Probes again soon at first, and more slowly the longer the confirmation takes. */
+/** Probe period that grows with the time the confirmation has been waiting. */
 function confirmationPeriod(timing: GroupTiming, ageMs: Milliseconds): Milliseconds {
-  const adaptive = ageMs * CONFIRMATION_PERIOD_SHARE_OF_AGE;
+  const proportionalMs = ageMs * CONFIRMATION_PROBE_PERIOD_PER_AGE;
   const { confirmationProbePeriodMs, fastProbePeriodMs } = timing;
-  return Math.min(fastProbePeriodMs, Math.max(confirmationProbePeriodMs, adaptive));
+  return Math.min(fastProbePeriodMs, Math.max(confirmationProbePeriodMs, proportionalMs));
 }
--- a/src/core/failover/prober.ts
+++ b/src/core/failover/prober.ts
@@ -1,6 +1,6 @@
 /**
- * When to ask which instance for its state. One probe at a time per instance; one that is not
- * answered within its own timeout counts as missed and never blocks the next.
+ * Schedules the probes that ask instances for their state. Each instance has at most one probe in
+ * flight; a probe not answered within its timeout counts as missed and does not block the next one.
  */
 import type { ProbeId } from '../group/contract.js';
 import type { InstanceName } from '../request.js';
@@ -11,24 +11,25 @@
   readonly id: ProbeId;
   readonly instance: InstanceName;
   readonly sentAt: Milliseconds;
-  /** Order among all probes and finished runs of this owner. */
+  /** Sequence number shared by all probes sent and runs finished by this owner. */
   readonly sequence: number;
 }
 
-/** A probe that was answered or failed, perhaps after it had counted as missed. */
+/** A probe that was answered or that failed. */
 export interface SettledProbe {
   readonly probe: SentProbe;
+  /** True if the probe had already been counted as missed. */
   readonly late: boolean;
 }
 
-/** Answers to probes older than this many are not taken in any more. */
-const MAX_REMEMBERED_PROBES = 64;
-/** A timer that is late by more than this shows that the process stood still. */
-const STANDSTILL_MS: Milliseconds = 20;
-/** Time in which answers that arrived during a standstill are surely read. */
-const EXCUSED_MS: Milliseconds = 20;
+/** Number of latest probes that are tracked; answers to earlier ones are ignored. */
+const MAX_TRACKED_PROBES = 64;
+/** A timer delayed by at least this shows that the process was stalled. */
+const PROCESS_STALL_MS: Milliseconds = 20;
+/** Time after a stall within which all answers that arrived during it have been read. */
+const STALL_GRACE_MS: Milliseconds = 20;
 
-/** Pace of probing and patience with an answer. */
+/** Timing of probes. */
 export interface ProbeTiming {
   readonly timeoutMs: Milliseconds;
 }
@@ -36,17 +37,17 @@
 interface InstanceSchedule {
   inFlight: SentProbe | undefined;
   lastSentAt: Milliseconds;
-  /** When the probe in flight counts as missed. */
-  missedAt: Milliseconds;
-  /** The probe in flight got more time because this node itself had stood still. */
-  excused: boolean;
+  /** Time from which the probe in flight counts as missed. */
+  timeoutAt: Milliseconds;
+  /** The timeout of the probe in flight was extended because this process was stalled. */
+  hasStallGrace: boolean;
 }
 
-/** Probes in flight and when the next are due. */
+/** Tracks probes in flight and determines when the next ones are due. */
 export class Prober {
   private readonly schedules = new Map<InstanceName, InstanceSchedule>();
-  private readonly sent = new Map<ProbeId, SentProbe>();
-  private count = 0;
+  private readonly trackedProbes = new Map<ProbeId, SentProbe>();
+  private sentCount = 0;
 
   constructor(private readonly timing: ProbeTiming) {}
 
@@ -61,7 +62,7 @@
     }
   }
 
-  /** True if a probe may be sent to the instance now, not sooner than `periodMs` after the last. */
+  /** True if no probe is in flight and the last one was sent at least `periodMs` ago. */
   isDue(name: InstanceName, periodMs: Milliseconds, now: Milliseconds): boolean {
     const schedule = this.schedules.get(name);
     if (schedule === undefined || schedule.inFlight !== undefined) return false;
@@ -72,27 +73,27 @@
   nextDueAt(name: InstanceName, periodMs: Milliseconds): Milliseconds {
     const schedule = this.schedules.get(name);
     if (schedule === undefined) return Number.POSITIVE_INFINITY;
-    if (schedule.inFlight !== undefined) return schedule.missedAt;
+    if (schedule.inFlight !== undefined) return schedule.timeoutAt;
     return schedule.lastSentAt + periodMs;
   }
 
   /** Records a probe as sent. */
   send(instance: InstanceName, sequence: number, now: Milliseconds): SentProbe {
-    this.count += 1;
-    const probe: SentProbe = { id: `p${this.count}`, instance, sentAt: now, sequence };
+    this.sentCount += 1;
+    const probe: SentProbe = { id: `p${this.sentCount}`, instance, sentAt: now, sequence };
     this.schedules.set(instance, newSchedule(probe, now, now + this.timing.timeoutMs));
-    this.remember(probe);
+    this.track(probe);
     return probe;
   }
 
   /**
-   * Takes back the probe that was answered or failed. A late answer still tells how things were
-   * after it was sent, which is all that an answer ever tells.
+   * Removes and returns a probe that was answered or failed. A late answer is still valid: like any
+   * answer, it describes the instance at some time after the probe was sent.
    */
   settle(id: ProbeId): SettledProbe | undefined {
-    const probe = this.sent.get(id);
+    const probe = this.trackedProbes.get(id);
     if (probe === undefined) return undefined;
-    this.sent.delete(id);
+    this.trackedProbes.delete(id);
     const schedule = this.schedules.get(probe.instance);
     if (schedule?.inFlight?.id !== id) return { probe, late: true };
     schedule.inFlight = undefined;
@@ -100,33 +101,34 @@
   }
 
   /**
-   * Gives up waiting for the probes whose time is over. If that is noticed late, this node has stood
-   * still and the answer may wait unread in its socket: the probe gets a little more time, once.
+   * Removes and returns the probes that have timed out. If a timeout is noticed late, this process
+   * was stalled and the answer may be unread in its socket: the timeout is extended once by
+   * `STALL_GRACE_MS`.
    */
   takeTimedOut(now: Milliseconds): SentProbe[] {
     const timedOut: SentProbe[] = [];
     for (const schedule of this.schedules.values()) {
       const probe = schedule.inFlight;
-      if (probe === undefined || now < schedule.missedAt) continue;
-      if (this.excuse(schedule, now)) continue;
+      if (probe === undefined || now < schedule.timeoutAt) continue;
+      if (this.grantStallGrace(schedule, now)) continue;
       schedule.inFlight = undefined;
       timedOut.push(probe);
     }
     return timedOut;
   }
 
-  private excuse(schedule: InstanceSchedule, now: Milliseconds): boolean {
-    if (schedule.excused || now - schedule.missedAt < STANDSTILL_MS) return false;
-    schedule.excused = true;
-    schedule.missedAt = now + EXCUSED_MS;
+  private grantStallGrace(schedule: InstanceSchedule, now: Milliseconds): boolean {
+    if (schedule.hasStallGrace || now - schedule.timeoutAt < PROCESS_STALL_MS) return false;
+    schedule.hasStallGrace = true;
+    schedule.timeoutAt = now + STALL_GRACE_MS;
     return true;
   }
 
-  private remember(probe: SentProbe): void {
-    this.sent.set(probe.id, probe);
-    if (this.sent.size <= MAX_REMEMBERED_PROBES) return;
-    const [oldest] = this.sent.keys();
-    if (oldest !== undefined) this.sent.delete(oldest);
+  private track(probe: SentProbe): void {
+    this.trackedProbes.set(probe.id, probe);
+    if (this.trackedProbes.size <= MAX_TRACKED_PROBES) return;
+    const [oldest] = this.trackedProbes.keys();
+    if (oldest !== undefined) this.trackedProbes.delete(oldest);
   }
 }
 
@@ -135,5 +137,5 @@
   lastSentAt: Milliseconds,
   missedAt: Milliseconds,
 ): InstanceSchedule {
-  return { inFlight, lastSentAt, missedAt, excused: false };
+  return { inFlight, lastSentAt, timeoutAt: missedAt, hasStallGrace: false };
 }
--- a/src/core/failover/topology.ts
+++ b/src/core/failover/topology.ts
@@ -1,6 +1,6 @@
 /**
- * What is known of a group's instances: an immutable description that each observation replaces
- * by a new one, and the view of the primary that follows from it. Pure functions only.
+ * The observed state of a group's instances, and the primary derived from it. The topology is
+ * immutable: pure functions return a new one for each observation.
  */
 import type { InstanceState } from '../group/contract.js';
 import { laterPosition } from '../position.js';
@@ -8,36 +8,36 @@
 import type { Milliseconds } from '../units.js';
 
 /**
- * `unknown`: never answered. `suspect`: a connection error or a missed probe since its last answer.
- * `unreachable`: several probes missed, or a probe failed outright.
+ * `unknown`: has never answered. `suspect`: a connection error or a missed probe since the last
+ * answer. `unreachable`: several probes missed, or a probe's connection was refused or lost.
  */
 export type Reachability = 'unknown' | 'reachable' | 'suspect' | 'unreachable';
 
-/** What is known of one instance. Positions are lower bounds of the truth. */
-export interface InstanceKnowledge {
+/** Observed state of one instance. Its actual positions are at least those in `state`. */
+export interface ObservedInstance {
   readonly name: InstanceName;
-  /** Last answer, undefined if it never answered. */
+  /** State from the latest answer; undefined if the instance has never answered. */
   readonly state: InstanceState | undefined;
-  /** When the probe behind `state` was sent: the state is at least as new as this. */
+  /** When the probe that returned `state` was sent: the state is at least as recent as this. */
   readonly observedAt: Milliseconds;
-  /** Order of that probe among all probes and finished runs of this owner. */
+  /** Sequence number of that probe; probes and finished runs of an owner share one sequence. */
   readonly observedSequence: number;
   readonly reachability: Reachability;
   readonly missedProbes: number;
 }
 
-/** Everything known of a group at one moment. */
+/** Observed state of all instances of a group. */
 export interface Topology {
-  readonly instances: ReadonlyMap<InstanceName, InstanceKnowledge>;
+  readonly instances: ReadonlyMap<InstanceName, ObservedInstance>;
 }
 
 /** The primary that a majority supports. */
-export interface PrimaryView {
+export interface ElectedPrimary {
   readonly instance: InstanceName;
   readonly timeline: number;
 }
 
-/** Before any instance was named. */
+/** Topology before any instance is known. */
 export const EMPTY_TOPOLOGY: Topology = { instances: new Map() };
 
 /** Smallest number of instances that is more than half. */
@@ -45,21 +45,21 @@
   return Math.floor(instanceCount / 2) + 1;
 }
 
-/** The latest timeline that an instance shows any sign of. */
+/** Highest timeline that an instance has replayed or received log from. */
 export function timelineOf(state: InstanceState): number {
   return Math.max(state.replayed.timeline, state.received.timeline);
 }
 
-/** Keeps what is known of instances that stay, forgets the others. */
+/** Sets the group's instances; the observed state of those that remain is kept. */
 export function withInstances(topology: Topology, names: readonly InstanceName[]): Topology {
-  const instances = new Map<InstanceName, InstanceKnowledge>();
+  const instances = new Map<InstanceName, ObservedInstance>();
   for (const name of names) {
     instances.set(name, topology.instances.get(name) ?? unknownInstance(name));
   }
   return { instances };
 }
 
-function unknownInstance(name: InstanceName): InstanceKnowledge {
+function unknownInstance(name: InstanceName): ObservedInstance {
   return {
     name,
     state: undefined,
@@ -70,7 +70,7 @@
   };
 }
 
-/** Takes in the answer to a probe. An answer to an older probe than the known one is ignored. */
+/** Applies a probe's answer, unless a probe sent later has already been answered. */
 export function withProbeAnswer(
   topology: Topology,
   name: InstanceName,
@@ -91,10 +91,10 @@
 }
 
 /**
- * Takes in a state learned in passing. Its time is not known exactly, so that it may only raise
- * positions; it leaves the time of observation alone.
+ * Applies a state returned along with a statement's result. The time of that state is not known
+ * exactly, so it can only advance positions; `observedAt` is left unchanged.
  */
-export function withPassingState(
+export function withPiggybackedState(
   topology: Topology,
   name: InstanceName,
   state: InstanceState,
@@ -109,62 +109,65 @@
   return replaceInstance(topology, { ...known, state: raised });
 }
 
-/** An instance said in passing that it is in recovery: it leads no more, whatever it said before. */
+/** Marks an instance as not writable after it reported, outside of a probe, that it is in recovery. */
 export function withNotWritable(topology: Topology, name: InstanceName): Topology {
   const known = topology.instances.get(name);
   if (known?.state === undefined) return topology;
   return replaceInstance(topology, { ...known, state: { ...known.state, writable: false } });
 }
 
-/** An error on a connection: suspect until the next answer. */
+/** Marks an instance as suspect until its next answer, after an error on a connection. */
 export function withConnectionError(topology: Topology, name: InstanceName): Topology {
   const known = topology.instances.get(name);
   if (known === undefined || known.reachability !== 'reachable') return topology;
   return replaceInstance(topology, { ...known, reachability: 'suspect' });
 }
 
-/** A probe was not answered in time, or (`failedOutright`) its connection was refused or lost. */
-export function withProbeMissed(
+/** Counts a probe that timed out or (`failedOutright`) whose connection was refused or lost. */
+export function withMissedProbe(
   topology: Topology,
   name: InstanceName,
-  unreachableAfter: number,
+  unreachableAfterMisses: number,
   failedOutright: boolean,
 ): Topology {
   const known = topology.instances.get(name);
   if (known === undefined) return topology;
   const missedProbes = known.missedProbes + 1;
-  const gone = failedOutright || missedProbes >= unreachableAfter;
+  const isUnreachable = failedOutright || missedProbes >= unreachableAfterMisses;
   return replaceInstance(topology, {
     ...known,
     missedProbes,
-    reachability: gone ? 'unreachable' : 'suspect',
+    reachability: isUnreachable ? 'unreachable' : 'suspect',
   });
 }
 
-function replaceInstance(topology: Topology, instance: InstanceKnowledge): Topology {
+function replaceInstance(topology: Topology, instance: ObservedInstance): Topology {
   const instances = new Map(topology.instances);
   instances.set(instance.name, instance);
   return { instances };
 }
 
 /**
- * The primary: the instance that says writable on the highest timeline that a majority of the
- * group's instances has. Instances on other timelines don't count as support.
+ * The primary: the instance that reports itself writable on the highest timeline that a majority of
+ * the group's instances is on. Instances on other timelines don't count towards the majority.
  */
-export function electPrimary(topology: Topology, requireMajority = true): PrimaryView | undefined {
+export function electPrimary(
+  topology: Topology,
+  requireMajority = true,
+): ElectedPrimary | undefined {
   const needed = requireMajority ? majorityOf(topology.instances.size) : 1;
-  let best: PrimaryView | undefined;
+  let best: ElectedPrimary | undefined;
   for (const instance of topology.instances.values()) {
     if (instance.state?.writable !== true) continue;
     const timeline = instance.state.replayed.timeline;
     if (best !== undefined && timeline <= best.timeline) continue;
-    if (supportOf(topology, timeline) < needed) continue;
+    if (countSupport(topology, timeline) < needed) continue;
     best = { instance: instance.name, timeline };
   }
   return best;
 }
 
-function supportOf(topology: Topology, timeline: number): number {
+function countSupport(topology: Topology, timeline: number): number {
   let support = 0;
   for (const instance of topology.instances.values()) {
     if (instance.state !== undefined && timelineOf(instance.state) === timeline) support += 1;
@@ -172,7 +175,7 @@
   return support;
 }
 
-/** The latest timeline that any instance shows; zero if none answered yet. */
+/** Highest timeline of any instance; zero if none has answered yet. */
 export function latestTimeline(topology: Topology): number {
   let latest = 0;
   for (const instance of topology.instances.values()) {
@@ -182,17 +185,17 @@
 }
 
 /**
- * The latest time at which a majority is known to have had no later timeline than the primary's:
- * the primary itself and enough others, by the times their probes were sent.
+ * Latest time at which a majority, counted as the primary and enough other instances, was known to
+ * be on no later timeline than the primary's. Uses the times at which the probes were sent.
  */
-export function confirmedAt(topology: Topology, primary: PrimaryView): Milliseconds {
-  const others = majorityOf(topology.instances.size) - 1;
-  if (others === 0) return Number.POSITIVE_INFINITY;
+export function confirmedAt(topology: Topology, primary: ElectedPrimary): Milliseconds {
+  const requiredOthers = majorityOf(topology.instances.size) - 1;
+  if (requiredOthers === 0) return Number.POSITIVE_INFINITY;
   const times: Milliseconds[] = [];
   for (const instance of topology.instances.values()) {
     if (instance.name === primary.instance || instance.state === undefined) continue;
     if (timelineOf(instance.state) <= primary.timeline) times.push(instance.observedAt);
   }
   times.sort((left, right) => right - left);
-  return times[others - 1] ?? Number.NEGATIVE_INFINITY;
+  return times[requiredOthers - 1] ?? Number.NEGATIVE_INFINITY;
 }
--- a/src/core/group/completion.ts
+++ b/src/core/group/completion.ts
@@ -60,7 +60,7 @@
   settleConfirmations(now: Milliseconds): void {
     const { confirmations, monitor } = this.context;
     if (confirmations.size === 0) return;
-    const stray = monitor.strayTimeline(now);
+    const stray = monitor.minorityTimeline(now);
     for (const settled of confirmations.settle(monitor.topology, now, stray)) {
       this.settled(settled, now);
     }
@@ -140,7 +140,7 @@
     const position = run.position;
     if (position === undefined) return;
     const state = { writable: run.onPrimary, replayed: position, received: position };
-    monitor.recordPassingState(run.instance, state, now, effects);
+    monitor.recordPiggybackedState(run.instance, state, now, effects);
     if (run.onPrimary && monitor.primary?.instance === run.instance) {
       monitor.recordPrimaryPosition(position, run.dispatchedAt);
     }
--- a/src/core/group/database-group.ts
+++ b/src/core/group/database-group.ts
@@ -130,7 +130,7 @@
         monitor.recordProbeFailed(event.probeId, now, effects);
         break;
       case 'position-observed':
-        monitor.recordPassingState(event.instance, event.state, now, effects);
+        monitor.recordPiggybackedState(event.instance, event.state, now, effects);
         break;
       case 'instances-changed':
         this.instancesChanged(event.instances, now);
--- a/src/core/group/dispatch-pass.ts
+++ b/src/core/group/dispatch-pass.ts
@@ -59,7 +59,7 @@
 function replicasOf({ monitor, instances, loads }: GroupContext): readonly ReplicaCandidate[] {
   const replicas: ReplicaCandidate[] = [];
   for (const { name, zone, leaving, slots } of instances.values()) {
-    const knowledge = monitor.knowledgeOf(name);
+    const knowledge = monitor.observedInstance(name);
     if (knowledge === undefined || name === monitor.primary?.instance) continue;
     const load = loads.running(name);
     const serviceTimeMs = loads.serviceTimeMs(name);
--- a/src/core/routing/select.ts
+++ b/src/core/routing/select.ts
@@ -1,14 +1,14 @@
 /**
  * Which replicas may serve a read, and which of them should: pure functions over descriptions.
  */
-import type { InstanceKnowledge } from '../failover/topology.js';
+import type { ObservedInstance } from '../failover/topology.js';
 import type { Position } from '../position.js';
 import type { GroupRequest, InstanceName, ZoneName } from '../request.js';
 import type { Milliseconds } from '../units.js';
 
 /** What the choice needs to know of a replica. */
 export interface ReplicaCandidate {
-  readonly knowledge: InstanceKnowledge;
+  readonly knowledge: ObservedInstance;
   readonly zone: ZoneName;
   readonly leaving: boolean;
   /** As of when its data are known to be complete. */
--- a/test/unit/topology.test.ts
+++ b/test/unit/topology.test.ts
@@ -7,9 +7,9 @@
   type Topology,
   withConnectionError,
   withInstances,
-  withPassingState,
+  withMissedProbe,
+  withPiggybackedState,
   withProbeAnswer,
-  withProbeMissed,
 } from '../../src/core/failover/topology.js';
 import type { InstanceState } from '../../src/core/group/contract.js';
 import { state } from '../support/group-fixtures.js';
@@ -55,8 +55,8 @@
 
 test('a state in passing raises positions and keeps the time of observation', () => {
   const topology = topologyOf({ a: state(true, 5, 9), b: state(false, 5, 9) });
-  const raised = withPassingState(topology, 'b', state(false, 5, 12));
-  const lowered = withPassingState(raised, 'b', state(false, 5, 3));
+  const raised = withPiggybackedState(topology, 'b', state(false, 5, 12));
+  const lowered = withPiggybackedState(raised, 'b', state(false, 5, 3));
   assert.is(lowered.instances.get('b')?.state?.replayed.lsn, 12n);
   assert.is(lowered.instances.get('b')?.observedAt, 10);
 });
@@ -71,9 +71,9 @@
 test('errors make suspect, missed probes unreachable, an answer reachable again', () => {
   let topology = withConnectionError(topologyOf({ a: state(true, 5, 9) }), 'a');
   assert.is(topology.instances.get('a')?.reachability, 'suspect');
-  topology = withProbeMissed(topology, 'a', 2, false);
+  topology = withMissedProbe(topology, 'a', 2, false);
   assert.is(topology.instances.get('a')?.reachability, 'suspect');
-  topology = withProbeMissed(topology, 'a', 2, false);
+  topology = withMissedProbe(topology, 'a', 2, false);
   assert.is(topology.instances.get('a')?.reachability, 'unreachable');
   topology = withProbeAnswer(topology, 'a', state(true, 5, 9), 50, 9);
   assert.is(topology.instances.get('a')?.reachability, 'reachable');
