--- a/src/core/failover/monitor.ts
+++ b/src/core/failover/monitor.ts
@@ -11,7 +11,7 @@
 import type { DatabaseGroupOptions, GroupTiming } from '../group/options.js';
 import type { Position } from '../position.js';
 import type { InstanceName } from '../request.js';
-import { PrimaryHistory } from '../routing/staleness.js';
+import { PrimaryPositionHistory } from '../routing/staleness.js';
 import type { Milliseconds } from '../units.js';
 import { Prober, type SentProbe } from './prober.js';
 import {
@@ -68,7 +68,7 @@
   /** Highest timeline whose primary has been adopted; never decreases. */
   timeline = 0;
   private readonly prober: Prober;
-  private readonly positionHistory = new PrimaryHistory();
+  private readonly positionHistory = new PrimaryPositionHistory();
   private readonly lastProbeSequence = new Map<InstanceName, number>();
   private laterTimeline: LaterTimeline | undefined;
   private cachedConfirmation: CachedConfirmation | undefined;
--- a/src/core/group/dispatch-pass.ts
+++ b/src/core/group/dispatch-pass.ts
@@ -64,7 +64,7 @@
     const load = loads.running(name);
     const serviceTimeMs = loads.serviceTimeMs(name);
     const freshAsOf = monitor.freshAsOf(name);
-    replicas.push({ knowledge, zone, leaving, freshAsOf, load, slots, serviceTimeMs });
+    replicas.push({ instance: knowledge, zone, leaving, freshAsOf, load, slots, serviceTimeMs });
   }
   return replicas;
 }
--- a/src/core/group/dispatcher.ts
+++ b/src/core/group/dispatcher.ts
@@ -6,11 +6,11 @@
 import type { GroupRequest, RequestId } from '../request.js';
 import {
   ALL_RULES,
+  allowsReplica,
   type EligibilityRules,
   isEligible,
   type ReplicaCandidate,
   rankReplicas,
-  toleratesReplica,
 } from '../routing/select.js';
 import type { Milliseconds } from '../units.js';
 import { type GroupContext, isOff, type Run, toleratedAgeMs } from './context.js';
@@ -90,7 +90,7 @@
 
   private replicaSlotFree(pass: DispatchPass): boolean {
     return pass.replicas.some((replica) => {
-      const description = this.context.instances.get(replica.knowledge.name);
+      const description = this.context.instances.get(replica.instance.name);
       return description !== undefined && this.hasSlot(description, 'statement');
     });
   }
@@ -188,7 +188,7 @@
     const { instances, counters, options } = this.context;
     const ranked = rankReplicas(eligible, entry.request, options.ownZone, entry.avoid);
     for (const candidate of ranked) {
-      const description = instances.get(candidate.knowledge.name);
+      const description = instances.get(candidate.instance.name);
       if (description === undefined || !this.hasSlot(description, 'statement')) continue;
       if (!this.withinShare(description, entry.request)) continue;
       const connection = pass.connectionFor(entry, description);
@@ -279,7 +279,7 @@
 export function mayUseReplica(entry: QueueEntry, routing?: RoutingPolicy): boolean {
   const { access, hold } = entry.request;
   if (access !== 'read' || hold !== 'statement' || routing === 'primary-only') return false;
-  return routing === 'any-replica' || toleratesReplica(entry.request);
+  return routing === 'any-replica' || allowsReplica(entry.request);
 }
 
 /** True if half of the time that the caller gave has gone: then any lawful instance will do. */
--- a/src/core/routing/staleness.ts
+++ b/src/core/routing/staleness.ts
@@ -1,27 +1,27 @@
 /**
- * How old a replica's data may be. Samples say "at time t the primary had written no more than
- * position p"; a replica that has replayed p is no older than t.
+ * Bounds the staleness of a replica's data. A sample states that at time t the primary had written
+ * at most up to position p, so the data of a replica that has replayed p are no older than t.
  */
 import type { Position } from '../position.js';
 import type { Milliseconds } from '../units.js';
 import { containsPosition } from './select.js';
 
 /** At `at`, the primary had written at most up to `position`. */
-export interface PrimarySample {
+export interface PrimaryPositionSample {
   readonly at: Milliseconds;
   readonly position: Position;
 }
 
 const MAX_SAMPLES = 256;
-/** Samples closer together than this are merged: the later one of equal position wins. */
+/** A sample sooner than this after the last is dropped; with an equal position it replaces it. */
 const MIN_SAMPLE_GAP_MS = 1;
 
-/** A short history of the primary's position. */
-export class PrimaryHistory {
-  private samples: PrimarySample[] = [];
+/** The latest samples of the primary's log position. */
+export class PrimaryPositionHistory {
+  private samples: PrimaryPositionSample[] = [];
 
-  /** Adds a sample; one that is older than the last is of no more use than the last. */
-  add(sample: PrimarySample): void {
+  /** Adds a sample, unless it is older than the last one and therefore adds no information. */
+  add(sample: PrimaryPositionSample): void {
     const last = this.samples[this.samples.length - 1];
     if (last !== undefined) {
       if (sample.at < last.at) return;
@@ -42,9 +42,10 @@
   }
 
   /**
-   * The latest time as of which a replica at `replayed` is known to be complete, no later than
-   * `confirmedUntil`: beyond it the primary may have been replaced unseen. A replica that follows a
-   * later timeline may still replay the earlier one, so its timeline alone says nothing.
+   * Latest time as of which a replica at `replayed` is known to have all of the primary's writes.
+   * Never later than `confirmedUntil`, because another primary may have been promoted unnoticed
+   * after that. The timeline alone is not sufficient: a replica that follows a later timeline may
+   * still be replaying the earlier one.
    */
   freshAsOf(replayed: Position, confirmedUntil: Milliseconds): Milliseconds {
     for (let index = this.samples.length - 1; index >= 0; index -= 1) {
--- a/test/unit/routing.test.ts
+++ b/test/unit/routing.test.ts
@@ -6,12 +6,12 @@
   type ReplicaCandidate,
   rankReplicas,
 } from '../../src/core/routing/select.js';
-import { PrimaryHistory } from '../../src/core/routing/staleness.js';
+import { PrimaryPositionHistory } from '../../src/core/routing/staleness.js';
 import { staleRead, state } from '../support/group-fixtures.js';
 
 function candidate(name: string, overrides: Partial<ReplicaCandidate> = {}): ReplicaCandidate {
   return {
-    knowledge: {
+    instance: {
       name,
       state: state(false, 5, 100),
       observedAt: 0,
@@ -49,20 +49,20 @@
   assert.not.ok(isEligible(candidate('b', { leaving: true }), read, 1000), 'leaving');
   assert.not.ok(isEligible(candidate('b'), { ...read, stalenessBoundMs: 0 }, 1000));
   assert.not.ok(isEligible(candidate('b'), { ...read, session: { type: 'unknown' } }, 1000));
-  const knowledge = { ...candidate('b').knowledge, reachability: 'suspect' as const };
-  assert.not.ok(isEligible(candidate('b', { knowledge }), read, 1000), 'suspect');
+  const instance = { ...candidate('b').instance, reachability: 'suspect' as const };
+  assert.not.ok(isEligible(candidate('b', { instance: instance }), read, 1000), 'suspect');
 });
 
 test('the nearest replica is preferred until its queue costs more than the distance', () => {
   const names = (candidates: readonly ReplicaCandidate[], avoid?: string) =>
-    rankReplicas(candidates, staleRead('r'), 'b', avoid).map((one) => one.knowledge.name);
+    rankReplicas(candidates, staleRead('r'), 'b', avoid).map((one) => one.instance.name);
   assert.equal(names([candidate('c'), candidate('b')]), ['b', 'c']);
   assert.equal(names([candidate('c'), candidate('b', { load: 8 })]), ['c', 'b']);
   assert.equal(names([candidate('c'), candidate('b')], 'b'), ['c', 'b']);
 });
 
 test('a replica is as fresh as the last time the primary was no further than it', () => {
-  const history = new PrimaryHistory();
+  const history = new PrimaryPositionHistory();
   history.add({ at: 10, position: at(5, 100n) });
   history.add({ at: 20, position: at(5, 100n) });
   history.add({ at: 30, position: at(5, 110n) });
@@ -73,7 +73,7 @@
 });
 
 test('a replica that follows a new primary but still replays the old log is as old as before', () => {
-  const history = new PrimaryHistory();
+  const history = new PrimaryPositionHistory();
   history.add({ at: 10, position: at(5, 100n) });
   history.add({ at: 30, position: at(5, 110n) });
   assert.is(history.freshAsOf(at(6, 90n), 1000), Number.NEGATIVE_INFINITY);
