--- a/bench/simulation/fleet/gateway.ts
+++ b/bench/simulation/fleet/gateway.ts
@@ -15,7 +15,7 @@
   mergeSessions,
   observe,
   requirementFor,
-  type SessionKeyName,
+  type SessionIdentity,
   type SessionState,
 } from '../../../src/core/session/index.js';
 import type { RequestRecord } from '../history.js';
@@ -56,7 +56,7 @@
 /** The session as its caller names it. */
 export interface CallerIdentity {
   readonly index: number;
-  readonly key: SessionKeyName;
+  readonly key: SessionIdentity;
   /** What moves with the session; with `nothing` each connection is a session of its own. */
   readonly carrier: 'token' | 'id' | 'nothing';
   readonly writes: 'half' | 'few' | 'none';
--- a/bench/simulation/fleet/home-nodes.ts
+++ b/bench/simulation/fleet/home-nodes.ts
@@ -6,10 +6,10 @@
 import {
   combineAnswers,
   type GroupPosition,
-  type HomeAnswer,
+  type HomeNodeAnswer,
   homeNodesOf,
   isRecorded,
-  type SessionKeyName,
+  type SessionIdentity,
   SessionPositionTable,
   type SessionState,
 } from '../../../src/core/session/index.js';
@@ -61,13 +61,13 @@
     this.#table = newTable(this.context.clock.now);
   }
 
-  keep(session: SessionKeyName, entry: GroupPosition): true {
+  keep(session: SessionIdentity, entry: GroupPosition): true {
     const event = { type: 'record', session, positions: [entry] } as const;
     this.#table.handle(event, this.context.clock.now);
     return true;
   }
 
-  answerLookUp(session: SessionKeyName): HomeAnswer {
+  answerLookUp(session: SessionIdentity): HomeNodeAnswer {
     const found = this.#table.handle({ type: 'look-up', session }, this.context.clock.now);
     if (found.type !== 'found') return { positions: new Map(), complete: false };
     if (this.context.without.has('home-completeness')) return { ...found.answer, complete: true };
@@ -76,7 +76,7 @@
 }
 
 function newTable(startedAt: number): SessionPositionTable {
-  return new SessionPositionTable({ startedAt, sessionLifeMs: SESSION_LIFE_MS });
+  return new SessionPositionTable({ startedAt, sessionIdleTimeoutMs: SESSION_LIFE_MS });
 }
 
 /** One gateway's access to the home nodes. */
@@ -86,11 +86,11 @@
     private readonly process: SimulatedProcess,
   ) {}
 
-  lookUp(session: SessionKeyName, take: (state: SessionState) => void): void {
+  lookUp(session: SessionIdentity, take: (state: SessionState) => void): void {
     const homes = this.#homesOf(session);
-    const answers: HomeAnswer[] = [];
+    const answers: HomeNodeAnswer[] = [];
     let outstanding = homes.length;
-    const settle = (answer: HomeAnswer | undefined): void => {
+    const settle = (answer: HomeNodeAnswer | undefined): void => {
       outstanding -= 1;
       if (answer !== undefined) answers.push(answer);
       if (outstanding === 0) take(this.#combine(answers, homes.length));
@@ -98,7 +98,7 @@
     for (const home of homes) this.#call(home, (asked) => asked.answerLookUp(session), settle);
   }
 
-  record(session: SessionKeyName, entry: GroupPosition, take: (kept: boolean) => void): void {
+  record(session: SessionIdentity, entry: GroupPosition, take: (kept: boolean) => void): void {
     const homes = this.#homesOf(session);
     let outstanding = homes.length;
     let acknowledged = 0;
@@ -114,13 +114,13 @@
     for (const home of homes) this.#call(home, (asked) => asked.keep(session, entry), settle);
   }
 
-  #combine(answers: readonly HomeAnswer[], homeNodeCount: number): SessionState {
+  #combine(answers: readonly HomeNodeAnswer[], homeNodeCount: number): SessionState {
     const state = combineAnswers(answers, this.#countFor(homeNodeCount));
     if (!this.context.without.has('unknown-session')) return state;
     return { ...state, unlistedGroups: 'untouched' };
   }
 
-  #homesOf(session: SessionKeyName): readonly string[] {
+  #homesOf(session: SessionIdentity): readonly string[] {
     return homeNodesOf(session, this.context.nodeIds, rankNodes);
   }
 
--- a/bench/simulation/fleet/sessions-scenario.ts
+++ b/bench/simulation/fleet/sessions-scenario.ts
@@ -4,7 +4,7 @@
  * a session is "unknown" or no earlier than the last position that was acknowledged to it.
  */
 import { comparePositions, type Position, ZERO_POSITION } from '../../../src/core/position.js';
-import { requirementFor, type SessionKeyName } from '../../../src/core/session/index.js';
+import { requirementFor, type SessionIdentity } from '../../../src/core/session/index.js';
 import { SimulatedClock } from '../clock.js';
 import { SeededRandom } from '../random.js';
 import type { Scenario, ScenarioOutcome } from '../scenario.js';
@@ -207,7 +207,7 @@
 }
 
 interface MovingSession {
-  readonly key: SessionKeyName;
+  readonly key: SessionIdentity;
   acknowledged: Position;
   acknowledgedAt: number;
 }
--- a/src/core/failover/topology.ts
+++ b/src/core/failover/topology.ts
@@ -109,7 +109,7 @@
   return replaceInstance(topology, { ...known, state: raised });
 }
 
-/** Marks an instance as not writable after it reported, outside of a probe, that it is in recovery. */
+/** Marks an instance as not writable after it refused a write because it is in recovery. */
 export function withNotWritable(topology: Topology, name: InstanceName): Topology {
   const known = topology.instances.get(name);
   if (known?.state === undefined) return topology;
--- a/src/core/session/errors.ts
+++ b/src/core/session/errors.ts
@@ -1,13 +1,13 @@
-/** Errors of session tokens and session positions; each ends one request and harms no other. */
+/** Errors of session tokens and session positions; each fails a single request. */
 import { type FailureOutcome, RequestError, SqlState, type SqlStateCode } from '../errors.js';
 import type { GroupName } from '../request.js';
 
-/** A session token that can't be used. The session keeps the positions it had before. */
+/** The session token can't be used. The session keeps the positions that it already had. */
 export abstract class SessionTokenError extends RequestError {
   readonly outcome: FailureOutcome = 'not-run';
 }
 
-/** The text is not a token of this project: wrong shape, truncated or with foreign characters. */
+/** The text is not a session token: wrong format, truncated or with invalid characters. */
 export class MalformedSessionTokenError extends SessionTokenError {
   readonly code = 'MS-SESSION-TOKEN-MALFORMED';
   readonly sqlState: SqlStateCode = SqlState.INVALID_PARAMETER_VALUE;
@@ -17,7 +17,7 @@
   }
 }
 
-/** The text is longer than any token that this project hands out. */
+/** The text is longer than any token that a proxy issues. */
 export class OversizedSessionTokenError extends SessionTokenError {
   readonly code = 'MS-SESSION-TOKEN-OVERSIZED';
   readonly sqlState: SqlStateCode = SqlState.INVALID_PARAMETER_VALUE;
@@ -27,7 +27,7 @@
   }
 }
 
-/** The token has a version that this release does not know. */
+/** This release does not support the token's version. */
 export class UnknownSessionTokenVersionError extends SessionTokenError {
   readonly code = 'MS-SESSION-TOKEN-VERSION';
   readonly sqlState: SqlStateCode = SqlState.INVALID_PARAMETER_VALUE;
@@ -37,7 +37,7 @@
   }
 }
 
-/** The token was signed with a key that is no longer, or not yet, in force. */
+/** The token was signed with a key that is no longer, or not yet, configured. */
 export class UnknownSessionTokenKeyError extends SessionTokenError {
   readonly code = 'MS-SESSION-TOKEN-KEY';
   readonly sqlState: SqlStateCode = SqlState.INVALID_AUTHORIZATION;
@@ -47,7 +47,7 @@
   }
 }
 
-/** The MAC does not fit: the token was altered, forged or handed out to another tenant. */
+/** The MAC does not match: the token was altered, forged or issued to another tenant. */
 export class ForgedSessionTokenError extends SessionTokenError {
   readonly code = 'MS-SESSION-TOKEN-FORGED';
   readonly sqlState: SqlStateCode = SqlState.INVALID_AUTHORIZATION;
@@ -57,12 +57,13 @@
   }
 }
 
-/** Code by which a gateway knows the error when another node reports it. */
+/** Code by which a gateway recognizes the error when another node reports it. */
 export const SESSION_POSITION_LOST_CODE = 'MS-SESSION-POSITION-LOST';
 
 /**
- * The session's position is in no log that the group still has: the group lost data. Waiting would
- * never end, so the read is refused; the caller drops the token and reads the state as it is.
+ * The session's position is in none of the group's remaining logs, because the group lost data. The
+ * position can never be reached, so the read is refused; the caller can discard the token and read
+ * the current state.
  */
 export class SessionPositionLostError extends RequestError {
   readonly code = SESSION_POSITION_LOST_CODE;
--- a/src/core/session/index.ts
+++ b/src/core/session/index.ts
@@ -1,4 +1,4 @@
-/** Sessions: what a session has seen per group, and how that travels from proxy to proxy. */
+/** Sessions: the log position a session has observed in each group, and how proxies share it. */
 export * from './errors.js';
 export * from './home-nodes.js';
 export * from './position-check.js';
--- a/src/core/session/node-ranker.ts
+++ b/src/core/session/node-ranker.ts
@@ -1,4 +1,4 @@
-/** Rendezvous order of nodes for a key, with the nodes' hashes kept: the home nodes of sessions. */
+/** Ranks nodes for a session key by rendezvous hashing, with the nodes' hashes cached. */
 import { type Hash64, type HashHalves, hashHalves, scoreOf } from '../ownership/rendezvous.js';
 import { HOME_SET_SIZE } from './home-nodes.js';
 
@@ -7,11 +7,11 @@
   readonly score: number;
 }
 
-/** Ranks nodes for a key. */
+/** Selects the home nodes of a key. */
 export class NodeRanker {
   readonly #hash: Hash64;
-  #halves = new Map<string, HashHalves>();
-  /** The list that was ranked last, with the hashes in its order: mostly it is the same one. */
+  #halvesByNodeId = new Map<string, HashHalves>();
+  /** The array ranked last and its hashes, in its order; most calls pass the same array again. */
   #lastIds: readonly string[] = [];
   #lastHalves: readonly HashHalves[] = [];
 
@@ -20,49 +20,49 @@
   }
 
   /**
-   * The best nodes for the key, best first, as many as a home set has; the same on every node. An
-   * array must not change after it was given.
+   * Returns the `HOME_SET_SIZE` highest-ranked nodes for the key, best first; the result is the
+   * same on every node. The caller must not modify `nodeIds` afterwards: its hashes are cached.
    */
   readonly rank = (key: string, nodeIds: readonly string[]): readonly string[] => {
-    if (nodeIds !== this.#lastIds) this.#hashAll(nodeIds);
+    if (nodeIds !== this.#lastIds) this.#hashNodeIds(nodeIds);
     const keyHalves = hashHalves(this.#hash, key);
     const best: RankedNode[] = [];
-    let leastScore = -1;
-    // A plain loop: it looks at every node of the fleet.
+    let minimumScore = -1;
+    // A plain loop for speed: it iterates over every node of the cluster.
     let index = 0;
     for (const halves of this.#lastHalves) {
       const score = scoreOf(keyHalves, halves);
-      if (score >= leastScore) {
-        keepBest(best, { nodeId: nodeIds[index] ?? '', score });
-        leastScore = best[HOME_SET_SIZE - 1]?.score ?? -1;
+      if (score >= minimumScore) {
+        insertIfBest(best, { nodeId: nodeIds[index] ?? '', score });
+        minimumScore = best[HOME_SET_SIZE - 1]?.score ?? -1;
       }
       index += 1;
     }
     return best.map(({ nodeId }) => nodeId);
   };
 
-  #hashAll(nodeIds: readonly string[]): void {
+  #hashNodeIds(nodeIds: readonly string[]): void {
     this.#lastIds = nodeIds;
     this.#lastHalves = nodeIds.map((nodeId) => this.#halvesOf(nodeId));
-    this.#forgetOld(nodeIds.length);
+    this.#limitCachedHashes(nodeIds.length);
   }
 
   #halvesOf(nodeId: string): HashHalves {
-    const known = this.#halves.get(nodeId);
+    const known = this.#halvesByNodeId.get(nodeId);
     if (known !== undefined) return known;
     const halves = hashHalves(this.#hash, nodeId);
-    this.#halves.set(nodeId, halves);
+    this.#halvesByNodeId.set(nodeId, halves);
     return halves;
   }
 
-  /** Node ids of nodes that are long gone don't pile up. */
-  #forgetOld(liveNodes: number): void {
-    if (this.#halves.size > 2 * liveNodes) this.#halves = new Map();
+  /** Clears the cache when most of it may belong to nodes that have left the cluster. */
+  #limitCachedHashes(liveNodeCount: number): void {
+    if (this.#halvesByNodeId.size > 2 * liveNodeCount) this.#halvesByNodeId = new Map();
   }
 }
 
-/** `best` is ordered, best first, and holds at most a home set. */
-function keepBest(best: RankedNode[], node: RankedNode): void {
+/** Inserts a node that ranks high enough; `best` is sorted and holds at most `HOME_SET_SIZE`. */
+function insertIfBest(best: RankedNode[], node: RankedNode): void {
   const worst = best[HOME_SET_SIZE - 1];
   if (worst !== undefined && compareRanked(worst, node) <= 0) return;
   best.push(node);
--- a/src/core/session/position-check.ts
+++ b/src/core/session/position-check.ts
@@ -1,7 +1,7 @@
 /**
- * Decides whether a session's position can be reached at all in a group's present log. The owner
- * asks this with the log of a primary that a majority confirmed after the request arrived; with an
- * unconfirmed view a position may seem to lie in the future only because the view is old.
+ * Checks whether a session's position is in a group's current log. The owner must pass the log of a
+ * primary that a majority confirmed after the request arrived: if the primary is unconfirmed, a
+ * position may appear to be beyond the log only because the owner's state is out of date.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { comparePositions, type Position } from '../position.js';
@@ -11,16 +11,16 @@
 /** The log of a confirmed primary. */
 export interface ConfirmedLog {
   readonly group: GroupName;
-  /** Its current write position. */
+  /** The primary's current write position. */
   readonly end: Position;
-  /** LSN at which its timeline left the one before; undefined if it can't be told. */
+  /** LSN at which its timeline branched off the previous one; undefined if it is not known. */
   readonly timelineStart: bigint | undefined;
 }
 
 /**
- * Ok if the log holds the position. A position on an earlier timeline is held only up to where the
- * present timeline left it; without that LSN it is taken as held, as PostgreSQL's promotion of the
- * replica that received most makes it.
+ * Ok if the log contains the position. Of the previous timeline, the log contains only what is up
+ * to `timelineStart`. If that LSN is not known, the position is assumed to be contained: PostgreSQL
+ * is expected to have promoted the replica that had received the most log.
  */
 export function checkPosition(
   required: Position,
--- a/src/core/session/position-table.ts
+++ b/src/core/session/position-table.ts
@@ -1,48 +1,54 @@
 /**
- * The table in which a home node keeps positions of sessions by id. Bounded in bytes (least
- * recently recorded first out) and in time. A state machine: `handle(event, now) -> answer`.
+ * The table in which a home node stores session positions by session id. Entries expire after the
+ * session idle timeout; if the table exceeds its size limit, the least recently recorded entries
+ * are evicted first. A state machine: `handle(event, now) -> answer`.
  *
- * An answer is `complete` only while the node can't have lost anything of a live session: it runs
- * for longer than a session's life, and evicted nothing early within that time.
+ * An answer is `complete` only if the node can't have lost records of an active session: it has
+ * run for at least the session idle timeout, and every entry evicted early would have expired.
  */
 import { laterPosition, type Position } from '../position.js';
 import type { GroupName } from '../request.js';
 import type { Milliseconds } from '../units.js';
-import { type GroupPosition, type HomeAnswer, homeKey, type SessionKeyName } from './home-nodes.js';
-
-/** Time after its last record at which a session is taken to have ended. */
-export const SESSION_LIFE_MS: Milliseconds = 15 * 60_000;
-/** Most memory that the positions take. */
+import {
+  type GroupPosition,
+  type HomeNodeAnswer,
+  homeKey,
+  type SessionIdentity,
+} from './home-nodes.js';
+
+/** A session is considered ended this long after its last record. */
+export const SESSION_IDLE_TIMEOUT_MS: Milliseconds = 15 * 60_000;
+/** Maximum estimated memory that the table uses. */
 export const MAX_TABLE_BYTES = 64 * 1024 * 1024;
-/** Longest session id that is kept. */
+/** Longest session id that is stored. */
 export const MAX_SESSION_ID_BYTES = 128;
 
-/** Bytes that one entry and one group in it are reckoned at, beyond their names. */
+/** Estimated memory of an entry and of each group in it, in addition to their names. */
 const ENTRY_OVERHEAD_BYTES = 160;
 const GROUP_OVERHEAD_BYTES = 64;
 const BYTES_PER_CHARACTER = 2;
 
-/** Bounds of the table. */
+/** Limits of the table. */
 export interface PositionTableOptions {
-  /** Start of this node's life on the clock that `handle` is given. */
+  /** When this node started, on the clock that is passed to `handle`. */
   readonly startedAt: Milliseconds;
-  readonly sessionLifeMs?: Milliseconds;
+  readonly sessionIdleTimeoutMs?: Milliseconds;
   readonly maxBytes?: number;
 }
 
-/** What goes into the table. */
+/** Input of the table. */
 export type PositionTableEvent =
   | {
       readonly type: 'record';
-      readonly session: SessionKeyName;
+      readonly session: SessionIdentity;
       readonly positions: readonly GroupPosition[];
     }
-  | { readonly type: 'look-up'; readonly session: SessionKeyName };
+  | { readonly type: 'look-up'; readonly session: SessionIdentity };
 
-/** What the table answers. */
+/** Output of the table. */
 export type PositionTableAnswer =
   | { readonly type: 'recorded' }
-  | { readonly type: 'found'; readonly answer: HomeAnswer };
+  | { readonly type: 'found'; readonly answer: HomeNodeAnswer };
 
 interface TableEntry {
   readonly positions: ReadonlyMap<GroupName, Position>;
@@ -50,18 +56,18 @@
   readonly sizeBytes: number;
 }
 
-/** Positions of sessions whose home this node is. */
+/** Positions of the sessions of which this node is a home node. */
 export class SessionPositionTable {
-  /** In order of the last record, the oldest first. */
+  /** Ordered by last record, oldest first. */
   readonly #entries = new Map<string, TableEntry>();
-  readonly #sessionLifeMs: Milliseconds;
+  readonly #sessionIdleTimeoutMs: Milliseconds;
   readonly #maxBytes: number;
   #sizeBytes = 0;
-  /** Records made before this time may be missing. */
+  /** Records made before this time may have been lost. */
   #completeSince: Milliseconds;
 
   constructor(options: PositionTableOptions) {
-    this.#sessionLifeMs = options.sessionLifeMs ?? SESSION_LIFE_MS;
+    this.#sessionIdleTimeoutMs = options.sessionIdleTimeoutMs ?? SESSION_IDLE_TIMEOUT_MS;
     this.#maxBytes = options.maxBytes ?? MAX_TABLE_BYTES;
     this.#completeSince = options.startedAt;
   }
@@ -82,13 +88,13 @@
     return { type: 'recorded' };
   }
 
-  #lookUp(session: SessionKeyName, now: Milliseconds): HomeAnswer {
+  #lookUp(session: SessionIdentity, now: Milliseconds): HomeNodeAnswer {
     const positions = this.#entries.get(homeKey(session))?.positions ?? new Map();
-    const complete = now - this.#completeSince >= this.#sessionLifeMs;
+    const complete = now - this.#completeSince >= this.#sessionIdleTimeoutMs;
     return { positions, complete };
   }
 
-  #record(session: SessionKeyName, positions: readonly GroupPosition[], now: Milliseconds): void {
+  #record(session: SessionIdentity, positions: readonly GroupPosition[], now: Milliseconds): void {
     const key = homeKey(session);
     const merged = mergePositions(this.#entries.get(key)?.positions ?? new Map(), positions);
     this.#remove(key);
@@ -100,7 +106,7 @@
 
   #expire(now: Milliseconds): void {
     for (const [key, entry] of this.#entries) {
-      if (now - entry.recordedAt < this.#sessionLifeMs) return;
+      if (now - entry.recordedAt < this.#sessionIdleTimeoutMs) return;
       this.#remove(key);
     }
   }
--- a/src/core/session/state.ts
+++ b/src/core/session/state.ts
@@ -1,44 +1,44 @@
 /**
- * What is known of a session's past, per database group. Immutable: each function gives a new
- * state. The rules are in docs/design/sessions.md.
+ * The log position that a session has observed in each database group. A state is immutable: each
+ * function returns a new one. The rules are described in docs/design/sessions.md.
  */
 import { laterPosition, type Position, ZERO_POSITION } from '../position.js';
 import type { GroupName, SessionRequirement } from '../request.js';
 
-/** What holds for the groups that a session's state does not list. */
+/** State of the groups that a session's state does not list. */
 export type UnlistedGroups =
-  /** The session did nothing there. */
+  /** The session has not accessed these groups. */
   | 'untouched'
-  /** It can't be told whether the session wrote there. */
+  /** The session may have written to these groups. */
   | 'unknown';
 
-/** Positions of one session. Groups are in order of last use, the most recent last. */
+/** Positions of one session. Groups are ordered by last use, most recent last. */
 export interface SessionState {
   readonly groups: ReadonlyMap<GroupName, SessionRequirement>;
   readonly unlistedGroups: UnlistedGroups;
 }
 
-/** Where an observed position comes from. */
+/** Source of an observed position. */
 export type PositionSource =
-  /** A primary that a majority confirmed after the statement ran: it holds all earlier writes. */
+  /** A primary that a majority confirmed after the statement ran: it has all earlier writes. */
   | 'confirmed-primary'
-  /** A replica, or a primary that nobody confirmed. */
+  /** A replica, or a primary that was not confirmed. */
   | 'unconfirmed';
 
 const UNKNOWN_REQUIREMENT: SessionRequirement = { type: 'unknown' };
 const UNTOUCHED_REQUIREMENT: SessionRequirement = { type: 'known', position: ZERO_POSITION };
 
-/** A session that claims no past: neither a token nor a session id came with it. */
+/** State of a new session: the caller sent neither a token nor a session id. */
 export function freshSession(): SessionState {
   return { groups: new Map(), unlistedGroups: 'untouched' };
 }
 
-/** A session that has a past which can't be told: its id came alone and its home nodes don't know. */
+/** State of a session whose caller sent only an id, which its home nodes have no position for. */
 export function unknownSession(): SessionState {
   return { groups: new Map(), unlistedGroups: 'unknown' };
 }
 
-/** What a read in this group must have seen. */
+/** Position that an instance must have reached to serve the session's reads in this group. */
 export function requirementFor(state: SessionState, group: GroupName): SessionRequirement {
   const listed = state.groups.get(group);
   if (listed !== undefined) return listed;
@@ -46,8 +46,9 @@
 }
 
 /**
- * The session wrote or read at this position. Never moves a group backwards. An unknown group
- * becomes known only by a confirmed primary, since only that surely holds the session's past.
+ * Records that the session wrote or read at this position. A group's position never moves back. An
+ * unknown position becomes known only through a confirmed primary, because only a confirmed primary
+ * is certain to have all of the session's earlier writes.
  */
 export function observe(
   state: SessionState,
@@ -65,16 +66,17 @@
 }
 
 /**
- * The outcome of a write in this group is unknown: it may lie beyond every position seen, so the
- * next read needs a confirmed primary to show what became of it.
+ * Records that the outcome of a write in this group is unknown. The write may be beyond every
+ * observed position, so the next read must go to a confirmed primary to determine the outcome.
  */
 export function markUnknown(state: SessionState, group: GroupName): SessionState {
   return withGroup(state, group, UNKNOWN_REQUIREMENT);
 }
 
 /**
- * Takes in what a token or the home nodes tell of the same session. Each side tells the truth about
- * what it lists, so the later position holds; what only one side can't tell the other may.
+ * Merges two states of the same session, such as those from its token and its home nodes. Positions
+ * known to both are valid, so the later one is used. A group that either side does not know stays
+ * unknown.
  */
 export function mergeSessions(left: SessionState, right: SessionState): SessionState {
   const groups = new Map<GroupName, SessionRequirement>();
--- a/src/core/session/token.ts
+++ b/src/core/session/token.ts
@@ -1,7 +1,7 @@
 /**
- * Session tokens: what a caller carries from one proxy to another. Text form, at most
- * `MAX_TOKEN_BYTES`: `v1.<key id>.<payload>.<mac>`, where payload is base64url of CBOR
- * `[unlisted groups unknown, [[group, timeline, LSN] | [group], …]]` (a group alone: position
+ * Session tokens, by which a caller passes its session state from one proxy to another. Text form,
+ * at most `MAX_TOKEN_BYTES`: `v1.<key id>.<payload>.<mac>`, where payload is base64url of CBOR
+ * `[unlisted groups unknown, [[group, timeline, LSN] | [group], …]]` (`[group]`: its position is
  * unknown), and mac is base64url of HMAC-SHA256 over version, key id, tenant and payload.
  */
 import { createHmac, timingSafeEqual } from 'node:crypto';
@@ -19,9 +19,9 @@
 } from './errors.js';
 import type { SessionState } from './state.js';
 
-/** Longest token that is handed out or accepted. */
+/** Longest token that is issued or accepted. */
 export const MAX_TOKEN_BYTES = 1024;
-/** Least length of a key. */
+/** Minimum length of a key's secret. */
 export const MIN_SECRET_BYTES = 16;
 
 const VERSION = 'v1';
@@ -39,11 +39,11 @@
 export interface SessionKey {
   /** 1 to 16 characters of `A-Za-z0-9_-`. */
   readonly id: string;
-  /** At least `MIN_SECRET_BYTES` of secret. */
+  /** At least `MIN_SECRET_BYTES` long. */
   readonly secret: Buffer;
 }
 
-/** Keys in force: the first signs, all verify. */
+/** Configured keys: the first one signs, all of them verify. */
 export type SessionKeys = readonly [SessionKey, ...SessionKey[]];
 
 type TokenEntry = readonly [GroupName] | readonly [GroupName, number, bigint];
@@ -60,14 +60,14 @@
 
 const encoder = new Encoder({ useRecords: false, tagUint8Array: false });
 
-/** True if a key can be used: a valid id and a secret of sufficient length. */
+/** True if the key has a valid id and a secret of sufficient length. */
 export function isUsableKey(key: SessionKey): boolean {
   return KEY_ID_PATTERN.test(key.id) && key.secret.length >= MIN_SECRET_BYTES;
 }
 
 /**
- * The token of a session. If more groups than fit, those used longest ago are left out and the
- * token says that unlisted groups are unknown.
+ * Encodes and signs the token of a session. If not all groups fit, the least recently used ones are
+ * omitted and the token states that unlisted groups are unknown.
  */
 export function encodeSessionToken(
   session: SessionState,
@@ -75,16 +75,16 @@
   keys: SessionKeys,
 ): string {
   const [key] = keys;
-  const head = `${VERSION}${SEPARATOR}${key.id}${SEPARATOR}`;
-  const budget = payloadBudget(head);
-  const entries = newestEntriesWithin(session, budget);
+  const prefix = `${VERSION}${SEPARATOR}${key.id}${SEPARATOR}`;
+  const budgetBytes = maxPayloadBytes(prefix);
+  const entries = mostRecentEntriesWithin(session, budgetBytes);
   const complete = entries.length === session.groups.size;
   const unlistedUnknown = session.unlistedGroups === 'unknown' || !complete;
   const payload = encoder.encode([unlistedUnknown, entries]).toString('base64url');
-  return `${head}${payload}${SEPARATOR}${macOf(key, tenant, payload)}`;
+  return `${prefix}${payload}${SEPARATOR}${macOf(key, tenant, payload)}`;
 }
 
-/** The session that a token describes, if it is genuine, unaltered and handed out to this tenant. */
+/** Verifies a token and decodes its session; fails unless the token was issued to this tenant. */
 export function decodeSessionToken(
   text: string,
   tenant: TenantName,
@@ -102,7 +102,7 @@
     return err(new MalformedSessionTokenError('its MAC is truncated or too long'));
   }
   if (!BASE64URL_PATTERN.test(payload) || !BASE64URL_PATTERN.test(mac)) {
-    return err(new MalformedSessionTokenError('it holds characters outside of base64url'));
+    return err(new MalformedSessionTokenError('it contains characters outside of base64url'));
   }
   const key = keys.find((candidate) => candidate.id === keyId);
   if (key === undefined) return err(new UnknownSessionTokenKeyError());
@@ -117,12 +117,12 @@
   return new MalformedSessionTokenError('it does not start with a version');
 }
 
-function payloadBudget(head: string): number {
-  const textBytes = MAX_TOKEN_BYTES - head.length - SEPARATOR.length - MAC_TEXT_BYTES;
+function maxPayloadBytes(prefix: string): number {
+  const textBytes = MAX_TOKEN_BYTES - prefix.length - SEPARATOR.length - MAC_TEXT_BYTES;
   return Math.floor(textBytes / BASE64_CHARACTERS_PER_GROUP) * BASE64_BYTES_PER_GROUP;
 }
 
-function newestEntriesWithin(session: SessionState, budgetBytes: number): TokenEntry[] {
+function mostRecentEntriesWithin(session: SessionState, budgetBytes: number): TokenEntry[] {
   const kept: TokenEntry[] = [];
   let usedBytes = PAYLOAD_HEADER_BYTES;
   for (const [group, requirement] of [...session.groups].reverse()) {
@@ -139,7 +139,7 @@
   return [group, requirement.position.timeline, requirement.position.lsn];
 }
 
-/** The tenant's length goes before its name, so that no two inputs give the same bytes. */
+/** The tenant is prefixed with its length, so that no two inputs yield the same bytes. */
 function macOf(key: SessionKey, tenant: TenantName, payload: string): string {
   const mac = createHmac('sha256', key.secret);
   mac.update(`${VERSION}${SEPARATOR}${key.id}${SEPARATOR}`);
@@ -147,14 +147,15 @@
   return mac.digest('base64url');
 }
 
-/** Compares the texts, not the bytes, so that only the canonical base64url form is accepted. */
+/** Compares the encoded texts, not the decoded bytes, to accept only canonical base64url. */
 function equalInConstantTime(left: string, right: string): boolean {
   return timingSafeEqual(Buffer.from(left), Buffer.from(right));
 }
 
 function decodePayload(payload: string): Result<SessionState, SessionTokenError> {
   const parsed = payloadSchema.safeParse(decodeCbor(payload));
-  if (!parsed.success) return err(new MalformedSessionTokenError('its payload has no known shape'));
+  if (!parsed.success)
+    return err(new MalformedSessionTokenError('its payload has an invalid structure'));
   const [unlistedUnknown, entries] = parsed.data;
   const groups = new Map<GroupName, SessionRequirement>();
   for (const [group, timeline, lsn] of entries) {
--- a/src/node/gateway/home-node-directory.ts
+++ b/src/node/gateway/home-node-directory.ts
@@ -8,12 +8,12 @@
 import type { TenantName } from '../../core/request.js';
 import {
   combineAnswers,
-  type HomeAnswer,
+  type HomeNodeAnswer,
   homeKey,
   homeNodesOf,
   isRecorded,
   type NodeRanking,
-  type SessionKeyName,
+  type SessionIdentity,
   SessionPositionTable,
   type SessionState,
 } from '../../core/session/index.js';
@@ -59,7 +59,7 @@
 
 /** A record on its way to the home nodes. */
 interface PendingRecord {
-  readonly session: SessionKeyName;
+  readonly session: SessionIdentity;
   readonly entry: GroupPositionEntry;
   readonly deadlineAt: Milliseconds;
   /** Aborted once enough home nodes have recorded. */
@@ -177,12 +177,12 @@
     return { positions, complete: answer.complete };
   }
 
-  #lookUpHere(session: SessionKeyName): HomeAnswer {
+  #lookUpHere(session: SessionIdentity): HomeNodeAnswer {
     const answer = this.#table.handle({ type: 'look-up', session }, this.#options.now());
     return answer.type === 'found' ? answer.answer : { positions: new Map(), complete: false };
   }
 
-  #homesOf(session: SessionKeyName): readonly HomeNode[] {
+  #homesOf(session: SessionIdentity): readonly HomeNode[] {
     const nodes = this.#options.nodes();
     if (nodes !== this.#homesOfNodes) this.#setNodes(nodes);
     if (this.#homes.size >= MAX_KEPT_HOMES) this.#homes.clear();
@@ -198,12 +198,12 @@
     this.#homes.clear();
   }
 
-  #chooseHomes(session: SessionKeyName, nodes: readonly HomeNode[]): readonly HomeNode[] {
+  #chooseHomes(session: SessionIdentity, nodes: readonly HomeNode[]): readonly HomeNode[] {
     const homes = new Set(homeNodesOf(session, this.#nodeIds, this.#options.rank));
     return nodes.filter((node) => homes.has(node.nodeId));
   }
 
-  async #ask(home: HomeNode, session: SessionKeyName): Promise<HomeAnswer | undefined> {
+  async #ask(home: HomeNode, session: SessionIdentity): Promise<HomeNodeAnswer | undefined> {
     if (home.nodeId === this.#options.nodeId) return this.#lookUpHere(session);
     const { transport } = this.#options;
     const result = await transport.call(
@@ -220,7 +220,7 @@
 
   async #tell(
     home: HomeNode,
-    session: SessionKeyName,
+    session: SessionIdentity,
     entry: GroupPositionEntry,
     timeoutMs: Milliseconds,
   ): Promise<boolean> {
--- a/test/unit/session.test.ts
+++ b/test/unit/session.test.ts
@@ -6,7 +6,7 @@
   decodeSessionToken,
   encodeSessionToken,
   freshSession,
-  type HomeAnswer,
+  type HomeNodeAnswer,
   homeNodesOf,
   isRecorded,
   MAX_TOKEN_BYTES,
@@ -104,20 +104,24 @@
   assert.is(codeOf(1, 51n), 'held');
 });
 
-function lookUp(table: SessionPositionTable, now: number): HomeAnswer {
+function lookUp(table: SessionPositionTable, now: number): HomeNodeAnswer {
   const answer = table.handle({ type: 'look-up', session: NAME }, now);
   if (answer.type !== 'found') throw new TypeError('not a look-up answer');
   return answer.answer;
 }
 
 test('a home node that restarted within a session life does not vouch for what it lacks', () => {
-  const table = new SessionPositionTable({ startedAt: 0, sessionLifeMs: 1000 });
+  const table = new SessionPositionTable({ startedAt: 0, sessionIdleTimeoutMs: 1000 });
   assert.not(lookUp(table, 999).complete);
   assert.ok(lookUp(table, 1000).complete);
 });
 
 test('an early eviction makes the table incomplete for a session life', () => {
-  const table = new SessionPositionTable({ startedAt: 0, sessionLifeMs: 1000, maxBytes: 400 });
+  const table = new SessionPositionTable({
+    startedAt: 0,
+    sessionIdleTimeoutMs: 1000,
+    maxBytes: 400,
+  });
   for (let index = 0; index < 5; index += 1) {
     const session = { tenant: 'bureau', sessionId: `other-${index}` };
     const positions = [{ group: 'orders', position: POSITION }];
@@ -132,13 +136,13 @@
   assert.is(table.sessionCount, 0);
 });
 
-function answer(lsn: bigint | undefined, complete: boolean): HomeAnswer {
+function answer(lsn: bigint | undefined, complete: boolean): HomeNodeAnswer {
   const positions = new Map(lsn === undefined ? [] : [['orders', { timeline: 1, lsn }]]);
   return { positions, complete };
 }
 
 test('a quorum of home nodes tells a position; less than that leaves it unknown', () => {
-  const known = (answers: readonly HomeAnswer[]): bigint | 'unknown' => {
+  const known = (answers: readonly HomeNodeAnswer[]): bigint | 'unknown' => {
     const requirement = requirementFor(combineAnswers(answers, 3), 'orders');
     return requirement.type === 'unknown' ? 'unknown' : requirement.position.lsn;
   };
