--- a/src/core/at-most-once/claim.ts
+++ b/src/core/at-most-once/claim.ts
@@ -1,39 +1,39 @@
-/** The row that claims a key, and the SQL around it. See docs/design/at-most-once.md. */
+/** The row that claims an idempotency key, and its SQL. See docs/design/at-most-once.md. */
 import { err, ok, type Result } from 'neverthrow';
 import type { TenantName } from '../request.js';
 import { InvalidOnceKeyError } from './errors.js';
 
-/** Longest key, in characters (all of one byte). */
+/** Maximum length of a key, in characters (all are single-byte). */
 export const MAX_ONCE_KEY_LENGTH = 200;
 
-/** Creates the table of claims; run by the operator, or by the proxy when it is found missing. */
-export const CREATE_ONCE_TABLE = `CREATE TABLE IF NOT EXISTS meadowstack_once (
+/** Creates the table of claims. Run by the operator, or by the proxy if the table is missing. */
+export const CREATE_ONCE_TABLE_SQL = `CREATE TABLE IF NOT EXISTS meadowstack_once (
   tenant text NOT NULL,
   once_key text NOT NULL,
   created_at timestamptz DEFAULT now(),
   PRIMARY KEY (tenant, once_key)
 )`;
 
-const KEY_PATTERN = new RegExp(`^[A-Za-z0-9._:@/+=-]{1,${MAX_ONCE_KEY_LENGTH}}$`);
+const ONCE_KEY_PATTERN = new RegExp(`^[A-Za-z0-9._:@/+=-]{1,${MAX_ONCE_KEY_LENGTH}}$`);
 
-/** A key that was checked, of one tenant. */
+/** A validated key of one tenant. */
 export interface OnceClaim {
   readonly tenant: TenantName;
   readonly onceKey: string;
 }
 
-/** Checks the key of a marker. */
+/** Validates the key that a request carries. */
 export function parseOnceClaim(
   tenant: TenantName,
   onceKey: string,
 ): Result<OnceClaim, InvalidOnceKeyError> {
-  if (!KEY_PATTERN.test(onceKey)) return err(new InvalidOnceKeyError());
+  if (!ONCE_KEY_PATTERN.test(onceKey)) return err(new InvalidOnceKeyError());
   return ok({ tenant, onceKey });
 }
 
 /**
- * The statement that claims the key. It waits while another transaction holds the same key, then
- * fails with a unique violation if that one committed.
+ * The statement that claims the key. It blocks while another transaction holds the same key, and
+ * fails with a unique violation if that transaction commits.
  */
 export function claimStatement(claim: OnceClaim): string {
   const tenant = quoteLiteral(claim.tenant);
@@ -41,7 +41,7 @@
   return `INSERT INTO meadowstack_once (tenant, once_key) VALUES (${tenant}, ${onceKey})`;
 }
 
-/** A literal for a server with `standard_conforming_strings`, the default since PostgreSQL 9.1. */
+/** Requires `standard_conforming_strings = on` in the server, the default since PostgreSQL 9.1. */
 function quoteLiteral(text: string): string {
   return `'${text.replaceAll("'", "''")}'`;
 }
--- a/src/core/at-most-once/errors.ts
+++ b/src/core/at-most-once/errors.ts
@@ -1,10 +1,10 @@
-/** Errors of requests that carry `meadowstack_once`. */
+/** Errors of requests that carry an idempotency key (`meadowstack_once`). */
 import { type FailureOutcome, RequestError, SqlState, type SqlStateCode } from '../errors.js';
 
 /**
- * A request with this key took effect before, so this one was not run. For a caller that retries
- * after an unknown outcome this is good news. Told apart from a unique violation of the caller's
- * own by its code, which is reported in the error's detail.
+ * An earlier request with this key took effect, so this one was not run. A caller that retries
+ * after an unknown outcome can treat this as success. The code, reported in the error's detail,
+ * distinguishes it from a unique violation in the caller's own statement.
  */
 export class AlreadyDoneError extends RequestError {
   readonly code = 'MS-ALREADY-DONE';
@@ -16,7 +16,7 @@
   }
 }
 
-/** The key is empty, too long, or holds characters that a key may not have. */
+/** The key is empty, too long or contains characters that are not allowed. */
 export class InvalidOnceKeyError extends RequestError {
   readonly code = 'MS-ONCE-KEY';
   readonly outcome: FailureOutcome = 'not-run';
@@ -27,7 +27,7 @@
   }
 }
 
-/** The database refused the row that claims the key; the caller's statement was never sent. */
+/** The database rejected the row that claims the key; the caller's statement was not sent. */
 export class OnceClaimRefusedError extends RequestError {
   readonly code = 'MS-ONCE-CLAIM';
   readonly outcome: FailureOutcome = 'not-run';
@@ -38,7 +38,7 @@
   }
 }
 
-/** The caller's batch ended the transaction that was opened for it; what lasts can't be told. */
+/** The caller's batch ended the transaction opened for it; what was committed is unknown. */
 export class OnceTransactionEndedError extends RequestError {
   readonly code = 'MS-ONCE-TRANSACTION-ENDED';
   readonly outcome: FailureOutcome = 'unknown';
--- a/src/core/at-most-once/execution.ts
+++ b/src/core/at-most-once/execution.ts
@@ -1,8 +1,8 @@
 /**
- * Runs a caller's batch at most once: a state machine that says which batch goes to the held
- * back-end connection next and makes a result of the answers. Works on whole batches, so simple and
- * extended protocol are alike. All batches run on one connection (`hold: 'transaction'`), one
- * after the other; a next one is sent only after the answer to the last.
+ * Runs a caller's batch at most once: a state machine that determines which batch to send next on
+ * the reserved back-end connection and derives the result from the answers. It handles whole
+ * batches, so the simple and the extended protocol need no distinction. All batches run on one
+ * connection (`hold: 'transaction'`); each is sent only after the previous one was answered.
  */
 import {
   NotRunError,
@@ -10,21 +10,21 @@
   TransactionAbortedError,
   UnknownOutcomeError,
 } from '../errors.js';
-import { CREATE_ONCE_TABLE, claimStatement, type OnceClaim } from './claim.js';
+import { CREATE_ONCE_TABLE_SQL, claimStatement, type OnceClaim } from './claim.js';
 import { AlreadyDoneError, OnceClaimRefusedError, OnceTransactionEndedError } from './errors.js';
 
 const UNIQUE_VIOLATION = '23505';
 const UNDEFINED_TABLE = '42P01';
-/** SQLSTATE of a write in recovery or in a read-only transaction. */
+/** SQLSTATE of a write on an instance in recovery or in a read-only transaction. */
 export const READ_ONLY_SQL_TRANSACTION = '25006';
 
-/** `autocommit`: the batch gets a transaction of its own. `in-transaction`: the caller has one. */
+/** `autocommit`: the proxy opens a transaction for the batch. `in-transaction`: the caller has. */
 export type OnceMode = 'autocommit' | 'in-transaction';
 
-/** Transaction status of ReadyForQuery. */
+/** Transaction status in ReadyForQuery. */
 type TransactionStatus = 'I' | 'T' | 'E';
 
-/** How a batch that the execution asked for ended. */
+/** How a batch sent for the execution ended. */
 export type OnceAnswer =
   | {
       readonly type: 'ready';
@@ -34,25 +34,25 @@
     }
   | { readonly type: 'lost'; readonly bytesWritten: boolean };
 
-/** Where the execution stands: the batch whose answer is awaited. */
+/** The batch whose answer the execution is waiting for. */
 export type OncePhase = 'create-table' | 'clear' | 'claim' | 'statement' | 'commit' | 'roll-back';
 
 /** What to do next. */
 export type OnceAction =
-  /** Send `text` as a simple Query; its answer does not go to the caller. */
+  /** Send `text` as a simple Query; its answer is not relayed to the caller. */
   | { readonly type: 'run-own'; readonly text: string }
   /** Send the caller's batch; relay its answer, but hold back the last CommandComplete. */
   | { readonly type: 'run-caller-batch' }
-  /** The end. */
+  /** The execution has ended. */
   | { readonly type: 'finish'; readonly result: OnceResult };
 
-/** How a keyed request ended. */
+/** How a request with an idempotency key ended. */
 export type OnceResult =
-  /** Release the held-back end, once the write is confirmed; in a transaction at once. */
+  /** Relay the held-back end of the answer once the write is confirmed; in a transaction, now. */
   | { readonly type: 'done' }
-  /** The database's own error, already relayed or (from COMMIT) to be relayed. */
+  /** The database reported an error; it was already relayed, or (from COMMIT) is to be relayed. */
   | { readonly type: 'database-error' }
-  /** Report this error instead; nothing of the answer that is still held back is released. */
+  /** Report this error and discard the held-back part of the answer. */
   | { readonly type: 'refused'; readonly error: RequestError };
 
 /** Immutable state of one execution. */
@@ -60,19 +60,19 @@
   readonly claim: OnceClaim;
   readonly mode: OnceMode;
   readonly phase: OncePhase;
-  /** The table was created once already; a second time it is an error. */
+  /** The table has been created; if it is still missing, the claim is refused. */
   readonly tableCreated: boolean;
-  /** Result to report after ROLLBACK. */
+  /** Result to report when ROLLBACK has ended. */
   readonly resultAfterRollBack: OnceResult | undefined;
 }
 
-/** The next state and what to do. */
+/** The next state and action. */
 export interface OnceTransition {
   readonly execution: OnceExecution;
   readonly action: OnceAction;
 }
 
-/** Starts with the claim. */
+/** Starts an execution; its first batch is the claim. */
 export function startOnce(claim: OnceClaim, mode: OnceMode): OnceTransition {
   const execution: OnceExecution = {
     claim,
@@ -84,15 +84,15 @@
   return sendClaim(execution);
 }
 
-/** Takes the answer to the last batch. */
+/** Handles the answer to the last batch. */
 export function continueOnce(execution: OnceExecution, answer: OnceAnswer): OnceTransition {
   if (answer.type === 'lost')
-    return finish(execution, resultOfLoss(execution, answer.bytesWritten));
+    return finish(execution, resultOfConnectionLoss(execution, answer.bytesWritten));
   switch (execution.phase) {
     case 'claim':
       return afterClaim(execution, answer.errorSqlState);
     case 'clear':
-      return runOwn({ ...execution, phase: 'create-table' }, CREATE_ONCE_TABLE);
+      return runInternalStatement({ ...execution, phase: 'create-table' }, CREATE_ONCE_TABLE_SQL);
     case 'create-table':
       return afterCreateTable({ ...execution, tableCreated: true }, answer.errorSqlState);
     case 'statement':
@@ -105,9 +105,9 @@
 }
 
 /**
- * True if the result tells the caller that something lasts, so that a majority must confirm the
- * primary before it is reported. That holds for "done earlier" too: a primary that was replaced may
- * know the key from a transaction that is lost. If the confirmation fails the outcome is unknown.
+ * True if the result tells the caller that a write is durable, so that a majority must confirm the
+ * primary before it is reported. This includes "done earlier": a replaced primary may have the key
+ * from a transaction that was lost. If the confirmation fails, the outcome is unknown.
  */
 export function needsConfirmation(result: OnceResult): boolean {
   if (result.type === 'done') return true;
@@ -117,7 +117,7 @@
 function sendClaim(execution: OnceExecution): OnceTransition {
   const statement = claimStatement(execution.claim);
   const text = execution.mode === 'autocommit' ? `BEGIN; ${statement}` : statement;
-  return runOwn({ ...execution, phase: 'claim' }, text);
+  return runInternalStatement({ ...execution, phase: 'claim' }, text);
 }
 
 function afterClaim(execution: OnceExecution, sqlState: string | undefined): OnceTransition {
@@ -126,24 +126,24 @@
     return { execution: next, action: { type: 'run-caller-batch' } };
   }
   if (sqlState === UNIQUE_VIOLATION) {
-    return abandon(execution, refuse(new AlreadyDoneError(execution.claim.onceKey)));
+    return finishAfterFailure(execution, refuseWith(new AlreadyDoneError(execution.claim.onceKey)));
   }
   if (sqlState === UNDEFINED_TABLE && mayCreateTable(execution)) {
-    return runOwn({ ...execution, phase: 'clear' }, 'ROLLBACK');
+    return runInternalStatement({ ...execution, phase: 'clear' }, 'ROLLBACK');
   }
-  return abandon(execution, refuse(new OnceClaimRefusedError(sqlState)));
+  return finishAfterFailure(execution, refuseWith(new OnceClaimRefusedError(sqlState)));
 }
 
 /**
- * An error may mean that another proxy made the table at the same time; the next claim shows it.
- * But an instance in recovery has no table to claim in and will have none.
+ * An error may mean that another proxy created the table at the same time, so the claim is retried
+ * to find out. An instance in recovery, however, can't create the table.
  */
 function afterCreateTable(execution: OnceExecution, sqlState: string | undefined): OnceTransition {
   if (sqlState !== READ_ONLY_SQL_TRANSACTION) return sendClaim(execution);
-  return abandon(execution, refuse(new OnceClaimRefusedError(sqlState)));
+  return finishAfterFailure(execution, refuseWith(new OnceClaimRefusedError(sqlState)));
 }
 
-/** Inside a caller's transaction the failed claim has aborted it; the table can't be made there. */
+/** False in the caller's transaction: the failed claim aborted it, so it can't create a table. */
 function mayCreateTable(execution: OnceExecution): boolean {
   return execution.mode === 'autocommit' && !execution.tableCreated;
 }
@@ -153,58 +153,61 @@
   status: TransactionStatus,
   sqlState: string | undefined,
 ): OnceTransition {
-  if (status === 'I') return finish(execution, refuse(new OnceTransactionEndedError()));
+  if (status === 'I') return finish(execution, refuseWith(new OnceTransactionEndedError()));
   if (sqlState !== undefined || status === 'E') {
-    return abandon(execution, { type: 'database-error' });
+    return finishAfterFailure(execution, { type: 'database-error' });
   }
   if (execution.mode === 'in-transaction') return finish(execution, { type: 'done' });
-  return runOwn({ ...execution, phase: 'commit' }, 'COMMIT');
+  return runInternalStatement({ ...execution, phase: 'commit' }, 'COMMIT');
 }
 
 function resultOfCommit(sqlState: string | undefined): OnceResult {
   return sqlState === undefined ? { type: 'done' } : { type: 'database-error' };
 }
 
-/** Ends our own transaction; the caller's own is failed and stays for the caller to end. */
-function abandon(execution: OnceExecution, result: OnceResult): OnceTransition {
+/** Rolls back a transaction opened by the proxy; the caller has to end its own failed one. */
+function finishAfterFailure(execution: OnceExecution, result: OnceResult): OnceTransition {
   if (execution.mode === 'in-transaction') return finish(execution, result);
-  return runOwn({ ...execution, phase: 'roll-back', resultAfterRollBack: result }, 'ROLLBACK');
+  return runInternalStatement(
+    { ...execution, phase: 'roll-back', resultAfterRollBack: result },
+    'ROLLBACK',
+  );
 }
 
-/** Before COMMIT was sent the loss of the connection surely rolled the transaction back. */
-function resultOfLoss(execution: OnceExecution, bytesWritten: boolean): OnceResult {
+/** A connection lost before COMMIT was sent is certain to have rolled the transaction back. */
+function resultOfConnectionLoss(execution: OnceExecution, bytesWritten: boolean): OnceResult {
   const { resultAfterRollBack } = execution;
   if (execution.phase === 'roll-back' && resultAfterRollBack !== undefined) {
-    return needsConfirmation(resultAfterRollBack) ? unconfirmable() : resultAfterRollBack;
+    return needsConfirmation(resultAfterRollBack) ? unconfirmedAlreadyDone() : resultAfterRollBack;
   }
   if (execution.phase === 'commit' && bytesWritten) {
     const message = 'the connection was lost while COMMIT was running; retry with the same key';
-    return refuse(new UnknownOutcomeError('connection-lost', message));
+    return refuseWith(new UnknownOutcomeError('connection-lost', message));
   }
-  if (execution.mode === 'in-transaction' || sentStatement(execution)) {
+  if (execution.mode === 'in-transaction' || hasSentStatement(execution)) {
     const message = 'the connection was lost before COMMIT; the transaction was rolled back';
-    return refuse(new TransactionAbortedError(message));
+    return refuseWith(new TransactionAbortedError(message));
   }
   const message = 'the connection was lost before the statement was sent';
-  return refuse(new NotRunError('connection-lost-before-send', message));
+  return refuseWith(new NotRunError('connection-lost-before-send', message));
 }
 
-/** "Done earlier" from a connection that broke right after: its primary may have been replaced. */
-function unconfirmable(): OnceResult {
+/** "Done earlier" on a connection that was then lost: its primary may have been replaced. */
+function unconfirmedAlreadyDone(): OnceResult {
   const message =
     'the connection was lost before "done earlier" was confirmed; retry with the same key';
-  return refuse(new UnknownOutcomeError('connection-lost', message));
+  return refuseWith(new UnknownOutcomeError('connection-lost', message));
 }
 
-function sentStatement(execution: OnceExecution): boolean {
+function hasSentStatement(execution: OnceExecution): boolean {
   return execution.phase === 'statement' || execution.phase === 'commit';
 }
 
-function refuse(error: RequestError): OnceResult {
+function refuseWith(error: RequestError): OnceResult {
   return { type: 'refused', error };
 }
 
-function runOwn(execution: OnceExecution, text: string): OnceTransition {
+function runInternalStatement(execution: OnceExecution, text: string): OnceTransition {
   return { execution, action: { type: 'run-own', text } };
 }
 
