--- a/scale/hollow-machine-list.ts
+++ b/scale/hollow-machine-list.ts
@@ -108,7 +108,7 @@
     }
     return this.#timed(() => {
       const { hashes, afterBucket } = fetchRequestSchema.parse(body);
-      return pageOf(this.agent.replica.bucketsUnlike(hashesFromWire(hashes)), afterBucket);
+      return pageOf(this.agent.replica.differingBuckets(hashesFromWire(hashes)), afterBucket);
     });
   }
 
--- a/src/core/machine-list/agent.ts
+++ b/src/core/machine-list/agent.ts
@@ -1,7 +1,8 @@
 /**
- * Keeps one node's machine list. Two nodes of each zone read the service and pass differences on along
- * the zone's push tree; all compare digests with random peers, which also spreads how long ago a reader
- * read. A node that has heard of no reader for a while reads the service itself. No I/O.
+ * Keeps one node's machine list up to date. Two nodes of each zone, the readers, poll the list
+ * service and push differences along the zone's push tree. All nodes compare digests with random
+ * peers, which also spreads the age of the latest reader heartbeat (a reader's poll). A node without
+ * a recent heartbeat polls the service itself. No I/O.
  */
 import { jitter, type RandomSource } from '../configuration/backoff.js';
 import { MemberView } from '../configuration/member-view.js';
@@ -17,37 +18,38 @@
 } from './contract.js';
 import {
   compareStamps,
-  hashOfEntries,
+  hashEntries,
   type ListDelta,
   type ListEntry,
   type ListStamp,
   MachineListReplica,
 } from './replica.js';
 
-/** Between two comparisons with a random peer. */
+/** Interval between comparisons with a random peer. */
 const REPORT_INTERVAL_MS = 2000;
 /**
- * A node reads for itself when no reader's heartbeat is younger than this, or than half as much again.
- * A reader polls at least every 10 s, and in a zone of 255 nodes its heartbeat takes some 16 s to all.
+ * A node polls the service itself if the latest reader heartbeat is older than this plus a random
+ * extra of up to half of it. A reader polls at least every 10 s, and in a zone of 255 nodes its
+ * heartbeat takes about 16 s to reach all nodes.
  */
-const HEARTBEAT_LIMIT_MS = 30_000;
-/** A push with more entries is only announced, and fetched by buckets. */
+const HEARTBEAT_TIMEOUT_MS = 30_000;
+/** Larger differences are not pushed: peers get a report and fetch the differing buckets. */
 const MAX_PUSHED_ENTRIES = 200;
 
-/** What the agent is built with. */
+/** Options of the agent. */
 export interface ListAgentOptions {
   readonly self: ConfigurationMember;
   readonly random: RandomSource;
 }
 
-/** A reading that names an earlier version than the one that the service was told. */
-interface StepBack<Item> {
-  /** The list that was held then. */
+/** A poll that returned an earlier version than the one named in the request. */
+interface VersionRegression<Item> {
+  /** Stamp of this node's list at the time of that poll. */
   readonly held: ListStamp;
   readonly entries: readonly ListEntry<Item>[];
 }
 
-/** One node's machine list. */
+/** State machine that keeps one node's machine list. */
 export class MachineListAgent<Item> {
   readonly replica = new MachineListReplica<Item>();
   readonly #self: ConfigurationMember;
@@ -55,13 +57,13 @@
   #view: MemberView;
   #isStarted = false;
   #isReading = false;
-  /** When a reader was last known to have read what is held here. */
+  /** Latest time at which a reader is known to have polled the list that this node has. */
   #heartbeatAt: Milliseconds = Number.NEGATIVE_INFINITY;
-  #heartbeatLimitMs: Milliseconds;
+  #heartbeatTimeoutMs: Milliseconds;
   #nextReportAt: Milliseconds = Number.POSITIVE_INFINITY;
-  #stepBack: StepBack<Item> | undefined;
+  #versionRegression: VersionRegression<Item> | undefined;
   readonly #fetching = new Set<string>();
-  /** For each root of a push tree, the latest list that was passed on for it. */
+  /** Stamp of the latest list forwarded for each root of a push tree. */
   readonly #forwarded = new Map<string, ListStamp>();
   #mismatches = 0;
 
@@ -69,16 +71,16 @@
     this.#self = options.self;
     this.#random = options.random;
     this.#view = new MemberView(options.self, []);
-    this.#heartbeatLimitMs = this.#drawLimit();
+    this.#heartbeatTimeoutMs = this.#randomHeartbeatTimeoutMs();
   }
 
-  /** When a `tick` is next wanted. */
+  /** Time at which the next `tick` is needed. */
   nextDeadline(): Milliseconds {
-    const aloneAt = this.#isReading ? Number.POSITIVE_INFINITY : this.#aloneAt;
-    return Math.min(this.#nextReportAt, aloneAt);
+    const heartbeatDeadline = this.#isReading ? Number.POSITIVE_INFINITY : this.#heartbeatExpiresAt;
+    return Math.min(this.#nextReportAt, heartbeatDeadline);
   }
 
-  /** What this node tells a peer. */
+  /** The report that this node sends to peers. */
   report(now: Milliseconds): ListReport {
     return { digest: this.replica.digest(), heartbeatAgeMs: this.#heartbeatAge(now) };
   }
@@ -106,18 +108,18 @@
       case 'members-changed':
         return this.#setMembers(event.members, now);
       case 'read':
-        return this.#read(event.reading, now);
+        return this.#handleReading(event.reading, now);
       case 'push-received':
-        return this.#pushReceived(event.nodeId, event.root, event.delta, now);
+        return this.#handlePush(event.nodeId, event.root, event.delta, now);
       case 'report-received':
-        return this.#reportReceived(event.nodeId, event.report, now);
+        return this.#handleReport(event.nodeId, event.report, now);
       case 'fetched':
-        return this.#fetched(event, now);
+        return this.#handleFetched(event, now);
       case 'peer-failed':
         this.#fetching.delete(event.nodeId);
         return [];
       case 'tick':
-        return now >= this.#nextReportAt ? this.#reportRound(now) : [];
+        return now >= this.#nextReportAt ? this.#startReportRound(now) : [];
     }
   }
 
@@ -127,27 +129,27 @@
     for (const root of this.#forwarded.keys()) {
       if (!this.#view.includes(root)) this.#forwarded.delete(root);
     }
-    return this.#isStarted && wasAlone ? this.#reportRound(now) : [];
+    return this.#isStarted && wasAlone ? this.#startReportRound(now) : [];
   }
 
-  // ---- who reads
+  // ---- Selection of readers
 
   get #isReader(): boolean {
-    return this.#isCandidate(this.#self.nodeId);
+    return this.#isReaderNode(this.#self.nodeId);
   }
 
-  #isCandidate(nodeId: string): boolean {
+  #isReaderNode(nodeId: string): boolean {
     return this.#view.candidates().some((candidate) => candidate.nodeId === nodeId);
   }
 
-  get #aloneAt(): Milliseconds {
-    return this.#heartbeatAt + this.#heartbeatLimitMs;
+  get #heartbeatExpiresAt(): Milliseconds {
+    return this.#heartbeatAt + this.#heartbeatTimeoutMs;
   }
 
   #readingReason(now: Milliseconds): ReadingReason {
     if (!this.#isStarted) return 'none';
     if (this.#isReader) return 'reader';
-    return now >= this.#aloneAt ? 'alone' : 'none';
+    return now >= this.#heartbeatExpiresAt ? 'alone' : 'none';
   }
 
   #updateReading(now: Milliseconds): ListEffect<Item>[] {
@@ -161,87 +163,88 @@
     return Number.isFinite(this.#heartbeatAt) ? Math.max(0, now - this.#heartbeatAt) : undefined;
   }
 
-  #noteHeartbeat(at: Milliseconds): void {
+  #recordHeartbeat(at: Milliseconds): void {
     if (at <= this.#heartbeatAt) return;
     this.#heartbeatAt = at;
-    this.#heartbeatLimitMs = this.#drawLimit();
+    this.#heartbeatTimeoutMs = this.#randomHeartbeatTimeoutMs();
   }
 
-  #drawLimit(): Milliseconds {
-    return HEARTBEAT_LIMIT_MS + jitter(HEARTBEAT_LIMIT_MS / 2, this.#random);
+  #randomHeartbeatTimeoutMs(): Milliseconds {
+    return HEARTBEAT_TIMEOUT_MS + jitter(HEARTBEAT_TIMEOUT_MS / 2, this.#random);
   }
 
-  // ---- what the service says
+  // ---- Results of polls
 
-  #read(reading: ListReading<Item>, now: Milliseconds): ListEffect<Item>[] {
-    const effects = this.#takeReading(reading);
-    // Only a reader's readings count as heartbeats: it goes on reading.
+  #handleReading(reading: ListReading<Item>, now: Milliseconds): ListEffect<Item>[] {
+    const effects = this.#applyReading(reading);
+    // Only a reader's polls count as heartbeats, because only a reader continues to poll.
     const isCurrent = reading.version === this.replica.stamp.version;
-    if (isCurrent && this.#isReader) this.#noteHeartbeat(now);
+    if (isCurrent && this.#isReader) this.#recordHeartbeat(now);
     return effects;
   }
 
-  #takeReading({ asked, version, entries }: ListReading<Item>): ListEffect<Item>[] {
+  #applyReading({ asked, version, entries }: ListReading<Item>): ListEffect<Item>[] {
     const held = this.replica.stamp;
     if (version > held.version) {
-      return entries === undefined ? [] : this.#takeOver({ ...held, version }, entries);
+      return entries === undefined ? [] : this.#replaceList({ ...held, version }, entries);
     }
     if (version === held.version) return this.#compareContents(held, entries);
-    return this.#considerStepBack(held, asked, version, entries);
+    return this.#handleVersionRegression(held, asked, version, entries);
   }
 
-  /** The same version with other contents: the service began anew and has come as far as before. */
+  /** Detects a service that was reset and has reached the same version with other contents. */
   #compareContents(
     held: ListStamp,
     entries: readonly ListEntry<Item>[] | undefined,
   ): ListEffect<Item>[] {
     if (entries === undefined) return [];
-    if (hashOfEntries(entries) === this.replica.digest().hash) return [];
+    if (hashEntries(entries) === this.replica.digest().hash) return [];
     this.#mismatches += 1;
-    return this.#takeOver({ epoch: held.epoch + 1, version: held.version }, entries);
+    return this.#replaceList({ epoch: held.epoch + 1, version: held.version }, entries);
   }
 
   /**
-   * An answer older than what pushes have brought meanwhile is no news. A service that answers with
-   * less than it was told lost its memory, or one of its replicas lags: it is believed if it
-   * does so twice, with nothing later heard in between.
+   * Handles an answer older than this node's list. It is ignored if it is outdated only because
+   * pushes arrived after the request. If it is older than the version named in the request, the
+   * service has lost its state or one of its replicas lags: it is accepted if this happens twice
+   * and no later list arrives in between.
    */
-  #considerStepBack(
+  #handleVersionRegression(
     held: ListStamp,
     asked: number,
     version: number,
     entries: readonly ListEntry<Item>[] | undefined,
   ): ListEffect<Item>[] {
-    const before = this.#stepBack;
-    if (before !== undefined && compareStamps(before.held, held) === 0) {
-      this.#stepBack = undefined;
-      return this.#takeOver({ epoch: held.epoch + 1, version }, entries ?? before.entries);
+    const previous = this.#versionRegression;
+    if (previous !== undefined && compareStamps(previous.held, held) === 0) {
+      this.#versionRegression = undefined;
+      return this.#replaceList({ epoch: held.epoch + 1, version }, entries ?? previous.entries);
     }
-    if (version < asked && entries !== undefined) this.#stepBack = { held, entries };
+    if (version < asked && entries !== undefined) this.#versionRegression = { held, entries };
     return [];
   }
 
-  #takeOver(stamp: ListStamp, entries: readonly ListEntry<Item>[]): ListEffect<Item>[] {
+  #replaceList(stamp: ListStamp, entries: readonly ListEntry<Item>[]): ListEffect<Item>[] {
     const delta = this.replica.replace(stamp, entries);
     return [{ type: 'apply', stamp }, ...this.#forward(this.#self.nodeId, delta)];
   }
 
-  // ---- what peers say
+  // ---- Exchange with peers
 
-  #reportRound(now: Milliseconds): ListEffect<Item>[] {
+  #startReportRound(now: Milliseconds): ListEffect<Item>[] {
     this.#nextReportAt = now + jitter(REPORT_INTERVAL_MS, this.#random);
     const peer = this.#view.antiEntropyPeer(this.#random);
     return peer === undefined ? [] : [{ type: 'ask-report', peer }];
   }
 
-  #reportReceived(nodeId: string, report: ListReport, now: Milliseconds): ListEffect<Item>[] {
+  #handleReport(nodeId: string, report: ListReport, now: Milliseconds): ListEffect<Item>[] {
     const { digest, heartbeatAgeMs } = report;
     const held = this.replica.digest();
     const order = compareStamps(digest.stamp, held.stamp);
     if (order > 0) return this.#fetch(nodeId);
     if (order < 0) return [];
     if (digest.hash !== held.hash) this.#mismatches += 1;
-    else if (heartbeatAgeMs !== undefined) this.#noteHeartbeat(now - heartbeatAgeMs);
+    else if (heartbeatAgeMs !== undefined) this.#recordHeartbeat(now - heartbeatAgeMs);
     return [];
   }
 
@@ -252,18 +255,18 @@
     return [{ type: 'fetch', peer }];
   }
 
-  #fetched(
+  #handleFetched(
     { nodeId, buckets }: Extract<ListEvent<Item>, { type: 'fetched' }>,
     now: Milliseconds,
   ): ListEffect<Item>[] {
     this.#fetching.delete(nodeId);
     const outcome = this.replica.applyBuckets(buckets);
-    // What was held has changed since the peer was asked; the next comparison asks again.
+    // This node's list has changed since the fetch was sent; the next comparison fetches again.
     if (outcome === 'gap') this.#nextReportAt = Math.min(this.#nextReportAt, now);
     return outcome === 'applied' ? [{ type: 'apply', stamp: this.replica.stamp }] : [];
   }
 
-  #pushReceived(
+  #handlePush(
     nodeId: string,
     root: string,
     delta: ListDelta<Item>,
@@ -271,18 +274,18 @@
   ): ListEffect<Item>[] {
     const outcome = this.replica.apply(delta);
     const isCurrent = compareStamps(delta.to.stamp, this.replica.stamp) === 0;
-    if (isCurrent && this.#isCandidate(root)) this.#noteHeartbeat(now);
-    const news: ListEffect<Item>[] =
+    if (isCurrent && this.#isReaderNode(root)) this.#recordHeartbeat(now);
+    const applyEffects: ListEffect<Item>[] =
       outcome === 'applied' ? [{ type: 'apply', stamp: delta.to.stamp }] : [];
-    const missing = outcome === 'gap' ? this.#fetch(nodeId) : [];
-    return [...news, ...missing, ...this.#forward(root, delta)];
+    const fetchEffects = outcome === 'gap' ? this.#fetch(nodeId) : [];
+    return [...applyEffects, ...fetchEffects, ...this.#forward(root, delta)];
   }
 
-  /** Passes a change on once for each root, whether or not it is news here: the tree waits for it. */
+  /** Forwards a change once per root, even if already known here: nodes down the tree need it. */
   #forward(root: string, delta: ListDelta<Item>): ListEffect<Item>[] {
-    const last = this.#forwarded.get(root);
+    const lastForwarded = this.#forwarded.get(root);
     if (!this.#view.includes(root)) return [];
-    if (last !== undefined && compareStamps(delta.to.stamp, last) <= 0) return [];
+    if (lastForwarded !== undefined && compareStamps(delta.to.stamp, lastForwarded) <= 0) return [];
     this.#forwarded.set(root, delta.to.stamp);
     const isSmall = delta.changed.length + delta.removed.length <= MAX_PUSHED_ENTRIES;
     return this.#view.pushTargets(root).map((peer) => {
--- a/src/core/machine-list/replica.ts
+++ b/src/core/machine-list/replica.ts
@@ -1,11 +1,12 @@
 /**
- * One node's copy of the machine list: entries with hashes, digests by bucket, and the stamp of the
- * list that they are. Changes to it are whole lists, differences between two known lists, or whole
- * buckets; each is taken only if the result is the list that its sender has, by its digest.
+ * One node's replica of the machine list: its entries with hashes, a hash for each bucket and the
+ * list's stamp. It is updated by whole lists, by differences between two known lists or by whole
+ * buckets. A difference or bucket is applied only if the resulting hash equals that of the sender's
+ * list.
  */
 import { BUCKET_COUNT, bucketOf } from '../membership/member-table.js';
 
-/** Which list it is: `version` is the service's, `epoch` counts the service's steps back. */
+/** Identifies a list: `version` is the service's; `epoch` counts the service's version resets. */
 export interface ListStamp {
   readonly epoch: number;
   readonly version: number;
@@ -15,12 +16,12 @@
 export interface ListEntry<Item> {
   /** Unique within the list. */
   readonly id: string;
-  /** 64 bits over everything that the list says of the machine. */
+  /** 64-bit hash of the machine's complete entry. */
   readonly hash: bigint;
   readonly item: Item;
 }
 
-/** What identifies a list with its contents. */
+/** Identifies a list and its contents. */
 export interface ListDigest {
   readonly stamp: ListStamp;
   readonly hash: bigint;
@@ -34,48 +35,48 @@
   readonly removed: readonly string[];
 }
 
-/** All entries of some buckets of a list. */
+/** All entries of selected buckets of a list. */
 export interface ListBuckets<Item> {
   readonly digest: ListDigest;
   readonly buckets: ReadonlyMap<number, readonly ListEntry<Item>[]>;
 }
 
-/** `known`: nothing new. `gap`: it does not follow from what is held. */
+/** `known`: not newer than this list. `gap`: can't be applied to this list. */
 export type MergeOutcome = 'applied' | 'known' | 'gap';
 
-/** Stamp of a node that has no list. */
-export const NO_LIST: ListStamp = { epoch: 0, version: 0 };
+/** Stamp of a node that has no list yet. */
+export const NO_LIST_STAMP: ListStamp = { epoch: 0, version: 0 };
 
-/** Positive if the left list is the later one. */
+/** Positive if the left list is later, negative if the right one is. */
 export function compareStamps(left: ListStamp, right: ListStamp): number {
   return left.epoch - right.epoch || left.version - right.version;
 }
 
-/** Hash of a list; of entries with the same id the last one counts. */
-export function hashOfEntries(entries: readonly ListEntry<unknown>[]): bigint {
+/** Hash of a list; if several entries have the same id, the last one is used. */
+export function hashEntries(entries: readonly ListEntry<unknown>[]): bigint {
   const unique = new Map(entries.map(({ id, hash }) => [id, hash]));
   return [...unique.values()].reduce((sum, hash) => sum ^ hash, 0n);
 }
 
-/** One node's copy of the list. */
+/** One node's replica of the list. */
 export class MachineListReplica<Item> {
-  #stamp = NO_LIST;
+  #stamp = NO_LIST_STAMP;
   #entries = new Map<string, ListEntry<Item>>();
-  #hashes = new BigUint64Array(BUCKET_COUNT);
+  #bucketHashes = new BigUint64Array(BUCKET_COUNT);
 
-  /** Which list this is. */
+  /** Stamp of this list. */
   get stamp(): ListStamp {
     return this.#stamp;
   }
 
   /** Stamp and hash over all entries. */
   digest(): ListDigest {
-    return { stamp: this.#stamp, hash: combined(this.#hashes) };
+    return { stamp: this.#stamp, hash: xorOfHashes(this.#bucketHashes) };
   }
 
   /** A hash for each bucket. */
   bucketHashes(): BigUint64Array {
-    return this.#hashes.slice();
+    return this.#bucketHashes.slice();
   }
 
   /** Number of machines. */
@@ -83,22 +84,22 @@
     return this.#entries.size;
   }
 
-  /** The machines, in no order. */
+  /** The machines, in no particular order. */
   items(): Item[] {
     return [...this.#entries.values()].map(({ item }) => item);
   }
 
   /** Entries of the buckets whose hashes differ from another node's. */
-  bucketsUnlike(hashes: BigUint64Array): ListBuckets<Item> {
+  differingBuckets(hashes: BigUint64Array): ListBuckets<Item> {
     const buckets = new Map<number, ListEntry<Item>[]>();
-    for (const [index, hash] of this.#hashes.entries()) {
+    for (const [index, hash] of this.#bucketHashes.entries()) {
       if (hash !== hashes[index]) buckets.set(index, []);
     }
     for (const entry of this.#entries.values()) buckets.get(bucketOf(entry.id))?.push(entry);
     return { digest: this.digest(), buckets };
   }
 
-  /** Takes a whole list over, whatever was held; gives the difference. */
+  /** Replaces the whole list unconditionally and returns the difference. */
   replace(stamp: ListStamp, entries: readonly ListEntry<Item>[]): ListDelta<Item> {
     const from = this.#stamp;
     const next = new Map(entries.map((entry) => [entry.id, entry]));
@@ -106,57 +107,61 @@
       ({ id, hash }) => this.#entries.get(id)?.hash !== hash,
     );
     const removed = [...this.#entries.keys()].filter((id) => !next.has(id));
-    this.#take(stamp, changed, removed);
+    this.#applyChanges(stamp, changed, removed);
     return { from, to: this.digest(), changed, removed };
   }
 
-  /** Takes a difference in. */
+  /** Applies a difference if it starts at this list. */
   apply(delta: ListDelta<Item>): MergeOutcome {
     const { from, to, changed, removed } = delta;
     if (compareStamps(to.stamp, this.#stamp) <= 0) return 'known';
     if (compareStamps(from, this.#stamp) !== 0) return 'gap';
-    return this.#takeIfLike(to, changed, removed) ? 'applied' : 'gap';
+    return this.#applyIfHashMatches(to, changed, removed) ? 'applied' : 'gap';
   }
 
-  /** Takes whole buckets of a later list in. */
+  /** Replaces whole buckets by those of a later list. */
   applyBuckets({ digest, buckets }: ListBuckets<Item>): MergeOutcome {
     if (compareStamps(digest.stamp, this.#stamp) <= 0) return 'known';
-    const told = [...buckets.values()].flat();
-    const ids = new Set(told.map(({ id }) => id));
+    const receivedEntries = [...buckets.values()].flat();
+    const receivedIds = new Set(receivedEntries.map(({ id }) => id));
     const removed = [...this.#entries.keys()].filter(
-      (id) => buckets.has(bucketOf(id)) && !ids.has(id),
+      (id) => buckets.has(bucketOf(id)) && !receivedIds.has(id),
     );
-    return this.#takeIfLike(digest, told, removed) ? 'applied' : 'gap';
+    return this.#applyIfHashMatches(digest, receivedEntries, removed) ? 'applied' : 'gap';
   }
 
-  #takeIfLike(
+  #applyIfHashMatches(
     { stamp, hash }: ListDigest,
     changed: readonly ListEntry<Item>[],
     removed: readonly string[],
   ): boolean {
-    let next = combined(this.#hashes);
-    for (const entry of changed) next ^= entry.hash ^ this.#hashOf(entry.id);
-    for (const id of removed) next ^= this.#hashOf(id);
-    if (next !== hash) return false;
-    this.#take(stamp, changed, removed);
+    let resultingHash = xorOfHashes(this.#bucketHashes);
+    for (const entry of changed) resultingHash ^= entry.hash ^ this.#hashOf(entry.id);
+    for (const id of removed) resultingHash ^= this.#hashOf(id);
+    if (resultingHash !== hash) return false;
+    this.#applyChanges(stamp, changed, removed);
     return true;
   }
 
-  #take(stamp: ListStamp, changed: readonly ListEntry<Item>[], removed: readonly string[]): void {
+  #applyChanges(
+    stamp: ListStamp,
+    changed: readonly ListEntry<Item>[],
+    removed: readonly string[],
+  ): void {
     for (const entry of changed) {
-      this.#toggle(entry.id, entry.hash ^ this.#hashOf(entry.id));
+      this.#xorIntoBucketHash(entry.id, entry.hash ^ this.#hashOf(entry.id));
       this.#entries.set(entry.id, entry);
     }
     for (const id of removed) {
-      this.#toggle(id, this.#hashOf(id));
+      this.#xorIntoBucketHash(id, this.#hashOf(id));
       this.#entries.delete(id);
     }
     this.#stamp = stamp;
   }
 
-  #toggle(id: string, bits: bigint): void {
+  #xorIntoBucketHash(id: string, bits: bigint): void {
     const bucket = bucketOf(id);
-    this.#hashes[bucket] = (this.#hashes[bucket] ?? 0n) ^ bits;
+    this.#bucketHashes[bucket] = (this.#bucketHashes[bucket] ?? 0n) ^ bits;
   }
 
   #hashOf(id: string): bigint {
@@ -164,6 +169,6 @@
   }
 }
 
-function combined(hashes: BigUint64Array): bigint {
+function xorOfHashes(hashes: BigUint64Array): bigint {
   return hashes.reduce((sum, hash) => sum ^ hash, 0n);
 }
--- a/src/node/machine-list/service.ts
+++ b/src/node/machine-list/service.ts
@@ -127,7 +127,7 @@
     const parsed = fetchRequestSchema.safeParse(body);
     if (!parsed.success) throw new MachineListMessageError(FETCH_METHOD);
     const hashes = hashesFromWire(parsed.data.hashes);
-    return pageOf(this.#agent.replica.bucketsUnlike(hashes), parsed.data.afterBucket);
+    return pageOf(this.#agent.replica.differingBuckets(hashes), parsed.data.afterBucket);
   }
 
   #onPush(body: WireValue, nodeId: string): WireValue {
--- a/test/support/machine-list-network.ts
+++ b/test/support/machine-list-network.ts
@@ -186,7 +186,7 @@
       case 'fetch': {
         const hashes = node.agent.replica.bucketHashes();
         this.#call(node, effect.peer, (peer) => {
-          const buckets = peer.agent.replica.bucketsUnlike(hashes);
+          const buckets = peer.agent.replica.differingBuckets(hashes);
           return { type: 'fetched', nodeId: peer.member.nodeId, buckets };
         });
         return;
