--- a/src/core/at-most-once/execution.ts
+++ b/src/core/at-most-once/execution.ts
@@ -34,7 +34,7 @@
     }
   | { readonly type: 'lost'; readonly bytesWritten: boolean };
 
-/** The batch whose answer the execution is waiting for. */
+/** The batch whose answer the execution is waiting for. `clear`: ROLLBACK of a failed claim. */
 export type OncePhase = 'create-table' | 'clear' | 'claim' | 'statement' | 'commit' | 'roll-back';
 
 /** What to do next. */
--- a/src/core/failover/monitor.ts
+++ b/src/core/failover/monitor.ts
@@ -212,7 +212,7 @@
     this.adoptPrimary(now, effects);
   }
 
-  /** At `at`, the primary had written at most up to `position`. */
+  /** Records that at time `at` the primary had written at most up to `position`. */
   recordPrimaryPosition(position: Position, at: Milliseconds): void {
     if (position.timeline !== this.primary?.timeline) return;
     this.positionHistory.add({ at, position });
--- a/src/core/machine-list/agent.ts
+++ b/src/core/machine-list/agent.ts
@@ -1,8 +1,8 @@
 /**
  * Keeps one node's machine list up to date. Two nodes of each zone, the readers, poll the list
  * service and push differences along the zone's push tree. All nodes compare digests with random
- * peers, which also spreads the age of the latest reader heartbeat (a reader's poll). A node without
- * a recent heartbeat polls the service itself. No I/O.
+ * peers, which also spreads the age of the latest reader heartbeat (a reader's poll). A node that
+ * has no recent heartbeat polls the service itself. No I/O.
  */
 import { jitter, type RandomSource } from '../configuration/backoff.js';
 import { MemberView } from '../configuration/member-view.js';
--- a/src/core/session/state.ts
+++ b/src/core/session/state.ts
@@ -33,7 +33,7 @@
   return { groups: new Map(), unlistedGroups: 'untouched' };
 }
 
-/** State of a session whose caller sent only an id, which its home nodes have no position for. */
+/** State of a session known only by an id for which the home nodes returned no positions. */
 export function unknownSession(): SessionState {
   return { groups: new Map(), unlistedGroups: 'unknown' };
 }
--- a/test/unit/at-most-once.test.ts
+++ b/test/unit/at-most-once.test.ts
@@ -29,7 +29,7 @@
   return result.type === 'refused' ? `${result.error.code} ${result.error.outcome}` : result.type;
 }
 
-/** The actions that follow from these answers, the first one included. */
+/** All actions of an execution that receives these answers, including the initial action. */
 function actionsOf(mode: OnceMode, answers: readonly OnceAnswer[]): string[] {
   let transition = startOnce(CLAIM, mode);
   const actions = [describe(transition.action)];
--- a/test/unit/machine-list-agent.test.ts
+++ b/test/unit/machine-list-agent.test.ts
@@ -1,4 +1,4 @@
-/** What one node makes of single answers and pushes about the machine list. */
+/** How a single node's machine list changes with individual poll answers and pushes. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { MachineListAgent } from '../../src/core/machine-list/agent.js';
