--- a/src/core/group/database-group.ts
+++ b/src/core/group/database-group.ts
@@ -134,7 +134,7 @@
         monitor.recordProbeFailed(event.probeId, now, effects);
         break;
       case 'position-observed':
-        monitor.recordPassingState(event.instance, event.state, now, effects);
+        monitor.recordPiggybackedState(event.instance, event.state, now, effects);
         break;
       case 'instances-changed':
         this.instancesChanged(event.instances, now);
--- a/src/core/group/dispatch-pass.ts
+++ b/src/core/group/dispatch-pass.ts
@@ -59,12 +59,12 @@
 function replicasOf({ monitor, instances, loads }: GroupContext): readonly ReplicaCandidate[] {
   const replicas: ReplicaCandidate[] = [];
   for (const { name, zone, leaving, slots } of instances.values()) {
-    const knowledge = monitor.knowledgeOf(name);
+    const knowledge = monitor.observedInstance(name);
     if (knowledge === undefined || name === monitor.primary?.instance) continue;
     const load = loads.running(name);
     const serviceTimeMs = loads.serviceTimeMs(name);
     const freshAsOf = monitor.freshAsOf(name);
-    replicas.push({ knowledge, zone, leaving, freshAsOf, load, slots, serviceTimeMs });
+    replicas.push({ instance: knowledge, zone, leaving, freshAsOf, load, slots, serviceTimeMs });
   }
   return replicas;
 }
