--- a/src/core/machine-list/agent.ts
+++ b/src/core/machine-list/agent.ts
@@ -178,7 +178,10 @@
 
   // ---- Results of polls
 
-  #handleReading(reading: MachineListPollResult<Item>, now: Milliseconds): MachineListEffect<Item>[] {
+  #handleReading(
+    reading: MachineListPollResult<Item>,
+    now: Milliseconds,
+  ): MachineListEffect<Item>[] {
     const effects = this.#applyReading(reading);
     // Only a reader's polls count as heartbeats, because only a reader continues to poll.
     const isCurrent = reading.version === this.replica.stamp.version;
