--- a/src/core/placement/ejection.ts
+++ b/src/core/placement/ejection.ts
@@ -1,112 +1,112 @@
 /**
- * Instances that get no reads for a while, since they fail or answer several times slower than the others of their
- * service. By the outcome of requests, never by a health check. Capped: a service keeps most of its instances. What
- * only a primary can do goes to it all the same. No I/O and no clock.
+ * Outlier ejection: instances that fail, or answer several times slower than the others of their service, get no reads
+ * for a while. Judged by the outcome of requests, never by health checks. Capped, so that a service keeps most of its
+ * instances. Work that only a primary can do goes to an ejected primary too. No I/O and no clock.
  */
 import { type FleetView, observationsOf } from '../fleet/instance-digest.js';
 import { weightedMedian } from '../fleet/weighted-median.js';
 import type { Milliseconds } from '../units.js';
 
-/** Fewer observations prove nothing: a few answers take several times the usual by nature. Counts shrink with age. */
-const LEAST_OBSERVATIONS = 6;
-/** In probation few requests are sent. */
-const LEAST_PROBES = 1;
-/** Callers try again at a loss of a few answers; from this part on most of them lose. */
-const FAILED_SHARE = 0.3;
-/** An instance is ill only beside others that fail less than this part of its own failures. */
-const OTHERS_FAILED_FACTOR = 1 / 3;
-const SLOW_FACTOR = 3.5;
-/** What callers don't notice is no reason. */
-const SLOW_BY_MS: Milliseconds = 25;
-/** Pause before probation. What was seen before is forgotten by then, so that probation is judged by its own answers. */
-export const FIRST_PAUSE_MS: Milliseconds = 3000;
-const LONGEST_PAUSE_MS: Milliseconds = 20_000;
-/** An instance that was well for so long has its next pause as if it were the first. */
-const MEMORY_MS: Milliseconds = 20_000;
-/** In probation the whole fleet sends one request in so long. */
-const PROBE_INTERVAL_MS: Milliseconds = 250;
-
-/** What a decision about an instance rests on. */
+/** Fewer observations prove nothing: a few answers normally take several times as long. Counts decay with age. */
+const MIN_OBSERVATIONS = 6;
+/** Fewer than outside of probation, since an instance in probation gets few requests. */
+const MIN_PROBE_OBSERVATIONS = 1;
+/** Callers retry and so get over a smaller share of failures; from this share on most of them are affected. */
+const MIN_FAILED_SHARE = 0.3;
+/** An instance counts as failing only if the failed share of the others is at most this part of its own. */
+const MAX_OTHERS_FAILED_RATIO = 1 / 3;
+const MIN_SLOWDOWN_FACTOR = 3.5;
+/** A smaller difference is not noticed by callers. */
+const MIN_SLOWDOWN_MS: Milliseconds = 25;
+/** Time until probation. Earlier observations have expired by then, so that probation is judged by its own answers. */
+export const FIRST_EJECTION_MS: Milliseconds = 3000;
+const MAX_EJECTION_MS: Milliseconds = 20_000;
+/** An instance that returned at least this long ago is next ejected for as long as the first time. */
+const EJECTION_HISTORY_TTL_MS: Milliseconds = 20_000;
+/** The nodes of the fleet together send an instance in probation one request per interval. */
+const FLEET_PROBE_INTERVAL_MS: Milliseconds = 250;
+
+/** What an instance is judged by. */
 export interface HealthEvidence {
   readonly id: string;
-  /** As of now: tells of a change at once. */
-  readonly seen: FleetView | undefined;
-  /** Over the last seconds: tells of an instance that gets few requests. */
+  /** The present moment: shows a change at once. */
+  readonly current: FleetView | undefined;
+  /** The last seconds: has enough observations of an instance that gets few requests. */
   readonly recent: FleetView | undefined;
 }
 
 export type EjectionReason = 'failing' | 'slow';
 
-/** What changed for an instance, and by what evidence. */
+/** A change of an instance's state, with the evidence for it. */
 export interface EjectionEvent {
   readonly type: 'ejected' | 'probation' | 'returned';
   readonly instanceId: string;
   readonly reason: EjectionReason;
-  /** Until probation, for one that was ejected. */
+  /** Time until probation, for type `ejected`; otherwise 0. */
   readonly pauseMs: Milliseconds;
-  readonly seen: FleetView | undefined;
+  readonly view: FleetView | undefined;
   readonly othersAnswerMs: Milliseconds;
 }
 
-interface Ejected {
+interface EjectedInstance {
   readonly reason: EjectionReason;
-  readonly strikes: number;
+  readonly ejectionCount: number;
   readonly pauseMs: Milliseconds;
   readonly endsAt: Milliseconds;
   state: 'ejected' | 'probation';
   nextProbeAt: Milliseconds;
 }
 
-interface Strikes {
+interface EjectionHistory {
   readonly count: number;
-  readonly forgottenAt: Milliseconds;
+  readonly expiresAt: Milliseconds;
 }
 
 export interface EjectionOptions {
-  /** Nodes that send requests to the instances. */
+  /** Number of nodes that send requests to the instances. */
   readonly nodeCount: () => number;
-  /** A number in [0, 1). */
+  /** Returns a number in [0, 1). */
   readonly random: () => number;
 }
 
 /** Ejections among the instances of one service. */
 export class Ejections {
-  readonly #ejected = new Map<string, Ejected>();
-  readonly #strikes = new Map<string, Strikes>();
+  readonly #ejected = new Map<string, EjectedInstance>();
+  readonly #histories = new Map<string, EjectionHistory>();
 
   constructor(private readonly options: EjectionOptions) {}
 
-  /** Judges the instances of the service by what is known of them now. */
+  /** Judges the instances of the service and returns what changed. */
   evaluate(instances: readonly HealthEvidence[], now: Milliseconds): readonly EjectionEvent[] {
-    this.#forgetGone(instances);
+    this.#removeAbsent(instances);
     const events: EjectionEvent[] = [];
     for (const instance of instances) {
       const others = instances.filter(({ id }) => id !== instance.id && !this.isEjected(id));
-      const event = this.#evaluateOne(instance, others, instances.length, now);
+      const event = this.#evaluateInstance(instance, others, instances.length, now);
       if (event !== undefined) events.push(event);
     }
     return events;
   }
 
-  /** Instances that are ejected or in probation. */
+  /** Number of instances that are ejected or in probation. */
   get count(): number {
     return this.#ejected.size;
   }
 
-  /** Whether it gets no reads but those of its probation. */
+  /** Whether an instance gets no reads except probes in probation. */
   isEjected(instanceId: string): boolean {
     return this.#ejected.has(instanceId);
   }
 
-  /** Whether one request of this node may try an instance in probation now; it then counts as sent. */
+  /** True if this node may send a probe to an instance in probation now; the probe then counts as sent. */
   takeProbe(instanceId: string, now: Milliseconds): boolean {
     const ejected = this.#ejected.get(instanceId);
     if (ejected?.state !== 'probation' || now < ejected.nextProbeAt) return false;
-    ejected.nextProbeAt = now + this.#probeIntervalMs();
+    ejected.nextProbeAt = now + this.#nodeProbeIntervalMs();
     return true;
   }
 
-  #evaluateOne(
+  #evaluateInstance(
     instance: HealthEvidence,
     others: readonly HealthEvidence[],
     instanceCount: number,
@@ -114,85 +114,94 @@
   ): EjectionEvent | undefined {
     const { id } = instance;
     const ejected = this.#ejected.get(id);
-    const least = ejected === undefined ? LEAST_OBSERVATIONS : LEAST_PROBES;
-    const period = hasAtLeast(instance.seen, least) ? 'seen' : 'recent';
-    const seen = instance[period];
-    const known = others.map((other) => other[period]).filter(isCompared);
-    const told = { instanceId: id, seen, othersAnswerMs: answerMsOf(known) };
+    const minimum = ejected === undefined ? MIN_OBSERVATIONS : MIN_PROBE_OBSERVATIONS;
+    const period = hasObservations(instance.current, minimum) ? 'current' : 'recent';
+    const view = instance[period];
+    const otherViews = others.map((other) => other[period]).filter(isComparable);
+    const evidence = { instanceId: id, view, othersAnswerMs: answerMsOf(otherViews) };
     if (ejected?.state === 'ejected') {
       if (now < ejected.endsAt) return undefined;
       ejected.state = 'probation';
-      ejected.nextProbeAt = now + this.#probeIntervalMs() * this.options.random();
-      return { type: 'probation', reason: ejected.reason, pauseMs: 0, ...told };
+      ejected.nextProbeAt = now + this.#nodeProbeIntervalMs() * this.options.random();
+      return { type: 'probation', reason: ejected.reason, pauseMs: 0, ...evidence };
     }
-    if (!hasAtLeast(seen, least)) return undefined;
-    const reason = illnessOf(seen, known);
+    if (!hasObservations(view, minimum)) return undefined;
+    const reason = ejectionReasonOf(view, otherViews);
     if (reason === undefined) {
       if (ejected === undefined) return undefined;
       this.#ejected.delete(id);
-      this.#strikes.set(id, { count: ejected.strikes, forgottenAt: now + MEMORY_MS });
-      return { type: 'returned', reason: ejected.reason, pauseMs: 0, ...told };
+      this.#histories.set(id, {
+        count: ejected.ejectionCount,
+        expiresAt: now + EJECTION_HISTORY_TTL_MS,
+      });
+      return { type: 'returned', reason: ejected.reason, pauseMs: 0, ...evidence };
     }
-    if (ejected === undefined && !this.#mayEjectOneMore(instanceCount)) return undefined;
+    if (ejected === undefined && !this.#mayEjectAnother(instanceCount)) return undefined;
     const pauseMs = this.#eject(id, reason, now);
-    return { type: 'ejected', reason, pauseMs, ...told };
+    return { type: 'ejected', reason, pauseMs, ...evidence };
   }
 
   #eject(id: string, reason: EjectionReason, now: Milliseconds): Milliseconds {
-    const strikes = this.#strikesOf(id, now) + 1;
-    const pauseMs = Math.min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS * 2 ** (strikes - 1));
-    const until = { endsAt: now + pauseMs, nextProbeAt: Number.POSITIVE_INFINITY };
-    this.#ejected.set(id, { reason, strikes, pauseMs, state: 'ejected', ...until });
+    const ejectionCount = this.#ejectionCountOf(id, now) + 1;
+    const pauseMs = Math.min(MAX_EJECTION_MS, FIRST_EJECTION_MS * 2 ** (ejectionCount - 1));
+    const schedule = { endsAt: now + pauseMs, nextProbeAt: Number.POSITIVE_INFINITY };
+    this.#ejected.set(id, { reason, ejectionCount, pauseMs, state: 'ejected', ...schedule });
     return pauseMs;
   }
 
-  #strikesOf(id: string, now: Milliseconds): number {
+  #ejectionCountOf(id: string, now: Milliseconds): number {
     const ejected = this.#ejected.get(id);
-    if (ejected !== undefined) return ejected.strikes;
-    const before = this.#strikes.get(id);
-    return before === undefined || now >= before.forgottenAt ? 0 : before.count;
+    if (ejected !== undefined) return ejected.ejectionCount;
+    const history = this.#histories.get(id);
+    return history === undefined || now >= history.expiresAt ? 0 : history.count;
   }
 
-  /** Never the last one, and never most of them. */
-  #mayEjectOneMore(instanceCount: number): boolean {
+  /** Allows neither the last instance nor most of the instances to be ejected. */
+  #mayEjectAnother(instanceCount: number): boolean {
     return this.#ejected.size + 1 <= Math.floor((instanceCount - 1) / 2);
   }
 
-  #probeIntervalMs(): Milliseconds {
-    return PROBE_INTERVAL_MS * Math.max(1, this.options.nodeCount());
+  #nodeProbeIntervalMs(): Milliseconds {
+    return FLEET_PROBE_INTERVAL_MS * Math.max(1, this.options.nodeCount());
   }
 
-  #forgetGone(instances: readonly HealthEvidence[]): void {
+  #removeAbsent(instances: readonly HealthEvidence[]): void {
     const present = new Set(instances.map(({ id }) => id));
     for (const id of this.#ejected.keys()) if (!present.has(id)) this.#ejected.delete(id);
-    for (const id of this.#strikes.keys()) if (!present.has(id)) this.#strikes.delete(id);
+    for (const id of this.#histories.keys()) if (!present.has(id)) this.#histories.delete(id);
   }
 }
 
-function hasAtLeast(seen: FleetView | undefined, least: number): seen is FleetView {
-  return seen !== undefined && observationsOf(seen) >= least;
+function hasObservations(view: FleetView | undefined, minimum: number): view is FleetView {
+  return view !== undefined && observationsOf(view) >= minimum;
 }
 
-function isCompared(seen: FleetView | undefined): seen is FleetView {
-  return hasAtLeast(seen, LEAST_PROBES);
+function isComparable(view: FleetView | undefined): view is FleetView {
+  return hasObservations(view, MIN_PROBE_OBSERVATIONS);
 }
 
-/** Why it is ill beside the others; undefined if it is not, or if there is nothing to compare it with. */
-function illnessOf(seen: FleetView, others: readonly FleetView[]): EjectionReason | undefined {
+/** Compares an instance with the others; undefined if it is healthy, or if there are no others. */
+function ejectionReasonOf(
+  view: FleetView,
+  others: readonly FleetView[],
+): EjectionReason | undefined {
   if (others.length === 0) return undefined;
-  const failedShare = failedShareOf([seen]);
-  if (failedShare >= FAILED_SHARE && failedShareOf(others) <= failedShare * OTHERS_FAILED_FACTOR) {
+  const failedShare = failedShareOf([view]);
+  if (
+    failedShare >= MIN_FAILED_SHARE &&
+    failedShareOf(others) <= failedShare * MAX_OTHERS_FAILED_RATIO
+  ) {
     return 'failing';
   }
-  return isSlow(seen, others) ? 'slow' : undefined;
+  return isSlow(view, others) ? 'slow' : undefined;
 }
 
-/** One that answers more requests than any other is not ill, but has too many of them. */
-function isSlow(seen: FleetView, others: readonly FleetView[]): boolean {
+/** An instance that answers more requests than any other is overloaded, not faulty. */
+function isSlow(view: FleetView, others: readonly FleetView[]): boolean {
   const othersMs = answerMsOf(others);
-  const isLoaded = others.every(({ answered }) => answered < seen.answered);
-  const slowMs = Math.max(othersMs * SLOW_FACTOR, othersMs + SLOW_BY_MS);
-  return othersMs > 0 && seen.answerMs >= slowMs && !isLoaded;
+  const isMostLoaded = others.every(({ answered }) => answered < view.answered);
+  const slowMs = Math.max(othersMs * MIN_SLOWDOWN_FACTOR, othersMs + MIN_SLOWDOWN_MS);
+  return othersMs > 0 && view.answerMs >= slowMs && !isMostLoaded;
 }
 
 function failedShareOf(views: readonly FleetView[]): number {
--- a/src/direct/fleet-placement.ts
+++ b/src/direct/fleet-placement.ts
@@ -4,7 +4,7 @@
  */
 import type { FleetDigests } from '../core/fleet/fleet-digests.js';
 import type { InstanceObservation } from '../core/fleet/instance-digest.js';
-import type { Expected } from '../core/placement/choice.js';
+import type { TimedCandidate } from '../core/placement/choice.js';
 import type { EjectionEvent } from '../core/placement/ejection.js';
 import { ServicePlacement } from '../core/placement/service-placement.js';
 import type { Milliseconds } from '../core/units.js';
@@ -55,7 +55,7 @@
       const instances = service.readable(at);
       for (const { id } of service.members()) known.add(id);
       if (!this.#isInEffect) continue;
-      for (const event of this.#placementOf(service.name).look(instances, at)) {
+      for (const event of this.#placementOf(service.name).refresh(instances, at)) {
         this.#tell(service.name, event);
       }
     }
@@ -68,7 +68,7 @@
     service: string,
     instances: readonly InstanceRuntime[],
     mayProbe: boolean,
-  ): Expected<InstanceRuntime>[] | undefined {
+  ): TimedCandidate<InstanceRuntime>[] | undefined {
     if (!this.#isInEffect) return undefined;
     return this.#placementOf(service).rank(instances, this.options.now(), mayProbe);
   }
@@ -78,7 +78,7 @@
     if (known !== undefined) return known;
     const { digests, nodeCount, random } = this.options;
     const seenBy = digests.seenBy.bind(digests);
-    const placement = new ServicePlacement({ seenBy, nodeCount, random });
+    const placement = new ServicePlacement({ viewOf: seenBy, nodeCount, random });
     this.#services.set(service, placement);
     return placement;
   }
@@ -87,7 +87,7 @@
     const { counters, logger } = this.options;
     if (type === 'ejected') counters.ejections += 1;
     if (type === 'returned') counters.ejectionsEnded += 1;
-    const { seen, pauseMs, othersAnswerMs } = evidence;
+    const { view: seen, pauseMs, othersAnswerMs } = evidence;
     logger?.info(EVENT_NAMES[type], {
       ...{ service, instance: instanceId, reason },
       ...(type === 'ejected' ? { pauseMs } : {}),
--- a/src/direct/service-runtime.ts
+++ b/src/direct/service-runtime.ts
@@ -2,7 +2,7 @@
 import { connectionsPerOwner, RESERVED_CONNECTIONS } from '../core/ownership/connection-sharing.js';
 import type { OwnerRoster } from '../core/ownership/owner-roster.js';
 import { UNSETTLED_SHARE, unsettledConnections } from '../core/ownership/unsettled-share.js';
-import type { PlacedInstance } from '../core/placement/expected-time.js';
+import type { ReadCandidate } from '../core/placement/expected-time.js';
 import type { Position } from '../core/position.js';
 import { isOtherLife } from '../core/promotion/lives.js';
 import { rankInstances } from '../core/statements/instance-choice.js';
@@ -68,7 +68,7 @@
 }
 
 /** One instance with its pool, as a candidate for reads. */
-export interface InstanceRuntime extends PlacedInstance {
+export interface InstanceRuntime extends ReadCandidate {
   readonly pool: InstancePool;
   /** Whether it may get new work. */
   isUsable(now: Milliseconds): boolean;
--- a/test/support/placement-fleet.ts
+++ b/test/support/placement-fleet.ts
@@ -119,7 +119,7 @@
   const nodes: Node[] = Array.from({ length: nodeCount }, (_, index) => {
     const digests = new FleetDigests();
     const seenBy = digests.seenBy.bind(digests);
-    const options = { seenBy, nodeCount: () => nodeCount, random };
+    const options = { viewOf: seenBy, nodeCount: () => nodeCount, random };
     return {
       ...{
         name: `n${index}`,
@@ -226,7 +226,7 @@
   };
   const look = (node: Node): void => {
     for (const [service, placement] of node.placements.entries()) {
-      placement.look(loadsOf(node, groups[service] ?? []), now);
+      placement.refresh(loadsOf(node, groups[service] ?? []), now);
     }
     at(now + LOOK_MS, () => look(node));
   };
--- a/test/unit/ejection.test.ts
+++ b/test/unit/ejection.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { FleetView } from '../../src/core/fleet/instance-digest.js';
-import { Ejections, FIRST_PAUSE_MS } from '../../src/core/placement/ejection.js';
+import { Ejections, FIRST_EJECTION_MS } from '../../src/core/placement/ejection.js';
 
 const NODES = 10;
 /** A fleet of ten sends one request in so long to an instance in probation; each node a tenth of them. */
@@ -25,7 +25,7 @@
 
 /** A service by what is seen of its instances, named in their order. */
 function serviceOf(...views: readonly (FleetView | undefined)[]) {
-  return views.map((seen, index) => ({ id: `i-${index}`, seen, recent: seen }));
+  return views.map((seen, index) => ({ id: `i-${index}`, current: seen, recent: seen }));
 }
 
 function typesOf(events: readonly { readonly type: string; readonly instanceId: string }[]) {
@@ -57,7 +57,7 @@
 });
 
 test('one that gets few requests is judged by the last seconds', () => {
-  const instances = serviceOf(WELL, SLOW, WELL).map((one) => ({ ...one, seen: undefined }));
+  const instances = serviceOf(WELL, SLOW, WELL).map((one) => ({ ...one, current: undefined }));
   assert.equal(typesOf(ejections().evaluate(instances, 0)), ['i-1 ejected']);
 });
 
@@ -81,18 +81,18 @@
 test('after its pause it gets few probes, and is back once they are answered well', () => {
   const group = ejections();
   group.evaluate(serviceOf(WELL, SLOW, WELL), 0);
-  assert.not(group.takeProbe('i-1', FIRST_PAUSE_MS - 1));
-  assert.equal(group.evaluate(serviceOf(WELL, undefined, WELL), FIRST_PAUSE_MS - 1), []);
-  const due = group.evaluate(serviceOf(WELL, undefined, WELL), FIRST_PAUSE_MS);
+  assert.not(group.takeProbe('i-1', FIRST_EJECTION_MS - 1));
+  assert.equal(group.evaluate(serviceOf(WELL, undefined, WELL), FIRST_EJECTION_MS - 1), []);
+  const due = group.evaluate(serviceOf(WELL, undefined, WELL), FIRST_EJECTION_MS);
   assert.equal(typesOf(due), ['i-1 probation']);
-  assert.ok(group.takeProbe('i-1', FIRST_PAUSE_MS));
-  assert.not(group.takeProbe('i-1', FIRST_PAUSE_MS + PROBE_INTERVAL_MS - 1));
-  assert.ok(group.takeProbe('i-1', FIRST_PAUSE_MS + PROBE_INTERVAL_MS));
+  assert.ok(group.takeProbe('i-1', FIRST_EJECTION_MS));
+  assert.not(group.takeProbe('i-1', FIRST_EJECTION_MS + PROBE_INTERVAL_MS - 1));
+  assert.ok(group.takeProbe('i-1', FIRST_EJECTION_MS + PROBE_INTERVAL_MS));
   const few = serviceOf(WELL, viewOf({ answered: 0.5 }), WELL);
-  assert.equal(group.evaluate(few, FIRST_PAUSE_MS + 2600), []);
+  assert.equal(group.evaluate(few, FIRST_EJECTION_MS + 2600), []);
   assert.ok(group.isEjected('i-1'));
   const enough = serviceOf(WELL, viewOf({ answered: 4 }), WELL);
-  assert.equal(typesOf(group.evaluate(enough, FIRST_PAUSE_MS + 2700)), ['i-1 returned']);
+  assert.equal(typesOf(group.evaluate(enough, FIRST_EJECTION_MS + 2700)), ['i-1 returned']);
   assert.not(group.isEjected('i-1'));
 });
 
@@ -112,7 +112,7 @@
     group.evaluate(serviceOf(WELL, WELL, WELL), now);
     now += 500;
   }
-  const first = FIRST_PAUSE_MS;
+  const first = FIRST_EJECTION_MS;
   assert.equal(pauses, [first, first * 2, first * 4, Math.min(20_000, first * 8)]);
   group.evaluate(serviceOf(WELL, WELL, WELL), now);
   assert.is(group.evaluate(service, now + 60_000)[0]?.pauseMs, first);
@@ -121,7 +121,7 @@
 test('an instance that is gone is forgotten', () => {
   const group = ejections();
   group.evaluate(serviceOf(WELL, SLOW, WELL), 0);
-  group.evaluate([{ id: 'i-0', seen: WELL, recent: WELL }], 100);
+  group.evaluate([{ id: 'i-0', current: WELL, recent: WELL }], 100);
   assert.is(group.count, 0);
 });
 
--- a/test/unit/placement.test.ts
+++ b/test/unit/placement.test.ts
@@ -2,11 +2,11 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { FleetView } from '../../src/core/fleet/instance-digest.js';
-import { placeRead } from '../../src/core/placement/choice.js';
+import { rankForRead } from '../../src/core/placement/choice.js';
 import {
-  expectedMs,
-  type PlacedInstance,
-  usualAnswerMs,
+  baselineAnswerMs,
+  estimateReadMs,
+  type ReadCandidate,
 } from '../../src/core/placement/expected-time.js';
 import { ServicePlacement } from '../../src/core/placement/service-placement.js';
 import { seededRandom } from '../support/random.js';
@@ -14,7 +14,7 @@
 const NOW = 1000;
 const SAMPLES = 4000;
 
-function instanceOf(changes: Partial<PlacedInstance> = {}): PlacedInstance {
+function instanceOf(changes: Partial<ReadCandidate> = {}): ReadCandidate {
   return {
     ...{ id: 'i-1', sameZone: true, primary: false, slots: 4 },
     ...{ outstanding: 0, answerMs: 10, avoidUntil: 0 },
@@ -29,8 +29,8 @@
   };
 }
 
-function timeOf(changes: Partial<PlacedInstance>, seen?: Partial<FleetView>): number {
-  return expectedMs(instanceOf(changes), seen && viewOf(seen), 10, NOW);
+function timeOf(changes: Partial<ReadCandidate>, seen?: Partial<FleetView>): number {
+  return estimateReadMs(instanceOf(changes), seen && viewOf(seen), 10, NOW);
 }
 
 test('each thing that makes an answer later makes the expected time longer', () => {
@@ -62,8 +62,8 @@
     instanceOf({ id: 'primary', primary: true, answerMs: 3 }),
   ];
   const seenOf = new Map([['quick', viewOf({ answerMs: 11 })]]);
-  assert.is(usualAnswerMs(instances, seenOf), 11);
-  assert.is(expectedMs(instanceOf({ answerMs: 500 }), undefined, 11, NOW), 11);
+  assert.is(baselineAnswerMs(instances, seenOf), 11);
+  assert.is(estimateReadMs(instanceOf({ answerMs: 500 }), undefined, 11, NOW), 11);
 });
 
 /** How often each is chosen. */
@@ -75,7 +75,7 @@
   }));
   const counts = times.map(() => 0);
   for (let read = 0; read < SAMPLES; read += 1) {
-    const index = placeRead(candidates, random)[0]?.candidate.index ?? 0;
+    const index = rankForRead(candidates, random)[0]?.candidate.index ?? 0;
     counts[index] = (counts[index] ?? 0) + 1;
   }
   return counts.map((count) => count / SAMPLES);
@@ -106,12 +106,12 @@
     ['i-2', viewOf()],
   ]);
   const placement = new ServicePlacement({
-    seenBy: (id) => views.get(id),
+    viewOf: (id) => views.get(id),
     nodeCount: () => 1,
     random: seededRandom(3),
   });
   const loads = ['i-1', 'i-0', 'i-2'].map((id) => instanceOf({ id, sameZone: id === 'i-1' }));
-  const [event] = placement.look(loads, 0);
+  const [event] = placement.refresh(loads, 0);
   assert.is(event?.type, 'ejected');
   for (let read = 0; read < 100; read += 1) {
     assert.is(placement.rank(loads, 1, true)[2]?.candidate.id, 'i-1');
