--- a/src/core/admission/queue-order.ts
+++ b/src/core/admission/queue-order.ts
@@ -3,7 +3,7 @@
  * those that can still be answered in their aim before late ones, then the tenant that holds the least for its
  * weight, then whoever must start the soonest. No I/O and no clock.
  */
-import { loadOf } from '../statements/fair-queue.js';
+import { weightedLoad } from '../statements/fair-queue.js';
 import type { Milliseconds } from '../units.js';
 
 /** A statement that waits, as its place in the order depends on it. */
@@ -35,7 +35,7 @@
   if (left.priority !== right.priority) return left.priority < right.priority;
   const isLeftLate = isLate(left, view);
   if (isLeftLate !== isLate(right, view)) return !isLeftLate;
-  const difference = loadOf(left, view.held) - loadOf(right, view.held);
+  const difference = weightedLoad(left, view.held) - weightedLoad(right, view.held);
   if (difference !== 0) return difference < 0;
   return left.aimAt < right.aimAt;
 }
--- a/src/core/statements/busy-pace.ts
+++ b/src/core/statements/busy-pace.ts
@@ -1,53 +1,53 @@
 /**
- * How fast a node starts statements at an instance that refuses them since all its slots are busy. Each
- * refusal costs the instance time too: a fleet that keeps asking leaves it none for work. The pause between
- * starts doubles with refusals and shrinks with answers, so that about a quarter is refused in the end. No I/O.
+ * Paces the statements that a node starts at an instance which refuses them because all its slots are busy. Each
+ * refusal costs the instance time too: a fleet that retries without a pause leaves it no time for work. The
+ * interval between starts doubles with refusals and shrinks with answers, so that about a quarter of the
+ * statements is refused in equilibrium. No I/O.
  */
 import type { Milliseconds } from '../units.js';
 
-const FIRST_INTERVAL_MS: Milliseconds = 20;
-/** A shorter pause is none. */
-const LEAST_INTERVAL_MS: Milliseconds = 8;
-const GROWTH = 2;
-const SHRINKAGE = 0.8;
-/** Starts a second that all nodes together are left at least: an instance that refuses for no load gets them. */
-const LEAST_STARTS_PER_SECOND = 100;
+const INITIAL_INTERVAL_MS: Milliseconds = 20;
+/** A shorter interval is treated as 0. */
+const MIN_INTERVAL_MS: Milliseconds = 8;
+const GROWTH_FACTOR = 2;
+const SHRINK_FACTOR = 0.8;
+/** The fleet as a whole always keeps this rate, so that an instance that refuses without load still gets statements. */
+const MIN_FLEET_STARTS_PER_SECOND = 100;
 const MILLISECONDS_PER_SECOND = 1000;
 
 export class BusyPace {
   #intervalMs: Milliseconds = 0;
-  #grownAt: Milliseconds = Number.NEGATIVE_INFINITY;
-  #startedAt: Milliseconds = Number.NEGATIVE_INFINITY;
+  #lastGrownAt: Milliseconds = Number.NEGATIVE_INFINITY;
+  #lastStartAt: Milliseconds = Number.NEGATIVE_INFINITY;
 
-  /** Pause between starts; 0 while there is none. */
+  /** Interval between starts; 0 while starts are not paced. */
   get intervalMs(): Milliseconds {
     return this.#intervalMs;
   }
 
-  /** When the next statement may start. */
   get nextStartAt(): Milliseconds {
-    return this.#startedAt + this.#intervalMs;
+    return this.#lastStartAt + this.#intervalMs;
   }
 
   mayStart(now: Milliseconds): boolean {
     return this.#intervalMs === 0 || now >= this.nextStartAt;
   }
 
-  noteStart(now: Milliseconds): void {
-    this.#startedAt = now;
+  recordStart(now: Milliseconds): void {
+    this.#lastStartAt = now;
   }
 
-  /** The instance refused. Refusals of statements that ran together count once. */
-  noteBusy(now: Milliseconds, nodeCount: number): void {
-    if (now - this.#grownAt < Math.max(FIRST_INTERVAL_MS, this.#intervalMs)) return;
-    this.#grownAt = now;
-    const longest = (MILLISECONDS_PER_SECOND * nodeCount) / LEAST_STARTS_PER_SECOND;
-    const grown = Math.max(FIRST_INTERVAL_MS, this.#intervalMs * GROWTH);
-    this.#intervalMs = Math.min(Math.max(longest, FIRST_INTERVAL_MS), grown);
+  /** Records a refusal. Refusals within one interval, of statements that were sent together, count once. */
+  recordBusy(now: Milliseconds, nodeCount: number): void {
+    if (now - this.#lastGrownAt < Math.max(INITIAL_INTERVAL_MS, this.#intervalMs)) return;
+    this.#lastGrownAt = now;
+    const maximumMs = (MILLISECONDS_PER_SECOND * nodeCount) / MIN_FLEET_STARTS_PER_SECOND;
+    const grownMs = Math.max(INITIAL_INTERVAL_MS, this.#intervalMs * GROWTH_FACTOR);
+    this.#intervalMs = Math.min(Math.max(maximumMs, INITIAL_INTERVAL_MS), grownMs);
   }
 
-  noteServed(): void {
-    const shorter = this.#intervalMs * SHRINKAGE;
-    this.#intervalMs = shorter < LEAST_INTERVAL_MS ? 0 : shorter;
+  recordServed(): void {
+    const shrunkMs = this.#intervalMs * SHRINK_FACTOR;
+    this.#intervalMs = shrunkMs < MIN_INTERVAL_MS ? 0 : shrunkMs;
   }
 }
--- a/src/core/statements/fair-queue.ts
+++ b/src/core/statements/fair-queue.ts
@@ -1,89 +1,89 @@
 /**
- * Who waits for a connection, and who gets the next: the highest priority first, then the tenant that
- * holds the fewest for its weight, then whoever came first. So a tenant that floods an instance waits
- * behind its own requests, not in front of others.
+ * Queue of requests that wait for a connection. The next one is that of the highest priority, then that of the
+ * tenant which holds the fewest connections for its weight, then the oldest. So a tenant that floods an instance
+ * waits behind its own requests and doesn't delay others.
  */
 
 export interface QueuedRequest {
   readonly tenant: string;
   /** 0 is the highest. */
   readonly priority: number;
-  /** Connections of a tenant count the less, the greater this is; more than 0. */
+  /** Divides the number of connections that the tenant holds; greater than 0. */
   readonly weight: number;
-  /** Requests that its tenant may have waiting. */
+  /** Maximum number of waiting requests of its tenant. */
   readonly maxWaiting: number;
 }
 
 export class FairQueue<Request extends QueuedRequest> {
   #requests: Request[] = [];
-  readonly #waiting = new Map<string, number>();
+  readonly #waitingByTenant = new Map<string, number>();
 
   get length(): number {
     return this.#requests.length;
   }
 
-  /** Requests that each tenant has waiting; tenants without any are absent. */
-  get waiting(): ReadonlyMap<string, number> {
-    return this.#waiting;
+  /** Number of waiting requests by tenant; tenants without any are absent. */
+  get waitingByTenant(): ReadonlyMap<string, number> {
+    return this.#waitingByTenant;
   }
 
-  /** Those that wait, in the order in which they came. */
+  /** Waiting requests in order of arrival. */
   get requests(): readonly Request[] {
     return this.#requests;
   }
 
-  /** False if the tenant has too many waiting already; nothing is taken then. */
+  /** Returns false, without adding the request, if its tenant has too many waiting already. */
   push(request: Request): boolean {
-    const waiting = this.#waiting.get(request.tenant) ?? 0;
+    const waiting = this.#waitingByTenant.get(request.tenant) ?? 0;
     if (waiting >= request.maxWaiting) return false;
-    this.#waiting.set(request.tenant, waiting + 1);
+    this.#waitingByTenant.set(request.tenant, waiting + 1);
     this.#requests.push(request);
     return true;
   }
 
-  /** False if it does not wait any more. */
+  /** Returns false if the request is no longer in the queue. */
   remove(request: Request): boolean {
     const index = this.#requests.indexOf(request);
     if (index < 0) return false;
     this.#requests.splice(index, 1);
-    const left = (this.#waiting.get(request.tenant) ?? 1) - 1;
-    if (left > 0) this.#waiting.set(request.tenant, left);
-    else this.#waiting.delete(request.tenant);
+    const remaining = (this.#waitingByTenant.get(request.tenant) ?? 1) - 1;
+    if (remaining > 0) this.#waitingByTenant.set(request.tenant, remaining);
+    else this.#waitingByTenant.delete(request.tenant);
     return true;
   }
 
   /**
-   * Takes the next of those tenants that may hold one more.
-   * @param held how many connections each tenant holds
+   * Removes and returns the next request among tenants that may hold another connection.
+   * @param held number of connections that each tenant holds
    * @param canServe whether there is a connection for this request
-   * @param choose another order than that of this queue, over those that may be served
+   * @param choose replaces the order of this queue among requests that can be served
    */
   takeNext(
     held: ReadonlyMap<string, number>,
     mayHoldMore: (tenant: string) => boolean = () => true,
     canServe: (request: Request) => boolean = () => true,
     choose: (candidates: readonly Request[]) => Request | undefined = (candidates) =>
-      firstOf(candidates, held),
+      selectFirst(candidates, held),
   ): Request | undefined {
-    const permitted = new Set([...this.#waiting.keys()].filter(mayHoldMore));
+    const permittedTenants = new Set([...this.#waitingByTenant.keys()].filter(mayHoldMore));
     const candidates = this.#requests.filter(
-      (request) => permitted.has(request.tenant) && canServe(request),
+      (request) => permittedTenants.has(request.tenant) && canServe(request),
     );
     const next = choose(candidates);
     if (next !== undefined) this.remove(next);
     return next;
   }
 
-  /** Takes all, in the order in which they came. */
+  /** Removes and returns all requests in order of arrival. */
   takeAll(): Request[] {
     const requests = this.#requests;
     this.#requests = [];
-    this.#waiting.clear();
+    this.#waitingByTenant.clear();
     return requests;
   }
 }
 
-function firstOf<Request extends QueuedRequest>(
+function selectFirst<Request extends QueuedRequest>(
   candidates: readonly Request[],
   held: ReadonlyMap<string, number>,
 ): Request | undefined {
@@ -100,11 +100,11 @@
   held: ReadonlyMap<string, number>,
 ): boolean {
   if (left.priority !== right.priority) return left.priority < right.priority;
-  return loadOf(left, held) < loadOf(right, held);
+  return weightedLoad(left, held) < weightedLoad(right, held);
 }
 
-/** What a tenant holds, for its weight. */
-export function loadOf(
+/** Number of connections that a tenant holds, divided by its weight. */
+export function weightedLoad(
   { tenant, weight }: Pick<QueuedRequest, 'tenant' | 'weight'>,
   held: ReadonlyMap<string, number>,
 ): number {
--- a/src/core/statements/instance-choice.ts
+++ b/src/core/statements/instance-choice.ts
@@ -1,28 +1,28 @@
 /**
- * Which instance serves a read that a position already makes safe: the one with the least expected
- * time, where another zone costs extra because traffic between zones is dear.
+ * Ranks instances for a read by expected time, with an extra cost for other zones because traffic between
+ * zones costs money. Consistency is not decided here: the required log position ensures it at any instance.
  */
 import type { Milliseconds } from '../units.js';
 
-/** What this node knows of one instance. */
+/** Load and state of one instance, as this node knows them. */
 export interface InstanceLoad {
   readonly id: string;
   readonly sameZone: boolean;
   readonly primary: boolean;
-  /** Statements of this node at the instance or waiting for a connection to it. */
+  /** Number of statements of this node that run at the instance or wait for a connection to it. */
   readonly outstanding: number;
-  /** Recent time of an answer. */
+  /** Recent answer time. */
   readonly answerMs: Milliseconds;
-  /** Point in time until which it is avoided after a failure. */
+  /** Time until which the instance is avoided after a failure. */
   readonly avoidUntil: Milliseconds;
 }
 
 export interface InstanceChoiceOptions {
   readonly otherZoneCostMs: Milliseconds;
-  /** Keeps the primary free for what only it can do. */
+  /** Keeps the primary free for work that only it can do. */
   readonly primaryCostMs: Milliseconds;
   readonly avoidedCostMs: Milliseconds;
-  /** Part of an answer's time that each outstanding statement adds. */
+  /** Share of the answer time that each outstanding statement adds. */
   readonly outstandingFactor: number;
 }
 
@@ -33,21 +33,21 @@
   outstandingFactor: 0.5,
 };
 
-/** Expected cost of the next statement at an instance; lower is better. */
+/** Expected cost of the next statement at an instance. */
 export function expectedCost(
   load: InstanceLoad,
   now: Milliseconds,
   options = DEFAULT_INSTANCE_CHOICE_OPTIONS,
 ): Milliseconds {
-  const queueing = 1 + load.outstanding * options.outstandingFactor;
-  let cost = load.answerMs * queueing;
+  const queueingFactor = 1 + load.outstanding * options.outstandingFactor;
+  let cost = load.answerMs * queueingFactor;
   if (!load.sameZone) cost += options.otherZoneCostMs;
   if (load.primary) cost += options.primaryCostMs;
   if (load.avoidUntil > now) cost += options.avoidedCostMs;
   return cost;
 }
 
-/** Instances by expected cost, best first. */
+/** Sorts instances by expected cost, best first. */
 export function rankInstances<Load extends InstanceLoad>(
   loads: readonly Load[],
   now: Milliseconds,
--- a/src/core/statements/primary-evidence.ts
+++ b/src/core/statements/primary-evidence.ts
@@ -1,31 +1,32 @@
 /**
- * Proof that a primary was not replaced, without the store: every member of the group answers, and
- * none has the log of a later term. A commit at a later primary would show in that primary's own
- * log; so a read that began before the question was sent misses nothing acknowledged.
+ * Proof that a primary was not replaced, without the coordination store: every member of the group answers, and
+ * none has a log of a later term. A commit at a later primary would show in that primary's own log; so a read
+ * that began before the members were asked misses no acknowledged commit.
  *
- * Not the same as `core/promotion/evidence.ts`: here members tell a position only, by a message that
- * takes no slot, so that all of them must answer and a commit can't be vouched for. There they tell role
- * and term, at the price of a slot each, and some may be silent. This one is tried first.
+ * Differs from `core/promotion/evidence.ts`: here members report only their position, by a message that takes no
+ * slot, so all of them must answer, and the proof does not cover commits. There they report role and term, at the
+ * cost of a slot each, and some need not answer. This proof is tried first.
  */
 import type { Position } from '../position.js';
 import type { Milliseconds } from '../units.js';
 
-/** What one member of the group answered in one round; no position if it did not answer. */
+/** Result of asking one member of the group in one round. */
 export interface MemberAnswer {
   readonly instanceId: string;
+  /** Undefined if the member did not answer. */
   readonly position: Position | undefined;
 }
 
-/** A primary and the term in which it surely was one. */
+/** A primary and a term in which it is known to have led. */
 export interface KnownPrimary {
   readonly instanceId: string;
   readonly term: number;
 }
 
 /**
- * True if the answers of a round prove that the primary was not replaced when it was sent. Its own
- * log must still be of the term in which it was known to lead: a replaced one that follows its
- * successor answers with the later term, as all others do.
+ * True if the answers of a round prove that the primary had not been replaced when the round was sent. The primary's
+ * own log must still be of the term in which it was known to lead: a replaced primary that follows its successor
+ * answers with the later term, as all others do.
  */
 export function provesPrimary(primary: KnownPrimary, answers: readonly MemberAnswer[]): boolean {
   const own = answers.find((answer) => answer.instanceId === primary.instanceId)?.position;
@@ -35,7 +36,7 @@
   );
 }
 
-/** True if a member's log shows that another primary has committed something since. */
+/** True if a member's log shows that another primary has committed since. */
 export function showsLaterTerm(primary: KnownPrimary, answers: readonly MemberAnswer[]): boolean {
   return answers.some(({ position }) => position !== undefined && position.timeline > primary.term);
 }
@@ -45,19 +46,19 @@
   #primaryId: string | undefined;
   #provenAt: Milliseconds = Number.NEGATIVE_INFINITY;
 
-  /** Takes a round's answers; true if they are a proof. */
-  noteRound(
+  /** Records the answers of a round; returns true if they are a proof. */
+  recordRound(
     primary: KnownPrimary,
     sentAt: Milliseconds,
     answers: readonly MemberAnswer[],
   ): boolean {
     if (!provesPrimary(primary, answers)) return false;
-    this.noteProof(primary.instanceId, sentAt);
+    this.recordProof(primary.instanceId, sentAt);
     return true;
   }
 
-  /** Another proof than a round of this kind covers what began by `provenAt`. */
-  noteProof(primaryId: string, provenAt: Milliseconds): void {
+  /** Records a proof of any kind: the primary had not been replaced at `provenAt`. */
+  recordProof(primaryId: string, provenAt: Milliseconds): void {
     if (this.#primaryId !== primaryId) this.#provenAt = Number.NEGATIVE_INFINITY;
     this.#primaryId = primaryId;
     this.#provenAt = Math.max(this.#provenAt, provenAt);
--- a/src/core/statements/session-values.ts
+++ b/src/core/statements/session-values.ts
@@ -1,36 +1,36 @@
 /**
- * Session state that pooling must carry along: values and prepared statements. Says what an instance
- * connection lacks before a session's next statement may run on it.
+ * Session state that has to be moved between pooled connections: values and prepared statements. Plans what an
+ * instance connection needs before a session's next statement may run on it.
  */
 import type { Access } from '../request.js';
 
-/** A prepared statement of a caller, known at instances by a name made from its content. */
+/** A caller's prepared statement; at instances its name is derived from its content. */
 export interface PreparedStatement {
   readonly access: Access;
   readonly shape: string;
-  /** Name at instances: the same for equal content, so that sessions share it. */
+  /** Name at instances; equal for equal content, so that sessions share the statement. */
   readonly sharedName: string;
 }
 
-/** What one session has set. */
+/** Values that one session has set. */
 export interface SessionValues {
   readonly values: ReadonlyMap<string, string>;
 }
 
-/** What one instance connection holds. */
+/** Session state that one instance connection has. */
 export interface ConnectionValues {
   readonly values: ReadonlyMap<string, string>;
   readonly preparedNames: ReadonlySet<string>;
 }
 
-/** Steps before the statement, in order. */
+/** Steps to take before the statement, in this order. */
 export interface SynchronisationPlan {
-  /** Drop all values and prepared statements first. */
+  /** Whether to drop all values and prepared statements first. */
   readonly reset: boolean;
   readonly assignments: readonly (readonly [name: string, value: string])[];
 }
 
-/** What has to be sent so that the connection's values are exactly the session's. */
+/** Plans the steps after which the connection has exactly the session's values. */
 export function planSynchronisation(
   session: ReadonlyMap<string, string>,
   connection: ReadonlyMap<string, string>,
@@ -44,7 +44,7 @@
   return { reset, assignments };
 }
 
-/** Statements that the connection is away from the session: 0 if it fits as it is. */
+/** Number of statements needed to synchronise the connection with the session; 0 if their values are equal. */
 export function synchronisationCost(
   session: ReadonlyMap<string, string>,
   connection: ReadonlyMap<string, string>,
--- a/src/core/statements/session-variables.ts
+++ b/src/core/statements/session-variables.ts
@@ -1,17 +1,17 @@
-/** Values and prepared statements of one session, bounded so that no session exhausts the node. */
+/** Values and prepared statements of one session, limited so that no session exhausts the node's memory. */
 import type { Access } from '../request.js';
 import type { PreparedStatement } from './session-values.js';
 
-/** Names a prepared statement by its content: equal content has one name, whoever prepared it. */
-export type SharedNaming = (access: Access, shape: string) => string;
+/** Derives the name of a prepared statement from its content: equal content has the same name in all sessions. */
+export type SharedNameFactory = (access: Access, shape: string) => string;
 
 export class SessionVariables {
   readonly #values = new Map<string, string>();
   readonly #prepared = new Map<string, PreparedStatement>();
 
-  /** @param maxEntries values, and prepared statements, that the session may hold */
+  /** @param maxEntries limit for values, and separately for prepared statements, of the session */
   constructor(
-    private readonly nameOf: SharedNaming,
+    private readonly sharedNameOf: SharedNameFactory,
     private readonly maxEntries: () => number,
   ) {}
 
@@ -19,17 +19,17 @@
     return this.#values;
   }
 
-  /** False if the session holds too many values. */
+  /** Returns false if the session has too many values. */
   set(name: string, value: string): boolean {
     if (!this.#hasRoom(this.#values, name)) return false;
     this.#values.set(name, value);
     return true;
   }
 
-  /** False if the session holds too many prepared statements. */
+  /** Returns false if the session has too many prepared statements. */
   prepare(name: string, access: Access, shape: string): boolean {
     if (!this.#hasRoom(this.#prepared, name)) return false;
-    this.#prepared.set(name, { access, shape, sharedName: this.nameOf(access, shape) });
+    this.#prepared.set(name, { access, shape, sharedName: this.sharedNameOf(access, shape) });
     return true;
   }
 
@@ -37,7 +37,7 @@
     return this.#prepared.get(name);
   }
 
-  /** False if there is no such statement. */
+  /** Returns false if there is no such statement. */
   deallocate(name: string): boolean {
     return this.#prepared.delete(name);
   }
--- a/src/direct/instance-health.ts
+++ b/src/direct/instance-health.ts
@@ -64,17 +64,17 @@
   /** How long nothing of this kind that was asked has been answered. */
   silentForMs(access: Access): Milliseconds {
     const detector = access === 'write' ? this.#commits : this.#answers;
-    return detector.silentForMs(this.options.now());
+    return detector.silenceMs(this.options.now());
   }
 
   /** A statement was sent; the returned function tells whether it was answered. */
   watchAnswer(access: Access): (answered: boolean) => void {
     const detectors = access === 'write' ? [this.#answers, this.#commits] : [this.#answers];
-    for (const detector of detectors) detector.begin(this.options.now());
+    for (const detector of detectors) detector.recordRequest(this.options.now());
     return (answered) => {
       for (const detector of detectors) {
-        if (answered) detector.answered(this.options.now());
-        else detector.givenUp();
+        if (answered) detector.recordAnswer(this.options.now());
+        else detector.recordAbandoned();
       }
     };
   }
@@ -102,12 +102,12 @@
 
   /** A slot was free for a statement. */
   noteServed(): void {
-    this.pace.noteServed();
+    this.pace.recordServed();
   }
 
   /** The instance refused since all its slots were busy. */
   noteBusy(): void {
-    this.pace.noteBusy(this.options.now(), this.nodeCount);
+    this.pace.recordBusy(this.options.now(), this.nodeCount);
     this.onBusy?.();
     this.options.observe?.({ type: 'refused' });
   }
--- a/src/direct/instance-pool.ts
+++ b/src/direct/instance-pool.ts
@@ -166,7 +166,7 @@
     const observe = (observation: InstanceObservation): void =>
       options.observe?.(this.instance, observation);
     this.health = new InstanceHealth({ ...options, observe });
-    const { waiting } = this.#waiters;
+    const { waitingByTenant: waiting } = this.#waiters;
     this.#holdings = new TenantHoldings(OWN_TENANT, () => this.#supply(), waiting, options.now);
     this.admission = new PoolAdmission({
       rules: options.admissionRules ?? (() => undefined),
@@ -446,7 +446,7 @@
   #give(connection: SocketConnection, request: ConnectionRequest): void {
     const { tenant } = request;
     if (tenant !== OWN_TENANT) {
-      this.health.pace.noteStart(this.options.now());
+      this.health.pace.recordStart(this.options.now());
       this.admission.hold(connection, request);
     }
     this.#hold(connection, tenant);
--- a/src/direct/replica-sampler.ts
+++ b/src/direct/replica-sampler.ts
@@ -31,7 +31,7 @@
    */
   look(service: ServiceRuntime, tellsOthers: boolean): void {
     const { view, now } = this.options;
-    const isDue = this.#absenceOf(service).isDue(now(), service.isPrimaryAway(now()));
+    const isDue = this.#absenceOf(service).shouldQueryReplicas(now(), service.isPrimaryAway(now()));
     if (!isDue || (!tellsOthers && view.liveNodeCount() > LARGEST_FLEET_ASKING)) return;
     void this.#ask(service);
   }
--- a/src/direct/target-chooser.ts
+++ b/src/direct/target-chooser.ts
@@ -2,7 +2,7 @@
 import { laterPosition, type Position } from '../core/position.js';
 import type { Access } from '../core/request.js';
 import { rankInstances } from '../core/statements/instance-choice.js';
-import { LagMemory } from '../core/statements/lag-memory.js';
+import { LaggingReplicas } from '../core/statements/lag-memory.js';
 import type { StatementErrorCode } from '../core/statements/statement.js';
 import type { Milliseconds } from '../core/units.js';
 import type { RouteDescription } from './contract.js';
@@ -65,7 +65,7 @@
 
 export class TargetChooser {
   /** Replicas that lately lacked what a read needed. */
-  readonly lag = new LagMemory();
+  readonly lag = new LaggingReplicas();
 
   constructor(private readonly options: TargetChooserOptions) {}
 
@@ -99,7 +99,7 @@
     const required = requiredPosition(placement, now);
     if (needsPrimary(placement, required)) return this.#primaryTarget(placement, required, now);
     const readable = placement.service.readable(now);
-    const current = readable.filter(({ id }) => !this.lag.isBehind(id, required, now));
+    const current = readable.filter(({ id }) => !this.lag.isLikelyBehind(id, required, now));
     const candidates = current.length > 0 ? current : readable;
     const open = candidates.filter(({ id }) => !excluded.has(id));
     // What an ill instance does to a single read is mended by another one; a transaction would stay there.
@@ -136,8 +136,8 @@
 
   /** Takes whether an instance had the position that was needed there. */
   noteAnswer(instanceId: string, needed: Position, code: StatementErrorCode | undefined): void {
-    if (code === 'lagging') this.lag.noteLagging(instanceId, needed, this.options.now());
-    else if (code === undefined) this.lag.noteServed(instanceId);
+    if (code === 'lagging') this.lag.recordLagging(instanceId, needed, this.options.now());
+    else if (code === undefined) this.lag.recordServed(instanceId);
   }
 
   /** True if the primary is there and answers, and only the proof that it still leads is missing. */
--- a/src/direct/trust-prover.ts
+++ b/src/direct/trust-prover.ts
@@ -116,7 +116,7 @@
     const questions = service.members().map((member) => this.#ask(member, sentAt));
     const answers = await Promise.all(questions);
     const known = { instanceId: primary.id, term };
-    if (evidence.noteRound(known, sentAt, answers)) return { verdict: 'proven', answers };
+    if (evidence.recordRound(known, sentAt, answers)) return { verdict: 'proven', answers };
     if (showsLaterTerm(known, answers)) return { verdict: 'deposed', answers };
     const silent = answers.filter(({ position }) => position === undefined).length;
     if (silent > MAX_SILENT_MEMBERS) return { verdict: 'unknown', answers };
@@ -130,7 +130,7 @@
     evidence: PrimaryEvidence,
   ): Promise<Verdict> {
     if (!(await this.options.confirmPrimary(service.name, primary.id))) return 'unknown';
-    evidence.noteProof(primary.id, sentAt);
+    evidence.recordProof(primary.id, sentAt);
     return 'proven';
   }
 
--- a/test/property/fair-queue.test.ts
+++ b/test/property/fair-queue.test.ts
@@ -112,7 +112,7 @@
   assert.not(queue.push(request('a', 3, 1, bounds)));
   assert.ok(queue.push(request('b', 4, 1, bounds)));
   assert.equal(
-    [...queue.waiting],
+    [...queue.waitingByTenant],
     [
       ['a', 2],
       ['b', 1],
@@ -125,7 +125,7 @@
     [2, 4],
   );
   assert.is(queue.length, 0);
-  assert.is(queue.waiting.size, 0);
+  assert.is(queue.waitingByTenant.size, 0);
 });
 
 test.run();
--- a/test/property/primary-evidence.test.ts
+++ b/test/property/primary-evidence.test.ts
@@ -71,28 +71,28 @@
     { instanceId: 'a', position: { timeline: 2, lsn: 9n } },
     { instanceId: 'b', position: { timeline: 2, lsn: 8n } },
   ];
-  assert.ok(evidence.noteRound(primary('a', 2), 100, answers));
+  assert.ok(evidence.recordRound(primary('a', 2), 100, answers));
   assert.ok(evidence.covers('a', 100));
   assert.not(evidence.covers('a', 101));
   assert.not(evidence.covers('b', 50));
-  assert.ok(evidence.noteRound(primary('b', 2), 120, answers));
+  assert.ok(evidence.recordRound(primary('b', 2), 120, answers));
   assert.not(evidence.covers('a', 100));
 });
 
 test('an instance is stalled only while questions are open and none was answered for long', () => {
   const detector = new StallDetector(THRESHOLD_MS, 2);
   assert.not(detector.isStalled(10_000));
-  detector.begin(1000);
-  detector.begin(1100);
+  detector.recordRequest(1000);
+  detector.recordRequest(1100);
   assert.not(detector.isStalled(1399));
   assert.ok(detector.isStalled(1400));
-  detector.answered(1450);
+  detector.recordAnswer(1450);
   assert.not(detector.isStalled(1500));
   assert.not(detector.isStalled(1850), 'one answer alone may be lost');
-  detector.begin(1860);
+  detector.recordRequest(1860);
   assert.ok(detector.isStalled(1860));
-  detector.givenUp();
-  detector.givenUp();
+  detector.recordAbandoned();
+  detector.recordAbandoned();
   assert.not(detector.isStalled(5000));
 });
 
--- a/test/unit/busy-pace.test.ts
+++ b/test/unit/busy-pace.test.ts
@@ -21,17 +21,17 @@
   for (let now = 0; now < seconds * 1000; now += 1) {
     for (const node of nodes) {
       if (now < node.retryAt || (isPaced && !node.pace.mayStart(now))) continue;
-      node.pace.noteStart(now);
+      node.pace.recordStart(now);
       node.retryAt = now + 15;
       const slot = slots.indexOf(Math.min(...slots));
       const waitMs = Math.max(0, (slots[slot] ?? 0) - now);
       if (waitMs < (WORK_MS * QUEUE) / SLOTS) {
         slots[slot] = now + waitMs + WORK_MS;
         counts.served += 1;
-        node.pace.noteServed();
+        node.pace.recordServed();
       } else {
         counts.refused += 1;
-        node.pace.noteBusy(now, nodeCount);
+        node.pace.recordBusy(now, nodeCount);
       }
     }
   }
@@ -49,20 +49,20 @@
 test('refusals of statements that ran together count once, and answers take the pause away', () => {
   const pace = new BusyPace();
   assert.ok(pace.mayStart(0));
-  for (let count = 0; count < 5; count += 1) pace.noteBusy(100, 68);
+  for (let count = 0; count < 5; count += 1) pace.recordBusy(100, 68);
   assert.is(pace.intervalMs, 20);
-  pace.noteStart(100);
+  pace.recordStart(100);
   assert.not(pace.mayStart(119));
   assert.ok(pace.mayStart(120));
-  pace.noteBusy(121, 68);
+  pace.recordBusy(121, 68);
   assert.is(pace.intervalMs, 40);
-  for (let count = 0; count < 10; count += 1) pace.noteServed();
+  for (let count = 0; count < 10; count += 1) pace.recordServed();
   assert.is(pace.intervalMs, 0);
 });
 
 test('an instance that refuses whatever the load gets a hundred starts a second from the fleet', () => {
   const pace = new BusyPace();
-  for (let now = 0; now < 20_000; now += 1000) pace.noteBusy(now, 6);
+  for (let now = 0; now < 20_000; now += 1000) pace.recordBusy(now, 6);
   assert.is(pace.intervalMs, 60);
 });
 
--- a/test/unit/lag-memory.test.ts
+++ b/test/unit/lag-memory.test.ts
@@ -3,37 +3,37 @@
 import * as assert from 'uvu/assert';
 import type { Position } from '../../src/core/position.js';
 import { statementPause } from '../../src/core/retry/statement-pause.js';
-import { LagMemory } from '../../src/core/statements/lag-memory.js';
+import { LaggingReplicas } from '../../src/core/statements/lag-memory.js';
 
 const at = (lsn: bigint): Position => ({ timeline: 1, lsn });
 
 test('a replica that lacked a position is left alone for it and what comes after it, and for no earlier one', () => {
-  const lag = new LagMemory();
-  assert.not(lag.isBehind('r', at(10n), 0));
-  lag.noteLagging('r', at(10n), 0);
-  assert.ok(lag.isBehind('r', at(10n), 19));
-  assert.ok(lag.isBehind('r', at(11n), 19));
-  assert.not(lag.isBehind('r', at(9n), 19));
-  assert.not(lag.isBehind('r', undefined, 19));
-  assert.not(lag.isBehind('other', at(10n), 19));
-  assert.not(lag.isBehind('r', at(10n), 20));
+  const lag = new LaggingReplicas();
+  assert.not(lag.isLikelyBehind('r', at(10n), 0));
+  lag.recordLagging('r', at(10n), 0);
+  assert.ok(lag.isLikelyBehind('r', at(10n), 19));
+  assert.ok(lag.isLikelyBehind('r', at(11n), 19));
+  assert.not(lag.isLikelyBehind('r', at(9n), 19));
+  assert.not(lag.isLikelyBehind('r', undefined, 19));
+  assert.not(lag.isLikelyBehind('other', at(10n), 19));
+  assert.not(lag.isLikelyBehind('r', at(10n), 20));
 });
 
 test('each time it lacks what was asked it is left alone for longer, and those asked together count once', () => {
-  const lag = new LagMemory();
+  const lag = new LaggingReplicas();
   const holds: number[] = [];
   let now = 0;
   for (let round = 0; round < 7; round += 1) {
-    lag.noteLagging('r', at(10n), now);
-    lag.noteLagging('r', at(10n), now);
+    lag.recordLagging('r', at(10n), now);
+    lag.recordLagging('r', at(10n), now);
     const began = now;
-    while (lag.isBehind('r', at(10n), now)) now += 1;
+    while (lag.isLikelyBehind('r', at(10n), now)) now += 1;
     holds.push(now - began);
   }
   assert.equal(holds, [20, 40, 80, 160, 320, 320, 320]);
-  lag.noteServed('r');
-  lag.noteLagging('r', at(12n), now);
-  assert.not(lag.isBehind('r', at(12n), now + 20));
+  lag.recordServed('r');
+  lag.recordLagging('r', at(12n), now);
+  assert.not(lag.isLikelyBehind('r', at(12n), now + 20));
 });
 
 test('a statement pauses longer with each refusal, up to a part of its aim', () => {
