--- a/src/core/group/database-group.ts
+++ b/src/core/group/database-group.ts
@@ -218,7 +218,7 @@
     const leaving = this.context.instances.get(run.instance)?.leaving === true;
     if (leaving && !run.onPrimary) {
       this.completion.resetFailed(run, now);
-      this.context.pool.giveBack(id, now, this.context.effects);
+      this.context.pool.release(id, now, this.context.effects);
       return;
     }
     this.context.pool.table.setStatus(connection, 'running');
@@ -256,7 +256,7 @@
     for (const knowledge of monitor.topology.instances.values()) {
       if (knowledge.reachability === 'reachable') reachable.push(knowledge.name);
     }
-    pool.keepSpares(reachable, this.intake.recentlyUsedKeys(now), now, effects);
+    pool.openMinIdleConnections(reachable, this.intake.recentlyUsedKeys(now), now, effects);
   }
 }
 
@@ -273,10 +273,10 @@
     admission,
     monitor: new InstanceMonitor(options, timing),
     pool: new ConnectionPool({
-      warmSpares: bounds.warmSpares,
+      minIdleConnectionsPerRole: bounds.warmSpares,
       idleTimeoutMs: bounds.idleConnectionTimeoutMs,
       openBackoffBaseMs: timing.retryBackoffBaseMs,
-      openBackoffCapMs: timing.retryBackoffCapMs,
+      openBackoffMaxMs: timing.retryBackoffCapMs,
       enforceBudget: !options.without?.has('connection-budget'),
       random: options.random,
     }),
--- a/src/core/group/dispatch-pass.ts
+++ b/src/core/group/dispatch-pass.ts
@@ -1,5 +1,10 @@
 /** What stays the same for all requests that are offered in one pass of the dispatcher. */
-import { type ConnectionKey, keyOf, keyText, type PooledConnection } from '../pool/connections.js';
+import {
+  type ConnectionKey,
+  connectionKeyOf,
+  keyText,
+  type PooledConnection,
+} from '../pool/connections.js';
 import type { InstanceName } from '../request.js';
 import type { ReplicaCandidate } from '../routing/select.js';
 import type { Milliseconds } from '../units.js';
@@ -37,7 +42,7 @@
   connectionFor(entry: QueueEntry, instance: InstanceDescription): PooledConnection | undefined {
     const connection = this.context.pool.findIdle(instance.name, entry.request);
     if (connection !== undefined) return connection;
-    const key = keyOf(entry.request);
+    const key = connectionKeyOf(entry.request);
     const id = `${instance.name}\0${keyText(key)}`;
     const demand = this.demands.get(id);
     if (demand === undefined) this.demands.set(id, { instance: instance.name, key, count: 1 });
@@ -51,7 +56,7 @@
     for (const { instance, key, count } of this.demands.values()) {
       const slots = instances.get(instance)?.slots ?? 0;
       const wanted = pool.table.busyCountOf(instance, key) + Math.min(count, slots);
-      pool.ensure(instance, key, wanted, this.now, effects);
+      pool.ensureConnections(instance, key, wanted, this.now, effects);
     }
   }
 }
--- a/src/core/group/intake.ts
+++ b/src/core/group/intake.ts
@@ -3,7 +3,7 @@
  * without having run. Everything refused here is provably not run.
  */
 import { NotRunError } from '../errors.js';
-import { type ConnectionKey, keyOf, keyText } from '../pool/connections.js';
+import { type ConnectionKey, connectionKeyOf, keyText } from '../pool/connections.js';
 import type { GroupRequest, RequestId } from '../request.js';
 import { SessionPositionLostError } from '../session/errors.js';
 import type { Milliseconds } from '../units.js';
@@ -175,7 +175,7 @@
   }
 
   private rememberKey(request: GroupRequest, now: Milliseconds): void {
-    const key = keyOf(request);
+    const key = connectionKeyOf(request);
     const id = keyText(key);
     const known = this.recentKeys.get(id);
     if (known === undefined) this.recentKeys.set(id, { key, lastUsedAt: now });
--- a/src/core/group/run-release.ts
+++ b/src/core/group/run-release.ts
@@ -16,7 +16,7 @@
       loads.recordServiceTime(run.instance, tenant, now - run.dispatchedAt);
     }
     this.releaseLoad(run);
-    if (!isLost) pool.giveBack(run.connectionId, now, effects);
+    if (!isLost) pool.release(run.connectionId, now, effects);
     else if (pool.table.remove(run.connectionId) !== undefined) {
       monitor.recordConnectionError(run.instance);
     }
--- a/src/core/placement/answer-time-estimates.ts
+++ b/src/core/placement/answer-time-estimates.ts
@@ -23,8 +23,8 @@
   estimate(instanceId: string, usualMs: Milliseconds, now: Milliseconds): Milliseconds {
     const recorded = this.#recorded.get(instanceId);
     if (recorded === undefined) return usualMs;
-    const remainingShare = 0.5 ** ((now - recorded.recordedAt) / HALF_LIFE_MS);
-    return usualMs + (recorded.answerMs - usualMs) * remainingShare;
+    const remainingFraction = 0.5 ** ((now - recorded.recordedAt) / HALF_LIFE_MS);
+    return usualMs + (recorded.answerMs - usualMs) * remainingFraction;
   }
 
   retainOnly(instanceIds: ReadonlySet<string>): void {
--- a/src/core/placement/ejection.ts
+++ b/src/core/placement/ejection.ts
@@ -11,9 +11,9 @@
 const MIN_OBSERVATIONS = 6;
 /** Fewer than outside of probation, since an instance in probation gets few requests. */
 const MIN_PROBE_OBSERVATIONS = 1;
-/** Callers retry and so get over a smaller share of failures; from this share on most of them are affected. */
-const MIN_FAILED_SHARE = 0.3;
-/** An instance counts as failing only if the failed share of the others is at most this part of its own. */
+/** Callers retry and so get over a smaller fraction of failures; from this fraction on most of them are affected. */
+const MIN_FAILED_FRACTION = 0.3;
+/** An instance counts as failing only if the failed fraction of the others is at most this part of its own. */
 const MAX_OTHERS_FAILED_RATIO = 1 / 3;
 const MIN_SLOWDOWN_FACTOR = 3.5;
 /** A smaller difference is not noticed by callers. */
@@ -24,7 +24,7 @@
 /** An instance that returned at least this long ago is next ejected for as long as the first time. */
 const EJECTION_HISTORY_TTL_MS: Milliseconds = 20_000;
 /** The nodes of the fleet together send an instance in probation one request per interval. */
-const FLEET_PROBE_INTERVAL_MS: Milliseconds = 250;
+const FLEET_PROBE_PERIOD_MS: Milliseconds = 250;
 
 /** What an instance is judged by. */
 export interface HealthEvidence {
@@ -162,7 +162,7 @@
   }
 
   #nodeProbeIntervalMs(): Milliseconds {
-    return FLEET_PROBE_INTERVAL_MS * Math.max(1, this.options.nodeCount());
+    return FLEET_PROBE_PERIOD_MS * Math.max(1, this.options.nodeCount());
   }
 
   #removeAbsent(instances: readonly HealthEvidence[]): void {
@@ -186,10 +186,10 @@
   others: readonly FleetView[],
 ): EjectionReason | undefined {
   if (others.length === 0) return undefined;
-  const failedShare = failedShareOf([view]);
+  const failedFraction = failedFractionOf([view]);
   if (
-    failedShare >= MIN_FAILED_SHARE &&
-    failedShareOf(others) <= failedShare * MAX_OTHERS_FAILED_RATIO
+    failedFraction >= MIN_FAILED_FRACTION &&
+    failedFractionOf(others) <= failedFraction * MAX_OTHERS_FAILED_RATIO
   ) {
     return 'failing';
   }
@@ -204,7 +204,7 @@
   return othersMs > 0 && view.answerMs >= slowMs && !isMostLoaded;
 }
 
-function failedShareOf(views: readonly FleetView[]): number {
+function failedFractionOf(views: readonly FleetView[]): number {
   const observed = views.reduce((sum, view) => sum + observationsOf(view), 0);
   return observed === 0 ? 0 : views.reduce((sum, { failed }) => sum + failed, 0) / observed;
 }
--- a/src/core/placement/expected-time.ts
+++ b/src/core/placement/expected-time.ts
@@ -20,7 +20,7 @@
   readonly primaryFactor: number;
   /** Added to `primaryFactor` for a primary whose slots are all in use, and in proportion for a part of them. */
   readonly busyPrimaryFactor: number;
-  /** Share of the answer time that each outstanding statement of this node adds. */
+  /** Fraction of the answer time that each outstanding statement of this node adds. */
   readonly outstandingFactor: number;
   /** Time that a refusal costs the caller: a pause and a retry. */
   readonly refusalCostMs: Milliseconds;
@@ -100,7 +100,7 @@
   return (observedMs * observed + priorMs * PRIOR_OBSERVATIONS) / (observed + PRIOR_OBSERVATIONS);
 }
 
-/** Share of the instance's slots that the observers keep in use. */
+/** Fraction of the instance's slots that the observers keep in use. */
 function slotUtilisation(view: FleetView | undefined, slots: number): number {
   if (view === undefined || slots <= 0) return 0;
   return Math.min(1, (view.answered * view.answerMs) / (slots * MILLISECONDS_PER_SECOND));
--- a/src/core/placement/service-placement.ts
+++ b/src/core/placement/service-placement.ts
@@ -12,8 +12,8 @@
   type ReadCandidate,
 } from './expected-time.js';
 
-/** Views of successive refreshes overlap: only this share of a view's observations is new. */
-const NEW_OBSERVATION_SHARE = 0.2;
+/** Views of successive refreshes overlap: only this fraction of a view's observations is new. */
+const NEW_OBSERVATION_FRACTION = 0.2;
 
 export interface ServicePlacementOptions {
   /** The fleet's present view of an instance. */
@@ -46,7 +46,7 @@
     for (const { id } of instances) {
       const view = this.options.viewOf(id, now);
       if (view !== undefined) this.#views.set(id, view);
-      this.#recentViewOf(id).add(view, NEW_OBSERVATION_SHARE, now);
+      this.#recentViewOf(id).add(view, NEW_OBSERVATION_FRACTION, now);
     }
     this.#updateAnswerTimes(instances, now);
     const evidence = instances.map(({ id }) => ({
@@ -72,7 +72,7 @@
       const priorMs = this.#answerTimes.estimate(id, usualMs, now);
       this.#answerTimes.record(
         id,
-        estimateObservedMs(scaled(view, NEW_OBSERVATION_SHARE), priorMs),
+        estimateObservedMs(scaled(view, NEW_OBSERVATION_FRACTION), priorMs),
         now,
       );
     }
--- a/src/core/pool/connections.ts
+++ b/src/core/pool/connections.ts
@@ -1,53 +1,51 @@
-/** Back-end connections of one owner to one group: a table of them by instance, role and database. */
+/** Table of one owner's back-end connections to one database group, by instance, role and database. */
 import type { ConnectionId } from '../group/contract.js';
 import type { DatabaseRole, GroupRequest, InstanceName, TenantName } from '../request.js';
 import type { Milliseconds } from '../units.js';
 
-/** What a connection can be used for. */
+/** Connections with the same key can serve the same requests. */
 export interface ConnectionKey {
   readonly databaseRole: DatabaseRole;
   readonly database: string;
 }
 
-/** What a connection is doing. */
 export type ConnectionStatus = 'opening' | 'idle' | 'resetting' | 'running';
 
-/** One connection. */
 export interface PooledConnection {
   readonly id: ConnectionId;
   readonly instance: InstanceName;
   readonly key: ConnectionKey;
-  /** Changed through {@link ConnectionTable.setStatus} only. */
+  /** Changed by {@link ConnectionTable.setStatus} only. */
   status: ConnectionStatus;
-  /** Tenant that used it last; undefined if it is fresh. */
+  /** Tenant that used the connection last; undefined if none has. */
   lastTenant: TenantName | undefined;
   idleSince: Milliseconds;
 }
 
-/** A key as text, unique: neither part can contain a zero byte in PostgreSQL. */
+/** Unique text of a key: neither part can contain a zero byte in PostgreSQL. */
 export function keyText(key: ConnectionKey): string {
   return `${key.databaseRole}\0${key.database}`;
 }
 
-/** The key under which a request's connections are found. */
-export function keyOf(request: GroupRequest): ConnectionKey {
+/** Key of the connections that can serve a request. */
+export function connectionKeyOf(request: GroupRequest): ConnectionKey {
   return { databaseRole: request.databaseRole, database: request.database };
 }
 
-/** Connections to one instance under one key. */
-interface ConnectionGroup {
+/** Connections to one instance that have the same key. */
+interface ConnectionSet {
   /** In the order in which they became idle. */
   readonly idle: Set<PooledConnection>;
   total: number;
   opening: number;
 }
 
-/** All connections, opening ones included. */
+/** Contains all connections, including those that are being opened. */
 export class ConnectionTable {
   private readonly connections = new Map<ConnectionId, PooledConnection>();
-  private readonly groups = new Map<InstanceName, Map<string, ConnectionGroup>>();
-  private readonly totals = new Map<InstanceName, number>();
-  private count = 0;
+  private readonly setsByInstance = new Map<InstanceName, Map<string, ConnectionSet>>();
+  private readonly totalByInstance = new Map<InstanceName, number>();
+  private createdCount = 0;
 
   get(id: ConnectionId): PooledConnection | undefined {
     return this.connections.get(id);
@@ -58,9 +56,9 @@
   }
 
   add(instance: InstanceName, key: ConnectionKey, now: Milliseconds): PooledConnection {
-    this.count += 1;
+    this.createdCount += 1;
     const connection: PooledConnection = {
-      id: `c${this.count}`,
+      id: `c${this.createdCount}`,
       instance,
       key,
       status: 'opening',
@@ -68,10 +66,10 @@
       idleSince: now,
     };
     this.connections.set(connection.id, connection);
-    const group = this.groupOf(instance, key);
-    group.total += 1;
-    group.opening += 1;
-    this.totals.set(instance, this.countOf(instance) + 1);
+    const connectionSet = this.getOrCreateSet(instance, key);
+    connectionSet.total += 1;
+    connectionSet.opening += 1;
+    this.totalByInstance.set(instance, this.countOf(instance) + 1);
     return connection;
   }
 
@@ -80,58 +78,60 @@
     if (connection === undefined) return undefined;
     this.connections.delete(id);
     const { instance, key } = connection;
-    const group = this.groupOf(instance, key);
-    group.idle.delete(connection);
-    group.total -= 1;
-    if (connection.status === 'opening') group.opening -= 1;
-    if (group.total === 0) this.groups.get(instance)?.delete(keyText(key));
-    this.totals.set(instance, this.countOf(instance) - 1);
+    const connectionSet = this.getOrCreateSet(instance, key);
+    connectionSet.idle.delete(connection);
+    connectionSet.total -= 1;
+    if (connection.status === 'opening') connectionSet.opening -= 1;
+    if (connectionSet.total === 0) this.setsByInstance.get(instance)?.delete(keyText(key));
+    this.totalByInstance.set(instance, this.countOf(instance) - 1);
     return connection;
   }
 
   setStatus(connection: PooledConnection, status: ConnectionStatus): void {
-    const group = this.groupOf(connection.instance, connection.key);
-    if (connection.status === 'opening') group.opening -= 1;
-    if (status === 'opening') group.opening += 1;
-    group.idle.delete(connection);
-    if (status === 'idle') group.idle.add(connection);
+    const connectionSet = this.getOrCreateSet(connection.instance, connection.key);
+    if (connection.status === 'opening') connectionSet.opening -= 1;
+    if (status === 'opening') connectionSet.opening += 1;
+    connectionSet.idle.delete(connection);
+    if (status === 'idle') connectionSet.idle.add(connection);
     connection.status = status;
   }
 
-  /** Connections to an instance, of a key if given. */
+  /** Number of connections to an instance; only those of a key, if one is given. */
   countOf(instance: InstanceName, key?: ConnectionKey): number {
-    if (key === undefined) return this.totals.get(instance) ?? 0;
-    return this.groups.get(instance)?.get(keyText(key))?.total ?? 0;
+    if (key === undefined) return this.totalByInstance.get(instance) ?? 0;
+    return this.setsByInstance.get(instance)?.get(keyText(key))?.total ?? 0;
   }
 
-  /** Connections of a key that carry a request or are being reset for one. */
+  /** Number of connections of a key that run a request or are being reset for one. */
   busyCountOf(instance: InstanceName, key: ConnectionKey): number {
-    const group = this.groups.get(instance)?.get(keyText(key));
-    return group === undefined ? 0 : group.total - group.opening - group.idle.size;
+    const connectionSet = this.setsByInstance.get(instance)?.get(keyText(key));
+    return connectionSet === undefined
+      ? 0
+      : connectionSet.total - connectionSet.opening - connectionSet.idle.size;
   }
 
-  /** An idle connection for a request: one that the tenant used last, else a fresh one, else any. */
+  /** Finds an idle connection: one that the tenant used last, else one that no tenant has used, else any. */
   findIdle(
     instance: InstanceName,
     key: ConnectionKey,
     tenant: TenantName,
   ): PooledConnection | undefined {
-    const group = this.groups.get(instance)?.get(keyText(key));
+    const connectionSet = this.setsByInstance.get(instance)?.get(keyText(key));
     let best: PooledConnection | undefined;
-    for (const connection of group?.idle ?? []) {
+    for (const connection of connectionSet?.idle ?? []) {
       if (connection.lastTenant === tenant) return connection;
       if (best === undefined || connection.lastTenant === undefined) best = connection;
     }
     return best;
   }
 
-  /** The connection to an instance that has been idle longest, of another key than `except`. */
-  longestIdle(instance: InstanceName, except?: ConnectionKey): PooledConnection | undefined {
+  /** Finds the connection to an instance that has been idle longest, among keys other than `except`. */
+  findLongestIdle(instance: InstanceName, except?: ConnectionKey): PooledConnection | undefined {
     const exceptText = except === undefined ? undefined : keyText(except);
     let oldest: PooledConnection | undefined;
-    for (const [text, group] of this.groups.get(instance) ?? []) {
+    for (const [text, connectionSet] of this.setsByInstance.get(instance) ?? []) {
       if (text === exceptText) continue;
-      const [first] = group.idle;
+      const [first] = connectionSet.idle;
       if (first === undefined) continue;
       if (oldest === undefined || first.idleSince < oldest.idleSince) oldest = first;
     }
@@ -142,14 +142,14 @@
     return this.connections.values();
   }
 
-  private groupOf(instance: InstanceName, key: ConnectionKey): ConnectionGroup {
+  private getOrCreateSet(instance: InstanceName, key: ConnectionKey): ConnectionSet {
     const text = keyText(key);
-    const byKey = this.groups.get(instance) ?? new Map<string, ConnectionGroup>();
-    this.groups.set(instance, byKey);
+    const byKey = this.setsByInstance.get(instance) ?? new Map<string, ConnectionSet>();
+    this.setsByInstance.set(instance, byKey);
     const known = byKey.get(text);
     if (known !== undefined) return known;
-    const group: ConnectionGroup = { idle: new Set(), total: 0, opening: 0 };
-    byKey.set(text, group);
-    return group;
+    const connectionSet: ConnectionSet = { idle: new Set(), total: 0, opening: 0 };
+    byKey.set(text, connectionSet);
+    return connectionSet;
   }
 }
--- a/src/core/pool/pool.ts
+++ b/src/core/pool/pool.ts
@@ -1,6 +1,6 @@
 /**
- * Opens, lends, evicts and closes back-end connections within each instance's budget. Opening is
- * slow, so it opens ahead by demand and keeps spares on instances that may become the primary.
+ * Pool of back-end connections within each instance's connection budget. Opening a connection is slow, so the pool
+ * opens them ahead of demand and keeps idle ones to instances that may become the primary.
  */
 import type { ConnectionId, GroupEffect, InstanceDescription } from '../group/contract.js';
 import type { GroupRequest, InstanceName } from '../request.js';
@@ -9,29 +9,28 @@
 import {
   type ConnectionKey,
   ConnectionTable,
-  keyOf,
+  connectionKeyOf,
   type PooledConnection,
 } from './connections.js';
 
-/** Bounds and times of the pool. */
 export interface PoolOptions {
-  /** Idle connections kept on each replica for each role in use on the primary. */
-  readonly warmSpares: number;
-  /** An idle connection that is not a spare is closed after this long. */
+  /** Idle connections kept to each replica for each role that is in use on the primary. */
+  readonly minIdleConnectionsPerRole: number;
+  /** Connections above the minimum are closed after being idle for this time. */
   readonly idleTimeoutMs: Milliseconds;
   readonly openBackoffBaseMs: Milliseconds;
-  readonly openBackoffCapMs: Milliseconds;
-  /** False only in mutation checks. */
+  readonly openBackoffMaxMs: Milliseconds;
+  /** False only in mutation tests. */
   readonly enforceBudget: boolean;
   readonly random: () => number;
 }
 
 interface OpenBackoff {
   failures: number;
-  until: Milliseconds;
+  endsAt: Milliseconds;
 }
 
-/** Connections of one owner to one group. */
+/** Connections of one owner to one database group. */
 export class ConnectionPool {
   readonly table = new ConnectionTable();
   private instances = new Map<InstanceName, InstanceDescription>();
@@ -39,31 +38,31 @@
 
   constructor(private readonly options: PoolOptions) {}
 
-  /** Takes in new descriptions and closes what no longer fits. */
+  /** Updates the instances and closes idle connections to removed instances or above the budget. */
   setInstances(instances: readonly InstanceDescription[], effects: GroupEffect[]): void {
     this.instances = new Map(instances.map((instance) => [instance.name, instance]));
     for (const connection of [...this.table.all()]) {
-      const gone = !this.instances.has(connection.instance);
-      if (gone && connection.status === 'idle') this.close(connection.id, effects);
+      const isGone = !this.instances.has(connection.instance);
+      if (isGone && connection.status === 'idle') this.close(connection.id, effects);
     }
     for (const instance of instances) this.shrinkToBudget(instance, effects);
   }
 
-  /** Lends an idle connection, or undefined. */
+  /** Finds an idle connection for a request, without changing its status. */
   findIdle(instance: InstanceName, request: GroupRequest): PooledConnection | undefined {
-    return this.table.findIdle(instance, keyOf(request), request.tenant);
+    return this.table.findIdle(instance, connectionKeyOf(request), request.tenant);
   }
 
-  /** Puts a used connection back; closes it if its instance has left or its budget has shrunk. */
-  giveBack(id: ConnectionId, now: Milliseconds, effects: GroupEffect[]): void {
+  /** Makes a used connection idle; closes it if its instance was removed or is above its budget. */
+  release(id: ConnectionId, now: Milliseconds, effects: GroupEffect[]): void {
     const connection = this.table.get(id);
     if (connection === undefined) return;
     this.table.setStatus(connection, 'idle');
     connection.idleSince = now;
     const instance = this.instances.get(connection.instance);
-    const overBudget =
+    const isOverBudget =
       instance === undefined || this.table.countOf(instance.name) > instance.connectionBudget;
-    if (overBudget) this.close(id, effects);
+    if (isOverBudget) this.close(id, effects);
   }
 
   close(id: ConnectionId, effects: GroupEffect[]): void {
@@ -71,8 +70,11 @@
     effects.push({ type: 'close-connection', connectionId: id });
   }
 
-  /** Makes sure that `wanted` connections of a key are open, opening or in use, if budget allows. */
-  ensure(
+  /**
+   * Makes sure that `wanted` connections of a key are open or being opened, as far as the budget allows. Closes idle
+   * connections of other keys to make room.
+   */
+  ensureConnections(
     instanceName: InstanceName,
     key: ConnectionKey,
     wanted: number,
@@ -82,7 +84,7 @@
     const instance = this.instances.get(instanceName);
     if (instance === undefined || this.isBackingOff(instanceName, now)) return;
     let missing = wanted - this.table.countOf(instanceName, key);
-    while (missing > 0 && this.makeRoom(instance, key, effects)) {
+    while (missing > 0 && this.ensureRoom(instance, key, effects)) {
       const connection = this.table.add(instanceName, key, now);
       effects.push({
         type: 'open-connection',
@@ -95,8 +97,8 @@
     }
   }
 
-  /** Opens spares on `instances` for each of `keys`, without evicting anything. */
-  keepSpares(
+  /** Opens the minimum of idle connections to `instances` for each of `keys`, without closing others. */
+  openMinIdleConnections(
     instances: readonly InstanceName[],
     keys: Iterable<ConnectionKey>,
     now: Milliseconds,
@@ -107,10 +109,10 @@
         const instance = this.instances.get(name);
         if (instance === undefined || instance.leaving) continue;
         const room = instance.connectionBudget - this.table.countOf(name);
-        const missing = this.options.warmSpares - this.table.countOf(name, key);
+        const missing = this.options.minIdleConnectionsPerRole - this.table.countOf(name, key);
         if (missing <= 0 || room <= 0) continue;
         const opened = this.table.countOf(name, key) + Math.min(missing, room);
-        this.ensure(name, key, opened, now, effects);
+        this.ensureConnections(name, key, opened, now, effects);
       }
     }
   }
@@ -127,44 +129,44 @@
   recordOpenFailed(id: ConnectionId, now: Milliseconds): PooledConnection | undefined {
     const connection = this.table.remove(id);
     if (connection === undefined) return undefined;
-    const backoff = this.backoffs.get(connection.instance) ?? { failures: 0, until: now };
-    const { openBackoffBaseMs: baseMs, openBackoffCapMs: maximumMs, random } = this.options;
+    const backoff = this.backoffs.get(connection.instance) ?? { failures: 0, endsAt: now };
+    const { openBackoffBaseMs: baseMs, openBackoffMaxMs: maximumMs, random } = this.options;
     const policy = { baseMs, maximumMs };
     const pause = backoffPause(policy, backoff.failures + 1, random(), baseMs);
-    const until = Math.max(backoff.until, now + pause);
-    this.backoffs.set(connection.instance, { failures: backoff.failures + 1, until });
+    const until = Math.max(backoff.endsAt, now + pause);
+    this.backoffs.set(connection.instance, { failures: backoff.failures + 1, endsAt: until });
     return connection;
   }
 
-  /** The instance answers again: new connections may be tried at once. */
+  /** Lets new connections be opened at once, since the instance answers again. */
   clearBackoff(instance: InstanceName): void {
     this.backoffs.delete(instance);
   }
 
   isBackingOff(instance: InstanceName, now: Milliseconds): boolean {
-    return (this.backoffs.get(instance)?.until ?? now) > now;
+    return (this.backoffs.get(instance)?.endsAt ?? now) > now;
   }
 
-  /** When the next back-off ends, if any is running. */
+  /** When the next backoff ends; infinity if none is running. */
   nextBackoffEnd(now: Milliseconds): Milliseconds {
     let earliest = Number.POSITIVE_INFINITY;
     for (const backoff of this.backoffs.values()) {
-      if (backoff.until > now) earliest = Math.min(earliest, backoff.until);
+      if (backoff.endsAt > now) earliest = Math.min(earliest, backoff.endsAt);
     }
     return earliest;
   }
 
-  /** Closes connections that have been idle for long, except spares. */
+  /** Closes connections whose idle timeout has passed, except the minimum of each key. */
   closeIdle(now: Milliseconds, effects: GroupEffect[]): void {
     for (const connection of [...this.table.all()]) {
       if (connection.status !== 'idle') continue;
       if (now - connection.idleSince < this.options.idleTimeoutMs) continue;
-      const sameKind = this.table.countOf(connection.instance, connection.key);
-      if (sameKind > this.options.warmSpares) this.close(connection.id, effects);
+      const sameKeyCount = this.table.countOf(connection.instance, connection.key);
+      if (sameKeyCount > this.options.minIdleConnectionsPerRole) this.close(connection.id, effects);
     }
   }
 
-  private makeRoom(
+  private ensureRoom(
     instance: InstanceDescription,
     key: ConnectionKey,
     effects: GroupEffect[],
@@ -172,7 +174,7 @@
     if (!this.options.enforceBudget) return true;
     if (this.table.countOf(instance.name) < instance.connectionBudget) return true;
     if (this.table.countOf(instance.name) > instance.connectionBudget) return false;
-    const idle = this.table.longestIdle(instance.name, key);
+    const idle = this.table.findLongestIdle(instance.name, key);
     if (idle === undefined) return false;
     this.close(idle.id, effects);
     return true;
@@ -180,7 +182,7 @@
 
   private shrinkToBudget(instance: InstanceDescription, effects: GroupEffect[]): void {
     while (this.table.countOf(instance.name) > instance.connectionBudget) {
-      const idle = this.table.longestIdle(instance.name);
+      const idle = this.table.findLongestIdle(instance.name);
       if (idle === undefined) return;
       this.close(idle.id, effects);
     }
--- a/src/core/statements/instance-choice.ts
+++ b/src/core/statements/instance-choice.ts
@@ -22,7 +22,7 @@
   /** Keeps the primary free for work that only it can do. */
   readonly primaryCostMs: Milliseconds;
   readonly avoidedCostMs: Milliseconds;
-  /** Share of the answer time that each outstanding statement adds. */
+  /** Fraction of the answer time that each outstanding statement adds. */
   readonly outstandingFactor: number;
 }
 
--- a/src/core/statements/primary-absence.ts
+++ b/src/core/statements/primary-absence.ts
@@ -4,7 +4,7 @@
 /** Positions that the primary reported before cover a shorter absence. */
 export const ABSENCE_THRESHOLD_MS: Milliseconds = 500;
 /** How often the replicas are asked during an absence. */
-export const REPLICA_QUERY_INTERVAL_MS: Milliseconds = 400;
+export const REPLICA_QUERY_PERIOD_MS: Milliseconds = 400;
 
 export class PrimaryAbsence {
   #absentSince: Milliseconds | undefined;
@@ -18,7 +18,7 @@
     }
     this.#absentSince ??= now;
     if (now - this.#absentSince < ABSENCE_THRESHOLD_MS) return false;
-    if (now - this.#lastQueryAt < REPLICA_QUERY_INTERVAL_MS) return false;
+    if (now - this.#lastQueryAt < REPLICA_QUERY_PERIOD_MS) return false;
     this.#lastQueryAt = now;
     return true;
   }
--- a/test/unit/primary-absence.test.ts
+++ b/test/unit/primary-absence.test.ts
@@ -3,7 +3,7 @@
 import {
   ABSENCE_THRESHOLD_MS,
   PrimaryAbsence,
-  REPLICA_QUERY_INTERVAL_MS,
+  REPLICA_QUERY_PERIOD_MS,
 } from '../../src/core/statements/primary-absence.js';
 
 test('replicas are asked once a primary has been away for a while, and then now and then', () => {
@@ -12,7 +12,7 @@
   assert.not(absence.shouldQueryReplicas(ABSENCE_THRESHOLD_MS - 1, true));
   assert.ok(absence.shouldQueryReplicas(ABSENCE_THRESHOLD_MS, true));
   assert.not(absence.shouldQueryReplicas(ABSENCE_THRESHOLD_MS + 1, true));
-  assert.ok(absence.shouldQueryReplicas(ABSENCE_THRESHOLD_MS + REPLICA_QUERY_INTERVAL_MS, true));
+  assert.ok(absence.shouldQueryReplicas(ABSENCE_THRESHOLD_MS + REPLICA_QUERY_PERIOD_MS, true));
 });
 
 test('a primary that is back begins the time anew', () => {
