--- a/src/core/fleet/instance-key.ts
+++ b/src/core/fleet/instance-key.ts
@@ -1,7 +1,7 @@
-/** A short number that stands for an instance's id where many instances are told of at once. */
+/** Short number that replaces an instance's id in messages about many instances. */
 import { hashText } from '../hash-text.js';
 
-/** 32 bits of the id: two of some hundred instances have the same one in a million fleets. */
+/** 32-bit hash of the id: two of some hundred instances have the same key in one of a million fleets. */
 export function instanceKey(instanceId: string): number {
   return hashText(instanceId);
 }
--- a/src/core/fleet/recent-view.ts
+++ b/src/core/fleet/recent-view.ts
@@ -1,33 +1,36 @@
-/** What was seen of an instance over some seconds, gathered from views of the last moment. No I/O and no clock. */
+/** View of an instance over some seconds, accumulated from successive present views. No I/O and no clock. */
 import type { Milliseconds } from '../units.js';
 import { type FleetView, observationsOf } from './instance-digest.js';
 
-/** What is older by this weighs half: long enough for evidence of instances that get few requests. */
+/** Age at which observations weigh half: long enough to gather evidence of instances that get few requests. */
 const HALF_LIFE_MS: Milliseconds = 1500;
-/** Answer times of more observations than these weigh as much: what was seen last counts soon. */
-const MOST_TIMED = 4;
-/** Fewer observations than this are none. */
-const LEAST_OBSERVATIONS = 0.1;
+/** Limits the weight of a mean answer time, so that new answer times count soon. */
+const MAX_TIMED_WEIGHT = 4;
+/** Fewer observations are treated as none. */
+const MIN_OBSERVATIONS = 0.1;
 
 export class RecentView {
   #view: FleetView | undefined;
-  #at: Milliseconds = 0;
+  #updatedAt: Milliseconds = 0;
 
-  /** Undefined if nothing was seen for long. */
+  /** Undefined if there are no recent observations. */
   get view(): FleetView | undefined {
     return this.#view;
   }
 
   /**
-   * Adds what was seen lately.
-   * @param freshShare part of it that was not added before
+   * Adds a present view.
+   * @param newFraction fraction of its observations that were not added before
    */
-  add(seen: FleetView | undefined, freshShare: number, now: Milliseconds): void {
-    const left = 0.5 ** ((now - this.#at) / HALF_LIFE_MS);
-    this.#at = now;
-    const before = this.#view && scaled(this.#view, left);
-    const isGone = before === undefined || observationsOf(before) < LEAST_OBSERVATIONS;
-    this.#view = joined(isGone ? undefined : before, seen && scaled(seen, freshShare));
+  add(added: FleetView | undefined, newFraction: number, now: Milliseconds): void {
+    const remainingFraction = 0.5 ** ((now - this.#updatedAt) / HALF_LIFE_MS);
+    this.#updatedAt = now;
+    const previous = this.#view && scaleObservations(this.#view, remainingFraction);
+    const hasExpired = previous === undefined || observationsOf(previous) < MIN_OBSERVATIONS;
+    this.#view = combine(
+      hasExpired ? undefined : previous,
+      added && scaleObservations(added, newFraction),
+    );
   }
 
   clear(): void {
@@ -35,30 +38,35 @@
   }
 }
 
-/** The same with so large a part of its observations. */
-export function scaled(view: FleetView, share: number): FleetView {
+/** Returns the same view with its counts multiplied by a factor. */
+export function scaleObservations(view: FleetView, factor: number): FleetView {
   const { answered, refused, failed } = view;
-  return { ...view, answered: answered * share, refused: refused * share, failed: failed * share };
+  return {
+    ...view,
+    answered: answered * factor,
+    refused: refused * factor,
+    failed: failed * factor,
+  };
 }
 
-function joined(
-  before: FleetView | undefined,
-  fresh: FleetView | undefined,
+function combine(
+  previous: FleetView | undefined,
+  added: FleetView | undefined,
 ): FleetView | undefined {
-  if (before === undefined || fresh === undefined) return fresh ?? before;
+  if (previous === undefined || added === undefined) return added ?? previous;
   const mean = (measure: (view: FleetView) => number, weightOf: (view: FleetView) => number) => {
-    const weight = weightOf(before) + weightOf(fresh);
+    const weight = weightOf(previous) + weightOf(added);
     if (weight === 0) return 0;
-    return (measure(before) * weightOf(before) + measure(fresh) * weightOf(fresh)) / weight;
+    return (measure(previous) * weightOf(previous) + measure(added) * weightOf(added)) / weight;
   };
   return {
-    observers: fresh.observers,
-    answered: before.answered + fresh.answered,
-    refused: before.refused + fresh.refused,
-    failed: before.failed + fresh.failed,
+    observers: added.observers,
+    answered: previous.answered + added.answered,
+    refused: previous.refused + added.refused,
+    failed: previous.failed + added.failed,
     answerMs: mean(
       ({ answerMs }) => answerMs,
-      ({ answerMs, answered }) => (answerMs > 0 ? Math.min(answered, MOST_TIMED) : 0),
+      ({ answerMs, answered }) => (answerMs > 0 ? Math.min(answered, MAX_TIMED_WEIGHT) : 0),
     ),
     waitMs: mean(({ waitMs }) => waitMs, observationsOf),
   };
--- a/src/core/placement/service-placement.ts
+++ b/src/core/placement/service-placement.ts
@@ -1,6 +1,6 @@
 /** Places the reads of one service, by expected times and ejections. No I/O and no clock. */
 import type { FleetView } from '../fleet/instance-digest.js';
-import { RecentView, scaled } from '../fleet/recent-view.js';
+import { RecentView, scaleObservations } from '../fleet/recent-view.js';
 import type { Milliseconds } from '../units.js';
 import { AnswerTimeEstimates } from './answer-time-estimates.js';
 import { rankForRead, type TimedCandidate } from './choice.js';
@@ -72,7 +72,7 @@
       const priorMs = this.#answerTimes.estimate(id, usualMs, now);
       this.#answerTimes.record(
         id,
-        estimateObservedMs(scaled(view, NEW_OBSERVATION_FRACTION), priorMs),
+        estimateObservedMs(scaleObservations(view, NEW_OBSERVATION_FRACTION), priorMs),
         now,
       );
     }
--- a/src/direct/fleet-placement.ts
+++ b/src/direct/fleet-placement.ts
@@ -42,7 +42,7 @@
 
   /** Takes what a statement of this node showed of an instance. */
   observe({ service, id }: InstanceEntry, observation: InstanceObservation): void {
-    this.options.digests.noteOwn(service, id, observation, this.options.now());
+    this.options.digests.recordOwn(service, id, observation, this.options.now());
   }
 
   /** Judges the instances of all services; called now and then. */
@@ -59,7 +59,7 @@
         this.#tell(service.name, event);
       }
     }
-    digests.forget((id) => known.has(id), at);
+    digests.removeStale((id) => known.has(id), at);
     if (!this.#isInEffect) this.#services.clear();
   }
 
@@ -77,8 +77,8 @@
     const known = this.#services.get(service);
     if (known !== undefined) return known;
     const { digests, nodeCount, random } = this.options;
-    const seenBy = digests.seenBy.bind(digests);
-    const placement = new ServicePlacement({ viewOf: seenBy, nodeCount, random });
+    const viewOf = digests.viewOf.bind(digests);
+    const placement = new ServicePlacement({ viewOf, nodeCount, random });
     this.#services.set(service, placement);
     return placement;
   }
--- a/src/direct/readers/digest-exchange.ts
+++ b/src/direct/readers/digest-exchange.ts
@@ -40,12 +40,12 @@
 
   /** What this node saw itself, for a reader. */
   own(): WireValue {
-    return encodeDigests(this.options.digests.own(this.options.now()));
+    return encodeDigests(this.options.digests.ownDigests(this.options.now()));
   }
 
   /** What the zone saw, for a node of it. */
   zone(): WireValue {
-    return encodeDigests(this.options.digests.merged(this.options.now()));
+    return encodeDigests(this.options.digests.mergedDigests(this.options.now()));
   }
 
   /** Takes what another node told. */
@@ -65,7 +65,7 @@
         continue;
       }
       const digest = { ...observed, service: entry.service, instanceId: entry.id };
-      this.counters[this.options.digests.noteTold(digest, from, now) ?? 'taken'] += 1;
+      this.counters[this.options.digests.recordReported(digest, from, now) ?? 'taken'] += 1;
     }
   }
 }
--- a/test/support/placement-fleet.ts
+++ b/test/support/placement-fleet.ts
@@ -118,8 +118,8 @@
   );
   const nodes: Node[] = Array.from({ length: nodeCount }, (_, index) => {
     const digests = new FleetDigests();
-    const seenBy = digests.seenBy.bind(digests);
-    const options = { viewOf: seenBy, nodeCount: () => nodeCount, random };
+    const viewOf = digests.viewOf.bind(digests);
+    const options = { viewOf, nodeCount: () => nodeCount, random };
     return {
       ...{
         name: `n${index}`,
@@ -177,8 +177,8 @@
     const first = read.first < 0 ? instance.zone : read.first;
     const again = { ...read, first };
     const sight = sightOf(node, instance.id);
-    const note = (observation: Parameters<FleetDigests['noteOwn']>[2]) =>
-      node.digests.noteOwn(`s${read.service}`, instance.id, observation, now);
+    const note = (observation: Parameters<FleetDigests['recordOwn']>[2]) =>
+      node.digests.recordOwn(`s${read.service}`, instance.id, observation, now);
     const wayMs = instance.zone === node.zone ? WAY_MS : OTHER_ZONE_WAY_MS;
     const { isDown, failing = 0 } = instance.condition(now);
     excluded.add(instance.id);
@@ -214,11 +214,11 @@
     const reader = readers[node.turn % readers.length];
     node.turn += 1;
     if (reader !== undefined && !readers.includes(node)) {
-      const own = node.digests.own(now);
+      const own = node.digests.ownDigests(now);
       const told = play.passOn === undefined ? own : play.passOn(own, node.name);
-      for (const digest of told ?? []) reader.digests.noteTold(digest, node.name, now);
-      for (const digest of told === undefined ? [] : reader.digests.merged(now)) {
-        node.digests.noteTold(digest, reader.name, now);
+      for (const digest of told ?? []) reader.digests.recordReported(digest, node.name, now);
+      for (const digest of told === undefined ? [] : reader.digests.mergedDigests(now)) {
+        node.digests.recordReported(digest, reader.name, now);
       }
       if (told !== undefined) node.heardAt = now;
     }
--- a/test/unit/direct/digest-exchange.test.ts
+++ b/test/unit/direct/digest-exchange.test.ts
@@ -69,10 +69,10 @@
   assert.is(exchange.counters.stale, 1);
   exchange.take([rowOf('i-1@2', { answered: 99_000_000 })], 'n1');
   assert.is(exchange.counters.implausible, 1);
-  assert.is(digests.seenBy('i-1@2', NOW), undefined);
+  assert.is(digests.viewOf('i-1@2', NOW), undefined);
   exchange.take([[...rowOf('i-1@2'), 7, 'of a later version']], 'n1');
   assert.is(exchange.counters.taken, 1);
-  assert.is(Math.round(digests.seenBy('i-1@2', NOW)?.answerMs ?? 0), 12);
+  assert.is(Math.round(digests.viewOf('i-1@2', NOW)?.answerMs ?? 0), 12);
 });
 
 /** A node and a reader of its zone that asks and answers as versions of this gateway do. */
@@ -99,22 +99,22 @@
 
 test('a node hears through its reader what another one saw, from each reader in turn', async () => {
   const other = nodeOf(['i-1', 'i-2']);
-  other.digests.noteOwn('ledger', 'i-2', { type: 'answered', answerMs: 80 }, NOW);
+  other.digests.recordOwn('ledger', 'i-2', { type: 'answered', answerMs: 80 }, NOW);
   const answer = (question: WireValue) =>
     answerPositions('direct/positions', question, () => [], {
       exchange: other.exchange,
       asker: 'n1',
     });
   const { zone, digests, world } = zoneOf(answer);
-  digests.noteOwn('ledger', 'i-1', { type: 'failed' }, NOW);
+  digests.recordOwn('ledger', 'i-1', { type: 'failed' }, NOW);
   assert.not(zone.isFleetSeen());
   assert.ok(zone.tellsDigests);
   await zone.ask([]);
   await zone.ask([]);
   assert.equal(world.asked, [1, 2]);
   assert.ok(zone.isFleetSeen());
-  assert.is(digests.seenBy('i-2', NOW)?.answerMs, 80);
-  assert.ok((other.digests.seenBy('i-1', NOW)?.failed ?? 0) > 0);
+  assert.is(digests.viewOf('i-2', NOW)?.answerMs, 80);
+  assert.ok((other.digests.viewOf('i-1', NOW)?.failed ?? 0) > 0);
   world.now += 2500;
   assert.not(zone.isFleetSeen());
 });
--- a/test/unit/fleet-digests.test.ts
+++ b/test/unit/fleet-digests.test.ts
@@ -1,7 +1,7 @@
 /** What a node makes of observations, its own and told ones. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { FleetDigests, OLDEST_MS } from '../../src/core/fleet/fleet-digests.js';
+import { FleetDigests, MAX_AGE_MS } from '../../src/core/fleet/fleet-digests.js';
 import type { InstanceDigest } from '../../src/core/fleet/instance-digest.js';
 import { weightedMedian } from '../../src/core/fleet/weighted-median.js';
 
@@ -18,45 +18,45 @@
 test('own observations make a digest, and are gone after little more than a second', () => {
   const digests = new FleetDigests();
   for (const answerMs of [8, 12, undefined]) {
-    digests.noteOwn('ledger', 'i-1', { type: 'answered', answerMs }, NOW);
+    digests.recordOwn('ledger', 'i-1', { type: 'answered', answerMs }, NOW);
   }
-  digests.noteOwn('ledger', 'i-1', { type: 'refused' }, NOW + 300);
-  digests.noteOwn('ledger', 'i-1', { type: 'failed' }, NOW + 300);
-  digests.noteOwn('ledger', 'i-1', { type: 'started', waitMs: 4 }, NOW + 300);
-  const [digest] = digests.own(NOW + 400);
+  digests.recordOwn('ledger', 'i-1', { type: 'refused' }, NOW + 300);
+  digests.recordOwn('ledger', 'i-1', { type: 'failed' }, NOW + 300);
+  digests.recordOwn('ledger', 'i-1', { type: 'started', waitMs: 4 }, NOW + 300);
+  const [digest] = digests.ownDigests(NOW + 400);
   const { answered, refused, failed, answerMs, waitMs } = digest ?? digestOf({ answered: -1 });
   const seen = { answered, refused, failed, answerMs, waitMs };
   assert.equal(seen, { answered: 3, refused: 1, failed: 1, answerMs: 10, waitMs: 4 });
-  assert.is(digests.own(NOW + 1600).length, 0);
-  assert.is(digests.seenBy('i-1', NOW + 1600), undefined);
+  assert.is(digests.ownDigests(NOW + 1600).length, 0);
+  assert.is(digests.viewOf('i-1', NOW + 1600), undefined);
 });
 
 test('many weak observations outweigh a single strong one that differs', () => {
   const digests = new FleetDigests();
   for (let node = 0; node < 12; node += 1) {
-    digests.noteTold(digestOf({ answered: 4, answerMs: 70 }), `n${node}`, NOW);
+    digests.recordReported(digestOf({ answered: 4, answerMs: 70 }), `n${node}`, NOW);
   }
-  digests.noteTold(digestOf({ answered: 1900, answerMs: 1 }), 'liar', NOW);
-  const view = digests.seenBy('i-1', NOW);
+  digests.recordReported(digestOf({ answered: 1900, answerMs: 1 }), 'liar', NOW);
+  const view = digests.viewOf('i-1', NOW);
   assert.ok((view?.answerMs ?? 0) > 30, JSON.stringify(view));
   assert.ok((view?.answered ?? 0) <= 2 * 12 * 4, JSON.stringify(view));
 });
 
 test('a node that reports failures alone does not make an instance fail', () => {
   const digests = new FleetDigests();
-  for (let node = 0; node < 11; node += 1) digests.noteTold(digestOf(), `n${node}`, NOW);
-  digests.noteTold(digestOf({ answered: 0, failed: 20, answerMs: 0 }), 'bad link', NOW);
-  const view = digests.seenBy('i-1', NOW);
+  for (let node = 0; node < 11; node += 1) digests.recordReported(digestOf(), `n${node}`, NOW);
+  digests.recordReported(digestOf({ answered: 0, failed: 20, answerMs: 0 }), 'bad link', NOW);
+  const view = digests.viewOf('i-1', NOW);
   assert.ok((view?.failed ?? 0) < 0.2 * (view?.answered ?? 0), JSON.stringify(view));
 });
 
 test('digests weigh less with age, and old ones nothing', () => {
   const digests = new FleetDigests();
-  digests.noteTold(digestOf({ answerMs: 70, ageMs: 1500 }), 'late', NOW);
-  digests.noteTold(digestOf({ answerMs: 10 }), 'fresh', NOW);
-  assert.ok((digests.seenBy('i-1', NOW)?.answerMs ?? 100) < 30);
-  assert.is(digests.noteTold(digestOf({ ageMs: OLDEST_MS }), 'late', NOW), 'stale');
-  assert.is(digests.seenBy('i-1', NOW + OLDEST_MS), undefined);
+  digests.recordReported(digestOf({ answerMs: 70, ageMs: 1500 }), 'late', NOW);
+  digests.recordReported(digestOf({ answerMs: 10 }), 'fresh', NOW);
+  assert.ok((digests.viewOf('i-1', NOW)?.answerMs ?? 100) < 30);
+  assert.is(digests.recordReported(digestOf({ ageMs: MAX_AGE_MS }), 'late', NOW), 'stale');
+  assert.is(digests.viewOf('i-1', NOW + MAX_AGE_MS), undefined);
 });
 
 test('impossible figures are refused', () => {
@@ -72,36 +72,36 @@
   ];
   for (const changes of nonsense) {
     assert.is(
-      digests.noteTold(digestOf(changes), 'n', NOW),
+      digests.recordReported(digestOf(changes), 'n', NOW),
       'implausible',
       JSON.stringify(changes),
     );
   }
-  assert.is(digests.seenBy('i-1', NOW), undefined);
+  assert.is(digests.viewOf('i-1', NOW), undefined);
 });
 
 test('a node is told what all saw together, and that ages until it is merged again', () => {
   const reader = new FleetDigests();
-  reader.noteOwn('ledger', 'i-1', { type: 'answered', answerMs: 10 }, NOW);
-  reader.noteTold(digestOf({ answered: 4 }), 'n1', NOW);
-  reader.noteTold(digestOf({ answered: 3, instanceId: 'i-2' }), 'n1', NOW);
+  reader.recordOwn('ledger', 'i-1', { type: 'answered', answerMs: 10 }, NOW);
+  reader.recordReported(digestOf({ answered: 4 }), 'n1', NOW);
+  reader.recordReported(digestOf({ answered: 3, instanceId: 'i-2' }), 'n1', NOW);
   const told = (now: number) =>
-    reader.merged(now).map(({ instanceId, answered }) => `${instanceId}: ${answered}`);
+    reader.mergedDigests(now).map(({ instanceId, answered }) => `${instanceId}: ${answered}`);
   assert.equal(told(NOW), ['i-1: 5', 'i-2: 3']);
-  const [, before] = reader.merged(NOW);
-  const [, after] = reader.merged(NOW + 50);
+  const [, before] = reader.mergedDigests(NOW);
+  const [, after] = reader.mergedDigests(NOW + 50);
   assert.is((after?.ageMs ?? 0) - (before?.ageMs ?? 0), 50);
-  reader.noteTold(digestOf({ answered: 2, instanceId: 'i-2' }), 'n1', NOW + 60);
+  reader.recordReported(digestOf({ answered: 2, instanceId: 'i-2' }), 'n1', NOW + 60);
   assert.equal(told(NOW + 100), ['i-1: 5', 'i-2: 2']);
 });
 
 test('told digests are the newest of each node, and gone instances are forgotten', () => {
   const digests = new FleetDigests();
-  digests.noteTold(digestOf({ answered: 10 }), 'n1', NOW);
-  digests.noteTold(digestOf({ answered: 4 }), 'n1', NOW);
-  assert.is(digests.seenBy('i-1', NOW)?.answered, 4);
-  digests.forget(() => false, NOW);
-  assert.is(digests.seenBy('i-1', NOW), undefined);
+  digests.recordReported(digestOf({ answered: 10 }), 'n1', NOW);
+  digests.recordReported(digestOf({ answered: 4 }), 'n1', NOW);
+  assert.is(digests.viewOf('i-1', NOW)?.answered, 4);
+  digests.removeStale(() => false, NOW);
+  assert.is(digests.viewOf('i-1', NOW), undefined);
 });
 
 test('a minority of the weight does not move a median far', () => {
