--- a/src/core/retry/budget.ts
+++ b/src/core/retry/budget.ts
@@ -1,17 +1,15 @@
 /**
- * Retry budget: retries may be only a fixed share of first attempts, so that a failing group is
- * not met with a multiple of its load. A token bucket filled by requests instead of by time.
+ * Retry budget: limits retries to a fixed fraction of first attempts, so that a failing database group does not get a
+ * multiple of its load. It is a token bucket that is filled by requests instead of by time.
  */
 
-/** Shape of a retry budget. */
 export interface RetryBudgetOptions {
   /** Retries earned per first attempt, such as 0.1. */
   readonly ratio: number;
-  /** Greatest number of retries saved up; also what a new budget starts with. */
+  /** Maximum number of retries saved up; a new budget starts with it. */
   readonly capacity: number;
 }
 
-/** Counts what may still be retried. */
 export class RetryBudget {
   private tokens: number;
 
@@ -19,12 +17,12 @@
     this.tokens = options.capacity;
   }
 
-  /** A first attempt earns its share of a retry. */
+  /** Records a first attempt, which earns a fraction of a retry. */
   recordAttempt(): void {
     this.tokens = Math.min(this.options.capacity, this.tokens + this.options.ratio);
   }
 
-  /** Takes one retry if there is one. */
+  /** Takes one retry; returns false if none is left. */
   tryTake(): boolean {
     if (this.tokens < 1) return false;
     this.tokens -= 1;
--- a/src/direct/caller-session.ts
+++ b/src/direct/caller-session.ts
@@ -4,7 +4,7 @@
  */
 import { createHash } from 'node:crypto';
 import type { Position } from '../core/position.js';
-import { returnTime } from '../core/retry/return-time.js';
+import { refusalRetryDelay } from '../core/retry/refusal-retry-delay.js';
 import type { PreparedStatement } from '../core/statements/session-values.js';
 import { SessionVariables } from '../core/statements/session-variables.js';
 import type {
@@ -599,7 +599,7 @@
     const isChanging = place !== undefined && view.isChanging(place.service.name);
     if (isChanging) return `retry after ${RETRY_AFTER_CHANGE_MS} ms`;
     if (!isForWantOfRoom) return `retry after ${RETRY_AFTER_MS} ms`;
-    return `retry after ${returnTime(place?.tenant.policy.priority ?? 0, random())} ms`;
+    return `retry after ${refusalRetryDelay(place?.tenant.policy.priority ?? 0, random())} ms`;
   }
 
   /** Nothing follows what ended the session. */
--- a/src/direct/statement-runner.ts
+++ b/src/direct/statement-runner.ts
@@ -2,7 +2,7 @@
  * Runs one statement outside any transaction: picks an instance, sends it, and tries again elsewhere
  * for as long as the statement surely has not run, or only reads.
  */
-import { statementPause } from '../core/retry/statement-pause.js';
+import { statementRetryPause } from '../core/retry/statement-pause.js';
 import type { Milliseconds } from '../core/units.js';
 import { Cancellation } from './cancellation.js';
 import { CommitTrust, WITHHELD } from './commit-trust.js';
@@ -215,6 +215,6 @@
   }
 
   #pauseBeforeRetry({ route }: Placement, refusals: number): Promise<void> {
-    return pause(statementPause(refusals, route.targetLatencyMs, this.options.random()));
+    return pause(statementRetryPause(refusals, route.targetLatencyMs, this.options.random()));
   }
 }
--- a/src/direct/transaction.ts
+++ b/src/direct/transaction.ts
@@ -4,7 +4,7 @@
  */
 import type { Position } from '../core/position.js';
 import type { Access } from '../core/request.js';
-import { statementPause } from '../core/retry/statement-pause.js';
+import { statementRetryPause } from '../core/retry/statement-pause.js';
 import { isNotRun, type StatementAnswer } from '../core/statements/statement.js';
 import type { Milliseconds } from '../core/units.js';
 import { WITHHELD } from './commit-trust.js';
@@ -203,7 +203,7 @@
 
   #retryPause(refusals: number): Milliseconds {
     const { random } = this.runner.options;
-    return statementPause(refusals, this.route.targetLatencyMs, random());
+    return statementRetryPause(refusals, this.route.targetLatencyMs, random());
   }
 
   async #runNext(request: TransactionRequest): Promise<StatementOutcome> {
--- a/test/unit/lag-memory.test.ts
+++ b/test/unit/lag-memory.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { Position } from '../../src/core/position.js';
-import { statementPause } from '../../src/core/retry/statement-pause.js';
+import { statementRetryPause } from '../../src/core/retry/statement-pause.js';
 import { LaggingReplicas } from '../../src/core/statements/lag-memory.js';
 
 const at = (lsn: bigint): Position => ({ timeline: 1, lsn });
@@ -37,12 +37,12 @@
 });
 
 test('a statement pauses longer with each refusal, up to a part of its aim', () => {
-  const pauses = [0, 1, 2, 3, 4, 5, 9].map((refusals) => statementPause(refusals, 400, 0.5));
+  const pauses = [0, 1, 2, 3, 4, 5, 9].map((refusals) => statementRetryPause(refusals, 400, 0.5));
   assert.equal(pauses, [15, 15, 30, 60, 100, 100, 100]);
-  assert.is(statementPause(9, 150, 0.5), 37.5);
-  assert.is(statementPause(9, 5000, 0.5), 120);
-  assert.is(statementPause(9, 10, 0.5), 15);
-  assert.equal([statementPause(1, 400, 0), statementPause(1, 400, 0.75)], [7.5, 18.75]);
+  assert.is(statementRetryPause(9, 150, 0.5), 37.5);
+  assert.is(statementRetryPause(9, 5000, 0.5), 120);
+  assert.is(statementRetryPause(9, 10, 0.5), 15);
+  assert.equal([statementRetryPause(1, 400, 0), statementRetryPause(1, 400, 0.75)], [7.5, 18.75]);
 });
 
 test.run();
--- a/test/unit/return-time.test.ts
+++ b/test/unit/refusal-retry-delay.test.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { returnTime } from '../../src/core/retry/return-time.js';
+import { refusalRetryDelay } from '../../src/core/retry/refusal-retry-delay.js';
 
 const SETTINGS = { seed: 20261203, numRuns: 300 };
 const random = fc.double({ min: 0, max: 0.999, noNaN: true });
@@ -10,14 +10,14 @@
 test('whoever has a lower priority comes back later on average, and all are spread', () => {
   fc.assert(
     fc.property(fc.nat(8), random, (priority, drawn) => {
-      const at = returnTime(priority, drawn);
-      assert.ok(at >= returnTime(priority, 0) && at <= 2 * returnTime(priority, 0));
-      assert.ok(returnTime(priority + 1, drawn) > at);
+      const at = refusalRetryDelay(priority, drawn);
+      assert.ok(at >= refusalRetryDelay(priority, 0) && at <= 2 * refusalRetryDelay(priority, 0));
+      assert.ok(refusalRetryDelay(priority + 1, drawn) > at);
     }),
     SETTINGS,
   );
-  assert.is(returnTime(0, 0), 100);
-  assert.is(returnTime(1000, 0.5), 1500, 'bounded');
+  assert.is(refusalRetryDelay(0, 0), 100);
+  assert.is(refusalRetryDelay(1000, 0.5), 1500, 'bounded');
 });
 
 test.run();
