--- a/src/core/promotion/fleet-publisher.ts
+++ b/src/core/promotion/fleet-publisher.ts
@@ -12,7 +12,7 @@
   sameRoster,
 } from '../ownership/owner-roster.js';
 import { nextReaders } from '../ownership/watch-readers.js';
-import { largestReturningMesh } from '../return/returning-fleet.js';
+import { maxFleetWithoutReturnOwners } from '../return/returning-fleet.js';
 import {
   FIRST_KEEPERS_MS,
   KEEPER_REPLACED_MS,
@@ -98,7 +98,7 @@
     const before = published?.returnOwners ?? published?.owners;
     const { maxConnections } = this.#sizeOf(nodes);
     const largestDirectFleet =
-      maxConnections === undefined ? undefined : largestReturningMesh(maxConnections);
+      maxConnections === undefined ? undefined : maxFleetWithoutReturnOwners(maxConnections);
     const sharing = this.#returnDecision.decide(
       sharingBy(before),
       { liveNodes: nodes, maxConnections, largestDirectFleet },
--- a/src/core/return/returning-fleet.ts
+++ b/src/core/return/returning-fleet.ts
@@ -1,45 +1,47 @@
 /**
- * How a fleet whose nodes each connect to every instance by themselves comes back at once.
+ * Return of a whole fleet whose nodes each connect to every instance directly.
  *
- * The load: all nodes lose power and start again a second later. An instance drops connections whose far ends are dark
- * only after some seconds, so that the connections of two generations stand beside each other. A fleet that does not fit
- * twice finds room for some of its nodes, and these alone could serve until the old connections are dropped. So a node
- * that comes back reaches instances through a few owners at first.
+ * The fault: all nodes lose power and start again a second later. An instance drops connections to a peer without power only after
+ * some seconds, so that the old and the new connections exist at the same time. Where an instance does not accept twice
+ * the connections of the fleet, only some nodes get new ones, and only these could serve until the old connections are
+ * dropped. So a node that was restarted reaches instances through a few owners (the return owners) at first.
  */
 import { RESERVED_CONNECTIONS } from '../ownership/connection-sharing.js';
 import type { Milliseconds } from '../units.js';
 
-/** Connections of one node at an instance: those of its process before, and those of the one that replaces it. */
-const GENERATIONS = 2;
+/** Connections of one node at an instance: one of its previous process, and one of the process that replaces it. */
+const CONNECTION_GENERATIONS = 2;
 /**
- * Fleets up to this size come back without owners. With two owners and a spare one of each instance, too large a part of
- * a small fleet depends on each of them.
+ * Fleets up to this size return without owners. With two owners and a spare one for each instance, too large a part of
+ * a small fleet would depend on each of them.
  */
-export const LARGEST_FLEET_WITHOUT_OWNERS = 23;
-/** An instance drops connections whose far ends are dark after 3 s. */
-const LEFT_BEHIND_MS: Milliseconds = 3500;
-/** Nodes that started together open connections of their own spread over this time. */
-const SPREAD_MS: Milliseconds = 1000;
+export const MAX_SMALL_FLEET_NODES = 23;
+/** Instances drop connections to a peer without power after 3 s. */
+const STALE_CONNECTION_LIFETIME_MS: Milliseconds = 3500;
+/** Nodes that started together begin to open their own connections at random times within this period. */
+const MAX_JITTER_MS: Milliseconds = 1000;
 
-/** The most nodes that come back by themselves, where each instance takes `maxConnections`. */
-export function largestReturningMesh(maxConnections: number): number {
-  const fittingTwice = Math.floor((maxConnections - RESERVED_CONNECTIONS) / GENERATIONS);
-  return Math.min(maxConnections, Math.max(LARGEST_FLEET_WITHOUT_OWNERS, fittingTwice));
+/** Greatest number of nodes that return without owners, where each instance accepts `maxConnections`. */
+export function maxFleetWithoutReturnOwners(maxConnections: number): number {
+  const maxFittingTwice = Math.floor(
+    (maxConnections - RESERVED_CONNECTIONS) / CONNECTION_GENERATIONS,
+  );
+  return Math.min(maxConnections, Math.max(MAX_SMALL_FLEET_NODES, maxFittingTwice));
 }
 
-/** A process, as far as its return goes. */
-export interface StartedProcess {
+/** Start of this node's process. */
+export interface ProcessStart {
   readonly startedAt: Milliseconds;
-  /** No process ran here before. */
+  /** True if this node had no previous process. */
   readonly isFirstStart: boolean;
-  /** In [0, 1), the same for as long as the process runs. */
-  readonly spread: number;
+  /** Random number in [0, 1), drawn once for the process. */
+  readonly jitter: number;
 }
 
-/** Whether a process is to use the owners of a return: what it replaces may have left connections behind. */
+/** True while a process has to use the return owners, since its predecessor's connections may still be open. */
 export function isReturning(
-  { startedAt, isFirstStart, spread }: StartedProcess,
+  { startedAt, isFirstStart, jitter }: ProcessStart,
   now: Milliseconds,
 ): boolean {
-  return !isFirstStart && now - startedAt < LEFT_BEHIND_MS + spread * SPREAD_MS;
+  return !isFirstStart && now - startedAt < STALE_CONNECTION_LIFETIME_MS + jitter * MAX_JITTER_MS;
 }
--- a/src/direct/gateway.ts
+++ b/src/direct/gateway.ts
@@ -7,7 +7,7 @@
 import type { ServiceTerm } from '../core/directory/snapshot.js';
 import { StartReadiness } from '../core/directory/start-readiness.js';
 import { FleetDigests } from '../core/fleet/fleet-digests.js';
-import { isReturning, type StartedProcess } from '../core/return/returning-fleet.js';
+import { isReturning, type ProcessStart } from '../core/return/returning-fleet.js';
 import type { Milliseconds } from '../core/units.js';
 import type { Logger } from '../observability/logger.js';
 import { Admission, type AdmissionCounters } from './admission.js';
@@ -131,7 +131,7 @@
   #nodeCount = ASSUMED_NODE_COUNT;
   #nodeCountSeenAt: Milliseconds | undefined;
   readonly #createdAt: Milliseconds;
-  readonly #process: StartedProcess;
+  readonly #process: ProcessStart;
   readonly #readiness = new StartReadiness();
   /** Set once a stop was asked for; settles when it is over. */
   #stopped: Promise<void> | undefined;
@@ -149,7 +149,7 @@
     const { wire, view, isStoreWell, logger, now, random } = options;
     this.#createdAt = now();
     const { isFirstStart } = options.settings;
-    this.#process = { startedAt: this.#createdAt, isFirstStart, spread: random() };
+    this.#process = { startedAt: this.#createdAt, isFirstStart, jitter: random() };
     this.#firstConfiguration = new Promise((resolve) => {
       this.#tellFirstConfiguration = () => resolve(true);
     });
--- a/test/property/return-of-fleet.test.ts
+++ b/test/property/return-of-fleet.test.ts
@@ -10,7 +10,7 @@
   SharingDecision,
 } from '../../src/core/ownership/connection-sharing.js';
 import { UNSETTLED_SHARE, unsettledConnections } from '../../src/core/ownership/unsettled-share.js';
-import { largestReturningMesh } from '../../src/core/return/returning-fleet.js';
+import { maxFleetWithoutReturnOwners } from '../../src/core/return/returning-fleet.js';
 import { SimulatedClock } from '../support/promotion/clock.js';
 
 const NODES = 36;
@@ -179,7 +179,7 @@
 }
 
 test('two seconds after the power is back, reads are served in their aim and no opening is refused', () => {
-  const sharing = sharingOf(largestReturningMesh(MAX_CONNECTIONS));
+  const sharing = sharingOf(maxFleetWithoutReturnOwners(MAX_CONNECTIONS));
   for (const seed of SEEDS) {
     const { inAim, refused } = play(seed, sharing);
     assert.is(refused, 0, `seed ${seed}`);
--- a/test/unit/return/returning-fleet.test.ts
+++ b/test/unit/return/returning-fleet.test.ts
@@ -9,8 +9,8 @@
 import { PromotionRuntime } from '../../../src/core/promotion/runtime.js';
 import {
   isReturning,
-  LARGEST_FLEET_WITHOUT_OWNERS,
-  largestReturningMesh,
+  MAX_SMALL_FLEET_NODES,
+  maxFleetWithoutReturnOwners,
 } from '../../../src/core/return/returning-fleet.js';
 
 const RUNS = { seed: 20261203, numRuns: 500 };
@@ -19,8 +19,8 @@
 test('a mesh that comes back by itself, larger than a small fleet, fits twice beside the reserved connections', () => {
   fc.assert(
     fc.property(limits, (maxConnections) => {
-      const nodes = largestReturningMesh(maxConnections);
-      const isSmall = nodes <= LARGEST_FLEET_WITHOUT_OWNERS;
+      const nodes = maxFleetWithoutReturnOwners(maxConnections);
+      const isSmall = nodes <= MAX_SMALL_FLEET_NODES;
       assert.ok(isSmall || 2 * nodes + RESERVED_CONNECTIONS <= maxConnections);
     }),
     RUNS,
@@ -30,9 +30,9 @@
 test('a mesh is never larger than the connections of an instance, and a small one only for their sake', () => {
   fc.assert(
     fc.property(limits, (maxConnections) => {
-      const nodes = largestReturningMesh(maxConnections);
+      const nodes = maxFleetWithoutReturnOwners(maxConnections);
       assert.ok(nodes <= maxConnections);
-      assert.ok(nodes >= Math.min(maxConnections, LARGEST_FLEET_WITHOUT_OWNERS));
+      assert.ok(nodes >= Math.min(maxConnections, MAX_SMALL_FLEET_NODES));
     }),
     RUNS,
   );
@@ -41,7 +41,7 @@
 test('no larger mesh fits twice', () => {
   fc.assert(
     fc.property(limits, (maxConnections) => {
-      const more = largestReturningMesh(maxConnections) + 1;
+      const more = maxFleetWithoutReturnOwners(maxConnections) + 1;
       assert.ok(2 * more + RESERVED_CONNECTIONS > maxConnections);
     }),
     RUNS,
@@ -80,7 +80,7 @@
 }
 
 test('a fleet that would not fit beside the connections it left has owners for those that come back', () => {
-  assert.is(publishedBy(LARGEST_FLEET_WITHOUT_OWNERS)?.returnOwners, undefined);
+  assert.is(publishedBy(MAX_SMALL_FLEET_NODES)?.returnOwners, undefined);
   const fleet = publishedBy(36);
   assert.is(fleet?.owners, undefined);
   assert.is(fleet?.returnOwners?.ownersPerInstance, 2);
@@ -106,11 +106,11 @@
 });
 
 test('a process that replaces another returns for as long as connections may be left, each for a little longer', () => {
-  const replacing = { startedAt: 1000, isFirstStart: false, spread: 0 };
+  const replacing = { startedAt: 1000, isFirstStart: false, jitter: 0 };
   assert.ok(isReturning(replacing, 4499));
   assert.not(isReturning(replacing, 4500));
-  assert.ok(isReturning({ ...replacing, spread: 0.9 }, 5399));
-  assert.not(isReturning({ ...replacing, spread: 0.9 }, 5400));
+  assert.ok(isReturning({ ...replacing, jitter: 0.9 }, 5399));
+  assert.not(isReturning({ ...replacing, jitter: 0.9 }, 5400));
   assert.not(isReturning({ ...replacing, isFirstStart: true }, 1000));
 });
 
