--- a/test/property/fair-queue.test.ts
+++ b/test/property/fair-queue.test.ts
@@ -1,4 +1,4 @@
-/** A tenant that floods a queue waits behind its own requests, not in front of others. */
+/** A tenant that floods a queue waits behind its own requests and doesn't delay others. */
 import fc from 'fast-check';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -74,7 +74,7 @@
         const next = queue.takeNext(held);
         if (next !== undefined) held.set(next.tenant, (held.get(next.tenant) ?? 0) + 1);
       }
-      // No tenant is ahead of another by more than the one connection that it got last.
+      // No tenant is ahead of another, by weight, by more than the connection that it got last.
       const heldByA = held.get('a') ?? 0;
       const heldByB = held.get('b') ?? 0;
       assert.ok((heldByA - 1) * b <= heldByB * a && (heldByB - 1) * a <= heldByA * b);
--- a/test/property/placement-fleet.test.ts
+++ b/test/property/placement-fleet.test.ts
@@ -1,7 +1,7 @@
 /**
- * Reads of whole fleets in virtual time, while one of a service's instances is slow, flaps, fails what it is asked, or
- * one zone has twice the demand: placement by the fleet's view beside a choice that knows everything, and beside
- * ranking by each node's own sight.
+ * Simulates the reads of whole fleets in virtual time, while one of a service's instances is slow, flaps or fails, or
+ * one zone has twice the demand. Compares placement by the fleet's view with an ideal choice that has all information,
+ * and with ranking by each node's own observations.
  */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -17,16 +17,16 @@
 const SEEDS = [7, 8];
 const SIZES = [1, 36, 91];
 const SECONDS = 10;
-/** When an instance falls ill, and when that should have been learned. */
+/** When an instance becomes faulty, and when the fleet should have detected it. */
 const STEP_AT = 3000;
 const LEARNED_AT = STEP_AT + 1000;
 const ILL = 2;
-/** The letter's bounds. */
+/** Required bounds. */
 const MOST_OF_BEST_P99 = 1.5;
 const MOST_AT_ILL = 0.02;
 const MOST_APART = 0.15;
 
-/** So that the two others can take the whole of it. */
+/** Low enough for the other two instances to serve all reads. */
 const FOR_TWO = [150, 150, 150];
 
 type Case = Pick<FleetPlay, 'perSecond' | 'condition' | 'passOn'>;
@@ -38,7 +38,7 @@
 const EVEN: Case = { perSecond: [200, 200, 200] };
 const UNEVEN: Case = { perSecond: [400, 200, 200] };
 const SLOW: Case = { perSecond: FOR_TWO, condition: ill(() => ({ slowness: 7 })) };
-/** Down and up by turns of 1.4 s. */
+/** Alternately down and up for 1.4 s each. */
 const FLAPPING: Case = {
   perSecond: FOR_TWO,
   condition: ill((now) => ({ isDown: Math.floor((now - STEP_AT) / 1400) % 2 === 0 })),
@@ -46,7 +46,7 @@
 const FAILING: Case = { perSecond: FOR_TWO, condition: ill(() => ({ failing: 0.6 })) };
 
 type Played = ReturnType<typeof playFleet>;
-/** Tests look at the same plays. */
+/** Results of simulations, which several tests share. */
 const played = new Map<Case, Map<string, Played>>();
 
 function play(policy: FleetPlay['policy'], nodes: number, seed: number, one: Case, services = 1) {
@@ -72,7 +72,7 @@
   for (const nodes of sizes) for (const seed of SEEDS) check(nodes, seed);
 }
 
-/** The slowest hundredth of reads takes no more than half as long again as with the best choice. */
+/** Asserts that the 99th percentile of read times is at most 1.5 times that of the ideal choice. */
 function assertNearBest(one: Case): void {
   forEachFleet((nodes, seed) => {
     const best = percentile(play('all-knowing', nodes, seed, one).reads, 0.99);
@@ -125,7 +125,7 @@
   );
 });
 
-/** Part of the reads that each instance gets in slices as long as the time between exchanges. */
+/** Fraction of the reads that each instance gets, by slices of time as long as the period between exchanges. */
 function sharesBySlice(reads: readonly PlayedRead[]): number[][] {
   const slices = new Map<number, number[]>();
   for (const { at, first } of reads) {
@@ -193,7 +193,7 @@
 
 test('a node of each zone that lies about every instance does not hide the slow one', () => {
   const liars = new Set(['n9', 'n10', 'n11']);
-  /** The slow one is said to be quick, the others slow and failing, by many observations. */
+  /** Reports, with many observations, that the slow instance is fast and that the others are slow and failing. */
   const lie = (digest: InstanceDigest): InstanceDigest => {
     const isIll = digest.instanceId.endsWith(`-${ILL}`);
     return { ...digest, answered: 900, failed: isIll ? 0 : 900, answerMs: isIll ? 1 : 300 };
--- a/test/property/position-samples.test.ts
+++ b/test/property/position-samples.test.ts
@@ -1,4 +1,4 @@
-/** A read at a position that the samples ask for never misses a commit older than its bound. */
+/** A read at the position required by the samples never misses a commit older than its staleness bound. */
 import fc from 'fast-check';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -11,7 +11,7 @@
 const SEED = 20261202;
 const RUNS = 500;
 
-/** Steps of time with a commit or a question to the primary at each. */
+/** Steps in time, each with either a commit or a query of the primary's position. */
 const steps = fc.array(
   fc.record({ elapsedMs: fc.integer({ min: 0, max: 300 }), question: fc.boolean() }),
   { minLength: 1, maxLength: 120 },
--- a/test/property/primary-evidence.test.ts
+++ b/test/property/primary-evidence.test.ts
@@ -1,4 +1,4 @@
-/** A proof by the members' positions holds only while no later primary has committed anything. */
+/** The members' positions prove a primary only if no later primary has committed anything. */
 import fc from 'fast-check';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
--- a/test/support/placement-fleet.ts
+++ b/test/support/placement-fleet.ts
@@ -1,4 +1,4 @@
-/** Reads of a fleet at a few instances in virtual time: each with some slots and a queue, each node with its own sight. */
+/** Simulates the reads of a fleet in virtual time, at a few instances with slots and a queue each. */
 import { FleetDigests } from '../../src/core/fleet/fleet-digests.js';
 import type { InstanceDigest } from '../../src/core/fleet/instance-digest.js';
 import { ServicePlacement } from '../../src/core/placement/service-placement.js';
@@ -7,10 +7,10 @@
 
 export type Policy = 'fleet' | 'ranked' | 'all-knowing';
 
-/** How an instance fares at a time. */
+/** State of an instance at a point in time. */
 export interface Condition {
   readonly slowness?: number;
-  /** Part of its answers that are errors, told at once. */
+  /** Fraction of the requests that it answers with an error at once. */
   readonly failing?: number;
   readonly isDown?: boolean;
 }
@@ -21,10 +21,10 @@
   readonly services: number;
   readonly seconds: number;
   readonly seed: number;
-  /** Reads a second of one service, by the zone of their nodes. */
+  /** Reads per second of one service, by the zone of the nodes that send them. */
   readonly perSecond: readonly number[];
   readonly condition?: (service: number, index: number, now: number) => Condition;
-  /** What of a node's digests reaches a reader; undefined if the message is lost, and no answer comes. */
+  /** Changes a node's digests on the way to a reader; undefined if the message and its answer are lost. */
   readonly passOn?: (
     digests: readonly InstanceDigest[],
     node: string,
@@ -35,7 +35,7 @@
   readonly service: number;
   readonly at: number;
   readonly tookMs: number;
-  /** Index of the instance it went to first. */
+  /** Index of the instance that the read was first sent to. */
   readonly first: number;
 }
 
@@ -47,7 +47,7 @@
 const OTHER_ZONE_WAY_MS = 2.8;
 const EXCHANGE_MS = 400;
 const LOOK_MS = 100;
-/** A node that hears of no reader for so long goes by its own sight. */
+/** A node without contact to a reader for this time relies on its own observations only. */
 const FLEET_SEEN_MS = 2500;
 const AVOID_MS = 500;
 const REFUSED_PAUSE_MS = 15;
@@ -55,7 +55,7 @@
 
 class FakeInstance {
   readonly slots = new Array<number>(SLOTS).fill(0);
-  /** Work done, by second. */
+  /** Time spent on work, by second. */
   readonly busyMs: number[] = [];
 
   constructor(
@@ -65,7 +65,7 @@
     readonly condition: (now: number) => Condition,
   ) {}
 
-  /** When a read that comes now would be answered. */
+  /** When a read that arrives now would be answered. */
   endOf(now: number, workMs: number): number {
     const start = Math.max(now, Math.min(...this.slots));
     return start + workMs * (this.condition(now).slowness ?? 1);
@@ -98,7 +98,7 @@
   heardAt: number;
 }
 
-/** Plays it; reads in the order of their ends, and the instances of each service. */
+/** Runs the simulation; returns the reads in order of completion, and the instances of each service. */
 export function playFleet(play: FleetPlay) {
   const { policy, nodes: nodeCount, services, seed } = play;
   const random = seededRandom(seed);
@@ -244,7 +244,7 @@
       for (let service = 0; service < services; service += 1) {
         if (random() >= perSecond / 1000) continue;
         const node = inZone[Math.floor(random() * inZone.length)];
-        // Three in a hundred take several times as long.
+        // 3 % of the reads take several times as long.
         const mean = WORK_MS / 1.18;
         const workMs = random() < 0.03 ? mean * 7 : mean * (0.4 + 1.2 * random());
         if (node !== undefined) send(node, { service, at: now, workMs, first: -1 }, new Set());
@@ -254,7 +254,7 @@
   return { reads, groups };
 }
 
-/** The time within which so large a part of the reads was answered. */
+/** Time within which the given fraction of the reads was answered. */
 export function percentile(reads: readonly PlayedRead[], share: number): number {
   const times = reads.map(({ tookMs }) => tookMs).sort((left, right) => left - right);
   return times[Math.floor(times.length * share)] ?? 0;
--- a/test/unit/busy-pace.test.ts
+++ b/test/unit/busy-pace.test.ts
@@ -1,19 +1,19 @@
-/** How fast a fleet starts statements at an instance that refuses them for want of slots. */
+/** Rate at which a fleet starts statements at an instance that refuses them because all its slots are busy. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { BusyPace } from '../../src/core/statements/busy-pace.js';
 
 const SLOTS = 3;
-/** Statements that wait for a slot; beyond them it refuses. */
+/** Number of statements that may wait for a slot; the instance refuses further ones. */
 const QUEUE = 3;
 const WORK_MS = 14;
 const CAPACITY_PER_SECOND = (SLOTS * 1000) / WORK_MS;
 
-/** Nodes that always have a statement, before one instance that refuses what its queue does not take. */
+/** Simulates nodes that always have a statement to send, and one instance that refuses statements while its queue is full. */
 function play(nodeCount: number, isPaced: boolean, seconds: number) {
   const nodes = Array.from({ length: nodeCount }, (_, index) => ({
     pace: new BusyPace(),
-    /** A statement that was refused is begun again after 15 ms without a pace. */
+    /** Without pacing, each node starts a statement every 15 ms. */
     retryAt: index % 15,
   }));
   const slots = new Array<number>(SLOTS).fill(0);
--- a/test/unit/ejection.test.ts
+++ b/test/unit/ejection.test.ts
@@ -1,11 +1,11 @@
-/** Which instances get no reads for a while, and how they come back. */
+/** Which instances are ejected, and how they return to use. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { FleetView } from '../../src/core/fleet/instance-digest.js';
 import { Ejections, FIRST_EJECTION_MS } from '../../src/core/placement/ejection.js';
 
 const NODES = 10;
-/** A fleet of ten sends one request in so long to an instance in probation; each node a tenth of them. */
+/** Time between the probes of one node in a fleet of ten: ten times that between the probes of the whole fleet. */
 const PROBE_INTERVAL_MS = 2500;
 
 function viewOf(changes: Partial<FleetView> = {}): FleetView {
@@ -23,7 +23,7 @@
   return new Ejections({ nodeCount: () => NODES, random: () => 0 });
 }
 
-/** A service by what is seen of its instances, named in their order. */
+/** Builds a service from views of its instances, whose ids are numbered in this order. */
 function serviceOf(...views: readonly (FleetView | undefined)[]) {
   return views.map((seen, index) => ({ id: `i-${index}`, current: seen, recent: seen }));
 }
@@ -106,7 +106,7 @@
     pauses.push(event?.pauseMs ?? 0);
     now += event?.pauseMs ?? 0;
     group.evaluate(serviceOf(WELL, undefined, WELL), now);
-    // Every other time it passes its probation, and fails again a little later.
+    // In every other round the instance passes its probation and fails again a little later.
     if (round % 2 === 0) continue;
     now += 200;
     group.evaluate(serviceOf(WELL, WELL, WELL), now);
--- a/test/unit/fleet-digests.test.ts
+++ b/test/unit/fleet-digests.test.ts
@@ -1,4 +1,4 @@
-/** What a node makes of observations, its own and told ones. */
+/** How a node merges its own observations of instances with those that other nodes report. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { FleetDigests, MAX_AGE_MS } from '../../src/core/fleet/fleet-digests.js';
--- a/test/unit/lag-memory.test.ts
+++ b/test/unit/lag-memory.test.ts
@@ -1,4 +1,4 @@
-/** Replicas that lacked a position are left alone for a while, and statements pause longer each time. */
+/** Replicas that lacked a position are skipped for a while, and statements pause longer after each refusal. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { Position } from '../../src/core/position.js';
--- a/test/unit/placement.test.ts
+++ b/test/unit/placement.test.ts
@@ -1,4 +1,4 @@
-/** Expected times, and which instance gets a read. */
+/** Expected answer times of instances, and the choice of the instance that gets a read. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { FleetView } from '../../src/core/fleet/instance-digest.js';
@@ -66,7 +66,7 @@
   assert.is(estimateReadMs(instanceOf({ answerMs: 500 }), undefined, 11, NOW), 11);
 });
 
-/** How often each is chosen. */
+/** Fraction of the reads for which each instance is chosen. */
 function sharesOf(times: readonly number[], zones: readonly boolean[], seed = 5): number[] {
   const random = seededRandom(seed);
   const candidates = times.map((time, index) => ({
--- a/test/unit/refusal-retry-delay.test.ts
+++ b/test/unit/refusal-retry-delay.test.ts
@@ -1,4 +1,4 @@
-/** When callers that were refused for want of room are told to come back. */
+/** Delay after which callers that were refused for lack of capacity should retry. */
 import fc from 'fast-check';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
