--- a/src/core/group/database-group.ts
+++ b/src/core/group/database-group.ts
@@ -222,7 +222,7 @@
     const leaving = this.context.instances.get(run.instance)?.leaving === true;
     if (leaving && !run.onPrimary) {
       this.completion.resetFailed(run, now);
-      this.context.pool.giveBack(id, now, this.context.effects);
+      this.context.pool.release(id, now, this.context.effects);
       return;
     }
     this.context.pool.table.setStatus(connection, 'running');
@@ -260,7 +260,7 @@
     for (const knowledge of monitor.topology.instances.values()) {
       if (knowledge.reachability === 'reachable') reachable.push(knowledge.name);
     }
-    pool.keepSpares(reachable, this.intake.recentlyUsedKeys(now), now, effects);
+    pool.openMinIdleConnections(reachable, this.intake.recentlyUsedKeys(now), now, effects);
   }
 }
 
@@ -280,7 +280,7 @@
       minIdleConnectionsPerRole: bounds.minIdleConnectionsPerRole,
       idleTimeoutMs: bounds.idleConnectionTimeoutMs,
       openBackoffBaseMs: timing.retryBackoffBaseMs,
-      openBackoffCapMs: timing.retryBackoffMaxMs,
+      openBackoffMaxMs: timing.retryBackoffMaxMs,
       enforceBudget: !options.disabledMechanisms?.has('connection-budget'),
       random: options.random,
     }),
--- a/test/unit/busy-pace.test.ts
+++ b/test/unit/busy-pace.test.ts
@@ -1,19 +1,19 @@
-/** How fast a fleet starts statements at an instance that refuses them for want of slots. */
+/** Rate at which a fleet starts statements at an instance that refuses them because all its slots are busy. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { BusyPace } from '../../src/core/statements/busy-pace.js';
 
 const SLOTS = 3;
-/** Statements that wait for a slot; beyond them it refuses. */
+/** Number of statements that may wait for a slot; the instance refuses further ones. */
 const QUEUE = 3;
 const WORK_MS = 14;
 const CAPACITY_PER_SECOND = (SLOTS * 1000) / WORK_MS;
 
-/** Nodes that always have a statement, before one instance that refuses what its queue does not take. */
+/** Simulates nodes that always have a statement to send, and one instance that refuses statements while its queue is full. */
 function play(nodeCount: number, isPaced: boolean, seconds: number) {
   const nodes = Array.from({ length: nodeCount }, (_, index) => ({
     pace: new BusyPace(),
-    /** A statement that was refused is begun again after 15 ms without a pace. */
+    /** Without pacing, each node starts a statement every 15 ms. */
     retryAt: index % 15,
   }));
   const slots = new Array<number>(SLOTS).fill(0);
@@ -21,17 +21,17 @@
   for (let now = 0; now < seconds * 1000; now += 1) {
     for (const node of nodes) {
       if (now < node.retryAt || (isPaced && !node.pace.mayStart(now))) continue;
-      node.pace.noteStart(now);
+      node.pace.recordStart(now);
       node.retryAt = now + 15;
       const slot = slots.indexOf(Math.min(...slots));
       const waitMs = Math.max(0, (slots[slot] ?? 0) - now);
       if (waitMs < (WORK_MS * QUEUE) / SLOTS) {
         slots[slot] = now + waitMs + WORK_MS;
         counts.served += 1;
-        node.pace.noteServed();
+        node.pace.recordServed();
       } else {
         counts.refused += 1;
-        node.pace.noteBusy(now, nodeCount);
+        node.pace.recordBusy(now, nodeCount);
       }
     }
   }
@@ -49,20 +49,20 @@
 test('refusals of statements that ran together count once, and answers take the pause away', () => {
   const pace = new BusyPace();
   assert.ok(pace.mayStart(0));
-  for (let count = 0; count < 5; count += 1) pace.noteBusy(100, 68);
+  for (let count = 0; count < 5; count += 1) pace.recordBusy(100, 68);
   assert.is(pace.intervalMs, 20);
-  pace.noteStart(100);
+  pace.recordStart(100);
   assert.not(pace.mayStart(119));
   assert.ok(pace.mayStart(120));
-  pace.noteBusy(121, 68);
+  pace.recordBusy(121, 68);
   assert.is(pace.intervalMs, 40);
-  for (let count = 0; count < 10; count += 1) pace.noteServed();
+  for (let count = 0; count < 10; count += 1) pace.recordServed();
   assert.is(pace.intervalMs, 0);
 });
 
 test('an instance that refuses whatever the load gets a hundred starts a second from the fleet', () => {
   const pace = new BusyPace();
-  for (let now = 0; now < 20_000; now += 1000) pace.noteBusy(now, 6);
+  for (let now = 0; now < 20_000; now += 1000) pace.recordBusy(now, 6);
   assert.is(pace.intervalMs, 60);
 });
 
