--- a/src/core/group/database-group.ts
+++ b/src/core/group/database-group.ts
@@ -251,7 +251,7 @@
     const { pool, admission, monitor, effects } = this.context;
     this.nextMaintenanceAt = now + MAINTENANCE_PERIOD_MS;
     pool.closeIdle(now, effects);
-    admission.forgetIdle(now);
+    admission.removeIdle(now);
     const reachable: InstanceName[] = [];
     for (const knowledge of monitor.topology.instances.values()) {
       if (knowledge.reachability === 'reachable') reachable.push(knowledge.name);
--- a/src/core/group/dispatcher.ts
+++ b/src/core/group/dispatcher.ts
@@ -109,9 +109,9 @@
 
   private withinShare(description: InstanceDescription, request: GroupRequest): boolean {
     const { admission, loads } = this.context;
-    if (admission.presentTenants < 2 || isOff(this.context, 'fair-queue')) return true;
+    if (admission.activeTenantCount < 2 || isOff(this.context, 'fair-queue')) return true;
     const { tenant, hold } = request;
-    return loads.withinShare(description, tenant, hold, admission.presentTenants);
+    return loads.withinShare(description, tenant, hold, admission.activeTenantCount);
   }
 
   private offerReplica(entry: QueueEntry, pass: DispatchPass): OfferResult {
--- a/src/core/group/outcomes.ts
+++ b/src/core/group/outcomes.ts
@@ -34,7 +34,7 @@
   release(run: Run): void {
     const { request } = run.entry;
     this.context.runs.delete(request.id);
-    this.context.admission.recordFinal(request.tenant);
+    this.context.admission.recordCompleted(request.tenant);
     this.context.effects.push({
       type: 'release',
       requestId: request.id,
@@ -71,7 +71,7 @@
 
   private fail(entry: QueueEntry, error: RequestError): void {
     const { request } = entry;
-    this.context.admission.recordFinal(request.tenant);
+    this.context.admission.recordCompleted(request.tenant);
     this.context.effects.push({ type: 'fail', requestId: request.id, error });
   }
 
--- a/src/core/limits/admission.ts
+++ b/src/core/limits/admission.ts
@@ -1,19 +1,19 @@
-/** Admission of requests by tenant: in flight, queued, rate with burst, and connections held. */
+/** Per-tenant limits on requests in flight, queued requests, request rate and back-end connections. */
 import { NotRunError } from '../errors.js';
 import type { TenantGroupLimits } from '../group/contract.js';
 import type { TenantName } from '../request.js';
 import type { Milliseconds } from '../units.js';
 import {
   fullBucket,
+  msUntilToken,
   refill,
   type TokenBucket,
-  type TokenBucketShape,
+  type TokenBucketConfig,
   takeToken,
-  timeToToken,
 } from './token-bucket.js';
 
-/** Limits of a tenant that the configuration in force does not name (yet). */
-export const DEFAULT_LIMITS: Omit<TenantGroupLimits, 'tenant'> = {
+/** Limits of a tenant that the current configuration doesn't list, or doesn't list yet. */
+export const DEFAULT_TENANT_LIMITS: Omit<TenantGroupLimits, 'tenant'> = {
   maxInFlight: 64,
   maxQueued: 64,
   queueWeight: 1,
@@ -22,10 +22,10 @@
   burst: 200,
 };
 
-/** A tenant counts as present for this long after its last request. */
-const PRESENT_MS = 1000;
+/** A tenant counts as active for at least this time after its last request. */
+const ACTIVE_TENANT_MS = 1000;
 
-interface TenantUse {
+interface TenantUsage {
   inFlight: number;
   queued: number;
   connections: number;
@@ -33,101 +33,101 @@
   bucket: TokenBucket;
 }
 
-/** Keeps each tenant within its limits. */
+/** Enforces the limits of each tenant in one database group. */
 export class TenantAdmission {
   private limits = new Map<TenantName, TenantGroupLimits>();
-  private readonly uses = new Map<TenantName, TenantUse>();
+  private readonly usages = new Map<TenantName, TenantUsage>();
 
   setLimits(limits: readonly TenantGroupLimits[]): void {
     this.limits = new Map(limits.map((entry) => [entry.tenant, entry]));
   }
 
   limitsOf(tenant: TenantName): TenantGroupLimits {
-    return this.limits.get(tenant) ?? { tenant, ...DEFAULT_LIMITS };
+    return this.limits.get(tenant) ?? { tenant, ...DEFAULT_TENANT_LIMITS };
   }
 
-  /** Counts a new request in, or says why not and when to come back. */
+  /** Counts a new request as in flight; an error with a retry delay if it exceeds a limit. */
   admit(
     tenant: TenantName,
     expectedWaitMs: Milliseconds,
     now: Milliseconds,
   ): NotRunError | undefined {
     const limits = this.limitsOf(tenant);
-    const shape = shapeOf(limits);
-    const use = this.useOf(tenant, shape, now);
-    use.lastRequestAt = now;
-    if (use.inFlight >= limits.maxInFlight) {
+    const config = bucketConfigOf(limits);
+    const usage = this.usageOf(tenant, config, now);
+    usage.lastRequestAt = now;
+    if (usage.inFlight >= limits.maxInFlight) {
       return new NotRunError(
         'in-flight-limit',
         'too many requests in flight',
         Math.max(1, expectedWaitMs),
       );
     }
-    if (use.queued >= limits.maxQueued) {
+    if (usage.queued >= limits.maxQueued) {
       return new NotRunError('queue-full', 'too many requests queued', Math.max(1, expectedWaitMs));
     }
-    const refilled = refill(use.bucket, shape, now);
+    const refilled = refill(usage.bucket, config, now);
     const taken = takeToken(refilled);
-    use.bucket = taken ?? refilled;
+    usage.bucket = taken ?? refilled;
     if (taken === undefined) {
-      const retryAfterMs = timeToToken(refilled, shape);
+      const retryAfterMs = msUntilToken(refilled, config);
       return new NotRunError('rate-limit', 'request rate exceeded', retryAfterMs);
     }
-    use.inFlight += 1;
+    usage.inFlight += 1;
     return undefined;
   }
 
   recordQueued(tenant: TenantName, change: 1 | -1): void {
-    const use = this.uses.get(tenant);
-    if (use !== undefined) use.queued += change;
+    const usage = this.usages.get(tenant);
+    if (usage !== undefined) usage.queued += change;
   }
 
   recordConnection(tenant: TenantName, change: 1 | -1): void {
-    const use = this.uses.get(tenant);
-    if (use !== undefined) use.connections += change;
+    const usage = this.usages.get(tenant);
+    if (usage !== undefined) usage.connections += change;
   }
 
-  recordFinal(tenant: TenantName): void {
-    const use = this.uses.get(tenant);
-    if (use !== undefined) use.inFlight -= 1;
+  recordCompleted(tenant: TenantName): void {
+    const usage = this.usages.get(tenant);
+    if (usage !== undefined) usage.inFlight -= 1;
   }
 
-  /** True if the tenant may hold one more connection. */
+  /** True if the tenant is below its connection limit. */
   mayHoldConnection(tenant: TenantName): boolean {
-    const held = this.uses.get(tenant)?.connections ?? 0;
+    const held = this.usages.get(tenant)?.connections ?? 0;
     return held < this.limitsOf(tenant).maxConnections;
   }
 
-  /** Tenants that this group serves at present. */
-  get presentTenants(): number {
-    return this.uses.size;
+  /** Number of tenants with requests, connections or recent activity in this group. */
+  get activeTenantCount(): number {
+    return this.usages.size;
   }
 
-  /** Forgets tenants that have had nothing here for a while and whose bucket is full again. */
-  forgetIdle(now: Milliseconds): void {
-    for (const [tenant, use] of this.uses) {
-      if (use.inFlight > 0 || use.connections > 0) continue;
-      if (now - use.lastRequestAt < PRESENT_MS) continue;
-      const shape = shapeOf(this.limitsOf(tenant));
-      if (refill(use.bucket, shape, now).tokens >= shape.capacity) this.uses.delete(tenant);
+  /** Drops the state of tenants without requests, connections or recent activity, once their bucket is full. */
+  removeIdle(now: Milliseconds): void {
+    for (const [tenant, usage] of this.usages) {
+      if (usage.inFlight > 0 || usage.connections > 0) continue;
+      if (now - usage.lastRequestAt < ACTIVE_TENANT_MS) continue;
+      const config = bucketConfigOf(this.limitsOf(tenant));
+      if (refill(usage.bucket, config, now).tokens >= config.capacity) this.usages.delete(tenant);
     }
   }
 
-  private useOf(tenant: TenantName, shape: TokenBucketShape, now: Milliseconds): TenantUse {
-    const known = this.uses.get(tenant);
+  private usageOf(tenant: TenantName, config: TokenBucketConfig, now: Milliseconds): TenantUsage {
+    const known = this.usages.get(tenant);
     if (known !== undefined) return known;
-    const use: TenantUse = {
+    const usage: TenantUsage = {
       inFlight: 0,
       queued: 0,
       connections: 0,
       lastRequestAt: now,
-      bucket: fullBucket(shape, now),
+      bucket: fullBucket(config, now),
     };
-    this.uses.set(tenant, use);
-    return use;
+    this.usages.set(tenant, usage);
+    return usage;
   }
 }
 
-function shapeOf(limits: TenantGroupLimits): TokenBucketShape {
+function bucketConfigOf(limits: TenantGroupLimits): TokenBucketConfig {
   return { tokensPerSecond: limits.requestsPerSecond, capacity: Math.max(1, limits.burst) };
 }
--- a/src/core/limits/tenant-allocator.ts
+++ b/src/core/limits/tenant-allocator.ts
@@ -1,9 +1,10 @@
 /**
- * Grants shares of one tenant's connection limit, on the node that the tenant's voters elect. Uses
- * the same granter as the shares of an instance's connections; only the right to grant is another.
+ * Grants leased shares of one tenant's connection limit, on the node that the tenant's voters elect.
+ * Uses the same granter as the shares of an instance's connection limit; here, the authority to grant
+ * comes from an election.
  *
- * A new allocator that its voters can't vouch for asks every node it knows of for the share that it
- * holds. If all answer, it need not wait for old leases to lapse.
+ * If the votes don't show that all earlier leases have expired, a new allocator asks every known node
+ * for the share that it holds. If all respond, the allocator need not wait for old leases to expire.
  */
 import { BudgetGranter } from '../ownership/budget-granter.js';
 import type { ShareAnswer, ShareRequest } from '../ownership/budget-lease.js';
@@ -14,37 +15,37 @@
 import { lapseMsOf, leastByOwnClock, type TenantLeaseOptions } from './lease-options.js';
 import type { KnownVoters } from './voter-sets.js';
 
-/** What an allocator wants to be sent. */
+/** A message that the allocator's caller has to send. */
 export type AllocatorEffect =
   | { readonly type: 'ask-vote'; readonly voter: VoterId; readonly sentAt: Milliseconds }
   | { readonly type: 'ask-report'; readonly nodeId: string; readonly term: string };
 
-/** What the allocator can see of the fleet. */
+/** The allocator's view of the fleet. */
 export interface AllocatorView extends KnownVoters {
-  /** Every node that may hold a share: of the machine list or of the members. */
+  /** Every node that may hold a share: on the machine list or among the members. */
   readonly knownNodes: readonly string[];
 }
 
-/** How often nodes that have not reported are asked again. */
-const REPORT_PERIOD_MS: Milliseconds = 500;
+/** Interval between report requests to nodes that have not reported yet. */
+const REPORT_RETRY_PERIOD_MS: Milliseconds = 500;
 
 interface ReportRound {
   readonly term: string;
-  readonly reported: Set<string>;
-  askedAt: Milliseconds;
+  readonly reportedNodes: Set<string>;
+  requestedAt: Milliseconds;
 }
 
-/** Divides one tenant's limit among nodes. */
+/** Divides one tenant's connection limit among nodes. */
 export class TenantAllocator {
   readonly #options: TenantLeaseOptions;
   readonly #granter: BudgetGranter;
   readonly #candidacy: Candidacy;
   #nextElectionAt = Number.NEGATIVE_INFINITY;
-  #reports: ReportRound | undefined;
-  #coveredSince = Number.POSITIVE_INFINITY;
+  #currentReports: ReportRound | undefined;
+  #completeSince = Number.POSITIVE_INFINITY;
   #lastElectedAt = Number.NEGATIVE_INFINITY;
-  /** Of shares that this node granted up to then it has no record. */
-  #forgottenBefore = Number.NEGATIVE_INFINITY;
+  /** This node has no record of the shares that it granted before this time. */
+  #grantsUnknownUntil = Number.NEGATIVE_INFINITY;
   #lastRequestAt: Milliseconds;
 
   constructor(
@@ -64,13 +65,13 @@
     this.#granter.handle({ type: 'limit-changed', limit }, now);
   }
 
-  /** True once nobody has asked for so long that no share can be out. */
+  /** True if the last request is so long ago that every share has expired. */
   isIdle(now: Milliseconds): boolean {
     return now - this.#lastRequestAt > lapseMsOf(this.#options);
   }
 
-  /** Connections that holders may believe to have, in sum. */
-  outstanding(now: Milliseconds): number {
+  /** Total connections that holders may still use under shares granted here. */
+  outstandingConnections(now: Milliseconds): number {
     return this.#granter.outstanding(now);
   }
 
@@ -78,41 +79,41 @@
     return this.#granter.hasAuthority(now);
   }
 
-  /** What is to be sent now. */
+  /** Messages to send now. */
   tick(view: AllocatorView, now: Milliseconds): AllocatorEffect[] {
-    return [...this.#askVotes(view, now), ...this.#askReports(view, now)];
+    return [...this.#requestVotes(view, now), ...this.#requestReports(view, now)];
   }
 
   receiveVote(voter: VoterId, sentAt: Milliseconds, vote: Vote, now: Milliseconds): void {
-    const result = this.#candidacy.receive(voter, sentAt, vote, now);
+    const result = this.#candidacy.receiveVote(voter, sentAt, vote, now);
     if (result.type === 'pending') return;
-    if (!result.continued) {
+    if (!result.isRenewal) {
       this.#granter.handle({ type: 'authority-lost' }, now);
-      this.#reports = undefined;
-      // The shares of its own earlier term are out, too, and are not known any more.
-      this.#forgottenBefore = this.#lastElectedAt;
+      this.#currentReports = undefined;
+      // Shares from this node's own previous term may still be held, and their record is lost.
+      this.#grantsUnknownUntil = this.#lastElectedAt;
     }
     this.#lastElectedAt = now;
-    const vouchedMs = leastByOwnClock(result.quietMs, this.#options.maxClockDrift);
-    const knownSince = Math.max(this.#coveredSince, this.#forgottenBefore);
-    const quietMs = Math.max(0, Math.min(vouchedMs, now - knownSince));
+    const ownClockQuietMs = leastByOwnClock(result.quietMs, this.#options.maxClockDrift);
+    const completeSince = Math.max(this.#completeSince, this.#grantsUnknownUntil);
+    const quietMs = Math.max(0, Math.min(ownClockQuietMs, now - completeSince));
     this.#granter.handle({ type: 'authority-confirmed', sentAt: result.sentAt, quietMs }, now);
   }
 
-  /** A node's report of what it holds, made in answer to an `ask-report`. */
+  /** Processes a node's response to `ask-report`: the share that it holds. */
   receiveReport(
     nodeId: string,
     report: ShareRequest,
     knownNodes: readonly string[],
     now: Milliseconds,
   ): void {
-    const reports = this.#reports;
+    const reports = this.#currentReports;
     if (reports === undefined || report.term !== reports.term) return;
     if (this.#granter.term(now) !== reports.term) return;
     if (this.#granter.answer(report, now).type !== 'granted') return;
-    reports.reported.add(nodeId);
-    const complete = knownNodes.every((known) => reports.reported.has(known));
-    if (complete) this.#granter.handle({ type: 'holders-complete' }, now);
+    reports.reportedNodes.add(nodeId);
+    const isComplete = knownNodes.every((known) => reports.reportedNodes.has(known));
+    if (isComplete) this.#granter.handle({ type: 'holders-complete' }, now);
   }
 
   answer(request: ShareRequest, now: Milliseconds): ShareAnswer {
@@ -120,39 +121,43 @@
     return this.#granter.answer(request, now);
   }
 
-  /** This node is no longer the one to be elected. */
+  /** Stops this node's candidacy and gives up its authority. */
   resign(now: Milliseconds): void {
     this.#candidacy.resign();
     this.#granter.handle({ type: 'authority-lost' }, now);
-    this.#reports = undefined;
+    this.#currentReports = undefined;
   }
 
-  #askVotes(view: AllocatorView, now: Milliseconds): AllocatorEffect[] {
-    const { voterSets, coveredSince } = view;
+  #requestVotes(view: AllocatorView, now: Milliseconds): AllocatorEffect[] {
+    const { voterSets, completeSince } = view;
     if (now < this.#nextElectionAt || voterSets.length === 0) return [];
     this.#nextElectionAt = now + this.#options.electionPeriodMs;
-    const voters = this.#candidacy.startRound(voterSets, coveredSince, now);
-    this.#coveredSince = coveredSince;
+    const voters = this.#candidacy.startRound(voterSets, completeSince, now);
+    this.#completeSince = completeSince;
     return voters.map((voter) => ({ type: 'ask-vote', voter, sentAt: now }));
   }
 
-  #askReports({ knownNodes }: AllocatorView, now: Milliseconds): AllocatorEffect[] {
+  #requestReports({ knownNodes }: AllocatorView, now: Milliseconds): AllocatorEffect[] {
     const term = this.#granter.term(now);
     if (term === undefined || !this.#granter.isAlone(now) || !this.#granter.isWaiting(now)) {
       return [];
     }
     if (knownNodes.length > this.#options.maxReportingNodes) return [];
-    const reports = this.#reportRound(term);
-    if (now < reports.askedAt + REPORT_PERIOD_MS) return [];
-    reports.askedAt = now;
-    const missing = knownNodes.filter((nodeId) => !reports.reported.has(nodeId));
+    const reports = this.#reportRoundFor(term);
+    if (now < reports.requestedAt + REPORT_RETRY_PERIOD_MS) return [];
+    reports.requestedAt = now;
+    const missing = knownNodes.filter((nodeId) => !reports.reportedNodes.has(nodeId));
     return missing.map((nodeId) => ({ type: 'ask-report', nodeId, term }));
   }
 
-  #reportRound(term: string): ReportRound {
-    if (this.#reports?.term === term) return this.#reports;
-    const round = { term, reported: new Set<string>(), askedAt: Number.NEGATIVE_INFINITY };
-    this.#reports = round;
+  #reportRoundFor(term: string): ReportRound {
+    if (this.#currentReports?.term === term) return this.#currentReports;
+    const round = {
+      term,
+      reportedNodes: new Set<string>(),
+      requestedAt: Number.NEGATIVE_INFINITY,
+    };
+    this.#currentReports = round;
     return round;
   }
 }
--- a/src/core/limits/tenant-nodes.ts
+++ b/src/core/limits/tenant-nodes.ts
@@ -1,4 +1,4 @@
-/** The nodes that stand for a tenant: chosen by rendezvous hashing, spread over the zones. */
+/** Selects the nodes responsible for a tenant, by rendezvous hashing, spread over the zones. */
 import {
   type Hash64,
   type HashedCandidate,
@@ -14,53 +14,56 @@
   readonly members: readonly HashedCandidate[];
 }[];
 
-/** Hashes of nodes, kept from one set of nodes to the next: most stay the same. */
-export class NodeHashes {
+/** Caches node hashes between successive sets of nodes, since most nodes stay the same. */
+export class NodeHashCache {
   readonly #hash: Hash64;
-  #known = new Map<string, HashedCandidate>();
+  #hashedNodes = new Map<string, HashedCandidate>();
 
   constructor(hash: Hash64) {
     this.#hash = hash;
   }
 
-  /** The nodes as a set to choose from; nodes that are not in it are forgotten. */
-  choiceOf(nodes: readonly OwnerCandidate[]): NodeChoice {
-    const known = new Map<string, HashedCandidate>();
+  /** Makes a selector for these nodes; cached hashes of other nodes are dropped. */
+  selectorFor(nodes: readonly OwnerCandidate[]): NodeSelector {
+    const hashedNodes = new Map<string, HashedCandidate>();
     const zones = new Map<string, HashedCandidate[]>();
     for (const node of nodes) {
-      const before = this.#known.get(node.nodeId);
-      const hashed = before?.zone === node.zone ? before : hashCandidate(this.#hash, node);
-      known.set(node.nodeId, hashed);
+      const cached = this.#hashedNodes.get(node.nodeId);
+      const hashed = cached?.zone === node.zone ? cached : hashCandidate(this.#hash, node);
+      hashedNodes.set(node.nodeId, hashed);
       const members = zones.get(node.zone) ?? [];
       members.push(hashed);
       zones.set(node.zone, members);
     }
-    this.#known = known;
-    return new NodeChoice(
+    this.#hashedNodes = hashedNodes;
+    return new NodeSelector(
       this.#hash,
       [...zones].map(([zone, members]) => ({ zone, members })),
     );
   }
 }
 
-/** Chooses among a fixed set of nodes, and remembers what it chose. */
-export class NodeChoice {
+/** Selects among a fixed set of nodes, and caches each selection. */
+export class NodeSelector {
   readonly #hash: Hash64;
   readonly #nodes: NodesByZone;
-  readonly #chosen = new Map<string, readonly string[]>();
+  readonly #selectionByKey = new Map<string, readonly string[]>();
 
   constructor(hash: Hash64, nodes: NodesByZone) {
     this.#hash = hash;
     this.#nodes = nodes;
   }
 
-  /** Ids of the first `count` nodes for a key, best first. Ask for a key with one count only. */
-  first(key: string, count: number): readonly string[] {
-    const known = this.#chosen.get(key);
-    if (known !== undefined) return known;
-    const selected = selectOwners(hashGroup(this.#hash, key, []), this.#nodes, count);
-    const chosen = selected.map(({ candidate }) => candidate.nodeId);
-    this.#chosen.set(key, chosen);
-    return chosen;
+  /**
+   * Ids of the `count` highest-ranked nodes for a key, best first. Always pass the same `count` for a
+   * key: the selection is cached by the key alone.
+   */
+  select(key: string, count: number): readonly string[] {
+    const cached = this.#selectionByKey.get(key);
+    if (cached !== undefined) return cached;
+    const owners = selectOwners(hashGroup(this.#hash, key, []), this.#nodes, count);
+    const selection = owners.map(({ candidate }) => candidate.nodeId);
+    this.#selectionByKey.set(key, selection);
+    return selection;
   }
 }
--- a/src/core/limits/tenant-shares.ts
+++ b/src/core/limits/tenant-shares.ts
@@ -1,7 +1,7 @@
 /**
- * One node's shares of its tenants' connection limits: counts the callers, asks for shares on demand
- * and in blocks, gives them back when idle, and tells which callers are beyond what it still holds.
- * Keeps state only for tenants that have callers here, or had a moment ago.
+ * One node's leased shares of its tenants' connection limits: counts callers' connections, requests
+ * shares on demand and in blocks, returns them when idle, and reports connections beyond the share.
+ * Keeps state only for tenants that have callers at this node, or had some recently.
  */
 import { BudgetHolder } from '../ownership/budget-holder.js';
 import type { ShareAnswer, ShareRequest } from '../ownership/budget-lease.js';
@@ -9,192 +9,196 @@
 import type { Milliseconds } from '../units.js';
 import type { TenantLeaseOptions } from './lease-options.js';
 
-/** Part of a tenant's limit, divided by the nodes, that a node holds beyond what it uses. */
+/** Reserve that a node requests beyond what it uses: an even split of the limit, divided by this. */
 const HEADROOM_DIVISOR = 4;
 
-/** A request for a tenant's share that is to be sent to its allocator. */
+/** A request for a share of a tenant's limit, to send to the tenant's allocator. */
 export interface TenantShareRequest {
   readonly tenant: TenantName;
   readonly request: ShareRequest;
 }
 
-interface TenantUse {
+interface TenantUsage {
   readonly holder: BudgetHolder;
-  open: number;
+  connections: number;
   waiting: number;
-  /** The allocator said that asking again gives nothing more for now. */
-  exhausted: boolean;
-  /** The allocator knows that this node holds and wants nothing. */
-  returned: boolean;
+  /** The allocator has reported that another request would not increase the share for now. */
+  isExhausted: boolean;
+  /** The allocator has acknowledged that this node holds and wants no connections. */
+  isReturned: boolean;
   lastUsedAt: Milliseconds;
   lastSentAt: Milliseconds;
 }
 
-/** A node's shares of tenants' limits. */
+/** One node's shares of its tenants' connection limits. */
 export class TenantShares {
   readonly #holderPrefix: string;
   readonly #options: TenantLeaseOptions;
-  readonly #uses = new Map<TenantName, TenantUse>();
-  #holders = 0;
-  #nodes = 1;
+  readonly #usageByTenant = new Map<TenantName, TenantUsage>();
+  #holderCount = 0;
+  #nodeCount = 1;
 
-  /** `life` names this life of this node, unique over all nodes and lives. */
-  constructor(life: string, options: TenantLeaseOptions) {
-    this.#holderPrefix = life;
+  /** `incarnationId` must be unique among all incarnations of all nodes. */
+  constructor(incarnationId: string, options: TenantLeaseOptions) {
+    this.#holderPrefix = incarnationId;
     this.#options = options;
   }
 
-  /** Nodes that share the limits; only the size of blocks depends on it. */
+  /** Number of nodes that share the limits; it only determines the block size. */
   setNodeCount(nodes: number): void {
-    this.#nodes = Math.max(1, nodes);
+    this.#nodeCount = Math.max(1, nodes);
   }
 
-  /** Takes a place for one caller if the share has one. */
-  take(tenant: TenantName, now: Milliseconds): boolean {
-    const use = this.#useOf(tenant, now);
-    use.lastUsedAt = now;
-    if (use.open >= use.holder.connections(now)) return false;
-    this.#setOpen(use, use.open + 1);
+  /** Counts one more connection of a caller; false if the share is used up. */
+  tryAcquire(tenant: TenantName, now: Milliseconds): boolean {
+    const usage = this.#usageOf(tenant, now);
+    usage.lastUsedAt = now;
+    if (usage.connections >= usage.holder.connections(now)) return false;
+    this.#setOpenConnections(usage, usage.connections + 1);
     return true;
   }
 
   release(tenant: TenantName, now: Milliseconds): void {
-    const use = this.#uses.get(tenant);
-    if (use === undefined) return;
-    use.lastUsedAt = now;
-    this.#setOpen(use, use.open - 1);
+    const usage = this.#usageByTenant.get(tenant);
+    if (usage === undefined) return;
+    usage.lastUsedAt = now;
+    this.#setOpenConnections(usage, usage.connections - 1);
   }
 
-  /** Callers that wait for a place, so that more is asked for at once. */
-  setWaiting(tenant: TenantName, waiting: number, now: Milliseconds): void {
-    const use = this.#useOf(tenant, now);
-    if (waiting > use.waiting) use.exhausted = false;
-    use.waiting = waiting;
+  /** Sets the number of callers that wait for a connection; a larger share is requested promptly. */
+  setWaiting(tenant: TenantName, waitingCallers: number, now: Milliseconds): void {
+    const usage = this.#usageOf(tenant, now);
+    if (waitingCallers > usage.waiting) usage.isExhausted = false;
+    usage.waiting = waitingCallers;
   }
 
-  /** True if waiting is in vain: all of the tenant's connections are in use. */
+  /** True if waiting is pointless: all connections within the tenant's limit are in use. */
   isExhausted(tenant: TenantName): boolean {
-    return this.#uses.get(tenant)?.exhausted === true;
+    return this.#usageByTenant.get(tenant)?.isExhausted === true;
   }
 
-  openOf(tenant: TenantName): number {
-    return this.#uses.get(tenant)?.open ?? 0;
+  openConnections(tenant: TenantName): number {
+    return this.#usageByTenant.get(tenant)?.connections ?? 0;
   }
 
-  /** Connections that this node may hold now. */
-  heldOf(tenant: TenantName, now: Milliseconds): number {
-    return this.#uses.get(tenant)?.holder.connections(now) ?? 0;
+  /** Connections that this node's share allows now. */
+  heldConnections(tenant: TenantName, now: Milliseconds): number {
+    return this.#usageByTenant.get(tenant)?.holder.connections(now) ?? 0;
   }
 
-  /** Callers that must be gone within `graceMs`: their share is smaller, or lapses by then. */
-  excessOf(tenant: TenantName, graceMs: Milliseconds, now: Milliseconds): number {
-    const use = this.#uses.get(tenant);
-    if (use === undefined) return 0;
-    return Math.max(0, use.open - use.holder.connections(now + graceMs));
+  /** Connections to close within `graceMs`, because the share is smaller or expires by then. */
+  excessConnections(tenant: TenantName, graceMs: Milliseconds, now: Milliseconds): number {
+    const usage = this.#usageByTenant.get(tenant);
+    if (usage === undefined) return 0;
+    return Math.max(0, usage.connections - usage.holder.connections(now + graceMs));
   }
 
   tenants(): readonly TenantName[] {
-    return [...this.#uses.keys()];
+    return [...this.#usageByTenant.keys()];
   }
 
-  /** Asks at the next occasion: the tenant's limit has changed. */
-  renewSoon(tenant: TenantName): void {
-    const use = this.#uses.get(tenant);
-    if (use !== undefined) use.lastSentAt = Number.NEGATIVE_INFINITY;
+  /** Makes a request due at once, because the tenant's limit has changed. */
+  scheduleRenewal(tenant: TenantName): void {
+    const usage = this.#usageByTenant.get(tenant);
+    if (usage !== undefined) usage.lastSentAt = Number.NEGATIVE_INFINITY;
   }
 
-  /** Requests that are due. `limitOf`: the tenant's limit, 0 if it has no access. */
+  /** Requests to send now. `limitOf`: the tenant's connection limit, 0 if it has no access. */
   dueRequests(
     limitOf: (tenant: TenantName) => number,
     now: Milliseconds,
   ): readonly TenantShareRequest[] {
     const due: TenantShareRequest[] = [];
-    for (const [tenant, use] of this.#uses) {
-      if (this.#isForgettable(use, now)) {
-        this.#uses.delete(tenant);
+    for (const [tenant, usage] of this.#usageByTenant) {
+      if (this.#isRemovable(usage, now)) {
+        this.#usageByTenant.delete(tenant);
         continue;
       }
-      if (!this.#isDue(use, now)) continue;
-      due.push({ tenant, request: this.#request(use, limitOf(tenant), now) });
+      if (!this.#isDue(usage, now)) continue;
+      due.push({ tenant, request: this.#request(usage, limitOf(tenant), now) });
     }
     return due;
   }
 
-  /** Gives everything back; for a node that has no callers any more and stops. */
+  /** Requests that return all shares, for a node that stops and has no callers left. */
   returnAll(now: Milliseconds): readonly TenantShareRequest[] {
-    return [...this.#uses].map(([tenant, use]) => {
-      use.holder.release();
-      return { tenant, request: use.holder.request(now) };
+    return [...this.#usageByTenant].map(([tenant, usage]) => {
+      usage.holder.release();
+      return { tenant, request: usage.holder.request(now) };
     });
   }
 
-  /** What this node holds, for an allocator that asks under its term. */
+  /** Reports the share that this node holds, on request of an allocator in its term. */
   report(tenant: TenantName, term: string, limit: number, now: Milliseconds): ShareRequest {
-    const use = this.#useOf(tenant, now);
-    use.holder.learnTerm(term);
-    return this.#request(use, limit, now);
-  }
-
-  /** Takes the answer to a request. */
-  receive({ tenant, request }: TenantShareRequest, answer: ShareAnswer, now: Milliseconds): void {
-    const use = this.#uses.get(tenant);
-    if (use === undefined || use.holder.id !== request.holder) return;
-    const isLate = use.holder.isLate(answer);
-    use.holder.receive(answer, now);
-    if (use.holder.nextRequestAt() < now) use.lastSentAt = Number.NEGATIVE_INFINITY;
+    const usage = this.#usageOf(tenant, now);
+    usage.holder.learnTerm(term);
+    return this.#request(usage, limit, now);
+  }
+
+  /** Applies the allocator's response to a request. */
+  receiveResponse(
+    { tenant, request }: TenantShareRequest,
+    answer: ShareAnswer,
+    now: Milliseconds,
+  ): void {
+    const usage = this.#usageByTenant.get(tenant);
+    if (usage === undefined || usage.holder.id !== request.holder) return;
+    const isLate = usage.holder.isLate(answer);
+    usage.holder.receive(answer, now);
+    if (usage.holder.nextRequestAt() < now) usage.lastSentAt = Number.NEGATIVE_INFINITY;
     if (isLate || answer.type !== 'granted') return;
-    use.returned = request.holding === 0 && request.wanted === 0;
-    const full = use.open >= use.holder.connections(now);
-    use.exhausted = full && !answer.mayGrowSoon;
+    usage.isReturned = request.holding === 0 && request.wanted === 0;
+    const isFull = usage.connections >= usage.holder.connections(now);
+    usage.isExhausted = isFull && !answer.mayGrowSoon;
   }
 
-  #request(use: TenantUse, limit: number, now: Milliseconds): ShareRequest {
-    use.lastSentAt = now;
-    use.holder.setWanted(this.#wanted(use, limit, now), use.open + use.waiting);
-    return use.holder.request(now);
+  #request(usage: TenantUsage, limit: number, now: Milliseconds): ShareRequest {
+    usage.lastSentAt = now;
+    usage.holder.setWanted(this.#wanted(usage, limit, now), usage.connections + usage.waiting);
+    return usage.holder.request(now);
   }
 
-  #wanted(use: TenantUse, limit: number, now: Milliseconds): number {
-    const needed = use.open + use.waiting;
-    if (needed === 0 && now - use.lastUsedAt > this.#options.idleMs) return 0;
-    const block = Math.max(1, Math.ceil(limit / (HEADROOM_DIVISOR * this.#nodes)));
-    return Math.min(limit, needed + block);
+  #wanted(usage: TenantUsage, limit: number, now: Milliseconds): number {
+    const needed = usage.connections + usage.waiting;
+    if (needed === 0 && now - usage.lastUsedAt > this.#options.idleMs) return 0;
+    const blockSize = Math.max(1, Math.ceil(limit / (HEADROOM_DIVISOR * this.#nodeCount)));
+    return Math.min(limit, needed + blockSize);
   }
 
-  #isDue(use: TenantUse, now: Milliseconds): boolean {
-    // A holder that must still end callers tells what it holds only after they are gone.
-    const mustShrink = use.open > use.holder.connections(now);
-    const isShort = use.waiting > 0 && !use.exhausted && !mustShrink;
-    const period = isShort ? this.#options.urgentRenewMs : this.#options.renewMs;
-    return now - use.lastSentAt >= period;
+  #isDue(usage: TenantUsage, now: Milliseconds): boolean {
+    // A node with more connections than its share must close the excess before it reports again.
+    const mustShrink = usage.connections > usage.holder.connections(now);
+    const needsMore = usage.waiting > 0 && !usage.isExhausted && !mustShrink;
+    const periodMs = needsMore ? this.#options.urgentRenewMs : this.#options.renewMs;
+    return now - usage.lastSentAt >= periodMs;
   }
 
-  #isForgettable(use: TenantUse, now: Milliseconds): boolean {
-    if (use.open + use.waiting > 0 || use.holder.connections(now) > 0) return false;
+  #isRemovable(usage: TenantUsage, now: Milliseconds): boolean {
+    if (usage.connections + usage.waiting > 0 || usage.holder.connections(now) > 0) return false;
     const { idleMs, leaseMs } = this.#options;
-    const idleFor = now - use.lastUsedAt;
-    return idleFor > idleMs + leaseMs || (use.returned && idleFor > idleMs);
+    const idleForMs = now - usage.lastUsedAt;
+    return idleForMs > idleMs + leaseMs || (usage.isReturned && idleForMs > idleMs);
   }
 
-  #setOpen(use: TenantUse, open: number): void {
-    use.open = open;
-    use.holder.setInUse(open);
+  #setOpenConnections(usage: TenantUsage, openConnections: number): void {
+    usage.connections = openConnections;
+    usage.holder.setInUse(openConnections);
   }
 
-  #useOf(tenant: TenantName, now: Milliseconds): TenantUse {
-    const known = this.#uses.get(tenant);
+  #usageOf(tenant: TenantName, now: Milliseconds): TenantUsage {
+    const known = this.#usageByTenant.get(tenant);
     if (known !== undefined) return known;
-    this.#holders += 1;
-    const use: TenantUse = {
-      holder: new BudgetHolder(`${this.#holderPrefix}/${this.#holders}`, this.#options),
-      open: 0,
+    this.#holderCount += 1;
+    const usage: TenantUsage = {
+      holder: new BudgetHolder(`${this.#holderPrefix}/${this.#holderCount}`, this.#options),
+      connections: 0,
       waiting: 0,
-      exhausted: false,
-      returned: false,
+      isExhausted: false,
+      isReturned: false,
       lastUsedAt: now,
       lastSentAt: Number.NEGATIVE_INFINITY,
     };
-    this.#uses.set(tenant, use);
-    return use;
+    this.#usageByTenant.set(tenant, usage);
+    return usage;
   }
 }
--- a/src/core/limits/token-bucket.ts
+++ b/src/core/limits/token-bucket.ts
@@ -1,44 +1,44 @@
-/** Token bucket in pure form: a value and functions of it and the time. */
+/** Token bucket as an immutable value, with pure functions that take the current time. */
 import { MILLISECONDS_PER_SECOND, type Milliseconds } from '../units.js';
 
-/** Tokens left at a moment. */
+/** Tokens available at `updatedAt`. */
 export interface TokenBucket {
   readonly tokens: number;
-  readonly at: Milliseconds;
+  readonly updatedAt: Milliseconds;
 }
 
-/** Rate of refill and greatest fill. */
-export interface TokenBucketShape {
+/** Refill rate and capacity. */
+export interface TokenBucketConfig {
   readonly tokensPerSecond: number;
   readonly capacity: number;
 }
 
-/** A bucket that nothing was taken from. */
-export function fullBucket(shape: TokenBucketShape, now: Milliseconds): TokenBucket {
-  return { tokens: shape.capacity, at: now };
+/** A bucket filled to capacity. */
+export function fullBucket(config: TokenBucketConfig, now: Milliseconds): TokenBucket {
+  return { tokens: config.capacity, updatedAt: now };
 }
 
-/** The same bucket at a later time, under the shape in force now. */
+/** Adds the tokens earned since the last update, at the current rate and capacity. */
 export function refill(
   bucket: TokenBucket,
-  shape: TokenBucketShape,
+  config: TokenBucketConfig,
   now: Milliseconds,
 ): TokenBucket {
-  const elapsedMs = Math.max(0, now - bucket.at);
-  const earned = (elapsedMs * shape.tokensPerSecond) / MILLISECONDS_PER_SECOND;
-  return { tokens: Math.min(shape.capacity, bucket.tokens + earned), at: now };
+  const elapsedMs = Math.max(0, now - bucket.updatedAt);
+  const earned = (elapsedMs * config.tokensPerSecond) / MILLISECONDS_PER_SECOND;
+  return { tokens: Math.min(config.capacity, bucket.tokens + earned), updatedAt: now };
 }
 
-/** Takes a token of a refilled bucket, or undefined if there is none. */
+/** The refilled bucket with one token less; undefined if it has no whole token. */
 export function takeToken(bucket: TokenBucket): TokenBucket | undefined {
   if (bucket.tokens < 1) return undefined;
-  return { tokens: bucket.tokens - 1, at: bucket.at };
+  return { tokens: bucket.tokens - 1, updatedAt: bucket.updatedAt };
 }
 
-/** How long until a whole token is there. */
-export function timeToToken(bucket: TokenBucket, shape: TokenBucketShape): Milliseconds {
+/** Milliseconds until a whole token is available; infinite if the bucket is never refilled. */
+export function msUntilToken(bucket: TokenBucket, config: TokenBucketConfig): Milliseconds {
   const missing = Math.max(0, 1 - bucket.tokens);
   if (missing === 0) return 0;
-  if (shape.tokensPerSecond <= 0) return Number.POSITIVE_INFINITY;
-  return (missing * MILLISECONDS_PER_SECOND) / shape.tokensPerSecond;
+  if (config.tokensPerSecond <= 0) return Number.POSITIVE_INFINITY;
+  return (missing * MILLISECONDS_PER_SECOND) / config.tokensPerSecond;
 }
--- a/src/core/limits/voter-sets.ts
+++ b/src/core/limits/voter-sets.ts
@@ -1,100 +1,99 @@
 /**
- * The voters of a tenant: an odd number of nodes of the machine list, in different zones as far as
- * possible. While another node may still go by an earlier list, the voters of that list count, too;
- * and a candidate needs a majority also of the sets that its voters know. So any two elections have
- * a voter in common.
+ * The voters of a tenant: an odd number of nodes of the machine list, in different zones if possible.
+ * While another node may still use a previous list, a candidate also needs a majority of that list's
+ * voters, and of the sets that its voters report. So any two elections have a voter in common.
  */
 import type { Hash64, OwnerCandidate } from '../ownership/rendezvous.js';
 import type { TenantName } from '../request.js';
 import type { Milliseconds } from '../units.js';
 import type { VoterId, VoterSetList } from './election.js';
-import { type NodeChoice, NodeHashes } from './tenant-nodes.js';
+import { NodeHashCache, type NodeSelector } from './tenant-nodes.js';
 
-/** Sizes of a tenant's set of voters, the largest that the list allows. */
+/** Sizes of a voter set; the largest that the machine list allows is used. */
 const VOTER_COUNTS = [5, 3, 1] as const;
-/** Lists remembered at most; with more changes than these, what was before them is unknown. */
-const MAX_EARLIER_LISTS = 8;
+/** Older lists are dropped, and elections by their voters count as unknown. */
+const MAX_PREVIOUS_LISTS = 8;
 
-interface KnownList {
+interface NodeList {
   readonly nodes: readonly OwnerCandidate[];
-  readonly choice: NodeChoice;
+  readonly selector: NodeSelector;
 }
 
-interface EarlierList extends KnownList {
-  /** Until then another node may still go by this list. */
-  readonly until: Milliseconds;
+interface PreviousList extends NodeList {
+  /** Until this time, another node may still use this list. */
+  readonly maybeUsedUntil: Milliseconds;
 }
 
-/** What this node knows of a tenant's voters. */
+/** The voters of a tenant, as known to this node. */
 export interface KnownVoters {
-  /** Each set needs a majority; empty if nobody may be elected now. */
+  /** A candidate needs a majority of each set; empty if no candidate may be elected now. */
   readonly voterSets: VoterSetList;
-  /** Every election since then needed a majority of one of the sets. */
-  readonly coveredSince: Milliseconds;
+  /** Every election since this time needed a majority of one of the sets. */
+  readonly completeSince: Milliseconds;
 }
 
-/** What the voter sets are made of. */
+/** Options of `VoterSets`. */
 export interface VoterSetsOptions {
-  /** How much later than this node any other may see a change of the machine list. */
+  /** Maximum delay until every other node has seen a list change that this node has seen. */
   readonly listLagMs: Milliseconds;
-  /** Elections longer ago than this don't matter any more. */
-  readonly rememberMs: Milliseconds;
+  /** Elections older than this are no longer relevant. */
+  readonly retentionMs: Milliseconds;
 }
 
-/** Voters of tenants, by this node's machine list and the lists before it. */
+/** Determines the voters of tenants from this node's current and previous machine lists. */
 export class VoterSets {
-  readonly #hashes: NodeHashes;
+  readonly #hashCache: NodeHashCache;
   readonly #options: VoterSetsOptions;
-  #current: KnownList;
-  #earlier: EarlierList[] = [];
+  #current: NodeList;
+  #previous: PreviousList[] = [];
   #unknownUntil = Number.NEGATIVE_INFINITY;
 
   constructor(hash: Hash64, options: VoterSetsOptions) {
-    this.#hashes = new NodeHashes(hash);
+    this.#hashCache = new NodeHashCache(hash);
     this.#options = options;
-    this.#current = { nodes: [], choice: this.#hashes.choiceOf([]) };
+    this.#current = { nodes: [], selector: this.#hashCache.selectorFor([]) };
   }
 
-  setList(nodes: readonly OwnerCandidate[], now: Milliseconds): void {
-    if (nodes === this.#current.nodes || isSame(nodes, this.#current.nodes)) return;
+  setNodes(nodes: readonly OwnerCandidate[], now: Milliseconds): void {
+    if (nodes === this.#current.nodes || isSameList(nodes, this.#current.nodes)) return;
     if (this.#current.nodes.length > 0) {
-      this.#earlier.push({ ...this.#current, until: now + this.#options.listLagMs });
+      this.#previous.push({ ...this.#current, maybeUsedUntil: now + this.#options.listLagMs });
     } else {
       this.#unknownUntil = now;
     }
-    if (this.#earlier.length > MAX_EARLIER_LISTS) {
-      this.#earlier.shift();
+    if (this.#previous.length > MAX_PREVIOUS_LISTS) {
+      this.#previous.shift();
       this.#unknownUntil = now + this.#options.listLagMs;
     }
-    this.#current = { nodes, choice: this.#hashes.choiceOf(nodes) };
+    this.#current = { nodes, selector: this.#hashCache.selectorFor(nodes) };
   }
 
   votersOf(tenant: TenantName, now: Milliseconds): KnownVoters {
-    this.#forgetOld(now);
-    if (this.#current.nodes.length === 0) return { voterSets: [], coveredSince: now };
-    const recent = this.#earlier.filter(({ until }) => until > now);
+    this.#removeExpired(now);
+    if (this.#current.nodes.length === 0) return { voterSets: [], completeSince: now };
+    const recent = this.#previous.filter(({ maybeUsedUntil }) => maybeUsedUntil > now);
     const sets = [this.#current, ...recent].map((list) => this.#votersAmong(tenant, list));
     const distinct = new Map(sets.map((voters) => [voters.join('\0'), voters]));
-    let coveredSince = this.#unknownUntil;
-    for (const list of this.#earlier) {
+    let completeSince = this.#unknownUntil;
+    for (const list of this.#previous) {
       const isCovered = distinct.has(this.#votersAmong(tenant, list).join('\0'));
-      if (!isCovered) coveredSince = Math.max(coveredSince, list.until);
+      if (!isCovered) completeSince = Math.max(completeSince, list.maybeUsedUntil);
     }
-    return { voterSets: [...distinct.values()], coveredSince };
+    return { voterSets: [...distinct.values()], completeSince };
   }
 
-  #votersAmong(tenant: TenantName, { nodes, choice }: KnownList): readonly VoterId[] {
+  #votersAmong(tenant: TenantName, { nodes, selector }: NodeList): readonly VoterId[] {
     const count = VOTER_COUNTS.find((size) => size <= nodes.length) ?? 1;
-    return [...choice.first(`tenant-voters:${tenant}`, count)].sort();
+    return [...selector.select(`tenant-voters:${tenant}`, count)].sort();
   }
 
-  #forgetOld(now: Milliseconds): void {
-    const oldest = now - this.#options.rememberMs;
-    this.#earlier = this.#earlier.filter(({ until }) => until > oldest);
+  #removeExpired(now: Milliseconds): void {
+    const oldest = now - this.#options.retentionMs;
+    this.#previous = this.#previous.filter(({ maybeUsedUntil }) => maybeUsedUntil > oldest);
   }
 }
 
-function isSame(left: readonly OwnerCandidate[], right: readonly OwnerCandidate[]): boolean {
+function isSameList(left: readonly OwnerCandidate[], right: readonly OwnerCandidate[]): boolean {
   const key = ({ nodeId, zone }: OwnerCandidate): string => `${nodeId}\0${zone}`;
   const known = new Set(right.map(key));
   return left.length === right.length && left.every((node) => known.has(key(node)));
--- a/src/node/limits/allocator-service.ts
+++ b/src/node/limits/allocator-service.ts
@@ -56,13 +56,18 @@
     const { lease, life, hash } = options;
     const rememberMs = REMEMBER_FACTOR * lapseMsOf(lease);
     const voteMs = voteMsOf(lease);
-    this.#voter = new Voter({ life, startedAt: options.now(), voteMs, rememberMs });
-    this.#voterSets = new VoterSets(hash, { listLagMs: lease.listLagMs, rememberMs });
+    this.#voter = new Voter({
+      incarnationId: life,
+      startedAt: options.now(),
+      voteMs,
+      retentionMs: rememberMs,
+    });
+    this.#voterSets = new VoterSets(hash, { listLagMs: lease.listLagMs, retentionMs: rememberMs });
   }
 
   /** Voters come from the machine list alone: it is the same for all nodes but for its lag. */
   setList(nodes: readonly OwnerCandidate[]): void {
-    this.#voterSets.setList(nodes, this.#options.now());
+    this.#voterSets.setNodes(nodes, this.#options.now());
   }
 
   /** Tenants whose limits this node allocates now. */
@@ -97,7 +102,7 @@
   /** Stands for elections and looks after what is running. */
   tick(): void {
     const now = this.#options.now();
-    this.#voter.forgetOld(now);
+    this.#voter.removeExpired(now);
     const elections = new Map<string, Election[]>();
     for (const [tenant, running] of this.#running) {
       if (this.#stopUnwanted(tenant, running, now)) continue;
--- a/src/node/limits/nodes.ts
+++ b/src/node/limits/nodes.ts
@@ -1,5 +1,5 @@
 /** The nodes that take part in sharing limits, by this node's view of the fleet. */
-import { type NodeChoice, NodeHashes } from '../../core/limits/tenant-nodes.js';
+import { NodeHashCache, type NodeSelector } from '../../core/limits/tenant-nodes.js';
 import type { Hash64 } from '../../core/ownership/rendezvous.js';
 import type { TenantName } from '../../core/request.js';
 import type { PeerAddress } from '../../peer/contract.js';
@@ -7,14 +7,14 @@
 
 /** The nodes that the limits talk to. */
 export class LimitNodes {
-  readonly #hashes: NodeHashes;
+  readonly #hashes: NodeHashCache;
   #live: readonly FleetNode[] = [];
   #known: ReadonlyMap<string, FleetNode> = new Map();
   /** Made when it is first asked for: members change more often than that. */
-  #choice: NodeChoice | undefined;
+  #choice: NodeSelector | undefined;
 
   constructor(hash: Hash64) {
-    this.#hashes = new NodeHashes(hash);
+    this.#hashes = new NodeHashCache(hash);
   }
 
   /** `live` may become allocators; `known` may hold shares, too. */
@@ -34,8 +34,8 @@
 
   /** The node that should allocate the tenant's limit; others may believe in another one. */
   allocatorOf(tenant: TenantName): string | undefined {
-    this.#choice ??= this.#hashes.choiceOf(this.#live);
-    return this.#choice.first(`tenant-allocator:${tenant}`, 1)[0];
+    this.#choice ??= this.#hashes.selectorFor(this.#live);
+    return this.#choice.select(`tenant-allocator:${tenant}`, 1)[0];
   }
 
   addressOf(nodeId: string): PeerAddress | undefined {
--- a/src/node/limits/share-service.ts
+++ b/src/node/limits/share-service.ts
@@ -65,7 +65,7 @@
   /** Resolves once there is a place, or with why there is none. */
   admit({ tenant }: TenantPolicy): ResultAsync<Release, RequestError> {
     const isFirstInLine = !this.#waiting.has(tenant);
-    if (isFirstInLine && this.#shares.take(tenant, this.#options.now())) {
+    if (isFirstInLine && this.#shares.tryAcquire(tenant, this.#options.now())) {
       return new ResultAsync(Promise.resolve(ok(this.#releaseOf(tenant))));
     }
     if (this.#waitingOf(tenant) >= MAX_WAITING) {
@@ -84,7 +84,7 @@
 
   /** The tenant's limit has changed: its share is asked for anew. */
   limitChanged(tenant: TenantName): void {
-    this.#shares.renewSoon(tenant);
+    this.#shares.scheduleRenewal(tenant);
   }
 
   /** What this node holds, for an allocator that asks under its term. */
@@ -97,8 +97,8 @@
     const now = this.#options.now();
     return this.#shares.tenants().map((tenant) => ({
       tenant,
-      open: this.#shares.openOf(tenant),
-      held: this.#shares.heldOf(tenant, now),
+      open: this.#shares.openConnections(tenant),
+      held: this.#shares.heldConnections(tenant, now),
       waiting: this.#waitingOf(tenant),
     }));
   }
@@ -130,7 +130,7 @@
     requests.forEach((entry, index) => {
       const answer = answers.value[index];
       if (answer === undefined) return;
-      this.#shares.receive(entry, answer, this.#options.now());
+      this.#shares.receiveResponse(entry, answer, this.#options.now());
       this.#applyShare(entry.tenant);
     });
   }
@@ -138,13 +138,13 @@
   /** Callers in, as far as the share goes; callers out, if it is smaller now. */
   #applyShare(tenant: TenantName): void {
     const { now, graceMs, onShareLowered } = this.#options;
-    const excess = this.#shares.excessOf(tenant, graceMs, now());
+    const excess = this.#shares.excessConnections(tenant, graceMs, now());
     if (excess > 0) {
-      onShareLowered(tenant, this.#shares.openOf(tenant) - excess);
+      onShareLowered(tenant, this.#shares.openConnections(tenant) - excess);
       return;
     }
     for (const caller of this.#waiting.get(tenant) ?? []) {
-      if (this.#shares.take(tenant, now())) {
+      if (this.#shares.tryAcquire(tenant, now())) {
         this.#settle(tenant, caller, ok(this.#releaseOf(tenant)));
       } else if (this.#shares.isExhausted(tenant)) {
         this.#settle(tenant, caller, err(noConnectionLeft(tenant)));
--- a/test/support/lease-network.ts
+++ b/test/support/lease-network.ts
@@ -60,11 +60,11 @@
   }
 
   held(realTime: number): number {
-    return this.shares.heldOf(TENANT, this.clock(realTime));
+    return this.shares.heldConnections(TENANT, this.clock(realTime));
   }
 
   get open(): number {
-    return this.shares.openOf(TENANT);
+    return this.shares.openConnections(TENANT);
   }
 }
 
@@ -136,9 +136,17 @@
     const life = `${node.id}#${node.lives}`;
     const rememberMs = 2 * lapseMsOf(this.options);
     const voteMs = voteMsOf(this.options);
-    node.voter = new Voter({ life, startedAt: now, voteMs, rememberMs });
-    node.voterSets = new VoterSets(this.#hash, { listLagMs: this.options.listLagMs, rememberMs });
-    node.voterSets.setList(this.#listed(), now);
+    node.voter = new Voter({
+      incarnationId: life,
+      startedAt: now,
+      voteMs,
+      retentionMs: rememberMs,
+    });
+    node.voterSets = new VoterSets(this.#hash, {
+      listLagMs: this.options.listLagMs,
+      retentionMs: rememberMs,
+    });
+    node.voterSets.setNodes(this.#listed(), now);
     node.shares = new TenantShares(life, this.options);
     node.shares.setNodeCount(this.#list.length);
     node.allocator = undefined;
@@ -169,7 +177,7 @@
       const at = this.now + this.random() * this.options.listLagMs * 0.9;
       const version = this.#listVersion;
       const action = (): void => {
-        if (version === this.#listVersion) node.voterSets.setList(listed, node.clock(this.now));
+        if (version === this.#listVersion) node.voterSets.setNodes(listed, node.clock(this.now));
       };
       this.#pending.push({ at, to: node, life: node.lives, action });
     }
@@ -192,12 +200,12 @@
 
   #serve(node: LeaseNode, clock: number): void {
     const { shares } = node;
-    for (let left = shares.excessOf(TENANT, GRACE_MS, clock); left > 0; left -= 1) {
+    for (let left = shares.excessConnections(TENANT, GRACE_MS, clock); left > 0; left -= 1) {
       shares.release(TENANT, clock);
       this.cutCallers += 1;
     }
     while (node.open > node.demand) shares.release(TENANT, clock);
-    while (node.open < node.demand && shares.take(TENANT, clock));
+    while (node.open < node.demand && shares.tryAcquire(TENANT, clock));
     if (node.demand > 0 || node.open > 0) {
       shares.setWaiting(TENANT, node.demand - node.open, clock);
     }
@@ -254,7 +262,7 @@
       to,
       () => to.allocator?.answer(due.request, to.clock(this.now)),
       (answer) => {
-        if (answer !== undefined) node.shares.receive(due, answer, node.clock(this.now));
+        if (answer !== undefined) node.shares.receiveResponse(due, answer, node.clock(this.now));
       },
     );
   }
--- a/test/unit/election.test.ts
+++ b/test/unit/election.test.ts
@@ -14,7 +14,7 @@
 const SETS = [['a', 'b', 'c']];
 
 function voterStartedAt(startedAt: number): Voter {
-  return new Voter({ life: 'v#1', startedAt, voteMs: VOTE_MS, rememberMs: REMEMBER_MS });
+  return new Voter({ incarnationId: 'v#1', startedAt, voteMs: VOTE_MS, retentionMs: REMEMBER_MS });
 }
 
 function voteFor(sequence: string, quietMs: number, voterSets = SETS): Vote {
@@ -40,10 +40,10 @@
 test('a majority elects, with the time that a majority vouches for', () => {
   const candidacy = new Candidacy(AUTHORITY_MS);
   candidacy.startRound(SETS, 0, 100);
-  assert.is(candidacy.receive('a', 100, voteFor('a1', 50), 110).type, 'pending');
-  const elected = candidacy.receive('b', 100, voteFor('b1', 7000), 110);
-  assert.equal(elected, { type: 'elected', sentAt: 100, quietMs: 50, continued: false });
-  const late = candidacy.receive('c', 99, voteFor('c1', 7000), 110);
+  assert.is(candidacy.receiveVote('a', 100, voteFor('a1', 50), 110).type, 'pending');
+  const elected = candidacy.receiveVote('b', 100, voteFor('b1', 7000), 110);
+  assert.equal(elected, { type: 'elected', sentAt: 100, quietMs: 50, isRenewal: false });
+  const late = candidacy.receiveVote('c', 99, voteFor('c1', 7000), 110);
   assert.is(late.type, 'pending', 'a vote of an earlier round');
 });
 
@@ -51,40 +51,40 @@
   const candidacy = new Candidacy(AUTHORITY_MS);
   candidacy.startRound([['a']], 0, 100);
   const known = [['a'], ['x', 'y', 'z']];
-  assert.is(candidacy.receive('a', 100, voteFor('a1', 50, known), 110).type, 'pending');
+  assert.is(candidacy.receiveVote('a', 100, voteFor('a1', 50, known), 110).type, 'pending');
   assert.equal(candidacy.startRound([['a']], 0, 200), ['a', 'x', 'y', 'z']);
 });
 
 test('a tenure does not go on if others may have been elected by earlier voters', () => {
   const candidacy = new Candidacy(AUTHORITY_MS);
   candidacy.startRound([['a']], 0, 100);
-  candidacy.receive('a', 100, voteFor('a1', 50, [['a']]), 110);
+  candidacy.receiveVote('a', 100, voteFor('a1', 50, [['a']]), 110);
   candidacy.startRound([['a']], 0, 200);
-  const next = candidacy.receive('a', 200, voteFor('a1', 150, [['a']]), 210);
-  assert.ok(next.type === 'elected' && next.continued);
+  const next = candidacy.receiveVote('a', 200, voteFor('a1', 150, [['a']]), 210);
+  assert.ok(next.type === 'elected' && next.isRenewal);
   const coveredSince = 200 + AUTHORITY_MS + 1;
   candidacy.startRound([['a']], coveredSince, 9000);
-  const later = candidacy.receive('a', 9000, voteFor('a1', 8000, [['a']]), 9010);
-  assert.ok(later.type === 'elected' && !later.continued);
+  const later = candidacy.receiveVote('a', 9000, voteFor('a1', 8000, [['a']]), 9010);
+  assert.ok(later.type === 'elected' && !later.isRenewal);
 });
 
 test('after a change of the list the voters of both lists count, and then the new ones alone', async () => {
   const sets = new VoterSets(await loadHash64(), {
     listLagMs: LIST_LAG_MS,
-    rememberMs: REMEMBER_MS,
+    retentionMs: REMEMBER_MS,
   });
   const nodes = ['a', 'b', 'c', 'd'].map((nodeId) => ({ nodeId, zone: nodeId }));
-  sets.setList(nodes, 1000);
+  sets.setNodes(nodes, 1000);
   const before = sets.votersOf('t', 1000);
   assert.is(before.voterSets[0]?.length, 3);
-  assert.is(before.coveredSince, 1000, 'what was before the first list is unknown');
+  assert.is(before.completeSince, 1000, 'what was before the first list is unknown');
   const [gone = ''] = before.voterSets[0] ?? [];
   const rest = nodes.filter(({ nodeId }) => nodeId !== gone);
-  sets.setList(rest, 20_000);
+  sets.setNodes(rest, 20_000);
   assert.is(sets.votersOf('t', 20_000 + LIST_LAG_MS - 1).voterSets.length, 2);
   const after = sets.votersOf('t', 20_000 + LIST_LAG_MS);
   assert.equal(after.voterSets, [rest.map(({ nodeId }) => nodeId)]);
-  assert.is(after.coveredSince, 20_000 + LIST_LAG_MS);
+  assert.is(after.completeSince, 20_000 + LIST_LAG_MS);
 });
 
 test('what voters vouch for counts no further back than the elections that they cover', () => {
@@ -92,7 +92,7 @@
   const reasonWith = (coveredSince: number): string | undefined => {
     const lease = { ...DEFAULT_TENANT_LEASE_OPTIONS, maxReportingNodes: 0 };
     const allocator = new TenantAllocator('t', 'n#1', 10, lease, now);
-    allocator.tick({ voterSets: [['a']], coveredSince, knownNodes: [] }, now);
+    allocator.tick({ voterSets: [['a']], completeSince: coveredSince, knownNodes: [] }, now);
     allocator.receiveVote('a', now, voteFor('a1', now, [['a']]), now);
     const counts = { wanted: 1, needed: 1, holding: 0, inUse: 0 };
     const answer = allocator.answer({ holder: 'h', number: 1, term: undefined, ...counts }, now);
--- a/test/unit/limits.test.ts
+++ b/test/unit/limits.test.ts
@@ -1,11 +1,11 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { DEFAULT_LIMITS, TenantAdmission } from '../../src/core/limits/admission.js';
+import { DEFAULT_TENANT_LIMITS, TenantAdmission } from '../../src/core/limits/admission.js';
 import { RetryBudget } from '../../src/core/retry/budget.js';
 
-function admissionWith(overrides: Partial<typeof DEFAULT_LIMITS>): TenantAdmission {
+function admissionWith(overrides: Partial<typeof DEFAULT_TENANT_LIMITS>): TenantAdmission {
   const admission = new TenantAdmission();
-  admission.setLimits([{ tenant: 'bureau', ...DEFAULT_LIMITS, ...overrides }]);
+  admission.setLimits([{ tenant: 'bureau', ...DEFAULT_TENANT_LIMITS, ...overrides }]);
   return admission;
 }
 
@@ -24,7 +24,7 @@
   const admission = admissionWith({ maxInFlight: 1 });
   assert.is(admission.admit('bureau', 0, 0), undefined);
   assert.is(admission.admit('bureau', 7, 0)?.reason, 'in-flight-limit');
-  admission.recordFinal('bureau');
+  admission.recordCompleted('bureau');
   assert.is(admission.admit('bureau', 0, 0), undefined);
 });
 
