--- a/src/core/promotion/fleet-publisher.ts
+++ b/src/core/promotion/fleet-publisher.ts
@@ -14,12 +14,12 @@
 import { nextReaders } from '../ownership/watch-readers.js';
 import { largestReturningMesh } from '../return/returning-fleet.js';
 import {
-  FIRST_KEEPERS_MS,
-  KEEPER_REPLACED_MS,
+  areSameKeepers,
+  assignKeepers,
+  KEEPER_REPLACEMENT_DELAY_MS,
   type KeeperCandidate,
-  nextKeepers,
+  LEADER_WARMUP_MS,
   type QuotaKeepers,
-  sameKeepers,
 } from '../tenancy/quota-keepers.js';
 import type { Milliseconds } from '../units.js';
 import type { DutyStore } from './duty-store.js';
@@ -122,9 +122,9 @@
     const { options, now } = this.runtime;
     const previous = published?.keepers;
     if (options.hasQuotas !== true) return previous;
-    if (previous === undefined && now - this.store.begunAt < FIRST_KEEPERS_MS) return undefined;
+    if (previous === undefined && now - this.store.begunAt < LEADER_WARMUP_MS) return undefined;
     const live = this.store.possibleReaders();
-    return nextKeepers(previous ?? [], [...live, ...this.#lateKeepers(previous ?? [], live)]);
+    return assignKeepers(previous ?? [], [...live, ...this.#lateKeepers(previous ?? [], live)]);
   }
 
   #lateKeepers(
@@ -142,7 +142,7 @@
     return [...missing.values()].flatMap((node) => {
       const since = this.#missingSince.get(node.nodeId) ?? now;
       this.#missingSince.set(node.nodeId, since);
-      return now - since < KEEPER_REPLACED_MS ? [{ ...node, linkMbps: 0 }] : [];
+      return now - since < KEEPER_REPLACEMENT_DELAY_MS ? [{ ...node, linkMbps: 0 }] : [];
     });
   }
 
@@ -169,6 +169,6 @@
 function sameFleet(left: FleetRecord, right: FleetRecord): boolean {
   if (left.nodes !== right.nodes) return false;
   if (!sameRoster(left.readers ?? [], right.readers ?? [])) return false;
-  if (!sameKeepers(left.keepers, right.keepers)) return false;
+  if (!areSameKeepers(left.keepers, right.keepers)) return false;
   return sameOwners(left.owners, right.owners) && sameOwners(left.returnOwners, right.returnOwners);
 }
--- a/src/core/tenancy/decaying-rate.ts
+++ b/src/core/tenancy/decaying-rate.ts
@@ -1,24 +1,25 @@
-/** Events a second, averaged over about a memory: what is older counts less and less. No I/O and no clock. */
+/** Exponentially decaying average of events per second. No I/O; the caller passes the time. */
 import { MILLISECONDS_PER_SECOND, type Milliseconds } from '../units.js';
 
 export class DecayingRate {
   #perSecond = 0;
-  #at: Milliseconds = 0;
+  #updatedAt: Milliseconds = 0;
 
-  /** @param least a rate below this counts as none */
+  /** @param minPerSecond rates below this are reported as 0 */
   constructor(
-    private readonly memoryMs: Milliseconds,
-    private readonly least: number = 0,
+    private readonly timeConstantMs: Milliseconds,
+    private readonly minPerSecond: number = 0,
   ) {}
 
-  note(count: number, now: Milliseconds): void {
-    const added = (count * MILLISECONDS_PER_SECOND) / this.memoryMs;
+  record(count: number, now: Milliseconds): void {
+    const added = (count * MILLISECONDS_PER_SECOND) / this.timeConstantMs;
     this.#perSecond = this.perSecond(now) + added;
-    this.#at = now;
+    this.#updatedAt = now;
   }
 
   perSecond(now: Milliseconds): number {
-    const left = this.#perSecond * Math.exp(-Math.max(0, now - this.#at) / this.memoryMs);
-    return left < this.least ? 0 : left;
+    const rate =
+      this.#perSecond * Math.exp(-Math.max(0, now - this.#updatedAt) / this.timeConstantMs);
+    return rate < this.minPerSecond ? 0 : rate;
   }
 }
--- a/src/core/tenancy/key-ring.ts
+++ b/src/core/tenancy/key-ring.ts
@@ -1,6 +1,6 @@
-/** Which tenant a caller's key gives, by the configuration in force. Keys are known by what stands for them. */
+/** Finds the tenant of a caller's key in the current configuration. Keys are known only by their digests. */
 
-/** A tenant and what stands for its keys. */
+/** A tenant and the digests of its keys. */
 export interface KeyHolder {
   readonly name: string;
   readonly keyDigests: readonly string[];
@@ -15,7 +15,7 @@
     }
   }
 
-  /** The tenant's name; undefined if nobody holds the key. */
+  /** The tenant's name; undefined if no tenant has the key. */
   tenantOf(keyDigest: string): string | undefined {
     return this.#tenants.get(keyDigest);
   }
--- a/src/core/tenancy/permit-holder.ts
+++ b/src/core/tenancy/permit-holder.ts
@@ -1,59 +1,64 @@
 /**
- * Permits that a node holds of one tenant's quota, and how many it would like to hold: enough for what comes until a
- * question for more is answered, so that most operations wait for none. No I/O and no clock.
+ * Permits that a node holds of one tenant's quota, and the number that it should hold: enough for the operations that
+ * arrive while a request for more is in flight, so that most operations need not wait. No I/O; the caller passes the
+ * time.
  */
 import { MILLISECONDS_PER_SECOND, type Milliseconds } from '../units.js';
 import { DecayingRate } from './decaying-rate.js';
-import { PERMIT_LIFE_MS } from './quota-ledger.js';
+import { PERMIT_LIFETIME_MS } from './quota-ledger.js';
 
-/** Demand is averaged over about this. */
-const DEMAND_MEMORY_MS: Milliseconds = 2000;
-/** Permits are held for the demand of so long. */
-const AHEAD_MS: Milliseconds = 2000;
-/** No more than this are held ahead, however large the demand. */
-const MOST_AHEAD = 64;
+/** Time constant of the average of the demand. */
+const DEMAND_AVERAGE_MS: Milliseconds = 2000;
+/** Permits are prefetched for the expected demand of this period. */
+const PREFETCH_MS: Milliseconds = 2000;
+/** Maximum number of prefetched permits, whatever the demand. */
+const MAX_PREFETCHED_PERMITS = 64;
 
 interface PermitBatch {
   count: number;
-  readonly voidAt: Milliseconds;
+  readonly expiresAt: Milliseconds;
 }
 
 export class PermitHolder {
   #batches: PermitBatch[] = [];
-  readonly #demand = new DecayingRate(DEMAND_MEMORY_MS);
+  readonly #demand = new DecayingRate(DEMAND_AVERAGE_MS);
 
-  /** Takes one of the permits that are held, if there is one. */
+  /** Uses one of the permits; false if there is none. */
   take(now: Milliseconds): boolean {
-    this.#forgetVoid(now);
-    const [first] = this.#batches;
-    if (first === undefined) return false;
-    first.count -= 1;
-    if (first.count === 0) this.#batches.shift();
+    this.#removeExpired(now);
+    const [oldest] = this.#batches;
+    if (oldest === undefined) return false;
+    oldest.count -= 1;
+    if (oldest.count === 0) this.#batches.shift();
     return true;
   }
 
-  /** Takes permits that were asked for at a time: they are void so long after that. */
-  add(count: number, askedAt: Milliseconds): void {
-    if (count > 0) this.#batches.push({ count, voidAt: askedAt + PERMIT_LIFE_MS });
+  /** Adds granted permits; their lifetime counts from when they were requested. */
+  add(count: number, requestedAt: Milliseconds): void {
+    if (count > 0) this.#batches.push({ count, expiresAt: requestedAt + PERMIT_LIFETIME_MS });
   }
 
-  held(now: Milliseconds): number {
-    this.#forgetVoid(now);
+  heldCount(now: Milliseconds): number {
+    this.#removeExpired(now);
     return this.#batches.reduce((sum, { count }) => sum + count, 0);
   }
 
-  /** How many permits to hold ahead; none where operations are rarer than permits last. */
-  wanted(now: Milliseconds): number {
+  /** Number of permits to hold in advance; 0 where operations are rarer than the lifetime of a permit. */
+  targetCount(now: Milliseconds): number {
     const demand = this.#demand.perSecond(now);
-    return Math.min(MOST_AHEAD, Math.round((demand * AHEAD_MS) / MILLISECONDS_PER_SECOND));
+    return Math.min(
+      MAX_PREFETCHED_PERMITS,
+      Math.round((demand * PREFETCH_MS) / MILLISECONDS_PER_SECOND),
+    );
   }
 
-  /** An operation asks. */
-  noteDemand(now: Milliseconds): void {
-    this.#demand.note(1, now);
+  /** Counts one operation of the tenant, whether or not it gets a permit. */
+  recordDemand(now: Milliseconds): void {
+    this.#demand.record(1, now);
   }
 
-  #forgetVoid(now: Milliseconds): void {
-    while (this.#batches[0] !== undefined && this.#batches[0].voidAt <= now) this.#batches.shift();
+  #removeExpired(now: Milliseconds): void {
+    while (this.#batches[0] !== undefined && this.#batches[0].expiresAt <= now)
+      this.#batches.shift();
   }
 }
--- a/src/core/tenancy/quota-keepers.ts
+++ b/src/core/tenancy/quota-keepers.ts
@@ -1,35 +1,37 @@
 /**
- * Which nodes keep the tenants' quotas. There are some parts, each kept by one node; a tenant's quota is split over three
- * of them, so that most of it is there while a part has no keeper. A part goes to another node only once the lease of
- * its keeper is over at the store: until then the keeper may give out what the other one would give once more.
+ * Assigns keepers: nodes that grant permits for parts of the tenants' quotas. Each part has one keeper; a tenant's
+ * quota is split over three parts, so that most of it stays available while one part has no keeper. A part gets
+ * another keeper only after the previous keeper's lease has expired at the store: until then, both could grant the
+ * same quota.
  */
 import { type ReachableNode, sameRoster } from '../ownership/owner-roster.js';
 import type { Milliseconds } from '../units.js';
 
-/** Parts; the loss of a node leaves every fourth tenant with two thirds of its quota for some seconds. */
+/** Number of parts; the loss of a keeper leaves every fourth tenant two thirds of its quota for some seconds. */
 export const QUOTA_PARTS = 12;
 /**
- * Parts over which the quota of one tenant is split. A store that turns a third of the nodes away takes all keepers of
- * every ninth tenant with two parts, of every 27th with three; each part more makes buckets smaller.
+ * Parts over which the quota of one tenant is split. A store that rejects a third of the nodes removes all keepers of
+ * every ninth tenant with two parts, of every 27th with three; each additional part makes the buckets smaller.
  */
 export const PARTS_PER_TENANT = 3;
 
 /**
- * A keeper goes on for so long after its lease is over by its own clock. While the store is away no lease is renewed, and
- * callers rely on a node for three seconds (0.6 of the bound of revocation, users' pages), of which a lease covers 0.8 to
- * 1.5 s. Longer, and tenants whose keepers alone are turned away by the store wait longer for others: with 2.2 s, two
- * parts and a store that refused a third of 83 nodes, 3,300 operations in 5 s found no keeper to ask (simulated day).
+ * A keeper continues for this time after its lease has expired on its own clock. During a store outage no lease is
+ * renewed, but callers rely on a node for 3 s (0.6 of the documented bound of revocation); a lease covers 0.8 to 1.5 s
+ * of that. A longer grace period delays the replacement of keepers that the store rejects: with 2.2 s, two parts per
+ * tenant and a store that rejected a third of 83 nodes, 3,300 operations within 5 s found no keeper.
  */
 export const KEEPER_GRACE_MS: Milliseconds = 1000;
 /**
- * From when the leader finds a keeper's lease over until it names another one. The lease ends at the store 500 ms after
- * it does by the keeper's clock, so that the keeper has stopped 300 ms before.
+ * Time between when the leader sees a keeper's lease expire and when it assigns another keeper. The lease expires at
+ * the store 500 ms later than on the keeper's clock, so that the old keeper, with its grace period, has stopped 300
+ * ms before.
  */
-export const KEEPER_REPLACED_MS: Milliseconds = 800;
-/** The first keepers are named once a leader has led for so long: in a fleet that starts, most nodes are unknown. */
-export const FIRST_KEEPERS_MS: Milliseconds = 3000;
+export const KEEPER_REPLACEMENT_DELAY_MS: Milliseconds = 800;
+/** Time after which a new leader assigns the first keepers: while a fleet starts, most nodes are still unknown. */
+export const LEADER_WARMUP_MS: Milliseconds = 3000;
 
-/** The keeper of each part, by its number. */
+/** The keeper of each part; the index is the number of the part. */
 export type QuotaKeepers = readonly ReachableNode[];
 
 /** A node that may keep quotas. */
@@ -38,10 +40,11 @@
 }
 
 /**
- * The keepers that follow `previous`. A keeper stays while its node lives; its parts go to the nodes with the fewest
- * then, of these to one with a fast link, since all nodes ask it.
+ * The keepers after `previous`. A keeper is retained while its node is live; otherwise its parts go to the nodes with
+ * the fewest parts, then with the fewest in their zone, then with the fastest link, since all nodes send requests to
+ * keepers.
  */
-export function nextKeepers(
+export function assignKeepers(
   previous: QuotaKeepers,
   live: readonly KeeperCandidate[],
 ): QuotaKeepers | undefined {
@@ -56,10 +59,10 @@
     if (byId.has(nodeId)) zoneCounts.set(zone, (zoneCounts.get(zone) ?? 0) + 1);
   }
   return Array.from({ length: QUOTA_PARTS }, (_, part) => {
-    const before = previous[part];
-    const staying = before && byId.get(before.nodeId);
-    const { linkMbps: _linkMbps, ...keeper } = staying ?? fewest(live, counts, zoneCounts);
-    if (staying === undefined) {
+    const previousKeeper = previous[part];
+    const retained = previousKeeper && byId.get(previousKeeper.nodeId);
+    const { linkMbps: _linkMbps, ...keeper } = retained ?? leastLoaded(live, counts, zoneCounts);
+    if (retained === undefined) {
       counts.set(keeper.nodeId, (counts.get(keeper.nodeId) ?? 0) + 1);
       zoneCounts.set(keeper.zone, (zoneCounts.get(keeper.zone) ?? 0) + 1);
     }
@@ -67,7 +70,7 @@
   });
 }
 
-function fewest(
+function leastLoaded(
   live: readonly KeeperCandidate[],
   counts: ReadonlyMap<string, number>,
   zoneCounts: ReadonlyMap<string, number>,
@@ -88,8 +91,11 @@
   return first as KeeperCandidate;
 }
 
-/** From the first part of a tenant to its others; no two tenants lose all parts together for long. */
-const PART_STEPS: readonly (readonly number[])[] = [
+/**
+ * Offsets from the first part of a tenant to its other parts, in several patterns, so that few tenants share all three
+ * parts and lose them together.
+ */
+const PART_OFFSETS: readonly (readonly number[])[] = [
   [1, 5],
   [2, 7],
   [3, 4],
@@ -100,13 +106,13 @@
 /** The parts that a tenant's quota is split over. */
 export function partsOf(tenantHash: number): readonly number[] {
   const first = tenantHash % QUOTA_PARTS;
-  const pattern = Math.floor(tenantHash / QUOTA_PARTS) % PART_STEPS.length;
-  const steps = PART_STEPS[pattern] ?? [];
-  return [first, ...steps.map((step) => (first + step) % QUOTA_PARTS)];
+  const pattern = Math.floor(tenantHash / QUOTA_PARTS) % PART_OFFSETS.length;
+  const offsets = PART_OFFSETS[pattern] ?? [];
+  return [first, ...offsets.map((offset) => (first + offset) % QUOTA_PARTS)];
 }
 
-/** Whether a node keeps a part by these keepers. */
-export function keepsPart(
+/** Whether the node is the keeper of the part. */
+export function isKeeperOfPart(
   keepers: QuotaKeepers | undefined,
   part: number,
   nodeId: string,
@@ -114,7 +120,7 @@
   return keepers?.[part]?.nodeId === nodeId;
 }
 
-/** Whether both name the same nodes for the same parts. */
-export function sameKeepers(left: QuotaKeepers = [], right: QuotaKeepers = []): boolean {
+/** Whether both assign the same nodes to the same parts. */
+export function areSameKeepers(left: QuotaKeepers = [], right: QuotaKeepers = []): boolean {
   return sameRoster(left, right);
 }
--- a/src/core/tenancy/quota-ledger.ts
+++ b/src/core/tenancy/quota-ledger.ts
@@ -1,58 +1,59 @@
 /**
- * One part of the tenants' quotas at the node that keeps it. Other nodes ask it for permits: for operations at hand, and
- * a few ahead that they hold for a while. Answers load of any size from one tenant: what it may run in a time is the
- * bucket's burst and rate, whoever asks and whatever became of the permits. No I/O and no clock.
+ * One part of the tenants' quotas, at the node that is its keeper. Other nodes request permits for operations that
+ * are waiting, and a few prefetched permits that they hold for a limited time. Whatever the load of a tenant,
+ * whichever nodes request permits and whether or not they use them, the tenant runs at most the bucket's burst plus
+ * its rate in any period. No I/O; the caller passes the time.
  *
- * Why the bound holds: permits that nodes hold ahead are taken off the bucket's capacity until they are void, so that
- * in any time at most what was held or left at its beginning, together no more than the burst, and what the rate has
- * brought since can be used. A keeper that begins anew, or after another one, begins empty for the same reason: what was
- * used before it began counts too.
+ * Why the bound holds: prefetched permits reduce the bucket's capacity until they expire. So the operations that can
+ * run in a period are at most those held or left in the bucket at its start, together no more than the burst, plus
+ * those that the rate has added since. A new or restarted keeper starts with empty buckets, because the operations
+ * granted before it started also count.
  */
 import { MILLISECONDS_PER_SECOND, type Milliseconds } from '../units.js';
 import { PriorityReserve } from './priority-reserve.js';
 
-/** What a tenant may run on all nodes together. */
+/** Limit on a tenant's operations on all nodes together. */
 export interface Quota {
   readonly ratePerSecond: number;
-  /** Operations beyond the rate that may come at once. */
+  /** Operations that may run at once beyond the rate. */
   readonly burst: number;
 }
 
-/** What a node asks for. */
+/** A node's request for permits. */
 export interface PermitRequest {
   readonly tenant: string;
-  /** Who asks. */
+  /** The requesting node. */
   readonly node: string;
-  /** Operations at hand, all of one priority. */
+  /** Operations that wait for a permit, all of one priority. */
   readonly needed: number;
-  /** 0, the highest, by default. */
+  /** 0, the default, is the highest. */
   readonly priority?: number | undefined;
-  /** Permits that the node holds already. */
+  /** Prefetched permits that the node already holds. */
   readonly held: number;
-  /** Permits that it would like to hold beside those for what is at hand. */
+  /** Prefetched permits that the node wants to hold, in addition to those needed. */
   readonly wanted: number;
 }
 
 export interface PermitGrant {
   readonly granted: number;
-  /** When it is worth asking again, if less was granted than is needed. */
+  /** Delay before the next request, if fewer permits were granted than are needed. */
   readonly retryAfterMs: Milliseconds;
 }
 
-/** Permits held ahead are void after this, by the clock of who holds them and, later, of who gave them. */
-export const PERMIT_LIFE_MS: Milliseconds = 4000;
-/** Permits are given ahead only from what the bucket holds above this part of its capacity. */
-const KEPT_SHARE = 0.5;
+/** Prefetched permits expire after this time: first on the holder's clock, later on the keeper's. */
+export const PERMIT_LIFETIME_MS: Milliseconds = 4000;
+/** Permits for prefetching are granted only from tokens above this fraction of the bucket's capacity. */
+const PREFETCH_RESERVE_FRACTION = 0.5;
 
 interface HeldPermits {
   readonly count: number;
-  readonly voidAt: Milliseconds;
+  readonly expiresAt: Milliseconds;
 }
 
 interface Bucket {
   tokens: number;
-  at: Milliseconds;
-  readonly held: Map<string, HeldPermits>;
+  refilledAt: Milliseconds;
+  readonly heldByNode: Map<string, HeldPermits>;
   readonly reserve: PriorityReserve;
 }
 
@@ -60,34 +61,37 @@
   readonly #buckets = new Map<string, Bucket>();
 
   constructor(
-    /** Part of each quota that this ledger gives out. */
-    private readonly share: number,
-    private readonly begunAt: Milliseconds,
+    /** Fraction of each quota that this ledger grants. */
+    private readonly fraction: number,
+    private readonly startedAt: Milliseconds,
     /**
-     * Operations that a bucket may hold beyond its part of the burst: a part of a small one would lack a whole operation
-     * otherwise, while the parts together have one. It is of what the operator allows beyond the limit.
+     * Capacity of a bucket beyond its part of the burst: otherwise a part of a small burst could be less than one
+     * operation, although the parts together hold one. It is taken from the overshoot that the operator allows.
      */
-    private readonly spare: number = 0,
+    private readonly extraCapacity: number = 0,
   ) {}
 
-  /** @param quota in force now; undefined if nothing bounds the tenant */
+  /** @param quota the tenant's current quota; undefined if the tenant is not limited */
   grant(request: PermitRequest, quota: Quota | undefined, now: Milliseconds): PermitGrant {
     const { tenant, node, needed, held, wanted, priority = 0 } = request;
     if (quota === undefined) return { granted: needed + wanted, retryAfterMs: 0 };
     const bucket = this.#bucketOf(tenant);
-    bucket.held.set(node, { count: held, voidAt: now + PERMIT_LIFE_MS });
+    bucket.heldByNode.set(node, { count: held, expiresAt: now + PERMIT_LIFETIME_MS });
     const capacity = this.#refill(bucket, quota, now);
-    const ratePerSecond = quota.ratePerSecond * this.share;
-    bucket.reserve.noteDemand(priority, needed, ratePerSecond, now);
-    const kept = bucket.reserve.keptFrom(priority, { ratePerSecond, capacity }, now);
-    const forNow = Math.min(needed, Math.max(0, Math.floor(bucket.tokens - kept)));
-    bucket.reserve.noteGranted(priority, forNow);
-    const spare = Math.floor(bucket.tokens - forNow - capacity * KEPT_SHARE);
-    const ahead = forNow < needed ? 0 : Math.max(0, Math.min(wanted - held, spare));
-    bucket.tokens -= forNow + ahead;
-    bucket.held.set(node, { count: held + ahead, voidAt: now + PERMIT_LIFE_MS });
-    const retryAfterMs = needed > forNow ? timeTo(1 + kept, bucket.tokens, ratePerSecond) : 0;
-    return { granted: forNow + ahead, retryAfterMs };
+    const ratePerSecond = quota.ratePerSecond * this.fraction;
+    bucket.reserve.recordDemand(priority, needed, ratePerSecond, now);
+    const reserved = bucket.reserve.reservedAgainst(priority, { ratePerSecond, capacity }, now);
+    const grantedNow = Math.min(needed, Math.max(0, Math.floor(bucket.tokens - reserved)));
+    bucket.reserve.recordGranted(priority, grantedNow);
+    const prefetchable = Math.floor(
+      bucket.tokens - grantedNow - capacity * PREFETCH_RESERVE_FRACTION,
+    );
+    const prefetched = grantedNow < needed ? 0 : Math.max(0, Math.min(wanted - held, prefetchable));
+    bucket.tokens -= grantedNow + prefetched;
+    bucket.heldByNode.set(node, { count: held + prefetched, expiresAt: now + PERMIT_LIFETIME_MS });
+    const retryAfterMs =
+      needed > grantedNow ? msUntilTokens(1 + reserved, bucket.tokens, ratePerSecond) : 0;
+    return { granted: grantedNow + prefetched, retryAfterMs };
   }
 
   #bucketOf(tenant: string): Bucket {
@@ -95,31 +99,31 @@
     if (known !== undefined) return known;
     const bucket: Bucket = {
       tokens: 0,
-      at: this.begunAt,
-      held: new Map(),
+      refilledAt: this.startedAt,
+      heldByNode: new Map(),
       reserve: new PriorityReserve(),
     };
     this.#buckets.set(tenant, bucket);
     return bucket;
   }
 
-  /** Brings a bucket up to now; gives what it may hold at most. */
+  /** Refills a bucket and drops expired permits; returns the capacity that unexpired permits leave. */
   #refill(bucket: Bucket, quota: Quota, now: Milliseconds): number {
-    let ahead = 0;
-    for (const [node, { count, voidAt }] of bucket.held) {
-      if (voidAt <= now) bucket.held.delete(node);
-      else ahead += count;
+    let held = 0;
+    for (const [node, { count, expiresAt }] of bucket.heldByNode) {
+      if (expiresAt <= now) bucket.heldByNode.delete(node);
+      else held += count;
     }
-    const capacity = Math.max(0, quota.burst * this.share + this.spare - ahead);
-    const elapsedMs = Math.max(0, now - bucket.at);
-    const earned = (elapsedMs * quota.ratePerSecond * this.share) / MILLISECONDS_PER_SECOND;
+    const capacity = Math.max(0, quota.burst * this.fraction + this.extraCapacity - held);
+    const elapsedMs = Math.max(0, now - bucket.refilledAt);
+    const earned = (elapsedMs * quota.ratePerSecond * this.fraction) / MILLISECONDS_PER_SECOND;
     bucket.tokens = Math.min(capacity, bucket.tokens + earned);
-    bucket.at = now;
+    bucket.refilledAt = now;
     return capacity;
   }
 }
 
-function timeTo(wanted: number, tokens: number, ratePerSecond: number): Milliseconds {
+function msUntilTokens(needed: number, tokens: number, ratePerSecond: number): Milliseconds {
   if (ratePerSecond <= 0) return Number.POSITIVE_INFINITY;
-  return Math.ceil((Math.max(0, wanted - tokens) * MILLISECONDS_PER_SECOND) / ratePerSecond);
+  return Math.ceil((Math.max(0, needed - tokens) * MILLISECONDS_PER_SECOND) / ratePerSecond);
 }
--- a/src/core/tenancy/revocation.ts
+++ b/src/core/tenancy/revocation.ts
@@ -1,34 +1,34 @@
 /**
- * Until when a node may run what a key asks for. A key may be taken away at any moment, and the operator's bound runs
- * on whether or not this node hears of it: so long as the node can show that the store had its configuration lately, no
- * key of it was taken away longer ago than that. No I/O and no clock.
+ * Limits how long a node may run requests of a key after the key may have been revoked. The operator's bound also
+ * holds if this node is not notified of a revocation. A proof that this node had the store's current configuration at
+ * some time shows that no key of it was revoked before that time. No I/O; the caller passes the time.
  */
 import type { Milliseconds } from '../units.js';
 
-/** Steady clocks of two machines differ by less than this in the time that a proof lasts. */
-const CLOCK_MARGIN_MS: Milliseconds = 100;
+/** Monotonic clocks of two machines drift apart by less than this during the validity of a proof. */
+const CLOCK_DRIFT_MARGIN_MS: Milliseconds = 100;
 
 export class RevocationBound {
-  /** The store had nothing newer than this node at that time, or later. */
+  /** At this time, the store had no newer configuration than this node. */
   #provenAt: Milliseconds = Number.NEGATIVE_INFINITY;
 
   constructor(
-    /** From the acknowledgement that a key is taken away until nothing may run with it. */
+    /** Time from the acknowledgement of a revocation until no request may run with the key. */
     private readonly boundMs: Milliseconds,
   ) {}
 
-  /** @param at no later than the store's answer; the start of the read that it rests on, by this node's clock */
-  noteProven(at: Milliseconds): void {
+  /** @param at start of the read that gave the proof, by this node's clock; never later than the store's response */
+  recordProof(at: Milliseconds): void {
     this.#provenAt = Math.max(this.#provenAt, at);
   }
 
-  /** How old the proof is. */
-  ageAt(now: Milliseconds): Milliseconds {
+  /** Age of the latest proof. */
+  proofAgeMs(now: Milliseconds): Milliseconds {
     return now - this.#provenAt;
   }
 
-  /** A request that came by now may run: its key was held less than the bound before it was sent. */
+  /** True if a request that has arrived by now may run: its key was valid less than the bound ago. */
   mayRun(now: Milliseconds): boolean {
-    return this.ageAt(now) + CLOCK_MARGIN_MS < this.boundMs;
+    return this.proofAgeMs(now) + CLOCK_DRIFT_MARGIN_MS < this.boundMs;
   }
 }
--- a/src/core/tenancy/route-template.ts
+++ b/src/core/tenancy/route-template.ts
@@ -1,17 +1,17 @@
 /**
- * What a published route may use of its node: its type's template, filled with the route's own fields.
+ * Resource limits of a published route at a node: the template of its type, filled in with the route's own fields.
  * Templates are compiled when the program is built (src/core/configuration/route-templates.ts), so
- * that a start loads neither a YAML parser nor schemas.
+ * that the program loads neither a YAML parser nor schemas at startup.
  */
 import type { RetryBudgetOptions } from '../retry/budget.js';
 import type { Milliseconds } from '../units.js';
 import type { ConnectionPolicy } from './allowance.js';
 
-/** Types of routes; there is one template for each. */
+/** Types of routes, with one template each. */
 export const ROUTE_TYPES = ['primary', 'bounded-staleness', 'read-your-writes'] as const;
 export type RouteType = (typeof ROUTE_TYPES)[number];
 
-/** Fields of a published route that fill templates. */
+/** Fields of a published route that templates may refer to. */
 export const ROUTE_PARAMETERS = [
   'priority',
   'targetLatencyMs',
@@ -25,30 +25,30 @@
 export interface RoutePolicyFields extends ConnectionPolicy {
   /** 0 is the highest. */
   readonly priority: number;
-  /** Aim for one operation. */
+  /** Target latency of one operation. */
   readonly targetLatencyMs: Milliseconds;
-  /** Callers' sessions at one node. */
+  /** Maximum number of callers' sessions at one node. */
   readonly maxSessions: number;
-  /** Values, and prepared names, that one session may hold. */
+  /** Maximum number of values, and of prepared names, that one session may hold. */
   readonly maxSessionEntries: number;
-  /** Part of the aim that a statement waits while no instance could be tried. */
+  /** Fraction of the target latency that a statement may wait before any instance could be tried. */
   readonly untriedPatienceShare: number;
-  /** Repeated attempts that each first attempt earns. */
+  /** Retries allowed per first attempt. */
   readonly retryRatio: number;
-  /** Repeated attempts that may be saved up. */
+  /** Maximum number of saved-up retries. */
   readonly retryBurst: number;
 }
 
-/** A value, or the route's field that gives it. */
+/** A fixed value, or the field of the route that supplies the value. */
 export type FieldSource = number | { readonly parameter: RouteParameter };
 
-/** Bounds of a route's field; what is published beyond them counts as the bound. */
+/** Range of a route's field; published values outside it are clamped. */
 export interface ParameterBounds {
   readonly minimum?: number;
   readonly maximum?: number;
 }
 
-/** A route template as the program holds it. */
+/** A compiled route template. */
 export interface RouteTemplate {
   readonly name: string;
   readonly parameters: Readonly<Partial<Record<RouteParameter, ParameterBounds>>>;
@@ -57,21 +57,21 @@
 
 export type RouteTemplates = Readonly<Record<RouteType, RouteTemplate>>;
 
-/** What one tenant of the direct gateway may use of a node. */
+/** Resource limits of one tenant of the direct gateway at a node. */
 export interface RoutePolicy {
   readonly template: string;
   readonly priority: number;
-  /** Aim for one operation. */
+  /** Target latency of one operation. */
   readonly targetLatencyMs: Milliseconds;
   readonly connections: ConnectionPolicy;
   readonly maxSessions: number;
   readonly maxSessionEntries: number;
-  /** How long a statement waits while no instance could be tried. */
+  /** How long a statement may wait before any instance could be tried. */
   readonly untriedPatienceMs: Milliseconds;
   readonly retries: RetryBudgetOptions;
 }
 
-/** The policy of a route: the template of its type, filled with its fields. */
+/** The policy of a route: the template of its type, filled in with the route's fields. */
 export function resolveRoutePolicy(
   templates: RouteTemplates,
   type: RouteType,
@@ -81,7 +81,7 @@
   const fill = (field: keyof RoutePolicyFields): number => {
     const source = template.policy[field];
     if (typeof source === 'number') return source;
-    return within(fields[source.parameter], template.parameters[source.parameter]);
+    return clamp(fields[source.parameter], template.parameters[source.parameter]);
   };
   return {
     template: template.name,
@@ -100,7 +100,7 @@
   };
 }
 
-function within(value: number, bounds: ParameterBounds = {}): number {
+function clamp(value: number, bounds: ParameterBounds = {}): number {
   const { minimum = 0, maximum = Number.MAX_SAFE_INTEGER } = bounds;
   return Math.min(maximum, Math.max(minimum, value));
 }
--- a/src/direct/admission.ts
+++ b/src/direct/admission.ts
@@ -88,7 +88,7 @@
     const { now, configurationProvenAt } = this.options;
     if (this.#bound === undefined) return undefined;
     const provenAt = configurationProvenAt();
-    if (provenAt !== undefined) this.#bound.noteProven(provenAt);
+    if (provenAt !== undefined) this.#bound.recordProof(provenAt);
     if (this.#bound.mayRun(now())) return undefined;
     const text = `keys can't be confirmed by the store; retry after ${UNPROVEN_RETRY_MS} ms`;
     return { code: 'busy', text };
--- a/src/direct/instance-pool.ts
+++ b/src/direct/instance-pool.ts
@@ -272,7 +272,7 @@
     if (isAnyCancelled(request.cancelledBy)) {
       return Promise.resolve(err(this.#noneFree()));
     }
-    this.#holdings.noteRequest(tenant, policy);
+    this.#holdings.recordRequest(tenant, policy);
     const work = this.admission.workOf(request, policy.queueWeight);
     const mayStart = this.#mayStart(tenant) && this.#startsNow()(work);
     const idle = mayStart ? this.#takeIdle(request) : undefined;
@@ -509,7 +509,7 @@
 
   /** Ends connections above the soft limit that have rested for long. */
   trim(): void {
-    this.#holdings.forgetQuiet();
+    this.#holdings.removeIdle();
     const restedSince = this.options.now() - SURPLUS_IDLE_MS;
     while (this.#all.size > this.#softLimit) {
       const oldest = this.#idle[0];
@@ -542,7 +542,7 @@
       return;
     }
     const mostOpening = Math.max(1, this.#all.size);
-    const wanted = (): number => Math.min(this.#holdings.wanted, mostOpening);
+    const wanted = (): number => Math.min(this.#holdings.totalDemand, mostOpening);
     while (!this.#closed && this.#opening < wanted()) {
       const next = this.#nextToOpenFor(isAtOnce);
       if (next === undefined || !this.#hasRoomFor(next, limit)) return;
@@ -567,7 +567,7 @@
       }
       if (account === undefined) return waiter;
       const underWay = this.#openingFor.get(account) ?? 0;
-      if (underWay >= this.#holdings.wantedBy(tenant)) continue;
+      if (underWay >= this.#holdings.demandOf(tenant)) continue;
       if (!isAtOnce || !this.#hasConnectionFor(account)) return waiter;
     }
     return undefined;
@@ -666,14 +666,14 @@
 
   #hold(connection: SocketConnection, tenant: string): void {
     this.#holders.set(connection, tenant);
-    this.#holdings.hold(tenant);
+    this.#holdings.recordAcquired(tenant);
   }
 
   #letGo(connection: SocketConnection): void {
     const tenant = this.#holders.get(connection);
     if (tenant === undefined) return;
     this.#holders.delete(connection);
-    this.#holdings.letGo(tenant);
+    this.#holdings.recordReleased(tenant);
     this.admission.letGo(connection);
   }
 
--- a/src/direct/quota/keeper.ts
+++ b/src/direct/quota/keeper.ts
@@ -1,6 +1,6 @@
 /** The parts of the tenants' quotas that this node keeps for the fleet. */
 import {
-  keepsPart,
+  isKeeperOfPart,
   PARTS_PER_TENANT,
   QUOTA_PARTS,
   type QuotaKeepers,
@@ -40,7 +40,7 @@
     const { keepers, nodeName, slack, now } = this.options;
     const present = keepers();
     for (let part = 0; part < QUOTA_PARTS; part += 1) {
-      if (!keepsPart(present, part, nodeName)) this.#ledgers.delete(part);
+      if (!isKeeperOfPart(present, part, nodeName)) this.#ledgers.delete(part);
       else if (!this.#ledgers.has(part)) {
         this.#ledgers.set(part, new QuotaLedger(1 / PARTS_PER_TENANT, now(), spareOf(slack)));
       }
--- a/src/direct/quota/quotas.ts
+++ b/src/direct/quota/quotas.ts
@@ -67,7 +67,7 @@
     const { now, quotaOf } = this.options;
     if (quotaOf(tenant)?.quota === undefined) return undefined;
     const state = this.#stateOf(tenant);
-    state.holder.noteDemand(now());
+    state.holder.recordDemand(now());
     if (state.waiting.length === 0 && state.holder.take(now())) return undefined;
     const emptyUntil = emptyUntilFor(state, priority);
     if (now() < emptyUntil) return this.#beyond(emptyUntil);
@@ -118,8 +118,8 @@
     let isAnswered = false;
     for (const part of this.#inOrder(state.parts)) {
       const askedAt = now();
-      const held = state.holder.held(askedAt);
-      const wanted = Math.ceil(state.holder.wanted(askedAt) / state.parts.length);
+      const held = state.holder.heldCount(askedAt);
+      const wanted = Math.ceil(state.holder.targetCount(askedAt) / state.parts.length);
       const request = { part, tenant, node: nodeName, needed: missing, held, wanted, priority };
       const grant = await this.#askKeeper(request);
       if (grant === undefined) continue;
--- a/test/property/configuration-proof.test.ts
+++ b/test/property/configuration-proof.test.ts
@@ -71,7 +71,7 @@
       const word = told.shift() as Told;
       clock.noteAnswer(word.clockMs);
       isHeld = word.isHeld;
-      bound.noteProven(earliest(clock, word, word.arrivesAt) ?? Number.NEGATIVE_INFINITY);
+      bound.recordProof(earliest(clock, word, word.arrivesAt) ?? Number.NEGATIVE_INFINITY);
     }
     if (!isHeld || !bound.mayRun(now)) continue;
     ran += 1;
@@ -109,7 +109,7 @@
 test('a node that was never told anything runs nothing', () => {
   const bound = new RevocationBound(BOUND_MS);
   assert.not(bound.mayRun(0));
-  bound.noteProven(100);
+  bound.recordProof(100);
   assert.ok(bound.mayRun(100 + BOUND_MS - 101));
   assert.not(bound.mayRun(100 + BOUND_MS));
 });
--- a/test/property/quota-priorities.test.ts
+++ b/test/property/quota-priorities.test.ts
@@ -115,8 +115,8 @@
 
 test('one priority alone finds nothing kept from it', () => {
   const reserve = new PriorityReserve();
-  for (let now = 0; now < 2000; now += 5) reserve.noteDemand(2, 1, 10, now);
-  assert.is(reserve.keptFrom(2, { ratePerSecond: 10, capacity: 10 }, 2000), 0);
+  for (let now = 0; now < 2000; now += 5) reserve.recordDemand(2, 1, 10, now);
+  assert.is(reserve.reservedAgainst(2, { ratePerSecond: 10, capacity: 10 }, 2000), 0);
 });
 
 test.run();
--- a/test/property/quota.test.ts
+++ b/test/property/quota.test.ts
@@ -8,7 +8,11 @@
 import { fullBucket, refill, takeToken } from '../../src/core/limits/token-bucket.js';
 import { PermitHolder } from '../../src/core/tenancy/permit-holder.js';
 import { PARTS_PER_TENANT } from '../../src/core/tenancy/quota-keepers.js';
-import { PERMIT_LIFE_MS, type Quota, QuotaLedger } from '../../src/core/tenancy/quota-ledger.js';
+import {
+  PERMIT_LIFETIME_MS,
+  type Quota,
+  QuotaLedger,
+} from '../../src/core/tenancy/quota-ledger.js';
 import { seededRandom } from '../support/random.js';
 
 const SEEDS = 60;
@@ -81,14 +85,14 @@
 
   function serve(node: number, now: number): void {
     const holder = holders[node] as PermitHolder;
-    holder.noteDemand(now);
+    holder.recordDemand(now);
     if (holder.take(now)) {
       ran.push(now);
       return;
     }
     if (now < (backs[node] ?? 0)) return;
-    const held = holder.held(now);
-    const wanted = holder.wanted(now);
+    const held = holder.heldCount(now);
+    const wanted = holder.targetCount(now);
     let soonest = Number.POSITIVE_INFINITY;
     for (const kept of ledgers) {
       const request = { tenant: TENANT, node: `n${node}`, needed: 1, held, wanted };
@@ -147,7 +151,7 @@
   // Long refilled: 40 less the 10 that are held ahead.
   const all = { ...request, node: 'b', needed: 100, wanted: 0 };
   assert.is(kept.grant(all, quota, 2000).granted, 30);
-  assert.is(kept.grant(all, quota, 1000 + PERMIT_LIFE_MS).granted, 40);
+  assert.is(kept.grant(all, quota, 1000 + PERMIT_LIFETIME_MS).granted, 40);
 });
 
 /** What one bucket for the whole fleet would have let run of the same. */
--- a/test/unit/quota-keepers.test.ts
+++ b/test/unit/quota-keepers.test.ts
@@ -3,10 +3,10 @@
 import * as assert from 'uvu/assert';
 import { DEFAULT_PROMOTION_TIMINGS } from '../../src/core/promotion/options.js';
 import {
+  assignKeepers,
   KEEPER_GRACE_MS,
-  KEEPER_REPLACED_MS,
+  KEEPER_REPLACEMENT_DELAY_MS,
   type KeeperCandidate,
-  nextKeepers,
   PARTS_PER_TENANT,
   partsOf,
   QUOTA_PARTS,
@@ -19,12 +19,12 @@
   }));
 }
 
-function namesOf(keepers: ReturnType<typeof nextKeepers>): string[] {
+function namesOf(keepers: ReturnType<typeof assignKeepers>): string[] {
   return (keepers ?? []).map(({ nodeId }) => nodeId);
 }
 
 test('each part has a keeper, spread over nodes and zones, on fast links first', () => {
-  const keepers = nextKeepers([], nodes(83));
+  const keepers = assignKeepers([], nodes(83));
   const names = namesOf(keepers);
   assert.is(names.length, QUOTA_PARTS);
   assert.is(new Set(names).size, QUOTA_PARTS);
@@ -35,7 +35,7 @@
 });
 
 test('a small fleet keeps several parts on each node', () => {
-  const names = namesOf(nextKeepers([], nodes(6)));
+  const names = namesOf(assignKeepers([], nodes(6)));
   assert.is(names.length, QUOTA_PARTS);
   for (const name of new Set(names)) {
     assert.is(names.filter((other) => other === name).length, QUOTA_PARTS / 6);
@@ -43,15 +43,15 @@
 });
 
 test('a keeper stays while its node lives, however many others come', () => {
-  const first = nextKeepers([], nodes(6)) ?? [];
-  assert.equal(namesOf(nextKeepers(first, nodes(83))), namesOf(first));
+  const first = assignKeepers([], nodes(6)) ?? [];
+  assert.equal(namesOf(assignKeepers(first, nodes(83))), namesOf(first));
 });
 
 test('only the parts of a node that is gone go to others', () => {
-  const first = nextKeepers([], nodes(20)) ?? [];
+  const first = assignKeepers([], nodes(20)) ?? [];
   const gone = first[3]?.nodeId;
   const live = nodes(20).filter(({ nodeId }) => nodeId !== gone);
-  const second = namesOf(nextKeepers(first, live));
+  const second = namesOf(assignKeepers(first, live));
   for (const [part, name] of namesOf(first).entries()) {
     if (name === gone) assert.not.equal(second[part], gone);
     else assert.is(second[part], name);
@@ -59,9 +59,9 @@
 });
 
 test('while no node lives the keepers stay named', () => {
-  const first = nextKeepers([], nodes(6)) ?? [];
-  assert.equal(nextKeepers(first, []), first);
-  assert.is(nextKeepers([], []), undefined);
+  const first = assignKeepers([], nodes(6)) ?? [];
+  assert.equal(assignKeepers(first, []), first);
+  assert.is(assignKeepers([], []), undefined);
 });
 
 test('a tenant is split over different parts, and tenants spread over all', () => {
@@ -80,7 +80,7 @@
   const leaseMs = leaseSeconds * 1000;
   // Both count from when a renewal was sent; it arrives no earlier, and its lease ends there no earlier than it lasts.
   const stoppedAtMs = leaseMs - leaseMarginMs + KEEPER_GRACE_MS;
-  const replacedAtMs = leaseMs + KEEPER_REPLACED_MS;
+  const replacedAtMs = leaseMs + KEEPER_REPLACEMENT_DELAY_MS;
   assert.ok(stoppedAtMs + 200 <= replacedAtMs);
 });
 
