--- a/src/core/admission/instance-admission.ts
+++ b/src/core/admission/instance-admission.ts
@@ -1,150 +1,160 @@
 /**
- * Decides for one instance, as one node sees it, who starts next, who waits, and who is refused at once. In force only
- * where callers compete by different priorities; without rules everything is let in. No I/O and no clock.
+ * Decides at one node, for one instance, which statement starts next, which ones wait and which ones are refused at
+ * once. Active only where routes of different priorities compete; without rules all statements are admitted. No I/O;
+ * the caller passes the time.
  */
 import { hashText } from '../hash-text.js';
 import type { Milliseconds } from '../units.js';
-import { InstanceRoom, type RoomOptions, type RoomState } from './instance-room.js';
+import {
+  ConcurrencyLimiter,
+  type LimiterOptions,
+  type LimiterState,
+} from './concurrency-limiter.js';
 import {
   type OrderView,
-  PassedOver,
   STARTS_PER_OLDEST,
+  StarvationGuard,
   startsBefore,
   type WaitingWork,
 } from './queue-order.js';
 
-/** What callers need, as far as admission depends on it. */
+/** Parameters of admission, derived from the configured routes. */
 export interface AdmissionRules {
-  /** A wait for a slot of an instance up to this is no scarcity. */
+  /** A longer wait for a slot of an instance counts as a shortage. */
   readonly targetDelayMs: Milliseconds;
-  /** The priorities that compete: `highest` is the least number. */
-  readonly highest: number;
-  readonly lowest: number;
+  /** Range of the competing priorities; the highest priority is the lowest number. */
+  readonly highestPriority: number;
+  readonly lowestPriority: number;
 }
 
-/** A statement that asks for room. */
+/** A statement that requests admission. */
 export interface AdmissionWork extends WaitingWork {
   readonly deadline: Milliseconds;
-  /** It is started by then, or refused. */
-  readonly startBy: Milliseconds;
+  /** The statement is refused if it hasn't started by this time. */
+  readonly startDeadline: Milliseconds;
 }
 
-/** Why a statement is refused before it is tried. */
+/** Why a statement is refused before it is sent to an instance. */
 export type AdmissionRefusal =
-  /** By the estimate its turn comes too late. */
+  /** It is estimated to start or end too late. */
   | 'no-turn-in-time'
-  /** It has waited as long as it may without being tried. */
+  /** Its start deadline has passed. */
   | 'waited-too-long';
 
-/** The instance as it is now. */
-export interface InstanceUse {
+/** The instance's current usage by this node. */
+export interface InstanceUsage {
   readonly slots: number;
   /** Nodes that share the instance. */
   readonly sharers: number;
-  /** Statements of this node in flight there. */
+  /** Statements of this node in flight at the instance. */
   readonly inFlight: number;
-  /** Those of them that have the highest priority. */
-  readonly highest: number;
+  /** Statements in flight with the highest priority. */
+  readonly highestInFlight: number;
 }
 
-/** Part of the aim that a declared wait for a slot may take. */
-const TARGET_SHARE = 0.2;
-/** Part of its time that a statement may wait untried. */
-const UNTRIED_SHARE = 0.5;
-/** Another part of the tenants is let in first after so long. */
-const TURN_MS: Milliseconds = 2000;
+/** Fraction of the shortest target latency that a wait for a slot may take before it counts as a shortage. */
+const TARGET_DELAY_FRACTION = 0.2;
+/** Fraction of the time until its deadline that a statement may wait without being sent to an instance. */
+const MAX_UNTRIED_WAIT_FRACTION = 0.5;
+/** Interval after which the tenants of a priority are ranked anew. */
+const TENANT_ROTATION_MS: Milliseconds = 2000;
 
-/** A route as admission looks at it. */
+/** The fields of a route that admission depends on. */
 export interface CompetingRoute {
   readonly priority: number;
   readonly targetLatencyMs: Milliseconds;
 }
 
-/** Undefined where nobody competes: all routes have the same priority. */
+/** The rules for these routes; undefined where all have the same priority, so that none compete. */
 export function admissionRules(routes: readonly CompetingRoute[]): AdmissionRules | undefined {
   const priorities = routes.map(({ priority }) => priority);
-  const [highest, lowest] = [Math.min(...priorities), Math.max(...priorities)];
-  if (!(highest < lowest)) return undefined;
-  const shortest = Math.min(...routes.map(({ targetLatencyMs }) => targetLatencyMs));
-  return { targetDelayMs: shortest * TARGET_SHARE, highest, lowest };
+  const [highestPriority, lowestPriority] = [Math.min(...priorities), Math.max(...priorities)];
+  if (!(highestPriority < lowestPriority)) return undefined;
+  const shortestTargetMs = Math.min(...routes.map(({ targetLatencyMs }) => targetLatencyMs));
+  return {
+    targetDelayMs: shortestTargetMs * TARGET_DELAY_FRACTION,
+    highestPriority,
+    lowestPriority,
+  };
 }
 
-/** By when a statement that came at `beganAt` is to be started. */
-export function startByOf(beganAt: Milliseconds, deadline: Milliseconds): Milliseconds {
-  return beganAt + (deadline - beganAt) * UNTRIED_SHARE;
+/** The time by which a statement that arrived at `arrivedAt` must start. */
+export function startDeadlineOf(arrivedAt: Milliseconds, deadline: Milliseconds): Milliseconds {
+  return arrivedAt + (deadline - arrivedAt) * MAX_UNTRIED_WAIT_FRACTION;
 }
 
 export class InstanceAdmission {
-  readonly room: InstanceRoom;
-  readonly #passedOver = new PassedOver();
+  readonly limiter: ConcurrencyLimiter;
+  readonly #starvationGuard = new StarvationGuard();
 
   constructor(
     private readonly rules: () => AdmissionRules | undefined,
     fleetDelayMs?: () => Milliseconds | undefined,
   ) {
-    this.room = new InstanceRoom(fleetDelayMs);
+    this.limiter = new ConcurrencyLimiter(fleetDelayMs);
   }
 
-  /** False where nobody competes; nothing else of this class binds then. */
-  get isInForce(): boolean {
+  /** False where no priorities compete; admission then limits nothing. */
+  get isActive(): boolean {
     return this.rules() !== undefined;
   }
 
-  get state(): RoomState {
-    return this.room.state;
+  get state(): LimiterState {
+    return this.limiter.state;
   }
 
   /**
-   * Whether a statement may start, for all that the instance's slots allow. What is in flight of lower priorities
-   * takes no room of the highest.
+   * Whether the instance's slots allow a statement to start. Statements of lower priorities in flight don't count
+   * against the highest priority.
    */
-  mayStart({ priority, tenant }: WaitingWork, use: InstanceUse, now: Milliseconds): boolean {
+  mayStart({ priority, tenant }: WaitingWork, usage: InstanceUsage, now: Milliseconds): boolean {
     const rules = this.rules();
     if (rules === undefined) return true;
-    const room = this.room.roomOf(use);
-    if (priority <= rules.highest) return use.highest < Math.max(room, use.slots);
-    return use.inFlight < room && this.room.admits(priority, spreadOf(tenant, now));
+    const limit = this.limiter.limitFor(usage);
+    if (priority <= rules.highestPriority)
+      return usage.highestInFlight < Math.max(limit, usage.slots);
+    return usage.inFlight < limit && this.limiter.admits(priority, tenantRankOf(tenant, now));
   }
 
-  /** Why it is not worth waiting, if it isn't. */
+  /** Why the statement can't start or end in time; undefined if it may wait. */
   refusalOf(
     work: AdmissionWork,
     waiting: readonly WaitingWork[],
     held: ReadonlyMap<string, number>,
-    use: InstanceUse,
+    usage: InstanceUsage,
     now: Milliseconds,
   ): AdmissionRefusal | undefined {
-    if (!this.isInForce) return undefined;
-    if (now >= work.startBy) return 'waited-too-long';
-    const startsAt = now + this.expectedWaitMs(work, waiting, held, use, now);
-    const endsAt = startsAt + this.room.times.answerMs(work.priority);
-    return startsAt > work.startBy || endsAt > work.deadline ? 'no-turn-in-time' : undefined;
+    if (!this.isActive) return undefined;
+    if (now >= work.startDeadline) return 'waited-too-long';
+    const startsAt = now + this.expectedWaitMs(work, waiting, held, usage, now);
+    const endsAt = startsAt + this.limiter.responseTimes.responseMs(work.priority);
+    return startsAt > work.startDeadline || endsAt > work.deadline ? 'no-turn-in-time' : undefined;
   }
 
-  /** Expected wait in this node's queue behind those that start before it. */
+  /** Expected wait in this node's queue, behind the statements that start earlier. */
   expectedWaitMs(
     work: WaitingWork,
     waiting: readonly WaitingWork[],
     held: ReadonlyMap<string, number>,
-    use: InstanceUse,
+    usage: InstanceUsage,
     now: Milliseconds,
   ): Milliseconds {
     if (waiting.length === 0) return 0;
     const view = this.#view(held, now);
-    const first = Math.min(...waiting.map(({ priority }) => priority));
+    const highestPriority = Math.min(...waiting.map(({ priority }) => priority));
     let aheadMs = 0;
-    let passedOver = 0;
+    let passedOverCount = 0;
     for (const other of waiting) {
-      if (startsBefore(other, work, view)) aheadMs += view.answerMs(other.priority);
-      if (other.priority > first) passedOver += 1;
+      if (startsBefore(other, work, view)) aheadMs += view.responseMs(other.priority);
+      if (other.priority > highestPriority) passedOverCount += 1;
     }
-    // However much goes before it, it has a turn as the oldest.
-    const startsUntilOldest = (passedOver + 1) * STARTS_PER_OLDEST;
-    const asOldestMs = startsUntilOldest * view.answerMs(first);
-    return Math.min(aheadMs, asOldestMs) / this.room.roomOf(use);
+    // Bounds the wait: the statement gets its turn once it is the oldest.
+    const startsUntilOldest = (passedOverCount + 1) * STARTS_PER_OLDEST;
+    const maxWaitMs = startsUntilOldest * view.responseMs(highestPriority);
+    return Math.min(aheadMs, maxWaitMs) / this.limiter.limitFor(usage);
   }
 
-  /** The statement that starts next of those that may; undefined if none may. */
+  /** The candidate that starts next; undefined if there are no candidates. */
   next<Work extends WaitingWork>(
     candidates: readonly Work[],
     held: ReadonlyMap<string, number>,
@@ -158,44 +168,55 @@
       if (oldest === undefined || work.queuedAt < oldest.queuedAt) oldest = work;
     }
     if (first === undefined || oldest === undefined) return undefined;
-    return this.#passedOver.choose(first, oldest, view);
+    return this.#starvationGuard.choose(first, oldest, view);
   }
 
-  /** A statement gave its connection back. */
-  noteEnd(priority: number, tookMs: Milliseconds, use: InstanceUse, now: Milliseconds): void {
+  /** Records that a statement has ended and released its connection. */
+  recordCompletion(
+    priority: number,
+    tookMs: Milliseconds,
+    usage: InstanceUsage,
+    now: Milliseconds,
+  ): void {
     const rules = this.rules();
     if (rules === undefined) return;
-    const { inFlight } = use;
-    this.room.noteAnswer({ priority, tookMs, inFlight }, optionsOf(rules, use), now);
+    const { inFlight } = usage;
+    this.limiter.recordResponse({ priority, tookMs, inFlight }, optionsOf(rules, usage), now);
   }
 
-  noteRefused(): void {
-    if (this.isInForce) this.room.noteRefused();
+  recordRefusal(): void {
+    if (this.isActive) this.limiter.recordRefusal();
   }
 
-  /** Time goes on without an answer. */
-  step(use: InstanceUse, now: Milliseconds): void {
+  /** Adjusts the limits when time passes without a response. */
+  adjust(usage: InstanceUsage, now: Milliseconds): void {
     const rules = this.rules();
-    if (rules !== undefined) this.room.step(optionsOf(rules, use), use.inFlight, now);
+    if (rules !== undefined) this.limiter.adjust(optionsOf(rules, usage), usage.inFlight, now);
   }
 
   isHighest(priority: number): boolean {
-    return priority <= (this.rules()?.highest ?? Number.NEGATIVE_INFINITY);
+    return priority <= (this.rules()?.highestPriority ?? Number.NEGATIVE_INFINITY);
   }
 
   #view(held: ReadonlyMap<string, number>, now: Milliseconds): OrderView {
-    return { now, held, answerMs: (priority) => this.room.times.answerMs(priority) };
+    return { now, held, responseMs: (priority) => this.limiter.responseTimes.responseMs(priority) };
   }
 }
 
-function optionsOf(rules: AdmissionRules, { slots, sharers }: InstanceUse): RoomOptions {
-  const { targetDelayMs: targetMs, highest, lowest } = rules;
-  return { slots, sharers, targetMs, highest, lowest };
+function optionsOf(rules: AdmissionRules, { slots, sharers }: InstanceUsage): LimiterOptions {
+  const { targetDelayMs, highestPriority, lowestPriority } = rules;
+  return {
+    slots,
+    sharers,
+    targetDelayMs,
+    highestPriority,
+    lowestPriority,
+  };
 }
 
-/** Place of a tenant among those of its priority, in [0, 1); another one from turn to turn. */
-export function spreadOf(tenant: string, now: Milliseconds): number {
-  let hash = hashText(tenant, Math.floor(now / TURN_MS));
+/** Pseudo-random rank of a tenant among those of its priority, in [0, 1); it changes every `TENANT_ROTATION_MS`. */
+export function tenantRankOf(tenant: string, now: Milliseconds): number {
+  let hash = hashText(tenant, Math.floor(now / TENANT_ROTATION_MS));
   hash = Math.imul(hash ^ (hash >>> 15), 0x85ebca6b);
   return ((hash ^ (hash >>> 13)) >>> 0) / 2 ** 32;
 }
--- a/src/core/admission/queue-order.ts
+++ b/src/core/admission/queue-order.ts
@@ -1,57 +1,60 @@
 /**
- * Which of the statements that wait for room at an instance starts next: the highest priority first; within it
- * those that can still be answered in their aim before late ones, then the tenant that holds the least for its
- * weight, then whoever must start the soonest. No I/O and no clock.
+ * Order in which statements that wait for an instance start: the highest priority first; within a priority,
+ * statements that can still meet their latency target before late ones, then those of the tenant with the fewest
+ * connections for its weight, then those with the earliest latency target. No I/O; the caller passes the time.
  */
 import { loadOf } from '../statements/fair-queue.js';
 import type { Milliseconds } from '../units.js';
 
-/** A statement that waits, as its place in the order depends on it. */
+/** The fields of a waiting statement that determine its position. */
 export interface WaitingWork {
   readonly tenant: string;
   /** 0 is the highest. */
   readonly priority: number;
-  /** What its tenant holds counts the less, the greater this is; more than 0. */
+  /** The tenant's connections are divided by this weight; greater than 0. */
   readonly weight: number;
   readonly queuedAt: Milliseconds;
-  /** An answer after this is late. */
-  readonly aimAt: Milliseconds;
+  /** A response after this time is late. */
+  readonly latencyTargetAt: Milliseconds;
 }
 
-/** What the order depends on besides the statements. */
+/** Inputs of the order other than the statements. */
 export interface OrderView {
   readonly now: Milliseconds;
   /** Connections that each tenant holds. */
   readonly held: ReadonlyMap<string, number>;
-  /** Expected time of an answer at the instance. */
-  readonly answerMs: (priority: number) => Milliseconds;
+  /** Expected response time of the instance for a priority. */
+  readonly responseMs: (priority: number) => Milliseconds;
 }
 
-/** Of so many starts in a row that passed an older statement of lower priority, the next is the oldest's. */
+/** Of this many consecutive starts with an older statement of lower priority waiting, the last goes to the oldest. */
 export const STARTS_PER_OLDEST = 32;
 
-/** Whether the left one starts before the right one. */
+/** Whether the left statement starts before the right one. */
 export function startsBefore(left: WaitingWork, right: WaitingWork, view: OrderView): boolean {
   if (left.priority !== right.priority) return left.priority < right.priority;
   const isLeftLate = isLate(left, view);
   if (isLeftLate !== isLate(right, view)) return !isLeftLate;
   const difference = loadOf(left, view.held) - loadOf(right, view.held);
   if (difference !== 0) return difference < 0;
-  return left.aimAt < right.aimAt;
+  return left.latencyTargetAt < right.latencyTargetAt;
 }
 
-/** It can't be answered in its aim any more, even if it starts now. */
-export function isLate({ priority, aimAt }: WaitingWork, { now, answerMs }: OrderView): boolean {
-  return now + answerMs(priority) > aimAt;
+/** Whether the statement can no longer meet its latency target, even if it starts now. */
+export function isLate(
+  { priority, latencyTargetAt }: WaitingWork,
+  { now, responseMs }: OrderView,
+): boolean {
+  return now + responseMs(priority) > latencyTargetAt;
 }
 
-/** Bounds how long lower priorities can be passed over. */
-export class PassedOver {
+/** Limits how long statements of lower priorities can be passed over. */
+export class StarvationGuard {
   #starts = 0;
 
   /**
-   * The statement to start: the first by the order, or now and then the oldest. The oldest's turn waits while the
-   * first would become late by it.
+   * The statement to start: the first in order, or the oldest on every `STARTS_PER_OLDEST`th start. The oldest is
+   * deferred while starting it would make the first one late.
    */
   choose<Work extends WaitingWork>(first: Work, oldest: Work, view: OrderView): Work {
     if (oldest.priority <= first.priority) {
@@ -60,8 +63,8 @@
     }
     this.#starts += 1;
     if (this.#starts < STARTS_PER_OLDEST) return first;
-    const after = { ...view, now: view.now + view.answerMs(oldest.priority) };
-    if (!isLate(first, view) && isLate(first, after)) return first;
+    const afterOldest = { ...view, now: view.now + view.responseMs(oldest.priority) };
+    if (!isLate(first, view) && isLate(first, afterOldest)) return first;
     this.#starts = 0;
     return oldest;
   }
--- a/src/direct/gateway.ts
+++ b/src/direct/gateway.ts
@@ -526,8 +526,8 @@
           logger?.info('admission changed', {
             service,
             instance: id,
-            room: state.room,
-            admitsBelow: state.level,
+            room: state.concurrencyLimit,
+            admitsBelow: state.admissionLevel,
           }),
         observe: (instance, observation) => this.#placement.observe(instance, observation),
       },
--- a/src/direct/instance-pool.ts
+++ b/src/direct/instance-pool.ts
@@ -4,8 +4,8 @@
  * connection is given to one statement or transaction at a time.
  */
 import { err, ok, type Result } from 'neverthrow';
+import type { LimiterState } from '../core/admission/concurrency-limiter.js';
 import type { AdmissionRules, AdmissionWork } from '../core/admission/instance-admission.js';
-import type { RoomState } from '../core/admission/instance-room.js';
 import type { InstanceObservation } from '../core/fleet/instance-digest.js';
 import { FairQueue, type QueuedRequest } from '../core/statements/fair-queue.js';
 import { synchronisationCost } from '../core/statements/session-values.js';
@@ -49,7 +49,7 @@
     Partial<AdmissionLatencies>;
   /** Undefined where callers don't compete by priorities; absent where that is never looked at. */
   readonly admissionRules?: () => AdmissionRules | undefined;
-  readonly onAdmission?: (instance: InstanceEntry, state: RoomState) => void;
+  readonly onAdmission?: (instance: InstanceEntry, state: LimiterState) => void;
   /** Takes what statements show of an instance. */
   readonly observe?:
     | ((instance: InstanceEntry, observation: InstanceObservation) => void)
@@ -88,7 +88,7 @@
 }
 
 interface Waiter extends ConnectionRequest, QueuedRequest, QueuedWork {
-  readonly aimAt: Milliseconds;
+  readonly latencyTargetAt: Milliseconds;
   readonly settle: (connection: Result<InstanceConnection, AcquireError>) => void;
   timer: NodeJS.Timeout | undefined;
 }
@@ -315,7 +315,10 @@
         );
         return;
       }
-      const waitMs = Math.max(0, Math.min(request.deadline, work.startBy) - this.options.now());
+      const waitMs = Math.max(
+        0,
+        Math.min(request.deadline, work.startDeadline) - this.options.now(),
+      );
       waiter.timer = setTimeout(() => this.#expire(waiter), waitMs);
       this.#openForWaiters();
       this.#serveInTime();
@@ -477,7 +480,7 @@
   #expire(waiter: Waiter): void {
     if (!this.#waiters.remove(waiter)) return;
     clearTimeout(waiter.timer);
-    if (waiter.startBy < waiter.deadline && this.options.now() < waiter.deadline) {
+    if (waiter.startDeadline < waiter.deadline && this.options.now() < waiter.deadline) {
       this.#giveUpUntried(waiter);
       return;
     }
--- a/src/direct/pool-admission.ts
+++ b/src/direct/pool-admission.ts
@@ -1,13 +1,14 @@
 /** What admission needs to know of one pool: who holds its connections, for what, and since when. */
+
+import type { LimiterState } from '../core/admission/concurrency-limiter.js';
 import {
   type AdmissionRefusal,
   type AdmissionRules,
   type AdmissionWork,
   InstanceAdmission,
-  type InstanceUse,
-  startByOf,
+  type InstanceUsage,
+  startDeadlineOf,
 } from '../core/admission/instance-admission.js';
-import type { RoomState } from '../core/admission/instance-room.js';
 import type { Milliseconds } from '../core/units.js';
 import type { SocketConnection } from './instance-connection.js';
 import type { GatewayLatencies } from './latencies.js';
@@ -28,7 +29,7 @@
   readonly opening: () => number;
   readonly counters: AdmissionRefusals;
   readonly latencies: Partial<AdmissionLatencies> | undefined;
-  readonly onChange?: ((state: RoomState) => void) | undefined;
+  readonly onChange?: ((state: LimiterState) => void) | undefined;
   readonly now: () => Milliseconds;
 }
 
@@ -62,22 +63,30 @@
 export class PoolAdmission {
   readonly decisions: InstanceAdmission;
   readonly #holders = new Map<SocketConnection, Holder>();
-  #told: RoomState = { room: undefined, level: undefined };
+  #told: LimiterState = { concurrencyLimit: undefined, admissionLevel: undefined };
 
   constructor(private readonly options: PoolAdmissionOptions) {
     this.decisions = new InstanceAdmission(options.rules);
   }
 
   get isInForce(): boolean {
-    return this.decisions.isInForce;
+    return this.decisions.isActive;
   }
 
   /** A request as work that waits from now on. */
   workOf(request: AdmissionRequest, weight: number): AdmissionWork {
     const { tenant, priority, deadline, aimAt = deadline } = request;
     const queuedAt = this.options.now();
-    const startBy = this.isInForce ? startByOf(queuedAt, deadline) : deadline;
-    return { tenant, priority, weight, queuedAt, aimAt, deadline, startBy };
+    const startBy = this.isInForce ? startDeadlineOf(queuedAt, deadline) : deadline;
+    return {
+      tenant,
+      priority,
+      weight,
+      queuedAt,
+      latencyTargetAt: aimAt,
+      deadline,
+      startDeadline: startBy,
+    };
   }
 
   /** Tells of each statement whether it may start now; the use of the instance is counted once for all of them. */
@@ -139,7 +148,7 @@
   }
 
   noteRefused(): void {
-    this.decisions.noteRefused();
+    this.decisions.recordRefusal();
   }
 
   hold(connection: SocketConnection, request: AdmissionRequest): void {
@@ -153,17 +162,17 @@
     const now = this.options.now();
     // How long a transaction kept its connection tells nothing of the instance, and a lost answer neither.
     if (holder === undefined || holder.isTransaction || connection.closed) return;
-    this.decisions.noteEnd(holder.priority, now - holder.since, this.#use(), now);
+    this.decisions.recordCompletion(holder.priority, now - holder.since, this.#use(), now);
     this.#tellChange();
   }
 
   /** Called while statements wait, so that what is short of answers is looked at too. */
   step(): void {
-    this.decisions.step(this.#use(), this.options.now());
+    this.decisions.adjust(this.#use(), this.options.now());
     this.#tellChange();
   }
 
-  #use(): InstanceUse {
+  #use(): InstanceUsage {
     const { instance, opening } = this.options;
     let inFlight = opening();
     let highest = 0;
@@ -172,15 +181,15 @@
       inFlight += 1;
       if (this.decisions.isHighest(priority)) highest += 1;
     }
-    return { ...instance(), inFlight, highest };
+    return { ...instance(), inFlight, highestInFlight: highest };
   }
 
   #tellChange(): void {
     const { onChange } = this.options;
-    const { level, room } = this.decisions.state;
-    const wasShort = this.#told.room !== undefined;
-    if (wasShort === (room !== undefined) && this.#told.level === level) return;
-    this.#told = { level, room };
+    const { admissionLevel: level, concurrencyLimit: room } = this.decisions.state;
+    const wasShort = this.#told.concurrencyLimit !== undefined;
+    if (wasShort === (room !== undefined) && this.#told.admissionLevel === level) return;
+    this.#told = { admissionLevel: level, concurrencyLimit: room };
     onChange?.(this.#told);
   }
 }
--- a/test/property/admission.test.ts
+++ b/test/property/admission.test.ts
@@ -2,12 +2,15 @@
 import fc from 'fast-check';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
+import {
+  ConcurrencyLimiter,
+  type LimiterOptions,
+} from '../../src/core/admission/concurrency-limiter.js';
 import { admissionRules } from '../../src/core/admission/instance-admission.js';
-import { InstanceRoom, type RoomOptions } from '../../src/core/admission/instance-room.js';
 import {
   type OrderView,
-  PassedOver,
   STARTS_PER_OLDEST,
+  StarvationGuard,
   startsBefore,
   type WaitingWork,
 } from '../../src/core/admission/queue-order.js';
@@ -105,7 +108,11 @@
   const route = { priority: 1, targetLatencyMs: 100 };
   assert.is(admissionRules([route, { ...route, targetLatencyMs: 50 }]), undefined);
   const other = { priority: 3, targetLatencyMs: 50 };
-  assert.equal(admissionRules([route, other]), { targetDelayMs: 10, highest: 1, lowest: 3 });
+  assert.equal(admissionRules([route, other]), {
+    targetDelayMs: 10,
+    highestPriority: 1,
+    lowestPriority: 3,
+  });
 });
 
 const work: fc.Arbitrary<WaitingWork> = fc.record({
@@ -113,12 +120,12 @@
   priority: fc.nat(3),
   weight: fc.integer({ min: 1, max: 4 }),
   queuedAt: fc.nat(1000),
-  aimAt: fc.nat(3000),
+  latencyTargetAt: fc.nat(3000),
 });
 const view: fc.Arbitrary<OrderView> = fc.record({
   now: fc.integer({ min: 1000, max: 2000 }),
   held: fc.constant(new Map([['a', 2]])),
-  answerMs: fc.constant(() => 25),
+  responseMs: fc.constant(() => 25),
 });
 
 test('the order is one: of any two at most one starts first, and a chain of three holds', () => {
@@ -137,15 +144,26 @@
 test('what waits longest is started after so many others, whatever its priority', () => {
   fc.assert(
     fc.property(fc.integer({ min: 1, max: 3 }), view, (priority, at) => {
-      const oldest: WaitingWork = { tenant: 'a', priority, weight: 1, queuedAt: 0, aimAt: 5000 };
-      const first: WaitingWork = { ...oldest, priority: 0, queuedAt: 1, aimAt: at.now + 500 };
-      const passed = new PassedOver();
+      const oldest: WaitingWork = {
+        tenant: 'a',
+        priority,
+        weight: 1,
+        queuedAt: 0,
+        latencyTargetAt: 5000,
+      };
+      const first: WaitingWork = {
+        ...oldest,
+        priority: 0,
+        queuedAt: 1,
+        latencyTargetAt: at.now + 500,
+      };
+      const passed = new StarvationGuard();
       const chosen = Array.from({ length: STARTS_PER_OLDEST }, () =>
         passed.choose(first, oldest, at),
       );
       assert.is(chosen.filter((one) => one === oldest).length, 1);
       // The turn of the oldest would make this one late.
-      const urgent = { ...first, aimAt: at.now + 40 };
+      const urgent = { ...first, latencyTargetAt: at.now + 40 };
       for (let count = 0; count < STARTS_PER_OLDEST; count += 1) {
         assert.is(passed.choose(urgent, oldest, at), urgent);
       }
@@ -154,13 +172,23 @@
   );
 });
 
-const OPTIONS: RoomOptions = { slots: 5, sharers: 12, targetMs: 50, highest: 0, lowest: 2 };
+const OPTIONS: LimiterOptions = {
+  slots: 5,
+  sharers: 12,
+  targetDelayMs: 50,
+  highestPriority: 0,
+  lowestPriority: 2,
+};
 
 /** A room that has heard of so many answers, 50 ms apart. */
-function heard(room: InstanceRoom, from: number, answers: readonly number[]): InstanceRoom {
+function heard(
+  room: ConcurrencyLimiter,
+  from: number,
+  answers: readonly number[],
+): ConcurrencyLimiter {
   for (const [index, tookMs] of answers.entries()) {
     const outcome = { priority: 1, tookMs, inFlight: 5 };
-    room.noteAnswer(outcome, OPTIONS, from + index * 200);
+    room.recordResponse(outcome, OPTIONS, from + index * 200);
   }
   return room;
 }
@@ -169,11 +197,11 @@
   const took = fc.array(fc.integer({ min: 1, max: 2000 }), { minLength: 30, maxLength: 100 });
   fc.assert(
     fc.property(took, fc.double({ min: 0, max: 0.999, noNaN: true }), (answers, spread) => {
-      const room = heard(new InstanceRoom(), 0, answers);
+      const room = heard(new ConcurrencyLimiter(), 0, answers);
       assert.ok(room.admits(0, spread));
       heard(room, 100_000, new Array<number>(120).fill(1));
       assert.ok(room.admits(2, spread));
-      assert.not(room.isShort);
+      assert.not(room.isLimited);
     }),
     SETTINGS,
   );
@@ -181,23 +209,23 @@
 
 test('a node without answers goes by what the fleet sees, and without that its level passes', () => {
   let told: number | undefined;
-  const room = new InstanceRoom(() => told);
+  const room = new ConcurrencyLimiter(() => told);
   heard(room, 0, [20, 20, 20, 20, ...new Array<number>(20).fill(900)]);
   assert.not(room.admits(2, 0.9), 'short by its own answers');
   told = 10;
-  for (let now = 10_000; now < 40_000; now += 50) room.step(OPTIONS, 0, now);
+  for (let now = 10_000; now < 40_000; now += 50) room.adjust(OPTIONS, 0, now);
   assert.ok(room.admits(2, 0.9), 'the others see no delay');
   told = 500;
-  for (let now = 50_000; now < 60_000; now += 50) room.step(OPTIONS, 0, now);
+  for (let now = 50_000; now < 60_000; now += 50) room.adjust(OPTIONS, 0, now);
   assert.not(room.admits(2, 0.9), 'the others see delay');
   told = undefined;
-  for (let now = 60_000; now < 80_000; now += 50) room.step(OPTIONS, 0, now);
+  for (let now = 60_000; now < 80_000; now += 50) room.adjust(OPTIONS, 0, now);
   assert.ok(room.admits(2, 0.9), 'nobody tells anything any more');
 });
 
 test('a new life of a node begins with all let in', () => {
-  const room = new InstanceRoom();
-  assert.equal(room.state, { room: undefined, level: undefined });
+  const room = new ConcurrencyLimiter();
+  assert.equal(room.state, { concurrencyLimit: undefined, admissionLevel: undefined });
   assert.ok(room.admits(2, 0.999));
 });
 
--- a/test/support/admission-fleet.ts
+++ b/test/support/admission-fleet.ts
@@ -3,7 +3,7 @@
   type AdmissionRules,
   type AdmissionWork,
   InstanceAdmission,
-  startByOf,
+  startDeadlineOf,
 } from '../../src/core/admission/instance-admission.js';
 import { FairQueue, type QueuedRequest } from '../../src/core/statements/fair-queue.js';
 import { seededRandom } from './random.js';
@@ -109,7 +109,7 @@
     slots: SLOTS,
     sharers: nodes.length,
     inFlight: node.inFlight,
-    highest: node.highest,
+    highestInFlight: node.highest,
   });
 
   const refuse = (request: Request, now: number): void => {
@@ -129,7 +129,7 @@
         held,
         undefined,
         (waiting) => admission.mayStart(waiting, use(node), now),
-        admission.isInForce ? (waiting) => admission.next(waiting, held, now) : undefined,
+        admission.isActive ? (waiting) => admission.next(waiting, held, now) : undefined,
       );
       if (request === undefined) return;
       node.inFlight += 1;
@@ -138,7 +138,7 @@
       if (queued.length < INSTANCE_QUEUE) queued.push({ request, startedAt: now });
       else {
         letGo(node, request);
-        admission.noteRefused();
+        admission.recordRefusal();
         refuse(request, now);
       }
     }
@@ -150,9 +150,18 @@
     const { priority, workMs, aimMs, timeoutMs } = kind;
     const [aimAt, deadline] = [now + aimMs, now + timeoutMs];
     const request: Request = {
-      ...{ kind, node, priority, aimAt, deadline, weight: 1, maxWaiting: 200, queuedAt: now },
+      ...{
+        kind,
+        node,
+        priority,
+        latencyTargetAt: aimAt,
+        deadline,
+        weight: 1,
+        maxWaiting: 200,
+        queuedAt: now,
+      },
       tenant: `t${Math.floor(random() * TENANTS)}`,
-      startBy: rules === undefined ? deadline : startByOf(now, deadline),
+      startDeadline: rules === undefined ? deadline : startDeadlineOf(now, deadline),
       workMs: workMs * (0.3 + 1.4 * random()),
     };
     countOf(request).asked += 1;
@@ -168,10 +177,10 @@
   const end = ({ request, startedAt }: (typeof running)[number], now: number): void => {
     const { node, workMs } = request;
     letGo(node, request);
-    node.admission.noteEnd(request.priority, now - startedAt, use(node), now);
+    node.admission.recordCompletion(request.priority, now - startedAt, use(node), now);
     const count = countOf(request);
     if (now > request.deadline) return;
-    if (now <= request.aimAt) count.inAim += 1;
+    if (now <= request.latencyTargetAt) count.inAim += 1;
     else count.late += 1;
     const tenth = Math.floor(now / 100);
     goodput[tenth] = (goodput[tenth] ?? 0) + workMs / (SLOTS * 100);
@@ -185,9 +194,9 @@
       end(one, now);
     }
     for (const node of nodes) {
-      node.admission.step(use(node), now);
+      node.admission.adjust(use(node), now);
       for (const request of [...node.queue.requests]) {
-        if (now < request.startBy) continue;
+        if (now < request.startDeadline) continue;
         node.queue.remove(request);
         refuse(request, now);
       }
--- a/test/unit/direct/instance-pool.test.ts
+++ b/test/unit/direct/instance-pool.test.ts
@@ -127,7 +127,7 @@
   server.close();
 });
 
-const RULES = { targetDelayMs: 50, highest: 0, lowest: 2 };
+const RULES = { targetDelayMs: 50, highestPriority: 0, lowestPriority: 2 };
 
 /** A pool of so many connections to an instance that takes every connection. */
 async function accountPool(limit: number, rules?: AdmissionRules) {
--- a/test/unit/direct/relay.test.ts
+++ b/test/unit/direct/relay.test.ts
@@ -99,7 +99,7 @@
 test('those that wait at an owner that dies are served by the next one, and nothing has run twice', async () => {
   await start(2);
   const { pool } = owner(0);
-  owner(0).rules = { targetDelayMs: 50, highest: 0, lowest: 2 };
+  owner(0).rules = { targetDelayMs: 50, highestPriority: 0, lowestPriority: 2 };
   const held = [await lease(), await lease()];
   assert.is(pool.waiting, 0);
   const waiting = [borrower.acquire({ priority: 2 }), borrower.acquire({ priority: 1 })];
@@ -119,7 +119,7 @@
 
 test('at an owner that is full who waits is refused in half of its time, which blames nobody', async () => {
   await start(1);
-  owner(0).rules = { targetDelayMs: 50, highest: 0, lowest: 2 };
+  owner(0).rules = { targetDelayMs: 50, highestPriority: 0, lowestPriority: 2 };
   const held = [await lease(), await lease()];
   const deadline = performance.now() + 2000;
   const refused = await borrower.acquire({ priority: 2, deadline });
