--- a/src/core/limits/election.ts
+++ b/src/core/limits/election.ts
@@ -137,6 +137,7 @@
   readonly votes: Map<VoterId, Vote>;
 }
 
+/** Consecutive elections of the candidate, without the election of another candidate in between. */
 interface Tenure {
   readonly startedAt: Milliseconds;
   /** Start of the latest round that elected the candidate. */
--- a/src/core/tenancy/quota-keepers.ts
+++ b/src/core/tenancy/quota-keepers.ts
@@ -34,7 +34,7 @@
 /** The keeper of each part; the index is the number of the part. */
 export type QuotaKeepers = readonly ReachableNode[];
 
-/** A node that may keep quotas. */
+/** A node that may become a keeper. */
 export interface KeeperCandidate extends ReachableNode {
   readonly linkMbps: number;
 }
--- a/test/property/admission.test.ts
+++ b/test/property/admission.test.ts
@@ -1,4 +1,4 @@
-/** Who gets the room of an instance under scarcity: order, room and level, in virtual time before one instance. */
+/** Admission at one instance that is short of slots: order, concurrency limit and admission level, in virtual time. */
 import fc from 'fast-check';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -30,14 +30,14 @@
 const STEP_AT_MS = 3000;
 const SETTLED_MS = 1000;
 const SECONDS = 10;
-/** One node; the nodes of a small fleet, each with its own connections; the three owners in a fleet of 91. */
+/** One node; a small fleet whose nodes have their own connections; the three owners in a fleet of 91 nodes. */
 const FLEETS = [
   { nodes: 1, connections: 45 },
   { nodes: 12, connections: 5 },
   { nodes: 3, connections: 15 },
 ];
 
-/** Half of the room at first, then so many times the room. */
+/** Plays a load of half the instance's capacity at first, then `load` times the capacity. */
 function play(load: number, seed: number, fleet: Partial<FleetOptions>): FleetReport {
   return playFleet({
     ...{ nodes: 1, connections: 45, rules: RULES, seed, seconds: SECONDS },
@@ -52,7 +52,7 @@
   return count.inAim / count.asked;
 }
 
-/** Goodput of each whole second since the level has settled. */
+/** Goodput of each whole second after the admission level has settled. */
 function secondsOf({ goodput }: FleetReport): number[] {
   const sums: number[] = [];
   for (let at = (STEP_AT_MS + SETTLED_MS) / 100; at + 10 <= goodput.length; at += 10) {
@@ -162,7 +162,7 @@
         passed.choose(first, oldest, at),
       );
       assert.is(chosen.filter((one) => one === oldest).length, 1);
-      // The turn of the oldest would make this one late.
+      // Starting the oldest first would make this one late.
       const urgent = { ...first, latencyTargetAt: at.now + 40 };
       for (let count = 0; count < STARTS_PER_OLDEST; count += 1) {
         assert.is(passed.choose(urgent, oldest, at), urgent);
@@ -180,7 +180,7 @@
   lowestPriority: 2,
 };
 
-/** A room that has heard of so many answers, 50 ms apart. */
+/** Records responses with these durations at the limiter, 200 ms apart. */
 function heard(
   room: ConcurrencyLimiter,
   from: number,
--- a/test/property/quota-priorities.test.ts
+++ b/test/property/quota-priorities.test.ts
@@ -1,6 +1,7 @@
 /**
- * A tenant asks for a multiple of its quota, with operations of three priorities: the highest are served as long as they
- * alone fit, the others share what is left and never starve, and no more runs than without priorities. Virtual time.
+ * A tenant requests a multiple of its quota, with operations of three priorities. The highest are served while they
+ * alone fit the quota, the others share the rest and never starve, and about as many run as without priorities.
+ * Virtual time.
  */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -12,10 +13,10 @@
 const SEEDS = 20;
 const NODES = 30;
 const DAY_MS = 20_000;
-/** Buckets are full at first, and demand is not known. */
+/** Results count only after this time: at first, buckets are full and the demand is unknown. */
 const SETTLED_MS = 3000;
 const QUOTA: Quota = { ratePerSecond: 120, burst: 90 };
-/** Operations a second by priority, as parts of the quota's rate. */
+/** Operations per second by priority, as multiples of the quota's rate. */
 type Mix = readonly number[];
 
 interface Outcome {
--- a/test/property/quota.test.ts
+++ b/test/property/quota.test.ts
@@ -1,7 +1,7 @@
 /**
- * The bound of a tenant's quota over a whole fleet, in virtual time: nodes ask keepers that are lost, begin anew and
- * change, answers are late or lost, limits fall. In every window no more runs than the bound, and what asks for less
- * than the limit is served. With a keeper that begins full the bound is shown to break.
+ * The bound of a tenant's quota over a whole fleet, in virtual time: keepers are lost, restarted and replaced,
+ * responses are late or lost, limits are lowered. In every window no more operations run than the bound, and demand
+ * below the limit is served. A keeper that starts with full buckets breaks the bound.
  */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -20,14 +20,14 @@
 const DAY_MS = 16_000;
 const STEP_MS = 20;
 const WINDOW_MS = 5000;
-/** As the operator's rules allow beyond the limit (users' pages, `quota_overshoot` and `quota_slack`). */
+/** What the operator allows beyond the limit (`quota_overshoot` and `quota_slack`). */
 const OVERSHOOT = 0.1;
 const SLACK = 20;
-/** What each part may hold beyond its part of the burst. */
+/** Extra capacity of each part beyond its part of the burst. */
 const SPARE = 1;
 const TENANT = 'tenant';
 
-/** What a test switches off. */
+/** The fault that a test injects: `begins-full` starts a new keeper with full buckets. */
 type Fault = 'none' | 'begins-full';
 
 interface Grant {
@@ -43,13 +43,13 @@
   readonly quota: Quota;
 }
 
-/** A ledger that has been filling for long. */
+/** Ledger of a keeper that starts at `now`; with `begins-full`, its buckets have refilled for 60 s. */
 function ledger(now: number, fault: Fault): QuotaLedger {
   const begunAt = fault === 'begins-full' ? now - 60_000 : now;
   return new QuotaLedger(1 / PARTS_PER_TENANT, begunAt, SPARE);
 }
 
-/** @param loadShare what callers ask for, as a part of the limit */
+/** @param loadShare callers' demand, as a multiple of the limit */
 function play(seed: number, loadShare: number, hasLosses: boolean, fault: Fault): Outcome {
   const random = seededRandom(seed);
   const ratePerSecond = 5 + random() * 200;
@@ -111,7 +111,7 @@
   }
 }
 
-/** The most that ran in any window beyond what is allowed; negative within the bound. */
+/** Maximum number of operations beyond the bound in any window; negative if the bound holds. */
 function excess({ ran, quota }: Outcome, slackShare = 1): number {
   const windowS = WINDOW_MS / 1000;
   const within = quota.ratePerSecond * windowS + quota.burst;
@@ -134,7 +134,7 @@
 }
 
 test('in every window no more runs than the limit itself, whatever is lost', () => {
-  // A permit may run up to a step later than it was given, and the windows here are whole steps.
+  // An operation may run up to one step after its permit was granted, and the windows here consist of whole steps.
   const most = worst('none', 0);
   assert.ok(most <= 5 + SPARE * PARTS_PER_TENANT, `${most} more`);
 });
@@ -148,13 +148,13 @@
   const kept = new QuotaLedger(1, 0);
   const request = { tenant: TENANT, node: 'a', needed: 1, held: 0, wanted: 10 };
   assert.is(kept.grant(request, quota, 1000).granted, 11);
-  // Long refilled: 40 less the 10 that are held ahead.
+  // The bucket is full: 40, less the 10 prefetched permits.
   const all = { ...request, node: 'b', needed: 100, wanted: 0 };
   assert.is(kept.grant(all, quota, 2000).granted, 30);
   assert.is(kept.grant(all, quota, 1000 + PERMIT_LIFETIME_MS).granted, 40);
 });
 
-/** What one bucket for the whole fleet would have let run of the same. */
+/** Number of the same operations that a single bucket for the whole fleet would have admitted. */
 function servedByOneBucket({ arrivals, quota }: Outcome): number {
   const shape = { tokensPerSecond: quota.ratePerSecond, capacity: quota.burst };
   let bucket = fullBucket(shape, 0);
--- a/test/property/rate-limit.test.ts
+++ b/test/property/rate-limit.test.ts
@@ -1,6 +1,6 @@
 /**
- * Rates are kept by each owner of a group for itself. Owners that serve one after the other, and for
- * a while at once, admit no more than the bound in docs/design/fleet-wide-limits.md.
+ * Each owner of a group limits request rates by itself. Owners that serve in succession, and overlap
+ * for some time, admit no more than the bound in docs/design/fleet-wide-limits.md.
  */
 import fc from 'fast-check';
 import { test } from 'uvu';
@@ -30,7 +30,7 @@
   return admission;
 }
 
-/** Requests admitted while far more are asked for; owners serve in `[from, to)`, in ms. */
+/** Number of requests admitted under a demand far above the limit; owners serve in `[from, to)`, in ms. */
 function admitted(owners: readonly { from: number; to: number }[], durationMs: number): number {
   const admissions = owners.map((time) => ({ ...time, admission: ownerOfGroup() }));
   let count = 0;
--- a/test/property/tenancy.test.ts
+++ b/test/property/tenancy.test.ts
@@ -1,4 +1,4 @@
-/** What a tenant of the direct gateway may use: its template filled, and its share of an instance. */
+/** Limits of a tenant of the direct gateway: its filled-in route template, and its connections to an instance. */
 import fc from 'fast-check';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
--- a/test/property/tenant-lease.test.ts
+++ b/test/property/tenant-lease.test.ts
@@ -1,4 +1,4 @@
-/** Shares of a tenant's limit: their sum stays within it under any schedule of faults. */
+/** Leased shares of a tenant's connection limit: their sum stays within the limit under any schedule of faults. */
 import fc from 'fast-check';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -72,7 +72,7 @@
   return node;
 }
 
-/** The first node allocates, all others ask it, and everybody has callers. */
+/** A network without faults: the first node allocates for all nodes, and each node has callers. */
 function calm(demand: number): LeaseNetwork {
   const network = new LeaseNetwork(SEED, NODES, LIMIT, hash);
   nodeAt(network, 0).isCandidate = true;
--- a/test/support/admission-fleet.ts
+++ b/test/support/admission-fleet.ts
@@ -1,4 +1,6 @@
-/** A fleet before one instance in virtual time: Poisson arrivals of three kinds, a first-come queue at the instance. */
+/**
+ * Simulates a fleet with one instance in virtual time: Poisson arrivals of three kinds, a FIFO queue at the instance.
+ */
 import {
   type AdmissionRules,
   type AdmissionWork,
@@ -13,7 +15,7 @@
   readonly workMs: number;
   readonly aimMs: number;
   readonly timeoutMs: number;
-  /** Part of all requests. */
+  /** Fraction of all requests. */
   readonly share: number;
 }
 
@@ -26,7 +28,7 @@
 const INSTANCE_QUEUE = 40;
 const TENANTS = 40;
 const MEAN_WORK_MS = KINDS.reduce((sum, { workMs, share }) => sum + workMs * share, 0);
-/** Answers a second that the instance can give of this mix. */
+/** Requests per second that the instance can serve of this mix. */
 export const ROOM_PER_SECOND = (SLOTS * 1000) / MEAN_WORK_MS;
 
 interface Request extends AdmissionWork, QueuedRequest {
@@ -46,14 +48,14 @@
 export interface FleetOptions {
   readonly nodes: number;
   readonly connections: number;
-  /** Offered load, in parts of the room, by time. */
+  /** Offered load by time, as a multiple of the instance's capacity. */
   readonly load: (now: number) => number;
   readonly seconds: number;
   readonly seed: number;
-  /** Requests are counted that come from then on, and long enough before the end. */
+  /** Only requests that arrive after this time, and early enough to time out before the end, are counted. */
   readonly countFromMs: number;
   readonly rules: AdmissionRules | undefined;
-  /** The nodes that take requests of a kind; all by default. */
+  /** Whether a node receives requests of a kind; by default all nodes do. */
   readonly takes?: (node: number, kind: Kind) => boolean;
 }
 
@@ -66,11 +68,11 @@
 
 export interface FleetReport {
   readonly kinds: readonly KindCount[];
-  /** Slot time of answers in their deadline, in each tenth of a second, in parts of the room. */
+  /** Slot time of responses within the deadline, per tenth of a second, as a fraction of the capacity. */
   readonly goodput: readonly number[];
-  /** Longest time without a try of those that were never tried, in parts of their time. */
+  /** Longest wait of a request that was never sent to the instance, as a fraction of its timeout. */
   longestUntried: number;
-  /** Most in flight in each tenth of a second, over all nodes. */
+  /** Maximum number of requests in flight per tenth of a second, over all nodes. */
   readonly inFlight: readonly number[];
 }
 
--- a/test/support/lease-network.ts
+++ b/test/support/lease-network.ts
@@ -1,7 +1,7 @@
 /**
- * Nodes that share one tenant's limit: each votes, may believe that it is the allocator, and has
- * callers. Clocks drift; messages are late or lost; nodes pause, restart and are cut off; the machine
- * list changes and reaches each node at a time of its own.
+ * Simulates nodes that share one tenant's connection limit: each votes, may consider itself the
+ * allocator, and has callers. Clocks drift; messages are late or lost; nodes pause, restart and are
+ * cut off; a change of the machine list reaches each node at a different time.
  */
 import { Voter } from '../../src/core/limits/election.js';
 import {
@@ -32,11 +32,11 @@
 
 export class LeaseNode {
   paused = false;
-  /** Takes itself for the allocator. */
+  /** Whether the node considers itself the allocator. */
   isCandidate = false;
-  /** Node that it asks for its share. */
+  /** Index of the node from which it requests its share. */
   allocatorGuess = 0;
-  /** Callers that would like a place here. */
+  /** Number of callers that want a connection at this node. */
   demand = 0;
   voter!: Voter;
   voterSets!: VoterSets;
@@ -82,7 +82,7 @@
   now = 0;
   maxLatencyMs = 20;
   lossShare = 0;
-  /** Callers that were cut off because their share had gone. */
+  /** Number of callers that were disconnected because the node's share had become too small. */
   cutCallers = 0;
   messages = 0;
   readonly #hash: Hash64;
@@ -108,7 +108,7 @@
     }
   }
 
-  /** Lets time pass and calls `check` after each step. */
+  /** Advances the time and calls `check` after each step. */
   run(durationMs: number, check: () => void = () => undefined): void {
     const end = this.now + durationMs;
     while (this.now < end) {
@@ -123,13 +123,13 @@
     return this.nodes.reduce((sum, node) => sum + node.held(this.now), 0);
   }
 
-  /** Callers that are served: those of a paused node are not. */
+  /** Number of callers that are served; callers of a paused node are not. */
   sumOpen(): number {
     const served = this.nodes.filter((node) => !node.paused);
     return served.reduce((sum, node) => sum + node.open, 0);
   }
 
-  /** A new life: votes, shares and grants are forgotten; the list is read anew. */
+  /** Starts a new incarnation: votes, shares and grants are lost, and the machine list is read again. */
   restart(node: LeaseNode): void {
     const now = node.clock(this.now);
     node.lives += 1;
@@ -157,7 +157,7 @@
     node.paused = false;
     const { inbox } = node;
     node.inbox = [];
-    // What is due by the clock comes before what has arrived, as in an event loop.
+    // As in an event loop, due timers run before the messages that have arrived.
     this.#step(node);
     for (const action of inbox) action();
   }
@@ -168,7 +168,7 @@
     for (const index of indexes) this.#cutOff.add(index);
   }
 
-  /** Each node hears of the new list within the lag. */
+  /** Each node receives the new list within `listLagMs`. */
   changeList(indexes: readonly number[]): void {
     this.#list = indexes;
     this.#listVersion += 1;
@@ -267,7 +267,7 @@
     );
   }
 
-  /** One question and its answer; either may be lost. */
+  /** Sends a request and its response; either may be lost. */
   #call<Answer>(
     from: LeaseNode,
     to: LeaseNode,
--- a/test/unit/election.test.ts
+++ b/test/unit/election.test.ts
@@ -1,4 +1,4 @@
-/** Votes for the allocator of a tenant's limit, and what they vouch for. */
+/** Votes for the allocator of a tenant's limit, and the time for which they confirm that no other was elected. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { Candidacy, type Vote, Voter } from '../../src/core/limits/election.js';
--- a/test/unit/quota-keepers.test.ts
+++ b/test/unit/quota-keepers.test.ts
@@ -1,4 +1,4 @@
-/** Who keeps the tenants' quotas, and when a part goes to another node. */
+/** Assignment of the keepers of the tenants' quotas, and when a part gets another keeper. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { DEFAULT_PROMOTION_TIMINGS } from '../../src/core/promotion/options.js';
@@ -78,7 +78,8 @@
 test('a keeper has stopped by its own clock before the leader names another one', () => {
   const { leaseSeconds, leaseMarginMs } = DEFAULT_PROMOTION_TIMINGS;
   const leaseMs = leaseSeconds * 1000;
-  // Both count from when a renewal was sent; it arrives no earlier, and its lease ends there no earlier than it lasts.
+  // Both times count from when the keeper sent a renewal; the store receives it no earlier, and keeps the lease for at
+  // least its full duration.
   const stoppedAtMs = leaseMs - leaseMarginMs + KEEPER_GRACE_MS;
   const replacedAtMs = leaseMs + KEEPER_REPLACEMENT_DELAY_MS;
   assert.ok(stoppedAtMs + 200 <= replacedAtMs);
