--- a/src/direct/pool-admission.ts
+++ b/src/direct/pool-admission.ts
@@ -47,7 +47,7 @@
   readonly priority: number;
   readonly deadline: Milliseconds;
   /** An answer after this is late; the deadline by default. */
-  readonly aimAt?: Milliseconds | undefined;
+  readonly latencyTargetAt?: Milliseconds | undefined;
   /** It keeps its connection between statements. */
   readonly isTransaction?: boolean | undefined;
 }
@@ -75,7 +75,7 @@
 
   /** A request as work that waits from now on. */
   workOf(request: AdmissionRequest, weight: number): AdmissionWork {
-    const { tenant, priority, deadline, aimAt = deadline } = request;
+    const { tenant, priority, deadline, latencyTargetAt = deadline } = request;
     const queuedAt = this.options.now();
     const startBy = this.isInForce ? startDeadlineOf(queuedAt, deadline) : deadline;
     return {
@@ -83,7 +83,7 @@
       priority,
       weight,
       queuedAt,
-      latencyTargetAt: aimAt,
+      latencyTargetAt,
       deadline,
       startDeadline: startBy,
     };
--- a/src/direct/relay/lease-server.ts
+++ b/src/direct/relay/lease-server.ts
@@ -107,7 +107,7 @@
       ...{ tenant: request.tenant, account: request.account },
       ...{ priority: request.priority, policy: request.policy },
       values: new Map(request.values),
-      ...{ deadline: now + request.waitMs, aimAt: now + aimMs, isTransaction },
+      ...{ deadline: now + request.waitMs, latencyTargetAt: now + aimMs, isTransaction },
       cancelledBy: [givenUp],
     });
     this.#waiting -= 1;
--- a/src/direct/relay/owner-lessor.ts
+++ b/src/direct/relay/owner-lessor.ts
@@ -160,11 +160,20 @@
   }
 
   #headerOf(
-    { tenant, account, priority, policy, values, aimAt, isTransaction }: ConnectionRequest,
+    {
+      tenant,
+      account,
+      priority,
+      policy,
+      values,
+      latencyTargetAt,
+      isTransaction,
+    }: ConnectionRequest,
     waitMs: Milliseconds,
   ): Omit<LeaseRequest, 'type'> {
     const { service, id: instanceId } = this.options.instance;
-    const aimMs = aimAt === undefined ? undefined : Math.round(aimAt - this.options.now());
+    const aimMs =
+      latencyTargetAt === undefined ? undefined : Math.round(latencyTargetAt - this.options.now());
     return {
       ...{ service, instanceId, tenant, priority, policy, values: [...values], waitMs },
       ...(aimMs === undefined ? {} : { aimMs }),
--- a/src/direct/statement-request.ts
+++ b/src/direct/statement-request.ts
@@ -81,7 +81,7 @@
 ): ConnectionRequest {
   const { name, policy } = request.tenant;
   return {
-    aimAt: request.beganAt + policy.targetLatencyMs,
+    latencyTargetAt: request.beganAt + policy.targetLatencyMs,
     isTransaction,
     tenant: name,
     account: request.account,
--- a/test/support/admission-fleet.ts
+++ b/test/support/admission-fleet.ts
@@ -150,13 +150,13 @@
     const takers = nodes.filter((_, index) => options.takes?.(index, kind) ?? true);
     const node = takers[Math.floor(random() * takers.length)] as Node;
     const { priority, workMs, aimMs, timeoutMs } = kind;
-    const [aimAt, deadline] = [now + aimMs, now + timeoutMs];
+    const [latencyTargetAt, deadline] = [now + aimMs, now + timeoutMs];
     const request: Request = {
       ...{
         kind,
         node,
         priority,
-        latencyTargetAt: aimAt,
+        latencyTargetAt,
         deadline,
         weight: 1,
         maxWaiting: 200,
--- a/test/unit/direct/relay.test.ts
+++ b/test/unit/direct/relay.test.ts
@@ -82,18 +82,23 @@
     asked.push(request);
     return acquire(request);
   };
-  const aimAt = performance.now() + 3000;
-  const bounds = { priority: 2, deadline: aimAt + 2000, aimAt, isTransaction: true };
+  const latencyTargetAt = performance.now() + 3000;
+  const bounds = {
+    priority: 2,
+    deadline: latencyTargetAt + 2000,
+    latencyTargetAt,
+    isTransaction: true,
+  };
   borrower.pool.release((await borrower.acquire(bounds))._unsafeUnwrap());
   borrower.pool.release(await lease());
   const [told, plain] = asked;
   assert.is(told?.priority, 2);
   assert.is(told?.isTransaction, true);
   // Both were counted in the time that is left, so that clocks need not agree.
-  const betweenMs = (told?.deadline ?? 0) - (told?.aimAt ?? 0);
+  const betweenMs = (told?.deadline ?? 0) - (told?.latencyTargetAt ?? 0);
   assert.ok(betweenMs >= 1999 && betweenMs <= 2001, String(betweenMs));
   assert.is(plain?.isTransaction, undefined);
-  assert.is(plain?.aimAt, plain?.deadline);
+  assert.is(plain?.latencyTargetAt, plain?.deadline);
 });
 
 test('those that wait at an owner that dies are served by the next one, and nothing has run twice', async () => {
