--- a/src/direct/instance-pool.ts
+++ b/src/direct/instance-pool.ts
@@ -4,8 +4,8 @@
  * connection is given to one statement or transaction at a time.
  */
 import { err, ok, type Result } from 'neverthrow';
+import type { LimiterState } from '../core/admission/concurrency-limiter.js';
 import type { AdmissionRules, AdmissionWork } from '../core/admission/instance-admission.js';
-import type { RoomState } from '../core/admission/instance-room.js';
 import type { InstanceObservation } from '../core/fleet/instance-digest.js';
 import { FairQueue, type QueuedRequest } from '../core/statements/fair-queue.js';
 import { synchronisationCost } from '../core/statements/session-values.js';
@@ -49,7 +49,7 @@
     Partial<AdmissionLatencies>;
   /** Undefined where callers don't compete by priorities; absent where that is never looked at. */
   readonly admissionRules?: () => AdmissionRules | undefined;
-  readonly onAdmission?: (instance: InstanceEntry, state: RoomState) => void;
+  readonly onAdmission?: (instance: InstanceEntry, state: LimiterState) => void;
   /** Takes what statements show of an instance. */
   readonly observe?:
     | ((instance: InstanceEntry, observation: InstanceObservation) => void)
@@ -88,7 +88,7 @@
 }
 
 interface Waiter extends ConnectionRequest, QueuedRequest, QueuedWork {
-  readonly aimAt: Milliseconds;
+  readonly latencyTargetAt: Milliseconds;
   readonly settle: (connection: Result<InstanceConnection, AcquireError>) => void;
   timer: NodeJS.Timeout | undefined;
 }
@@ -272,7 +272,7 @@
     if (isAnyCancelled(request.cancelledBy)) {
       return Promise.resolve(err(this.#noneFree()));
     }
-    this.#holdings.noteRequest(tenant, policy);
+    this.#holdings.recordRequest(tenant, policy);
     const work = this.admission.workOf(request, policy.queueWeight);
     const mayStart = this.#mayStart(tenant) && this.#startsNow()(work);
     const idle = mayStart ? this.#takeIdle(request) : undefined;
@@ -315,7 +315,10 @@
         );
         return;
       }
-      const waitMs = Math.max(0, Math.min(request.deadline, work.startBy) - this.options.now());
+      const waitMs = Math.max(
+        0,
+        Math.min(request.deadline, work.startDeadline) - this.options.now(),
+      );
       waiter.timer = setTimeout(() => this.#expire(waiter), waitMs);
       this.#openForWaiters();
       this.#serveInTime();
@@ -477,7 +480,7 @@
   #expire(waiter: Waiter): void {
     if (!this.#waiters.remove(waiter)) return;
     clearTimeout(waiter.timer);
-    if (waiter.startBy < waiter.deadline && this.options.now() < waiter.deadline) {
+    if (waiter.startDeadline < waiter.deadline && this.options.now() < waiter.deadline) {
       this.#giveUpUntried(waiter);
       return;
     }
@@ -509,7 +512,7 @@
 
   /** Ends connections above the soft limit that have rested for long. */
   trim(): void {
-    this.#holdings.forgetQuiet();
+    this.#holdings.removeIdle();
     const restedSince = this.options.now() - SURPLUS_IDLE_MS;
     while (this.#all.size > this.#softLimit) {
       const oldest = this.#idle[0];
@@ -542,7 +545,7 @@
       return;
     }
     const mostOpening = Math.max(1, this.#all.size);
-    const wanted = (): number => Math.min(this.#holdings.wanted, mostOpening);
+    const wanted = (): number => Math.min(this.#holdings.totalDemand, mostOpening);
     while (!this.#closed && this.#opening < wanted()) {
       const next = this.#nextToOpenFor(isAtOnce);
       if (next === undefined || !this.#hasRoomFor(next, limit)) return;
@@ -567,7 +570,7 @@
       }
       if (account === undefined) return waiter;
       const underWay = this.#openingFor.get(account) ?? 0;
-      if (underWay >= this.#holdings.wantedBy(tenant)) continue;
+      if (underWay >= this.#holdings.demandOf(tenant)) continue;
       if (!isAtOnce || !this.#hasConnectionFor(account)) return waiter;
     }
     return undefined;
@@ -666,14 +669,14 @@
 
   #hold(connection: SocketConnection, tenant: string): void {
     this.#holders.set(connection, tenant);
-    this.#holdings.hold(tenant);
+    this.#holdings.recordAcquired(tenant);
   }
 
   #letGo(connection: SocketConnection): void {
     const tenant = this.#holders.get(connection);
     if (tenant === undefined) return;
     this.#holders.delete(connection);
-    this.#holdings.letGo(tenant);
+    this.#holdings.recordReleased(tenant);
     this.admission.letGo(connection);
   }
 
--- a/test/support/admission-fleet.ts
+++ b/test/support/admission-fleet.ts
@@ -1,9 +1,11 @@
-/** A fleet before one instance in virtual time: Poisson arrivals of three kinds, a first-come queue at the instance. */
+/**
+ * Simulates a fleet with one instance in virtual time: Poisson arrivals of three kinds, a FIFO queue at the instance.
+ */
 import {
   type AdmissionRules,
   type AdmissionWork,
   InstanceAdmission,
-  startByOf,
+  startDeadlineOf,
 } from '../../src/core/admission/instance-admission.js';
 import { FairQueue, type QueuedRequest } from '../../src/core/statements/fair-queue.js';
 import { seededRandom } from './random.js';
@@ -13,7 +15,7 @@
   readonly workMs: number;
   readonly aimMs: number;
   readonly timeoutMs: number;
-  /** Part of all requests. */
+  /** Fraction of all requests. */
   readonly share: number;
 }
 
@@ -26,7 +28,7 @@
 const INSTANCE_QUEUE = 40;
 const TENANTS = 40;
 const MEAN_WORK_MS = KINDS.reduce((sum, { workMs, share }) => sum + workMs * share, 0);
-/** Answers a second that the instance can give of this mix. */
+/** Requests per second that the instance can serve of this mix. */
 export const ROOM_PER_SECOND = (SLOTS * 1000) / MEAN_WORK_MS;
 
 interface Request extends AdmissionWork, QueuedRequest {
@@ -46,14 +48,14 @@
 export interface FleetOptions {
   readonly nodes: number;
   readonly connections: number;
-  /** Offered load, in parts of the room, by time. */
+  /** Offered load by time, as a multiple of the instance's capacity. */
   readonly load: (now: number) => number;
   readonly seconds: number;
   readonly seed: number;
-  /** Requests are counted that come from then on, and long enough before the end. */
+  /** Only requests that arrive after this time, and early enough to time out before the end, are counted. */
   readonly countFromMs: number;
   readonly rules: AdmissionRules | undefined;
-  /** The nodes that take requests of a kind; all by default. */
+  /** Whether a node receives requests of a kind; by default all nodes do. */
   readonly takes?: (node: number, kind: Kind) => boolean;
 }
 
@@ -66,11 +68,11 @@
 
 export interface FleetReport {
   readonly kinds: readonly KindCount[];
-  /** Slot time of answers in their deadline, in each tenth of a second, in parts of the room. */
+  /** Slot time of responses within the deadline, per tenth of a second, as a fraction of the capacity. */
   readonly goodput: readonly number[];
-  /** Longest time without a try of those that were never tried, in parts of their time. */
+  /** Longest wait of a request that was never sent to the instance, as a fraction of its timeout. */
   longestUntried: number;
-  /** Most in flight in each tenth of a second, over all nodes. */
+  /** Maximum number of requests in flight per tenth of a second, over all nodes. */
   readonly inFlight: readonly number[];
 }
 
@@ -109,7 +111,7 @@
     slots: SLOTS,
     sharers: nodes.length,
     inFlight: node.inFlight,
-    highest: node.highest,
+    highestInFlight: node.highest,
   });
 
   const refuse = (request: Request, now: number): void => {
@@ -129,7 +131,7 @@
         held,
         undefined,
         (waiting) => admission.mayStart(waiting, use(node), now),
-        admission.isInForce ? (waiting) => admission.next(waiting, held, now) : undefined,
+        admission.isActive ? (waiting) => admission.next(waiting, held, now) : undefined,
       );
       if (request === undefined) return;
       node.inFlight += 1;
@@ -138,7 +140,7 @@
       if (queued.length < INSTANCE_QUEUE) queued.push({ request, startedAt: now });
       else {
         letGo(node, request);
-        admission.noteRefused();
+        admission.recordRefusal();
         refuse(request, now);
       }
     }
@@ -148,11 +150,20 @@
     const takers = nodes.filter((_, index) => options.takes?.(index, kind) ?? true);
     const node = takers[Math.floor(random() * takers.length)] as Node;
     const { priority, workMs, aimMs, timeoutMs } = kind;
-    const [aimAt, deadline] = [now + aimMs, now + timeoutMs];
+    const [latencyTargetAt, deadline] = [now + aimMs, now + timeoutMs];
     const request: Request = {
-      ...{ kind, node, priority, aimAt, deadline, weight: 1, maxWaiting: 200, queuedAt: now },
+      ...{
+        kind,
+        node,
+        priority,
+        latencyTargetAt,
+        deadline,
+        weight: 1,
+        maxWaiting: 200,
+        queuedAt: now,
+      },
       tenant: `t${Math.floor(random() * TENANTS)}`,
-      startBy: rules === undefined ? deadline : startByOf(now, deadline),
+      startDeadline: rules === undefined ? deadline : startDeadlineOf(now, deadline),
       workMs: workMs * (0.3 + 1.4 * random()),
     };
     countOf(request).asked += 1;
@@ -168,10 +179,10 @@
   const end = ({ request, startedAt }: (typeof running)[number], now: number): void => {
     const { node, workMs } = request;
     letGo(node, request);
-    node.admission.noteEnd(request.priority, now - startedAt, use(node), now);
+    node.admission.recordCompletion(request.priority, now - startedAt, use(node), now);
     const count = countOf(request);
     if (now > request.deadline) return;
-    if (now <= request.aimAt) count.inAim += 1;
+    if (now <= request.latencyTargetAt) count.inAim += 1;
     else count.late += 1;
     const tenth = Math.floor(now / 100);
     goodput[tenth] = (goodput[tenth] ?? 0) + workMs / (SLOTS * 100);
@@ -185,9 +196,9 @@
       end(one, now);
     }
     for (const node of nodes) {
-      node.admission.step(use(node), now);
+      node.admission.adjust(use(node), now);
       for (const request of [...node.queue.requests]) {
-        if (now < request.startBy) continue;
+        if (now < request.startDeadline) continue;
         node.queue.remove(request);
         refuse(request, now);
       }
--- a/test/support/lease-network.ts
+++ b/test/support/lease-network.ts
@@ -1,7 +1,7 @@
 /**
- * Nodes that share one tenant's limit: each votes, may believe that it is the allocator, and has
- * callers. Clocks drift; messages are late or lost; nodes pause, restart and are cut off; the machine
- * list changes and reaches each node at a time of its own.
+ * Simulates nodes that share one tenant's connection limit: each votes, may consider itself the
+ * allocator, and has callers. Clocks drift; messages are late or lost; nodes pause, restart and are
+ * cut off; a change of the machine list reaches each node at a different time.
  */
 import { Voter } from '../../src/core/limits/election.js';
 import {
@@ -32,11 +32,11 @@
 
 export class LeaseNode {
   paused = false;
-  /** Takes itself for the allocator. */
+  /** Whether the node considers itself the allocator. */
   isCandidate = false;
-  /** Node that it asks for its share. */
+  /** Index of the node from which it requests its share. */
   allocatorGuess = 0;
-  /** Callers that would like a place here. */
+  /** Number of callers that want a connection at this node. */
   demand = 0;
   voter!: Voter;
   voterSets!: VoterSets;
@@ -60,11 +60,11 @@
   }
 
   held(realTime: number): number {
-    return this.shares.heldOf(TENANT, this.clock(realTime));
+    return this.shares.heldConnections(TENANT, this.clock(realTime));
   }
 
   get open(): number {
-    return this.shares.openOf(TENANT);
+    return this.shares.openConnections(TENANT);
   }
 }
 
@@ -82,7 +82,7 @@
   now = 0;
   maxLatencyMs = 20;
   lossShare = 0;
-  /** Callers that were cut off because their share had gone. */
+  /** Number of callers that were disconnected because the node's share had become too small. */
   cutCallers = 0;
   messages = 0;
   readonly #hash: Hash64;
@@ -108,7 +108,7 @@
     }
   }
 
-  /** Lets time pass and calls `check` after each step. */
+  /** Advances the time and calls `check` after each step. */
   run(durationMs: number, check: () => void = () => undefined): void {
     const end = this.now + durationMs;
     while (this.now < end) {
@@ -123,25 +123,30 @@
     return this.nodes.reduce((sum, node) => sum + node.held(this.now), 0);
   }
 
-  /** Callers that are served: those of a paused node are not. */
+  /** Number of callers that are served; callers of a paused node are not. */
   sumOpen(): number {
     const served = this.nodes.filter((node) => !node.paused);
     return served.reduce((sum, node) => sum + node.open, 0);
   }
 
-  /** A new life: votes, shares and grants are forgotten; the list is read anew. */
+  /** Starts a new incarnation: votes, shares and grants are lost, and the machine list is read again. */
   restart(node: LeaseNode): void {
     const now = node.clock(this.now);
     node.lives += 1;
     const life = `${node.id}#${node.lives}`;
     const rememberMs = 2 * maxShareLifetimeMs(this.options);
     const voteMs = voteDurationMs(this.options);
-    node.voter = new Voter({ life, startedAt: now, voteMs, rememberMs });
+    node.voter = new Voter({
+      incarnationId: life,
+      startedAt: now,
+      voteMs,
+      retentionMs: rememberMs,
+    });
     node.voterSets = new VoterSets(this.#hash, {
       maxMachineListLagMs: this.options.maxMachineListLagMs,
-      rememberMs,
+      retentionMs: rememberMs,
     });
-    node.voterSets.setList(this.#listed(), now);
+    node.voterSets.setNodes(this.#listed(), now);
     node.shares = new TenantShares(life, this.options);
     node.shares.setNodeCount(this.#list.length);
     node.allocator = undefined;
@@ -152,7 +157,7 @@
     node.paused = false;
     const { inbox } = node;
     node.inbox = [];
-    // What is due by the clock comes before what has arrived, as in an event loop.
+    // As in an event loop, due timers run before the messages that have arrived.
     this.#step(node);
     for (const action of inbox) action();
   }
@@ -163,7 +168,7 @@
     for (const index of indexes) this.#cutOff.add(index);
   }
 
-  /** Each node hears of the new list within the lag. */
+  /** Each node receives the new list within `listLagMs`. */
   changeList(indexes: readonly number[]): void {
     this.#list = indexes;
     this.#listVersion += 1;
@@ -172,7 +177,7 @@
       const at = this.now + this.random() * this.options.maxMachineListLagMs * 0.9;
       const version = this.#listVersion;
       const action = (): void => {
-        if (version === this.#listVersion) node.voterSets.setList(listed, node.clock(this.now));
+        if (version === this.#listVersion) node.voterSets.setNodes(listed, node.clock(this.now));
       };
       this.#pending.push({ at, to: node, life: node.lives, action });
     }
@@ -195,12 +200,12 @@
 
   #serve(node: LeaseNode, clock: number): void {
     const { shares } = node;
-    for (let left = shares.excessOf(TENANT, GRACE_MS, clock); left > 0; left -= 1) {
+    for (let left = shares.excessConnections(TENANT, GRACE_MS, clock); left > 0; left -= 1) {
       shares.release(TENANT, clock);
       this.cutCallers += 1;
     }
     while (node.open > node.demand) shares.release(TENANT, clock);
-    while (node.open < node.demand && shares.take(TENANT, clock));
+    while (node.open < node.demand && shares.tryAcquire(TENANT, clock));
     if (node.demand > 0 || node.open > 0) {
       shares.setWaiting(TENANT, node.demand - node.open, clock);
     }
@@ -257,12 +262,12 @@
       to,
       () => to.allocator?.answer(due.request, to.clock(this.now)),
       (answer) => {
-        if (answer !== undefined) node.shares.receive(due, answer, node.clock(this.now));
+        if (answer !== undefined) node.shares.receiveResponse(due, answer, node.clock(this.now));
       },
     );
   }
 
-  /** One question and its answer; either may be lost. */
+  /** Sends a request and its response; either may be lost. */
   #call<Answer>(
     from: LeaseNode,
     to: LeaseNode,
--- a/test/unit/direct/relay.test.ts
+++ b/test/unit/direct/relay.test.ts
@@ -82,24 +82,29 @@
     asked.push(request);
     return acquire(request);
   };
-  const aimAt = performance.now() + 3000;
-  const bounds = { priority: 2, deadline: aimAt + 2000, aimAt, isTransaction: true };
+  const latencyTargetAt = performance.now() + 3000;
+  const bounds = {
+    priority: 2,
+    deadline: latencyTargetAt + 2000,
+    latencyTargetAt,
+    isTransaction: true,
+  };
   borrower.pool.release((await borrower.acquire(bounds))._unsafeUnwrap());
   borrower.pool.release(await lease());
   const [told, plain] = asked;
   assert.is(told?.priority, 2);
   assert.is(told?.isTransaction, true);
   // Both were counted in the time that is left, so that clocks need not agree.
-  const betweenMs = (told?.deadline ?? 0) - (told?.aimAt ?? 0);
+  const betweenMs = (told?.deadline ?? 0) - (told?.latencyTargetAt ?? 0);
   assert.ok(betweenMs >= 1999 && betweenMs <= 2001, String(betweenMs));
   assert.is(plain?.isTransaction, undefined);
-  assert.is(plain?.aimAt, plain?.deadline);
+  assert.is(plain?.latencyTargetAt, plain?.deadline);
 });
 
 test('those that wait at an owner that dies are served by the next one, and nothing has run twice', async () => {
   await start(2);
   const { pool } = owner(0);
-  owner(0).rules = { targetDelayMs: 50, highest: 0, lowest: 2 };
+  owner(0).rules = { targetDelayMs: 50, highestPriority: 0, lowestPriority: 2 };
   const held = [await lease(), await lease()];
   assert.is(pool.waiting, 0);
   const waiting = [borrower.acquire({ priority: 2 }), borrower.acquire({ priority: 1 })];
@@ -119,7 +124,7 @@
 
 test('at an owner that is full who waits is refused in half of its time, which blames nobody', async () => {
   await start(1);
-  owner(0).rules = { targetDelayMs: 50, highest: 0, lowest: 2 };
+  owner(0).rules = { targetDelayMs: 50, highestPriority: 0, lowestPriority: 2 };
   const held = [await lease(), await lease()];
   const deadline = performance.now() + 2000;
   const refused = await borrower.acquire({ priority: 2, deadline });
