--- a/src/core/limits/voter-sets.ts
+++ b/src/core/limits/voter-sets.ts
@@ -57,7 +57,10 @@
   setNodes(nodes: readonly OwnerCandidate[], now: Milliseconds): void {
     if (nodes === this.#current.nodes || isSameList(nodes, this.#current.nodes)) return;
     if (this.#current.nodes.length > 0) {
-      this.#previous.push({ ...this.#current, maybeUsedUntil: now + this.#options.maxMachineListLagMs });
+      this.#previous.push({
+        ...this.#current,
+        maybeUsedUntil: now + this.#options.maxMachineListLagMs,
+      });
     } else {
       this.#unknownUntil = now;
     }
--- a/src/node/limits/allocator-service.ts
+++ b/src/node/limits/allocator-service.ts
@@ -66,7 +66,10 @@
       voteMs,
       retentionMs: rememberMs,
     });
-    this.#voterSets = new VoterSets(hash, { maxMachineListLagMs: lease.maxMachineListLagMs, retentionMs: rememberMs });
+    this.#voterSets = new VoterSets(hash, {
+      maxMachineListLagMs: lease.maxMachineListLagMs,
+      retentionMs: rememberMs,
+    });
   }
 
   /** Voters come from the machine list alone: it is the same for all nodes but for its lag. */
