--- a/src/core/group/completion.ts
+++ b/src/core/group/completion.ts
@@ -1,6 +1,6 @@
 /**
- * What a finished or lost run means for its caller: release at once, confirmation of what ran on the
- * primary, retry, or an error.
+ * Decides what happens to a request whose run ended: its response is released at once, waits for
+ * the majority's confirmation (runs on the primary), or the request is retried or fails.
  */
 import type { ReadFailureReason } from '../errors.js';
 import type { Position } from '../position.js';
@@ -9,20 +9,24 @@
 import type { SessionPositionLostError } from '../session/errors.js';
 import { checkPosition } from '../session/position-check.js';
 import type { Milliseconds } from '../units.js';
-import { judge, type PendingConfirmation, type SettledConfirmation } from './confirmation.js';
-import { type GroupContext, isOff, type Run, toleratedAgeMs } from './context.js';
+import {
+  judgeConfirmation,
+  type PendingConfirmation,
+  type SettledConfirmation,
+} from './confirmation.js';
+import { type GroupContext, isDisabled, maxConfirmationAgeMs, type Run } from './context.js';
 import type { RunResult } from './contract.js';
 import type { Dispatcher } from './dispatcher.js';
 import type { Outcomes } from './outcomes.js';
 import { Retries } from './retries.js';
-import type { RunRelease } from './run-release.js';
+import type { RunResources } from './run-resources.js';
 
-const NOWHERE: Position = { timeline: 0, lsn: 0n };
+const ZERO_POSITION: Position = { timeline: 0, lsn: 0n };
 
-type LostResult = Extract<RunResult, { type: 'connection-lost' }>;
+type ConnectionLostResult = Extract<RunResult, { type: 'connection-lost' }>;
 type FinishedResult = Exclude<RunResult, { type: 'connection-lost' | 'not-writable' }>;
 
-/** Ends requests. */
+/** Completes requests that were given a connection. */
 export class Completion {
   private readonly retries: Retries;
 
@@ -30,57 +34,65 @@
     private readonly context: GroupContext,
     dispatcher: Dispatcher,
     private readonly outcomes: Outcomes,
-    private readonly release: RunRelease,
+    private readonly resources: RunResources,
   ) {
     this.retries = new Retries(context, dispatcher);
   }
 
-  /** A run ended on its connection. */
-  runFinished(requestId: RequestId, result: RunResult, now: Milliseconds): void {
+  /** The adapter reported that the run ended on its connection. */
+  handleRunFinished(requestId: RequestId, result: RunResult, now: Milliseconds): void {
     const run = this.context.runs.get(requestId);
     if (run === undefined || run.phase === 'confirming') return;
-    this.release.runEnded(run, result, now);
+    this.resources.releaseEndedRun(run, result, now);
     if (run.phase === 'abandoned') {
       this.context.runs.delete(requestId);
       return;
     }
-    if (result.type === 'connection-lost') this.lost(run, result, now);
-    else if (result.type === 'not-writable') this.refusedAsNotWritable(run, now);
-    else this.finished(run, result, now);
+    if (result.type === 'connection-lost') this.handleConnectionLost(run, result, now);
+    else if (result.type === 'not-writable') this.handleNotWritable(run, now);
+    else this.handleFinished(run, result, now);
   }
 
-  /** The connection was lost while it was being reset: nothing of the request was sent. */
-  resetFailed(run: Run, now: Milliseconds): void {
-    this.release.releaseLoad(run);
+  /**
+   * The request can't use the connection that was being reset for it, for example because the
+   * connection was lost. Nothing of the request was sent, so it is queued again.
+   */
+  handleResetFailed(run: Run, now: Milliseconds): void {
+    this.resources.releaseLoad(run);
     this.context.runs.delete(run.entry.request.id);
-    this.retries.requeueAtOnce(run, now);
+    this.retries.requeueImmediately(run, now);
   }
 
-  /** Ends what the present knowledge confirms or rules out. */
+  /**
+   * Completes the pending confirmations that the instances' reported state decides, or that timed
+   * out.
+   */
   settleConfirmations(now: Milliseconds): void {
     const { confirmations, monitor } = this.context;
     if (confirmations.size === 0) return;
-    const stray = monitor.strayTimeline(now);
-    for (const settled of confirmations.settle(monitor.topology, now, stray)) {
-      this.settled(settled, now);
+    const minorityTimeline = monitor.strayTimeline(now);
+    for (const settled of confirmations.takeSettled(monitor.topology, now, minorityTimeline)) {
+      this.handleSettled(settled, now);
     }
   }
 
   /**
-   * What was sent to a primary that a majority has replaced can't be confirmed any more. Writes
-   * end at once; for the rest the connection is closed, and the adapter reports how far they came.
+   * Requests sent to a primary that a majority has replaced can no longer be confirmed. Single
+   * writes fail at once with an unknown outcome. For reads and transactions, the connection is
+   * closed and the adapter's report of the lost connection decides how they end. Requests that were
+   * not sent yet are queued again.
    */
-  primaryReplaced(now: Milliseconds): void {
+  handlePrimaryReplaced(now: Milliseconds): void {
     const { runs, monitor, pool, effects } = this.context;
     for (const run of [...runs.values()]) {
       if (!run.onPrimary || run.timeline >= monitor.timeline) continue;
-      if (run.phase === 'resetting') this.resetFailed(run, now);
+      if (run.phase === 'resetting') this.handleResetFailed(run, now);
       if (run.phase === 'confirming' || run.phase === 'abandoned') continue;
       const { request } = run.entry;
-      const ends = request.access === 'write' && request.hold === 'statement';
-      if (run.phase === 'running' && ends) {
-        this.release.releaseLoad(run);
-        this.outcomes.unknown(run, 'primary-replaced');
+      const isSingleWrite = request.access === 'write' && request.hold === 'statement';
+      if (run.phase === 'running' && isSingleWrite) {
+        this.resources.releaseLoad(run);
+        this.outcomes.failUnknown(run, 'primary-replaced');
       }
       pool.close(run.connectionId, effects);
     }
@@ -88,16 +100,17 @@
   }
 
   /**
-   * An instance does not answer any more. Its idle connections may be dead without notice, so they
-   * are closed; reads that run there and have no answer yet are given up, to be retried elsewhere.
+   * An instance became unreachable. Its idle connections may be broken without this owner being
+   * notified, so they are closed. Single reads that run there and have no response yet are
+   * interrupted and then retried on another instance.
    */
-  instanceUnreachable(name: InstanceName): void {
+  handleInstanceUnreachable(name: InstanceName): void {
     const { pool, runs, effects } = this.context;
-    const reading = [...runs.values()].filter((run) => {
+    const reads = [...runs.values()].filter((run) => {
       const { access, hold } = run.entry.request;
       return run.instance === name && access === 'read' && hold === 'statement';
     });
-    for (const run of reading) {
+    for (const run of reads) {
       const requestId = run.entry.request.id;
       if (run.phase === 'running') effects.push({ type: 'interrupt-if-silent', requestId });
     }
@@ -107,18 +120,25 @@
     }
   }
 
-  /** The caller's time is over while its request runs. */
-  runOverdue(run: Run, now: Milliseconds): void {
+  /**
+   * The deadline of a request passed after the request was given a connection. A transaction that
+   * was already sent may continue.
+   */
+  handleDeadlinePassed(run: Run, now: Milliseconds): void {
     const { request } = run.entry;
     if (run.phase === 'resetting') {
-      this.release.closeRun(run);
-      this.outcomes.notRun(run.entry, 'deadline-passed', 'its time ran out before it was sent');
+      this.resources.closeRun(run);
+      this.outcomes.failNotRun(
+        run.entry,
+        'deadline-passed',
+        'the deadline passed before the request was sent',
+      );
       return;
     }
     if (request.hold === 'transaction') return;
     if (run.phase === 'running') {
-      if (request.access === 'read') this.outcomes.readFailed(run, 'run-timeout');
-      else this.outcomes.unknown(run, 'run-timeout');
+      if (request.access === 'read') this.outcomes.failRead(run, 'run-timeout');
+      else this.outcomes.failUnknown(run, 'run-timeout');
       run.phase = 'abandoned';
       this.context.runs.set(request.id, run);
       const at = now + this.context.timing.overrunLimitMs;
@@ -126,16 +146,16 @@
     }
   }
 
-  private finished(run: Run, result: FinishedResult, now: Milliseconds): void {
+  private handleFinished(run: Run, result: FinishedResult, now: Milliseconds): void {
     run.position = result.position;
     run.anyBytesRelayed = result.type === 'database-error' || result.anyBytesRelayed !== false;
-    this.learnPosition(run, now);
-    if (!run.onPrimary) this.finishedOnReplica(run, now);
-    else if (isOff(this.context, 'confirmation')) this.outcomes.release(run);
-    else this.finishedOnPrimary(run, result, now);
+    this.recordPosition(run, now);
+    if (!run.onPrimary) this.handleFinishedOnReplica(run, now);
+    else if (isDisabled(this.context, 'confirmation')) this.outcomes.release(run);
+    else this.handleFinishedOnPrimary(run, result, now);
   }
 
-  private learnPosition(run: Run, now: Milliseconds): void {
+  private recordPosition(run: Run, now: Milliseconds): void {
     const { monitor, effects } = this.context;
     const position = run.position;
     if (position === undefined) return;
@@ -150,18 +170,18 @@
     }
   }
 
-  private finishedOnReplica(run: Run, now: Milliseconds): void {
+  private handleFinishedOnReplica(run: Run, now: Milliseconds): void {
     const { session } = run.entry.request;
-    const behind =
+    const isBehind =
       session.type === 'known' &&
       run.position !== undefined &&
-      !isOff(this.context, 'session-position') &&
+      !isDisabled(this.context, 'session-position') &&
       !containsPosition(run.position, session.position);
-    if (behind) this.retryRead(run, 'replica-behind', now);
+    if (isBehind) this.retryRead(run, 'replica-behind', now);
     else this.outcomes.release(run);
   }
 
-  private finishedOnPrimary(run: Run, result: FinishedResult, now: Milliseconds): void {
+  private handleFinishedOnPrimary(run: Run, result: FinishedResult, now: Milliseconds): void {
     const { request } = run.entry;
     const { confirmations, options, timing, monitor } = this.context;
     const isWrite = request.access === 'write';
@@ -170,17 +190,17 @@
       return;
     }
     if (run.position === undefined && isWrite) {
-      this.outcomes.unknown(run, 'confirmation-timeout');
+      this.outcomes.failUnknown(run, 'confirmation-timeout');
       return;
     }
-    const position = run.position ?? { ...NOWHERE, timeline: run.timeline };
+    const position = run.position ?? { ...ZERO_POSITION, timeline: run.timeline };
     run.phase = 'confirming';
     if (position.timeline !== run.timeline) {
-      this.unconfirmed(run, 'primary-replaced', now);
+      this.handleUnconfirmed(run, 'primary-replaced', now);
       return;
     }
-    const atLeast = request.hold === 'transaction' ? now + timing.transactionConfirmationMs : 0;
-    const deadline = Math.max(request.deadline, atLeast);
+    const minDeadline = request.hold === 'transaction' ? now + timing.transactionConfirmationMs : 0;
+    const deadline = Math.max(request.deadline, minDeadline);
     const sequence = monitor.nextSequence();
     const pending: PendingConfirmation = {
       requestId: request.id,
@@ -188,23 +208,23 @@
       position,
       mode: isWrite ? (options.confirmationMode ?? 'received') : 'term',
       afterSequence: isWrite ? sequence : undefined,
-      sinceTime: isWrite ? run.dispatchedAt : run.dispatchedAt - toleratedAgeMs(request),
+      sinceTime: isWrite ? run.dispatchedAt : run.dispatchedAt - maxConfirmationAgeMs(request),
       finishedAt: now,
       deadline,
     };
     confirmations.add(pending);
-    const probeWanted = judge(pending, monitor.topology) === 'pending';
-    if (probeWanted) this.context.confirmationSequence = sequence;
+    const needsProbe = judgeConfirmation(pending, monitor.topology) === 'pending';
+    if (needsProbe) this.context.confirmationSequence = sequence;
     this.context.deadlines.add({ at: deadline, requestId: request.id });
   }
 
-  private settled(settled: SettledConfirmation, now: Milliseconds): void {
+  private handleSettled(settled: SettledConfirmation, now: Milliseconds): void {
     const run = this.context.runs.get(settled.pending.requestId);
     if (run === undefined) return;
     if (settled.verdict === 'confirmed') {
-      const lost = this.lostPosition(run);
-      if (lost !== undefined) {
-        this.outcomes.positionLost(run.entry, lost);
+      const positionLoss = this.findPositionLoss(run);
+      if (positionLoss !== undefined) {
+        this.outcomes.failPositionLost(run.entry, positionLoss);
         return;
       }
       if (run.entry.request.access === 'write') this.context.counters.writesConfirmed += 1;
@@ -212,14 +232,17 @@
       return;
     }
     const reason = settled.verdict === 'replaced' ? 'primary-replaced' : 'confirmation-timeout';
-    this.unconfirmed(run, reason, now);
+    this.handleUnconfirmed(run, reason, now);
   }
 
-  /** The confirmed primary's log ends before the position that a read's session has seen. */
-  private lostPosition({ entry, position }: Run): SessionPositionLostError | undefined {
+  /**
+   * Returns an error if the confirmed primary's log ends before the position that the read's
+   * session has observed.
+   */
+  private findPositionLoss({ entry, position }: Run): SessionPositionLostError | undefined {
     const { access, session } = entry.request;
     if (access !== 'read' || session.type !== 'known' || position === undefined) return undefined;
-    if (isOff(this.context, 'session-position')) return undefined;
+    if (isDisabled(this.context, 'session-position')) return undefined;
     const { group } = this.context.options;
     return checkPosition(session.position, {
       group,
@@ -231,62 +254,65 @@
     );
   }
 
-  private unconfirmed(
+  private handleUnconfirmed(
     run: Run,
     reason: 'primary-replaced' | 'confirmation-timeout',
     now: Milliseconds,
   ): void {
-    if (run.entry.request.access === 'write') this.outcomes.unknown(run, reason);
+    if (run.entry.request.access === 'write') this.outcomes.failUnknown(run, reason);
     else this.retryRead(run, reason, now);
   }
 
-  private lost(run: Run, result: LostResult, now: Milliseconds): void {
+  private handleConnectionLost(run: Run, result: ConnectionLostResult, now: Milliseconds): void {
     const { request } = run.entry;
     run.anyBytesRelayed = result.anyBytesRelayed;
     if (!result.anyBytesWritten) {
-      this.notSent(run, now);
+      this.handleNotSent(run, now);
       return;
     }
     if (request.hold === 'transaction') {
       if (result.mayHaveCommitted && request.access === 'write') {
-        this.outcomes.unknown(run, 'connection-lost');
-      } else this.outcomes.aborted(run);
+        this.outcomes.failUnknown(run, 'connection-lost');
+      } else this.outcomes.failAborted(run);
       return;
     }
     if (request.access === 'read') {
       this.retryRead(run, 'connection-lost', now);
       return;
     }
-    const mayRepeat = request.repeatable || isOff(this.context, 'at-most-once');
+    const mayRepeat = request.repeatable || isDisabled(this.context, 'at-most-once');
     const mayRetry = mayRepeat && !run.anyBytesRelayed;
     if (mayRetry && this.retries.retryRepeatable(run, now)) return;
-    this.outcomes.unknown(run, 'connection-lost');
+    this.outcomes.failUnknown(run, 'connection-lost');
   }
 
-  /** A demoted primary ran nothing of the write: it waits for the next primary. */
-  private refusedAsNotWritable(run: Run, now: Milliseconds): void {
+  /**
+   * A demoted primary refused the write and executed nothing of it: it is queued for the next
+   * primary.
+   */
+  private handleNotWritable(run: Run, now: Milliseconds): void {
     const { monitor, effects, runs, timing } = this.context;
     const { entry } = run;
     monitor.recordNotWritable(run.instance, now, effects);
     runs.delete(entry.request.id);
     if (this.retries.retryNotRun(run, now)) return;
     const message = 'the primary was demoted before the request reached it';
-    this.outcomes.notRun(entry, 'no-primary', message, timing.noPrimaryRetryAfterMs);
+    this.outcomes.failNotRun(entry, 'no-primary', message, timing.noPrimaryRetryAfterMs);
   }
 
   private retryRead(run: Run, reason: ReadFailureReason, now: Milliseconds): void {
     const { hold } = run.entry.request;
     const mayRetry = hold === 'statement' && !run.anyBytesRelayed;
     if (mayRetry && this.retries.retryRepeatable(run, now)) return;
-    this.outcomes.readFailed(run, reason);
+    this.outcomes.failRead(run, reason);
   }
 
-  /** Nothing of the request left; it is refused if no retry is left. */
-  private notSent(run: Run, now: Milliseconds): void {
+  /** No byte of the request was sent, so if no retry is allowed it fails as not run. */
+  private handleNotSent(run: Run, now: Milliseconds): void {
     this.context.runs.delete(run.entry.request.id);
     if (this.retries.retryNotRun(run, now)) return;
     const retryAfterMs = this.context.timing.retryBackoffMaxMs;
     const message = 'the connection was lost before anything was sent';
-    this.outcomes.notRun(run.entry, 'connection-lost-before-send', message, retryAfterMs);
+    this.outcomes.failNotRun(run.entry, 'connection-lost-before-send', message, retryAfterMs);
   }
 }
--- a/src/core/group/confirmation.ts
+++ b/src/core/group/confirmation.ts
@@ -1,7 +1,8 @@
 /**
- * Majority confirmation: what ran on the primary is held back until a majority of instances has
- * answered a probe sent after it finished and none of them shows a later timeline. Works in
- * batches, like the read-index round of Raft: one probe covers everything finished before it.
+ * Majority confirmation: the response of a request that ran on the primary is withheld until a
+ * majority of instances has responded to a probe that is new enough and none of them reports a
+ * later timeline. For a write, the probe must have been sent after the write finished. As in Raft's
+ * ReadIndex, confirmations are batched: one probe counts for every request that finished before it.
  */
 import type { Topology } from '../failover/topology.js';
 import { majorityOf, timelineOf } from '../failover/topology.js';
@@ -10,15 +11,15 @@
 import type { Milliseconds } from '../units.js';
 import type { ConfirmationMode } from './contract.js';
 
-/** Something that ran on a primary and waits for its confirmation. */
+/** A request that ran on a primary and waits for its confirmation. */
 export interface PendingConfirmation {
   readonly requestId: RequestId;
   readonly primary: InstanceName;
-  /** Position after it ran; its timeline is the term to confirm. */
+  /** Log position after the request ran; its timeline is the term to confirm. */
   readonly position: Position;
   /** `term` for reads, the group's mode for writes. */
   readonly mode: ConfirmationMode;
-  /** Only probes later than this in the owner's order count; undefined: `sinceTime` decides. */
+  /** Only probes with a higher sequence number count; undefined if only `sinceTime` decides. */
   readonly afterSequence: number | undefined;
   /** Only probes sent at or after this time count. */
   readonly sinceTime: Milliseconds;
@@ -26,31 +27,35 @@
   readonly deadline: Milliseconds;
 }
 
-/** What present knowledge says of a run. */
+/** Result of checking a pending confirmation against the instances' reported state. */
 export type ConfirmationVerdict = 'confirmed' | 'replaced' | 'pending';
 
 /**
- * What the instances known now say of one pending confirmation. Instances on `strayTimeline` say
- * nothing.
+ * Checks one pending confirmation against the instances' reported state. Instances on
+ * `minorityTimeline` are ignored: they neither confirm the request nor count as a replacement.
  */
-export function judge(
+export function judgeConfirmation(
   pending: PendingConfirmation,
   topology: Topology,
-  strayTimeline?: number,
+  minorityTimeline?: number,
 ): ConfirmationVerdict {
   let support = 1;
   for (const instance of topology.instances.values()) {
     if (instance.state === undefined) continue;
     const timeline = timelineOf(instance.state);
-    if (timeline === strayTimeline) continue;
+    if (timeline === minorityTimeline) continue;
     if (timeline > pending.position.timeline) return 'replaced';
     if (instance.name === pending.primary) continue;
-    if (isSupport(pending, topology, instance.name)) support += 1;
+    if (isConfirmedBy(pending, topology, instance.name)) support += 1;
   }
   return support >= majorityOf(topology.instances.size) ? 'confirmed' : 'pending';
 }
 
-function isSupport(pending: PendingConfirmation, topology: Topology, name: InstanceName): boolean {
+function isConfirmedBy(
+  pending: PendingConfirmation,
+  topology: Topology,
+  name: InstanceName,
+): boolean {
   const instance = topology.instances.get(name);
   if (instance?.state === undefined) return false;
   if (instance.observedAt < pending.sinceTime) return false;
@@ -61,7 +66,7 @@
   return received.timeline === pending.position.timeline && received.lsn >= pending.position.lsn;
 }
 
-/** A confirmation that came to an end. */
+/** A confirmation that was decided or timed out. */
 export interface SettledConfirmation {
   readonly pending: PendingConfirmation;
   readonly verdict: 'confirmed' | 'replaced' | 'timed-out';
@@ -83,21 +88,21 @@
     this.pending.delete(requestId);
   }
 
-  /** How long the oldest has waited; undefined if none waits. */
+  /** How long the oldest pending confirmation has waited; undefined if there is none. */
   oldestAgeMs(now: Milliseconds): Milliseconds | undefined {
     const [oldest] = this.pending.values();
     return oldest === undefined ? undefined : now - oldest.finishedAt;
   }
 
-  /** Takes out what the present knowledge settles. */
-  settle(
+  /** Removes and returns the confirmations that are decided or have timed out. */
+  takeSettled(
     topology: Topology,
     now: Milliseconds,
-    strayTimeline: number | undefined,
+    minorityTimeline: number | undefined,
   ): SettledConfirmation[] {
     const settled: SettledConfirmation[] = [];
     for (const pending of this.pending.values()) {
-      const verdict = judge(pending, topology, strayTimeline);
+      const verdict = judgeConfirmation(pending, topology, minorityTimeline);
       if (verdict !== 'pending') settled.push({ pending, verdict });
       else if (now >= pending.deadline) settled.push({ pending, verdict: 'timed-out' });
     }
--- a/src/core/group/context.ts
+++ b/src/core/group/context.ts
@@ -1,4 +1,4 @@
-/** What the parts of a group's state machine share. */
+/** State shared by the modules of a group's state machine. */
 import type { InstanceMonitor } from '../failover/monitor.js';
 import type { TenantAdmission } from '../limits/admission.js';
 import type { ConnectionPool } from '../pool/pool.js';
@@ -14,8 +14,9 @@
 import type { FairQueue, QueueEntry } from './queue.js';
 
 /**
- * `resetting`: its connection is being cleared of another tenant's state. `running`: sent.
- * `confirming`: ran, waits for a majority. `abandoned`: ended for its caller, still runs.
+ * `resetting`: the connection is being cleared of another tenant's session state. `running`: the
+ * request was sent. `confirming`: it ran and waits for the majority's confirmation. `abandoned`: it
+ * has ended with an error for its caller, but still runs.
  */
 export type RunPhase = 'resetting' | 'running' | 'confirming' | 'abandoned';
 
@@ -29,15 +30,15 @@
   readonly timeline: number;
   readonly dispatchedAt: Milliseconds;
   phase: RunPhase;
-  /** A transaction between two statements: it holds its connection, but no slot. */
+  /** True for a transaction between two statements: it keeps its connection, but uses no slot. */
   idle: boolean;
-  /** What the session has seen once it is released. */
+  /** Log position after the run: the session has observed it once the response is released. */
   position: Position | undefined;
-  /** Any byte of the answer may have gone to the caller. */
+  /** True if a byte of the response may have been sent towards the caller. */
   anyBytesRelayed: boolean;
 }
 
-/** Counters that only grow. */
+/** Monotonic counters of a group's statistics. */
 export interface GroupCounters {
   replicaReads: number;
   primaryReads: number;
@@ -50,13 +51,16 @@
   writesConfirmed: number;
 }
 
-/** Requests waiting: those that need the primary, and those that a replica may serve. */
-export interface Lanes {
+/**
+ * Queued requests: `primary` holds those for the primary, `replica` the reads that a replica may
+ * serve.
+ */
+export interface RequestQueues {
   readonly primary: FairQueue;
   readonly replica: FairQueue;
 }
 
-/** State shared by the parts of one group's machine. */
+/** State of one group's state machine. */
 export interface GroupContext {
   readonly options: DatabaseGroupOptions;
   readonly timing: GroupTiming;
@@ -65,28 +69,28 @@
   readonly pool: ConnectionPool;
   readonly admission: TenantAdmission;
   readonly retryBudget: RetryBudget;
-  readonly lanes: Lanes;
+  readonly queues: RequestQueues;
   readonly loads: InstanceLoads;
   readonly confirmations: ConfirmationTable;
   readonly deadlines: DeadlineHeap;
   readonly runs: Map<RequestId, Run>;
   readonly counters: GroupCounters;
   instances: ReadonlyMap<InstanceName, InstanceDescription>;
-  /** Each replica is to be sent a probe later than this in the owner's order. */
+  /** Every replica must be sent a probe with a higher sequence number than this. */
   confirmationSequence: number;
   /** Effects of the event being handled. */
   effects: GroupEffect[];
 }
 
-/** True if a test turned the mechanism off. */
-export function isOff(context: GroupContext, mechanism: Mechanism): boolean {
+/** True if a test disabled the mechanism. */
+export function isDisabled(context: GroupContext, mechanism: Mechanism): boolean {
   return context.options.disabledMechanisms?.has(mechanism) === true;
 }
 
 /**
- * How long before it was sent a read's primary may last have been confirmed. A session that can't
- * tell its position needs one that is confirmed now, whatever staleness its reads tolerate.
+ * How long before a read was sent its primary may last have been confirmed. If the session's
+ * position is unknown, the confirmation must not predate the read, whatever staleness it allows.
  */
-export function toleratedAgeMs(request: GroupRequest): Milliseconds {
+export function maxConfirmationAgeMs(request: GroupRequest): Milliseconds {
   return request.session.type === 'unknown' ? 0 : request.stalenessBoundMs;
 }
--- a/src/core/group/database-group.ts
+++ b/src/core/group/database-group.ts
@@ -1,7 +1,7 @@
 /**
- * The owner's state machine for one database group: queues requests, chooses instances, runs on
- * pooled connections, confirms with a majority and follows the primary. Pure: time and answers
- * come in as events, everything to be done goes out as effects.
+ * The owner's state machine for one database group: queues requests, chooses instances, runs
+ * requests on pooled connections, has a majority of instances confirm them and tracks the primary.
+ * No I/O: the caller passes the time, results arrive as events and actions are returned as effects.
  */
 import { InstanceMonitor, type ProbeDemand } from '../failover/monitor.js';
 import { TenantAdmission } from '../limits/admission.js';
@@ -33,16 +33,16 @@
 } from './options.js';
 import { Outcomes } from './outcomes.js';
 import { FairQueue } from './queue.js';
-import { RunRelease } from './run-release.js';
+import { RunResources } from './run-resources.js';
 
-/** Idle connections and spares are looked after this often. */
+/** Interval at which idle connections are closed or opened and unused tenant state is removed. */
 const MAINTENANCE_PERIOD_MS = 50;
 
-/** One group on one owner. */
+/** The state machine of one group on one owner. */
 export class DatabaseGroup implements GroupStateMachine {
   private readonly context: GroupContext;
   private readonly dispatcher: Dispatcher;
-  private readonly release: RunRelease;
+  private readonly resources: RunResources;
   private readonly completion: Completion;
   private readonly intake: Intake;
   private nextMaintenanceAt = Number.NEGATIVE_INFINITY;
@@ -52,14 +52,14 @@
     this.context = createContext(options);
     this.dispatcher = new Dispatcher(this.context);
     const outcomes = new Outcomes(this.context);
-    this.release = new RunRelease(this.context);
-    this.completion = new Completion(this.context, this.dispatcher, outcomes, this.release);
+    this.resources = new RunResources(this.context);
+    this.completion = new Completion(this.context, this.dispatcher, outcomes, this.resources);
     this.intake = new Intake(
       this.context,
       this.dispatcher,
       this.completion,
       outcomes,
-      this.release,
+      this.resources,
     );
   }
 
@@ -68,16 +68,16 @@
     this.context.effects = effects;
     this.now = now;
     const before = this.context.monitor.primary;
-    this.take(event, now);
+    this.applyEvent(event, now);
     this.advance(now);
-    if (this.context.monitor.primary !== before) this.primaryChanged(now);
+    if (this.context.monitor.primary !== before) this.handlePrimaryChanged(now);
     return effects;
   }
 
   nextDeadline(): Milliseconds | undefined {
     const { monitor, deadlines, pool } = this.context;
     const times = [
-      monitor.nextDeadline(this.probeDemand(this.now), this.now),
+      monitor.nextDeadline(this.createProbeDemand(this.now), this.now),
       deadlines.earliest() ?? Number.POSITIVE_INFINITY,
       pool.nextBackoffEnd(this.now),
       this.nextMaintenanceAt,
@@ -87,48 +87,48 @@
   }
 
   statistics(): GroupStatistics {
-    const { lanes, loads, monitor, counters, pool } = this.context;
+    const { queues, loads, monitor, counters, pool } = this.context;
     return {
       ...counters,
-      queued: lanes.primary.length + lanes.replica.length,
-      running: loads.total(),
+      queued: queues.primary.length + queues.replica.length,
+      running: loads.totalCount(),
       primary: monitor.primary?.instance,
       timeline: monitor.timeline,
       connectionsOpen: pool.table.size,
     };
   }
 
-  private take(event: GroupEvent, now: Milliseconds): void {
+  private applyEvent(event: GroupEvent, now: Milliseconds): void {
     const { context, completion, intake } = this;
     const { monitor, pool, effects } = context;
     switch (event.type) {
       case 'request-arrived':
-        intake.arrive(event.request, now);
+        intake.handleArrival(event.request, now);
         break;
       case 'request-abandoned':
-        intake.abandon(event.requestId);
+        intake.handleAbandoned(event.requestId);
         break;
       case 'transaction-idle':
       case 'transaction-busy':
         this.setTransactionIdle(event.requestId, event.type === 'transaction-idle');
         break;
       case 'run-finished':
-        completion.runFinished(event.requestId, event.result, now);
+        completion.handleRunFinished(event.requestId, event.result, now);
         break;
       case 'connection-opened':
         pool.recordOpened(event.connectionId, now);
         break;
       case 'connection-open-failed':
-        this.openFailed(event.connectionId, event.refusedByLimit, now);
+        this.handleOpenFailed(event.connectionId, event.refusedByLimit, now);
         break;
       case 'connection-closed':
-        this.connectionClosed(event.connectionId, now);
+        this.handleConnectionClosed(event.connectionId, now);
         break;
       case 'connection-reset':
-        this.connectionReset(event.connectionId, now);
+        this.handleConnectionReset(event.connectionId, now);
         break;
       case 'probe-answered':
-        this.probeAnswered(event.probeId, event.state, now);
+        this.handleProbeAnswered(event.probeId, event.state, now);
         break;
       case 'probe-failed':
         monitor.recordProbeFailed(event.probeId, now, effects);
@@ -137,7 +137,7 @@
         monitor.recordPassingState(event.instance, event.state, now, effects);
         break;
       case 'instances-changed':
-        this.instancesChanged(event.instances, now);
+        this.handleInstancesChanged(event.instances, now);
         break;
       case 'limits-changed':
         context.admission.setLimits(event.limits);
@@ -153,56 +153,59 @@
   private setTransactionIdle(requestId: RequestId, idle: boolean): void {
     const run = this.context.runs.get(requestId);
     const isOpen = run?.phase === 'running' || run?.phase === 'abandoned';
-    if (run !== undefined && isOpen) this.release.setTransactionIdle(run, idle);
+    if (run !== undefined && isOpen) this.resources.setTransactionIdle(run, idle);
   }
 
-  /** Everything that time and new knowledge make possible. */
+  /**
+   * Performs everything that has become due or possible through elapsed time or new information.
+   */
   private advance(now: Milliseconds): void {
     const { context, completion, dispatcher } = this;
-    for (const name of context.monitor.takeNewlyUnreachable()) completion.instanceUnreachable(name);
-    this.intake.takeDueDeadlines(now);
+    for (const name of context.monitor.takeNewlyUnreachable())
+      completion.handleInstanceUnreachable(name);
+    this.intake.handleDueDeadlines(now);
     completion.settleConfirmations(now);
     dispatcher.dispatch(now);
-    this.intake.refuseLostTimelines(dispatcher.lostTimelines);
+    this.intake.failLostTimelines(dispatcher.lostTimelineEntries);
     this.maintain(now);
-    this.probe(now);
+    this.sendProbes(now);
   }
 
-  private probe(now: Milliseconds): void {
+  private sendProbes(now: Milliseconds): void {
     const { monitor, confirmations, counters, effects } = this.context;
     const sentBefore = effects.length;
-    monitor.advance(this.probeDemand(now), now, effects);
+    monitor.advance(this.createProbeDemand(now), now, effects);
     if (confirmations.size > 0) counters.confirmationsSent += effects.length - sentBefore;
   }
 
-  private primaryChanged(now: Milliseconds): void {
+  private handlePrimaryChanged(now: Milliseconds): void {
     const { monitor, pool } = this.context;
     if (monitor.primary !== undefined) pool.clearBackoff(monitor.primary.instance);
-    this.completion.primaryReplaced(now);
+    this.completion.handlePrimaryReplaced(now);
     this.nextMaintenanceAt = now;
     this.dispatcher.dispatch(now);
-    this.intake.refuseLostTimelines(this.dispatcher.lostTimelines);
+    this.intake.failLostTimelines(this.dispatcher.lostTimelineEntries);
     this.maintain(now);
   }
 
-  private probeDemand(now: Milliseconds): ProbeDemand {
+  private createProbeDemand(now: Milliseconds): ProbeDemand {
     const { timing, confirmations } = this.context;
     return {
       active: now - this.intake.lastRequestAt < timing.idleAfterMs,
       confirmationAgeMs: confirmations.oldestAgeMs(now),
       confirmationSequence: this.context.confirmationSequence,
-      replicaProgress: this.dispatcher.replicaProgressWanted,
+      replicaProgress: this.dispatcher.readsAwaitReplica,
       laterTimelineExpected: this.dispatcher.laterTimelineExpected,
     };
   }
 
-  private openFailed(id: ConnectionId, refusedByLimit: boolean, now: Milliseconds): void {
+  private handleOpenFailed(id: ConnectionId, refusedByLimit: boolean, now: Milliseconds): void {
     const connection = this.context.pool.recordOpenFailed(id, now);
     if (connection === undefined || refusedByLimit) return;
     this.context.monitor.recordConnectionError(connection.instance);
   }
 
-  private connectionClosed(id: ConnectionId, now: Milliseconds): void {
+  private handleConnectionClosed(id: ConnectionId, now: Milliseconds): void {
     const { pool, monitor } = this.context;
     const connection = pool.table.get(id);
     if (connection === undefined) return;
@@ -211,17 +214,17 @@
     pool.table.remove(id);
     if (status === 'idle') monitor.recordConnectionError(connection.instance);
     if (status !== 'resetting') return;
-    const run = this.runOn(id);
-    if (run !== undefined) this.completion.resetFailed(run, now);
+    const run = this.findRunOn(id);
+    if (run !== undefined) this.completion.handleResetFailed(run, now);
   }
 
-  private connectionReset(id: ConnectionId, now: Milliseconds): void {
+  private handleConnectionReset(id: ConnectionId, now: Milliseconds): void {
     const connection = this.context.pool.table.get(id);
-    const run = this.runOn(id);
+    const run = this.findRunOn(id);
     if (connection?.status !== 'resetting' || run === undefined) return;
     const leaving = this.context.instances.get(run.instance)?.leaving === true;
     if (leaving && !run.onPrimary) {
-      this.completion.resetFailed(run, now);
+      this.completion.handleResetFailed(run, now);
       this.context.pool.giveBack(id, now, this.context.effects);
       return;
     }
@@ -229,21 +232,24 @@
     this.dispatcher.startAfterReset(run);
   }
 
-  private runOn(id: ConnectionId): Run | undefined {
+  private findRunOn(id: ConnectionId): Run | undefined {
     for (const run of this.context.runs.values()) {
       if (run.connectionId === id && run.phase !== 'confirming') return run;
     }
     return undefined;
   }
 
-  private probeAnswered(id: ProbeId, state: InstanceState, now: Milliseconds): void {
+  private handleProbeAnswered(id: ProbeId, state: InstanceState, now: Milliseconds): void {
     const { monitor, pool, effects } = this.context;
     const probe = monitor.recordProbeAnswer(id, state, now, effects);
     if (probe === undefined) return;
     if (pool.table.countOf(probe.instance) === 0) pool.clearBackoff(probe.instance);
   }
 
-  private instancesChanged(instances: readonly InstanceDescription[], now: Milliseconds): void {
+  private handleInstancesChanged(
+    instances: readonly InstanceDescription[],
+    now: Milliseconds,
+  ): void {
     const { context } = this;
     context.instances = new Map(instances.map((instance) => [instance.name, instance]));
     context.monitor.setInstances(instances, now, context.effects);
@@ -257,8 +263,8 @@
     pool.closeIdle(now, effects);
     admission.forgetIdle(now);
     const reachable: InstanceName[] = [];
-    for (const knowledge of monitor.topology.instances.values()) {
-      if (knowledge.reachability === 'reachable') reachable.push(knowledge.name);
+    for (const observed of monitor.topology.instances.values()) {
+      if (observed.reachability === 'reachable') reachable.push(observed.name);
     }
     pool.keepSpares(reachable, this.intake.recentlyUsedKeys(now), now, effects);
   }
@@ -268,8 +274,9 @@
   const timing = { ...DEFAULT_GROUP_TIMING, ...options.timing };
   const bounds = { ...DEFAULT_GROUP_BOUNDS, ...options.bounds };
   const admission = new TenantAdmission();
-  const fair = !options.disabledMechanisms?.has('fair-queue');
-  const weightOf = (tenant: string): number => (fair ? admission.limitsOf(tenant).queueWeight : 1);
+  const isFair = !options.disabledMechanisms?.has('fair-queue');
+  const weightOf = (tenant: string): number =>
+    isFair ? admission.limitsOf(tenant).queueWeight : 1;
   return {
     options,
     timing,
@@ -285,7 +292,7 @@
       random: options.random,
     }),
     retryBudget: new RetryBudget({ ratio: bounds.retryRatio, capacity: bounds.retryCapacity }),
-    lanes: { primary: new FairQueue(weightOf), replica: new FairQueue(weightOf) },
+    queues: { primary: new FairQueue(weightOf), replica: new FairQueue(weightOf) },
     loads: new InstanceLoads(),
     confirmations: new ConfirmationTable(),
     deadlines: new DeadlineHeap(),
--- a/src/core/group/deadlines.ts
+++ b/src/core/group/deadlines.ts
@@ -1,8 +1,11 @@
-/** A binary heap of points in time, each with the request that it concerns. */
+/** A binary heap of times at which requests must be checked. */
 import type { RequestId } from '../request.js';
 import type { Milliseconds } from '../units.js';
 
-/** A request whose state is to be looked at, at a time. Outdated ones are ignored when they fall due. */
+/**
+ * Time at which a request must be checked. Entries are never removed early; the check ignores
+ * obsolete ones.
+ */
 export interface Deadline {
   readonly at: Milliseconds;
   readonly requestId: RequestId;
@@ -25,7 +28,7 @@
     return this.heap[0]?.at;
   }
 
-  /** Takes the earliest if it is due. */
+  /** Removes and returns the earliest deadline if it is due. */
   takeDue(now: Milliseconds): Deadline | undefined {
     const first = this.heap[0];
     if (first === undefined || first.at > now) return undefined;
--- a/src/core/group/dispatch-pass.ts
+++ b/src/core/group/dispatch-pass.ts
@@ -1,4 +1,4 @@
-/** What stays the same for all requests that are offered in one pass of the dispatcher. */
+/** State shared by all requests offered in one pass of the dispatcher. */
 import { type ConnectionKey, keyOf, keyText, type PooledConnection } from '../pool/connections.js';
 import type { InstanceName } from '../request.js';
 import type { ReplicaCandidate } from '../routing/select.js';
@@ -7,19 +7,19 @@
 import type { InstanceDescription } from './contract.js';
 import type { QueueEntry } from './queue.js';
 
-/** Connections that requests ready to run are short of. */
+/** Number of requests that could run on an instance but found no idle connection. */
 interface ConnectionDemand {
   readonly instance: InstanceName;
   readonly key: ConnectionKey;
   count: number;
 }
 
-/** One pass: the instances as they are known now, and the connections found to be missing. */
+/** One pass: the observed state of the instances, and the connections that were missing. */
 export class DispatchPass {
   readonly replicas: readonly ReplicaCandidate[];
-  /** The primary, if it may be sent work. */
+  /** The primary, if requests may be sent to it now. */
   readonly primary: InstanceDescription | undefined;
-  /** Timeline of the primary; zero without one. */
+  /** Timeline of the primary; zero if there is none. */
   readonly timeline: number;
   private readonly demands = new Map<string, ConnectionDemand>();
 
@@ -28,13 +28,13 @@
     readonly now: Milliseconds,
   ) {
     const usable = context.monitor.usablePrimary(now);
-    this.replicas = replicasOf(context);
+    this.replicas = listReplicas(context);
     this.primary = usable === undefined ? undefined : context.instances.get(usable.instance);
     this.timeline = usable?.timeline ?? 0;
   }
 
-  /** An idle connection for the entry; if there is none, one more is wanted. */
-  connectionFor(entry: QueueEntry, instance: InstanceDescription): PooledConnection | undefined {
+  /** Returns an idle connection for the entry; if there is none, counts one as missing. */
+  findConnection(entry: QueueEntry, instance: InstanceDescription): PooledConnection | undefined {
     const connection = this.context.pool.findIdle(instance.name, entry.request);
     if (connection !== undefined) return connection;
     const key = keyOf(entry.request);
@@ -45,8 +45,8 @@
     return undefined;
   }
 
-  /** Opens the connections that were found to be missing. */
-  openWanted(): void {
+  /** Opens the connections that were missing in this pass. */
+  openMissingConnections(): void {
     const { pool, instances, effects } = this.context;
     for (const { instance, key, count } of this.demands.values()) {
       const slots = instances.get(instance)?.slots ?? 0;
@@ -56,15 +56,15 @@
   }
 }
 
-function replicasOf({ monitor, instances, loads }: GroupContext): readonly ReplicaCandidate[] {
+function listReplicas({ monitor, instances, loads }: GroupContext): readonly ReplicaCandidate[] {
   const replicas: ReplicaCandidate[] = [];
   for (const { name, zone, leaving, slots } of instances.values()) {
-    const knowledge = monitor.knowledgeOf(name);
-    if (knowledge === undefined || name === monitor.primary?.instance) continue;
-    const load = loads.running(name);
+    const observed = monitor.knowledgeOf(name);
+    if (observed === undefined || name === monitor.primary?.instance) continue;
+    const load = loads.runningCount(name);
     const serviceTimeMs = loads.serviceTimeMs(name);
     const freshAsOf = monitor.freshAsOf(name);
-    replicas.push({ knowledge, zone, leaving, freshAsOf, load, slots, serviceTimeMs });
+    replicas.push({ knowledge: observed, zone, leaving, freshAsOf, load, slots, serviceTimeMs });
   }
   return replicas;
 }
--- a/src/core/group/dispatcher.ts
+++ b/src/core/group/dispatcher.ts
@@ -1,6 +1,6 @@
 /**
- * Takes requests from the queue and gives each a connection: on the primary, or for reads that
- * tolerate it on a replica that is caught up. Opens connections where they are short.
+ * Takes requests from the queues and starts each on a connection: to the primary or, for reads that
+ * allow it, to a replica that is caught up. Opens connections where none is idle.
  */
 import type { PooledConnection } from '../pool/connections.js';
 import type { GroupRequest, RequestId } from '../request.js';
@@ -13,135 +13,140 @@
   toleratesReplica,
 } from '../routing/select.js';
 import type { Milliseconds } from '../units.js';
-import { type GroupContext, isOff, type Run, toleratedAgeMs } from './context.js';
+import { type GroupContext, isDisabled, maxConfirmationAgeMs, type Run } from './context.js';
 import type { InstanceDescription } from './contract.js';
 import { DispatchPass } from './dispatch-pass.js';
 import type { RoutingPolicy } from './options.js';
 import type { OfferResult, QueueEntry } from './queue.js';
 
-/** Gives queued requests connections. */
+/** Starts queued requests on connections. */
 export class Dispatcher {
   /** True if, in the last pass, a read waited for a replica to catch up. */
-  replicaProgressWanted = false;
-  /** True if, in the last pass, a session knew of a later timeline than the primary's. */
+  readsAwaitReplica = false;
+  /** True if, in the last pass, a session had observed a later timeline than the primary's. */
   laterTimelineExpected = false;
-  /** Requests found in the last pass whose session has seen a timeline that a majority never had. */
-  lostTimelines: QueueEntry[] = [];
-  /** Reads moved to the primary's lane; those that have left it are forgotten later. */
-  private readonly movedReads = new Set<RequestId>();
+  /** Requests found in the last pass whose session has observed a timeline that was lost. */
+  lostTimelineEntries: QueueEntry[] = [];
+  /** Reads moved to the primary's queue; ids of reads that have left it are removed lazily. */
+  private readonly movedReadIds = new Set<RequestId>();
   private readonly rules: EligibilityRules;
 
   constructor(private readonly context: GroupContext) {
-    this.rules = rulesOf(context);
+    this.rules = createRules(context);
   }
 
-  /** Queues a request in the lane it belongs to. */
+  /** Adds a request to the queue for the primary or for the replicas. */
   enqueue(entry: QueueEntry, now: Milliseconds): void {
-    const { lanes, deadlines, timing, admission } = this.context;
+    const { queues, deadlines, timing, admission } = this.context;
     const { request } = entry;
-    const lane = mayUseReplica(entry, this.context.options.routing) ? lanes.replica : lanes.primary;
-    lane.push(entry);
+    const queue = mayUseReplica(entry, this.context.options.routing)
+      ? queues.replica
+      : queues.primary;
+    queue.push(entry);
     admission.recordQueued(request.tenant, 1);
     deadlines.add({ at: request.deadline, requestId: request.id });
     if (entry.notBefore > now) deadlines.add({ at: entry.notBefore, requestId: request.id });
-    if (lane === lanes.replica) {
-      const patienceOver = entry.notBefore + timing.replicaWaitMs;
-      deadlines.add({ at: patienceOver, requestId: request.id });
-      deadlines.add({ at: halfTimeOf(entry), requestId: request.id });
+    if (queue === queues.replica) {
+      const waitEndsAt = entry.notBefore + timing.replicaWaitMs;
+      deadlines.add({ at: waitEndsAt, requestId: request.id });
+      deadlines.add({ at: halfElapsedAt(entry), requestId: request.id });
     }
   }
 
-  /** Runs what can run now. */
+  /** Starts the queued requests that can start now. */
   dispatch(now: Milliseconds): void {
-    const { lanes } = this.context;
-    this.replicaProgressWanted = false;
+    const { queues } = this.context;
+    this.readsAwaitReplica = false;
     this.laterTimelineExpected = false;
-    this.lostTimelines = [];
-    if (lanes.replica.length + lanes.primary.length === 0) return;
+    this.lostTimelineEntries = [];
+    if (queues.replica.length + queues.primary.length === 0) return;
     const pass = new DispatchPass(this.context, now);
-    lanes.replica.serve((entry) => {
-      return this.replicaSlotFree(pass) ? this.offerReplica(entry, pass) : 'stop';
+    queues.replica.serve((entry) => {
+      return this.hasReplicaSlot(pass) ? this.offerReplica(entry, pass) : 'stop';
     });
-    const readsWait = this.readsWaitForPrimary();
-    lanes.primary.serve((entry) => {
-      const slotFree = this.primarySlotFree(pass) || (readsWait && this.replicaSlotFree(pass));
-      return slotFree ? this.offerPrimary(entry, pass) : 'stop';
+    const readsWait = this.hasMovedReads();
+    queues.primary.serve((entry) => {
+      const anySlotFree = this.hasPrimarySlot(pass) || (readsWait && this.hasReplicaSlot(pass));
+      return anySlotFree ? this.offerPrimary(entry, pass) : 'stop';
     });
-    pass.openWanted();
+    pass.openMissingConnections();
   }
 
-  /** Half of a queued read's time has gone: from now on the primary may serve it, too. */
-  considerPrimary(entry: QueueEntry, now: Milliseconds): void {
-    const { lanes } = this.context;
-    if (!isHalfOver(entry, now) || lanes.replica.remove(entry.request.id) === undefined) return;
-    lanes.primary.push(entry);
-    this.movedReads.add(entry.request.id);
+  /**
+   * Once half of its time has elapsed, a read queued for the replicas may run on the primary as
+   * well.
+   */
+  moveToPrimaryIfHalfElapsed(entry: QueueEntry, now: Milliseconds): void {
+    const { queues } = this.context;
+    if (!isHalfElapsed(entry, now) || queues.replica.remove(entry.request.id) === undefined) return;
+    queues.primary.push(entry);
+    this.movedReadIds.add(entry.request.id);
   }
 
-  /** Starts a run whose connection was reset first. */
+  /** Sends a request whose connection had to be reset first. */
   startAfterReset(run: Run): void {
     run.phase = 'running';
     this.emitRun(run);
   }
 
-  private primarySlotFree(pass: DispatchPass): boolean {
+  private hasPrimarySlot(pass: DispatchPass): boolean {
     return pass.primary !== undefined && this.hasSlot(pass.primary, 'statement');
   }
 
-  private replicaSlotFree(pass: DispatchPass): boolean {
+  private hasReplicaSlot(pass: DispatchPass): boolean {
     return pass.replicas.some((replica) => {
       const description = this.context.instances.get(replica.knowledge.name);
       return description !== undefined && this.hasSlot(description, 'statement');
     });
   }
 
-  /** True if reads wait among the requests for the primary, so that a replica may serve some. */
-  private readsWaitForPrimary(): boolean {
-    for (const id of this.movedReads) {
-      if (this.context.lanes.primary.get(id) === undefined) this.movedReads.delete(id);
+  /** True if the primary's queue contains reads, some of which a replica may still serve. */
+  private hasMovedReads(): boolean {
+    for (const id of this.movedReadIds) {
+      if (this.context.queues.primary.get(id) === undefined) this.movedReadIds.delete(id);
     }
-    return this.movedReads.size > 0;
+    return this.movedReadIds.size > 0;
   }
 
   private hasSlot(description: InstanceDescription, hold: 'statement' | 'transaction'): boolean {
-    return isOff(this.context, 'slot-limit') || this.context.loads.hasSlot(description, hold);
+    return isDisabled(this.context, 'slot-limit') || this.context.loads.hasSlot(description, hold);
   }
 
-  private withinShare(description: InstanceDescription, request: GroupRequest): boolean {
+  private isWithinShare(description: InstanceDescription, request: GroupRequest): boolean {
     const { admission, loads } = this.context;
-    if (admission.presentTenants < 2 || isOff(this.context, 'fair-queue')) return true;
+    if (admission.presentTenants < 2 || isDisabled(this.context, 'fair-queue')) return true;
     const { tenant, hold } = request;
-    return loads.withinShare(description, tenant, hold, admission.presentTenants);
+    return loads.isWithinShare(description, tenant, hold, admission.presentTenants);
   }
 
   private offerReplica(entry: QueueEntry, pass: DispatchPass): OfferResult {
-    if (!this.tenantMayStart(entry)) return 'tenant-blocked';
+    if (!this.mayTenantStart(entry)) return 'tenant-blocked';
     if (entry.notBefore > pass.now) return 'blocked';
     const eligible = this.eligibleReplicas(entry, pass);
     if (eligible.length > 0) {
       const result = this.runOnReplica(entry, eligible, pass);
-      if (result === 'taken' || !isHalfOver(entry, pass.now)) return result;
+      if (result === 'taken' || !isHalfElapsed(entry, pass.now)) return result;
     }
     const waited = pass.now - Math.max(entry.arrivedAt, entry.notBefore);
-    const remaining = entry.request.deadline - entry.arrivedAt;
-    const patience = Math.min(this.context.timing.replicaWaitMs, remaining / 2);
-    if (waited < patience || pass.primary === undefined) {
-      this.replicaProgressWanted = true;
+    const timeLimitMs = entry.request.deadline - entry.arrivedAt;
+    const maxWaitMs = Math.min(this.context.timing.replicaWaitMs, timeLimitMs / 2);
+    if (waited < maxWaitMs || pass.primary === undefined) {
+      this.readsAwaitReplica = true;
       return 'blocked';
     }
-    this.context.lanes.primary.push(entry);
-    this.movedReads.add(entry.request.id);
+    this.context.queues.primary.push(entry);
+    this.movedReadIds.add(entry.request.id);
     return 'moved';
   }
 
   private offerPrimary(entry: QueueEntry, pass: DispatchPass): OfferResult {
-    if (!this.tenantMayStart(entry)) return 'tenant-blocked';
+    if (!this.mayTenantStart(entry)) return 'tenant-blocked';
     if (entry.notBefore > pass.now) return 'blocked';
     if (!mayUseReplica(entry, this.context.options.routing)) return this.runOnPrimary(entry, pass);
     const eligible = this.eligibleReplicas(entry, pass);
     if (eligible.length > 0) {
       const result = this.runOnReplica(entry, eligible, pass);
-      if (result === 'taken' || !isHalfOver(entry, pass.now)) return result;
+      if (result === 'taken' || !isHalfElapsed(entry, pass.now)) return result;
     }
     if (pass.primary?.leaving) return 'blocked';
     const result = this.runOnPrimary(entry, pass);
@@ -154,27 +159,28 @@
     const { request } = entry;
     const { session } = request;
     if (pass.primary === undefined || !this.hasSlot(pass.primary, request.hold)) return 'blocked';
-    if (!this.withinShare(pass.primary, request)) return 'tenant-blocked';
+    if (!this.isWithinShare(pass.primary, request)) return 'tenant-blocked';
     if (session.type === 'known' && session.position.timeline > pass.timeline) {
-      this.expectLaterTimeline(entry);
+      this.recordLaterTimeline(entry);
       return 'blocked';
     }
-    const connection = pass.connectionFor(entry, pass.primary);
+    const connection = pass.findConnection(entry, pass.primary);
     if (connection === undefined) return 'blocked';
     if (request.access === 'read') counters.primaryReads += 1;
     else counters.writes += 1;
-    this.start(entry, connection, pass.timeline, pass.now);
+    this.startRun(entry, connection, pass.timeline, pass.now);
     return 'taken';
   }
 
   /**
-   * The session knows of a later timeline than the primary's. That a majority has none after the
-   * request arrived shows that the timeline was lost; until then this owner may be behind.
+   * The session has observed a later timeline than the primary's. If a majority still had no later
+   * timeline after the request arrived, that timeline was lost. Until this is known, the owner's
+   * own information may be out of date, so the request waits.
    */
-  private expectLaterTimeline(entry: QueueEntry): void {
+  private recordLaterTimeline(entry: QueueEntry): void {
     const confirmedAt = this.context.monitor.primaryConfirmedAt();
-    if (confirmedAt > entry.arrivedAt && !isOff(this.context, 'session-position')) {
-      this.lostTimelines.push(entry);
+    if (confirmedAt > entry.arrivedAt && !isDisabled(this.context, 'session-position')) {
+      this.lostTimelineEntries.push(entry);
     } else {
       this.laterTimelineExpected = true;
     }
@@ -190,19 +196,19 @@
     for (const candidate of ranked) {
       const description = instances.get(candidate.knowledge.name);
       if (description === undefined || !this.hasSlot(description, 'statement')) continue;
-      if (!this.withinShare(description, entry.request)) continue;
-      const connection = pass.connectionFor(entry, description);
+      if (!this.isWithinShare(description, entry.request)) continue;
+      const connection = pass.findConnection(entry, description);
       if (connection === undefined) continue;
       counters.replicaReads += 1;
       counters.eligibleReplicaReads += 1;
-      this.start(entry, connection, undefined, pass.now);
+      this.startRun(entry, connection, undefined, pass.now);
       return 'taken';
     }
     return 'blocked';
   }
 
-  /** Starts an entry; `primaryTimeline` is undefined on a replica. */
-  private start(
+  /** Starts an entry on a connection; `primaryTimeline` is undefined on a replica. */
+  private startRun(
     entry: QueueEntry,
     connection: PooledConnection,
     primaryTimeline: number | undefined,
@@ -222,14 +228,15 @@
       anyBytesRelayed: false,
       idle: false,
     };
-    loads.start(connection.instance, request.hold, request.tenant);
+    loads.recordStart(connection.instance, request.hold, request.tenant);
     admission.recordQueued(request.tenant, -1);
     admission.recordConnection(request.tenant, 1);
     runs.set(request.id, run);
     deadlines.add({ at: request.deadline, requestId: request.id });
-    const foreign = connection.lastTenant !== undefined && connection.lastTenant !== request.tenant;
+    const usedByOtherTenant =
+      connection.lastTenant !== undefined && connection.lastTenant !== request.tenant;
     connection.lastTenant = request.tenant;
-    if (foreign && !isOff(this.context, 'tenant-reset')) {
+    if (usedByOtherTenant && !isDisabled(this.context, 'tenant-reset')) {
       run.phase = 'resetting';
       pool.table.setStatus(connection, 'resetting');
       effects.push({ type: 'reset-connection', connectionId: connection.id });
@@ -241,9 +248,11 @@
 
   private emitRun(run: Run): void {
     const { request } = run.entry;
-    const strictRead = run.onPrimary && request.access === 'read' && toleratedAgeMs(request) === 0;
-    // The confirming probes go out beside the read: they need only be later than its start.
-    if (strictRead) this.context.confirmationSequence = this.context.monitor.nextSequence();
+    const isStrictRead =
+      run.onPrimary && request.access === 'read' && maxConfirmationAgeMs(request) === 0;
+    // A strict read needs probes sent after the read itself, not after its end: they can run in
+    // parallel with it.
+    if (isStrictRead) this.context.confirmationSequence = this.context.monitor.nextSequence();
     this.context.effects.push({
       type: 'run',
       requestId: request.id,
@@ -254,7 +263,7 @@
     });
   }
 
-  private tenantMayStart(entry: QueueEntry): boolean {
+  private mayTenantStart(entry: QueueEntry): boolean {
     return this.context.admission.mayHoldConnection(entry.request.tenant);
   }
 
@@ -265,28 +274,31 @@
   }
 }
 
-function rulesOf(context: GroupContext): EligibilityRules {
+function createRules(context: GroupContext): EligibilityRules {
   return {
     ...ALL_RULES,
-    checkPosition: !isOff(context, 'session-position'),
-    checkStaleness: !isOff(context, 'staleness-bound'),
-    checkLeaving: !isOff(context, 'leaving'),
+    checkPosition: !isDisabled(context, 'session-position'),
+    checkStaleness: !isDisabled(context, 'staleness-bound'),
+    checkLeaving: !isDisabled(context, 'leaving'),
     checkSession: context.options.routing !== 'any-replica',
   };
 }
 
-/** True if a replica may serve the entry once one is caught up. */
+/** True if a replica that is caught up may serve the entry. */
 export function mayUseReplica(entry: QueueEntry, routing?: RoutingPolicy): boolean {
   const { access, hold } = entry.request;
   if (access !== 'read' || hold !== 'statement' || routing === 'primary-only') return false;
   return routing === 'any-replica' || toleratesReplica(entry.request);
 }
 
-/** True if half of the time that the caller gave has gone: then any lawful instance will do. */
-function isHalfOver(entry: QueueEntry, now: Milliseconds): boolean {
-  return now >= halfTimeOf(entry);
+/**
+ * True if half of the time until the deadline has elapsed: then any eligible instance may serve the
+ * entry.
+ */
+function isHalfElapsed(entry: QueueEntry, now: Milliseconds): boolean {
+  return now >= halfElapsedAt(entry);
 }
 
-function halfTimeOf(entry: QueueEntry): Milliseconds {
+function halfElapsedAt(entry: QueueEntry): Milliseconds {
   return (entry.arrivedAt + entry.request.deadline) / 2;
 }
--- a/src/core/group/intake.ts
+++ b/src/core/group/intake.ts
@@ -1,6 +1,7 @@
 /**
- * Requests before they run: what is let in, what is refused at once, and what leaves the queue
- * without having run. Everything refused here is provably not run.
+ * Admits or refuses new requests, and removes requests from the queue that will not run. A request
+ * refused or removed here has certainly not run, unless it was queued for a retry (see
+ * `Outcomes.failNotRun`).
  */
 import { NotRunError } from '../errors.js';
 import { type ConnectionKey, keyOf, keyText } from '../pool/connections.js';
@@ -8,11 +9,11 @@
 import { SessionPositionLostError } from '../session/errors.js';
 import type { Milliseconds } from '../units.js';
 import type { Completion } from './completion.js';
-import { type GroupContext, isOff, type Run } from './context.js';
+import { type GroupContext, isDisabled, type Run } from './context.js';
 import { type Dispatcher, mayUseReplica } from './dispatcher.js';
 import type { Outcomes } from './outcomes.js';
 import type { QueueEntry } from './queue.js';
-import type { RunRelease } from './run-release.js';
+import type { RunResources } from './run-resources.js';
 
 interface RecentKey {
   readonly key: ConnectionKey;
@@ -21,7 +22,7 @@
 
 const MIN_RETRY_AFTER_MS = 1;
 
-/** Lets requests in and takes them out of the queue again. */
+/** Admits requests to the queue and removes those that can no longer run. */
 export class Intake {
   lastRequestAt: Milliseconds = Number.NEGATIVE_INFINITY;
   private readonly recentKeys = new Map<string, RecentKey>();
@@ -32,11 +33,11 @@
     private readonly dispatcher: Dispatcher,
     private readonly completion: Completion,
     private readonly outcomes: Outcomes,
-    private readonly release: RunRelease,
+    private readonly resources: RunResources,
   ) {}
 
   /** Queues a new request, or refuses it at once. */
-  arrive(request: GroupRequest, now: Milliseconds): void {
+  handleArrival(request: GroupRequest, now: Milliseconds): void {
     this.lastRequestAt = now;
     const entry: QueueEntry = {
       request,
@@ -46,9 +47,9 @@
       notBefore: now,
       avoid: undefined,
     };
-    const waitMs = this.expectedWaitMs(entry, now);
+    const waitMs = this.estimateWaitMs(entry, now);
     const refusal =
-      this.refusalOf(request, waitMs, now) ??
+      this.findRefusal(request, waitMs, now) ??
       this.context.admission.admit(request.tenant, waitMs, now);
     if (refusal !== undefined) {
       this.context.counters.notRun += 1;
@@ -56,48 +57,51 @@
       return;
     }
     this.context.retryBudget.recordAttempt();
-    this.rememberKey(request, now);
+    this.recordKeyUse(request, now);
     this.dispatcher.enqueue(entry, now);
   }
 
-  /** The caller has gone: what is still queued is dropped. */
-  abandon(requestId: RequestId): void {
+  /** The caller disconnected or cancelled: drops the request if it is still queued. */
+  handleAbandoned(requestId: RequestId): void {
     const entry = this.removeQueued(requestId);
-    if (entry !== undefined) this.outcomes.notRun(entry, 'caller-gone', 'the caller has gone');
+    if (entry !== undefined) this.outcomes.failNotRun(entry, 'caller-gone', 'the caller has gone');
   }
 
-  /** This owner stops: refuses what is queued and what still comes. */
+  /** This owner is stopping: refuses all queued and all later requests. */
   drain(): void {
     this.draining = true;
-    const { lanes } = this.context;
-    for (const queued of [...lanes.primary.entries(), ...lanes.replica.entries()]) {
+    const { queues } = this.context;
+    for (const queued of [...queues.primary.entries(), ...queues.replica.entries()]) {
       this.removeQueued(queued.request.id);
-      this.outcomes.notRun(queued, 'owner-stopping', 'this proxy is stopping', 0);
+      this.outcomes.failNotRun(queued, 'owner-stopping', 'this proxy is stopping', 0);
     }
   }
 
-  /** Refuses requests whose session has seen a timeline that the group lost. */
-  refuseLostTimelines(entries: readonly QueueEntry[]): void {
+  /** Fails requests whose session has observed a timeline that the group lost. */
+  failLostTimelines(entries: readonly QueueEntry[]): void {
     const { group } = this.context.options;
     for (const entry of entries) {
       if (this.removeQueued(entry.request.id) === undefined) continue;
-      this.outcomes.positionLost(entry, new SessionPositionLostError(group, 'beyond-log'));
+      this.outcomes.failPositionLost(entry, new SessionPositionLostError(group, 'beyond-log'));
     }
   }
 
-  /** Looks at requests whose deadline or other time has come. */
-  takeDueDeadlines(now: Milliseconds): void {
-    const { deadlines, lanes, runs } = this.context;
+  /** Checks the requests for which a deadline is due. */
+  handleDueDeadlines(now: Milliseconds): void {
+    const { deadlines, queues, runs } = this.context;
     for (let due = deadlines.takeDue(now); due !== undefined; due = deadlines.takeDue(now)) {
       const { requestId } = due;
-      const queued = lanes.primary.get(requestId) ?? lanes.replica.get(requestId);
-      if (queued !== undefined) this.expireQueued(queued, now);
+      const queued = queues.primary.get(requestId) ?? queues.replica.get(requestId);
+      if (queued !== undefined) this.handleQueuedDeadline(queued, now);
       const run = runs.get(requestId);
-      if (run !== undefined) this.expireRun(run, now);
+      if (run !== undefined) this.handleRunDeadline(run, now);
     }
   }
 
-  /** Roles and databases in use lately, the latest first; forgets those not used for long. */
+  /**
+   * Roles and databases used within the idle connection timeout, most recent first; removes the
+   * others.
+   */
   recentlyUsedKeys(now: Milliseconds): ConnectionKey[] {
     const { idleConnectionTimeoutMs } = this.context.bounds;
     for (const [id, recent] of this.recentKeys) {
@@ -108,21 +112,21 @@
       .map((recent) => recent.key);
   }
 
-  private refusalOf(
+  private findRefusal(
     request: GroupRequest,
     waitMs: Milliseconds,
     now: Milliseconds,
   ): NotRunError | undefined {
-    const { lanes, bounds } = this.context;
+    const { queues, bounds } = this.context;
     const retryAfterMs = Math.max(MIN_RETRY_AFTER_MS, waitMs);
     if (this.draining) return new NotRunError('owner-stopping', 'this proxy is stopping', 0);
     if (now >= request.deadline) {
       return new NotRunError('deadline-passed', 'the deadline had passed on arrival');
     }
-    if (lanes.primary.length + lanes.replica.length >= bounds.maxQueued) {
+    if (queues.primary.length + queues.replica.length >= bounds.maxQueued) {
       return new NotRunError('queue-full', 'the queue of the group is full', retryAfterMs);
     }
-    if (now + waitMs > request.deadline && !isOff(this.context, 'deadline')) {
+    if (now + waitMs > request.deadline && !isDisabled(this.context, 'deadline')) {
       const message = 'the queue is longer than the time left';
       return new NotRunError('deadline-unreachable', message, retryAfterMs);
     }
@@ -130,51 +134,58 @@
   }
 
   private removeQueued(requestId: RequestId): QueueEntry | undefined {
-    const { lanes, admission } = this.context;
-    const entry = lanes.primary.remove(requestId) ?? lanes.replica.remove(requestId);
+    const { queues, admission } = this.context;
+    const entry = queues.primary.remove(requestId) ?? queues.replica.remove(requestId);
     if (entry !== undefined) admission.recordQueued(entry.request.tenant, -1);
     return entry;
   }
 
-  /** Time until a request that joins the queue now is answered; zero if that can't be told. */
-  private expectedWaitMs(entry: QueueEntry, now: Milliseconds): Milliseconds {
-    const { lanes, loads, monitor, instances } = this.context;
+  /** Expected time until a request queued now gets its response; zero if it can't be estimated. */
+  private estimateWaitMs(entry: QueueEntry, now: Milliseconds): Milliseconds {
+    const { queues, loads, monitor, instances } = this.context;
     const primary = monitor.usablePrimary(now);
     const description = primary === undefined ? undefined : instances.get(primary.instance);
     if (description === undefined) return 0;
-    const lane = mayUseReplica(entry, this.context.options.routing) ? lanes.replica : lanes.primary;
-    if (lane.length === 0) return 0;
-    const ahead = lane.expectedAhead(entry.request.tenant);
+    const queue = mayUseReplica(entry, this.context.options.routing)
+      ? queues.replica
+      : queues.primary;
+    if (queue.length === 0) return 0;
+    const ahead = queue.estimateRequestsAhead(entry.request.tenant);
     return ((ahead + 1) * loads.serviceTimeMs(description.name)) / description.slots;
   }
 
-  private expireQueued(entry: QueueEntry, now: Milliseconds): void {
+  private handleQueuedDeadline(entry: QueueEntry, now: Milliseconds): void {
     const { request } = entry;
-    if (now < request.deadline || isOff(this.context, 'deadline')) {
-      this.dispatcher.considerPrimary(entry, now);
+    if (now < request.deadline || isDisabled(this.context, 'deadline')) {
+      this.dispatcher.moveToPrimaryIfHalfElapsed(entry, now);
       return;
     }
     this.removeQueued(request.id);
     const { monitor, timing } = this.context;
     if (monitor.usablePrimary(now) === undefined) {
       const retryAfterMs = timing.noPrimaryRetryAfterMs;
-      this.outcomes.notRun(entry, 'no-primary', 'the group has no primary', retryAfterMs);
+      this.outcomes.failNotRun(entry, 'no-primary', 'the group has no primary', retryAfterMs);
       return;
     }
-    const retryAfterMs = Math.max(MIN_RETRY_AFTER_MS, this.expectedWaitMs(entry, now));
-    this.outcomes.notRun(entry, 'deadline-passed', 'its time ran out in the queue', retryAfterMs);
+    const retryAfterMs = Math.max(MIN_RETRY_AFTER_MS, this.estimateWaitMs(entry, now));
+    this.outcomes.failNotRun(
+      entry,
+      'deadline-passed',
+      'the deadline passed in the queue',
+      retryAfterMs,
+    );
   }
 
-  private expireRun(run: Run, now: Milliseconds): void {
+  private handleRunDeadline(run: Run, now: Milliseconds): void {
     const { deadline } = run.entry.request;
-    if (now < deadline || isOff(this.context, 'deadline')) return;
-    if (run.phase !== 'abandoned') this.completion.runOverdue(run, now);
+    if (now < deadline || isDisabled(this.context, 'deadline')) return;
+    if (run.phase !== 'abandoned') this.completion.handleDeadlinePassed(run, now);
     else if (now >= deadline + this.context.timing.overrunLimitMs) {
-      this.release.closeRun(run);
+      this.resources.closeRun(run);
     }
   }
 
-  private rememberKey(request: GroupRequest, now: Milliseconds): void {
+  private recordKeyUse(request: GroupRequest, now: Milliseconds): void {
     const key = keyOf(request);
     const id = keyText(key);
     const known = this.recentKeys.get(id);
--- a/src/core/group/outcomes.ts
+++ b/src/core/group/outcomes.ts
@@ -1,4 +1,4 @@
-/** The one final effect that every request gets, and the counters that go with it. */
+/** Emits the single final effect of each request and updates the counters. */
 import {
   NotRunError,
   type NotRunReason,
@@ -13,24 +13,29 @@
 import type { GroupContext, Run } from './context.js';
 import type { QueueEntry } from './queue.js';
 
-/** Ends requests that were let in. */
+/** Ends admitted requests. */
 export class Outcomes {
   constructor(private readonly context: GroupContext) {}
 
   /**
-   * Ends a request that waits in the queue. The one place that says "not run" of a request that
-   * was let in; what an earlier attempt may have run is not called so.
+   * Fails a request of which no attempt is in progress. This is the only place that reports an
+   * admitted request as not run. If an earlier attempt may have run, it reports another error.
    */
-  notRun(entry: QueueEntry, reason: NotRunReason, message: string, retryAfterMs?: number): void {
+  failNotRun(
+    entry: QueueEntry,
+    reason: NotRunReason,
+    message: string,
+    retryAfterMs?: number,
+  ): void {
     if (entry.mayHaveRun) {
-      this.endAfterRetry(entry, retryAfterMs);
+      this.failAfterRetry(entry, retryAfterMs);
       return;
     }
     this.context.counters.notRun += 1;
     this.fail(entry, new NotRunError(reason, message, retryAfterMs));
   }
 
-  /** The answer held back may go to the caller. */
+  /** The withheld response may be sent to the caller. */
   release(run: Run): void {
     const { request } = run.entry;
     this.context.runs.delete(request.id);
@@ -42,31 +47,34 @@
     });
   }
 
-  /** It may or may not have run or may or may not last. */
-  unknown(run: Run, reason: UnknownReason): void {
+  /** The request may or may not have run, and if it ran, its effects may or may not be durable. */
+  failUnknown(run: Run, reason: UnknownReason): void {
     this.context.counters.unknown += 1;
     this.context.runs.delete(run.entry.request.id);
     this.fail(run.entry, new UnknownOutcomeError(reason, `the outcome is not known: ${reason}`));
   }
 
-  /** The group's log does not hold what the session has seen; waiting would never end. */
-  positionLost(entry: QueueEntry, error: SessionPositionLostError): void {
+  /**
+   * The group's log doesn't contain the position that the session has observed, so waiting would
+   * never succeed.
+   */
+  failPositionLost(entry: QueueEntry, error: SessionPositionLostError): void {
     this.context.counters.notRun += 1;
     this.context.runs.delete(entry.request.id);
     this.fail(entry, error);
   }
 
-  /** The transaction surely rolled back. */
-  aborted(run: Run): void {
+  /** The transaction has certainly rolled back. */
+  failAborted(run: Run): void {
     this.context.runs.delete(run.entry.request.id);
     const message = 'the connection was lost and the transaction rolled back';
     this.fail(run.entry, new TransactionAbortedError(message));
   }
 
-  /** A read had started and has no answer that may be trusted. */
-  readFailed(run: Run, reason: ReadFailureReason): void {
+  /** A read was started, but has no response that may be released. */
+  failRead(run: Run, reason: ReadFailureReason): void {
     this.context.runs.delete(run.entry.request.id);
-    this.fail(run.entry, new ReadFailedError(reason, `the read was not finished: ${reason}`));
+    this.fail(run.entry, new ReadFailedError(reason, `the read did not complete: ${reason}`));
   }
 
   private fail(entry: QueueEntry, error: RequestError): void {
@@ -75,9 +83,9 @@
     this.context.effects.push({ type: 'fail', requestId: request.id, error });
   }
 
-  private endAfterRetry(entry: QueueEntry, retryAfterMs: number | undefined): void {
+  private failAfterRetry(entry: QueueEntry, retryAfterMs: number | undefined): void {
     if (entry.request.access === 'read') {
-      const message = 'the connection was lost and a retry found no place in time';
+      const message = 'the connection was lost and no retry could start in time';
       this.fail(entry, new ReadFailedError('connection-lost', message, retryAfterMs));
       return;
     }
--- a/src/core/group/queue.ts
+++ b/src/core/group/queue.ts
@@ -1,28 +1,29 @@
 /**
- * A fair queue: deficit round robin over tenants by weight, and inside a tenant over request kinds
- * by weight. A request that can't be served at the moment is passed over, not waited for.
+ * A fair queue: weighted deficit round robin between tenants, and weighted fair queueing between
+ * the request kinds of a tenant. A request that can't start now is skipped and doesn't block the
+ * requests behind it.
  */
 import type { GroupRequest, InstanceName, RequestId, TenantName } from '../request.js';
 import type { Milliseconds } from '../units.js';
 
-/** A request that waits. */
+/** A queued request. */
 export interface QueueEntry {
   readonly request: GroupRequest;
   readonly arrivedAt: Milliseconds;
-  /** An earlier attempt may have run: it can no longer be refused as not run. */
+  /** True if an earlier attempt may have run: the request can no longer fail as not run. */
   readonly mayHaveRun: boolean;
-  /** How often it was sent before. */
+  /** Number of earlier attempts that count towards the maximum. */
   readonly attempts: number;
-  /** Not before this time: back-off of a retry. */
+  /** Earliest start: the end of a retry's backoff. */
   readonly notBefore: Milliseconds;
-  /** Instance that just failed it, avoided if there is another. */
+  /** Instance of the last attempt, which is tried after all other replicas. */
   readonly avoid: InstanceName | undefined;
 }
 
 /**
- * What became of an entry that was offered: `taken` charges the tenant, `moved` removes without
- * charge, `blocked` leaves it, `tenant-blocked` leaves all of its tenant for this pass, `stop`
- * leaves it and ends the pass.
+ * Result of offering an entry. `taken`: removed, and the tenant is charged for it. `moved`: removed
+ * without a charge. `blocked`: stays queued. `tenant-blocked`: all entries of its tenant stay queued
+ * in this pass. `stop`: stays queued and the pass ends.
  */
 export type OfferResult = 'taken' | 'moved' | 'blocked' | 'tenant-blocked' | 'stop';
 
@@ -40,19 +41,22 @@
   readonly kinds: Map<string, KindQueue>;
 }
 
-/** Entries of one kind offered in one pass at most, to bound the cost of a pass. */
+/**
+ * Maximum number of entries of a kind offered before the kind counts as blocked; bounds the cost of
+ * a pass.
+ */
 const MAX_OFFERS_PER_KIND = 8;
 const MIN_WEIGHT = 0.05;
 const REQUEST_COST = 1;
 
-/** Requests that wait, in fair order. */
+/** Queued requests, served in fair order. */
 export class FairQueue {
   private readonly tenants = new Map<TenantName, TenantQueue>();
   private readonly byId = new Map<RequestId, QueueEntry>();
   private ring: TenantQueue[] = [];
   private cursor = 0;
-  /** Tenants whose queue ran empty since the last round began. */
-  private readonly leftThisRound = new Set<TenantName>();
+  /** Tenants whose queue became empty since the round began. */
+  private readonly emptiedThisRound = new Set<TenantName>();
 
   constructor(private readonly weightOf: (tenant: TenantName) => number) {}
 
@@ -69,8 +73,8 @@
   }
 
   push(entry: QueueEntry): void {
-    const tenant = this.tenantQueue(entry.request.tenant);
-    const kind = kindQueue(tenant, entry.request);
+    const tenant = this.getOrCreateTenantQueue(entry.request.tenant);
+    const kind = getOrCreateKindQueue(tenant, entry.request);
     kind.entries.push(entry);
     tenant.length += 1;
     this.byId.set(entry.request.id, entry);
@@ -85,16 +89,19 @@
     if (tenant === undefined || kind === undefined) return entry;
     kind.entries.splice(kind.entries.indexOf(entry), 1);
     tenant.length -= 1;
-    if (tenant.length === 0) this.dropTenant(tenant);
+    if (tenant.length === 0) this.removeTenant(tenant);
     return entry;
   }
 
-  /** Requests served before one that this tenant queues now, if all keep asking. */
-  expectedAhead(tenant: TenantName): number {
+  /**
+   * Expected number of requests served before one that the tenant queues now, if all tenants keep
+   * sending requests.
+   */
+  estimateRequestsAhead(tenant: TenantName): number {
     const own = this.tenants.get(tenant)?.length ?? 0;
-    let weights = this.tenants.has(tenant) ? 0 : this.weight(tenant);
-    for (const queue of this.ring) weights += this.weight(queue.tenant);
-    const byShare = ((own + 1) * weights) / this.weight(tenant) - 1;
+    let weights = this.tenants.has(tenant) ? 0 : this.effectiveWeight(tenant);
+    for (const queue of this.ring) weights += this.effectiveWeight(queue.tenant);
+    const byShare = ((own + 1) * weights) / this.effectiveWeight(tenant) - 1;
     return Math.min(this.length, byShare);
   }
 
@@ -109,7 +116,7 @@
         continue;
       }
       if (tenant.deficit < REQUEST_COST) {
-        tenant.deficit += this.weight(tenant.tenant);
+        tenant.deficit += this.effectiveWeight(tenant.tenant);
         if (tenant.deficit < REQUEST_COST) this.advance();
         continue;
       }
@@ -125,7 +132,7 @@
   }
 
   private serveTenant(tenant: TenantQueue, offer: (entry: QueueEntry) => OfferResult): OfferResult {
-    for (const kind of kindsInOrder(tenant)) {
+    for (const kind of sortKinds(tenant)) {
       const offered = kind.entries.slice(0, MAX_OFFERS_PER_KIND);
       for (const entry of offered) {
         const result = offer(entry);
@@ -154,54 +161,55 @@
 
   private beginRound(): void {
     this.cursor = 0;
-    this.leftThisRound.clear();
+    this.emptiedThisRound.clear();
   }
 
-  private tenantQueue(name: TenantName): TenantQueue {
+  private getOrCreateTenantQueue(name: TenantName): TenantQueue {
     const known = this.tenants.get(name);
     if (known !== undefined) return known;
     const tenant: TenantQueue = { tenant: name, deficit: 0, length: 0, kinds: new Map() };
     this.tenants.set(name, tenant);
-    // Who had nothing waiting is next, but only once a round: no tenant gains by asking in bits.
-    if (this.leftThisRound.has(name)) this.ring.push(tenant);
+    // A tenant whose queue was empty is served next, but only once per round: otherwise it would
+    // gain by sending requests one by one.
+    if (this.emptiedThisRound.has(name)) this.ring.push(tenant);
     else this.ring.splice(this.cursor, 0, tenant);
     return tenant;
   }
 
-  private dropTenant(tenant: TenantQueue): void {
+  private removeTenant(tenant: TenantQueue): void {
     this.tenants.delete(tenant.tenant);
-    this.leftThisRound.add(tenant.tenant);
+    this.emptiedThisRound.add(tenant.tenant);
     const index = this.ring.indexOf(tenant);
     this.ring.splice(index, 1);
     if (index < this.cursor) this.cursor -= 1;
   }
 
-  private weight(tenant: TenantName): number {
+  private effectiveWeight(tenant: TenantName): number {
     return Math.max(MIN_WEIGHT, this.weightOf(tenant));
   }
 }
 
-function kindQueue(tenant: TenantQueue, request: GroupRequest): KindQueue {
+function getOrCreateKindQueue(tenant: TenantQueue, request: GroupRequest): KindQueue {
   const weight = Math.max(MIN_WEIGHT, request.weight);
   const known = tenant.kinds.get(request.kind);
   if (known !== undefined) {
     known.weight = weight;
     if (known.entries.length === 0) {
-      known.virtualTime = Math.max(known.virtualTime, leastVirtualTime(tenant));
+      known.virtualTime = Math.max(known.virtualTime, minVirtualTime(tenant));
     }
     return known;
   }
   const created: KindQueue = {
     kind: request.kind,
     weight,
-    virtualTime: leastVirtualTime(tenant),
+    virtualTime: minVirtualTime(tenant),
     entries: [],
   };
   tenant.kinds.set(request.kind, created);
   return created;
 }
 
-function leastVirtualTime(tenant: TenantQueue): number {
+function minVirtualTime(tenant: TenantQueue): number {
   let least = Number.POSITIVE_INFINITY;
   for (const kind of tenant.kinds.values()) {
     if (kind.entries.length > 0) least = Math.min(least, kind.virtualTime);
@@ -209,7 +217,7 @@
   return Number.isFinite(least) ? least : 0;
 }
 
-function kindsInOrder(tenant: TenantQueue): KindQueue[] {
+function sortKinds(tenant: TenantQueue): KindQueue[] {
   return [...tenant.kinds.values()]
     .filter((kind) => kind.entries.length > 0)
     .sort((left, right) => left.virtualTime - right.virtualTime);
--- a/src/core/group/retries.ts
+++ b/src/core/group/retries.ts
@@ -1,45 +1,48 @@
-/** Queues requests again, as far as their attempts, their time and the retry budget allow. */
+/** Queues requests again within the limits on attempts, the deadline and the retry budget. */
 import { backoffPause } from '../retry/backoff.js';
 import type { Milliseconds } from '../units.js';
-import { type GroupContext, isOff, type Run } from './context.js';
+import { type GroupContext, isDisabled, type Run } from './context.js';
 import type { Dispatcher } from './dispatcher.js';
 import type { QueueEntry } from './queue.js';
 
 const MAX_ATTEMPTS = 4;
 
-/** Retries of one group's requests. */
+/** Retries the requests of one group. */
 export class Retries {
   constructor(
     private readonly context: GroupContext,
     private readonly dispatcher: Dispatcher,
   ) {}
 
-  /** Retries what may have run and may run again; false if no retry is left. */
+  /** Retries a request that may have run and may run again; false if no retry is allowed. */
   retryRepeatable(run: Run, now: Milliseconds): boolean {
     return this.retryEntry(run, { ...run.entry, mayHaveRun: true }, now);
   }
 
-  /** Retries what was sent and surely did not run; false if no retry is left. */
+  /** Retries a request that has certainly not run in this attempt; false if no retry is allowed. */
   retryNotRun(run: Run, now: Milliseconds): boolean {
     return this.retryEntry(run, run.entry, now);
   }
 
-  /** Queues again what was never sent, as if it had just come. */
-  requeueAtOnce(run: Run, now: Milliseconds): void {
+  /**
+   * Queues a request of which nothing was sent as if it had just arrived: without backoff and
+   * outside the retry budget.
+   */
+  requeueImmediately(run: Run, now: Milliseconds): void {
     this.enqueue(run, run.entry, 0, now);
   }
 
   private retryEntry(run: Run, entry: QueueEntry, now: Milliseconds): boolean {
-    if (!this.mayRetry(entry, now)) return false;
+    if (!this.tryTakeRetry(entry, now)) return false;
     this.context.counters.retries += 1;
     this.context.runs.delete(entry.request.id);
     this.enqueue(run, entry, entry.attempts + 1, now);
     return true;
   }
 
-  private mayRetry(entry: QueueEntry, now: Milliseconds): boolean {
+  private tryTakeRetry(entry: QueueEntry, now: Milliseconds): boolean {
     if (entry.attempts + 1 >= MAX_ATTEMPTS || now >= entry.request.deadline) return false;
-    return isOff(this.context, 'retry-budget') || this.context.retryBudget.tryTake();
+    return isDisabled(this.context, 'retry-budget') || this.context.retryBudget.tryTake();
   }
 
   private enqueue(run: Run, entry: QueueEntry, attempts: number, now: Milliseconds): void {
--- a/src/core/group/run-release.ts
+++ b/src/core/group/run-resources.ts
@@ -1,14 +1,14 @@
-/** Gives back what a run holds: its connection, its slot, its place in the tenant's share. */
+/** Releases what a run uses: its connection, its slot and its part of the tenant's limits. */
 import type { Milliseconds } from '../units.js';
 import type { GroupContext, Run } from './context.js';
 import type { RunResult } from './contract.js';
 
-/** Releases what runs hold. */
-export class RunRelease {
+/** Releases the resources of runs. */
+export class RunResources {
   constructor(private readonly context: GroupContext) {}
 
-  /** The run ended on its connection. */
-  runEnded(run: Run, result: RunResult, now: Milliseconds): void {
+  /** Releases everything that a run used after it ended on its connection. */
+  releaseEndedRun(run: Run, result: RunResult, now: Milliseconds): void {
     const { pool, monitor, loads, effects } = this.context;
     const { hold, tenant } = run.entry.request;
     const isLost = result.type === 'connection-lost';
@@ -22,7 +22,7 @@
     }
   }
 
-  /** Forgets a run and closes the connection that it holds. */
+  /** Removes a run and closes its connection. */
   closeRun(run: Run): void {
     this.releaseLoad(run);
     this.context.runs.delete(run.entry.request.id);
@@ -33,14 +33,14 @@
   setTransactionIdle(run: Run, idle: boolean): void {
     if (run.idle === idle) return;
     run.idle = idle;
-    this.context.loads.setIdle(run.instance, run.entry.request.tenant, idle);
+    this.context.loads.setTransactionIdle(run.instance, run.entry.request.tenant, idle);
   }
 
-  /** The run uses its instance no more; its connection is another matter. */
+  /** The run no longer uses its slot and its tenant's limits. Doesn't release the connection. */
   releaseLoad(run: Run): void {
     const { request } = run.entry;
     this.setTransactionIdle(run, false);
-    this.context.loads.finish(run.instance, request.hold, request.tenant);
+    this.context.loads.recordFinish(run.instance, request.hold, request.tenant);
     this.context.admission.recordConnection(request.tenant, -1);
   }
 }
--- a/test/unit/loads.test.ts
+++ b/test/unit/loads.test.ts
@@ -14,12 +14,12 @@
 
 test('a transaction between two statements gives its slot to others and takes it back', () => {
   const loads = new InstanceLoads();
-  for (let count = 0; count < 4; count += 1) loads.start('a', 'transaction', 'one');
+  for (let count = 0; count < 4; count += 1) loads.recordStart('a', 'transaction', 'one');
   assert.not.ok(loads.hasSlot(PRIMARY, 'statement'));
-  loads.setIdle('a', 'one', true);
+  loads.setTransactionIdle('a', 'one', true);
   assert.ok(loads.hasSlot(PRIMARY, 'statement'));
-  assert.is(loads.running('a'), 3);
-  loads.setIdle('a', 'one', false);
+  assert.is(loads.runningCount('a'), 3);
+  loads.setTransactionIdle('a', 'one', false);
   assert.not.ok(loads.hasSlot(PRIMARY, 'statement'));
 });
 
@@ -27,8 +27,8 @@
   const loads = new InstanceLoads();
   let opened = 0;
   while (loads.hasSlot(PRIMARY, 'transaction') && opened < 100) {
-    loads.start('a', 'transaction', 'one');
-    loads.setIdle('a', 'one', true);
+    loads.recordStart('a', 'transaction', 'one');
+    loads.setTransactionIdle('a', 'one', true);
     opened += 1;
   }
   assert.is(opened, 12);
@@ -38,15 +38,15 @@
 test('a tenant with many idle transactions leaves places for those of others', () => {
   const loads = new InstanceLoads();
   let opened = 0;
-  while (loads.withinShare(PRIMARY, 'one', 'transaction', 2) && opened < 100) {
-    loads.start('a', 'transaction', 'one');
-    loads.setIdle('a', 'one', true);
+  while (loads.isWithinShare(PRIMARY, 'one', 'transaction', 2) && opened < 100) {
+    loads.recordStart('a', 'transaction', 'one');
+    loads.setTransactionIdle('a', 'one', true);
     opened += 1;
   }
   assert.is(opened, 8);
   assert.ok(loads.hasSlot(PRIMARY, 'transaction'));
-  assert.ok(loads.withinShare(PRIMARY, 'two', 'transaction', 2));
-  assert.ok(loads.withinShare(PRIMARY, 'one', 'statement', 2));
+  assert.ok(loads.isWithinShare(PRIMARY, 'two', 'transaction', 2));
+  assert.ok(loads.isWithinShare(PRIMARY, 'one', 'statement', 2));
 });
 
 test.run();
--- a/test/unit/queue.test.ts
+++ b/test/unit/queue.test.ts
@@ -97,8 +97,8 @@
 test('expected place in the queue follows the fair share, not the length', () => {
   const queue = new FairQueue(() => 1);
   fill(queue, 100, { tenant: 'flood', kind: 'default' });
-  assert.is(queue.expectedAhead('bureau'), 1);
-  assert.is(queue.expectedAhead('flood'), 100);
+  assert.is(queue.estimateRequestsAhead('bureau'), 1);
+  assert.is(queue.estimateRequestsAhead('flood'), 100);
 });
 
 test('deadlines come out in order of time', () => {
