--- a/test/property/mechanisms.property.test.ts
+++ b/test/property/mechanisms.property.test.ts
@@ -1,4 +1,4 @@
-/** Turns off one mechanism at a time and expects the history checks to notice. */
+/** Disables one safety mechanism at a time and expects the history checks to report a violation. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import {
@@ -15,7 +15,7 @@
 interface MutationCheck {
   readonly without: Mechanism;
   readonly faults: readonly Fault[];
-  /** The check that must notice. */
+  /** The check that must report a violation. */
   readonly noticedBy: string;
 }
 
--- a/test/support/group-driver.ts
+++ b/test/support/group-driver.ts
@@ -1,4 +1,4 @@
-/** Drives one group's machine by hand: answers probes and opens connections as a test says. */
+/** Drives one group's state machine in tests: answers its probes and opens its connections. */
 import type {
   GroupEffect,
   GroupEvent,
@@ -10,16 +10,16 @@
 import type { DatabaseGroupOptions } from '../../src/core/group/options.js';
 import { effectsOf, instance } from './group-fixtures.js';
 
-/** A machine with all the effects it has produced so far. */
+/** A group's state machine with all the effects that it has returned so far. */
 export class GroupDriver {
-  readonly machine: DatabaseGroup;
+  readonly stateMachine: DatabaseGroup;
   readonly effects: GroupEffect[] = [];
   now = 0;
-  /** What each instance answers to probes; absent: no answer. */
+  /** State that each instance reports in response to probes; an absent instance doesn't respond. */
   readonly states = new Map<string, InstanceState>();
 
   constructor(options: Partial<DatabaseGroupOptions> = {}) {
-    this.machine = new DatabaseGroup({
+    this.stateMachine = new DatabaseGroup({
       group: 'orders',
       ownZone: 'a',
       random: () => 0.5,
@@ -27,31 +27,31 @@
     });
   }
 
-  /** Three instances `a`, `b`, `c` by default. */
+  /** Starts with three instances `a`, `b` and `c` by default. */
   start(instances: readonly InstanceDescription[] = ['a', 'b', 'c'].map((n) => instance(n))): void {
     this.send({ type: 'instances-changed', instances });
     this.settle();
   }
 
   send(event: GroupEvent): GroupEffect[] {
-    const effects = this.machine.handle(event, this.now);
+    const effects = this.stateMachine.handle(event, this.now);
     this.effects.push(...effects);
     return effects;
   }
 
-  /** Lets time pass and answers what is asked at its end. */
+  /** Advances the time, sends a tick and then answers the open effects. */
   wait(milliseconds: number): void {
     this.now += milliseconds;
     this.send({ type: 'tick' });
     this.settle();
   }
 
-  private answered = 0;
+  private handledCount = 0;
 
-  /** Answers open probes and opens connections until nothing new is asked. */
+  /** Answers probes, opens connections and confirms resets until there are no new effects. */
   settle(): void {
-    for (; this.answered < this.effects.length; this.answered += 1) {
-      const effect = this.effects[this.answered];
+    for (; this.handledCount < this.effects.length; this.handledCount += 1) {
+      const effect = this.effects[this.handledCount];
       if (effect?.type === 'probe') {
         const state = this.states.get(effect.instance);
         if (state !== undefined) {
@@ -75,7 +75,7 @@
     return effectsOf(this.effects, 'run');
   }
 
-  /** The final effects of a request: there must never be more than one. */
+  /** The final effects of a request; there must never be more than one. */
   finals(requestId: string): GroupEffect[] {
     return this.effects.filter((effect) => {
       const isFinal = effect.type === 'release' || effect.type === 'fail';
--- a/test/unit/database-group.test.ts
+++ b/test/unit/database-group.test.ts
@@ -108,7 +108,7 @@
   assert.is((error as NotRunError).reason, 'no-primary');
 });
 
-/** One connection to each instance, so that a second tenant must take over the first one's. */
+/** Allows one connection per instance, so that a second tenant must reuse the first one's connection. */
 function scarceInstances(leaving?: string) {
   return ['a', 'b', 'c'].map((name) => {
     return instance(name, { slots: 1, connectionBudget: 1, leaving: name === leaving });
@@ -278,9 +278,9 @@
 });
 
 test('retries are bounded by the budget; without it they are not', () => {
-  const retriesOf = (without: Set<Mechanism>): number => {
+  const retriesOf = (disabledMechanisms: Set<Mechanism>): number => {
     const driver = healthyGroup({
-      disabledMechanisms: without,
+      disabledMechanisms,
       bounds: { retryCapacity: 2, retryRatio: 0 },
     });
     for (let index = 0; index < 10; index += 1) {
@@ -294,7 +294,7 @@
       });
       driver.wait(200);
     }
-    return driver.machine.statistics().retries;
+    return driver.stateMachine.statistics().retries;
   };
   assert.is(retriesOf(new Set()), 2);
   assert.ok(retriesOf(new Set(['retry-budget'])) > 2);
--- a/test/unit/loads.test.ts
+++ b/test/unit/loads.test.ts
@@ -1,4 +1,4 @@
-/** Slots: what uses them, and what no tenant may take for itself. */
+/** Slots of an instance: which requests use one, and how many a single tenant may use. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { InstanceDescription } from '../../src/core/group/contract.js';
--- a/test/unit/queue.test.ts
+++ b/test/unit/queue.test.ts
@@ -16,7 +16,7 @@
   };
 }
 
-/** Serves `count` entries and counts them by what `label` makes of each. */
+/** Serves `count` entries and counts them by the label that `label` returns for each. */
 function serve(queue: FairQueue, count: number, label: (one: QueueEntry) => string) {
   const served = new Map<string, number>();
   let left = count;
