--- a/src/core/group/dispatch-pass.ts
+++ b/src/core/group/dispatch-pass.ts
@@ -69,7 +69,7 @@
     const load = loads.runningCount(name);
     const serviceTimeMs = loads.serviceTimeMs(name);
     const freshAsOf = monitor.freshAsOf(name);
-    replicas.push({ instance: knowledge: observed, zone, leaving, freshAsOf, load, slots, serviceTimeMs });
+    replicas.push({ instance: observed, zone, leaving, freshAsOf, load, slots, serviceTimeMs });
   }
   return replicas;
 }
