--- a/src/core/promotion/candidate.ts
+++ b/src/core/promotion/candidate.ts
@@ -13,102 +13,107 @@
 import { comparePositions, type Position } from '../position.js';
 
 /** What a member of the group has answered, recently enough to count. */
-export interface MemberFinding {
+export interface MemberObservation {
   readonly entry: InstanceEntry;
   /** Last position received; undefined if it has not answered. */
   readonly received: Position | undefined;
   /** It receives nothing more from the old primary: held, or demoted. */
-  readonly stopped: boolean;
+  readonly isStopped: boolean;
   /** Its entry is in the store. */
-  readonly present: boolean;
+  readonly isRegistered: boolean;
   /** This node reaches it. */
-  readonly isReached: boolean;
+  readonly isReachable: boolean;
 }
 
-export interface CandidateQuestion {
+export interface CandidateInput {
   /** All members but the old primary. */
-  readonly replicas: readonly MemberFinding[];
+  readonly replicas: readonly MemberObservation[];
   /** The old primary; `stopped` if it was demoted. */
-  readonly from: MemberFinding | undefined;
+  readonly oldPrimary: MemberObservation | undefined;
   /** The member that has the old primary's address and log, if that one was replaced in place. */
-  readonly successor?: MemberFinding | undefined;
+  readonly successor?: MemberObservation | undefined;
   readonly syncReplicas: number;
   /** Takes one that is leaving, or the old primary itself, if there is no better one. */
-  readonly acceptAny: boolean;
+  readonly acceptsAny: boolean;
   /** Takes any that has answered: a test switched the proof off. */
-  readonly withoutProof: boolean;
+  readonly isProofDisabled: boolean;
 }
 
 /** The instance to promote, if one is certain. */
-export function chooseCandidate(question: CandidateQuestion): InstanceEntry | undefined {
-  const certain = certainMembers(question);
-  const eligible = certain
-    .filter(({ isReached }) => isReached)
-    .filter((member) => question.acceptAny || isGood(member, question.from));
-  const [best] = eligible.sort((left, right) => compareCandidates(left, right, question.from));
+export function chooseCandidate(input: CandidateInput): InstanceEntry | undefined {
+  const complete = membersWithAllCommits(input);
+  const eligible = complete
+    .filter(({ isReachable: isReached }) => isReached)
+    .filter((member) => input.acceptsAny || isPreferred(member, input.oldPrimary));
+  const [best] = eligible.sort((left, right) => compareCandidates(left, right, input.oldPrimary));
   return best?.entry;
 }
 
 /** Members that surely have every acknowledged commit. */
-export function certainMembers(question: CandidateQuestion): MemberFinding[] {
-  const { replicas, from, successor, syncReplicas, acceptAny } = question;
-  const answered = replicas.filter(({ received }) => received !== undefined);
-  if (question.withoutProof) return answered;
-  const certain: MemberFinding[] = [];
-  const isFromEnded = from?.stopped === true && from.received !== undefined;
-  if (isFromEnded) certain.push(from);
-  const ends = [
-    isFromEnded ? from.received : undefined,
-    successor && endOfInherited(successor, answered),
+export function membersWithAllCommits(input: CandidateInput): MemberObservation[] {
+  const { replicas, oldPrimary: from, successor, syncReplicas, acceptsAny: acceptAny } = input;
+  const responsive = replicas.filter(({ received }) => received !== undefined);
+  if (input.isProofDisabled) return responsive;
+  const complete: MemberObservation[] = [];
+  const isOldPrimaryEnded = from?.isStopped === true && from.received !== undefined;
+  if (isOldPrimaryEnded) complete.push(from);
+  const knownEnds = [
+    isOldPrimaryEnded ? from.received : undefined,
+    successor && inheritedLogEnd(successor, responsive),
   ];
-  for (const end of ends) {
-    if (end !== undefined) certain.push(...answered.filter((member) => reaches(member, end)));
+  for (const end of knownEnds) {
+    if (end !== undefined)
+      complete.push(...responsive.filter((member) => hasReceived(member, end)));
   }
-  const held = answered.filter(({ stopped }) => stopped);
-  const unknown = replicas.length - held.length;
+  const held = responsive.filter(({ isStopped: stopped }) => stopped);
+  const unheldCount = replicas.length - held.length;
   // Without synchronous replicas no proof is to be had: the most that is known has to do.
-  const provesEnd = syncReplicas === 0 ? unknown === 0 || acceptAny : unknown < syncReplicas;
-  if (held.length > 0 && provesEnd) {
+  const isEndProven =
+    syncReplicas === 0 ? unheldCount === 0 || acceptAny : unheldCount < syncReplicas;
+  if (held.length > 0 && isEndProven) {
     const ends = held.flatMap(({ received }) => received ?? []);
     const end = ends.reduce((left, right) => (comparePositions(left, right) >= 0 ? left : right));
-    certain.push(...held.filter((member) => reaches(member, end)));
+    complete.push(...held.filter((member) => hasReceived(member, end)));
   }
-  return [...new Set(certain)];
+  return [...new Set(complete)];
 }
 
 /**
  * End of the log that a successor in place has from the old primary; undefined while that may still grow, or if the
  * successor lacks what another member has: then it began without the log.
  */
-function endOfInherited(
-  { received, stopped }: MemberFinding,
-  answered: readonly MemberFinding[],
+function inheritedLogEnd(
+  { received, isStopped: stopped }: MemberObservation,
+  responsive: readonly MemberObservation[],
 ): Position | undefined {
   if (!stopped || received === undefined) return undefined;
-  const isBehind = answered.some(
-    (member) => member.received !== undefined && !reaches({ received }, member.received),
+  const isBehind = responsive.some(
+    (member) => member.received !== undefined && !hasReceived({ received }, member.received),
   );
   return isBehind ? undefined : received;
 }
 
-function reaches({ received }: Pick<MemberFinding, 'received'>, end: Position): boolean {
+function hasReceived({ received }: Pick<MemberObservation, 'received'>, end: Position): boolean {
   return received !== undefined && comparePositions(received, end) >= 0;
 }
 
-function isGood({ entry, present }: MemberFinding, from: MemberFinding | undefined): boolean {
+function isPreferred(
+  { entry, isRegistered: present }: MemberObservation,
+  from: MemberObservation | undefined,
+): boolean {
   return !entry.draining && present && entry.id !== from?.entry.id;
 }
 
 function compareCandidates(
-  left: MemberFinding,
-  right: MemberFinding,
-  from: MemberFinding | undefined,
+  left: MemberObservation,
+  right: MemberObservation,
+  from: MemberObservation | undefined,
 ): number {
-  const byGoodness = Number(isGood(right, from)) - Number(isGood(left, from));
-  if (byGoodness !== 0) return byGoodness;
+  const byPreference = Number(isPreferred(right, from)) - Number(isPreferred(left, from));
+  if (byPreference !== 0) return byPreference;
   if (left.received !== undefined && right.received !== undefined) {
-    const byLog = comparePositions(right.received, left.received);
-    if (byLog !== 0) return byLog;
+    const byPosition = comparePositions(right.received, left.received);
+    if (byPosition !== 0) return byPosition;
   }
   const zone = from?.entry.zone;
   const byZone = Number(right.entry.zone === zone) - Number(left.entry.zone === zone);
--- a/src/core/promotion/change.ts
+++ b/src/core/promotion/change.ts
@@ -6,29 +6,29 @@
 import type { Milliseconds } from '../units.js';
 import type { PromotionCalls } from './calls.js';
 import {
-  type CandidateQuestion,
-  certainMembers,
+  type CandidateInput,
   chooseCandidate,
-  type MemberFinding,
+  type MemberObservation,
+  membersWithAllCommits,
 } from './candidate.js';
 import type { ControlFailure } from './contract.js';
-import type { DutyStore } from './duty-store.js';
 import type { Election } from './election.js';
 import { GroupHold } from './hold.js';
+import type { LeaderStore } from './leader-store.js';
 import type { Primaries } from './primaries.js';
 import { addressOfInstance, type ChangingRecord } from './records.js';
 import type { PromotionRuntime } from './runtime.js';
 import { Scope } from './scope.js';
 
-const STEP_EVERY_MS = 100;
+const STEP_PERIOD_MS = 100;
 
 /** What a change works with. */
-export interface ChangeContext {
+export interface PrimaryChangeContext {
   readonly runtime: PromotionRuntime;
   readonly election: Election;
   readonly calls: PromotionCalls;
   readonly primaries: Primaries;
-  readonly store: DutyStore;
+  readonly store: LeaderStore;
   syncReplicasOf(service: string): number;
   membersOf(service: string): readonly InstanceEntry[];
   departedOf(service: string): readonly InstanceEntry[];
@@ -37,59 +37,59 @@
 export class PrimaryChange {
   readonly #scope: Scope;
   readonly #hold: GroupHold;
-  readonly #begunAt: Milliseconds;
-  #holding = false;
+  readonly #startedAt: Milliseconds;
+  #isHoldStarted = false;
   /** No node uses the old primary any more. */
-  #isFree: boolean;
-  #found: { readonly instance: InstanceEntry; readonly term: number } | undefined;
-  #writing = false;
-  #cancelConfirm = (): void => {};
-  #progressAt: Milliseconds;
-  #readAt: Milliseconds;
+  #isOldPrimaryUnused: boolean;
+  #newPrimary: { readonly instance: InstanceEntry; readonly term: number } | undefined;
+  #isWriting = false;
+  #cancelCandidateCheck = (): void => {};
+  #lastProgressAt: Milliseconds;
+  #leaderKeysReadAt: Milliseconds;
 
   constructor(
-    private readonly context: ChangeContext,
+    private readonly context: PrimaryChangeContext,
     readonly service: string,
     readonly record: ChangingRecord,
     /** An earlier leader may have called for a candidate, though no record names one. */
-    mayHaveBeenCalled = false,
+    mayHaveUnnamedCalls = false,
   ) {
     const { runtime, primaries } = context;
     this.#scope = new Scope(runtime);
-    this.#begunAt = runtime.now;
-    this.#progressAt = runtime.now;
-    this.#readAt = runtime.now;
-    const named = this.#namedCandidate();
+    this.#startedAt = runtime.now;
+    this.#lastProgressAt = runtime.now;
+    this.#leaderKeysReadAt = runtime.now;
+    const candidate = this.#namedCandidate();
     // One is named only once all nodes have acknowledged.
-    this.#isFree = named !== undefined;
-    if (named !== undefined) context.calls.noteEarlierLeader(named);
-    else if (mayHaveBeenCalled) context.calls.noteUnnamedCalls();
+    this.#isOldPrimaryUnused = candidate !== undefined;
+    if (candidate !== undefined) context.calls.recordEarlierCandidate(candidate);
+    else if (mayHaveUnnamedCalls) context.calls.recordUnnamedCalls();
     const members = context.membersOf(service);
     this.#hold = new GroupHold(runtime, {
-      from: members.find(({ id }) => id === record.from) ?? primaries.instance(record.from),
+      oldPrimary: members.find(({ id }) => id === record.from) ?? primaries.instance(record.from),
       replicas: members.filter(({ id }) => id !== record.from),
       term: record.term,
       isPresent: (id) => primaries.isPresent(id),
       mayAct: () => context.election.mayAct(),
-      onFinding: () => this.step(),
+      onResponse: () => this.step(),
     });
     runtime.log('info', 'change of primary', {
       service,
       from: record.from,
       planned: record.planned,
       change: record.change,
-      candidate: named,
+      candidate,
     });
   }
 
   /** Time since this leader took the change up. */
   get tookMs(): Milliseconds {
-    return Math.round(this.context.runtime.now - this.#begunAt);
+    return Math.round(this.context.runtime.now - this.#startedAt);
   }
 
   start(): void {
     if (!this.record.planned) this.#startHold();
-    this.#confirm();
+    this.#checkCandidate();
     this.#tick();
   }
 
@@ -102,91 +102,91 @@
   step(): void {
     const { election, runtime } = this.context;
     if (this.#scope.isEnded || !election.mayAct()) return;
-    this.#noteAcknowledgements();
-    this.#hold.noteReplicas(this.#replicas());
-    const isLate = runtime.now - this.#begunAt >= runtime.timings.plannedChangeGraceMs;
-    if (this.#isFree || isLate) this.#startHold();
-    if (this.#found !== undefined) return;
-    this.#lookForLeader();
-    if (!this.#isFree) {
-      this.#readDuty();
+    this.#checkAcknowledgements();
+    this.#hold.updateReplicas(this.#replicas());
+    const isLate = runtime.now - this.#startedAt >= runtime.timings.plannedChangeGraceMs;
+    if (this.#isOldPrimaryUnused || isLate) this.#startHold();
+    if (this.#newPrimary !== undefined) return;
+    this.#findLaterPrimary();
+    if (!this.#isOldPrimaryUnused) {
+      this.#rereadLeaderKeys();
       return;
     }
-    const named = this.#namedCandidate();
-    if (named === undefined) this.#nameCandidate();
-    else this.#promote(named);
+    const candidate = this.#namedCandidate();
+    if (candidate === undefined) this.#nameCandidate();
+    else this.#promote(candidate);
   }
 
   /**
    * Once all nodes have acknowledged, the old primary stays out of use: those that come later read
    * the record before they use any.
    */
-  #noteAcknowledgements(): void {
+  #checkAcknowledgements(): void {
     const { store, runtime } = this.context;
-    if (this.#isFree) return;
-    this.#isFree =
+    if (this.#isOldPrimaryUnused) return;
+    this.#isOldPrimaryUnused =
       runtime.isDisabled('acknowledgements') ||
-      store.nodesInUse(this.service, this.record)?.length === 0;
-    if (this.#isFree) this.#hold.noteFree();
+      store.nodesUsingOldPrimary(this.service, this.record)?.length === 0;
+    if (this.#isOldPrimaryUnused) this.#hold.recordOldPrimaryUnused();
   }
 
   #tick(): void {
     this.step();
     if (this.#scope.isEnded) return;
     this.#resignIfStuck();
-    this.#scope.after(STEP_EVERY_MS, () => this.#tick());
+    this.#scope.after(STEP_PERIOD_MS, () => this.#tick());
   }
 
   #startHold(): void {
-    if (this.#holding || this.#found !== undefined) return;
-    this.#holding = true;
+    if (this.#isHoldStarted || this.#newPrimary !== undefined) return;
+    this.#isHoldStarted = true;
     this.#hold.start();
   }
 
   #namedCandidate(): string | undefined {
-    const { candidate, change } = this.context.store.noteOf(this.service);
+    const { candidate, change } = this.context.store.handoverOf(this.service);
     return change === this.record.change ? candidate : undefined;
   }
 
-  #readDuty(): void {
+  #rereadLeaderKeys(): void {
     const { runtime, store } = this.context;
-    if (runtime.now - this.#readAt < runtime.timings.acknowledgementRereadMs) return;
-    this.#readAt = runtime.now;
-    store.readAnew();
+    if (runtime.now - this.#leaderKeysReadAt < runtime.timings.acknowledgementRereadMs) return;
+    this.#leaderKeysReadAt = runtime.now;
+    store.reread();
   }
 
-  #question(): CandidateQuestion {
+  #candidateInput(): CandidateInput {
     const { runtime } = this.context;
     const departed = new Set(this.context.departedOf(this.service).map(({ id }) => id));
     const replicas = this.#replicas().filter((entry) => {
       // One that was forgotten counts again if it is back.
-      return !departed.has(entry.id) || !this.#hold.isUnheard(entry.id);
+      return !departed.has(entry.id) || !this.#hold.isUnresponsive(entry.id);
     });
     return {
-      replicas: replicas.map((entry) => this.#hold.findingOf(entry.id) ?? unheard(entry)),
-      from: this.#findingOfOld(),
-      successor: this.#findingOfSuccessor(),
+      replicas: replicas.map((entry) => this.#hold.observationOf(entry.id) ?? unobserved(entry)),
+      oldPrimary: this.#oldPrimaryObservation(),
+      successor: this.#successorObservation(),
       syncReplicas: this.context.syncReplicasOf(this.service),
-      acceptAny: runtime.now - this.#begunAt >= runtime.timings.betterCandidateWaitMs,
-      withoutProof: runtime.isDisabled('hold'),
+      acceptsAny: runtime.now - this.#startedAt >= runtime.timings.betterCandidateWaitMs,
+      isProofDisabled: runtime.isDisabled('hold'),
     };
   }
 
   /** The leader's own finding, or that of a node which demoted the old primary. */
-  #findingOfOld(): MemberFinding | undefined {
-    const own = this.#hold.findingOf(this.record.from);
-    const end = this.context.store.endOf(this.service, this.record);
+  #oldPrimaryObservation(): MemberObservation | undefined {
+    const own = this.#hold.observationOf(this.record.from);
+    const end = this.context.store.demotedLogEnd(this.service, this.record);
     if (own === undefined || end === undefined || own.received !== undefined) return own;
-    return { ...own, received: end, stopped: true, isReached: false };
+    return { ...own, received: end, isStopped: true, isReachable: false };
   }
 
   /** Another instance at the old primary's address: that one has ended, and its log has gone to this one. */
-  #findingOfSuccessor(): MemberFinding | undefined {
+  #successorObservation(): MemberObservation | undefined {
     const { at } = this.record;
     const successor = this.#replicas().find(({ host, port }) => {
       return at !== undefined && host === at.host && port === at.port;
     });
-    return successor && this.#hold.findingOf(successor.id);
+    return successor && this.#hold.observationOf(successor.id);
   }
 
   #replicas(): InstanceEntry[] {
@@ -196,28 +196,28 @@
   }
 
   #nameCandidate(): void {
-    const candidate = chooseCandidate(this.#question());
+    const candidate = chooseCandidate(this.#candidateInput());
     if (candidate !== undefined) this.#writeCandidate(candidate.id);
   }
 
   #writeCandidate(candidate: string | undefined): void {
-    if (this.#writing) return;
-    this.#writing = true;
-    this.#progressAt = this.context.runtime.now;
+    if (this.#isWriting) return;
+    this.#isWriting = true;
+    this.#lastProgressAt = this.context.runtime.now;
     const { store } = this.context;
-    const note = { ...store.noteOf(this.service), candidate, change: this.record.change };
+    const handover = { ...store.handoverOf(this.service), candidate, change: this.record.change };
     const onDone = this.#scope.guard(() => {
-      this.#writing = false;
+      this.#isWriting = false;
       this.step();
     });
-    store.write({ service: this.service, note }, onDone);
+    store.write({ service: this.service, handover }, onDone);
   }
 
   #promote(candidate: string): void {
     const { runtime, calls } = this.context;
-    if (this.#writing || !this.#isStillCertain(candidate) || !calls.call(candidate)) return;
-    this.#progressAt = runtime.now;
-    this.#confirmAfter(runtime.timings.confirmFirstDelayMs);
+    if (this.#isWriting || !this.#isStillProven(candidate) || !calls.call(candidate)) return;
+    this.#lastProgressAt = runtime.now;
+    this.#checkCandidateAfter(runtime.timings.confirmFirstDelayMs);
   }
 
   /**
@@ -225,37 +225,37 @@
    * primary whose log is known may have ended since. Another one is named only if no call for this one can take
    * effect any more.
    */
-  #isStillCertain(candidate: string): boolean {
+  #isStillProven(candidate: string): boolean {
     const { calls } = this.context;
-    const certain = certainMembers(this.#question());
-    const isCertain = certain.some(({ entry }) => entry.id === candidate);
-    if (isCertain && !this.#isGone(candidate)) return true;
-    if (!calls.isSettled || certain.length === 0) return isCertain;
+    const complete = membersWithAllCommits(this.#candidateInput());
+    const isProven = complete.some(({ entry }) => entry.id === candidate);
+    if (isProven && !this.#isUnreachableAndRefused(candidate)) return true;
+    if (!calls.isSettled || complete.length === 0) return isProven;
     this.#writeCandidate(undefined);
     return false;
   }
 
   /** The platform refuses to let it lead, and this leader does not reach it: named, it would hold the service up. */
-  #isGone(candidate: string): boolean {
+  #isUnreachableAndRefused(candidate: string): boolean {
     if (this.context.runtime.isDisabled('gone-candidates')) return false;
-    const isReached = this.#hold.findingOf(candidate)?.isReached === true;
-    return this.context.calls.isRefused(candidate) && !isReached;
+    const isReached = this.#hold.observationOf(candidate)?.isReachable === true;
+    return this.context.calls.wasLastCallRefused(candidate) && !isReached;
   }
 
-  #confirmAfter(delayMs: Milliseconds): void {
-    this.#cancelConfirm();
-    this.#cancelConfirm = this.#scope.after(delayMs, () => this.#confirm());
+  #checkCandidateAfter(delayMs: Milliseconds): void {
+    this.#cancelCandidateCheck();
+    this.#cancelCandidateCheck = this.#scope.after(delayMs, () => this.#checkCandidate());
   }
 
   /** Looks whether the named candidate leads, until it does. */
-  #confirm(): void {
+  #checkCandidate(): void {
     const candidate = this.#namedCandidate();
     const instance = candidate === undefined ? undefined : this.#entryOf(candidate);
-    if (this.#found !== undefined || instance === undefined) return;
+    if (this.#newPrimary !== undefined || instance === undefined) return;
     const { runtime } = this.context;
     const onAnswer = this.#scope.guard((answer: InstanceStatus | ControlFailure) => {
-      if (typeof answer !== 'string') this.#noteStatus(instance, answer);
-      this.#confirmAfter(runtime.timings.confirmPeriodMs);
+      if (typeof answer !== 'string') this.#handleStatus(instance, answer);
+      this.#checkCandidateAfter(runtime.timings.confirmPeriodMs);
     });
     runtime.control('status', instance, 0, onAnswer);
   }
@@ -264,63 +264,69 @@
    * One that leads a later term is the new primary, whatever becomes of it: the candidate, or another
    * that an earlier leader called for, unless a call for the candidate may still depose it.
    */
-  #noteStatus(instance: InstanceEntry, { role, term }: InstanceStatus): void {
-    if (role !== 'primary' || term <= this.record.term || this.#found !== undefined) return;
+  #handleStatus(instance: InstanceEntry, { role, term }: InstanceStatus): void {
+    if (role !== 'primary' || term <= this.record.term || this.#newPrimary !== undefined) return;
     const { calls } = this.context;
     if (instance.id !== this.#namedCandidate() && !calls.isSettled) return;
-    calls.noteLeads(instance.id);
-    this.#found = { instance, term };
+    calls.recordPromoted(instance.id);
+    this.#newPrimary = { instance, term };
     this.#hold.stop();
     this.#finish(instance, term);
   }
 
   /** A member leads a later term already: an earlier call took effect. */
-  #lookForLeader(): void {
-    const leader = this.#hold.leaderAfter(this.record.term);
-    if (leader !== undefined) this.#noteStatus(leader.entry, leader.status);
+  #findLaterPrimary(): void {
+    const later = this.#hold.laterPrimary(this.record.term);
+    if (later !== undefined) this.#handleStatus(later.entry, later.status);
   }
 
   #finish(instance: InstanceEntry, term: number): void {
     const { store, election } = this.context;
-    this.#noteAcknowledgements();
-    if (this.#writing || !this.#isFree || !election.mayAct()) {
-      this.#scope.after(STEP_EVERY_MS, () => this.#finish(instance, term));
+    this.#checkAcknowledgements();
+    if (this.#isWriting || !this.#isOldPrimaryUnused || !election.mayAct()) {
+      this.#scope.after(STEP_PERIOD_MS, () => this.#finish(instance, term));
       return;
     }
-    this.#writing = true;
+    this.#isWriting = true;
     const { change } = this.record;
     const at = addressOfInstance(instance);
     const record = { phase: 'serving', change, instance: instance.id, at, term } as const;
-    const known = store.noteOf(this.service);
-    const note = { ...known, primary: instance.id, candidate: undefined, change };
+    const known = store.handoverOf(this.service);
+    const handover = { ...known, primary: instance.id, candidate: undefined, change };
     // The record itself ends this change, see `ServiceDuty`; without it, the write is made again.
     const onDone = this.#scope.guard(() => {
-      this.#writing = false;
-      this.#scope.after(STEP_EVERY_MS, () => this.#finish(instance, term));
+      this.#isWriting = false;
+      this.#scope.after(STEP_PERIOD_MS, () => this.#finish(instance, term));
     });
-    store.write({ service: this.service, record, note }, onDone);
+    store.write({ service: this.service, record, handover }, onDone);
   }
 
   /** Another node may reach what this one does not. */
   #resignIfStuck(): void {
     const { runtime, store, election, calls } = this.context;
-    if (calls.isCalling || this.#writing || store.liveNodes() <= 1 || !election.mayHandOn) return;
-    if (!this.#isFree) {
-      this.#progressAt = runtime.now;
+    if (
+      calls.isCallInProgress ||
+      this.#isWriting ||
+      store.countLiveNodes() <= 1 ||
+      !election.mayHandOver
+    )
+      return;
+    if (!this.#isOldPrimaryUnused) {
+      this.#lastProgressAt = runtime.now;
       return;
     }
-    const stuckMs = runtime.now - Math.max(this.#progressAt, calls.settledAt);
-    if (stuckMs < runtime.timings.resignAfterMs) return;
+    const withoutProgressMs = runtime.now - Math.max(this.#lastProgressAt, calls.settledAt);
+    if (withoutProgressMs < runtime.timings.resignAfterMs) return;
     runtime.log('warn', 'change of primary stuck, resigning', {
       ...{ service: this.service, change: this.record.change, candidate: this.#namedCandidate() },
-      ...{ refusals: calls.refusals, unheard: this.#unheardMembers() },
+      ...{ refusals: calls.consecutiveRefusals, unheard: this.#unresponsiveMembers() },
     });
     election.resign(runtime.timings.candidacyCooldownMs);
   }
 
   /** Members whose logs this leader can't vouch for now. */
-  #unheardMembers(): string[] {
-    const { replicas, from } = this.#question();
+  #unresponsiveMembers(): string[] {
+    const { replicas, oldPrimary: from } = this.#candidateInput();
     const all = from === undefined ? replicas : [...replicas, from];
     return all.filter(({ received }) => received === undefined).map(({ entry }) => entry.id);
   }
@@ -333,6 +339,6 @@
   }
 }
 
-function unheard(entry: InstanceEntry) {
-  return { entry, received: undefined, stopped: false, present: false, isReached: false };
+function unobserved(entry: InstanceEntry) {
+  return { entry, received: undefined, isStopped: false, isRegistered: false, isReachable: false };
 }
--- a/src/core/promotion/commit-verdict.ts
+++ b/src/core/promotion/commit-verdict.ts
@@ -8,19 +8,19 @@
 import type { Milliseconds } from '../units.js';
 
 /** `refused`: nothing listens there. `none`: no answer, or none that tells. */
-export type RoundAnswer = InstanceStatus | 'refused' | 'none';
+export type MemberResponse = InstanceStatus | 'refused' | 'none';
 
 /** Of every member that is known, the primary included, by id. */
-export type MemberAnswers = ReadonlyMap<string, RoundAnswer>;
+export type MemberResponses = ReadonlyMap<string, MemberResponse>;
 
 /** One finished round. */
-export interface TermRound {
+export interface QueryRound {
   readonly service: string;
   /** The instance that is taken for the primary. */
   readonly primary: string;
   readonly sentAt: Milliseconds;
   readonly syncReplicas: number;
-  readonly answers: MemberAnswers;
+  readonly responses: MemberResponses;
   /** Whoever joined would be known: the store, or a peer, has told of the members lately. By default it has. */
   readonly areMembersCurrent?: boolean | undefined;
 }
@@ -37,24 +37,25 @@
  * the position of a commit, a held replica that has received it does no harm.
  */
 export function judgeCommits(
-  { primary, answers, syncReplicas }: Omit<TermRound, 'service' | 'sentAt'>,
+  { primary, responses, syncReplicas }: Omit<QueryRound, 'service' | 'sentAt'>,
   position?: Position,
 ): CommitVerdict {
-  const leader = answers.get(primary);
-  if (typeof leader !== 'object') return 'unknown';
-  if (leader.role !== 'primary') return 'deposed';
-  let isHeld = false;
-  let silent = 0;
-  let gone = 0;
-  for (const [id, answer] of answers) {
+  const primaryStatus = responses.get(primary);
+  if (typeof primaryStatus !== 'object') return 'unknown';
+  if (primaryStatus.role !== 'primary') return 'deposed';
+  let isAnyHeld = false;
+  let silentCount = 0;
+  let refusedCount = 0;
+  for (const [id, response] of responses) {
     if (id === primary) continue;
-    if (answer === 'none') silent += 1;
-    else if (answer === 'refused') gone += 1;
-    else if (leadsAfter(answer, leader)) return 'deposed';
-    else if (answer.heldTerm > leader.term && !hasReceived(answer, position)) isHeld = true;
+    if (response === 'none') silentCount += 1;
+    else if (response === 'refused') refusedCount += 1;
+    else if (contradictsPrimary(response, primaryStatus)) return 'deposed';
+    else if (response.heldTerm > primaryStatus.term && !hasReceived(response, position))
+      isAnyHeld = true;
   }
-  if (isHeld) return 'held';
-  return silent > 0 || gone > syncReplicas ? 'unknown' : 'safe';
+  if (isAnyHeld) return 'held';
+  return silentCount > 0 || refusedCount > syncReplicas ? 'unknown' : 'safe';
 }
 
 /**
@@ -62,20 +63,20 @@
  * learns of it and reaches the primary demotes it for that term: the leader of the change may not reach it, and what was
  * sent to it before may be acknowledged yet.
  */
-export function termOfHold({
+export function termOfHeldReplica({
   primary,
-  answers,
-}: Pick<TermRound, 'primary' | 'answers'>): number | undefined {
-  const leader = answers.get(primary);
-  if (typeof leader !== 'object' || leader.role !== 'primary') return undefined;
-  const members = [...answers.values()].filter((answer) => typeof answer === 'object');
+  responses,
+}: Pick<QueryRound, 'primary' | 'responses'>): number | undefined {
+  const primaryStatus = responses.get(primary);
+  if (typeof primaryStatus !== 'object' || primaryStatus.role !== 'primary') return undefined;
+  const members = [...responses.values()].filter((answer) => typeof answer === 'object');
   const heldTerm = Math.max(...members.map((member) => member.heldTerm));
-  return heldTerm > leader.term ? heldTerm : undefined;
+  return heldTerm > primaryStatus.term ? heldTerm : undefined;
 }
 
 /** The member leads too, or follows a later primary than this one. */
-export function leadsAfter(member: InstanceStatus, leader: InstanceStatus): boolean {
-  return member.role === 'primary' || termOf(member) > leader.term;
+export function contradictsPrimary(member: InstanceStatus, primary: InstanceStatus): boolean {
+  return member.role === 'primary' || termOf(member) > primary.term;
 }
 
 /**
--- a/src/core/promotion/election.ts
+++ b/src/core/promotion/election.ts
@@ -14,12 +14,12 @@
   onChange: () => void = () => {};
   /** Lease under which this node took the lead. */
   #leaseId: string | undefined;
-  #token: number | undefined;
-  #attemptPlanned = false;
-  #abstainUntil: Milliseconds = 0;
+  #fencingToken: number | undefined;
+  #isAttemptScheduled = false;
+  #noCandidacyUntil: Milliseconds = 0;
   #stopped = false;
-  #removing: number | undefined;
-  #calledAt: Milliseconds = Number.NEGATIVE_INFINITY;
+  #revisionBeingDeleted: number | undefined;
+  #lastPromotionCallAt: Milliseconds = Number.NEGATIVE_INFINITY;
 
   constructor(
     private readonly runtime: PromotionRuntime,
@@ -29,13 +29,13 @@
   ) {}
 
   /** Fencing token, if this node is the leader as far as it knows. */
-  get token(): number | undefined {
-    return this.#token;
+  get fencingToken(): number | undefined {
+    return this.#fencingToken;
   }
 
   /** True if this node is the leader, and will surely be it for `marginMs` yet. */
   mayAct(marginMs: Milliseconds = 0): boolean {
-    if (this.#token === undefined || this.#stopped) return false;
+    if (this.#fencingToken === undefined || this.#stopped) return false;
     if (!this.#isEraSettled) return false;
     if (this.runtime.isDisabled('own-clock')) return true;
     if (this.#leaseId !== this.lease.leaseId) return false;
@@ -49,35 +49,39 @@
   }
 
   /** A call of the promotion has begun. */
-  noteCall(): void {
-    this.#calledAt = this.runtime.now;
+  recordPromotionCall(): void {
+    this.#lastPromotionCallAt = this.runtime.now;
   }
 
   /** False while a promotion by the next holder would follow too soon upon one by this. */
-  get mayHandOn(): boolean {
-    return this.runtime.now - this.#calledAt > this.runtime.timings.minHandoverDelayMs;
+  get mayHandOver(): boolean {
+    return this.runtime.now - this.#lastPromotionCallAt > this.runtime.timings.minHandoverDelayMs;
   }
 
   /** The leader's key or this node's registration may have changed. */
   update(): void {
     const entry = this.records.get(LEADER_KEY);
     const leader = decodeRecord(entry, parseLeaderRecord);
-    if (leader !== undefined && this.#isOwn(leader)) this.#setToken(entry?.modRevision, leader);
-    else this.#setToken(undefined);
-    if (entry === undefined) this.#planAttempt();
-    else if (leader !== undefined && this.#isLeftOver(leader)) this.#remove(entry.modRevision);
+    if (leader !== undefined && this.#isOwn(leader))
+      this.#setFencingToken(entry?.modRevision, leader);
+    else this.#setFencingToken(undefined);
+    if (entry === undefined) this.#scheduleAttempt();
+    else if (leader !== undefined && this.#isStaleOwnKey(leader))
+      this.#deleteKey(entry.modRevision);
   }
 
   /** Gives up the lead, and does not stand for it for a while. */
-  resign(abstainMs: Milliseconds, onDone: () => void = () => {}): void {
-    const token = this.#token;
-    this.#abstainUntil = this.#stopped ? Number.POSITIVE_INFINITY : this.runtime.now + abstainMs;
-    this.#setToken(undefined);
+  resign(cooldownMs: Milliseconds, onDone: () => void = () => {}): void {
+    const token = this.#fencingToken;
+    this.#noCandidacyUntil = this.#stopped
+      ? Number.POSITIVE_INFINITY
+      : this.runtime.now + cooldownMs;
+    this.#setFencingToken(undefined);
     if (token === undefined) {
       onDone();
       return;
     }
-    this.#remove(token, onDone);
+    this.#deleteKey(token, onDone);
   }
 
   /** This node will not stand any more. */
@@ -86,61 +90,61 @@
   }
 
   /** Deletes the leader's key of this revision, which is this node's. */
-  #remove(modRevision: number, onDone: () => void = () => {}): void {
-    if (this.#removing === modRevision) return;
-    this.#removing = modRevision;
+  #deleteKey(modRevision: number, onDone: () => void = () => {}): void {
+    if (this.#revisionBeingDeleted === modRevision) return;
+    this.#revisionBeingDeleted = modRevision;
     const compares = [{ key: LEADER_KEY, modRevision }];
     this.runtime.transaction(compares, [{ type: 'delete', key: LEADER_KEY }], (answer) => {
-      this.#removing = undefined;
+      this.#revisionBeingDeleted = undefined;
       onDone();
       if (!isTrouble(answer)) return;
       this.runtime.after(this.runtime.timings.storeRetryDelayMs, () => {
-        if (this.records.get(LEADER_KEY)?.modRevision === modRevision) this.#remove(modRevision);
+        if (this.records.get(LEADER_KEY)?.modRevision === modRevision) this.#deleteKey(modRevision);
       });
     });
   }
 
   #isOwn({ node, incarnation }: LeaderRecord): boolean {
     const { options } = this.runtime;
-    if (this.#isAbstaining) return false;
+    if (this.#isCandidacyPaused) return false;
     return node === options.nodeName && incarnation === options.incarnation;
   }
 
-  get #isAbstaining(): boolean {
-    return this.runtime.now < this.#abstainUntil;
+  get #isCandidacyPaused(): boolean {
+    return this.runtime.now < this.#noCandidacyUntil;
   }
 
   /**
    * Nobody holds the lead by this key: the process that wrote it is gone, and this one has taken its place, or this one
    * has resigned and a return of the store brought the key back, on a lease that lives on.
    */
-  #isLeftOver({ node, incarnation }: LeaderRecord): boolean {
+  #isStaleOwnKey({ node, incarnation }: LeaderRecord): boolean {
     const { nodeName, incarnation: own } = this.runtime.options;
     if (node !== nodeName || !this.participation.isRegistered) return false;
-    return incarnation !== own || this.#isAbstaining;
+    return incarnation !== own || this.#isCandidacyPaused;
   }
 
-  #setToken(token: number | undefined, leader?: LeaderRecord): void {
-    if (token === this.#token) return;
-    const isSameHold = leader !== undefined && this.#leaseId === leader.leaseId;
-    const isHeld = token !== undefined && this.#token !== undefined && isSameHold;
-    this.#token = token;
+  #setFencingToken(token: number | undefined, leader?: LeaderRecord): void {
+    if (token === this.#fencingToken) return;
+    const isSameLease = leader !== undefined && this.#leaseId === leader.leaseId;
+    const isSameLeadership = token !== undefined && this.#fencingToken !== undefined && isSameLease;
+    this.#fencingToken = token;
     this.#leaseId = leader?.leaseId;
     // The key outlived a return of the store from a copy: what this holder knows of its duty is the newest there is.
-    if (isHeld) return;
+    if (isSameLeadership) return;
     this.runtime.log('info', token === undefined ? 'leadership lost' : 'leadership taken', {
       token,
     });
     this.onChange();
   }
 
-  #planAttempt(): void {
-    if (this.#attemptPlanned || this.#stopped) return;
-    this.#attemptPlanned = true;
-    const waitMs = Math.max(0, this.#abstainUntil - this.runtime.now);
-    const spreadMs = this.runtime.timings.maxElectionDelayMs * this.runtime.options.random();
-    this.runtime.after(waitMs + spreadMs, () => {
-      this.#attemptPlanned = false;
+  #scheduleAttempt(): void {
+    if (this.#isAttemptScheduled || this.#stopped) return;
+    this.#isAttemptScheduled = true;
+    const waitMs = Math.max(0, this.#noCandidacyUntil - this.runtime.now);
+    const randomDelayMs = this.runtime.timings.maxElectionDelayMs * this.runtime.options.random();
+    this.runtime.after(waitMs + randomDelayMs, () => {
+      this.#isAttemptScheduled = false;
       this.#attempt();
     });
   }
@@ -153,7 +157,7 @@
       !this.participation.isRegistered ||
       !this.lease.isValid(this.runtime.now)
     ) {
-      this.#planLater();
+      this.#scheduleRetry();
       return;
     }
     const { nodeName, incarnation } = this.runtime.options;
@@ -164,13 +168,13 @@
       if (!isTrouble(answer) && answer.succeeded && leaseId === this.lease.leaseId) {
         this.records.noteOwnPut(LEADER_KEY, value, answer.revision);
       }
-      if (this.records.get(LEADER_KEY) === undefined) this.#planLater();
+      if (this.records.get(LEADER_KEY) === undefined) this.#scheduleRetry();
     });
   }
 
-  #planLater(): void {
+  #scheduleRetry(): void {
     this.runtime.after(this.runtime.timings.storeRetryDelayMs, () => {
-      if (this.records.get(LEADER_KEY) === undefined) this.#planAttempt();
+      if (this.records.get(LEADER_KEY) === undefined) this.#scheduleAttempt();
     });
   }
 }
--- a/src/core/promotion/era-publisher.ts
+++ b/src/core/promotion/era-publisher.ts
@@ -4,11 +4,11 @@
 import type { PromotionRuntime } from './runtime.js';
 import type { Scope } from './scope.js';
 
-const TRY_AGAIN_MS = 300;
+const RETRY_DELAY_MS = 300;
 
 export class EraPublisher {
   /** The term of office in which a write or a pause is on. */
-  #busyIn: Scope | undefined;
+  #busyScope: Scope | undefined;
 
   constructor(
     private readonly runtime: PromotionRuntime,
@@ -18,22 +18,22 @@
   /** Writes the record once this leader may act; `scope` ends with this node's duty. */
   update(scope: Scope): void {
     const { era, now } = this.runtime;
-    if (this.#busyIn === scope || era.unrecorded === undefined) return;
-    this.#busyIn = scope;
+    if (this.#busyScope === scope || era.unrecordedEra === undefined) return;
+    this.#busyScope = scope;
     if (!this.election.mayAct()) {
-      this.#later(scope, Math.max(TRY_AGAIN_MS, era.leasesOverAt - now));
+      this.#retryAfter(scope, Math.max(RETRY_DELAY_MS, era.previousLeasesExpiredAt - now));
       return;
     }
-    const value = JSON.stringify({ era: era.unrecorded } satisfies EraRecord);
-    const compares = [{ key: LEADER_KEY, modRevision: this.election.token ?? 0 }];
-    const onDone = scope.guard(() => this.#later(scope, TRY_AGAIN_MS));
+    const value = JSON.stringify({ era: era.unrecordedEra } satisfies EraRecord);
+    const compares = [{ key: LEADER_KEY, modRevision: this.election.fencingToken ?? 0 }];
+    const onDone = scope.guard(() => this.#retryAfter(scope, RETRY_DELAY_MS));
     const put = { type: 'put', key: ERA_KEY, value } as const;
     this.runtime.transaction(compares, [put], () => onDone(undefined));
   }
 
-  #later(scope: Scope, delayMs: number): void {
+  #retryAfter(scope: Scope, delayMs: number): void {
     scope.after(delayMs, () => {
-      this.#busyIn = undefined;
+      this.#busyScope = undefined;
       this.update(scope);
     });
   }
--- a/src/core/promotion/era-settling.ts
+++ b/src/core/promotion/era-settling.ts
@@ -8,20 +8,20 @@
 import type { PromotionTimings } from './options.js';
 
 export class EraSettling {
-  #heardAt: Milliseconds = Number.NEGATIVE_INFINITY;
+  #eraFirstSeenAt: Milliseconds = Number.NEGATIVE_INFINITY;
   /** Undefined for a store that names none. */
   #era: number | undefined;
   /** The era that a leader has recorded as settled. */
-  #recorded: number | undefined;
+  #settledEra: number | undefined;
   /** This process has no memory of an era before, in which the store may have held more. */
-  #isWithoutMemory = false;
+  #lacksEarlierRecords = false;
 
   /** It did not follow the store up to its return, and may have missed what the copy lacks. */
   #mayHaveMissed = false;
 
-  #hasRisen = false;
+  #hasStoreBeenRestored = false;
   /** The era in which the whole system started. */
-  #firstOfAll: number | undefined;
+  #initialEra: number | undefined;
 
   constructor(
     private readonly timings: PromotionTimings,
@@ -31,57 +31,59 @@
 
   /**
    * The store named its era for the first time, or one that is higher.
-   * @param wasPermitted no change of primary can have ended before the return without this node's acknowledgement
+   * @param hadWritePermission no change of primary can have ended before the return without this node's acknowledgement
    */
-  note(era: number, now: Milliseconds, wasPermitted = true): void {
+  recordEra(era: number, now: Milliseconds, hadWritePermission = true): void {
     const isFirst = this.#era === undefined;
-    this.#mayHaveMissed = !isFirst && (!wasPermitted || this.mayHaveMissedRecords(now));
-    if (isFirst && this.isFirstStart) this.#firstOfAll = era;
-    this.#isWithoutMemory = isFirst || !this.mayRelyOnRecords(now);
-    this.#hasRisen ||= !isFirst;
+    this.#mayHaveMissed = !isFirst && (!hadWritePermission || this.mayHaveMissedRecords(now));
+    if (isFirst && this.isFirstStart) this.#initialEra = era;
+    this.#lacksEarlierRecords = isFirst || !this.mayRelyOnRecords(now);
+    this.#hasStoreBeenRestored ||= !isFirst;
     this.#era = era;
-    this.#heardAt = now;
+    this.#eraFirstSeenAt = now;
   }
 
   /** What the records say of the era that is settled. */
-  noteRecorded(era: number | undefined): void {
-    this.#recorded = era;
+  setSettledEra(era: number | undefined): void {
+    this.#settledEra = era;
   }
 
   /** The present era, if no leader has recorded it yet. */
-  get unrecorded(): number | undefined {
-    return this.#recorded === this.#era ? undefined : this.#era;
+  get unrecordedEra(): number | undefined {
+    return this.#settledEra === this.#era ? undefined : this.#era;
   }
 
   /** The store came back from a copy in the life of this process: what leaders kept for themselves may be lost. */
-  get hasRisen(): boolean {
-    return this.#hasRisen;
+  get hasStoreBeenRestored(): boolean {
+    return this.#hasStoreBeenRestored;
   }
 
   /** From then on no node relies on a lease that it had before: the last renewal was answered before the return. */
-  get leasesOverAt(): Milliseconds {
-    return this.#heardAt + this.timings.leaseSeconds * MILLISECONDS_PER_SECOND;
+  get previousLeasesExpiredAt(): Milliseconds {
+    return this.#eraFirstSeenAt + this.timings.leaseSeconds * MILLISECONDS_PER_SECOND;
   }
 
   /** From then on no call of a leader of the era before can take effect. */
-  get callsSettledAt(): Milliseconds {
-    return this.leasesOverAt + this.timings.promoteTimeoutMs + this.timings.callSettledMs;
+  get previousCallsSettledAt(): Milliseconds {
+    return (
+      this.previousLeasesExpiredAt + this.timings.promoteTimeoutMs + this.timings.callSettledMs
+    );
   }
 
   /** No lease of the era before is relied on any more. */
   isSettled(now: Milliseconds): boolean {
-    return !this.#mayHaveBegunLately || now >= this.leasesOverAt;
+    return !this.#mayHaveBegunRecently || now >= this.previousLeasesExpiredAt;
   }
 
   /** A leader that leads since then may have taken over from one of the era before, whose calls are not settled. */
-  mayHaveLostCalls(leadsSince: Milliseconds, now: Milliseconds): boolean {
-    if (!this.#hasRisen && !this.#mayHaveBegunLately) return false;
-    return leadsSince >= this.#heardAt && now < this.callsSettledAt;
+  mayHaveUnnamedCalls(leadingSince: Milliseconds, now: Milliseconds): boolean {
+    if (!this.#hasStoreBeenRestored && !this.#mayHaveBegunRecently) return false;
+    return leadingSince >= this.#eraFirstSeenAt && now < this.previousCallsSettledAt;
   }
 
   /** Neither has a leader recorded the era, nor did the system start in it. */
-  get #mayHaveBegunLately(): boolean {
-    return this.unrecorded !== undefined && this.#firstOfAll !== this.#era;
+  get #mayHaveBegunRecently(): boolean {
+    return this.unrecordedEra !== undefined && this.#initialEra !== this.#era;
   }
 
   /** A record that the copy lacks, and that others are yet to write again, may name another primary than is known here. */
@@ -91,6 +93,6 @@
 
   /** What the store holds, with what this process remembers, is all that was acted on. */
   mayRelyOnRecords(now: Milliseconds): boolean {
-    return !this.#isWithoutMemory || this.isSettled(now);
+    return !this.#lacksEarlierRecords || this.isSettled(now);
   }
 }
--- a/src/core/promotion/evidence.ts
+++ b/src/core/promotion/evidence.ts
@@ -11,29 +11,34 @@
  * `core/statements/primary-evidence.ts` proves less for less: positions alone, without a slot.
  */
 import { laterPosition, type Position } from '../position.js';
-import { judgeCommits, leadsAfter, type MemberAnswers, type TermRound } from './commit-verdict.js';
+import {
+  contradictsPrimary,
+  judgeCommits,
+  type MemberResponses,
+  type QueryRound,
+} from './commit-verdict.js';
 
-export type { RoundAnswer, TermRound } from './commit-verdict.js';
+export type { MemberResponse, QueryRound } from './commit-verdict.js';
 
 /** What a primary is trusted for. */
 export type TrustedUse = 'read' | 'commit';
 
 /** True if the round proves that the primary could be trusted when it was sent. */
-export function provesPrimary(round: TermRound, use: TrustedUse): boolean {
-  return use === 'read' ? provesForReads(round) : judgeCommits(round) === 'safe';
+export function provesPrimary(round: QueryRound, use: TrustedUse): boolean {
+  return use === 'read' ? provesPrimaryForReads(round) : judgeCommits(round) === 'safe';
 }
 
-function provesForReads(round: TermRound): boolean {
-  const { primary, answers, syncReplicas, areMembersCurrent = true } = round;
-  const leader = answers.get(primary);
-  if (typeof leader !== 'object' || leader.role !== 'primary') return false;
-  let unanswered = 0;
-  for (const [id, answer] of answers) {
+function provesPrimaryForReads(round: QueryRound): boolean {
+  const { primary, responses, syncReplicas, areMembersCurrent = true } = round;
+  const primaryStatus = responses.get(primary);
+  if (typeof primaryStatus !== 'object' || primaryStatus.role !== 'primary') return false;
+  let unansweredCount = 0;
+  for (const [id, response] of responses) {
     if (id === primary) continue;
-    if (typeof answer === 'string') unanswered += 1;
-    else if (leadsAfter(answer, leader)) return false;
+    if (typeof response === 'string') unansweredCount += 1;
+    else if (contradictsPrimary(response, primaryStatus)) return false;
   }
-  return unanswered <= (areMembersCurrent ? syncReplicas : 0);
+  return unansweredCount <= (areMembersCurrent ? syncReplicas : 0);
 }
 
 /**
@@ -44,16 +49,16 @@
  * has just joined and which nobody knows.
  */
 export function acknowledgedPosition(
-  answers: MemberAnswers,
+  responses: MemberResponses,
   syncReplicas: number,
 ): Position | undefined {
   let position: Position | undefined;
-  let silent = 0;
-  for (const answer of answers.values()) {
-    const isReplica = typeof answer === 'object' && answer.role === 'replica';
-    if (!isReplica) silent += 1;
-    if (typeof answer === 'string') continue;
-    position = laterPosition(position ?? answer.received, answer.received);
+  let silentCount = 0;
+  for (const response of responses.values()) {
+    const isReplica = typeof response === 'object' && response.role === 'replica';
+    if (!isReplica) silentCount += 1;
+    if (typeof response === 'string') continue;
+    position = laterPosition(position ?? response.received, response.received);
   }
-  return silent <= syncReplicas ? position : undefined;
+  return silentCount <= syncReplicas ? position : undefined;
 }
--- a/src/core/promotion/fleet-publisher.ts
+++ b/src/core/promotion/fleet-publisher.ts
@@ -22,19 +22,24 @@
   sameKeepers,
 } from '../tenancy/quota-keepers.js';
 import type { Milliseconds } from '../units.js';
-import type { DutyStore } from './duty-store.js';
+import type { LeaderStore } from './leader-store.js';
 import type { FleetRecord } from './records.js';
 import type { PromotionRuntime } from './runtime.js';
 
 /** What is read and written of the fleet in the store. */
 export type FleetStore = Pick<
-  DutyStore,
-  'begunAt' | 'liveNodes' | 'reachableNodes' | 'possibleReaders' | 'publishedFleet' | 'publishFleet'
+  LeaderStore,
+  | 'leadingSince'
+  | 'countLiveNodes'
+  | 'reachableNodes'
+  | 'readerCandidates'
+  | 'publishedFleet'
+  | 'publishFleet'
 >;
 
 export class FleetPublisher {
-  readonly #decision = new SharingDecision();
-  readonly #returnDecision = new SharingDecision();
+  readonly #sharingDecision = new SharingDecision();
+  readonly #returnSharingDecision = new SharingDecision();
   /** Keepers without a lease, and since when. */
   readonly #missingSince = new Map<string, Milliseconds>();
 
@@ -47,7 +52,7 @@
   /** True if what is published is not what holds now. */
   isOutdated(): boolean {
     const published = this.store.publishedFleet();
-    return published === undefined || !sameFleet(published, this.#current(published));
+    return published === undefined || !areSameFleets(published, this.#currentFleet(published));
   }
 
   /** True while what is to be published may change by the time alone. */
@@ -63,26 +68,27 @@
 
   publish(onDone: () => void): void {
     const published = this.store.publishedFleet();
-    const fleet = this.#current(published);
-    if (fleet.owners?.ownersPerInstance !== published?.owners?.ownersPerInstance) this.#tell(fleet);
-    this.store.publishFleet(fleet, replacedKeepers(published, fleet), onDone);
+    const fleet = this.#currentFleet(published);
+    if (fleet.owners?.ownersPerInstance !== published?.owners?.ownersPerInstance)
+      this.#logSharing(fleet);
+    this.store.publishFleet(fleet, removedKeepers(published, fleet), onDone);
   }
 
-  #tell({ nodes, owners }: FleetRecord): void {
+  #logSharing({ nodes, owners }: FleetRecord): void {
     const ownersPerInstance = owners?.ownersPerInstance;
     const through = owners === undefined ? 'all nodes' : 'owners';
     this.runtime.log('info', 'connections shared', { through, nodes, ownersPerInstance });
   }
 
-  #current(published: FleetRecord | undefined): FleetRecord {
-    const nodes = this.store.liveNodes();
-    const readers = this.#readers(published);
-    const sharing = this.#decision.decide(
-      sharingBy(published?.owners),
-      this.#sizeOf(nodes),
+  #currentFleet(published: FleetRecord | undefined): FleetRecord {
+    const nodes = this.store.countLiveNodes();
+    const readers = this.#nextReaders(published);
+    const sharing = this.#sharingDecision.decide(
+      sharingOf(published?.owners),
+      this.#fleetSize(nodes),
       this.runtime.now,
     );
-    const keepers = this.#keepersAfter(published);
+    const keepers = this.#nextKeepers(published);
     if (sharing.type === 'direct') {
       return { nodes, readers, keepers, returnOwners: this.#returnOwners(published, nodes) };
     }
@@ -96,11 +102,11 @@
   /** Owners for nodes that come back, in a fleet whose nodes connect by themselves otherwise. */
   #returnOwners(published: FleetRecord | undefined, nodes: number): OwnerRoster | undefined {
     const before = published?.returnOwners ?? published?.owners;
-    const { maxConnections } = this.#sizeOf(nodes);
+    const { maxConnections } = this.#fleetSize(nodes);
     const largestDirectFleet =
       maxConnections === undefined ? undefined : largestReturningMesh(maxConnections);
-    const sharing = this.#returnDecision.decide(
-      sharingBy(before),
+    const sharing = this.#returnSharingDecision.decide(
+      sharingOf(before),
       { liveNodes: nodes, maxConnections, largestDirectFleet },
       this.runtime.now,
     );
@@ -110,24 +116,28 @@
     return roster.length === 0 ? undefined : { ownersPerInstance, nodes: roster };
   }
 
-  #readers(published: FleetRecord | undefined): readonly ReachableNode[] | undefined {
+  #nextReaders(published: FleetRecord | undefined): readonly ReachableNode[] | undefined {
     const { smallestReaderFleet } = this.runtime.options;
-    const live = this.store.possibleReaders();
+    const live = this.store.readerCandidates();
     const readers = nextReaders(published?.readers ?? [], live, smallestReaderFleet);
     return readers.length === 0 ? undefined : readers;
   }
 
   /** Keepers whose lease is over count as live until they surely have stopped. */
-  #keepersAfter(published: FleetRecord | undefined): QuotaKeepers | undefined {
+  #nextKeepers(published: FleetRecord | undefined): QuotaKeepers | undefined {
     const { options, now } = this.runtime;
     const previous = published?.keepers;
     if (options.hasQuotas !== true) return previous;
-    if (previous === undefined && now - this.store.begunAt < FIRST_KEEPERS_MS) return undefined;
-    const live = this.store.possibleReaders();
-    return nextKeepers(previous ?? [], [...live, ...this.#lateKeepers(previous ?? [], live)]);
+    if (previous === undefined && now - this.store.leadingSince < FIRST_KEEPERS_MS)
+      return undefined;
+    const live = this.store.readerCandidates();
+    return nextKeepers(previous ?? [], [
+      ...live,
+      ...this.#recentlyMissingKeepers(previous ?? [], live),
+    ]);
   }
 
-  #lateKeepers(
+  #recentlyMissingKeepers(
     previous: QuotaKeepers,
     live: readonly KeeperCandidate[],
   ): readonly KeeperCandidate[] {
@@ -146,7 +156,7 @@
     });
   }
 
-  #sizeOf(liveNodes: number) {
+  #fleetSize(liveNodes: number) {
     const limits = [...this.services()].map(({ maxConnections }) => maxConnections);
     const maxConnections = limits.length === 0 ? undefined : Math.min(...limits);
     const { largestDirectFleet } = this.runtime.options;
@@ -155,18 +165,18 @@
 }
 
 /** Keepers that are not named any more: their leases must be over. */
-function replacedKeepers(before: FleetRecord | undefined, after: FleetRecord): readonly string[] {
+function removedKeepers(before: FleetRecord | undefined, after: FleetRecord): readonly string[] {
   const staying = new Set(after.keepers?.map(({ nodeId }) => nodeId));
   const gone = before?.keepers?.filter(({ nodeId }) => !staying.has(nodeId)) ?? [];
   return [...new Set(gone.map(({ nodeId }) => nodeId))];
 }
 
-function sharingBy(owners: OwnerRoster | undefined): ConnectionSharing {
+function sharingOf(owners: OwnerRoster | undefined): ConnectionSharing {
   if (owners === undefined) return { type: 'direct' };
   return { type: 'owners', ownersPerInstance: owners.ownersPerInstance };
 }
 
-function sameFleet(left: FleetRecord, right: FleetRecord): boolean {
+function areSameFleets(left: FleetRecord, right: FleetRecord): boolean {
   if (left.nodes !== right.nodes) return false;
   if (!sameRoster(left.readers ?? [], right.readers ?? [])) return false;
   if (!sameKeepers(left.keepers, right.keepers)) return false;
--- a/src/core/promotion/aftercare.ts
+++ b/src/core/promotion/held-replica-check.ts
@@ -8,22 +8,22 @@
 import type { PromotionRuntime } from './runtime.js';
 import { Scope } from './scope.js';
 
-const SLOWEST_RETRY_MS = 10_000;
+const MAX_RETRY_DELAY_MS = 10_000;
 
-export interface AftercareOptions {
-  readonly leaderId: string;
+export interface HeldReplicaCheckOptions {
+  readonly primaryId: string;
   readonly term: number;
   readonly members: readonly InstanceEntry[];
   /** This node is the leader yet: a deposed one would end the holds of the next. */
   readonly mayAct: () => boolean;
 }
 
-export class Aftercare {
+export class HeldReplicaCheck {
   readonly #scope: Scope;
 
   constructor(
     private readonly runtime: PromotionRuntime,
-    private readonly options: AftercareOptions,
+    private readonly options: HeldReplicaCheckOptions,
   ) {
     this.#scope = new Scope(runtime);
   }
@@ -31,9 +31,9 @@
   /** Members of a change that this leader has just made are known to be held. */
   start(areHeld: boolean): void {
     for (const member of this.options.members) {
-      if (member.id === this.options.leaderId) continue;
-      if (areHeld) this.#letGo(member, 0);
-      else this.#look(member, 0, true);
+      if (member.id === this.options.primaryId) continue;
+      if (areHeld) this.#resume(member, 0);
+      else this.#queryStatus(member, 0, true);
     }
   }
 
@@ -41,53 +41,53 @@
     this.#scope.end();
   }
 
-  #letGo(member: InstanceEntry, failures: number): void {
+  #resume(member: InstanceEntry, failures: number): void {
     if (!this.options.mayAct()) {
-      this.#again(member, failures);
+      this.#retry(member, failures);
       return;
     }
     const onAnswer = this.#scope.guard((answer: InstanceStatus | ControlFailure) => {
-      if (typeof answer === 'string') this.#again(member, failures);
-      else this.#follow(member, answer, false);
+      if (typeof answer === 'string') this.#retry(member, failures);
+      else this.#handleStatus(member, answer, false);
     });
     this.runtime.control('resume', member, 0, onAnswer);
   }
 
-  #look(member: InstanceEntry, failures: number, isLast: boolean): void {
+  #queryStatus(member: InstanceEntry, failures: number, isLast: boolean): void {
     const onAnswer = this.#scope.guard((answer: InstanceStatus | ControlFailure) => {
-      if (typeof answer === 'string') this.#again(member, failures);
-      else this.#follow(member, answer, isLast);
+      if (typeof answer === 'string') this.#retry(member, failures);
+      else this.#handleStatus(member, answer, isLast);
     });
     this.runtime.control('status', member, 0, onAnswer);
   }
 
-  #follow(member: InstanceEntry, status: InstanceStatus, isLast: boolean): void {
+  #handleStatus(member: InstanceEntry, status: InstanceStatus, isLast: boolean): void {
     const { heldCheckPeriodMs, heldFinalCheckDelayMs } = this.runtime.timings;
     if (status.role === 'primary') {
       if (status.term < this.options.term) this.#demote(member);
     } else if (status.heldTerm > 0) {
-      this.#scope.after(isLast ? 0 : heldCheckPeriodMs, () => this.#letGo(member, 0));
+      this.#scope.after(isLast ? 0 : heldCheckPeriodMs, () => this.#resume(member, 0));
     } else if (!isLast) {
       // A call of an earlier leader may arrive late and hold it once more.
-      this.#scope.after(heldFinalCheckDelayMs, () => this.#look(member, 0, true));
+      this.#scope.after(heldFinalCheckDelayMs, () => this.#queryStatus(member, 0, true));
     }
   }
 
   #demote(member: InstanceEntry): void {
     if (!this.options.mayAct()) {
-      this.#again(member, 0);
+      this.#retry(member, 0);
       return;
     }
     const onAnswer = this.#scope.guard((answer: InstanceStatus | ControlFailure) => {
-      if (typeof answer === 'string') this.#again(member, 0);
-      else this.#follow(member, answer, false);
+      if (typeof answer === 'string') this.#retry(member, 0);
+      else this.#handleStatus(member, answer, false);
     });
     this.runtime.control('demote', member, this.options.term, onAnswer);
   }
 
-  #again(member: InstanceEntry, failures: number): void {
+  #retry(member: InstanceEntry, failures: number): void {
     const delayMs: Milliseconds = this.runtime.timings.heldCheckPeriodMs * 2 ** failures;
-    const next = (): void => this.#look(member, failures + 1, false);
-    this.#scope.after(Math.min(SLOWEST_RETRY_MS, delayMs), next);
+    const next = (): void => this.#queryStatus(member, failures + 1, false);
+    this.#scope.after(Math.min(MAX_RETRY_DELAY_MS, delayMs), next);
   }
 }
--- a/src/core/promotion/hold.ts
+++ b/src/core/promotion/hold.ts
@@ -5,27 +5,27 @@
  */
 import type { InstanceEntry, InstanceStatus } from '../../direct/contract.js';
 import type { Milliseconds } from '../units.js';
-import type { MemberFinding } from './candidate.js';
+import type { MemberObservation } from './candidate.js';
 import type { ControlAction, ControlFailure } from './contract.js';
 import type { PromotionRuntime } from './runtime.js';
 import { Scope } from './scope.js';
 
-const BUSY_RETRY_MS = 40;
+const BUSY_RETRY_DELAY_MS = 40;
 
 interface MemberState {
   readonly entry: InstanceEntry;
   status: InstanceStatus | undefined;
   /** When the call that gave this status was sent: by a late process, answers are read long after they were given. */
-  askedAt: Milliseconds;
+  sentAt: Milliseconds;
   action: ControlAction;
   /** Number of the call that was sent last. */
-  calls: number;
+  callCount: number;
   /** When a call was last answered or failed. */
-  triedAt: Milliseconds;
+  lastCallEndedAt: Milliseconds;
 }
 
 export interface HoldOptions {
-  readonly from: InstanceEntry | undefined;
+  readonly oldPrimary: InstanceEntry | undefined;
   readonly replicas: readonly InstanceEntry[];
   /** Highest term known. */
   readonly term: number;
@@ -33,7 +33,7 @@
   /** This node is the leader yet: a deposed one would hold what the next has let go. */
   readonly mayAct: () => boolean;
   /** Called with each answer. */
-  readonly onFinding: () => void;
+  readonly onResponse: () => void;
 }
 
 export class GroupHold {
@@ -41,9 +41,9 @@
   #members: MemberState[];
   #isStarted = false;
   #term: number;
-  #heardAt: Milliseconds;
+  #lastResponseAt: Milliseconds;
   /** What was asked before this does not count. */
-  #countsFrom: Milliseconds = Number.NEGATIVE_INFINITY;
+  #validFrom: Milliseconds = Number.NEGATIVE_INFINITY;
 
   constructor(
     private readonly runtime: PromotionRuntime,
@@ -51,19 +51,23 @@
   ) {
     this.#scope = new Scope(runtime);
     this.#term = options.term;
-    this.#heardAt = runtime.now;
-    const from = options.from === undefined ? [] : [memberState(options.from, 'demote')];
-    this.#members = [...from, ...options.replicas.map((entry) => memberState(entry, 'pause'))];
+    this.#lastResponseAt = runtime.now;
+    const oldPrimary =
+      options.oldPrimary === undefined ? [] : [memberState(options.oldPrimary, 'demote')];
+    this.#members = [
+      ...oldPrimary,
+      ...options.replicas.map((entry) => memberState(entry, 'pause')),
+    ];
   }
 
   /** Last time that any member answered. */
-  get heardAt(): Milliseconds {
-    return this.#heardAt;
+  get lastResponseAt(): Milliseconds {
+    return this.#lastResponseAt;
   }
 
   start(): void {
     this.#isStarted = true;
-    for (const member of this.#members) this.#secure(member);
+    for (const member of this.#members) this.#callMember(member);
   }
 
   stop(): void {
@@ -74,55 +78,56 @@
    * Nobody uses the old primary any more, so that what members tell from now on covers all that was acknowledged,
    * also where a restart ended a hold before. Asks them all at once.
    */
-  noteFree(): void {
-    this.#countsFrom = this.runtime.now;
-    if (this.#isStarted) for (const member of this.#members) this.#secure(member);
+  recordOldPrimaryUnused(): void {
+    this.#validFrom = this.runtime.now;
+    if (this.#isStarted) for (const member of this.#members) this.#callMember(member);
   }
 
   /** The replicas that there are now: some may have joined, or have been replaced. */
-  noteReplicas(replicas: readonly InstanceEntry[]): void {
-    const fromId = this.options.from?.id;
+  updateReplicas(replicas: readonly InstanceEntry[]): void {
+    const oldPrimaryId = this.options.oldPrimary?.id;
     this.#members = this.#members.filter(({ entry }) => {
-      return entry.id === fromId || replicas.some(({ id }) => id === entry.id);
+      return entry.id === oldPrimaryId || replicas.some(({ id }) => id === entry.id);
     });
     for (const replica of replicas) {
       if (this.#members.some(({ entry }) => entry.id === replica.id)) continue;
       const member = memberState(replica, 'pause');
       this.#members.push(member);
-      if (this.#isStarted) this.#secure(member);
+      if (this.#isStarted) this.#callMember(member);
     }
   }
 
   /** What is known of a member now. */
-  findingOf(id: string): MemberFinding | undefined {
+  observationOf(id: string): MemberObservation | undefined {
     const member = this.#members.find(({ entry }) => entry.id === id);
     if (member === undefined) return undefined;
     const { entry, status } = member;
-    const known = this.#isRecent(member) ? status : undefined;
+    const recent = this.#isRecent(member) ? status : undefined;
     return {
       entry,
-      received: known?.received,
-      stopped: known !== undefined && this.#isStopped(member, known),
-      present: this.options.isPresent(id),
-      isReached: known !== undefined,
+      received: recent?.received,
+      isStopped: recent !== undefined && this.#isStopped(member, recent),
+      isRegistered: this.options.isPresent(id),
+      isReachable: recent !== undefined,
     };
   }
 
   /** True if nothing was heard of a member though it was lately tried. */
-  isUnheard(id: string): boolean {
+  isUnresponsive(id: string): boolean {
     const member = this.#members.find(({ entry }) => entry.id === id);
     const { now, timings } = this.runtime;
-    if (member === undefined || now - member.triedAt > timings.evidenceMaxAgeMs) return false;
+    if (member === undefined || now - member.lastCallEndedAt > timings.evidenceMaxAgeMs)
+      return false;
     return !this.#isRecent(member);
   }
 
-  #isRecent({ askedAt }: MemberState): boolean {
+  #isRecent({ sentAt: askedAt }: MemberState): boolean {
     const { now, timings } = this.runtime;
-    return askedAt >= this.#countsFrom && now - askedAt <= timings.evidenceMaxAgeMs;
+    return askedAt >= this.#validFrom && now - askedAt <= timings.evidenceMaxAgeMs;
   }
 
   /** A member that answered as the leader of a later term than the given one. */
-  leaderAfter(term: number): { entry: InstanceEntry; status: InstanceStatus } | undefined {
+  laterPrimary(term: number): { entry: InstanceEntry; status: InstanceStatus } | undefined {
     for (const { entry, status } of this.#members) {
       if (status?.role === 'primary' && status.term > term) return { entry, status };
     }
@@ -131,62 +136,62 @@
 
   #isStopped({ entry }: MemberState, status: InstanceStatus): boolean {
     if (status.role !== 'replica') return false;
-    return entry.id === this.options.from?.id || status.heldTerm > 0;
+    return entry.id === this.options.oldPrimary?.id || status.heldTerm > 0;
   }
 
-  #secure(member: MemberState): void {
+  #callMember(member: MemberState): void {
     const { holdRetryPeriodMs } = this.runtime.timings;
     if (!this.#members.includes(member)) return;
     if (!this.options.mayAct()) {
-      const { calls } = member;
+      const { callCount: calls } = member;
       this.#scope.after(holdRetryPeriodMs, () => {
-        if (calls === member.calls) this.#secure(member);
+        if (calls === member.callCount) this.#callMember(member);
       });
       return;
     }
     const term = this.#term + 1;
     const { action } = member;
-    const askedAt = this.runtime.now;
-    member.calls += 1;
-    const call = member.calls;
+    const sentAt = this.runtime.now;
+    member.callCount += 1;
+    const call = member.callCount;
     const onAnswer = this.#scope.guard((answer: InstanceStatus | ControlFailure) => {
-      this.#noteAnswer(member, answer, askedAt);
-      if (call === member.calls) {
-        member.triedAt = this.runtime.now;
-        const waitMs = answer === 'busy' ? BUSY_RETRY_MS : holdRetryPeriodMs;
+      this.#recordResponse(member, answer, sentAt);
+      if (call === member.callCount) {
+        member.lastCallEndedAt = this.runtime.now;
+        const waitMs = answer === 'busy' ? BUSY_RETRY_DELAY_MS : holdRetryPeriodMs;
         this.#scope.after(waitMs, () => {
-          if (call === member.calls) this.#secure(member);
+          if (call === member.callCount) this.#callMember(member);
         });
       }
-      this.options.onFinding();
+      this.options.onResponse();
     });
     this.runtime.control(action, member.entry, action === 'status' ? 0 : term, onAnswer);
   }
 
-  #noteAnswer(
+  #recordResponse(
     member: MemberState,
     answer: InstanceStatus | ControlFailure,
-    askedAt: Milliseconds,
+    sentAt: Milliseconds,
   ): void {
-    if (answer === 'busy' || answer === 'rejected') this.#heardAt = this.runtime.now;
+    if (answer === 'busy' || answer === 'rejected') this.#lastResponseAt = this.runtime.now;
     if (answer === 'rejected') member.action = 'status';
     if (typeof answer === 'string') return;
-    this.#heardAt = this.runtime.now;
-    if (askedAt < member.askedAt) return;
+    this.#lastResponseAt = this.runtime.now;
+    if (sentAt < member.sentAt) return;
     // Of one that leads: it is the new one, and the others are about to follow it.
     if (answer.role === 'replica') this.#term = Math.max(this.#term, answer.term);
     member.status = answer;
-    member.askedAt = askedAt;
+    member.sentAt = sentAt;
     member.action = this.#nextAction(member, answer);
   }
 
   #nextAction(member: MemberState, status: InstanceStatus): ControlAction {
     if (status.role === 'primary') return status.term > this.options.term ? 'status' : 'demote';
-    return member.entry.id === this.options.from?.id ? 'status' : 'pause';
+    return member.entry.id === this.options.oldPrimary?.id ? 'status' : 'pause';
   }
 }
 
 function memberState(entry: InstanceEntry, action: ControlAction): MemberState {
   const never = Number.NEGATIVE_INFINITY;
-  return { entry, status: undefined, askedAt: never, triedAt: never, action, calls: 0 };
+  return { entry, status: undefined, sentAt: never, lastCallEndedAt: never, action, callCount: 0 };
 }
--- a/src/core/promotion/duty-store.ts
+++ b/src/core/promotion/leader-store.ts
@@ -38,21 +38,21 @@
 import type { StoreView } from './store-view.js';
 
 /** A service's record or note to be written; both are replaced as they are known now. */
-export interface DutyWrite {
+export interface LeaderWrite {
   readonly service: string;
   readonly record?: PrimaryRecord;
-  readonly note?: HandoverRecord;
+  readonly handover?: HandoverRecord;
 }
 
 /** One value of a write, and the view of the store that it belongs to. */
-interface Put {
+interface PendingPut {
   readonly view: StoreView;
   readonly key: string;
   readonly value: string;
 }
 
 const NODE_PREFIX = `${LEADER_WATCH_PREFIX}nodes/`;
-const EMPTY_NOTE: HandoverRecord = {
+const EMPTY_HANDOVER: HandoverRecord = {
   members: [],
   departed: [],
   primary: undefined,
@@ -64,32 +64,32 @@
  * In a large fleet members are told first once this leader has led for so long, if none has lost its entry by then: in
  * the first moments of a fleet each node polls the store by itself, and each record costs a poll of every node.
  */
-const FIRST_MEMBERS_MS: Milliseconds = 3000;
+const INITIAL_MEMBERS_DELAY_MS: Milliseconds = 3000;
 
-export class DutyStore {
-  readonly #decodedNotes = new Map<
+export class LeaderStore {
+  readonly #decodedHandovers = new Map<
     string,
-    { readonly entry: KeyValue; readonly note: HandoverRecord }
+    { readonly entry: KeyValue; readonly handover: HandoverRecord }
   >();
 
-  #begunAt: Milliseconds = Number.NEGATIVE_INFINITY;
+  #leadingSince: Milliseconds = Number.NEGATIVE_INFINITY;
 
   constructor(
     private readonly runtime: PromotionRuntime,
     private readonly election: Election,
     private readonly primaries: Primaries,
     private readonly records: StoreView,
-    private readonly duty: StoreView,
+    private readonly leaderView: StoreView,
   ) {}
 
   /** Since when this node has led. */
-  get begunAt(): Milliseconds {
-    return this.#begunAt;
+  get leadingSince(): Milliseconds {
+    return this.#leadingSince;
   }
 
   /** This node has taken the lead. */
-  begin(): void {
-    this.#begunAt = this.runtime.now;
+  startLeading(): void {
+    this.#leadingSince = this.runtime.now;
   }
 
   /**
@@ -102,51 +102,52 @@
     if (!this.records.isReady || this.primaries.recordOf(service) !== undefined) return undefined;
     const present = this.primaries.present(service);
     if (present.some(({ role }) => role === 'primary')) return undefined;
-    return this.noteOf(service).primary;
+    return this.handoverOf(service).primary;
   }
 
-  noteOf(service: string): HandoverRecord {
-    const entry = this.duty.get(handoverKeyOf(service));
-    if (entry === undefined) return EMPTY_NOTE;
-    const known = this.#decodedNotes.get(service);
-    if (known?.entry === entry) return known.note;
-    const note = decodeRecord(entry, parseHandoverRecord) ?? EMPTY_NOTE;
-    this.#decodedNotes.set(service, { entry, note });
-    return note;
+  handoverOf(service: string): HandoverRecord {
+    const entry = this.leaderView.get(handoverKeyOf(service));
+    if (entry === undefined) return EMPTY_HANDOVER;
+    const known = this.#decodedHandovers.get(service);
+    if (known?.entry === entry) return known.handover;
+    const handover = decodeRecord(entry, parseHandoverRecord) ?? EMPTY_HANDOVER;
+    this.#decodedHandovers.set(service, { entry, handover });
+    return handover;
   }
 
   /**
    * Members by the record that all nodes follow, where it is later than the note: both are written together, but the note
    * is known to leaders alone, and a return of the store from a copy may have taken it back.
    */
-  membersBeyondNote(service: string): readonly InstanceEntry[] {
+  membersNewerThanHandover(service: string): readonly InstanceEntry[] {
     const record = this.records.get(membersKeyOf(service));
-    const note = this.duty.get(handoverKeyOf(service));
-    if (record === undefined || (note?.modRevision ?? 0) >= record.modRevision) return [];
+    const handover = this.leaderView.get(handoverKeyOf(service));
+    if (record === undefined || (handover?.modRevision ?? 0) >= record.modRevision) return [];
     return decodeRecord(record, parseMembersRecord)?.members ?? [];
   }
 
   /** Members that nodes have seen and no record names, as told with their acknowledgements of the change under way. */
-  unlistedByNodes(service: string): readonly InstanceEntry[] {
+  unlistedMembersFromNodes(service: string): readonly InstanceEntry[] {
     const record = this.primaries.recordOf(service);
     if (record?.phase !== 'changing') return [];
-    const told: InstanceEntry[] = [];
-    for (const entry of this.duty.under(acknowledgementPrefixOf(service))) {
-      const acknowledged = decodeRecord(entry, parseAcknowledgementRecord);
-      if (acknowledged?.change === record.change) told.push(...(acknowledged.unlisted ?? []));
+    const reported: InstanceEntry[] = [];
+    for (const entry of this.leaderView.under(acknowledgementPrefixOf(service))) {
+      const acknowledgement = decodeRecord(entry, parseAcknowledgementRecord);
+      if (acknowledgement?.change === record.change)
+        reported.push(...(acknowledgement.unlisted ?? []));
     }
-    return told;
+    return reported;
   }
 
   /** Nodes whose lease has not run out. */
-  liveNodes(): number {
-    return [...this.duty.under(NODE_PREFIX)].length;
+  countLiveNodes(): number {
+    return [...this.leaderView.under(NODE_PREFIX)].length;
   }
 
   /** The live nodes that others can reach. */
   reachableNodes(): ReachableNode[] {
     const reachable: ReachableNode[] = [];
-    for (const entry of this.duty.under(NODE_PREFIX)) {
+    for (const entry of this.leaderView.under(NODE_PREFIX)) {
       const nodeId = nodeOfNodeKey(entry.key);
       const peer = decodeRecord(entry, parseNodeRecord)?.peer;
       if (nodeId !== undefined && peer !== undefined) reachable.push({ nodeId, ...peer });
@@ -155,9 +156,9 @@
   }
 
   /** The live nodes that may read the store for others, where they answer questions for their directory. */
-  possibleReaders(): ReaderCandidate[] {
+  readerCandidates(): ReaderCandidate[] {
     const nodes: ReaderCandidate[] = [];
-    for (const entry of this.duty.under(NODE_PREFIX)) {
+    for (const entry of this.leaderView.under(NODE_PREFIX)) {
       const nodeId = nodeOfNodeKey(entry.key);
       const { peer, directoryAt, linkMbps = 0 } = decodeRecord(entry, parseNodeRecord) ?? {};
       if (nodeId === undefined || peer === undefined || directoryAt === undefined) continue;
@@ -171,9 +172,9 @@
   }
 
   /** Nodes that suspect this primary. */
-  suspicionsOf(service: string, instance: string): number {
+  countSuspicions(service: string, instance: string): number {
     let count = 0;
-    for (const entry of this.duty.under(suspicionPrefixOf(service))) {
+    for (const entry of this.leaderView.under(suspicionPrefixOf(service))) {
       if (decodeRecord(entry, parseSuspicionRecord)?.instance === instance) count += 1;
     }
     return count;
@@ -183,11 +184,14 @@
    * Nodes that may use the primary which the change replaces; undefined if that is not known yet,
    * since what the leader knows may be older than the change.
    */
-  nodesInUse(service: string, record: PrimaryRecord): string[] | undefined {
-    const begunAt = Math.max(this.primaries.recordRevisionOf(service), this.election.token ?? 0);
-    if (this.duty.revision < begunAt) return undefined;
+  nodesUsingOldPrimary(service: string, record: PrimaryRecord): string[] | undefined {
+    const minRevision = Math.max(
+      this.primaries.recordRevisionOf(service),
+      this.election.fencingToken ?? 0,
+    );
+    if (this.leaderView.revision < minRevision) return undefined;
     const inUse: string[] = [];
-    for (const entry of this.duty.under(NODE_PREFIX)) {
+    for (const entry of this.leaderView.under(NODE_PREFIX)) {
       const node = nodeOfNodeKey(entry.key);
       if (node !== undefined && !this.#hasAcknowledged(service, record, node)) inUse.push(node);
     }
@@ -195,9 +199,9 @@
   }
 
   /** End of the old primary's log, as the nodes that demoted it tell. */
-  endOf(service: string, { change }: PrimaryRecord): Position | undefined {
+  demotedLogEnd(service: string, { change }: PrimaryRecord): Position | undefined {
     let latest: Position | undefined;
-    for (const entry of this.duty.under(acknowledgementPrefixOf(service))) {
+    for (const entry of this.leaderView.under(acknowledgementPrefixOf(service))) {
       const record = decodeRecord(entry, parseAcknowledgementRecord);
       if (record?.change !== change || record.end === undefined) continue;
       latest = latest === undefined ? record.end : laterPosition(latest, record.end);
@@ -206,16 +210,19 @@
   }
 
   /** Reads the duty's keys anew, for when the watch is behind. */
-  readAnew(): void {
-    this.duty.read();
+  reread(): void {
+    this.leaderView.read();
   }
 
-  write({ service, record, note }: DutyWrite, onDone: (succeeded: boolean) => void): void {
+  write(
+    { service, record, handover: note }: LeaderWrite,
+    onDone: (succeeded: boolean) => void,
+  ): void {
     const recordKey = primaryKeyOf(service);
-    const noteKey = handoverKeyOf(service);
-    const puts: Put[] = [];
+    const handoverKey = handoverKeyOf(service);
+    const puts: PendingPut[] = [];
     if (note !== undefined) {
-      puts.push({ view: this.duty, key: noteKey, value: JSON.stringify(note) });
+      puts.push({ view: this.leaderView, key: handoverKey, value: JSON.stringify(note) });
     }
     if (record !== undefined) {
       puts.push({ view: this.records, key: recordKey, value: JSON.stringify(record) });
@@ -224,9 +231,9 @@
     if (members !== undefined) puts.push({ view: this.records, ...members });
     const operations = puts.map(({ key, value }) => ({ type: 'put', key, value }) as const);
     const compares = [
-      { key: LEADER_KEY, modRevision: this.election.token ?? 0 },
+      { key: LEADER_KEY, modRevision: this.election.fencingToken ?? 0 },
       { key: recordKey, modRevision: this.records.get(recordKey)?.modRevision ?? 0 },
-      { key: noteKey, modRevision: this.duty.get(noteKey)?.modRevision ?? 0 },
+      { key: handoverKey, modRevision: this.leaderView.get(handoverKey)?.modRevision ?? 0 },
     ];
     this.runtime.transaction(compares, operations, (answer) => {
       const succeeded = !isTrouble(answer) && answer.succeeded;
@@ -239,16 +246,19 @@
 
   /** True if the nodes have heard of a note's members. */
   areMembersPublished(service: string): boolean {
-    return this.#membersToPublish(service, this.noteOf(service)) === undefined;
+    return this.#membersToPublish(service, this.handoverOf(service)) === undefined;
   }
 
   /** The members of a note where all nodes hear of them; undefined if they have heard, or may hear later. */
-  #membersToPublish(service: string, note: HandoverRecord): Omit<Put, 'view'> | undefined {
-    const { members } = note;
+  #membersToPublish(
+    service: string,
+    handover: HandoverRecord,
+  ): Omit<PendingPut, 'view'> | undefined {
+    const { members } = handover;
     const key = membersKeyOf(service);
     const known = this.records.get(key);
-    if (known === undefined && this.#mayTellLater(members)) return undefined;
-    const departed = this.#departedToPublish(service, note);
+    if (known === undefined && this.#mayPublishLater(members)) return undefined;
+    const departed = this.#departedToPublish(service, handover);
     const value = JSON.stringify({ members, departed } satisfies MembersRecord);
     return value === known?.value ? undefined : { key, value };
   }
@@ -256,35 +266,37 @@
   /** Those that this leader counts no more, other nodes need not hear of. */
   #departedToPublish(service: string, { departed }: HandoverRecord): readonly InstanceEntry[] {
     if (departed.length === 0 || this.runtime.isDisabled('forgotten-members')) return [];
-    const remembered = new Set(this.primaries.remembered(service).map(({ id }) => id));
-    return departed.filter(({ id }) => remembered.has(id));
+    const tracked = new Set(this.primaries.remembered(service).map(({ id }) => id));
+    return departed.filter(({ id }) => tracked.has(id));
   }
 
   /** Asked at every update of the leader: what looks at all nodes comes last. */
-  #mayTellLater(members: readonly InstanceEntry[]): boolean {
-    if (this.runtime.now - this.#begunAt >= FIRST_MEMBERS_MS) return false;
+  #mayPublishLater(members: readonly InstanceEntry[]): boolean {
+    if (this.runtime.now - this.#leadingSince >= INITIAL_MEMBERS_DELAY_MS) return false;
     const areAllPresent = members.every(({ id }) => this.primaries.isPresent(id));
-    return areAllPresent && this.liveNodes() >= SMALLEST_READER_FLEET;
+    return areAllPresent && this.countLiveNodes() >= SMALLEST_READER_FLEET;
   }
 
   /** @param gone nodes that must have no lease, for the record to be written */
   publishFleet(fleet: FleetRecord, gone: readonly string[], onDone: () => void): void {
     const value = JSON.stringify(fleet);
     const compares = [
-      { key: LEADER_KEY, modRevision: this.election.token ?? 0 },
+      { key: LEADER_KEY, modRevision: this.election.fencingToken ?? 0 },
       ...gone.map((node) => ({ key: nodeKeyOf(node), modRevision: 0 })),
     ];
     this.runtime.transaction(compares, [{ type: 'put', key: FLEET_KEY, value }], () => onDone());
   }
 
   #hasAcknowledged(service: string, record: PrimaryRecord, node: string): boolean {
-    const registered = decodeRecord(
-      this.duty.get(`${NODE_PREFIX}${encodeURIComponent(node)}`),
+    const registration = decodeRecord(
+      this.leaderView.get(`${NODE_PREFIX}${encodeURIComponent(node)}`),
       parseNodeRecord,
     );
     const key = acknowledgementKeyOf(service, node);
-    const acknowledged = decodeRecord(this.duty.get(key), parseAcknowledgementRecord);
-    if (registered === undefined || acknowledged === undefined) return false;
-    return acknowledged.change === record.change && acknowledged.leaseId === registered.leaseId;
+    const acknowledgement = decodeRecord(this.leaderView.get(key), parseAcknowledgementRecord);
+    if (registration === undefined || acknowledgement === undefined) return false;
+    return (
+      acknowledgement.change === record.change && acknowledgement.leaseId === registration.leaseId
+    );
   }
 }
--- a/src/core/promotion/leader.ts
+++ b/src/core/promotion/leader.ts
@@ -1,10 +1,10 @@
 /** The duty of promotions while this node holds it: one part for each service, and the fleet. */
 import type { ServiceDescription } from '../../direct/contract.js';
 import type { Milliseconds } from '../units.js';
-import { DutyStore } from './duty-store.js';
 import type { Election } from './election.js';
 import { EraPublisher } from './era-publisher.js';
 import { FleetPublisher } from './fleet-publisher.js';
+import { LeaderStore } from './leader-store.js';
 import type { NodeLease } from './lease.js';
 import { PeerPublisher } from './peer-publisher.js';
 import type { Primaries } from './primaries.js';
@@ -15,18 +15,18 @@
 import { StoreView } from './store-view.js';
 
 /** The fleet is published at most this often. */
-const PUBLISH_EVERY_MS = 1000;
+const MIN_PUBLISH_PERIOD_MS = 1000;
 /**
  * The first fleet of all is counted once its nodes have registered: each record that names a part of them costs a poll of
  * every node.
  */
-const FIRST_PUBLICATION_MS = 250;
+const INITIAL_PUBLICATION_DELAY_MS = 250;
 /** A fleet with owners or quotas is looked at so often, also if nothing changes. */
-const LOOK_AGAIN_MS = 1000;
+const RECHECK_PERIOD_MS = 1000;
 
 export class Leader {
-  readonly #duty: StoreView;
-  readonly #store: DutyStore;
+  readonly #leaderView: StoreView;
+  readonly #store: LeaderStore;
   readonly #peers: PeerPublisher;
   readonly #era: EraPublisher;
   readonly #fleet: FleetPublisher;
@@ -34,8 +34,8 @@
   #services = new Map<string, ServiceDescription>();
   #duties = new Map<string, ServiceDuty>();
   #isLeading = false;
-  #publishing = false;
-  #looking = false;
+  #isPublishing = false;
+  #isRecheckScheduled = false;
   #publishedAt: Milliseconds = Number.NEGATIVE_INFINITY;
 
   constructor(
@@ -46,51 +46,51 @@
     records: StoreView,
   ) {
     this.#scope = new Scope(runtime);
-    this.#duty = new StoreView(runtime, LEADER_WATCH_PREFIX);
-    this.#duty.onChange = () => this.update();
-    this.#store = new DutyStore(runtime, election, primaries, records, this.#duty);
-    this.#peers = new PeerPublisher(runtime, election, records, this.#duty);
+    this.#leaderView = new StoreView(runtime, LEADER_WATCH_PREFIX);
+    this.#leaderView.onChange = () => this.update();
+    this.#store = new LeaderStore(runtime, election, primaries, records, this.#leaderView);
+    this.#peers = new PeerPublisher(runtime, election, records, this.#leaderView);
     this.#era = new EraPublisher(runtime, election);
     this.#fleet = new FleetPublisher(runtime, this.#store, () => this.#services.values());
   }
 
   /** View of the keys that only the leader follows. */
-  get duty(): StoreView {
-    return this.#duty;
+  get leaderView(): StoreView {
+    return this.#leaderView;
   }
 
-  get isCalling(): boolean {
+  get isCallInProgress(): boolean {
     return [...this.#duties.values()].some(({ isCalling }) => isCalling);
   }
 
-  noteServices(services: readonly ServiceDescription[]): void {
+  setServices(services: readonly ServiceDescription[]): void {
     this.#services = new Map(services.map((service) => [service.name, service]));
     this.update();
   }
 
-  noteAlive(service: string, instance: string): void {
+  recordAlive(service: string, instance: string): void {
     this.#duties.get(service)?.noteAlive(instance);
   }
 
-  noteFailing(service: string, instance: string): void {
+  recordFailing(service: string, instance: string): void {
     this.#duties.get(service)?.noteFailing(instance);
   }
 
   /** This node has taken or lost the lead. */
-  noteElection(): void {
+  handleElectionChange(): void {
     if (this.#isLeading) this.stop();
-    if (this.election.token === undefined) return;
+    if (this.election.fencingToken === undefined) return;
     this.#isLeading = true;
-    this.#store.begin();
-    this.#publishing = false;
-    this.#looking = false;
+    this.#store.startLeading();
+    this.#isPublishing = false;
+    this.#isRecheckScheduled = false;
     this.#scope = new Scope(this.runtime);
-    this.#duty.start();
+    this.#leaderView.start();
   }
 
   /** Records, the duty's keys, instances or services have changed. */
   update(): void {
-    if (!this.#isLeading || !this.#duty.isReady) return;
+    if (!this.#isLeading || !this.#leaderView.isReady) return;
     for (const service of this.#services.keys()) {
       const known = this.#duties.get(service);
       if (known !== undefined) {
@@ -116,7 +116,7 @@
     this.#scope.end();
     for (const duty of this.#duties.values()) duty.stop();
     this.#duties.clear();
-    this.#duty.stop();
+    this.#leaderView.stop();
   }
 
   #createDuty(service: string): ServiceDuty {
@@ -131,34 +131,39 @@
   }
 
   /** That a fleet counts as small again is a matter of time. */
-  #lookAgain(): void {
-    if (!this.#fleet.changesWithTime || this.#looking) return;
-    this.#looking = true;
-    this.#scope.after(LOOK_AGAIN_MS, () => {
-      this.#looking = false;
+  #scheduleRecheck(): void {
+    if (!this.#fleet.changesWithTime || this.#isRecheckScheduled) return;
+    this.#isRecheckScheduled = true;
+    this.#scope.after(RECHECK_PERIOD_MS, () => {
+      this.#isRecheckScheduled = false;
       this.#publishFleet();
     });
   }
 
-  #firstPublicationAt(): Milliseconds {
+  #earliestPublicationAt(): Milliseconds {
     const isFirst = this.runtime.options.isFirstStart && this.#store.publishedFleet() === undefined;
-    return isFirst ? this.#store.begunAt + FIRST_PUBLICATION_MS : Number.NEGATIVE_INFINITY;
+    return isFirst
+      ? this.#store.leadingSince + INITIAL_PUBLICATION_DELAY_MS
+      : Number.NEGATIVE_INFINITY;
   }
 
   #publishFleet(): void {
-    if (this.#publishing) return;
+    if (this.#isPublishing) return;
     if (!this.#fleet.isOutdated()) {
-      this.#lookAgain();
+      this.#scheduleRecheck();
       return;
     }
-    this.#publishing = true;
-    const mayPublishAt = Math.max(this.#publishedAt + PUBLISH_EVERY_MS, this.#firstPublicationAt());
+    this.#isPublishing = true;
+    const mayPublishAt = Math.max(
+      this.#publishedAt + MIN_PUBLISH_PERIOD_MS,
+      this.#earliestPublicationAt(),
+    );
     const waitMs = Math.max(0, mayPublishAt - this.runtime.now);
     this.#scope.after(waitMs, () => {
       this.#publishedAt = this.runtime.now;
       const onDone = this.#scope.guard(() => {
-        this.#publishing = false;
-        this.#scope.after(PUBLISH_EVERY_MS, () => this.#publishFleet());
+        this.#isPublishing = false;
+        this.#scope.after(MIN_PUBLISH_PERIOD_MS, () => this.#publishFleet());
       });
       if (this.election.mayAct()) this.#fleet.publish(() => onDone(undefined));
       else onDone(undefined);
--- a/src/core/promotion/lease.ts
+++ b/src/core/promotion/lease.ts
@@ -8,25 +8,25 @@
 import { isTrouble, type PromotionRuntime, type StoreTrouble } from './runtime.js';
 
 /** A node without a lease can't vouch for any primary, so it must notice soon that the store is back. */
-const BACKOFF_MAXIMUM_MS = 500;
-const SILENCES_UNTIL_LOOKING = 2;
+const MAX_BACKOFF_MS = 500;
+const MAX_UNANSWERED_RENEWALS = 2;
 
 export class NodeLease {
   /** Called with every new lease. */
   onGranted: (leaseId: string) => void = () => {};
   #leaseId: string | undefined;
   #validUntil: Milliseconds = 0;
-  #troubleAt: Milliseconds = Number.NEGATIVE_INFINITY;
+  #lastFailureAt: Milliseconds = Number.NEGATIVE_INFINITY;
   /** Until a grant is asked for again. */
-  readonly #pause: RetryPause;
+  readonly #grantRetry: RetryPause;
   #failures = 0;
   /** Renewals without an answer since the last one that had one. */
-  #silences = 0;
+  #unansweredRenewals = 0;
   #stopped = false;
-  #cancelNext = (): void => {};
+  #cancelScheduled = (): void => {};
 
   constructor(private readonly runtime: PromotionRuntime) {
-    this.#pause = new RetryPause(runtime);
+    this.#grantRetry = new RetryPause(runtime);
   }
 
   /** The lease that was granted last, also if it may be over. */
@@ -40,8 +40,8 @@
   }
 
   /** Last time that the store did not answer, or not in time. */
-  get troubleAt(): Milliseconds {
-    return this.#troubleAt;
+  get lastFailureAt(): Milliseconds {
+    return this.#lastFailureAt;
   }
 
   isValid(now: Milliseconds): boolean {
@@ -54,13 +54,13 @@
     this.runtime.grantLease(leaseSeconds, (answer) => {
       if (this.#stopped) return;
       if (isTrouble(answer)) {
-        this.#noteTrouble();
-        this.#pause.begin(this.#backoff(answer), () => this.#stopped || this.start());
+        this.#recordFailure();
+        this.#grantRetry.begin(this.#backoff(answer), () => this.#stopped || this.start());
         return;
       }
       this.#failures = 0;
       this.#leaseId = answer;
-      this.#validUntil = this.#endOf(sentAt);
+      this.#validUntil = this.#expiryOf(sentAt);
       this.#renewAfter(this.runtime.timings.leaseRenewPeriodMs - (this.runtime.now - sentAt));
       this.onGranted(answer);
     });
@@ -68,59 +68,59 @@
 
   /** The store answers again: a grant that waits to be asked for once more is asked for now. */
   retryNow(): void {
-    this.#pause.end();
+    this.#grantRetry.end();
   }
 
   /** The store came back from a copy: it may lack the lease, or its last renewals. */
-  noteEra(): void {
+  handleStoreRestore(): void {
     this.#validUntil = 0;
     if (this.#stopped || this.#leaseId === undefined) return;
-    this.#silences = 0;
+    this.#unansweredRenewals = 0;
     this.#renewAfter(0);
   }
 
   /** Ends the lease's use at once; the lease itself is left to the caller. */
   stop(): string | undefined {
     this.#stopped = true;
-    this.#cancelNext();
+    this.#cancelScheduled();
     return this.#leaseId;
   }
 
-  #endOf(sentAt: Milliseconds): Milliseconds {
+  #expiryOf(sentAt: Milliseconds): Milliseconds {
     const { leaseSeconds, leaseSafetyMarginMs } = this.runtime.timings;
     return sentAt + leaseSeconds * MILLISECONDS_PER_SECOND - leaseSafetyMarginMs;
   }
 
   #renewAfter(delayMs: Milliseconds): void {
-    this.#cancelNext();
-    this.#cancelNext = this.runtime.after(delayMs, () => this.#renew());
+    this.#cancelScheduled();
+    this.#cancelScheduled = this.runtime.after(delayMs, () => this.#renew());
   }
 
   #renew(): void {
     const leaseId = this.#leaseId;
     if (leaseId === undefined) return;
-    if (this.#silences >= SILENCES_UNTIL_LOOKING) {
-      this.#look();
+    if (this.#unansweredRenewals >= MAX_UNANSWERED_RENEWALS) {
+      this.#awaitResponse();
       return;
     }
     const { leaseRenewPeriodMs, leaseRetryAfterMs } = this.runtime.timings;
     const sentAt = this.runtime.now;
-    this.#cancelNext = this.runtime.after(leaseRetryAfterMs, () => {
-      this.#silences += 1;
-      this.#noteTrouble();
+    this.#cancelScheduled = this.runtime.after(leaseRetryAfterMs, () => {
+      this.#unansweredRenewals += 1;
+      this.#recordFailure();
       this.#renew();
     });
     this.runtime.keepLease(leaseId, (answer) => {
       if (this.#stopped || leaseId !== this.#leaseId) return;
-      this.#silences = 0;
+      this.#unansweredRenewals = 0;
       if (answer === true) {
         this.#failures = 0;
-        this.#validUntil = Math.max(this.#validUntil, this.#endOf(sentAt));
+        this.#validUntil = Math.max(this.#validUntil, this.#expiryOf(sentAt));
         this.#renewAfter(Math.max(0, leaseRenewPeriodMs - (this.runtime.now - sentAt)));
       } else if (answer.leaseOver) {
-        this.#replace();
+        this.#replaceLease();
       } else {
-        this.#noteTrouble();
+        this.#recordFailure();
         this.#renewAfter(this.#backoff(answer));
       }
     });
@@ -130,35 +130,35 @@
    * Renewals may reach the store though its answers don't come back: then the lease would hold up
    * promotions, which wait for this node's acknowledgement. Renews no more until an answer comes.
    */
-  #look(): void {
-    this.#cancelNext = this.runtime.after(this.runtime.timings.leaseRetryAfterMs, () => {
-      this.#noteTrouble();
-      this.#look();
+  #awaitResponse(): void {
+    this.#cancelScheduled = this.runtime.after(this.runtime.timings.leaseRetryAfterMs, () => {
+      this.#recordFailure();
+      this.#awaitResponse();
     });
-    const cancel = this.#cancelNext;
+    const cancel = this.#cancelScheduled;
     this.runtime.range(LEADER_KEY, (answer) => {
-      if (this.#stopped || isTrouble(answer) || this.#silences === 0) return;
+      if (this.#stopped || isTrouble(answer) || this.#unansweredRenewals === 0) return;
       cancel();
-      this.#silences = 0;
+      this.#unansweredRenewals = 0;
       this.#renewAfter(0);
     });
   }
 
-  #replace(): void {
+  #replaceLease(): void {
     this.runtime.log('warn', 'lease lost', { lease: this.#leaseId });
     this.#leaseId = undefined;
     this.#validUntil = 0;
-    this.#cancelNext();
+    this.#cancelScheduled();
     this.start();
   }
 
-  #noteTrouble(): void {
-    this.#troubleAt = this.runtime.now;
+  #recordFailure(): void {
+    this.#lastFailureAt = this.runtime.now;
   }
 
   #backoff({ retryAfterMs }: StoreTrouble): Milliseconds {
     const bound = this.runtime.timings.storeRetryDelayMs * 2 ** this.#failures;
     this.#failures += 1;
-    return Math.max(retryAfterMs, this.runtime.jittered(Math.min(BACKOFF_MAXIMUM_MS, bound)));
+    return Math.max(retryAfterMs, this.runtime.jittered(Math.min(MAX_BACKOFF_MS, bound)));
   }
 }
--- a/src/core/promotion/machine.ts
+++ b/src/core/promotion/machine.ts
@@ -63,7 +63,11 @@
     this.#runtime = runtime;
     this.#lease = new NodeLease(runtime);
     this.#records = new StoreView(runtime, RECORD_PREFIX);
-    this.#primaries = new Primaries(this.#records, options.timings, () => this.#lease.troubleAt);
+    this.#primaries = new Primaries(
+      this.#records,
+      options.timings,
+      () => this.#lease.lastFailureAt,
+    );
     const instanceOf = (id: string): InstanceEntry | undefined => this.#primaries.instance(id);
     const unlistedOf = (service: string): InstanceEntry[] => this.#primaries.unlisted(service);
     this.#participation = new Participation(
@@ -79,19 +83,19 @@
     this.#lease.onGranted = (leaseId) => this.#participation.register(leaseId);
     this.#participation.onRegistered = () => this.#noteRecords(NO_KEYS);
     this.#records.onChange = (keys) => this.#noteRecords(keys);
-    this.#election.onChange = () => this.#leader.noteElection();
+    this.#election.onChange = () => this.#leader.handleElectionChange();
   }
 
   /** Earliest time at which a tick is wanted. */
   nextDeadline(): Milliseconds | undefined {
-    return this.#runtime.agenda.next();
+    return this.#runtime.timers.nextAt();
   }
 
   handle(event: PromotionEvent, now: Milliseconds): PromotionEffect[] {
     if (this.#isStopped && event.type !== 'answer' && event.type !== 'tick') return [];
     this.#runtime.now = Math.max(this.#runtime.now, now);
     this.#take(event);
-    this.#runtime.agenda.run(this.#runtime.now);
+    this.#runtime.timers.runDue(this.#runtime.now);
     return this.#runtime.takeEffects();
   }
 
@@ -177,7 +181,7 @@
 
   /** True if a success of the primary needs no telling: nothing depends on it. */
   isSuccessIdle(service: string): boolean {
-    return this.#election.token === undefined && this.#suspicions.isWell(service);
+    return this.#election.fencingToken === undefined && this.#suspicions.isWell(service);
   }
 
   /** Revision up to which the records are known; 0 if they are not. */
@@ -210,11 +214,11 @@
         return;
       case 'watch-events':
         this.#records.watchEvents(event.watch, event.events, event.revision);
-        this.#leader.duty.watchEvents(event.watch, event.events, event.revision);
+        this.#leader.leaderView.watchEvents(event.watch, event.events, event.revision);
         return;
       case 'watch-ended':
         this.#records.watchEnded(event.watch);
-        this.#leader.duty.watchEnded(event.watch);
+        this.#leader.leaderView.watchEnded(event.watch);
         return;
       case 'instances-changed':
         this.#primaries.noteInstances(event.entries, this.#runtime.now);
@@ -227,7 +231,7 @@
       case 'services-changed':
         this.#services = event.services.map(({ name }) => name);
         this.#tellChanges();
-        this.#leader.noteServices(event.services);
+        this.#leader.setServices(event.services);
         return;
       case 'primary-failed':
         this.#noteFailure(event);
@@ -267,9 +271,9 @@
     const { now } = this.#runtime;
     const wasPermitted =
       this.#participation.isPermitted(now) || this.#runtime.isDisabled('era-coverage');
-    this.#runtime.era.note(era, now, wasPermitted);
+    this.#runtime.era.recordEra(era, now, wasPermitted);
     if (this.#runtime.isDisabled('era-registration')) return;
-    this.#lease.noteEra();
+    this.#lease.handleStoreRestore();
     this.#participation.noteEra();
     this.#suspicions.noteEra();
   }
@@ -278,7 +282,7 @@
     const instance = this.#primaries.primaryIdOf(service);
     if (instance === undefined) return;
     this.#suspicions.noteFailure(service, instance, use, silentForMs);
-    this.#leader.noteFailing(service, instance);
+    this.#leader.recordFailing(service, instance);
     // The news that it is being replaced may be held up on the way.
     if (this.#suspicions.suspectOf(service) === undefined) return;
     if (this.#runtime.now - this.#readAt < READ_WHEN_SUSPECT_MS) return;
@@ -290,12 +294,12 @@
     const instance = this.#primaries.primaryIdOf(service);
     if (instance === undefined) return;
     this.#suspicions.noteSuccess(service, instance, use);
-    this.#leader.noteAlive(service, instance);
+    this.#leader.recordAlive(service, instance);
   }
 
   #noteRecords(keys: ReadonlySet<string>): void {
     const settled = decodeRecord(this.#records.get(ERA_KEY), parseEraRecord);
-    this.#runtime.era.noteRecorded(settled?.era);
+    this.#runtime.era.setSettledEra(settled?.era);
     this.#tellChanges();
     for (const key of keys) {
       const service = serviceOfMembersKey(key);
@@ -322,8 +326,8 @@
 
   /** Hands the lead on, once the next holder may call promotions without following too soon. */
   #release(): void {
-    const isLeader = this.#election.token !== undefined;
-    if (isLeader && (this.#leader.isCalling || !this.#election.mayHandOn)) {
+    const isLeader = this.#election.fencingToken !== undefined;
+    if (isLeader && (this.#leader.isCallInProgress || !this.#election.mayHandOver)) {
       this.#runtime.after(RELEASE_CHECK_MS, () => this.#release());
       return;
     }
--- a/src/core/promotion/members.ts
+++ b/src/core/promotion/members.ts
@@ -6,7 +6,7 @@
 import { comparePositions, type Position } from '../position.js';
 import type { Milliseconds } from '../units.js';
 import type { ControlFailure } from './contract.js';
-import type { DutyStore } from './duty-store.js';
+import type { LeaderStore } from './leader-store.js';
 import type { PromotionTimings } from './options.js';
 import type { Primaries } from './primaries.js';
 import type { PromotionRuntime } from './runtime.js';
@@ -28,7 +28,7 @@
   constructor(
     private readonly runtime: PromotionRuntime,
     private readonly primaries: Primaries,
-    private readonly store: DutyStore,
+    private readonly store: LeaderStore,
     readonly service: string,
   ) {
     this.#scope = new Scope(runtime);
@@ -57,10 +57,10 @@
   }
 
   #noted(): readonly InstanceEntry[] {
-    const { members } = this.store.noteOf(this.service);
+    const { members } = this.store.handoverOf(this.service);
     const ids = new Set(members.map(({ id }) => id));
     const others = new Map<string, InstanceEntry>();
-    const beyond = [...this.store.membersBeyondNote(this.service), ...this.#unlisted()];
+    const beyond = [...this.store.membersNewerThanHandover(this.service), ...this.#unlisted()];
     for (const member of beyond) if (!ids.has(member.id)) others.set(member.id, member);
     return others.size === 0 ? members : [...members, ...others.values()];
   }
@@ -68,14 +68,19 @@
   /** What this node or, by their acknowledgements, others have seen and no record names. */
   #unlisted(): readonly InstanceEntry[] {
     if (this.runtime.isDisabled('unlisted-members')) return [];
-    return [...this.primaries.unlisted(this.service), ...this.store.unlistedByNodes(this.service)];
+    return [
+      ...this.primaries.unlisted(this.service),
+      ...this.store.unlistedMembersFromNodes(this.service),
+    ];
   }
 
   /** Forgotten members that have no entry yet, should they come back. */
   departed(): InstanceEntry[] {
     const current = this.current();
-    const noted = this.store.noteOf(this.service).departed;
-    const departed = this.runtime.era.hasRisen ? [...noted, ...this.#remembered(noted)] : noted;
+    const noted = this.store.handoverOf(this.service).departed;
+    const departed = this.runtime.era.hasStoreBeenRestored
+      ? [...noted, ...this.#remembered(noted)]
+      : noted;
     return departed.filter(({ id }) => current.every((member) => member.id !== id));
   }
 
@@ -88,7 +93,7 @@
   /** Brings the note in the store up to date. */
   update(): void {
     const members = this.current();
-    const note = this.store.noteOf(this.service);
+    const note = this.store.handoverOf(this.service);
     const primary = this.primaries.primaryIdOf(this.service) ?? note.primary;
     const isSame = primary === note.primary && sameMembers(members, note.members);
     const isPublished = this.store.areMembersPublished(this.service);
@@ -103,14 +108,14 @@
   ): void {
     if (this.#writing) return;
     this.#writing = true;
-    const known = this.store.noteOf(this.service);
+    const known = this.store.handoverOf(this.service);
     const note = { ...known, members, primary, departed: departed ?? known.departed };
     const onDone = this.#scope.guard((succeeded: boolean) => {
       this.#writing = false;
       const waitMs = succeeded ? 0 : this.runtime.timings.storeRetryDelayMs;
       this.#scope.after(waitMs, () => this.update());
     });
-    this.store.write({ service: this.service, note }, onDone);
+    this.store.write({ service: this.service, handover: note }, onDone);
   }
 
   #check(): void {
@@ -143,7 +148,7 @@
   }
 
   #takeBack(member: InstanceEntry): void {
-    const { members, departed, primary } = this.store.noteOf(this.service);
+    const { members, departed, primary } = this.store.handoverOf(this.service);
     if (this.#writing || members.some(({ id }) => id === member.id)) return;
     this.runtime.log('info', 'member is back', { service: this.service, member: member.id });
     const others = departed.filter(({ id }) => id !== member.id);
@@ -202,7 +207,7 @@
 
   #forget({ id }: InstanceEntry): void {
     this.#endAfterDeath.delete(id);
-    const note = this.store.noteOf(this.service);
+    const note = this.store.handoverOf(this.service);
     const members = note.members.filter((member) => member.id !== id);
     if (members.length === note.members.length || this.primaries.isPresent(id)) return;
     if (this.primaries.primaryIdOf(this.service) === undefined) return;
--- a/src/core/promotion/monitor.ts
+++ b/src/core/promotion/monitor.ts
@@ -5,7 +5,7 @@
 import type { InstanceStatus } from '../../direct/contract.js';
 import type { Milliseconds } from '../units.js';
 import type { ControlFailure } from './contract.js';
-import type { DutyStore } from './duty-store.js';
+import type { LeaderStore } from './leader-store.js';
 import type { Primaries } from './primaries.js';
 import type { PromotionRuntime } from './runtime.js';
 import { Scope } from './scope.js';
@@ -46,7 +46,7 @@
       Primaries,
       'goneForMs' | 'instance' | 'isPresent' | 'primaryIdOf'
     >,
-    private readonly store: Pick<DutyStore, 'liveNodes' | 'suspicionsOf'>,
+    private readonly store: Pick<LeaderStore, 'countLiveNodes' | 'countSuspicions'>,
     readonly service: string,
     private readonly onReason: (primaryId: string, reason: ChangeReason) => void,
   ) {
@@ -109,12 +109,12 @@
 
   #isSuspected(id: string): boolean {
     if (this.runtime.now < this.#restUntil) return false;
-    const nodes = this.store.liveNodes();
+    const nodes = this.store.countLiveNodes();
     const needed =
       nodes < SUSPICION_SHARE
         ? 1
         : Math.max(MINIMUM_SUSPICIONS, Math.ceil(nodes / SUSPICION_SHARE));
-    return this.store.suspicionsOf(this.service, id) >= needed;
+    return this.store.countSuspicions(this.service, id) >= needed;
   }
 
   #followPrimary(): string | undefined {
--- a/src/core/promotion/peer-publisher.ts
+++ b/src/core/promotion/peer-publisher.ts
@@ -45,7 +45,7 @@
     const gone = published.filter((address) => !isLive.has(keyOf(address)));
     const addresses = [...live, ...gone].slice(0, MAX_ADDRESSES);
     const value = JSON.stringify({ addresses } satisfies PeersRecord);
-    const compares = [{ key: LEADER_KEY, modRevision: this.election.token ?? 0 }];
+    const compares = [{ key: LEADER_KEY, modRevision: this.election.fencingToken ?? 0 }];
     const onDone = scope.guard(() => {
       scope.after(PUBLISH_PAUSE_MS, () => {
         this.#busyIn = undefined;
--- a/src/core/promotion/runtime.ts
+++ b/src/core/promotion/runtime.ts
@@ -11,7 +11,6 @@
   TransactionResponse,
 } from '../../platform/contract.js';
 import type { Milliseconds } from '../units.js';
-import { Agenda } from './agenda.js';
 import type {
   ControlAction,
   ControlFailure,
@@ -22,6 +21,7 @@
 } from './contract.js';
 import { EraSettling } from './era-settling.js';
 import type { PromotionOptions } from './options.js';
+import { TimerQueue } from './timer-queue.js';
 
 /** A call to the store failed, or no answer came in time: then it may have been done. */
 export interface StoreTrouble {
@@ -39,7 +39,7 @@
 
 export class PromotionRuntime {
   now: Milliseconds = 0;
-  readonly agenda = new Agenda();
+  readonly timers = new TimerQueue();
   readonly era: EraSettling;
   #effects: PromotionEffect[] = [];
   #pending = new Map<number, PendingRequest>();
@@ -78,7 +78,7 @@
   }
 
   after(delayMs: Milliseconds, action: () => void): () => void {
-    return this.agenda.schedule(this.now + delayMs, action);
+    return this.timers.schedule(this.now + delayMs, action);
   }
 
   /** A delay between half of `boundMs` and `boundMs`. */
@@ -152,7 +152,7 @@
 
   /** Forgets every request and deadline. */
   clear(): void {
-    this.agenda.clear();
+    this.timers.clear();
     this.#pending.clear();
   }
 
--- a/src/core/promotion/service-duty.ts
+++ b/src/core/promotion/service-duty.ts
@@ -1,9 +1,9 @@
 /** What the leader does for one service: watches its primary, changes it, and cleans up after. */
 import type { InstanceEntry } from '../../direct/contract.js';
 import type { Milliseconds } from '../units.js';
-import { Aftercare } from './aftercare.js';
 import { PromotionCalls } from './calls.js';
-import { type ChangeContext, PrimaryChange } from './change.js';
+import { PrimaryChange, type PrimaryChangeContext } from './change.js';
+import { HeldReplicaCheck } from './held-replica-check.js';
 import type { NodeLease } from './lease.js';
 import { GroupMembers } from './members.js';
 import { type ChangeReason, PrimaryMonitor } from './monitor.js';
@@ -25,7 +25,7 @@
   readonly #members: GroupMembers;
   readonly #calls: PromotionCalls;
   #change: PrimaryChange | undefined;
-  #aftercare: Aftercare | undefined;
+  #aftercare: HeldReplicaCheck | undefined;
   #aftercareOf: string | undefined;
   #looking = false;
   #nextLookAt: Milliseconds = 0;
@@ -36,7 +36,7 @@
   #obstacle = '';
 
   constructor(
-    private readonly context: Omit<ChangeContext, 'membersOf' | 'departedOf' | 'calls'>,
+    private readonly context: Omit<PrimaryChangeContext, 'membersOf' | 'departedOf' | 'calls'>,
     lease: NodeLease,
     readonly service: string,
   ) {
@@ -56,7 +56,7 @@
   }
 
   get isCalling(): boolean {
-    return this.#calls.isCalling;
+    return this.#calls.isCallInProgress;
   }
 
   start(): void {
@@ -89,7 +89,7 @@
         this.#endChange();
         this.#aftercare?.stop();
         this.#aftercareOf = undefined;
-        const context: ChangeContext = {
+        const context: PrimaryChangeContext = {
           ...this.context,
           calls: this.#calls,
           membersOf: () => this.#members.current(),
@@ -129,7 +129,7 @@
   #mayHaveBeenCalled(change: number): boolean {
     const { runtime, store } = this.context;
     if (change === this.#begunChange || runtime.isDisabled('unnamed-calls')) return false;
-    return runtime.era.mayHaveLostCalls(store.begunAt, runtime.now);
+    return runtime.era.mayHaveUnnamedCalls(store.leadingSince, runtime.now);
   }
 
   #endChange(): void {
@@ -144,7 +144,12 @@
     this.#aftercareOf = key;
     const members = this.#members.current();
     const mayAct = (): boolean => this.context.election.mayAct();
-    this.#aftercare = new Aftercare(this.context.runtime, { leaderId, term, members, mayAct });
+    this.#aftercare = new HeldReplicaCheck(this.context.runtime, {
+      primaryId: leaderId,
+      term,
+      members,
+      mayAct,
+    });
     this.#aftercare.start(areHeld);
   }
 
@@ -201,7 +206,7 @@
     const record = { phase: 'changing', change, from: from.id, at, term, planned } as const;
     this.#begunChange = change;
     const note = {
-      ...store.noteOf(this.service),
+      ...store.handoverOf(this.service),
       members: this.#members.current(),
       primary: from.id,
       candidate: undefined,
@@ -213,7 +218,7 @@
       this.#looking = false;
       this.update();
     });
-    store.write({ service: this.service, record, note }, onDone);
+    store.write({ service: this.service, record, handover: note }, onDone);
   }
 
   /** The same term goes on at another instance: only the record is brought up to date. */
@@ -223,7 +228,11 @@
     if (known?.phase !== 'serving' || known.term !== term) return;
     const at = addressOfInstance(from);
     const record = { phase: 'serving', change: known.change + 1, instance: by, at, term } as const;
-    const note = { ...store.noteOf(this.service), members: this.#members.current(), primary: by };
+    const note = {
+      ...store.handoverOf(this.service),
+      members: this.#members.current(),
+      primary: by,
+    };
     this.#looking = true;
     runtime.log('info', 'primary succeeded at its address', {
       ...{ service: this.service, from: from.id, by, term },
@@ -232,7 +241,7 @@
       this.#looking = false;
       this.update();
     });
-    store.write({ service: this.service, record, note }, onDone);
+    store.write({ service: this.service, record, handover: note }, onDone);
   }
 
   /** Each obstacle is told once: the looks go on several times a second. */
@@ -247,7 +256,7 @@
     const { runtime, store, election } = this.context;
     this.#deafLooks = heardAny ? 0 : this.#deafLooks + 1;
     if (this.#deafLooks < DEAF_LOOKS_UNTIL_RESIGNING) return;
-    if (store.liveNodes() <= 1 || !election.mayHandOn) return;
+    if (store.countLiveNodes() <= 1 || !election.mayHandOver) return;
     runtime.log('warn', 'no member answers, resigning', { service: this.service });
     election.resign(runtime.timings.candidacyCooldownMs);
   }
--- a/src/direct/promotion/term-confirmation.ts
+++ b/src/direct/promotion/term-confirmation.ts
@@ -8,9 +8,9 @@
   type CommitVerdict,
   isSafe,
   judgeCommits,
-  type MemberAnswers,
-  type RoundAnswer,
-  termOfHold,
+  type MemberResponse,
+  type MemberResponses,
+  termOfHeldReplica,
 } from '../../core/promotion/commit-verdict.js';
 import {
   acknowledgedPosition,
@@ -57,7 +57,7 @@
   readonly endedAt: Milliseconds;
   readonly syncReplicas: number;
   readonly areMembersCurrent: boolean;
-  readonly answers: MemberAnswers;
+  readonly responses: MemberResponses;
 }
 
 /** Undefined: nobody could be asked. */
@@ -103,7 +103,7 @@
   #tellOfHold(service: string, primary: string, round: Round): void {
     if (this.#toldOfHold.has(round)) return;
     this.#toldOfHold.add(round);
-    const term = termOfHold({ primary, ...round });
+    const term = termOfHeldReplica({ primary, ...round });
     const instance = this.options.membersOf(service).find(({ id }) => id === primary);
     if (term !== undefined && instance !== undefined) this.options.onHeld?.(instance, term);
   }
@@ -141,10 +141,10 @@
     this.#lastSentAt.set(service, sentAt);
     const syncReplicas = this.options.syncReplicasOf(service);
     const areMembersCurrent = this.#areMembersCurrent(service);
-    const answers = await this.#askAll(service);
+    const responses = await this.#askAll(service);
     this.#planned.delete(service);
     const endedAt = this.options.now();
-    const round = answers && { sentAt, endedAt, syncReplicas, areMembersCurrent, answers };
+    const round = responses && { sentAt, endedAt, syncReplicas, areMembersCurrent, responses };
     if (round !== undefined) this.#lastRounds.set(service, round);
     for (const resolve of waiters) resolve(round);
     if (this.#waiting.has(service)) this.#plan(service);
@@ -154,7 +154,7 @@
     return this.options.areMembersCurrent?.(service) ?? true;
   }
 
-  async #askAll(service: string): Promise<MemberAnswers | undefined> {
+  async #askAll(service: string): Promise<MemberResponses | undefined> {
     const members = this.options.membersOf(service);
     const unseen = this.options.unseenMembersOf(service);
     if (unseen === undefined) return undefined;
@@ -165,7 +165,7 @@
     ]);
   }
 
-  async #ask(member: InstanceEntry): Promise<RoundAnswer> {
+  async #ask(member: InstanceEntry): Promise<MemberResponse> {
     const { control, classifyFailure, timeoutMs, now } = this.options;
     const endsAt = now() + timeoutMs;
     for (;;) {
--- a/test/property/acknowledged-position.test.ts
+++ b/test/property/acknowledged-position.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { comparePositions, type Position, ZERO_POSITION } from '../../src/core/position.js';
-import { acknowledgedPosition, type RoundAnswer } from '../../src/core/promotion/evidence.js';
+import { acknowledgedPosition, type MemberResponse } from '../../src/core/promotion/evidence.js';
 
 const SEED = 20_261_202;
 
@@ -85,7 +85,7 @@
 
 function answersOf({ members, leader }: Group, silent: ReadonlySet<string>) {
   return new Map(
-    members.map((member): [string, RoundAnswer] => {
+    members.map((member): [string, MemberResponse] => {
       if (silent.has(member.id)) return [member.id, 'none'];
       const role = member === leader ? 'primary' : 'replica';
       const rest = { heldTerm: 0, lagMs: 0, busySlots: 0, connections: 0 };
@@ -122,7 +122,7 @@
 });
 
 test('a commit that only its primary and a replica just joined have is seen by the position of the primary', () => {
-  const status = (role: 'primary' | 'replica', lsn: bigint): RoundAnswer => ({
+  const status = (role: 'primary' | 'replica', lsn: bigint): MemberResponse => ({
     ...{ role, term: 4, received: { timeline: 4, lsn } },
     ...{ heldTerm: 0, lagMs: 0, busySlots: 0, connections: 0 },
   });
--- a/test/support/promotion/node.ts
+++ b/test/support/promotion/node.ts
@@ -3,8 +3,8 @@
 import {
   isSafe,
   judgeCommits,
-  type MemberAnswers,
-  termOfHold,
+  type MemberResponses,
+  termOfHeldReplica,
 } from '../../../src/core/promotion/commit-verdict.js';
 import type {
   PromotionEffect,
@@ -15,8 +15,8 @@
 } from '../../../src/core/promotion/contract.js';
 import {
   acknowledgedPosition,
+  type MemberResponse,
   provesPrimary,
-  type RoundAnswer,
   type TrustedUse,
 } from '../../../src/core/promotion/evidence.js';
 import { PromotionMachine } from '../../../src/core/promotion/machine.js';
@@ -264,14 +264,14 @@
     else
       this.#askMembers(service, (answers) => {
         this.#demoteIfHeld(service, primary, answers);
-        if (!isSafe(judgeCommits({ primary, syncReplicas: 1, answers }))) return;
+        if (!isSafe(judgeCommits({ primary, syncReplicas: 1, responses: answers }))) return;
         if (this.machine?.primaryOf(service, this.now)?.id === primary) send();
       });
   }
 
-  #demoteIfHeld(service: string, primary: string, answers: MemberAnswers): void {
+  #demoteIfHeld(service: string, primary: string, answers: MemberResponses): void {
     if (this.world.disabled.has('demotion-by-any')) return;
-    const term = termOfHold({ primary, answers });
+    const term = termOfHeldReplica({ primary, responses: answers });
     const instance = this.machine?.membersOf(service).find(({ id }) => id === primary);
     if (term === undefined || instance === undefined) return;
     const request = { type: 'control', action: 'demote', instance, term, timeoutMs: 300 } as const;
@@ -361,7 +361,14 @@
     const areMembersCurrent = machine.areMembersCurrent(service, sentAt);
     this.#askMembers(service, (answers) => {
       if (use === 'commit') this.#demoteIfHeld(service, primary, answers);
-      const round = { service, primary, sentAt, syncReplicas: 1, areMembersCurrent, answers };
+      const round = {
+        service,
+        primary,
+        sentAt,
+        syncReplicas: 1,
+        areMembersCurrent,
+        responses: answers,
+      };
       if (!provesPrimary(round, use)) return;
       this.confirmedByRounds += 1;
       action();
@@ -371,14 +378,14 @@
   /** Asks every member for its status; who has not answered in time counts as silent. */
   #askMembers(
     service: string,
-    onAnswers: (answers: ReadonlyMap<string, RoundAnswer>) => void,
+    onAnswers: (answers: ReadonlyMap<string, MemberResponse>) => void,
   ): void {
     const life = this.#life;
     const members = this.machine?.membersOf(service) ?? [];
     // As with the members: who is known by the end of the round was not asked.
     const unseen = this.machine?.unseenMembersOf(service);
     if (unseen === undefined) return;
-    const answers = new Map<string, RoundAnswer>();
+    const answers = new Map<string, MemberResponse>();
     let isFinished = false;
     const finish = (): void => {
       if (isFinished) return;
@@ -427,7 +434,7 @@
   }
 }
 
-function roundAnswerOf(answer: RequestAnswer): RoundAnswer {
+function roundAnswerOf(answer: RequestAnswer): MemberResponse {
   if (answer.type === 'status') return answer.status;
   const isRefused = answer.type === 'control-failed' && answer.failure === 'refused';
   return isRefused ? 'refused' : 'none';
--- a/test/unit/candidate.test.ts
+++ b/test/unit/candidate.test.ts
@@ -1,35 +1,38 @@
 /** Who may be promoted, by what the members have told. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { certainMembers, type MemberFinding } from '../../src/core/promotion/candidate.js';
+import {
+  type MemberObservation,
+  membersWithAllCommits,
+} from '../../src/core/promotion/candidate.js';
 
 interface Told {
   readonly lsn?: bigint;
   readonly stopped?: boolean;
 }
 
-function finding(id: string, { lsn, stopped = true }: Told): MemberFinding {
+function finding(id: string, { lsn, stopped = true }: Told): MemberObservation {
   const place = { host: '10.0.0.1', port: 5000, zone: 'a' };
   return {
     entry: { id, service: 'orders', ...place, slots: 3, draining: false, role: 'replica' },
     received: lsn === undefined ? undefined : { timeline: 4, lsn },
-    stopped: lsn !== undefined && stopped,
-    present: true,
-    isReached: lsn !== undefined,
+    isStopped: lsn !== undefined && stopped,
+    isRegistered: true,
+    isReachable: lsn !== undefined,
   };
 }
 
 const SILENT = finding('silent', {});
 
-function certain(replicas: readonly MemberFinding[], successor?: MemberFinding): string[] {
+function certain(replicas: readonly MemberObservation[], successor?: MemberObservation): string[] {
   const question = {
-    from: undefined,
+    oldPrimary: undefined,
     successor,
     syncReplicas: 1,
-    acceptAny: false,
-    withoutProof: false,
+    acceptsAny: false,
+    isProofDisabled: false,
   };
-  return certainMembers({ replicas, ...question }).map(({ entry }) => entry.id);
+  return membersWithAllCommits({ replicas, ...question }).map(({ entry }) => entry.id);
 }
 
 test('a silent member leaves no proof without the old primary or its successor', () => {
--- a/test/unit/commit-verdict.test.ts
+++ b/test/unit/commit-verdict.test.ts
@@ -5,7 +5,7 @@
   type CommitVerdict,
   isSafe,
   judgeCommits,
-  type RoundAnswer,
+  type MemberResponse,
 } from '../../src/core/promotion/commit-verdict.js';
 import type { InstanceStatus } from '../../src/direct/contract.js';
 
@@ -21,13 +21,13 @@
 const LEADS = status({ role: 'primary' });
 const HELD = status({ heldTerm: TERM + 1 });
 
-function verdict(others: readonly RoundAnswer[], lsn?: bigint, leader: RoundAnswer = LEADS) {
-  const answers = new Map<string, RoundAnswer>([
+function verdict(others: readonly MemberResponse[], lsn?: bigint, leader: MemberResponse = LEADS) {
+  const answers = new Map<string, MemberResponse>([
     [PRIMARY, leader],
     ...others.map((answer, index) => [`other-${index}`, answer] as const),
   ]);
   const position = lsn === undefined ? undefined : { timeline: TERM, lsn };
-  return judgeCommits({ primary: PRIMARY, syncReplicas: 1, answers }, position);
+  return judgeCommits({ primary: PRIMARY, syncReplicas: 1, responses: answers }, position);
 }
 
 test('commits are safe while every member follows the primary, or is gone', () => {
--- a/test/unit/promotion-monitor.test.ts
+++ b/test/unit/promotion-monitor.test.ts
@@ -27,7 +27,7 @@
       isPresent: () => true,
       goneForMs: () => undefined,
     },
-    { liveNodes: () => 3, suspicionsOf: () => 0 },
+    { countLiveNodes: () => 3, countSuspicions: () => 0 },
     'group',
     (_primary, reason) => this.reasons.push(reason),
   );
@@ -38,7 +38,7 @@
     while (this.runtime.now < until) {
       this.runtime.now += STEP_MS;
       if (isAnswering) this.monitor.noteAlive('a');
-      this.runtime.agenda.run(this.runtime.now);
+      this.runtime.timers.runDue(this.runtime.now);
       this.#answerProbes();
     }
   }
--- a/test/unit/return/returning-fleet.test.ts
+++ b/test/unit/return/returning-fleet.test.ts
@@ -69,10 +69,10 @@
   });
   let published = before;
   const store = {
-    begunAt: 0,
-    liveNodes: () => nodes,
+    leadingSince: 0,
+    countLiveNodes: () => nodes,
     reachableNodes: () => live.map(({ linkMbps: _linkMbps, ...node }) => node),
-    possibleReaders: () => live,
+    readerCandidates: () => live,
     publishedFleet: () => published,
     publishFleet: (record: FleetRecord) => {
       published = record;
