--- a/src/core/promotion/calls.ts
+++ b/src/core/promotion/calls.ts
@@ -1,7 +1,7 @@
 /**
- * Calls of the platform's promotion for one service, by this leader. A call without an answer may
- * take effect later; while one can, no other instance may be called for, since the late one would
- * depose it and what it has acknowledged would be lost.
+ * This leader's calls to the platform's promotion endpoint for one service. A call without a response may take effect
+ * later. While one can, no other instance may be promoted: the late call would replace that instance, and the commits
+ * it had acknowledged would be lost.
  */
 import type { PromoteOutcome } from '../../direct/contract.js';
 import type { Milliseconds } from '../units.js';
@@ -11,14 +11,15 @@
 
 export class PromotionCalls {
   #isCallInProgress = false;
-  /** Instance that the calls which are not settled were for. */
+  /** Candidate of the unsettled calls. */
   #lastInstanceId: string | undefined;
-  /** Calls that may have taken effect, or may yet. */
+  /** Number of calls that may have taken effect or may still do so. */
   #unsettledCalls = 0;
   #settledAt: Milliseconds = Number.NEGATIVE_INFINITY;
   #earliestCallAt: Milliseconds = Number.NEGATIVE_INFINITY;
+  /** Whether an earlier leader may have made some of the calls. */
   #mayIncludeEarlierLeader = false;
-  /** Refusals in a row of calls for the same instance. */
+  /** Consecutive refused calls for the same instance. */
   #consecutiveRefusals = 0;
 
   constructor(
@@ -32,48 +33,47 @@
     return this.#isCallInProgress;
   }
 
-  /** Calls in a row that were refused. */
   get consecutiveRefusals(): number {
     return this.#consecutiveRefusals;
   }
 
-  /** When the last call can take effect no more. */
+  /** Time from which none of the calls can take effect any more. */
   get settledAt(): Milliseconds {
     return this.#settledAt;
   }
 
-  /** No call that was made can take effect any more. */
+  /** Whether no earlier call can take effect any more. */
   get isSettled(): boolean {
     if (this.runtime.isDisabled('settled-calls')) return true;
     return !this.#isCallInProgress && this.runtime.now >= this.#settledAt;
   }
 
-  /** The last call for this instance was refused: when that was answered, the platform would not let it lead. */
+  /** Whether the last call for this instance was refused: at that time the platform would not promote it. */
   wasLastCallRefused(instanceId: string): boolean {
     return instanceId === this.#lastInstanceId && this.#consecutiveRefusals > 0;
   }
 
-  /** An earlier leader named this instance, and may have called for it. */
+  /** An earlier leader recorded this candidate and may have called its promotion. */
   recordEarlierCandidate(instanceId: string): void {
     const { callSettledMs, confirmFirstDelayMs } = this.runtime.timings;
     this.#lastInstanceId = instanceId;
     this.#consecutiveRefusals = 0;
     this.#mayIncludeEarlierLeader = true;
     this.#settledAt = Math.max(this.#settledAt, this.runtime.now + callSettledMs);
-    // Looks before it calls again.
+    // Time to check the candidate's role before the promotion is called again.
     this.#earliestCallAt = Math.max(this.#earliestCallAt, this.runtime.now + confirmFirstDelayMs);
   }
 
   /**
-   * Who was called for by a leader before the store came back from a copy is not known: no other may be called for before
-   * such a call can take effect no more.
+   * Handles promotion calls that a leader may have made before the store was restored, for a candidate that no record
+   * names: no instance may be promoted until such a call can no longer take effect.
    */
   recordUnnamedCalls(): void {
     this.#mayIncludeEarlierLeader = true;
     this.#settledAt = Math.max(this.#settledAt, this.runtime.era.previousCallsSettledAt);
   }
 
-  /** The instance leads: that accounts for one of the calls. */
+  /** The instance is primary, which accounts for one of the calls. */
   recordPromoted(instanceId: string): void {
     const areAllCallsKnown = instanceId === this.#lastInstanceId && !this.#mayIncludeEarlierLeader;
     if (areAllCallsKnown && this.#unsettledCalls <= 1 && !this.#isCallInProgress) {
@@ -82,7 +82,7 @@
     }
   }
 
-  /** Calls for an instance, if that may be done now; true if a call was made. */
+  /** Calls the promotion of an instance if that is allowed now; returns whether a call was made. */
   call(instanceId: string): boolean {
     const { runtime, election, lease } = this;
     const { promoteTimeoutMs, promoteMinLeaseLeftMs } = runtime.timings;
@@ -105,7 +105,10 @@
     return true;
   }
 
-  /** Refused calls count against the rate that all services share, and an instance that is down may take its time. */
+  /**
+   * Delay after a call that took no effect. It grows, since refused calls count against a rate limit that all services
+   * share, and an instance that is down may take long to return.
+   */
   #failureRetryDelayMs(): Milliseconds {
     const { promoteBusyRetryMs, promoteRetryAfterMs } = this.runtime.timings;
     const doublings = Math.max(0, this.#consecutiveRefusals - 1);
--- a/src/core/promotion/candidate.ts
+++ b/src/core/promotion/candidate.ts
@@ -1,75 +1,75 @@
 /**
- * Which instance may be promoted without losing an acknowledged commit, and which one is best. A
- * commit is acknowledged once `syncReplicas` replicas have received it, and logs are prefixes of one
- * another, so there are three proofs that an instance has every acknowledged commit:
+ * Decides which instances can be promoted without losing an acknowledged commit, and which of them is best. A commit
+ * is acknowledged once `syncReplicas` replicas have received it, and of any two logs one is a prefix of the other. So
+ * there are three proofs that an instance has every acknowledged commit:
  *
- * - the old primary was demoted and told the end of its log, and the instance has received as much;
- * - the old primary has ended and its log has gone to its successor at the same address, which is held, and the
- *   instance has received as much as that one;
- * - so few replicas are not held that they can't be all that have received a commit, and no held one
- *   has received more than the instance.
+ * - The old primary was demoted and reported the end of its log, and the instance has received up to that end.
+ * - The old primary has stopped, a successor at the same address took over its log and is held, and the instance has
+ *   received as much as the successor.
+ * - Fewer replicas are not held than a commit needs, so at least one held replica has received every acknowledged
+ *   commit, and no held replica has received more than the instance.
  */
 import type { InstanceEntry } from '../../direct/contract.js';
 import { comparePositions, type Position } from '../position.js';
 
-/** What a member of the group has answered, recently enough to count. */
+/** Latest response of a group member, if it is recent enough to count. */
 export interface MemberObservation {
   readonly entry: InstanceEntry;
-  /** Last position received; undefined if it has not answered. */
+  /** Last log position it has received; undefined if it has not responded. */
   readonly received: Position | undefined;
-  /** It receives nothing more from the old primary: held, or demoted. */
+  /** It receives no more log from the old primary: it is held, or is the old primary itself and was demoted. */
   readonly isStopped: boolean;
-  /** Its entry is in the store. */
+  /** Its registration is in the store. */
   readonly isRegistered: boolean;
-  /** This node reaches it. */
+  /** Whether this node can reach it. */
   readonly isReachable: boolean;
 }
 
 export interface CandidateInput {
   /** All members but the old primary. */
   readonly replicas: readonly MemberObservation[];
-  /** The old primary; `stopped` if it was demoted. */
+  /** The old primary; `isStopped` if it was demoted. */
   readonly oldPrimary: MemberObservation | undefined;
-  /** The member that has the old primary's address and log, if that one was replaced in place. */
+  /** Member with the old primary's address and log, if the old primary was replaced in place. */
   readonly successor?: MemberObservation | undefined;
   readonly syncReplicas: number;
-  /** Takes one that is leaving, or the old primary itself, if there is no better one. */
+  /** Whether a draining instance or the old primary itself is acceptable if there is no better candidate. */
   readonly acceptsAny: boolean;
-  /** Takes any that has answered: a test switched the proof off. */
+  /** Accepts any member that has responded; a test has disabled the proof. */
   readonly isProofDisabled: boolean;
 }
 
-/** The instance to promote, if one is certain. */
+/** Chooses the instance to promote; undefined if no acceptable one is proven to have every acknowledged commit. */
 export function chooseCandidate(input: CandidateInput): InstanceEntry | undefined {
   const complete = membersWithAllCommits(input);
   const eligible = complete
-    .filter(({ isReachable: isReached }) => isReached)
+    .filter(({ isReachable }) => isReachable)
     .filter((member) => input.acceptsAny || isPreferred(member, input.oldPrimary));
   const [best] = eligible.sort((left, right) => compareCandidates(left, right, input.oldPrimary));
   return best?.entry;
 }
 
-/** Members that surely have every acknowledged commit. */
+/** Members that are proven to have every acknowledged commit. */
 export function membersWithAllCommits(input: CandidateInput): MemberObservation[] {
-  const { replicas, oldPrimary: from, successor, syncReplicas, acceptsAny: acceptAny } = input;
+  const { replicas, oldPrimary, successor, syncReplicas, acceptsAny } = input;
   const responsive = replicas.filter(({ received }) => received !== undefined);
   if (input.isProofDisabled) return responsive;
   const complete: MemberObservation[] = [];
-  const isOldPrimaryEnded = from?.isStopped === true && from.received !== undefined;
-  if (isOldPrimaryEnded) complete.push(from);
+  const isOldLogEndKnown = oldPrimary?.isStopped === true && oldPrimary.received !== undefined;
+  if (isOldLogEndKnown) complete.push(oldPrimary);
   const knownEnds = [
-    isOldPrimaryEnded ? from.received : undefined,
+    isOldLogEndKnown ? oldPrimary.received : undefined,
     successor && inheritedLogEnd(successor, responsive),
   ];
   for (const end of knownEnds) {
     if (end !== undefined)
       complete.push(...responsive.filter((member) => hasReceived(member, end)));
   }
-  const held = responsive.filter(({ isStopped: stopped }) => stopped);
+  const held = responsive.filter(({ isStopped }) => isStopped);
   const unheldCount = replicas.length - held.length;
-  // Without synchronous replicas no proof is to be had: the most that is known has to do.
+  // Without synchronous replicas there is no proof: the longest log among the held replicas has to suffice.
   const isEndProven =
-    syncReplicas === 0 ? unheldCount === 0 || acceptAny : unheldCount < syncReplicas;
+    syncReplicas === 0 ? unheldCount === 0 || acceptsAny : unheldCount < syncReplicas;
   if (held.length > 0 && isEndProven) {
     const ends = held.flatMap(({ received }) => received ?? []);
     const end = ends.reduce((left, right) => (comparePositions(left, right) >= 0 ? left : right));
@@ -79,14 +79,14 @@
 }
 
 /**
- * End of the log that a successor in place has from the old primary; undefined while that may still grow, or if the
- * successor lacks what another member has: then it began without the log.
+ * End of the log that a successor at the old primary's address took over. Undefined while that log may still grow, or
+ * if another member has received more: then the successor started without the log.
  */
 function inheritedLogEnd(
-  { received, isStopped: stopped }: MemberObservation,
+  { received, isStopped }: MemberObservation,
   responsive: readonly MemberObservation[],
 ): Position | undefined {
-  if (!stopped || received === undefined) return undefined;
+  if (!isStopped || received === undefined) return undefined;
   const isBehind = responsive.some(
     (member) => member.received !== undefined && !hasReceived({ received }, member.received),
   );
@@ -98,24 +98,25 @@
 }
 
 function isPreferred(
-  { entry, isRegistered: present }: MemberObservation,
-  from: MemberObservation | undefined,
+  { entry, isRegistered }: MemberObservation,
+  oldPrimary: MemberObservation | undefined,
 ): boolean {
-  return !entry.draining && present && entry.id !== from?.entry.id;
+  return !entry.draining && isRegistered && entry.id !== oldPrimary?.entry.id;
 }
 
 function compareCandidates(
   left: MemberObservation,
   right: MemberObservation,
-  from: MemberObservation | undefined,
+  oldPrimary: MemberObservation | undefined,
 ): number {
-  const byPreference = Number(isPreferred(right, from)) - Number(isPreferred(left, from));
+  const byPreference =
+    Number(isPreferred(right, oldPrimary)) - Number(isPreferred(left, oldPrimary));
   if (byPreference !== 0) return byPreference;
   if (left.received !== undefined && right.received !== undefined) {
     const byPosition = comparePositions(right.received, left.received);
     if (byPosition !== 0) return byPosition;
   }
-  const zone = from?.entry.zone;
+  const zone = oldPrimary?.entry.zone;
   const byZone = Number(right.entry.zone === zone) - Number(left.entry.zone === zone);
   return byZone !== 0 ? byZone : left.entry.id < right.entry.id ? -1 : 1;
 }
--- a/src/core/promotion/change.ts
+++ b/src/core/promotion/change.ts
@@ -1,6 +1,6 @@
 /**
- * One change of a service's primary, from the record that announces it to the record that names the
- * new one. Begins anew from the store's records under a later leader: every step can be repeated.
+ * Replaces a service's primary, from the record that announces the change to the record that names the new primary.
+ * Every step can be repeated: a later leader starts again from the records in the store.
  */
 import type { InstanceEntry, InstanceStatus } from '../../direct/contract.js';
 import type { Milliseconds } from '../units.js';
@@ -22,7 +22,7 @@
 
 const STEP_PERIOD_MS = 100;
 
-/** What a change works with. */
+/** Dependencies of a primary change. */
 export interface PrimaryChangeContext {
   readonly runtime: PromotionRuntime;
   readonly election: Election;
@@ -51,7 +51,7 @@
     private readonly context: PrimaryChangeContext,
     readonly service: string,
     readonly record: ChangingRecord,
-    /** An earlier leader may have called for a candidate, though no record names one. */
+    /** An earlier leader may have called the promotion of a candidate that no record names. */
     mayHaveUnnamedCalls = false,
   ) {
     const { runtime, primaries } = context;
@@ -59,8 +59,8 @@
     this.#startedAt = runtime.now;
     this.#lastProgressAt = runtime.now;
     this.#leaderKeysReadAt = runtime.now;
-    const candidate = this.#namedCandidate();
-    // One is named only once all nodes have acknowledged.
+    const candidate = this.#recordedCandidate();
+    // A candidate is recorded only after all nodes have acknowledged the change.
     this.#isOldPrimaryUnused = candidate !== undefined;
     if (candidate !== undefined) context.calls.recordEarlierCandidate(candidate);
     else if (mayHaveUnnamedCalls) context.calls.recordUnnamedCalls();
@@ -82,7 +82,7 @@
     });
   }
 
-  /** Time since this leader took the change up. */
+  /** Time since this leader started to carry out the change. */
   get tookMs(): Milliseconds {
     return Math.round(this.context.runtime.now - this.#startedAt);
   }
@@ -98,7 +98,7 @@
     this.#hold.stop();
   }
 
-  /** Goes as far as what is known allows. */
+  /** Takes the next steps that the present state allows. */
   step(): void {
     const { election, runtime } = this.context;
     if (this.#scope.isEnded || !election.mayAct()) return;
@@ -112,14 +112,14 @@
       this.#rereadLeaderKeys();
       return;
     }
-    const candidate = this.#namedCandidate();
-    if (candidate === undefined) this.#nameCandidate();
+    const candidate = this.#recordedCandidate();
+    if (candidate === undefined) this.#recordCandidate();
     else this.#promote(candidate);
   }
 
   /**
-   * Once all nodes have acknowledged, the old primary stays out of use: those that come later read
-   * the record before they use any.
+   * Once all nodes have acknowledged, no node uses the old primary again: nodes that start later read the record before
+   * they use any primary.
    */
   #checkAcknowledgements(): void {
     const { store, runtime } = this.context;
@@ -143,7 +143,7 @@
     this.#hold.start();
   }
 
-  #namedCandidate(): string | undefined {
+  #recordedCandidate(): string | undefined {
     const { candidate, change } = this.context.store.handoverOf(this.service);
     return change === this.record.change ? candidate : undefined;
   }
@@ -159,7 +159,7 @@
     const { runtime } = this.context;
     const departed = new Set(this.context.departedOf(this.service).map(({ id }) => id));
     const replicas = this.#replicas().filter((entry) => {
-      // One that was forgotten counts again if it is back.
+      // A departed member is left out while calls to it fail, and counts again if it is back.
       return !departed.has(entry.id) || !this.#hold.isUnresponsive(entry.id);
     });
     return {
@@ -172,7 +172,7 @@
     };
   }
 
-  /** The leader's own finding, or that of a node which demoted the old primary. */
+  /** Observed by this leader, or else reported by a node that demoted the old primary. */
   #oldPrimaryObservation(): MemberObservation | undefined {
     const own = this.#hold.observationOf(this.record.from);
     const end = this.context.store.demotedLogEnd(this.service, this.record);
@@ -180,7 +180,7 @@
     return { ...own, received: end, isStopped: true, isReachable: false };
   }
 
-  /** Another instance at the old primary's address: that one has ended, and its log has gone to this one. */
+  /** Another instance at the old primary's address: the old primary has stopped and this one took over its log. */
   #successorObservation(): MemberObservation | undefined {
     const { at } = this.record;
     const successor = this.#replicas().find(({ host, port }) => {
@@ -195,7 +195,7 @@
     return members.filter(({ id }) => id !== this.record.from);
   }
 
-  #nameCandidate(): void {
+  #recordCandidate(): void {
     const candidate = chooseCandidate(this.#candidateInput());
     if (candidate !== undefined) this.#writeCandidate(candidate.id);
   }
@@ -221,9 +221,9 @@
   }
 
   /**
-   * What was certain when the candidate was named may be no longer: a replica that restarted is not held, and an old
-   * primary whose log is known may have ended since. Another one is named only if no call for this one can take
-   * effect any more.
+   * Whether the candidate is still proven to have every acknowledged commit. The proof from when it was recorded may no
+   * longer hold: a replica that restarted is not held, and an old primary whose log end was known may have stopped
+   * since. The candidate is dropped only if no call for it can take effect any more.
    */
   #isStillProven(candidate: string): boolean {
     const { calls } = this.context;
@@ -235,11 +235,14 @@
     return false;
   }
 
-  /** The platform refuses to let it lead, and this leader does not reach it: named, it would hold the service up. */
+  /**
+   * Whether the platform refuses to promote the candidate and this leader can't reach it: it would block the change if
+   * it stayed recorded.
+   */
   #isUnreachableAndRefused(candidate: string): boolean {
     if (this.context.runtime.isDisabled('gone-candidates')) return false;
-    const isReached = this.#hold.observationOf(candidate)?.isReachable === true;
-    return this.context.calls.wasLastCallRefused(candidate) && !isReached;
+    const isReachable = this.#hold.observationOf(candidate)?.isReachable === true;
+    return this.context.calls.wasLastCallRefused(candidate) && !isReachable;
   }
 
   #checkCandidateAfter(delayMs: Milliseconds): void {
@@ -247,9 +250,9 @@
     this.#cancelCandidateCheck = this.#scope.after(delayMs, () => this.#checkCandidate());
   }
 
-  /** Looks whether the named candidate leads, until it does. */
+  /** Queries the candidate's status repeatedly until it is primary. */
   #checkCandidate(): void {
-    const candidate = this.#namedCandidate();
+    const candidate = this.#recordedCandidate();
     const instance = candidate === undefined ? undefined : this.#entryOf(candidate);
     if (this.#newPrimary !== undefined || instance === undefined) return;
     const { runtime } = this.context;
@@ -261,20 +264,20 @@
   }
 
   /**
-   * One that leads a later term is the new primary, whatever becomes of it: the candidate, or another
-   * that an earlier leader called for, unless a call for the candidate may still depose it.
+   * An instance that is primary of a later term is the new primary, even if it fails afterwards. It may also be another
+   * instance than the candidate, promoted by an earlier leader, unless an unsettled call may still replace it.
    */
   #handleStatus(instance: InstanceEntry, { role, term }: InstanceStatus): void {
     if (role !== 'primary' || term <= this.record.term || this.#newPrimary !== undefined) return;
     const { calls } = this.context;
-    if (instance.id !== this.#namedCandidate() && !calls.isSettled) return;
+    if (instance.id !== this.#recordedCandidate() && !calls.isSettled) return;
     calls.recordPromoted(instance.id);
     this.#newPrimary = { instance, term };
     this.#hold.stop();
     this.#finish(instance, term);
   }
 
-  /** A member leads a later term already: an earlier call took effect. */
+  /** Finds a member that is already primary of a later term, since an earlier call took effect. */
   #findLaterPrimary(): void {
     const later = this.#hold.laterPrimary(this.record.term);
     if (later !== undefined) this.#handleStatus(later.entry, later.status);
@@ -293,7 +296,7 @@
     const record = { phase: 'serving', change, instance: instance.id, at, term } as const;
     const known = store.handoverOf(this.service);
     const handover = { ...known, primary: instance.id, candidate: undefined, change };
-    // The record itself ends this change, see `ServiceDuty`; without it, the write is made again.
+    // The record itself ends this change, see `ServiceLeader`. While it is missing, the write is repeated.
     const onDone = this.#scope.guard(() => {
       this.#isWriting = false;
       this.#scope.after(STEP_PERIOD_MS, () => this.#finish(instance, term));
@@ -301,7 +304,7 @@
     store.write({ service: this.service, record, handover }, onDone);
   }
 
-  /** Another node may reach what this one does not. */
+  /** Resigns after a time without progress: another node may reach instances that this one can't. */
   #resignIfStuck(): void {
     const { runtime, store, election, calls } = this.context;
     if (
@@ -318,16 +321,20 @@
     const withoutProgressMs = runtime.now - Math.max(this.#lastProgressAt, calls.settledAt);
     if (withoutProgressMs < runtime.timings.resignAfterMs) return;
     runtime.log('warn', 'change of primary stuck, resigning', {
-      ...{ service: this.service, change: this.record.change, candidate: this.#namedCandidate() },
+      ...{
+        service: this.service,
+        change: this.record.change,
+        candidate: this.#recordedCandidate(),
+      },
       ...{ refusals: calls.consecutiveRefusals, unheard: this.#unresponsiveMembers() },
     });
     election.resign(runtime.timings.candidacyCooldownMs);
   }
 
-  /** Members whose logs this leader can't vouch for now. */
+  /** Members whose log position this leader does not know at present. */
   #unresponsiveMembers(): string[] {
-    const { replicas, oldPrimary: from } = this.#candidateInput();
-    const all = from === undefined ? replicas : [...replicas, from];
+    const { replicas, oldPrimary } = this.#candidateInput();
+    const all = oldPrimary === undefined ? replicas : [...replicas, oldPrimary];
     return all.filter(({ received }) => received === undefined).map(({ entry }) => entry.id);
   }
 
--- a/src/core/promotion/commit-verdict.ts
+++ b/src/core/promotion/commit-verdict.ts
@@ -1,40 +1,44 @@
 /**
- * Whether a commit may be asked for, and its acknowledgement passed on, by a node whose lease does not vouch for the
- * primary. No promotion waits for such a node, so the members themselves are asked: a later primary tells of itself,
- * and a replica that is held may be promoted at any moment with the log that it had when that began.
+ * Decides whether a node without a valid lease may send a commit to the primary and relay its acknowledgement. No
+ * promotion waits for such a node, so it queries the members themselves: a later primary shows in their status, and a
+ * held replica may be promoted at any moment with the log that it had when it was held.
  */
 import type { InstanceStatus } from '../../direct/contract.js';
 import { comparePositions, type Position } from '../position.js';
 import type { Milliseconds } from '../units.js';
 
-/** `refused`: nothing listens there. `none`: no answer, or none that tells. */
+/** `refused`: nothing listens at its address. `none`: no response, or one without a status. */
 export type MemberResponse = InstanceStatus | 'refused' | 'none';
 
-/** Of every member that is known, the primary included, by id. */
+/** Responses of all known members, including the primary, by instance id. */
 export type MemberResponses = ReadonlyMap<string, MemberResponse>;
 
-/** One finished round. */
+/** A completed round: one query to every member of a group at once. */
 export interface QueryRound {
   readonly service: string;
-  /** The instance that is taken for the primary. */
+  /** The instance that the node believes to be primary. */
   readonly primary: string;
   readonly sentAt: Milliseconds;
   readonly syncReplicas: number;
   readonly responses: MemberResponses;
-  /** Whoever joined would be known: the store, or a peer, has told of the members lately. By default it has. */
+  /**
+   * Whether a newly joined member would be known, since the store or a peer has reported the members recently; true by
+   * default.
+   */
   readonly areMembersCurrent?: boolean | undefined;
 }
 
 /**
- * What a round says of commits at a primary. `safe`: whichever member leads next has them. `deposed`: another
- * leads, or the primary does no more. `held`: a replica is held that may be promoted without them. `unknown`: a member
- * that might be either did not answer, or more members are gone than a commit needs.
+ * What a round proves about commits at a primary. `safe`: whichever member becomes primary next has them. `deposed`:
+ * another instance is primary, or this one no longer is. `held`: a held replica may be promoted without them.
+ * `unknown`: a member did not respond and might be a later primary or a held replica, or nothing listens at more
+ * members' addresses than a commit needs replicas.
  */
 export type CommitVerdict = 'safe' | 'deposed' | 'held' | 'unknown';
 
 /**
- * The verdict on what the primary had acknowledged when the round was sent, or will for what is sent to it next. With
- * the position of a commit, a held replica that has received it does no harm.
+ * Judges the commits that the primary had acknowledged when the round was sent, and those that it will acknowledge for
+ * writes sent to it next. If the position of a commit is given, a held replica that has received it does no harm.
  */
 export function judgeCommits(
   { primary, responses, syncReplicas }: Omit<QueryRound, 'service' | 'sentAt'>,
@@ -59,9 +63,9 @@
 }
 
 /**
- * The term for which a replica is held that may be promoted in place of the primary; undefined if none is. Whoever
- * learns of it and reaches the primary demotes it for that term: the leader of the change may not reach it, and what was
- * sent to it before may be acknowledged yet.
+ * Term for which a replica is held that may be promoted in place of the primary; undefined if none is held. Any node
+ * that learns of it and reaches the primary demotes the primary for that term: the leader may be unable to reach it,
+ * and the primary may still acknowledge writes that were sent to it before.
  */
 export function termOfHeldReplica({
   primary,
@@ -74,15 +78,16 @@
   return heldTerm > primaryStatus.term ? heldTerm : undefined;
 }
 
-/** The member leads too, or follows a later primary than this one. */
+/** Whether the member is also primary, or follows a later primary. */
 export function contradictsPrimary(member: InstanceStatus, primary: InstanceStatus): boolean {
   return member.role === 'primary' || termOf(member) > primary.term;
 }
 
 /**
- * Only what will be safe is sent, and told as done: a caller is better refused at once, and served by a node that has a
- * lease, than left in doubt. With `unknown` let through, callers were told of commits that were then lost in 19 of 400
- * seeds of replicas that join in a change, and of commits of a deposed primary in 9 more.
+ * Only writes judged safe are sent, and only commits judged safe are acknowledged to the caller: it is better to refuse
+ * a caller at once, so that a node with a lease can serve it, than to leave the outcome unknown. If `unknown` counted
+ * as safe, callers would get acknowledgements of commits that are then lost: in a simulation in which replicas join
+ * during a primary change, this happened with 19 of 400 seeds, and with 9 more for commits of a replaced primary.
  */
 export function isSafe(verdict: CommitVerdict): boolean {
   return verdict === 'safe';
--- a/src/core/promotion/election.ts
+++ b/src/core/promotion/election.ts
@@ -1,6 +1,6 @@
 /**
- * Which node holds the duty of promotions. The leader's key hangs on that node's lease; the revision
- * at which it was written is the fencing token, and so grows with every holder.
+ * Elects the leader: the one node that runs promotions. The leader's key expires with that node's lease. The revision
+ * at which the key was written is the fencing token, so each leader's token is higher than the last.
  */
 import type { Milliseconds } from '../units.js';
 import type { NodeLease } from './lease.js';
@@ -10,14 +10,14 @@
 import type { StoreView } from './store-view.js';
 
 export class Election {
-  /** Called when this node has become the leader, or is it no longer. */
+  /** Called when this node becomes leader or stops being leader. */
   onChange: () => void = () => {};
-  /** Lease under which this node took the lead. */
+  /** Lease of this node's leader key. */
   #leaseId: string | undefined;
   #fencingToken: number | undefined;
   #isAttemptScheduled = false;
   #noCandidacyUntil: Milliseconds = 0;
-  #stopped = false;
+  #isStopped = false;
   #revisionBeingDeleted: number | undefined;
   #lastPromotionCallAt: Milliseconds = Number.NEGATIVE_INFINITY;
 
@@ -28,37 +28,40 @@
     private readonly records: StoreView,
   ) {}
 
-  /** Fencing token, if this node is the leader as far as it knows. */
+  /** Fencing token; undefined if this node is not the leader as far as it knows. */
   get fencingToken(): number | undefined {
     return this.#fencingToken;
   }
 
-  /** True if this node is the leader, and will surely be it for `marginMs` yet. */
+  /** Whether this node is the leader and is certain to remain so for at least `marginMs`. */
   mayAct(marginMs: Milliseconds = 0): boolean {
-    if (this.#fencingToken === undefined || this.#stopped) return false;
+    if (this.#fencingToken === undefined || this.#isStopped) return false;
     if (!this.#isEraSettled) return false;
     if (this.runtime.isDisabled('own-clock')) return true;
     if (this.#leaseId !== this.lease.leaseId) return false;
     return this.lease.isValid(this.runtime.now + marginMs);
   }
 
-  /** A holder of the era before may not have heard of its end, nor nodes that registered then and that the copy lacks. */
+  /**
+   * Until the store era is settled, a leader of the previous era may not know that its leadership has ended, nor may
+   * nodes that registered in that era and whose registrations the backup lacks.
+   */
   get #isEraSettled(): boolean {
     const { era, now } = this.runtime;
     return era.isSettled(now) || this.runtime.isDisabled('era-wait');
   }
 
-  /** A call of the promotion has begun. */
+  /** Records that a promotion call has been sent. */
   recordPromotionCall(): void {
     this.#lastPromotionCallAt = this.runtime.now;
   }
 
-  /** False while a promotion by the next holder would follow too soon upon one by this. */
+  /** False while a promotion by the next leader could follow too closely on this leader's last one. */
   get mayHandOver(): boolean {
     return this.runtime.now - this.#lastPromotionCallAt > this.runtime.timings.minHandoverDelayMs;
   }
 
-  /** The leader's key or this node's registration may have changed. */
+  /** Handles a possible change of the leader's key or of this node's registration. */
   update(): void {
     const entry = this.records.get(LEADER_KEY);
     const leader = decodeRecord(entry, parseLeaderRecord);
@@ -70,10 +73,10 @@
       this.#deleteKey(entry.modRevision);
   }
 
-  /** Gives up the lead, and does not stand for it for a while. */
+  /** Gives up leadership, and does not stand for election during the cooldown. */
   resign(cooldownMs: Milliseconds, onDone: () => void = () => {}): void {
     const token = this.#fencingToken;
-    this.#noCandidacyUntil = this.#stopped
+    this.#noCandidacyUntil = this.#isStopped
       ? Number.POSITIVE_INFINITY
       : this.runtime.now + cooldownMs;
     this.#setFencingToken(undefined);
@@ -84,12 +87,12 @@
     this.#deleteKey(token, onDone);
   }
 
-  /** This node will not stand any more. */
+  /** Ends this node's candidacy for good. */
   stop(): void {
-    this.#stopped = true;
+    this.#isStopped = true;
   }
 
-  /** Deletes the leader's key of this revision, which is this node's. */
+  /** Deletes this node's leader key, if it still has this revision. */
   #deleteKey(modRevision: number, onDone: () => void = () => {}): void {
     if (this.#revisionBeingDeleted === modRevision) return;
     this.#revisionBeingDeleted = modRevision;
@@ -115,8 +118,8 @@
   }
 
   /**
-   * Nobody holds the lead by this key: the process that wrote it is gone, and this one has taken its place, or this one
-   * has resigned and a return of the store brought the key back, on a lease that lives on.
+   * Whether the key is this node's but gives no one leadership: an earlier incarnation of the node wrote it, or this
+   * node has resigned and a restore of the store brought the key back while its lease is still alive.
    */
   #isStaleOwnKey({ node, incarnation }: LeaderRecord): boolean {
     const { nodeName, incarnation: own } = this.runtime.options;
@@ -130,7 +133,7 @@
     const isSameLeadership = token !== undefined && this.#fencingToken !== undefined && isSameLease;
     this.#fencingToken = token;
     this.#leaseId = leader?.leaseId;
-    // The key outlived a return of the store from a copy: what this holder knows of its duty is the newest there is.
+    // The key survived a restore of the store. This leader's view is the most recent one, so it keeps its state.
     if (isSameLeadership) return;
     this.runtime.log('info', token === undefined ? 'leadership lost' : 'leadership taken', {
       token,
@@ -139,7 +142,7 @@
   }
 
   #scheduleAttempt(): void {
-    if (this.#isAttemptScheduled || this.#stopped) return;
+    if (this.#isAttemptScheduled || this.#isStopped) return;
     this.#isAttemptScheduled = true;
     const waitMs = Math.max(0, this.#noCandidacyUntil - this.runtime.now);
     const randomDelayMs = this.runtime.timings.maxElectionDelayMs * this.runtime.options.random();
@@ -151,7 +154,7 @@
 
   #attempt(): void {
     const { leaseId } = this.lease;
-    if (this.#stopped || this.records.get(LEADER_KEY) !== undefined) return;
+    if (this.#isStopped || this.records.get(LEADER_KEY) !== undefined) return;
     if (
       leaseId === undefined ||
       !this.participation.isRegistered ||
--- a/src/core/promotion/era-publisher.ts
+++ b/src/core/promotion/era-publisher.ts
@@ -1,4 +1,4 @@
-/** Records that the store's present era is settled, so that processes that begin later rely on the records at once. */
+/** Records that the current store era is settled, so that processes that start later rely on the records at once. */
 import type { Election } from './election.js';
 import { ERA_KEY, type EraRecord, LEADER_KEY } from './records.js';
 import type { PromotionRuntime } from './runtime.js';
@@ -7,7 +7,7 @@
 const RETRY_DELAY_MS = 300;
 
 export class EraPublisher {
-  /** The term of office in which a write or a pause is on. */
+  /** Scope of the leadership during which a write or a delay is in progress. */
   #busyScope: Scope | undefined;
 
   constructor(
@@ -15,7 +15,7 @@
     private readonly election: Election,
   ) {}
 
-  /** Writes the record once this leader may act; `scope` ends with this node's duty. */
+  /** Writes the record once this leader may act; `scope` ends with this node's leadership. */
   update(scope: Scope): void {
     const { era, now } = this.runtime;
     if (this.#busyScope === scope || era.unrecordedEra === undefined) return;
--- a/src/core/promotion/era-settling.ts
+++ b/src/core/promotion/era-settling.ts
@@ -1,37 +1,36 @@
 /**
- * How long after a return of the store from a copy something of the era before may still bind: leases that the copy has
- * not, records that are yet to be written again, and calls of the promotion that no record names. Counted from when this
- * process first heard of the era, which is no earlier than the return, or over at once where a leader has recorded that
- * it has waited.
+ * Tracks for how long after a restore of the store from a backup the previous era can still have an effect: through
+ * leases that the backup lacks, records that are yet to be rewritten, and promotion calls that no record names. The
+ * time counts from when this process first learned of the era, which is never before the restore. It ends at once where
+ * a leader has recorded that it has waited.
  */
 import { MILLISECONDS_PER_SECOND, type Milliseconds } from '../units.js';
 import type { PromotionTimings } from './options.js';
 
 export class EraSettling {
   #eraFirstSeenAt: Milliseconds = Number.NEGATIVE_INFINITY;
-  /** Undefined for a store that names none. */
+  /** Current store era; undefined for a store that reports none. */
   #era: number | undefined;
-  /** The era that a leader has recorded as settled. */
+  /** Era that a leader has recorded as settled. */
   #settledEra: number | undefined;
-  /** This process has no memory of an era before, in which the store may have held more. */
+  /** This process does not know the records of the previous era, in which the store may have held more. */
   #lacksEarlierRecords = false;
-
-  /** It did not follow the store up to its return, and may have missed what the copy lacks. */
+  /** This process was cut off from the store before the restore, and may have missed records that the backup lacks. */
   #mayHaveMissed = false;
-
   #hasStoreBeenRestored = false;
-  /** The era in which the whole system started. */
+  /** Era in which the whole system started for the first time. */
   #initialEra: number | undefined;
 
   constructor(
     private readonly timings: PromotionTimings,
-    /** The whole system starts for the first time: there is no era before. */
+    /** Whether the whole system starts for the first time, so that there is no previous era. */
     private readonly isFirstStart: boolean,
   ) {}
 
   /**
-   * The store named its era for the first time, or one that is higher.
-   * @param hadWritePermission no change of primary can have ended before the return without this node's acknowledgement
+   * Records the first era that the store reports, or a higher one.
+   * @param hadWritePermission no primary change can have been completed before the restore without this node's
+   *   acknowledgement
    */
   recordEra(era: number, now: Milliseconds, hadWritePermission = true): void {
     const isFirst = this.#era === undefined;
@@ -43,55 +42,57 @@
     this.#eraFirstSeenAt = now;
   }
 
-  /** What the records say of the era that is settled. */
+  /** Sets the era that the records name as settled. */
   setSettledEra(era: number | undefined): void {
     this.#settledEra = era;
   }
 
-  /** The present era, if no leader has recorded it yet. */
+  /** The current era if no leader has recorded it as settled yet. */
   get unrecordedEra(): number | undefined {
     return this.#settledEra === this.#era ? undefined : this.#era;
   }
 
-  /** The store came back from a copy in the life of this process: what leaders kept for themselves may be lost. */
+  /** The store was restored from a backup while this process ran: records that only leaders watch may be lost. */
   get hasStoreBeenRestored(): boolean {
     return this.#hasStoreBeenRestored;
   }
 
-  /** From then on no node relies on a lease that it had before: the last renewal was answered before the return. */
+  /**
+   * Time from which no node relies on a lease of the previous era: its last successful renewal was before the restore.
+   */
   get previousLeasesExpiredAt(): Milliseconds {
     return this.#eraFirstSeenAt + this.timings.leaseSeconds * MILLISECONDS_PER_SECOND;
   }
 
-  /** From then on no call of a leader of the era before can take effect. */
+  /** Time from which no promotion call by a leader of the previous era can take effect. */
   get previousCallsSettledAt(): Milliseconds {
     return (
       this.previousLeasesExpiredAt + this.timings.promoteTimeoutMs + this.timings.callSettledMs
     );
   }
 
-  /** No lease of the era before is relied on any more. */
+  /** Whether no node relies on a lease of the previous era any more. */
   isSettled(now: Milliseconds): boolean {
-    return !this.#mayHaveBegunRecently || now >= this.previousLeasesExpiredAt;
+    return !this.#mayBeUnsettled || now >= this.previousLeasesExpiredAt;
   }
 
-  /** A leader that leads since then may have taken over from one of the era before, whose calls are not settled. */
+  /** Whether a leader since this time may have succeeded one of the previous era whose calls are not settled. */
   mayHaveUnnamedCalls(leadingSince: Milliseconds, now: Milliseconds): boolean {
-    if (!this.#hasStoreBeenRestored && !this.#mayHaveBegunRecently) return false;
+    if (!this.#hasStoreBeenRestored && !this.#mayBeUnsettled) return false;
     return leadingSince >= this.#eraFirstSeenAt && now < this.previousCallsSettledAt;
   }
 
-  /** Neither has a leader recorded the era, nor did the system start in it. */
-  get #mayHaveBegunRecently(): boolean {
+  /** No leader has recorded the era as settled, and the system did not start for the first time in it. */
+  get #mayBeUnsettled(): boolean {
     return this.unrecordedEra !== undefined && this.#initialEra !== this.#era;
   }
 
-  /** A record that the copy lacks, and that others are yet to write again, may name another primary than is known here. */
+  /** Whether a record that the backup lacks, and that other nodes are yet to rewrite, may name another primary. */
   mayHaveMissedRecords(now: Milliseconds): boolean {
     return this.#mayHaveMissed && !this.isSettled(now);
   }
 
-  /** What the store holds, with what this process remembers, is all that was acted on. */
+  /** Whether the store and this process together know every record that any node has acted on. */
   mayRelyOnRecords(now: Milliseconds): boolean {
     return !this.#lacksEarlierRecords || this.isSettled(now);
   }
--- a/src/core/promotion/evidence.ts
+++ b/src/core/promotion/evidence.ts
@@ -1,14 +1,14 @@
 /**
- * The second source of trust in a primary, for when the lease has lapsed because the store is away: a
- * round of questions to every member of the group proves something of what began before it was sent.
+ * Confirms a primary without a lease, for when the lease has expired because the store is unreachable. A round, one
+ * query to every member of the group, proves something about operations that began before it was sent:
  *
- * - A read: that no later primary had acknowledged a commit. One that had would have given its term
- *   to as many replicas as a commit needs, so as many members may be left without an answer; none if the list of
- *   members may be old, since one that it lacks has no answer either.
- * - The passing on of a commit's acknowledgement: that there was no later primary at all, and none about to be made
- *   without the commit, see `commit-verdict.ts`; each member has to answer, or to be gone.
+ * - For a read, that no later primary had acknowledged a commit. A later primary that had would have passed its term to
+ *   as many replicas as a commit needs. So up to that many members may fail to respond, but none if the member list
+ *   may be outdated, since a member missing from it does not respond either.
+ * - For relaying a commit's acknowledgement, that there was no later primary at all and none about to be promoted
+ *   without the commit, see `commit-verdict.ts`. Each member has to respond, or nothing may listen at its address.
  *
- * `core/statements/primary-evidence.ts` proves less for less: positions alone, without a slot.
+ * `core/statements/primary-evidence.ts` is cheaper and proves less: it compares positions only and takes no slot.
  */
 import { laterPosition, type Position } from '../position.js';
 import {
@@ -20,10 +20,10 @@
 
 export type { MemberResponse, QueryRound } from './commit-verdict.js';
 
-/** What a primary is trusted for. */
+/** Operation for which a primary has to be confirmed. */
 export type TrustedUse = 'read' | 'commit';
 
-/** True if the round proves that the primary could be trusted when it was sent. */
+/** Whether the round proves that the primary could be relied on when the round was sent. */
 export function provesPrimary(round: QueryRound, use: TrustedUse): boolean {
   return use === 'read' ? provesPrimaryForReads(round) : judgeCommits(round) === 'safe';
 }
@@ -42,11 +42,11 @@
 }
 
 /**
- * The position that every commit acknowledged before the round was sent is at or before; undefined if too few
- * members told. Such a commit stands on its primary and on `syncReplicas` more: with no more members than that
- * silent, one that has it answered. What calls itself primary counts as silent: its log may not be the group's. Its
- * position counts all the same, since it can only be too high: with it a commit is seen that a replica alone has which
- * has just joined and which nobody knows.
+ * Position that no commit acknowledged before the round was sent exceeds; undefined if too few members responded. Such
+ * a commit is on its primary and on `syncReplicas` replicas: if at most `syncReplicas` members fail to respond, at
+ * least one member that has it responded. A member that reports itself as primary counts as unresponsive, because its
+ * log may not be the group's. Its position is included all the same, since that can only make the result too high, and
+ * it covers a commit whose only other copy is on a replica that has just joined and is not known yet.
  */
 export function acknowledgedPosition(
   responses: MemberResponses,
--- a/src/core/promotion/fleet-publisher.ts
+++ b/src/core/promotion/fleet-publisher.ts
@@ -1,6 +1,6 @@
 /**
- * What the leader publishes of the fleet: how many nodes there are, how they share connections, and which
- * of them read the store for the others.
+ * Publishes the fleet record: the number of nodes, how they share connections, and which of them read the store for the
+ * others or keep quotas.
  */
 import type { ServiceDescription } from '../../direct/contract.js';
 import { type ConnectionSharing, SharingDecision } from '../ownership/connection-sharing.js';
@@ -26,7 +26,7 @@
 import type { FleetRecord } from './records.js';
 import type { PromotionRuntime } from './runtime.js';
 
-/** What is read and written of the fleet in the store. */
+/** Part of the leader's store access that concerns the fleet. */
 export type FleetStore = Pick<
   LeaderStore,
   | 'leadingSince'
@@ -40,7 +40,7 @@
 export class FleetPublisher {
   readonly #sharingDecision = new SharingDecision();
   readonly #returnSharingDecision = new SharingDecision();
-  /** Keepers without a lease, and since when. */
+  /** Time at which each quota keeper without a lease was first seen missing, by node id. */
   readonly #missingSince = new Map<string, Milliseconds>();
 
   constructor(
@@ -49,18 +49,18 @@
     private readonly services: () => Iterable<ServiceDescription>,
   ) {}
 
-  /** True if what is published is not what holds now. */
+  /** Whether the published record differs from the current state. */
   isOutdated(): boolean {
     const published = this.store.publishedFleet();
     return published === undefined || !areSameFleets(published, this.#currentFleet(published));
   }
 
-  /** True while what is to be published may change by the time alone. */
+  /** Whether the record may change with time alone, without any event. */
   get changesWithTime(): boolean {
     return this.hasOwners || this.runtime.options.hasQuotas === true;
   }
 
-  /** True while connections are shared through owners. */
+  /** Whether connections are currently shared through owners. */
   get hasOwners(): boolean {
     const published = this.store.publishedFleet();
     return published?.owners !== undefined || published?.returnOwners !== undefined;
@@ -93,13 +93,13 @@
       return { nodes, readers, keepers, returnOwners: this.#returnOwners(published, nodes) };
     }
     const roster = nextRoster(published?.owners?.nodes ?? [], this.store.reachableNodes());
-    // Without a node that others reach there is no other way than each for itself.
+    // If other nodes can reach none of the nodes, each node has to connect by itself.
     if (roster.length === 0) return { nodes, readers, keepers };
     const owners = { ownersPerInstance: sharing.ownersPerInstance, nodes: roster };
     return { nodes, owners, readers, keepers };
   }
 
-  /** Owners for nodes that come back, in a fleet whose nodes connect by themselves otherwise. */
+  /** Owners for returning nodes, in a fleet whose other nodes connect by themselves. */
   #returnOwners(published: FleetRecord | undefined, nodes: number): OwnerRoster | undefined {
     const before = published?.returnOwners ?? published?.owners;
     const { maxConnections } = this.#fleetSize(nodes);
@@ -123,7 +123,7 @@
     return readers.length === 0 ? undefined : readers;
   }
 
-  /** Keepers whose lease is over count as live until they surely have stopped. */
+  /** Keepers whose lease has expired count as live until they are certain to have stopped. */
   #nextKeepers(published: FleetRecord | undefined): QuotaKeepers | undefined {
     const { options, now } = this.runtime;
     const previous = published?.keepers;
@@ -164,7 +164,7 @@
   }
 }
 
-/** Keepers that are not named any more: their leases must be over. */
+/** Keepers that the new record no longer names: their leases must have expired before it is written. */
 function removedKeepers(before: FleetRecord | undefined, after: FleetRecord): readonly string[] {
   const staying = new Set(after.keepers?.map(({ nodeId }) => nodeId));
   const gone = before?.keepers?.filter(({ nodeId }) => !staying.has(nodeId)) ?? [];
--- a/src/core/promotion/held-replica-check.ts
+++ b/src/core/promotion/held-replica-check.ts
@@ -1,6 +1,6 @@
 /**
- * After a change, and when a leader begins: members that are still held are let go, and whoever still
- * leads an earlier term is demoted.
+ * Runs after a primary change and when a node becomes leader: resumes replicas that are still held, and demotes any
+ * instance that is still primary of an earlier term.
  */
 import type { InstanceEntry, InstanceStatus } from '../../direct/contract.js';
 import type { Milliseconds } from '../units.js';
@@ -14,7 +14,7 @@
   readonly primaryId: string;
   readonly term: number;
   readonly members: readonly InstanceEntry[];
-  /** This node is the leader yet: a deposed one would end the holds of the next. */
+  /** Whether this node is still the leader: a former leader would resume replicas that the next one holds. */
   readonly mayAct: () => boolean;
 }
 
@@ -28,7 +28,7 @@
     this.#scope = new Scope(runtime);
   }
 
-  /** Members of a change that this leader has just made are known to be held. */
+  /** @param areHeld the members are known to be held, since this leader has just completed a change */
   start(areHeld: boolean): void {
     for (const member of this.options.members) {
       if (member.id === this.options.primaryId) continue;
@@ -68,7 +68,7 @@
     } else if (status.heldTerm > 0) {
       this.#scope.after(isLast ? 0 : heldCheckPeriodMs, () => this.#resume(member, 0));
     } else if (!isLast) {
-      // A call of an earlier leader may arrive late and hold it once more.
+      // A delayed call of an earlier leader may hold it again.
       this.#scope.after(heldFinalCheckDelayMs, () => this.#queryStatus(member, 0, true));
     }
   }
--- a/src/core/promotion/hold.ts
+++ b/src/core/promotion/hold.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps the members of a group from taking part in further commits under the old primary: replicas
- * are held, whoever leads is demoted. Tells what each has received; answers count for a while only,
- * since a restart ends a hold.
+ * Keeps the members of a group from taking part in further commits under the old primary: holds the replicas and
+ * demotes the primary. Collects the log position that each member has received. Responses expire after a while, since a
+ * restart ends a hold.
  */
 import type { InstanceEntry, InstanceStatus } from '../../direct/contract.js';
 import type { Milliseconds } from '../units.js';
@@ -15,24 +15,24 @@
 interface MemberState {
   readonly entry: InstanceEntry;
   status: InstanceStatus | undefined;
-  /** When the call that gave this status was sent: by a late process, answers are read long after they were given. */
+  /** Time at which the call that returned this status was sent: a stalled process may read the response much later. */
   sentAt: Milliseconds;
   action: ControlAction;
-  /** Number of the call that was sent last. */
+  /** Number of calls sent; identifies the latest one. */
   callCount: number;
-  /** When a call was last answered or failed. */
+  /** Time at which the latest call succeeded or failed. */
   lastCallEndedAt: Milliseconds;
 }
 
 export interface HoldOptions {
   readonly oldPrimary: InstanceEntry | undefined;
   readonly replicas: readonly InstanceEntry[];
-  /** Highest term known. */
+  /** Highest known term. */
   readonly term: number;
   readonly isPresent: (id: string) => boolean;
-  /** This node is the leader yet: a deposed one would hold what the next has let go. */
+  /** Whether this node is still the leader: a former leader would hold replicas that the next one has resumed. */
   readonly mayAct: () => boolean;
-  /** Called with each answer. */
+  /** Called after each response or failure. */
   readonly onResponse: () => void;
 }
 
@@ -42,7 +42,7 @@
   #isStarted = false;
   #term: number;
   #lastResponseAt: Milliseconds;
-  /** What was asked before this does not count. */
+  /** Responses to calls sent before this time don't count. */
   #validFrom: Milliseconds = Number.NEGATIVE_INFINITY;
 
   constructor(
@@ -60,7 +60,7 @@
     ];
   }
 
-  /** Last time that any member answered. */
+  /** Last time at which any member responded. */
   get lastResponseAt(): Milliseconds {
     return this.#lastResponseAt;
   }
@@ -75,15 +75,15 @@
   }
 
   /**
-   * Nobody uses the old primary any more, so that what members tell from now on covers all that was acknowledged,
-   * also where a restart ended a hold before. Asks them all at once.
+   * Notes that no node uses the old primary any more: from now on the members' positions cover every acknowledged
+   * commit, even where a restart has ended an earlier hold. Calls all members at once.
    */
   recordOldPrimaryUnused(): void {
     this.#validFrom = this.runtime.now;
     if (this.#isStarted) for (const member of this.#members) this.#callMember(member);
   }
 
-  /** The replicas that there are now: some may have joined, or have been replaced. */
+  /** Updates the list of replicas: some may have joined or been replaced. */
   updateReplicas(replicas: readonly InstanceEntry[]): void {
     const oldPrimaryId = this.options.oldPrimary?.id;
     this.#members = this.#members.filter(({ entry }) => {
@@ -97,7 +97,7 @@
     }
   }
 
-  /** What is known of a member now. */
+  /** What is currently known about a member. */
   observationOf(id: string): MemberObservation | undefined {
     const member = this.#members.find(({ entry }) => entry.id === id);
     if (member === undefined) return undefined;
@@ -112,7 +112,7 @@
     };
   }
 
-  /** True if nothing was heard of a member though it was lately tried. */
+  /** Whether a member was called recently and has not responded. */
   isUnresponsive(id: string): boolean {
     const member = this.#members.find(({ entry }) => entry.id === id);
     const { now, timings } = this.runtime;
@@ -121,12 +121,12 @@
     return !this.#isRecent(member);
   }
 
-  #isRecent({ sentAt: askedAt }: MemberState): boolean {
+  #isRecent({ sentAt }: MemberState): boolean {
     const { now, timings } = this.runtime;
-    return askedAt >= this.#validFrom && now - askedAt <= timings.evidenceMaxAgeMs;
+    return sentAt >= this.#validFrom && now - sentAt <= timings.evidenceMaxAgeMs;
   }
 
-  /** A member that answered as the leader of a later term than the given one. */
+  /** Member that has reported itself as primary of a later term. */
   laterPrimary(term: number): { entry: InstanceEntry; status: InstanceStatus } | undefined {
     for (const { entry, status } of this.#members) {
       if (status?.role === 'primary' && status.term > term) return { entry, status };
@@ -143,9 +143,9 @@
     const { holdRetryPeriodMs } = this.runtime.timings;
     if (!this.#members.includes(member)) return;
     if (!this.options.mayAct()) {
-      const { callCount: calls } = member;
+      const { callCount } = member;
       this.#scope.after(holdRetryPeriodMs, () => {
-        if (calls === member.callCount) this.#callMember(member);
+        if (callCount === member.callCount) this.#callMember(member);
       });
       return;
     }
@@ -178,7 +178,7 @@
     if (typeof answer === 'string') return;
     this.#lastResponseAt = this.runtime.now;
     if (sentAt < member.sentAt) return;
-    // Of one that leads: it is the new one, and the others are about to follow it.
+    // A primary's term is not adopted: a later primary is the new one, and the others are about to follow it.
     if (answer.role === 'replica') this.#term = Math.max(this.#term, answer.term);
     member.status = answer;
     member.sentAt = sentAt;
--- a/src/core/promotion/leader-store.ts
+++ b/src/core/promotion/leader-store.ts
@@ -1,6 +1,6 @@
 /**
- * What the leader reads and writes in the store for its duty. Every write has the condition that the
- * leader's key is still this leader's, and that what it replaces is what was read.
+ * Reads and writes the store for the leader. Every write has the condition that the leader's key still belongs to this
+ * leader and that the replaced values are unchanged since they were read.
  */
 import type { InstanceEntry } from '../../direct/contract.js';
 import type { KeyValue } from '../../platform/contract.js';
@@ -37,14 +37,14 @@
 import { isTrouble, type PromotionRuntime } from './runtime.js';
 import type { StoreView } from './store-view.js';
 
-/** A service's record or note to be written; both are replaced as they are known now. */
+/** Primary record and handover record of a service to be written, in one transaction. */
 export interface LeaderWrite {
   readonly service: string;
   readonly record?: PrimaryRecord;
   readonly handover?: HandoverRecord;
 }
 
-/** One value of a write, and the view of the store that it belongs to. */
+/** A value to be written, and the view that contains its key. */
 interface PendingPut {
   readonly view: StoreView;
   readonly key: string;
@@ -61,8 +61,8 @@
 };
 
 /**
- * In a large fleet members are told first once this leader has led for so long, if none has lost its entry by then: in
- * the first moments of a fleet each node polls the store by itself, and each record costs a poll of every node.
+ * In a large fleet, time after its election for which a leader delays the first members record while all members are
+ * registered. Nodes of a starting fleet each poll the store by themselves, and each record costs a poll by every node.
  */
 const INITIAL_MEMBERS_DELAY_MS: Milliseconds = 3000;
 
@@ -82,19 +82,19 @@
     private readonly leaderView: StoreView,
   ) {}
 
-  /** Since when this node has led. */
+  /** Time at which this node became leader. */
   get leadingSince(): Milliseconds {
     return this.#leadingSince;
   }
 
-  /** This node has taken the lead. */
+  /** Notes that this node has become leader. */
   startLeading(): void {
     this.#leadingSince = this.runtime.now;
   }
 
   /**
-   * The primary as all nodes know it. Before the first record, one that calls itself so; where nobody does, a change was
-   * begun whose record a return of the store took back, and it is whom a leader noted last.
+   * The primary as all nodes know it; before the first record, the instance that declares itself primary. If none does,
+   * the record of a primary change was lost in a restore of the store, and the last handover record names the primary.
    */
   primaryIdOf(service: string): string | undefined {
     const known = this.primaries.primaryIdOf(service);
@@ -116,8 +116,8 @@
   }
 
   /**
-   * Members by the record that all nodes follow, where it is later than the note: both are written together, but the note
-   * is known to leaders alone, and a return of the store from a copy may have taken it back.
+   * Members of the members record if it is newer than the handover record, otherwise none. Both are written together,
+   * but only leaders know the handover record, so a restore of the store may have reverted it to an older version.
    */
   membersNewerThanHandover(service: string): readonly InstanceEntry[] {
     const record = this.records.get(membersKeyOf(service));
@@ -126,7 +126,7 @@
     return decodeRecord(record, parseMembersRecord)?.members ?? [];
   }
 
-  /** Members that nodes have seen and no record names, as told with their acknowledgements of the change under way. */
+  /** Members that no record lists, as reported by nodes with their acknowledgements of the current primary change. */
   unlistedMembersFromNodes(service: string): readonly InstanceEntry[] {
     const record = this.primaries.recordOf(service);
     if (record?.phase !== 'changing') return [];
@@ -139,12 +139,12 @@
     return reported;
   }
 
-  /** Nodes whose lease has not run out. */
+  /** Number of nodes whose lease has not expired. */
   countLiveNodes(): number {
     return [...this.leaderView.under(NODE_PREFIX)].length;
   }
 
-  /** The live nodes that others can reach. */
+  /** Live nodes that other nodes can reach. */
   reachableNodes(): ReachableNode[] {
     const reachable: ReachableNode[] = [];
     for (const entry of this.leaderView.under(NODE_PREFIX)) {
@@ -155,7 +155,7 @@
     return reachable;
   }
 
-  /** The live nodes that may read the store for others, where they answer questions for their directory. */
+  /** Live nodes that may read the store for others, with the address at which they serve their directory. */
   readerCandidates(): ReaderCandidate[] {
     const nodes: ReaderCandidate[] = [];
     for (const entry of this.leaderView.under(NODE_PREFIX)) {
@@ -171,7 +171,7 @@
     return decodeRecord(this.records.get(FLEET_KEY), parseFleetRecord);
   }
 
-  /** Nodes that suspect this primary. */
+  /** Number of nodes that suspect this primary. */
   countSuspicions(service: string, instance: string): number {
     let count = 0;
     for (const entry of this.leaderView.under(suspicionPrefixOf(service))) {
@@ -181,8 +181,8 @@
   }
 
   /**
-   * Nodes that may use the primary which the change replaces; undefined if that is not known yet,
-   * since what the leader knows may be older than the change.
+   * Nodes that may still use the primary that the change replaces; undefined while the leader's view may be older than
+   * the change.
    */
   nodesUsingOldPrimary(service: string, record: PrimaryRecord): string[] | undefined {
     const minRevision = Math.max(
@@ -198,7 +198,7 @@
     return inUse;
   }
 
-  /** End of the old primary's log, as the nodes that demoted it tell. */
+  /** End of the old primary's log, as reported by the nodes that demoted it. */
   demotedLogEnd(service: string, { change }: PrimaryRecord): Position | undefined {
     let latest: Position | undefined;
     for (const entry of this.leaderView.under(acknowledgementPrefixOf(service))) {
@@ -209,25 +209,22 @@
     return latest;
   }
 
-  /** Reads the duty's keys anew, for when the watch is behind. */
+  /** Reads the leader's keys again, in case the watch lags. */
   reread(): void {
     this.leaderView.read();
   }
 
-  write(
-    { service, record, handover: note }: LeaderWrite,
-    onDone: (succeeded: boolean) => void,
-  ): void {
+  write({ service, record, handover }: LeaderWrite, onDone: (succeeded: boolean) => void): void {
     const recordKey = primaryKeyOf(service);
     const handoverKey = handoverKeyOf(service);
     const puts: PendingPut[] = [];
-    if (note !== undefined) {
-      puts.push({ view: this.leaderView, key: handoverKey, value: JSON.stringify(note) });
+    if (handover !== undefined) {
+      puts.push({ view: this.leaderView, key: handoverKey, value: JSON.stringify(handover) });
     }
     if (record !== undefined) {
       puts.push({ view: this.records, key: recordKey, value: JSON.stringify(record) });
     }
-    const members = note && this.#membersToPublish(service, note);
+    const members = handover && this.#membersToPublish(service, handover);
     if (members !== undefined) puts.push({ view: this.records, ...members });
     const operations = puts.map(({ key, value }) => ({ type: 'put', key, value }) as const);
     const compares = [
@@ -244,12 +241,12 @@
     });
   }
 
-  /** True if the nodes have heard of a note's members. */
+  /** Whether the members of the handover record need no publication now. */
   areMembersPublished(service: string): boolean {
     return this.#membersToPublish(service, this.handoverOf(service)) === undefined;
   }
 
-  /** The members of a note where all nodes hear of them; undefined if they have heard, or may hear later. */
+  /** Members record to write for all nodes; undefined if it is up to date or may be written later. */
   #membersToPublish(
     service: string,
     handover: HandoverRecord,
@@ -263,21 +260,21 @@
     return value === known?.value ? undefined : { key, value };
   }
 
-  /** Those that this leader counts no more, other nodes need not hear of. */
+  /** Departed members that this leader still tracks; the other nodes need not know of any others. */
   #departedToPublish(service: string, { departed }: HandoverRecord): readonly InstanceEntry[] {
     if (departed.length === 0 || this.runtime.isDisabled('forgotten-members')) return [];
     const tracked = new Set(this.primaries.remembered(service).map(({ id }) => id));
     return departed.filter(({ id }) => tracked.has(id));
   }
 
-  /** Asked at every update of the leader: what looks at all nodes comes last. */
+  /** Runs at every update of the leader, so the check that iterates over all nodes comes last. */
   #mayPublishLater(members: readonly InstanceEntry[]): boolean {
     if (this.runtime.now - this.#leadingSince >= INITIAL_MEMBERS_DELAY_MS) return false;
     const areAllPresent = members.every(({ id }) => this.primaries.isPresent(id));
     return areAllPresent && this.countLiveNodes() >= SMALLEST_READER_FLEET;
   }
 
-  /** @param gone nodes that must have no lease, for the record to be written */
+  /** @param gone nodes whose registration must be absent for the record to be written */
   publishFleet(fleet: FleetRecord, gone: readonly string[], onDone: () => void): void {
     const value = JSON.stringify(fleet);
     const compares = [
--- a/src/core/promotion/leader.ts
+++ b/src/core/promotion/leader.ts
@@ -1,4 +1,4 @@
-/** The duty of promotions while this node holds it: one part for each service, and the fleet. */
+/** The leader's work while this node is leader: the primary of each service, and the records about the fleet. */
 import type { ServiceDescription } from '../../direct/contract.js';
 import type { Milliseconds } from '../units.js';
 import type { Election } from './election.js';
@@ -14,14 +14,14 @@
 import { ServiceDuty } from './service-duty.js';
 import { StoreView } from './store-view.js';
 
-/** The fleet is published at most this often. */
+/** Minimum interval between two publications of the fleet record. */
 const MIN_PUBLISH_PERIOD_MS = 1000;
 /**
- * The first fleet of all is counted once its nodes have registered: each record that names a part of them costs a poll of
- * every node.
+ * Delay of the first fleet record of a new system. Most nodes have registered by then, so that it need not be rewritten
+ * soon: each version of the record costs a poll by every node.
  */
 const INITIAL_PUBLICATION_DELAY_MS = 250;
-/** A fleet with owners or quotas is looked at so often, also if nothing changes. */
+/** Period at which a fleet with owners or quotas is checked even if nothing changes. */
 const RECHECK_PERIOD_MS = 1000;
 
 export class Leader {
@@ -32,7 +32,7 @@
   readonly #fleet: FleetPublisher;
   #scope: Scope;
   #services = new Map<string, ServiceDescription>();
-  #duties = new Map<string, ServiceDuty>();
+  #serviceLeaders = new Map<string, ServiceDuty>();
   #isLeading = false;
   #isPublishing = false;
   #isRecheckScheduled = false;
@@ -54,13 +54,13 @@
     this.#fleet = new FleetPublisher(runtime, this.#store, () => this.#services.values());
   }
 
-  /** View of the keys that only the leader follows. */
+  /** View of the keys that only the leader watches. */
   get leaderView(): StoreView {
     return this.#leaderView;
   }
 
   get isCallInProgress(): boolean {
-    return [...this.#duties.values()].some(({ isCalling }) => isCalling);
+    return [...this.#serviceLeaders.values()].some(({ isCalling }) => isCalling);
   }
 
   setServices(services: readonly ServiceDescription[]): void {
@@ -69,14 +69,14 @@
   }
 
   recordAlive(service: string, instance: string): void {
-    this.#duties.get(service)?.noteAlive(instance);
+    this.#serviceLeaders.get(service)?.noteAlive(instance);
   }
 
   recordFailing(service: string, instance: string): void {
-    this.#duties.get(service)?.noteFailing(instance);
+    this.#serviceLeaders.get(service)?.noteFailing(instance);
   }
 
-  /** This node has taken or lost the lead. */
+  /** Starts or stops the work when this node becomes leader or stops being leader. */
   handleElectionChange(): void {
     if (this.#isLeading) this.stop();
     if (this.election.fencingToken === undefined) return;
@@ -88,23 +88,23 @@
     this.#leaderView.start();
   }
 
-  /** Records, the duty's keys, instances or services have changed. */
+  /** Handles changes of records, of the leader's keys, of instances or of services. */
   update(): void {
     if (!this.#isLeading || !this.#leaderView.isReady) return;
     for (const service of this.#services.keys()) {
-      const known = this.#duties.get(service);
+      const known = this.#serviceLeaders.get(service);
       if (known !== undefined) {
         known.update();
         continue;
       }
-      const duty = this.#createDuty(service);
-      this.#duties.set(service, duty);
-      duty.start();
+      const serviceLeader = this.#createServiceLeader(service);
+      this.#serviceLeaders.set(service, serviceLeader);
+      serviceLeader.start();
     }
-    for (const [service, duty] of this.#duties) {
+    for (const [service, serviceLeader] of this.#serviceLeaders) {
       if (this.#services.has(service)) continue;
-      duty.stop();
-      this.#duties.delete(service);
+      serviceLeader.stop();
+      this.#serviceLeaders.delete(service);
     }
     this.#publishFleet();
     this.#peers.update(this.#scope);
@@ -114,12 +114,12 @@
   stop(): void {
     this.#isLeading = false;
     this.#scope.end();
-    for (const duty of this.#duties.values()) duty.stop();
-    this.#duties.clear();
+    for (const serviceLeader of this.#serviceLeaders.values()) serviceLeader.stop();
+    this.#serviceLeaders.clear();
     this.#leaderView.stop();
   }
 
-  #createDuty(service: string): ServiceDuty {
+  #createServiceLeader(service: string): ServiceDuty {
     const context = {
       runtime: this.runtime,
       election: this.election,
@@ -130,7 +130,7 @@
     return new ServiceDuty(context, this.lease, service);
   }
 
-  /** That a fleet counts as small again is a matter of time. */
+  /** Whether a fleet counts as small again depends on time, so it is checked again without any event. */
   #scheduleRecheck(): void {
     if (!this.#fleet.changesWithTime || this.#isRecheckScheduled) return;
     this.#isRecheckScheduled = true;
--- a/src/core/promotion/lease.ts
+++ b/src/core/promotion/lease.ts
@@ -1,13 +1,13 @@
 /**
- * A node's lease at the store. It is over by the node's own clock earlier than it can be over at the
- * store: it runs there from the arrival of the renewal, and here from before it was sent.
+ * A node's lease at the store. By the node's own clock it expires before it can expire at the store: the node counts
+ * from before it sent the renewal, and the store counts from the renewal's arrival.
  */
 import { MILLISECONDS_PER_SECOND, type Milliseconds } from '../units.js';
 import { LEADER_KEY } from './records.js';
 import { RetryPause } from './retry-pause.js';
 import { isTrouble, type PromotionRuntime, type StoreTrouble } from './runtime.js';
 
-/** A node without a lease can't vouch for any primary, so it must notice soon that the store is back. */
+/** A node without a lease can't confirm any primary, so it must notice soon that the store is available again. */
 const MAX_BACKOFF_MS = 500;
 const MAX_UNANSWERED_RENEWALS = 2;
 
@@ -17,45 +17,45 @@
   #leaseId: string | undefined;
   #validUntil: Milliseconds = 0;
   #lastFailureAt: Milliseconds = Number.NEGATIVE_INFINITY;
-  /** Until a grant is asked for again. */
+  /** Delay before a grant is requested again. */
   readonly #grantRetry: RetryPause;
   #failures = 0;
-  /** Renewals without an answer since the last one that had one. */
+  /** Renewals without a response since the last one that got a response. */
   #unansweredRenewals = 0;
-  #stopped = false;
+  #isStopped = false;
   #cancelScheduled = (): void => {};
 
   constructor(private readonly runtime: PromotionRuntime) {
     this.#grantRetry = new RetryPause(runtime);
   }
 
-  /** The lease that was granted last, also if it may be over. */
+  /** Id of the lease granted last, even if it may have expired. */
   get leaseId(): string | undefined {
     return this.#leaseId;
   }
 
-  /** Until when the lease surely holds at the store. */
+  /** Time until which the lease is certain to be valid at the store. */
   get validUntil(): Milliseconds {
     return this.#validUntil;
   }
 
-  /** Last time that the store did not answer, or not in time. */
+  /** Last time at which a call to the store failed or timed out. */
   get lastFailureAt(): Milliseconds {
     return this.#lastFailureAt;
   }
 
   isValid(now: Milliseconds): boolean {
-    return !this.#stopped && this.#leaseId !== undefined && now < this.#validUntil;
+    return !this.#isStopped && this.#leaseId !== undefined && now < this.#validUntil;
   }
 
   start(): void {
     const { leaseSeconds } = this.runtime.timings;
     const sentAt = this.runtime.now;
     this.runtime.grantLease(leaseSeconds, (answer) => {
-      if (this.#stopped) return;
+      if (this.#isStopped) return;
       if (isTrouble(answer)) {
         this.#recordFailure();
-        this.#grantRetry.begin(this.#backoff(answer), () => this.#stopped || this.start());
+        this.#grantRetry.begin(this.#backoff(answer), () => this.#isStopped || this.start());
         return;
       }
       this.#failures = 0;
@@ -66,22 +66,22 @@
     });
   }
 
-  /** The store answers again: a grant that waits to be asked for once more is asked for now. */
+  /** Requests a delayed grant now, since the store responds again. */
   retryNow(): void {
     this.#grantRetry.end();
   }
 
-  /** The store came back from a copy: it may lack the lease, or its last renewals. */
+  /** Stops relying on the lease until it is renewed: the restored store may lack it, or its last renewals. */
   handleStoreRestore(): void {
     this.#validUntil = 0;
-    if (this.#stopped || this.#leaseId === undefined) return;
+    if (this.#isStopped || this.#leaseId === undefined) return;
     this.#unansweredRenewals = 0;
     this.#renewAfter(0);
   }
 
-  /** Ends the lease's use at once; the lease itself is left to the caller. */
+  /** Stops using the lease at once and returns its id, so that the caller can revoke it. */
   stop(): string | undefined {
-    this.#stopped = true;
+    this.#isStopped = true;
     this.#cancelScheduled();
     return this.#leaseId;
   }
@@ -111,7 +111,7 @@
       this.#renew();
     });
     this.runtime.keepLease(leaseId, (answer) => {
-      if (this.#stopped || leaseId !== this.#leaseId) return;
+      if (this.#isStopped || leaseId !== this.#leaseId) return;
       this.#unansweredRenewals = 0;
       if (answer === true) {
         this.#failures = 0;
@@ -127,8 +127,8 @@
   }
 
   /**
-   * Renewals may reach the store though its answers don't come back: then the lease would hold up
-   * promotions, which wait for this node's acknowledgement. Renews no more until an answer comes.
+   * Stops renewing until the store responds. Renewals may reach the store though its responses are lost: then the lease
+   * would stay alive and delay promotions, which wait for this node's acknowledgement.
    */
   #awaitResponse(): void {
     this.#cancelScheduled = this.runtime.after(this.runtime.timings.leaseRetryAfterMs, () => {
@@ -137,7 +137,7 @@
     });
     const cancel = this.#cancelScheduled;
     this.runtime.range(LEADER_KEY, (answer) => {
-      if (this.#stopped || isTrouble(answer) || this.#unansweredRenewals === 0) return;
+      if (this.#isStopped || isTrouble(answer) || this.#unansweredRenewals === 0) return;
       cancel();
       this.#unansweredRenewals = 0;
       this.#renewAfter(0);
--- a/src/core/promotion/timer-queue.ts
+++ b/src/core/promotion/timer-queue.ts
@@ -1,49 +1,49 @@
-/** Deadlines of a pure machine: what is due is run by the machine's own tick, in order of time. */
+/** Timers of the promotion state machine, which performs no I/O: its tick event runs those that are due, in order. */
 import type { Milliseconds } from '../units.js';
 
-/** Takes back an entry of the agenda that has not run yet. */
+/** Cancels a timer that has not run yet. */
 export type CancelTimer = () => void;
 
-interface Timer {
+interface TimerEntry {
   readonly at: Milliseconds;
   readonly action: () => void;
 }
 
-/** A few dozen entries at most: a scan is cheaper than keeping them ordered. */
+/** Holds a few dozen timers at most: a scan is cheaper than keeping them sorted. */
 export class TimerQueue {
-  readonly #timers = new Set<Timer>();
+  readonly #entries = new Set<TimerEntry>();
 
   schedule(at: Milliseconds, action: () => void): CancelTimer {
-    const timer = { at, action };
-    this.#timers.add(timer);
+    const entry = { at, action };
+    this.#entries.add(entry);
     return () => {
-      this.#timers.delete(timer);
+      this.#entries.delete(entry);
     };
   }
 
-  /** Time of the earliest entry. */
+  /** Time of the earliest timer. */
   nextAt(): Milliseconds | undefined {
     return this.#earliest()?.at;
   }
 
-  /** Runs everything due at `now`, also what gets due while it runs. */
+  /** Runs every timer due at `now`, including timers added meanwhile. */
   runDue(now: Milliseconds): void {
     for (;;) {
-      const timer = this.#earliest();
-      if (timer === undefined || timer.at > now) return;
-      this.#timers.delete(timer);
-      timer.action();
+      const entry = this.#earliest();
+      if (entry === undefined || entry.at > now) return;
+      this.#entries.delete(entry);
+      entry.action();
     }
   }
 
   clear(): void {
-    this.#timers.clear();
+    this.#entries.clear();
   }
 
-  #earliest(): Timer | undefined {
-    let earliest: Timer | undefined;
-    for (const timer of this.#timers) {
-      if (earliest === undefined || timer.at < earliest.at) earliest = timer;
+  #earliest(): TimerEntry | undefined {
+    let earliest: TimerEntry | undefined;
+    for (const entry of this.#entries) {
+      if (earliest === undefined || entry.at < earliest.at) earliest = entry;
     }
     return earliest;
   }
--- a/test/property/acknowledged-position.test.ts
+++ b/test/property/acknowledged-position.test.ts
@@ -1,4 +1,4 @@
-/** What the replicas of a group have received covers every acknowledged commit, whoever of them is silent. */
+/** The position computed from the members' responses covers every acknowledged commit, whichever members are silent. */
 import fc from 'fast-check';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -28,7 +28,7 @@
   { weight: 1, arbitrary: fc.nat().map((member) => ({ type: 'promote', member }) as const) },
 );
 
-/** A group in which a commit is acknowledged once as many replicas as are wanted have received it. */
+/** A group in which a commit is acknowledged once `syncReplicas` replicas have received it. */
 class Group {
   readonly members: readonly Member[];
   acknowledged = ZERO_POSITION;
@@ -65,7 +65,7 @@
     if (replicas.size >= this.syncReplicas) this.acknowledged = position;
   }
 
-  /** Only one that has all that was acknowledged is promoted; the others follow its log. */
+  /** Promotes a member only if it has every acknowledged commit; the others then follow its log. */
   #promote(index: number): void {
     const chosen = this.#member(index);
     if (comparePositions(chosen.received, this.acknowledged) < 0) return;
@@ -126,7 +126,7 @@
     ...{ role, term: 4, received: { timeline: 4, lsn } },
     ...{ heldTerm: 0, lagMs: 0, busySlots: 0, connections: 0 },
   });
-  // Nobody knows the one that has joined, so that it is not asked; the other replica lags.
+  // The replica that has joined is not known yet, so it isn't queried; the other replica lags.
   const answers = new Map([
     ['primary', status('primary', 9n)],
     ['lagging', status('replica', 5n)],
--- a/test/property/gone-candidate.test.ts
+++ b/test/property/gone-candidate.test.ts
@@ -1,10 +1,8 @@
 /**
- * What callers saw: a service took no writes any more, for good. In order: the primary is suspected and demoted; the old primary itself is named as
- * the candidate, since no replica can be shown to have all; it ends, and another life has its address and its log; from then on
- * each leader calls for the one that is gone, some five times a second, and hands it on to the next.
- *
- * Cause: a candidate counted as certain by its log alone, which is known for good once an old primary was demoted, whether or not it
- * runs. Evidence: 174 lines "promotion called" for that service, all but a few `refused` within 8 ms, until the end of the model.
+ * Guards against a service that takes no more writes because its recorded candidate no longer exists. The old primary
+ * is demoted and becomes the candidate itself, since no replica is proven to have every commit. Then it ends, and a new
+ * incarnation takes over its address and log. If a candidate is accepted by its log alone, whether or not it runs, each
+ * leader keeps calling the promotion of the missing instance, about five times a second, and hands it to its successor.
  */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -20,7 +18,7 @@
 
 /** `MIX_RUNS=1 MIX_SEED=701138 node dist/test/property/promotion-mix.test.js` */
 const SEED = 701138;
-/** Calls for the service's candidate in that seed: 174 before, and the change was never over. */
+/** Leaders that never drop a missing candidate make 174 calls for it in this seed, and the change never ends. */
 const MOST_CALLS = 30;
 
 function played(disabled: readonly PromotionMechanism[] = []): MixOutcome {
--- a/test/property/late-findings.test.ts
+++ b/test/property/late-findings.test.ts
@@ -1,7 +1,7 @@
 /**
- * The leader's process stalls while answers to its holds wait to be read. A replica restarts meanwhile, which ends
- * its hold, and alone receives what a node that has not heard of the change still writes. What the leader reads
- * afterwards tells of the time before that: who takes over must not be chosen by it.
+ * The leader's process stalls while responses to its hold calls wait to be read. Meanwhile a replica restarts, which
+ * ends its hold, and it alone receives the writes of a node that does not know of the change. The responses that the
+ * leader then reads are older than those writes, so it must not choose the candidate by them.
  */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -15,7 +15,7 @@
 const RUNS = 120;
 const FIRST_SEED = 1;
 
-/** True if the change began as the story has it. */
+/** Plays the case; returns whether the change began as described above. */
 function play(simulation: PromotionSimulation): boolean {
   simulation.run(3000);
   const { network, clock, group, leader } = simulation;
--- a/test/property/late-joiner.test.ts
+++ b/test/property/late-joiner.test.ts
@@ -1,7 +1,7 @@
 /**
- * A replica joins while a change of primary is under way, after the candidate was chosen. The leader and most nodes don't
- * reach the old primary; one node, cut off from the store, still writes there. The newcomer is held by nobody, so that
- * commits are acknowledged once more: the instance that is promoted lacks them.
+ * A replica joins during a primary change, after the candidate was chosen. The leader and most nodes can't reach the old
+ * primary, but one node that is cut off from the store still writes there. No one holds the new replica, so it completes
+ * commits at the old primary again, and the promoted instance lacks them.
  */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -9,18 +9,18 @@
 import { STORE } from '../support/promotion/store.js';
 
 const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8];
-/** Who is a member has been told by then. */
+/** By then the members are published. */
 const WARM_UP_MS = 6000;
 const STEP_MS = 2;
 const WITHIN_MS = 5000;
 const LONG_MS = 20_000;
-/** A lease is over by then, and a member that refuses is forgotten. */
+/** By then a lease has expired, and a member that refuses connections has been removed. */
 const SETTLE_MS = 4000;
 
 interface Played {
   readonly simulation: PromotionSimulation;
-  /** Acknowledgements that the cut-off node passed on to its callers after the newcomer had come. */
-  readonly passedOn: number;
+  /** Acknowledgements that the cut-off node relayed to its callers after the new replica had joined. */
+  readonly relayedCount: number;
 }
 
 function play(seed: number): Played {
@@ -47,13 +47,13 @@
   const before = unaware.writesAcknowledged;
   group.join();
   simulation.run(300);
-  const passedOn = unaware.writesAcknowledged - before;
+  const relayedCount = unaware.writesAcknowledged - before;
   simulation.run(5000);
-  return { simulation, passedOn };
+  return { simulation, relayedCount };
 }
 
 test('no caller is told of a commit that the candidate lacks', () => {
-  for (const seed of SEEDS) assert.is(play(seed).passedOn, 0, `seed ${seed}`);
+  for (const seed of SEEDS) assert.is(play(seed).relayedCount, 0, `seed ${seed}`);
 });
 
 test('no instance acknowledges a commit that the candidate lacks', () => {
--- a/test/property/successor-proof.test.ts
+++ b/test/property/successor-proof.test.ts
@@ -1,6 +1,7 @@
 /**
- * A primary is replaced in place and a member ends with its log, both in one change of primary: the successor at the
- * old primary's address has its log, which no promotion may lack and which is enough to promote by.
+ * During one primary change, the old primary is replaced at its address and another member ends for good with its log.
+ * The successor at the old primary's address has the old primary's log. Every promotion needs that log, and having it
+ * is enough proof for a promotion.
  */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -9,7 +10,7 @@
 const SEEDS = [1, 2, 3, 4, 5];
 const STEP_MS = 5;
 const LAG_MS = 4000;
-/** The platform takes no calls for so long, so that the change is still open when its members end. */
+/** Outage of the platform's promotion endpoint: the change is still in progress when the members end. */
 const OUTAGE_MS = 3000;
 const SETTLE_MS = 12_000;
 
--- a/test/unit/candidate.test.ts
+++ b/test/unit/candidate.test.ts
@@ -1,4 +1,4 @@
-/** Who may be promoted, by what the members have told. */
+/** Which members are proven to have every acknowledged commit, given their responses. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import {
@@ -6,12 +6,12 @@
   membersWithAllCommits,
 } from '../../src/core/promotion/candidate.js';
 
-interface Told {
+interface Observed {
   readonly lsn?: bigint;
   readonly stopped?: boolean;
 }
 
-function finding(id: string, { lsn, stopped = true }: Told): MemberObservation {
+function observation(id: string, { lsn, stopped = true }: Observed): MemberObservation {
   const place = { host: '10.0.0.1', port: 5000, zone: 'a' };
   return {
     entry: { id, service: 'orders', ...place, slots: 3, draining: false, role: 'replica' },
@@ -22,9 +22,12 @@
   };
 }
 
-const SILENT = finding('silent', {});
+const SILENT = observation('silent', {});
 
-function certain(replicas: readonly MemberObservation[], successor?: MemberObservation): string[] {
+function provenIds(
+  replicas: readonly MemberObservation[],
+  successor?: MemberObservation,
+): string[] {
   const question = {
     oldPrimary: undefined,
     successor,
@@ -36,25 +39,25 @@
 }
 
 test('a silent member leaves no proof without the old primary or its successor', () => {
-  assert.equal(certain([finding('held', { lsn: 9n }), SILENT]), []);
+  assert.equal(provenIds([observation('held', { lsn: 9n }), SILENT]), []);
 });
 
 test("a held successor in place proves who has the old primary's log", () => {
-  const successor = finding('successor', { lsn: 9n });
+  const successor = observation('successor', { lsn: 9n });
   const replicas = [
     successor,
-    finding('same', { lsn: 9n }),
-    finding('behind', { lsn: 8n }),
+    observation('same', { lsn: 9n }),
+    observation('behind', { lsn: 8n }),
     SILENT,
   ];
-  assert.equal(certain(replicas, successor), ['successor', 'same']);
+  assert.equal(provenIds(replicas, successor), ['successor', 'same']);
 });
 
 test('a successor that is not held, or lacks what another has, proves nothing', () => {
-  const loose = finding('successor', { lsn: 9n, stopped: false });
-  assert.equal(certain([loose, SILENT], loose), []);
-  const empty = finding('successor', { lsn: 0n });
-  assert.equal(certain([empty, finding('held', { lsn: 9n }), SILENT], empty), []);
+  const loose = observation('successor', { lsn: 9n, stopped: false });
+  assert.equal(provenIds([loose, SILENT], loose), []);
+  const empty = observation('successor', { lsn: 0n });
+  assert.equal(provenIds([empty, observation('held', { lsn: 9n }), SILENT], empty), []);
 });
 
 test.run();
--- a/test/unit/commit-verdict.test.ts
+++ b/test/unit/commit-verdict.test.ts
@@ -1,4 +1,4 @@
-/** What the members of a group say of commits at a primary that no lease vouches for. */
+/** Judging commits by the members' responses, at a primary that no lease confirms. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import {
