--- a/src/core/promotion/candidate.ts
+++ b/src/core/promotion/candidate.ts
@@ -1,116 +1,122 @@
 /**
- * Which instance may be promoted without losing an acknowledged commit, and which one is best. A
- * commit is acknowledged once `syncReplicas` replicas have received it, and logs are prefixes of one
- * another, so there are three proofs that an instance has every acknowledged commit:
+ * Decides which instances can be promoted without losing an acknowledged commit, and which of them is best. A commit
+ * is acknowledged once `syncReplicas` replicas have received it, and of any two logs one is a prefix of the other. So
+ * there are three proofs that an instance has every acknowledged commit:
  *
- * - the old primary was demoted and told the end of its log, and the instance has received as much;
- * - the old primary has ended and its log has gone to its successor at the same address, which is held, and the
- *   instance has received as much as that one;
- * - so few replicas are not held that they can't be all that have received a commit, and no held one
- *   has received more than the instance.
+ * - The old primary was demoted and reported the end of its log, and the instance has received up to that end.
+ * - The old primary has stopped, a successor at the same address took over its log and is held, and the instance has
+ *   received as much as the successor.
+ * - Fewer replicas are not held than a commit needs, so at least one held replica has received every acknowledged
+ *   commit, and no held replica has received more than the instance.
  */
 import type { InstanceEntry } from '../../direct/contract.js';
 import { comparePositions, type Position } from '../position.js';
 
-/** What a member of the group has answered, recently enough to count. */
-export interface MemberFinding {
+/** Latest response of a group member, if it is recent enough to count. */
+export interface MemberObservation {
   readonly entry: InstanceEntry;
-  /** Last position received; undefined if it has not answered. */
+  /** Last log position it has received; undefined if it has not responded. */
   readonly received: Position | undefined;
-  /** It receives nothing more from the old primary: held, or demoted. */
-  readonly stopped: boolean;
-  /** Its entry is in the store. */
-  readonly present: boolean;
-  /** This node reaches it. */
-  readonly isReached: boolean;
+  /** It receives no more log from the old primary: it is held, or is the old primary itself and was demoted. */
+  readonly isStopped: boolean;
+  /** Its registration is in the store. */
+  readonly isRegistered: boolean;
+  /** Whether this node can reach it. */
+  readonly isReachable: boolean;
 }
 
-export interface CandidateQuestion {
+export interface CandidateInput {
   /** All members but the old primary. */
-  readonly replicas: readonly MemberFinding[];
-  /** The old primary; `stopped` if it was demoted. */
-  readonly from: MemberFinding | undefined;
-  /** The member that has the old primary's address and log, if that one was replaced in place. */
-  readonly successor?: MemberFinding | undefined;
+  readonly replicas: readonly MemberObservation[];
+  /** The old primary; `isStopped` if it was demoted. */
+  readonly oldPrimary: MemberObservation | undefined;
+  /** Member with the old primary's address and log, if the old primary was replaced in place. */
+  readonly successor?: MemberObservation | undefined;
   readonly syncReplicas: number;
-  /** Takes one that is leaving, or the old primary itself, if there is no better one. */
-  readonly acceptAny: boolean;
-  /** Takes any that has answered: a test switched the proof off. */
-  readonly withoutProof: boolean;
+  /** Whether a draining instance or the old primary itself is acceptable if there is no better candidate. */
+  readonly acceptsAny: boolean;
+  /** Accepts any member that has responded; a test has disabled the proof. */
+  readonly isProofDisabled: boolean;
 }
 
-/** The instance to promote, if one is certain. */
-export function chooseCandidate(question: CandidateQuestion): InstanceEntry | undefined {
-  const certain = certainMembers(question);
-  const eligible = certain
-    .filter(({ isReached }) => isReached)
-    .filter((member) => question.acceptAny || isGood(member, question.from));
-  const [best] = eligible.sort((left, right) => compareCandidates(left, right, question.from));
+/** Chooses the instance to promote; undefined if no acceptable one is proven to have every acknowledged commit. */
+export function chooseCandidate(input: CandidateInput): InstanceEntry | undefined {
+  const complete = membersWithAllCommits(input);
+  const eligible = complete
+    .filter(({ isReachable }) => isReachable)
+    .filter((member) => input.acceptsAny || isPreferred(member, input.oldPrimary));
+  const [best] = eligible.sort((left, right) => compareCandidates(left, right, input.oldPrimary));
   return best?.entry;
 }
 
-/** Members that surely have every acknowledged commit. */
-export function certainMembers(question: CandidateQuestion): MemberFinding[] {
-  const { replicas, from, successor, syncReplicas, acceptAny } = question;
-  const answered = replicas.filter(({ received }) => received !== undefined);
-  if (question.withoutProof) return answered;
-  const certain: MemberFinding[] = [];
-  const isFromEnded = from?.stopped === true && from.received !== undefined;
-  if (isFromEnded) certain.push(from);
-  const ends = [
-    isFromEnded ? from.received : undefined,
-    successor && endOfInherited(successor, answered),
+/** Members that are proven to have every acknowledged commit. */
+export function membersWithAllCommits(input: CandidateInput): MemberObservation[] {
+  const { replicas, oldPrimary, successor, syncReplicas, acceptsAny } = input;
+  const responsive = replicas.filter(({ received }) => received !== undefined);
+  if (input.isProofDisabled) return responsive;
+  const complete: MemberObservation[] = [];
+  const isOldLogEndKnown = oldPrimary?.isStopped === true && oldPrimary.received !== undefined;
+  if (isOldLogEndKnown) complete.push(oldPrimary);
+  const knownEnds = [
+    isOldLogEndKnown ? oldPrimary.received : undefined,
+    successor && inheritedLogEnd(successor, responsive),
   ];
-  for (const end of ends) {
-    if (end !== undefined) certain.push(...answered.filter((member) => reaches(member, end)));
+  for (const end of knownEnds) {
+    if (end !== undefined)
+      complete.push(...responsive.filter((member) => hasReceived(member, end)));
   }
-  const held = answered.filter(({ stopped }) => stopped);
-  const unknown = replicas.length - held.length;
-  // Without synchronous replicas no proof is to be had: the most that is known has to do.
-  const provesEnd = syncReplicas === 0 ? unknown === 0 || acceptAny : unknown < syncReplicas;
-  if (held.length > 0 && provesEnd) {
+  const held = responsive.filter(({ isStopped }) => isStopped);
+  const unheldCount = replicas.length - held.length;
+  // Without synchronous replicas there is no proof: the longest log among the held replicas has to suffice.
+  const isEndProven =
+    syncReplicas === 0 ? unheldCount === 0 || acceptsAny : unheldCount < syncReplicas;
+  if (held.length > 0 && isEndProven) {
     const ends = held.flatMap(({ received }) => received ?? []);
     const end = ends.reduce((left, right) => (comparePositions(left, right) >= 0 ? left : right));
-    certain.push(...held.filter((member) => reaches(member, end)));
+    complete.push(...held.filter((member) => hasReceived(member, end)));
   }
-  return [...new Set(certain)];
+  return [...new Set(complete)];
 }
 
 /**
- * End of the log that a successor in place has from the old primary; undefined while that may still grow, or if the
- * successor lacks what another member has: then it began without the log.
+ * End of the log that a successor at the old primary's address took over. Undefined while that log may still grow, or
+ * if another member has received more: then the successor started without the log.
  */
-function endOfInherited(
-  { received, stopped }: MemberFinding,
-  answered: readonly MemberFinding[],
+function inheritedLogEnd(
+  { received, isStopped }: MemberObservation,
+  responsive: readonly MemberObservation[],
 ): Position | undefined {
-  if (!stopped || received === undefined) return undefined;
-  const isBehind = answered.some(
-    (member) => member.received !== undefined && !reaches({ received }, member.received),
+  if (!isStopped || received === undefined) return undefined;
+  const isBehind = responsive.some(
+    (member) => member.received !== undefined && !hasReceived({ received }, member.received),
   );
   return isBehind ? undefined : received;
 }
 
-function reaches({ received }: Pick<MemberFinding, 'received'>, end: Position): boolean {
+function hasReceived({ received }: Pick<MemberObservation, 'received'>, end: Position): boolean {
   return received !== undefined && comparePositions(received, end) >= 0;
 }
 
-function isGood({ entry, present }: MemberFinding, from: MemberFinding | undefined): boolean {
-  return !entry.draining && present && entry.id !== from?.entry.id;
+function isPreferred(
+  { entry, isRegistered }: MemberObservation,
+  oldPrimary: MemberObservation | undefined,
+): boolean {
+  return !entry.draining && isRegistered && entry.id !== oldPrimary?.entry.id;
 }
 
 function compareCandidates(
-  left: MemberFinding,
-  right: MemberFinding,
-  from: MemberFinding | undefined,
+  left: MemberObservation,
+  right: MemberObservation,
+  oldPrimary: MemberObservation | undefined,
 ): number {
-  const byGoodness = Number(isGood(right, from)) - Number(isGood(left, from));
-  if (byGoodness !== 0) return byGoodness;
+  const byPreference =
+    Number(isPreferred(right, oldPrimary)) - Number(isPreferred(left, oldPrimary));
+  if (byPreference !== 0) return byPreference;
   if (left.received !== undefined && right.received !== undefined) {
-    const byLog = comparePositions(right.received, left.received);
-    if (byLog !== 0) return byLog;
+    const byPosition = comparePositions(right.received, left.received);
+    if (byPosition !== 0) return byPosition;
   }
-  const zone = from?.entry.zone;
+  const zone = oldPrimary?.entry.zone;
   const byZone = Number(right.entry.zone === zone) - Number(left.entry.zone === zone);
   return byZone !== 0 ? byZone : left.entry.id < right.entry.id ? -1 : 1;
 }
--- a/src/core/promotion/evidence.ts
+++ b/src/core/promotion/evidence.ts
@@ -1,59 +1,64 @@
 /**
- * The second source of trust in a primary, for when the lease has lapsed because the store is away: a
- * round of questions to every member of the group proves something of what began before it was sent.
+ * Confirms a primary without a lease, for when the lease has expired because the store is unreachable. A round, one
+ * query to every member of the group, proves something about operations that began before it was sent:
  *
- * - A read: that no later primary had acknowledged a commit. One that had would have given its term
- *   to as many replicas as a commit needs, so as many members may be left without an answer; none if the list of
- *   members may be old, since one that it lacks has no answer either.
- * - The passing on of a commit's acknowledgement: that there was no later primary at all, and none about to be made
- *   without the commit, see `commit-verdict.ts`; each member has to answer, or to be gone.
+ * - For a read, that no later primary had acknowledged a commit. A later primary that had would have passed its term to
+ *   as many replicas as a commit needs. So up to that many members may fail to respond, but none if the member list
+ *   may be outdated, since a member missing from it does not respond either.
+ * - For relaying a commit's acknowledgement, that there was no later primary at all and none about to be promoted
+ *   without the commit, see `commit-verdict.ts`. Each member has to respond, or nothing may listen at its address.
  *
- * `core/statements/primary-evidence.ts` proves less for less: positions alone, without a slot.
+ * `core/statements/primary-evidence.ts` is cheaper and proves less: it compares positions only and takes no slot.
  */
 import { laterPosition, type Position } from '../position.js';
-import { judgeCommits, leadsAfter, type MemberAnswers, type TermRound } from './commit-verdict.js';
+import {
+  contradictsPrimary,
+  judgeCommits,
+  type MemberResponses,
+  type QueryRound,
+} from './commit-verdict.js';
 
-export type { RoundAnswer, TermRound } from './commit-verdict.js';
+export type { MemberResponse, QueryRound } from './commit-verdict.js';
 
-/** What a primary is trusted for. */
+/** Operation for which a primary has to be confirmed. */
 export type TrustedUse = 'read' | 'commit';
 
-/** True if the round proves that the primary could be trusted when it was sent. */
-export function provesPrimary(round: TermRound, use: TrustedUse): boolean {
-  return use === 'read' ? provesForReads(round) : judgeCommits(round) === 'safe';
+/** Whether the round proves that the primary could be relied on when the round was sent. */
+export function provesPrimary(round: QueryRound, use: TrustedUse): boolean {
+  return use === 'read' ? provesPrimaryForReads(round) : judgeCommits(round) === 'safe';
 }
 
-function provesForReads(round: TermRound): boolean {
-  const { primary, answers, syncReplicas, areMembersCurrent = true } = round;
-  const leader = answers.get(primary);
-  if (typeof leader !== 'object' || leader.role !== 'primary') return false;
-  let unanswered = 0;
-  for (const [id, answer] of answers) {
+function provesPrimaryForReads(round: QueryRound): boolean {
+  const { primary, responses, syncReplicas, areMembersCurrent = true } = round;
+  const primaryStatus = responses.get(primary);
+  if (typeof primaryStatus !== 'object' || primaryStatus.role !== 'primary') return false;
+  let unansweredCount = 0;
+  for (const [id, response] of responses) {
     if (id === primary) continue;
-    if (typeof answer === 'string') unanswered += 1;
-    else if (leadsAfter(answer, leader)) return false;
+    if (typeof response === 'string') unansweredCount += 1;
+    else if (contradictsPrimary(response, primaryStatus)) return false;
   }
-  return unanswered <= (areMembersCurrent ? syncReplicas : 0);
+  return unansweredCount <= (areMembersCurrent ? syncReplicas : 0);
 }
 
 /**
- * The position that every commit acknowledged before the round was sent is at or before; undefined if too few
- * members told. Such a commit stands on its primary and on `syncReplicas` more: with no more members than that
- * silent, one that has it answered. What calls itself primary counts as silent: its log may not be the group's. Its
- * position counts all the same, since it can only be too high: with it a commit is seen that a replica alone has which
- * has just joined and which nobody knows.
+ * Position that no commit acknowledged before the round was sent exceeds; undefined if too few members responded. Such
+ * a commit is on its primary and on `syncReplicas` replicas: if at most `syncReplicas` members fail to respond, at
+ * least one member that has it responded. A member that reports itself as primary counts as unresponsive, because its
+ * log may not be the group's. Its position is included all the same, since that can only make the result too high, and
+ * it covers a commit whose only other copy is on a replica that has just joined and is not known yet.
  */
 export function acknowledgedPosition(
-  answers: MemberAnswers,
+  responses: MemberResponses,
   syncReplicas: number,
 ): Position | undefined {
   let position: Position | undefined;
-  let silent = 0;
-  for (const answer of answers.values()) {
-    const isReplica = typeof answer === 'object' && answer.role === 'replica';
-    if (!isReplica) silent += 1;
-    if (typeof answer === 'string') continue;
-    position = laterPosition(position ?? answer.received, answer.received);
+  let silentCount = 0;
+  for (const response of responses.values()) {
+    const isReplica = typeof response === 'object' && response.role === 'replica';
+    if (!isReplica) silentCount += 1;
+    if (typeof response === 'string') continue;
+    position = laterPosition(position ?? response.received, response.received);
   }
-  return silent <= syncReplicas ? position : undefined;
+  return silentCount <= syncReplicas ? position : undefined;
 }
--- a/src/core/promotion/hold.ts
+++ b/src/core/promotion/hold.ts
@@ -1,39 +1,39 @@
 /**
- * Keeps the members of a group from taking part in further commits under the old primary: replicas
- * are held, whoever leads is demoted. Tells what each has received; answers count for a while only,
- * since a restart ends a hold.
+ * Keeps the members of a group from taking part in further commits under the old primary: holds the replicas and
+ * demotes the primary. Collects the log position that each member has received. Responses expire after a while, since a
+ * restart ends a hold.
  */
 import type { InstanceEntry, InstanceStatus } from '../../direct/contract.js';
 import type { Milliseconds } from '../units.js';
-import type { MemberFinding } from './candidate.js';
+import type { MemberObservation } from './candidate.js';
 import type { ControlAction, ControlFailure } from './contract.js';
 import type { PromotionRuntime } from './runtime.js';
 import { Scope } from './scope.js';
 
-const BUSY_RETRY_MS = 40;
+const BUSY_RETRY_DELAY_MS = 40;
 
 interface MemberState {
   readonly entry: InstanceEntry;
   status: InstanceStatus | undefined;
-  /** When the call that gave this status was sent: by a late process, answers are read long after they were given. */
-  askedAt: Milliseconds;
+  /** Time at which the call that returned this status was sent: a stalled process may read the response much later. */
+  sentAt: Milliseconds;
   action: ControlAction;
-  /** Number of the call that was sent last. */
-  calls: number;
-  /** When a call was last answered or failed. */
-  triedAt: Milliseconds;
+  /** Number of calls sent; identifies the latest one. */
+  callCount: number;
+  /** Time at which the latest call succeeded or failed. */
+  lastCallEndedAt: Milliseconds;
 }
 
 export interface HoldOptions {
-  readonly from: InstanceEntry | undefined;
+  readonly oldPrimary: InstanceEntry | undefined;
   readonly replicas: readonly InstanceEntry[];
-  /** Highest term known. */
+  /** Highest known term. */
   readonly term: number;
   readonly isPresent: (id: string) => boolean;
-  /** This node is the leader yet: a deposed one would hold what the next has let go. */
+  /** Whether this node is still the leader: a former leader would hold replicas that the next one has resumed. */
   readonly mayAct: () => boolean;
-  /** Called with each answer. */
-  readonly onFinding: () => void;
+  /** Called after each response or failure. */
+  readonly onResponse: () => void;
 }
 
 export class GroupHold {
@@ -41,9 +41,9 @@
   #members: MemberState[];
   #isStarted = false;
   #term: number;
-  #heardAt: Milliseconds;
-  /** What was asked before this does not count. */
-  #countsFrom: Milliseconds = Number.NEGATIVE_INFINITY;
+  #lastResponseAt: Milliseconds;
+  /** Responses to calls sent before this time don't count. */
+  #validFrom: Milliseconds = Number.NEGATIVE_INFINITY;
 
   constructor(
     private readonly runtime: PromotionRuntime,
@@ -51,19 +51,23 @@
   ) {
     this.#scope = new Scope(runtime);
     this.#term = options.term;
-    this.#heardAt = runtime.now;
-    const from = options.from === undefined ? [] : [memberState(options.from, 'demote')];
-    this.#members = [...from, ...options.replicas.map((entry) => memberState(entry, 'pause'))];
+    this.#lastResponseAt = runtime.now;
+    const oldPrimary =
+      options.oldPrimary === undefined ? [] : [memberState(options.oldPrimary, 'demote')];
+    this.#members = [
+      ...oldPrimary,
+      ...options.replicas.map((entry) => memberState(entry, 'pause')),
+    ];
   }
 
-  /** Last time that any member answered. */
-  get heardAt(): Milliseconds {
-    return this.#heardAt;
+  /** Last time at which any member responded. */
+  get lastResponseAt(): Milliseconds {
+    return this.#lastResponseAt;
   }
 
   start(): void {
     this.#isStarted = true;
-    for (const member of this.#members) this.#secure(member);
+    for (const member of this.#members) this.#callMember(member);
   }
 
   stop(): void {
@@ -71,58 +75,59 @@
   }
 
   /**
-   * Nobody uses the old primary any more, so that what members tell from now on covers all that was acknowledged,
-   * also where a restart ended a hold before. Asks them all at once.
+   * Notes that no node uses the old primary any more: from now on the members' positions cover every acknowledged
+   * commit, even where a restart has ended an earlier hold. Calls all members at once.
    */
-  noteFree(): void {
-    this.#countsFrom = this.runtime.now;
-    if (this.#isStarted) for (const member of this.#members) this.#secure(member);
+  recordOldPrimaryUnused(): void {
+    this.#validFrom = this.runtime.now;
+    if (this.#isStarted) for (const member of this.#members) this.#callMember(member);
   }
 
-  /** The replicas that there are now: some may have joined, or have been replaced. */
-  noteReplicas(replicas: readonly InstanceEntry[]): void {
-    const fromId = this.options.from?.id;
+  /** Updates the list of replicas: some may have joined or been replaced. */
+  updateReplicas(replicas: readonly InstanceEntry[]): void {
+    const oldPrimaryId = this.options.oldPrimary?.id;
     this.#members = this.#members.filter(({ entry }) => {
-      return entry.id === fromId || replicas.some(({ id }) => id === entry.id);
+      return entry.id === oldPrimaryId || replicas.some(({ id }) => id === entry.id);
     });
     for (const replica of replicas) {
       if (this.#members.some(({ entry }) => entry.id === replica.id)) continue;
       const member = memberState(replica, 'pause');
       this.#members.push(member);
-      if (this.#isStarted) this.#secure(member);
+      if (this.#isStarted) this.#callMember(member);
     }
   }
 
-  /** What is known of a member now. */
-  findingOf(id: string): MemberFinding | undefined {
+  /** What is currently known about a member. */
+  observationOf(id: string): MemberObservation | undefined {
     const member = this.#members.find(({ entry }) => entry.id === id);
     if (member === undefined) return undefined;
     const { entry, status } = member;
-    const known = this.#isRecent(member) ? status : undefined;
+    const recent = this.#isRecent(member) ? status : undefined;
     return {
       entry,
-      received: known?.received,
-      stopped: known !== undefined && this.#isStopped(member, known),
-      present: this.options.isPresent(id),
-      isReached: known !== undefined,
+      received: recent?.received,
+      isStopped: recent !== undefined && this.#isStopped(member, recent),
+      isRegistered: this.options.isPresent(id),
+      isReachable: recent !== undefined,
     };
   }
 
-  /** True if nothing was heard of a member though it was lately tried. */
-  isUnheard(id: string): boolean {
+  /** Whether a member was called recently and has not responded. */
+  isUnresponsive(id: string): boolean {
     const member = this.#members.find(({ entry }) => entry.id === id);
     const { now, timings } = this.runtime;
-    if (member === undefined || now - member.triedAt > timings.evidenceMaxAgeMs) return false;
+    if (member === undefined || now - member.lastCallEndedAt > timings.evidenceMaxAgeMs)
+      return false;
     return !this.#isRecent(member);
   }
 
-  #isRecent({ askedAt }: MemberState): boolean {
+  #isRecent({ sentAt }: MemberState): boolean {
     const { now, timings } = this.runtime;
-    return askedAt >= this.#countsFrom && now - askedAt <= timings.evidenceMaxAgeMs;
+    return sentAt >= this.#validFrom && now - sentAt <= timings.evidenceMaxAgeMs;
   }
 
-  /** A member that answered as the leader of a later term than the given one. */
-  leaderAfter(term: number): { entry: InstanceEntry; status: InstanceStatus } | undefined {
+  /** Member that has reported itself as primary of a later term. */
+  laterPrimary(term: number): { entry: InstanceEntry; status: InstanceStatus } | undefined {
     for (const { entry, status } of this.#members) {
       if (status?.role === 'primary' && status.term > term) return { entry, status };
     }
@@ -131,62 +136,62 @@
 
   #isStopped({ entry }: MemberState, status: InstanceStatus): boolean {
     if (status.role !== 'replica') return false;
-    return entry.id === this.options.from?.id || status.heldTerm > 0;
+    return entry.id === this.options.oldPrimary?.id || status.heldTerm > 0;
   }
 
-  #secure(member: MemberState): void {
+  #callMember(member: MemberState): void {
     const { holdRetryPeriodMs } = this.runtime.timings;
     if (!this.#members.includes(member)) return;
     if (!this.options.mayAct()) {
-      const { calls } = member;
+      const { callCount } = member;
       this.#scope.after(holdRetryPeriodMs, () => {
-        if (calls === member.calls) this.#secure(member);
+        if (callCount === member.callCount) this.#callMember(member);
       });
       return;
     }
     const term = this.#term + 1;
     const { action } = member;
-    const askedAt = this.runtime.now;
-    member.calls += 1;
-    const call = member.calls;
+    const sentAt = this.runtime.now;
+    member.callCount += 1;
+    const call = member.callCount;
     const onAnswer = this.#scope.guard((answer: InstanceStatus | ControlFailure) => {
-      this.#noteAnswer(member, answer, askedAt);
-      if (call === member.calls) {
-        member.triedAt = this.runtime.now;
-        const waitMs = answer === 'busy' ? BUSY_RETRY_MS : holdRetryPeriodMs;
+      this.#recordResponse(member, answer, sentAt);
+      if (call === member.callCount) {
+        member.lastCallEndedAt = this.runtime.now;
+        const waitMs = answer === 'busy' ? BUSY_RETRY_DELAY_MS : holdRetryPeriodMs;
         this.#scope.after(waitMs, () => {
-          if (call === member.calls) this.#secure(member);
+          if (call === member.callCount) this.#callMember(member);
         });
       }
-      this.options.onFinding();
+      this.options.onResponse();
     });
     this.runtime.control(action, member.entry, action === 'status' ? 0 : term, onAnswer);
   }
 
-  #noteAnswer(
+  #recordResponse(
     member: MemberState,
     answer: InstanceStatus | ControlFailure,
-    askedAt: Milliseconds,
+    sentAt: Milliseconds,
   ): void {
-    if (answer === 'busy' || answer === 'rejected') this.#heardAt = this.runtime.now;
+    if (answer === 'busy' || answer === 'rejected') this.#lastResponseAt = this.runtime.now;
     if (answer === 'rejected') member.action = 'status';
     if (typeof answer === 'string') return;
-    this.#heardAt = this.runtime.now;
-    if (askedAt < member.askedAt) return;
-    // Of one that leads: it is the new one, and the others are about to follow it.
+    this.#lastResponseAt = this.runtime.now;
+    if (sentAt < member.sentAt) return;
+    // A primary's term is not adopted: a later primary is the new one, and the others are about to follow it.
     if (answer.role === 'replica') this.#term = Math.max(this.#term, answer.term);
     member.status = answer;
-    member.askedAt = askedAt;
+    member.sentAt = sentAt;
     member.action = this.#nextAction(member, answer);
   }
 
   #nextAction(member: MemberState, status: InstanceStatus): ControlAction {
     if (status.role === 'primary') return status.term > this.options.term ? 'status' : 'demote';
-    return member.entry.id === this.options.from?.id ? 'status' : 'pause';
+    return member.entry.id === this.options.oldPrimary?.id ? 'status' : 'pause';
   }
 }
 
 function memberState(entry: InstanceEntry, action: ControlAction): MemberState {
   const never = Number.NEGATIVE_INFINITY;
-  return { entry, status: undefined, askedAt: never, triedAt: never, action, calls: 0 };
+  return { entry, status: undefined, sentAt: never, lastCallEndedAt: never, action, callCount: 0 };
 }
--- a/src/core/promotion/lease.ts
+++ b/src/core/promotion/lease.ts
@@ -1,164 +1,164 @@
 /**
- * A node's lease at the store. It is over by the node's own clock earlier than it can be over at the
- * store: it runs there from the arrival of the renewal, and here from before it was sent.
+ * A node's lease at the store. By the node's own clock it expires before it can expire at the store: the node counts
+ * from before it sent the renewal, and the store counts from the renewal's arrival.
  */
 import { MILLISECONDS_PER_SECOND, type Milliseconds } from '../units.js';
 import { LEADER_KEY } from './records.js';
 import { RetryPause } from './retry-pause.js';
 import { isTrouble, type PromotionRuntime, type StoreTrouble } from './runtime.js';
 
-/** A node without a lease can't vouch for any primary, so it must notice soon that the store is back. */
-const BACKOFF_MAXIMUM_MS = 500;
-const SILENCES_UNTIL_LOOKING = 2;
+/** A node without a lease can't confirm any primary, so it must notice soon that the store is available again. */
+const MAX_BACKOFF_MS = 500;
+const MAX_UNANSWERED_RENEWALS = 2;
 
 export class NodeLease {
   /** Called with every new lease. */
   onGranted: (leaseId: string) => void = () => {};
   #leaseId: string | undefined;
   #validUntil: Milliseconds = 0;
-  #troubleAt: Milliseconds = Number.NEGATIVE_INFINITY;
-  /** Until a grant is asked for again. */
-  readonly #pause: RetryPause;
+  #lastFailureAt: Milliseconds = Number.NEGATIVE_INFINITY;
+  /** Delay before a grant is requested again. */
+  readonly #grantRetry: RetryPause;
   #failures = 0;
-  /** Renewals without an answer since the last one that had one. */
-  #silences = 0;
-  #stopped = false;
-  #cancelNext = (): void => {};
+  /** Renewals without a response since the last one that got a response. */
+  #unansweredRenewals = 0;
+  #isStopped = false;
+  #cancelScheduled = (): void => {};
 
   constructor(private readonly runtime: PromotionRuntime) {
-    this.#pause = new RetryPause(runtime);
+    this.#grantRetry = new RetryPause(runtime);
   }
 
-  /** The lease that was granted last, also if it may be over. */
+  /** Id of the lease granted last, even if it may have expired. */
   get leaseId(): string | undefined {
     return this.#leaseId;
   }
 
-  /** Until when the lease surely holds at the store. */
+  /** Time until which the lease is certain to be valid at the store. */
   get validUntil(): Milliseconds {
     return this.#validUntil;
   }
 
-  /** Last time that the store did not answer, or not in time. */
-  get troubleAt(): Milliseconds {
-    return this.#troubleAt;
+  /** Last time at which a call to the store failed or timed out. */
+  get lastFailureAt(): Milliseconds {
+    return this.#lastFailureAt;
   }
 
   isValid(now: Milliseconds): boolean {
-    return !this.#stopped && this.#leaseId !== undefined && now < this.#validUntil;
+    return !this.#isStopped && this.#leaseId !== undefined && now < this.#validUntil;
   }
 
   start(): void {
     const { leaseSeconds } = this.runtime.timings;
     const sentAt = this.runtime.now;
     this.runtime.grantLease(leaseSeconds, (answer) => {
-      if (this.#stopped) return;
+      if (this.#isStopped) return;
       if (isTrouble(answer)) {
-        this.#noteTrouble();
-        this.#pause.begin(this.#backoff(answer), () => this.#stopped || this.start());
+        this.#recordFailure();
+        this.#grantRetry.begin(this.#backoff(answer), () => this.#isStopped || this.start());
         return;
       }
       this.#failures = 0;
       this.#leaseId = answer;
-      this.#validUntil = this.#endOf(sentAt);
+      this.#validUntil = this.#expiryOf(sentAt);
       this.#renewAfter(this.runtime.timings.leaseRenewPeriodMs - (this.runtime.now - sentAt));
       this.onGranted(answer);
     });
   }
 
-  /** The store answers again: a grant that waits to be asked for once more is asked for now. */
+  /** Requests a delayed grant now, since the store responds again. */
   retryNow(): void {
-    this.#pause.end();
+    this.#grantRetry.end();
   }
 
-  /** The store came back from a copy: it may lack the lease, or its last renewals. */
-  noteEra(): void {
+  /** Stops relying on the lease until it is renewed: the restored store may lack it, or its last renewals. */
+  handleStoreRestore(): void {
     this.#validUntil = 0;
-    if (this.#stopped || this.#leaseId === undefined) return;
-    this.#silences = 0;
+    if (this.#isStopped || this.#leaseId === undefined) return;
+    this.#unansweredRenewals = 0;
     this.#renewAfter(0);
   }
 
-  /** Ends the lease's use at once; the lease itself is left to the caller. */
+  /** Stops using the lease at once and returns its id, so that the caller can revoke it. */
   stop(): string | undefined {
-    this.#stopped = true;
-    this.#cancelNext();
+    this.#isStopped = true;
+    this.#cancelScheduled();
     return this.#leaseId;
   }
 
-  #endOf(sentAt: Milliseconds): Milliseconds {
+  #expiryOf(sentAt: Milliseconds): Milliseconds {
     const { leaseSeconds, leaseSafetyMarginMs } = this.runtime.timings;
     return sentAt + leaseSeconds * MILLISECONDS_PER_SECOND - leaseSafetyMarginMs;
   }
 
   #renewAfter(delayMs: Milliseconds): void {
-    this.#cancelNext();
-    this.#cancelNext = this.runtime.after(delayMs, () => this.#renew());
+    this.#cancelScheduled();
+    this.#cancelScheduled = this.runtime.after(delayMs, () => this.#renew());
   }
 
   #renew(): void {
     const leaseId = this.#leaseId;
     if (leaseId === undefined) return;
-    if (this.#silences >= SILENCES_UNTIL_LOOKING) {
-      this.#look();
+    if (this.#unansweredRenewals >= MAX_UNANSWERED_RENEWALS) {
+      this.#awaitResponse();
       return;
     }
     const { leaseRenewPeriodMs, leaseRetryAfterMs } = this.runtime.timings;
     const sentAt = this.runtime.now;
-    this.#cancelNext = this.runtime.after(leaseRetryAfterMs, () => {
-      this.#silences += 1;
-      this.#noteTrouble();
+    this.#cancelScheduled = this.runtime.after(leaseRetryAfterMs, () => {
+      this.#unansweredRenewals += 1;
+      this.#recordFailure();
       this.#renew();
     });
     this.runtime.keepLease(leaseId, (answer) => {
-      if (this.#stopped || leaseId !== this.#leaseId) return;
-      this.#silences = 0;
+      if (this.#isStopped || leaseId !== this.#leaseId) return;
+      this.#unansweredRenewals = 0;
       if (answer === true) {
         this.#failures = 0;
-        this.#validUntil = Math.max(this.#validUntil, this.#endOf(sentAt));
+        this.#validUntil = Math.max(this.#validUntil, this.#expiryOf(sentAt));
         this.#renewAfter(Math.max(0, leaseRenewPeriodMs - (this.runtime.now - sentAt)));
       } else if (answer.leaseOver) {
-        this.#replace();
+        this.#replaceLease();
       } else {
-        this.#noteTrouble();
+        this.#recordFailure();
         this.#renewAfter(this.#backoff(answer));
       }
     });
   }
 
   /**
-   * Renewals may reach the store though its answers don't come back: then the lease would hold up
-   * promotions, which wait for this node's acknowledgement. Renews no more until an answer comes.
+   * Stops renewing until the store responds. Renewals may reach the store though its responses are lost: then the lease
+   * would stay alive and delay promotions, which wait for this node's acknowledgement.
    */
-  #look(): void {
-    this.#cancelNext = this.runtime.after(this.runtime.timings.leaseRetryAfterMs, () => {
-      this.#noteTrouble();
-      this.#look();
+  #awaitResponse(): void {
+    this.#cancelScheduled = this.runtime.after(this.runtime.timings.leaseRetryAfterMs, () => {
+      this.#recordFailure();
+      this.#awaitResponse();
     });
-    const cancel = this.#cancelNext;
+    const cancel = this.#cancelScheduled;
     this.runtime.range(LEADER_KEY, (answer) => {
-      if (this.#stopped || isTrouble(answer) || this.#silences === 0) return;
+      if (this.#isStopped || isTrouble(answer) || this.#unansweredRenewals === 0) return;
       cancel();
-      this.#silences = 0;
+      this.#unansweredRenewals = 0;
       this.#renewAfter(0);
     });
   }
 
-  #replace(): void {
+  #replaceLease(): void {
     this.runtime.log('warn', 'lease lost', { lease: this.#leaseId });
     this.#leaseId = undefined;
     this.#validUntil = 0;
-    this.#cancelNext();
+    this.#cancelScheduled();
     this.start();
   }
 
-  #noteTrouble(): void {
-    this.#troubleAt = this.runtime.now;
+  #recordFailure(): void {
+    this.#lastFailureAt = this.runtime.now;
   }
 
   #backoff({ retryAfterMs }: StoreTrouble): Milliseconds {
     const bound = this.runtime.timings.storeRetryDelayMs * 2 ** this.#failures;
     this.#failures += 1;
-    return Math.max(retryAfterMs, this.runtime.jittered(Math.min(BACKOFF_MAXIMUM_MS, bound)));
+    return Math.max(retryAfterMs, this.runtime.jittered(Math.min(MAX_BACKOFF_MS, bound)));
   }
 }
