--- a/bench/generate-templates.ts
+++ b/bench/generate-templates.ts
@@ -3,7 +3,7 @@
  * `npm run generate:templates`. The test unit/direct/tenant-templates compares the two.
  */
 import { readFileSync, writeFileSync } from 'node:fs';
-import { catalogueOf, resolveCatalogue } from '../src/core/configuration/catalogue.js';
+import { buildCatalogue, resolveCatalogue } from '../src/core/configuration/catalogue.js';
 import { parseDeclarations } from '../src/core/configuration/declaration.js';
 import { InvalidDeclarationError } from '../src/core/configuration/errors.js';
 import { compileRouteTemplates } from '../src/core/configuration/route-templates.js';
@@ -23,7 +23,7 @@
 export function generateTemplateModule(text: string): string {
   const parsed = parseDeclarations([{ source: TEMPLATES_FILE, text }]);
   if (parsed.isErr()) throw parsed.error;
-  const { problems } = resolveCatalogue(catalogueOf(parsed.value));
+  const { problems } = resolveCatalogue(buildCatalogue(parsed.value));
   if (problems.length > 0) throw new InvalidDeclarationError(problems);
   const compiled = compileRouteTemplates(parsed.value);
   if (compiled.isErr()) throw compiled.error;
--- a/bench/simulation/configuration.ts
+++ b/bench/simulation/configuration.ts
@@ -69,7 +69,7 @@
     const agent = new ConfigurationAgent({
       self: member,
       random: this.random,
-      without: this.without,
+      disabledMechanisms: this.without,
     });
     const node: SimulatedNode = {
       member,
@@ -236,7 +236,7 @@
   }
 
   #askDigest(node: SimulatedNode, peer: SimulatedNode): ConfigurationAgentEvent {
-    const answer = peer.agent.digestAnswer();
+    const answer = peer.agent.digestResponse();
     const { nodeId } = node.member;
     const digest = node.agent.replica.digest();
     this.#deliver(peer, { type: 'digest-received', nodeId, digest });
--- a/scale/components/configuration.ts
+++ b/scale/components/configuration.ts
@@ -1,6 +1,9 @@
 /** One replica of the configuration at several numbers of tenants. */
 
-import { type ConfigurationMember, pushTargets } from '../../src/core/configuration/relays.js';
+import {
+  type ConfigurationMember,
+  selectPushTargets,
+} from '../../src/core/configuration/relays.js';
 import {
   type ConfigurationDelta,
   ConfigurationReplica,
@@ -41,7 +44,7 @@
   const inZone = members.filter((member) => member.zone === zone);
   const nodeId = inZone[0]?.nodeId ?? '';
   const perTree = meanMs(TREES, (index) => {
-    pushTargets(inZone[index % inZone.length]?.nodeId ?? nodeId, nodeId, zone, members);
+    selectPushTargets(inZone[index % inZone.length]?.nodeId ?? nodeId, nodeId, zone, members);
   });
   return rounded(perTree, 3);
 }
--- a/scale/hollow-configuration.ts
+++ b/scale/hollow-configuration.ts
@@ -93,7 +93,7 @@
     const { nodeId } = from;
     if (method === DIGEST_METHOD) {
       const { digest } = this.#timed(() => digestRequestSchema.parse(body));
-      const answer = this.#timed(() => this.agent.digestAnswer());
+      const answer = this.#timed(() => this.agent.digestResponse());
       this.handle({ type: 'digest-received', nodeId, digest });
       return answer;
     }
--- a/src/commands/config/rollback.ts
+++ b/src/commands/config/rollback.ts
@@ -7,7 +7,7 @@
   type PublishReport,
   publishFlags,
 } from '../../cli/publish-command.js';
-import { unlocated } from '../../core/configuration/declaration.js';
+import { withoutLocation } from '../../core/configuration/declaration.js';
 import { DeclarationNotFoundError } from '../../core/configuration/errors.js';
 import type { ProposedChange } from '../../core/configuration/publish.js';
 
@@ -44,7 +44,7 @@
     const change: ProposedChange =
       declaration === null
         ? { type: 'remove', key }
-        : { type: 'put', located: unlocated(declaration) };
+        : { type: 'put', located: withoutLocation(declaration) };
     const message = flags.message === '' ? `rollback to version ${flags.to}` : flags.message;
     return this.publishChanges(publisher, state.value, [change], { ...flags, message });
   }
--- a/src/commands/config/validate.ts
+++ b/src/commands/config/validate.ts
@@ -3,7 +3,7 @@
 import { fillVerifiers, passwordFrom, readDeclarations } from '../../cli/declaration-files.js';
 import { EXIT_CODES_HELP } from '../../cli/exit-codes.js';
 import { filesArgument, passwordFlag } from '../../cli/publish-files.js';
-import { catalogueOf, resolveCatalogue } from '../../core/configuration/catalogue.js';
+import { buildCatalogue, resolveCatalogue } from '../../core/configuration/catalogue.js';
 import { keyOf } from '../../core/configuration/declaration.js';
 import { InvalidDeclarationError } from '../../core/configuration/errors.js';
 
@@ -36,7 +36,7 @@
       passwordName === undefined
         ? read.value
         : fillVerifiers(read.value, passwordFrom(passwordName), () => undefined);
-    const { problems } = resolveCatalogue(catalogueOf(declarations));
+    const { problems } = resolveCatalogue(buildCatalogue(declarations));
     if (problems.length > 0) throw new InvalidDeclarationError(problems);
     this.log(`${declarations.length} declarations are valid`);
     return { valid: true, declarations: declarations.map((each) => keyOf(each.declaration)) };
--- a/src/core/configuration/agent.ts
+++ b/src/core/configuration/agent.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps one node's configuration: puts together the replica, the relay lease, the store's watch,
- * pushes along the zone's tree and anti-entropy with random peers. No I/O; the adapter in
- * src/node/configuration carries the effects out.
+ * Keeps one node's configuration up to date. Combines the replica, the relay lease, the watch on
+ * the store, pushes along the zone's tree and anti-entropy with random peers. No I/O; the adapter
+ * in src/node/configuration executes the effects.
  */
 import type { Milliseconds } from '../units.js';
 import type {
@@ -25,19 +25,19 @@
 } from './replica.js';
 import { StoreFollower, type StoreFollowerEvent } from './store-follower.js';
 
-const ANTI_ENTROPY_INTERVAL_MS = 1000;
-const START_INTERVAL_MS = 400;
-/** Peers that a node without a configuration asks at once. */
-const START_PEERS = 5;
-/** A store that has not answered the first read by then counts as in trouble. */
-const START_STORE_WAIT_MS = 1500;
+const ANTI_ENTROPY_PERIOD_MS = 1000;
+const START_QUERY_PERIOD_MS = 400;
+/** Number of peers that a starting node, which has no configuration yet, queries at once. */
+const START_PEER_COUNT = 5;
+/** Time after the start from which an unanswered first read of the store counts as failed. */
+const START_STORE_TIMEOUT_MS = 1500;
 
-/** What the agent is built with. */
-export interface AgentOptions {
+/** Options of the configuration agent. */
+export interface ConfigurationAgentOptions {
   readonly self: ConfigurationMember;
   readonly random: RandomSource;
-  /** Mutation checks only. */
-  readonly without?: ReadonlySet<ConfigurationMechanism>;
+  /** For mutation checks only. */
+  readonly disabledMechanisms?: ReadonlySet<ConfigurationMechanism>;
 }
 
 /** The state machine of one node's configuration. */
@@ -46,57 +46,57 @@
   readonly #self: ConfigurationMember;
   readonly #random: RandomSource;
   readonly #comparesDigests: boolean;
-  readonly #role: RelayRole;
-  readonly #follower: StoreFollower;
-  #view: MemberView;
+  readonly #relayRole: RelayRole;
+  readonly #storeFollower: StoreFollower;
+  #members: MemberView;
   #startedAt: Milliseconds | undefined;
-  #ready = false;
-  #storeFailed = false;
-  /** Peers asked in the current round of the start, not yet answered. */
-  readonly #awaited = new Set<string>();
-  readonly #fetching = new Set<string>();
-  /** For each root of a push tree, the highest revision that was passed on for it. */
-  readonly #forwarded = new Map<string, ConfigurationRevision>();
-  #peerAnswered = false;
-  #nextPeerAt: Milliseconds | undefined;
+  #isReady = false;
+  #hasStoreFailed = false;
+  /** Peers that were queried during the start and have not responded yet. */
+  readonly #awaitedPeers = new Set<string>();
+  readonly #fetchingPeers = new Set<string>();
+  /** For each root of a push tree, the highest revision that this node forwarded along the tree. */
+  readonly #forwardedRevisions = new Map<string, ConfigurationRevision>();
+  #hasPeerResponded = false;
+  #nextPeerQueryAt: Milliseconds | undefined;
   #source: ConfigurationSource = 'none';
-  #highestSeen: ConfigurationRevision = 0;
+  #highestSeenRevision: ConfigurationRevision = 0;
   #behindSince: Milliseconds | undefined;
   #digestMismatches = 0;
 
-  constructor(options: AgentOptions) {
-    this.replica = new ConfigurationReplica(options.without);
-    this.#comparesDigests = options.without?.has('anti-entropy') !== true;
+  constructor(options: ConfigurationAgentOptions) {
+    this.replica = new ConfigurationReplica(options.disabledMechanisms);
+    this.#comparesDigests = options.disabledMechanisms?.has('anti-entropy') !== true;
     this.#self = options.self;
     this.#random = options.random;
-    this.#view = new MemberView(options.self, []);
-    this.#role = new RelayRole(options.random);
-    this.#follower = new StoreFollower(options.random);
+    this.#members = new MemberView(options.self, []);
+    this.#relayRole = new RelayRole(options.random);
+    this.#storeFollower = new StoreFollower(options.random);
   }
 
   nextDeadline(): Milliseconds | undefined {
     const deadlines = [
-      this.#nextPeerAt,
-      this.#role.nextDeadline(),
-      this.#follower.nextDeadline(),
+      this.#nextPeerQueryAt,
+      this.#relayRole.nextDeadline(),
+      this.#storeFollower.nextDeadline(),
     ].filter((at) => at !== undefined);
     return deadlines.length === 0 ? undefined : Math.min(...deadlines);
   }
 
-  /** Answer to a peer that asks. */
-  digestAnswer(): DigestResponse {
-    return { digest: this.replica.digest(), ready: this.#ready };
+  /** The response to a peer's digest request. */
+  digestResponse(): DigestResponse {
+    return { digest: this.replica.digest(), ready: this.#isReady };
   }
 
   status(now: Milliseconds): ConfigurationStatus {
     return {
-      ready: this.#ready,
+      ready: this.#isReady,
       revision: this.replica.revision,
-      highestSeenRevision: this.#highestSeen,
+      highestSeenRevision: this.#highestSeenRevision,
       lagMs: this.#behindSince === undefined ? 0 : now - this.#behindSince,
       source: this.#source,
-      relay: this.#role.active,
-      watching: this.#follower.watching,
+      relay: this.#relayRole.isActive,
+      watching: this.#storeFollower.isWatching,
       digest: this.replica.digest().hash,
       digestMismatches: this.#digestMismatches,
     };
@@ -104,41 +104,41 @@
 
   handle(event: ConfigurationAgentEvent, now: Milliseconds): ConfigurationAgentEffect[] {
     const effects = this.#dispatch(event, now);
-    return [...effects, ...this.#becomeReady(now), ...this.#updateDemand(now)];
+    return [...effects, ...this.#checkReadiness(now), ...this.#updateStoreDemand(now)];
   }
 
   #dispatch(event: ConfigurationAgentEvent, now: Milliseconds): ConfigurationAgentEffect[] {
     switch (event.type) {
       case 'started':
         this.#startedAt = now;
-        return this.#peerRound(now);
+        return this.#queryPeers(now);
       case 'members-changed':
         return this.#setMembers(event.members, now);
       case 'store-read':
-        return this.#storeRead(event.delta, event.storeRevision, now);
+        return this.#handleStoreRead(event.delta, event.storeRevision, now);
       case 'store-read-failed':
-        this.#storeFailed = true;
-        return this.#follow(event, now);
+        this.#hasStoreFailed = true;
+        return this.#notifyStoreFollower(event, now);
       case 'watch-delta':
-        return this.#watchDelta(event.delta, now);
+        return this.#handleWatchDelta(event.delta, now);
       case 'watch-ended':
       case 'head-check-failed':
-        return this.#follow(event, now);
+        return this.#notifyStoreFollower(event, now);
       case 'head-checked':
-        this.#hearOf(event.headRevision, now);
-        return this.#follow({ ...event, replicaRevision: this.replica.revision }, now);
+        this.#recordSeenRevision(event.headRevision, now);
+        return this.#notifyStoreFollower({ ...event, replicaRevision: this.replica.revision }, now);
       case 'relay':
-        return this.#role.handle(event.event, now);
+        return this.#relayRole.handle(event.event, now);
       case 'digest-answered':
-        return this.#digestAnswered(event.nodeId, event.answer, now);
+        return this.#handleDigestResponse(event.nodeId, event.answer, now);
       case 'peer-failed':
-        this.#awaited.delete(event.nodeId);
-        this.#fetching.delete(event.nodeId);
+        this.#awaitedPeers.delete(event.nodeId);
+        this.#fetchingPeers.delete(event.nodeId);
         return [];
       case 'fetched':
-        return this.#fetched(event.nodeId, event.delta, now);
+        return this.#handleFetched(event.nodeId, event.delta, now);
       case 'push-received':
-        return this.#pushReceived(event.nodeId, event.root, event.delta, now);
+        return this.#handlePush(event.nodeId, event.root, event.delta, now);
       case 'digest-received':
         return this.#compareDigest(event.nodeId, event.digest, now);
       case 'tick':
@@ -150,47 +150,51 @@
     members: readonly ConfigurationMember[],
     now: Milliseconds,
   ): ConfigurationAgentEffect[] {
-    this.#view = new MemberView(this.#self, members);
-    for (const root of this.#forwarded.keys()) {
-      if (!this.#view.includes(root)) this.#forwarded.delete(root);
+    this.#members = new MemberView(this.#self, members);
+    for (const root of this.#forwardedRevisions.keys()) {
+      if (!this.#members.includes(root)) this.#forwardedRevisions.delete(root);
     }
-    const candidate = this.#view.candidates().some((member) => member.nodeId === this.#self.nodeId);
-    const effects = this.#role.handle({ type: 'candidacy-changed', candidate }, now);
-    const firstPeers = this.#startedAt !== undefined && !this.#ready && this.#awaited.size === 0;
-    return firstPeers ? [...effects, ...this.#peerRound(now)] : effects;
+    const candidate = this.#members
+      .relayCandidates()
+      .some((member) => member.nodeId === this.#self.nodeId);
+    const effects = this.#relayRole.handle({ type: 'candidacy-changed', candidate }, now);
+    const isFirstQueryDue =
+      this.#startedAt !== undefined && !this.#isReady && this.#awaitedPeers.size === 0;
+    return isFirstQueryDue ? [...effects, ...this.#queryPeers(now)] : effects;
   }
 
-  #storeRead(
+  #handleStoreRead(
     delta: ConfigurationDelta,
     storeRevision: number,
     now: Milliseconds,
   ): ConfigurationAgentEffect[] {
     const effects = this.#merge(delta, 'store', now);
-    const ready: ConfigurationAgentEffect[] = this.#ready ? [] : [{ type: 'ready' }];
-    this.#ready = true;
-    const spread = effects.length > 0 && this.#role.active ? this.#pushOwn(delta) : [];
+    const ready: ConfigurationAgentEffect[] = this.#isReady ? [] : [{ type: 'ready' }];
+    this.#isReady = true;
+    const pushes = effects.length > 0 && this.#relayRole.isActive ? this.#pushAsRoot(delta) : [];
     return [
       ...effects,
       ...ready,
-      ...this.#follow({ type: 'store-read', storeRevision }, now),
-      ...spread,
+      ...this.#notifyStoreFollower({ type: 'store-read', storeRevision }, now),
+      ...pushes,
     ];
   }
 
-  #watchDelta(delta: ConfigurationDelta, now: Milliseconds): ConfigurationAgentEffect[] {
+  #handleWatchDelta(delta: ConfigurationDelta, now: Milliseconds): ConfigurationAgentEffect[] {
     const effects = this.#merge(delta, 'watch', now);
-    // A relay pushes what its watch brings even if a peer was faster: its tree waits for it.
-    return [...effects, ...this.#pushOwn(delta)];
+    // A relay pushes a watched change even if it already has it from a peer: the nodes of its push
+    // tree depend on this push.
+    return [...effects, ...this.#pushAsRoot(delta)];
   }
 
-  #digestAnswered(
+  #handleDigestResponse(
     nodeId: string,
     answer: DigestResponse,
     now: Milliseconds,
   ): ConfigurationAgentEffect[] {
-    this.#awaited.delete(nodeId);
+    this.#awaitedPeers.delete(nodeId);
     if (!answer.ready) return [];
-    this.#peerAnswered = true;
+    this.#hasPeerResponded = true;
     return this.#compareDigest(nodeId, answer.digest, now);
   }
 
@@ -200,7 +204,7 @@
     now: Milliseconds,
   ): ConfigurationAgentEffect[] {
     const own = this.replica.digest();
-    this.#hearOf(digest.revision, now);
+    this.#recordSeenRevision(digest.revision, now);
     if (digest.revision < own.revision || digest.hash === own.hash) return [];
     if (digest.revision > own.revision) return this.#fetch(nodeId, own.revision);
     this.#digestMismatches += 1;
@@ -208,54 +212,63 @@
   }
 
   #fetch(nodeId: string, sinceRevision: ConfigurationRevision): ConfigurationAgentEffect[] {
-    const peer = this.#view.get(nodeId);
-    if (peer === undefined || this.#fetching.has(nodeId)) return [];
-    this.#fetching.add(nodeId);
+    const peer = this.#members.get(nodeId);
+    if (peer === undefined || this.#fetchingPeers.has(nodeId)) return [];
+    this.#fetchingPeers.add(nodeId);
     return [{ type: 'fetch', peer, sinceRevision }];
   }
 
-  #fetched(
+  #handleFetched(
     nodeId: string,
     delta: ConfigurationDelta,
     now: Milliseconds,
   ): ConfigurationAgentEffect[] {
-    this.#fetching.delete(nodeId);
+    this.#fetchingPeers.delete(nodeId);
     const effects = this.#merge(delta, 'peer', now);
     if (effects.length === 0) return [];
-    const peer = this.#view.get(nodeId);
+    const peer = this.#members.get(nodeId);
     const fromOtherZone = peer !== undefined && peer.zone !== this.#self.zone;
-    return fromOtherZone ? [...effects, ...this.#tellCandidates(delta)] : effects;
+    return fromOtherZone ? [...effects, ...this.#pushToCandidates(delta)] : effects;
   }
 
-  /** News from another zone means that no relay of this zone had it yet; the candidates spread it. */
-  #tellCandidates(delta: ConfigurationDelta): ConfigurationAgentEffect[] {
-    return this.#view.candidates().flatMap((peer): ConfigurationAgentEffect[] => {
-      if (peer.nodeId === this.#self.nodeId) return this.#pushOwn(delta);
+  /**
+   * A change fetched from another zone has not reached this zone's relays yet, so its candidates
+   * push it.
+   */
+  #pushToCandidates(delta: ConfigurationDelta): ConfigurationAgentEffect[] {
+    return this.#members.relayCandidates().flatMap((peer): ConfigurationAgentEffect[] => {
+      if (peer.nodeId === this.#self.nodeId) return this.#pushAsRoot(delta);
       return [{ type: 'push', peer, root: peer.nodeId, delta }];
     });
   }
 
-  #pushReceived(
+  #handlePush(
     nodeId: string,
     root: string,
     delta: ConfigurationDelta,
     now: Milliseconds,
   ): ConfigurationAgentEffect[] {
-    this.#hearOf(delta.revision, now);
+    this.#recordSeenRevision(delta.revision, now);
     if (delta.sinceRevision > this.replica.revision) {
       return [...this.#fetch(nodeId, this.replica.revision), ...this.#forward(root, delta)];
     }
     return [...this.#merge(delta, 'push', now), ...this.#forward(root, delta)];
   }
 
-  #pushOwn(delta: ConfigurationDelta): ConfigurationAgentEffect[] {
+  #pushAsRoot(delta: ConfigurationDelta): ConfigurationAgentEffect[] {
     return this.#forward(this.#self.nodeId, delta);
   }
 
   #forward(root: string, delta: ConfigurationDelta): ConfigurationAgentEffect[] {
-    if (!this.#view.includes(root) || delta.revision <= (this.#forwarded.get(root) ?? 0)) return [];
-    this.#forwarded.set(root, delta.revision);
-    return this.#view.pushTargets(root).map((peer) => ({ type: 'push', peer, root, delta }));
+    if (
+      !this.#members.includes(root) ||
+      delta.revision <= (this.#forwardedRevisions.get(root) ?? 0)
+    )
+      return [];
+    this.#forwardedRevisions.set(root, delta.revision);
+    return this.#members
+      .selectPushTargets(root)
+      .map((peer) => ({ type: 'push', peer, root, delta }));
   }
 
   #merge(
@@ -263,59 +276,66 @@
     source: ConfigurationSource,
     now: Milliseconds,
   ): ConfigurationAgentEffect[] {
-    this.#hearOf(delta.revision, now);
+    this.#recordSeenRevision(delta.revision, now);
     if (this.replica.merge(delta) !== 'applied') return [];
     this.#source = source;
-    if (this.replica.revision >= this.#highestSeen) this.#behindSince = undefined;
+    if (this.replica.revision >= this.#highestSeenRevision) this.#behindSince = undefined;
     return [{ type: 'apply', snapshot: this.replica.snapshot() }];
   }
 
-  #hearOf(revision: ConfigurationRevision, now: Milliseconds): void {
-    this.#highestSeen = Math.max(this.#highestSeen, revision);
-    if (this.#highestSeen > this.replica.revision) this.#behindSince ??= now;
+  #recordSeenRevision(revision: ConfigurationRevision, now: Milliseconds): void {
+    this.#highestSeenRevision = Math.max(this.#highestSeenRevision, revision);
+    if (this.#highestSeenRevision > this.replica.revision) this.#behindSince ??= now;
   }
 
-  /** With the store in trouble: every peer that was asked has answered, and one had something. */
-  #becomeReady(now: Milliseconds): ConfigurationAgentEffect[] {
-    if (this.#ready || !this.#peerAnswered || this.#startedAt === undefined) return [];
-    if (!this.#storeFailed && now - this.#startedAt < START_STORE_WAIT_MS) return [];
-    const waiting = this.#awaited.size > 0 || this.#fetching.size > 0;
-    if (waiting || this.replica.revision < this.#highestSeen) return [];
-    this.#ready = true;
+  /**
+   * Without the store, the node becomes ready once every queried peer has responded or failed, at
+   * least one had a configuration, and the highest revision seen has been applied.
+   */
+  #checkReadiness(now: Milliseconds): ConfigurationAgentEffect[] {
+    if (this.#isReady || !this.#hasPeerResponded || this.#startedAt === undefined) return [];
+    if (!this.#hasStoreFailed && now - this.#startedAt < START_STORE_TIMEOUT_MS) return [];
+    const waiting = this.#awaitedPeers.size > 0 || this.#fetchingPeers.size > 0;
+    if (waiting || this.replica.revision < this.#highestSeenRevision) return [];
+    this.#isReady = true;
     return [{ type: 'ready' }];
   }
 
-  #updateDemand(now: Milliseconds): ConfigurationAgentEffect[] {
+  #updateStoreDemand(now: Milliseconds): ConfigurationAgentEffect[] {
     if (this.#startedAt === undefined) return [];
-    const demand = { watch: this.#role.active, read: !this.#ready };
-    return this.#follow({ type: 'demand-changed', ...demand }, now);
+    const demand = { watch: this.#relayRole.isActive, read: !this.#isReady };
+    return this.#notifyStoreFollower({ type: 'demand-changed', ...demand }, now);
   }
 
-  #follow(event: StoreFollowerEvent, now: Milliseconds): ConfigurationAgentEffect[] {
-    return this.#follower.handle(event, now);
+  #notifyStoreFollower(event: StoreFollowerEvent, now: Milliseconds): ConfigurationAgentEffect[] {
+    return this.#storeFollower.handle(event, now);
   }
 
   #tick(now: Milliseconds): ConfigurationAgentEffect[] {
-    const peers = this.#nextPeerAt !== undefined && now >= this.#nextPeerAt;
+    const isPeerQueryDue = this.#nextPeerQueryAt !== undefined && now >= this.#nextPeerQueryAt;
     return [
-      ...(peers ? this.#peerRound(now) : []),
-      ...this.#role.handle({ type: 'tick' }, now),
-      ...this.#follower.handle({ type: 'tick' }, now),
+      ...(isPeerQueryDue ? this.#queryPeers(now) : []),
+      ...this.#relayRole.handle({ type: 'tick' }, now),
+      ...this.#storeFollower.handle({ type: 'tick' }, now),
     ];
   }
 
-  #peerRound(now: Milliseconds): ConfigurationAgentEffect[] {
-    const interval = this.#ready ? ANTI_ENTROPY_INTERVAL_MS : START_INTERVAL_MS;
-    this.#nextPeerAt = now + jitter(interval, this.#random);
-    if (this.#ready) {
+  #queryPeers(now: Milliseconds): ConfigurationAgentEffect[] {
+    const period = this.#isReady ? ANTI_ENTROPY_PERIOD_MS : START_QUERY_PERIOD_MS;
+    this.#nextPeerQueryAt = now + jitter(period, this.#random);
+    if (this.#isReady) {
       if (!this.#comparesDigests) return [];
-      const peer = this.#view.antiEntropyPeer(this.#random);
+      const peer = this.#members.selectAntiEntropyPeer(this.#random);
       return peer === undefined ? [] : [{ type: 'ask-digest', peer }];
     }
-    const free = this.#view.others.filter((member) => !this.#awaited.has(member.nodeId));
-    return sample(free, START_PEERS - this.#awaited.size, this.#random).map((peer) => {
-      this.#awaited.add(peer.nodeId);
-      return { type: 'ask-digest', peer };
-    });
+    const unqueried = this.#members.others.filter(
+      (member) => !this.#awaitedPeers.has(member.nodeId),
+    );
+    return sample(unqueried, START_PEER_COUNT - this.#awaitedPeers.size, this.#random).map(
+      (peer) => {
+        this.#awaitedPeers.add(peer.nodeId);
+        return { type: 'ask-digest', peer };
+      },
+    );
   }
 }
--- a/src/core/configuration/backoff.ts
+++ b/src/core/configuration/backoff.ts
@@ -1,16 +1,16 @@
-/** Exponential back-off with jitter, so that many nodes don't come back at the same moment. */
+/** Exponential backoff with jitter, so that many nodes don't retry at the same moment. */
 import type { Milliseconds } from '../units.js';
 
-/** A number in [0, 1); seeded by the caller. */
+/** Returns a random number in [0, 1). */
 export type RandomSource = () => number;
 
-/** Bounds of a back-off. */
+/** Bounds of the delays. */
 export interface BackoffLimits {
   readonly initialMs: Milliseconds;
   readonly maximumMs: Milliseconds;
 }
 
-/** Delays that double with each failure; each lies between half its bound and the bound. */
+/** Delays with jitter: between half a bound and the bound, which doubles with each failure. */
 export class Backoff {
   #failures = 0;
 
@@ -19,7 +19,7 @@
     private readonly random: RandomSource,
   ) {}
 
-  /** Delay after one more failure, at least what the other side asked for. */
+  /** Delay after one more failure; at least `retryAfterMs`, the delay that the server requested. */
   next(retryAfterMs: Milliseconds = 0): Milliseconds {
     const bound = Math.min(this.limits.maximumMs, this.limits.initialMs * 2 ** this.#failures);
     this.#failures += 1;
--- a/src/core/configuration/catalogue.ts
+++ b/src/core/configuration/catalogue.ts
@@ -1,6 +1,6 @@
 /**
- * All declarations together, and the checks that span them: every tenant's template exists and
- * accepts its parameters, no two tenants share a user, no template in use is missing.
+ * All declarations, and the checks that span several of them: every tenant's template exists and
+ * accepts the tenant's parameters, no two tenants share a user, no template in use is missing.
  */
 import {
   type DeclarationKey,
@@ -16,23 +16,23 @@
 import type { RouteTemplateDeclaration } from './route-template-schema.js';
 import { checkRouteTemplate, isRouteTemplate } from './route-templates.js';
 
-/** A declaration in a catalogue with the revision at which it was published; 0 if it was not. */
+/** A declaration and the revision at which it was published; 0 if it was not published. */
 export interface CatalogueEntry extends LocatedDeclaration {
   readonly revision: ConfigurationRevision;
 }
 
-/** Declarations by key. Removed ones are absent. */
+/** Declarations by key, without removed ones. */
 export type Catalogue = ReadonlyMap<DeclarationKey, CatalogueEntry>;
 
-/** The outcome of resolving a catalogue: what can be in force, and what is wrong with the rest. */
+/** Result of resolving a catalogue: the valid policies, and all problems found. */
 export interface ResolvedCatalogue {
   readonly policies: readonly TenantPolicy[];
   readonly problems: readonly DocumentProblem[];
 }
 
 /**
- * Keeps the policies of tenants for as long as neither they nor their templates change, so that a
- * change to one tenant does not resolve all the others again.
+ * Caches the policy of each tenant until the tenant or its template changes, so that a change to
+ * one tenant does not resolve all the others again.
  */
 export class ResolutionCache {
   readonly #resolved = new WeakMap<CatalogueEntry, CachedResolution>();
@@ -58,7 +58,7 @@
   readonly resolution: Resolution;
 }
 
-/** Resolves every tenant and checks every template. Deterministic: by order of key. */
+/** Resolves every tenant and checks every template, sorted by key to be deterministic. */
 export function resolveCatalogue(
   catalogue: Catalogue,
   cache: ResolutionCache = new ResolutionCache(),
@@ -73,7 +73,7 @@
       problems.push(...checkTemplate(entry.declaration, entry.locate));
       continue;
     }
-    const policy = resolveEntry(catalogue, cache, entry, entry.declaration, problems);
+    const policy = resolveTenantEntry(catalogue, cache, entry, entry.declaration, problems);
     if (policy === undefined) continue;
     const other = users.get(policy.user);
     if (other !== undefined) {
@@ -90,8 +90,8 @@
   return { policies, problems };
 }
 
-/** The snapshot in force at a revision. Tenants that don't resolve are left out. */
-export function snapshotOf(
+/** Builds the snapshot of a revision. Leaves out tenants that can't be resolved. */
+export function buildSnapshot(
   catalogue: Catalogue,
   revision: ConfigurationRevision,
   cache: ResolutionCache = new ResolutionCache(),
@@ -104,8 +104,8 @@
   };
 }
 
-/** A catalogue of declarations from files alone. */
-export function catalogueOf(declarations: readonly LocatedDeclaration[]): Catalogue {
+/** Builds a catalogue of declarations that have not been published. */
+export function buildCatalogue(declarations: readonly LocatedDeclaration[]): Catalogue {
   return new Map(
     declarations.map((located) => [keyOf(located.declaration), { ...located, revision: 0 }]),
   );
@@ -131,14 +131,14 @@
       field: `parameters.${name}`,
       expected: 'a parameter that the policy refers to',
     }));
-  const ofItsGateway = isRouteTemplate(template)
+  const gatewayProblems = isRouteTemplate(template)
     ? checkRouteTemplate(template, locate)
     : checkDefaults(template.parameters, locate);
-  return [...unknown, ...unused, ...ofItsGateway];
+  return [...unknown, ...unused, ...gatewayProblems];
 }
 
-/** One tenant's policy; undefined, with the problems added, if it doesn't resolve. */
-export function resolveEntry(
+/** Resolves one tenant; if that fails, adds to `problems` and returns undefined. */
+export function resolveTenantEntry(
   catalogue: Catalogue,
   cache: ResolutionCache,
   entry: CatalogueEntry,
@@ -146,7 +146,7 @@
   problems: DocumentProblem[],
 ): TenantPolicy | undefined {
   const template = catalogue.get(`template/${tenant.template}`);
-  if (template === undefined || !isTemplate(template)) {
+  if (template === undefined || !isProxyTemplate(template)) {
     problems.push({
       location: entry.locate(['template']),
       field: 'template',
@@ -160,7 +160,7 @@
   return undefined;
 }
 
-function isTemplate(
+function isProxyTemplate(
   entry: CatalogueEntry,
 ): entry is CatalogueEntry & { readonly declaration: TemplateDeclaration } {
   return entry.declaration.kind === 'Template' && !isRouteTemplate(entry.declaration);
--- a/src/core/configuration/declaration.ts
+++ b/src/core/configuration/declaration.ts
@@ -9,21 +9,21 @@
   type FieldPath,
   type LocatedDocument,
   parseYaml,
-  problemsOfIssues,
   type SourceLocation,
+  toDocumentProblems,
 } from './document.js';
 import { InvalidDeclarationError } from './errors.js';
 import { parameterSchema } from './parameters.js';
 import { nameSchema, postgresNameSchema, templatePolicySchema } from './policy-schema.js';
 import { type RouteTemplateDeclaration, routeTemplateSchema } from './route-template-schema.js';
 
-/** PostgreSQL's own form of a SCRAM verifier, as `pg_authid` holds it. */
+/** Format of a SCRAM verifier in PostgreSQL's `pg_authid`. */
 export const SCRAM_VERIFIER_PATTERN =
   /^SCRAM-SHA-256\$\d{4,7}:[A-Za-z0-9+/]{16,}={0,2}\$[A-Za-z0-9+/]{43}=:[A-Za-z0-9+/]{43}=$/;
 
 const templateSchema = z.strictObject({
   kind: z.literal('Template'),
-  /** Which gateway it is for; absent: `meadowstack proxy`. */
+  /** The gateway that uses the template; absent: `meadowstack proxy`. */
   gateway: z.literal('proxy').optional(),
   name: nameSchema,
   description: z.string().max(1000).optional(),
@@ -36,43 +36,43 @@
   name: nameSchema,
   description: z.string().max(1000).optional(),
   template: nameSchema,
-  /** User name of callers; absent: the tenant's name. */
+  /** User name of the tenant's callers; absent: the tenant's name. */
   user: postgresNameSchema.optional(),
-  /** May be absent in a file if the command line fills it in from a password. */
+  /** May be absent in a file; the command line then derives it from a password. */
   scramVerifier: z
     .string()
     .regex(SCRAM_VERIFIER_PATTERN, {
       error: 'expected SCRAM-SHA-256$<iterations>:<salt>$<stored key>:<server key>',
     })
     .optional(),
-  /** False: callers are refused and open connections are ended. */
+  /** False: callers are refused and their open connections are closed. */
   enabled: z.boolean().default(true),
   parameters: z.record(nameSchema, z.unknown()).default({}),
 });
 
-/** Checks one declaration. */
+/** Schema of one declaration. */
 export const declarationSchema = z.discriminatedUnion('kind', [
   z.discriminatedUnion('gateway', [templateSchema, routeTemplateSchema]),
   tenantSchema,
 ]);
 
-/** A template as it is published. */
+/** A published template. */
 export type TemplateDeclaration = z.output<typeof templateSchema>;
-/** A tenant as it is published. */
+/** A published tenant. */
 export type TenantDeclaration = z.output<typeof tenantSchema>;
-/** What operators write. Templates of the direct gateway are checked like others, but not published. */
+/** Any declaration. Templates of the direct gateway are checked, but not published. */
 export type Declaration = TemplateDeclaration | RouteTemplateDeclaration | TenantDeclaration;
 
 /** `template/<name>` or `tenant/<name>`; orders templates before tenants. */
 export type DeclarationKey = `template/${string}` | `tenant/${string}`;
 
-/** A declaration and how to tell where its fields stand. */
+/** A declaration with a function that returns the source location of its fields. */
 export interface LocatedDeclaration {
   readonly declaration: Declaration;
   locate(path: FieldPath): SourceLocation;
 }
 
-/** A file's text with the name to report. */
+/** A file's text, and the name under which its problems are reported. */
 export interface DeclarationFile {
   readonly source: string;
   readonly text: string;
@@ -85,7 +85,7 @@
     : `tenant/${declaration.name}`;
 }
 
-/** Parses all documents of all files; every problem of every file is reported at once. */
+/** Parses all documents of all files; the error lists every problem of every file. */
 export function parseDeclarations(
   files: readonly DeclarationFile[],
 ): Result<readonly LocatedDeclaration[], InvalidDeclarationError> {
@@ -104,8 +104,8 @@
   return problems.length > 0 ? err(new InvalidDeclarationError(problems)) : ok(declarations);
 }
 
-/** A declaration without a file, such as one that the store holds. */
-export function unlocated(declaration: Declaration): LocatedDeclaration {
+/** A declaration from no file, such as a stored one; its problems are located by its key. */
+export function withoutLocation(declaration: Declaration): LocatedDeclaration {
   const location = { source: keyOf(declaration), line: undefined, column: undefined };
   return { declaration, locate: () => location };
 }
@@ -115,7 +115,7 @@
 ): Result<LocatedDeclaration, readonly DocumentProblem[]> {
   const locate = (path: FieldPath) => document.locate(path);
   const parsed = declarationSchema.safeParse(document.value);
-  if (!parsed.success) return err(problemsOfIssues(parsed.error.issues, locate));
+  if (!parsed.success) return err(toDocumentProblems(parsed.error.issues, locate));
   return ok({ declaration: parsed.data, locate });
 }
 
--- a/src/core/configuration/difference.ts
+++ b/src/core/configuration/difference.ts
@@ -7,12 +7,12 @@
   readonly field: string;
   /** Undefined if the field is new. */
   readonly before: unknown;
-  /** Undefined if the field is gone. */
+  /** Undefined if the field was removed. */
   readonly after: unknown;
 }
 
-/** The fields whose values differ, in order of path. Arrays are compared item by item. */
-export function differencesOf(before: unknown, after: unknown): FieldDifference[] {
+/** Returns the fields whose values differ, sorted by path. Arrays are compared item by item. */
+export function findDifferences(before: unknown, after: unknown): FieldDifference[] {
   return compare(before, after, []).sort((left, right) => (left.field < right.field ? -1 : 1));
 }
 
@@ -29,7 +29,7 @@
 
 type Children = ReadonlyMap<string | number, unknown>;
 
-/** Two containers of one kind, or one with something in it against nothing. */
+/** True for two containers of one kind, or a non-empty container and an absent value. */
 function isComparedByField(
   before: unknown,
   left: Children | undefined,
--- a/src/core/configuration/duration.ts
+++ b/src/core/configuration/duration.ts
@@ -9,7 +9,7 @@
 ]);
 const MAX_DURATION_MS = 24 * 3_600_000;
 
-/** Milliseconds of a duration's text form; anything else is given back as it is. */
+/** Converts a duration in text form to milliseconds; returns any other value unchanged. */
 export function parseDuration(value: unknown): unknown {
   if (typeof value !== 'string') return value;
   const match = /^(\d+(?:\.\d+)?)(ms|s|m|h)$/.exec(value);
--- a/src/core/configuration/entry-digest.ts
+++ b/src/core/configuration/entry-digest.ts
@@ -1,6 +1,6 @@
 /**
- * A hash over all keys and revisions that a replica holds, kept up entry by entry: its cost does not
- * grow with the number of entries, and their order does not matter.
+ * A hash over all keys and revisions of a replica, updated with each entry, so that the cost of an
+ * update does not grow with the number of entries. The order of the entries does not matter.
  */
 import { createHash } from 'node:crypto';
 import type { ConfigurationEntry } from './store-layout.js';
@@ -8,11 +8,11 @@
 const HEX_DIGITS = 16;
 const HEX_RADIX = 16;
 
-/** Digest of a set of entries, kept up to date entry by entry. */
+/** Incremental digest of a set of entries: the XOR of 64 bits of each entry's hash. */
 export class EntryDigest {
   #bits = 0n;
 
-  /** Puts an entry in, or takes one out that is in. */
+  /** Adds an entry that is absent, or removes one that is present. */
   toggle({ key, revision }: ConfigurationEntry): void {
     this.#bits ^= createHash('sha256').update(`${key}\0${revision}`).digest().readBigUInt64BE();
   }
--- a/src/core/configuration/member-view.ts
+++ b/src/core/configuration/member-view.ts
@@ -1,14 +1,14 @@
 /**
- * The live members as one node sees them between two changes. What follows from them is worked out
- * once: rounds and pushes then cost the same at any number of members.
+ * The live members as one node sees them between two changes. Everything derived from them is
+ * computed once per change, so that the cost of a round or push does not grow with their number.
  */
 import type { RandomSource } from './backoff.js';
-import { antiEntropyPeer } from './peer-selection.js';
-import { type ConfigurationMember, pushTargets, relayCandidates } from './relays.js';
+import { selectAntiEntropyPeer } from './peer-selection.js';
+import { type ConfigurationMember, selectPushTargets, selectRelayCandidates } from './relays.js';
 
-/** The live members between two changes. */
+/** An immutable view of the live members; a change creates a new one. */
 export class MemberView {
-  /** All live members but this node. */
+  /** All live members except this node. */
   readonly others: readonly ConfigurationMember[];
   readonly #self: ConfigurationMember;
   readonly #byId: ReadonlyMap<string, ConfigurationMember>;
@@ -17,7 +17,7 @@
   readonly #pushTargets = new Map<string, readonly ConfigurationMember[]>();
   #candidates: readonly ConfigurationMember[] | undefined;
 
-  /** @param members whether this node is among them does not matter */
+  /** @param members the live members, with or without this node */
   constructor(self: ConfigurationMember, members: readonly ConfigurationMember[]) {
     this.#self = self;
     this.others = members.filter((member) => member.nodeId !== self.nodeId);
@@ -26,34 +26,34 @@
     this.#otherZones = this.others.filter((member) => member.zone !== self.zone);
   }
 
-  /** Another live member. */
+  /** The other live member with this id, if there is one. */
   get(nodeId: string): ConfigurationMember | undefined {
     return this.#byId.get(nodeId);
   }
 
-  /** True for this node as well. */
+  /** True for a live member, including this node. */
   includes(nodeId: string): boolean {
     return nodeId === this.#self.nodeId || this.#byId.has(nodeId);
   }
 
-  /** Those of the own zone that should relay, best first. */
-  candidates(): readonly ConfigurationMember[] {
-    this.#candidates ??= relayCandidates(this.#self.zone, [...this.#ownZone, this.#self]);
+  /** The members of this node's zone that should relay, best first. */
+  relayCandidates(): readonly ConfigurationMember[] {
+    this.#candidates ??= selectRelayCandidates(this.#self.zone, [...this.#ownZone, this.#self]);
     return this.#candidates;
   }
 
-  /** To whom this node passes a change on that `root` began to push. */
-  pushTargets(root: string): readonly ConfigurationMember[] {
+  /** The members to which this node forwards a change along the push tree of `root`. */
+  selectPushTargets(root: string): readonly ConfigurationMember[] {
     const known = this.#pushTargets.get(root);
     if (known !== undefined) return known;
     const { nodeId, zone } = this.#self;
-    const targets = pushTargets(root, nodeId, zone, [...this.#ownZone, this.#self]);
+    const targets = selectPushTargets(root, nodeId, zone, [...this.#ownZone, this.#self]);
     this.#pushTargets.set(root, targets);
     return targets;
   }
 
-  /** The peer of one anti-entropy round; undefined if there is no other member. */
-  antiEntropyPeer(random: RandomSource): ConfigurationMember | undefined {
-    return antiEntropyPeer(this.#ownZone, this.#otherZones, random);
+  /** A random peer for one anti-entropy round; undefined if there is no other member. */
+  selectAntiEntropyPeer(random: RandomSource): ConfigurationMember | undefined {
+    return selectAntiEntropyPeer(this.#ownZone, this.#otherZones, random);
   }
 }
--- a/src/core/configuration/parameters.ts
+++ b/src/core/configuration/parameters.ts
@@ -1,10 +1,10 @@
 /**
- * Typed parameters of templates: a type, a default, bounds. A value is checked against them when a
- * tenant gives it, and a default when the template is published.
+ * Typed parameters of templates: a type, a default and bounds. A tenant's value is checked against
+ * them when the tenant is resolved, and a default when the template is published.
  */
 import { z } from 'zod';
 import type { DocumentProblem, FieldPath, SourceLocation } from './document.js';
-import { problemsOfIssues } from './document.js';
+import { toDocumentProblems } from './document.js';
 import { durationSchema } from './duration.js';
 import { databasesSchema, nameSchema, requestKindsSchema } from './policy-schema.js';
 
@@ -16,7 +16,7 @@
 const pattern = z
   .string()
   .max(MAX_PATTERN_LENGTH)
-  .refine(isPattern, { error: 'expected a regular expression' });
+  .refine(isRegularExpression, { error: 'expected a regular expression' });
 const stringBounds = {
   enum: z.array(z.string()).min(1).optional(),
   pattern: pattern.optional(),
@@ -58,7 +58,7 @@
   z.strictObject({
     type: z.literal('databases'),
     default: databasesSchema.optional(),
-    /** Groups that a tenant may name; absent: any. */
+    /** Database groups that a tenant may name; absent: any. */
     groups: z.array(nameSchema).min(1).optional(),
     maxItems: z.int().min(1).optional(),
     description,
@@ -76,37 +76,37 @@
 /** A parameter of a template. */
 export type ParameterDeclaration = z.output<typeof parameterSchema>;
 
-/** Schemas already built: hundreds of tenants are checked against the same parameters. */
+/** Cache of built schemas: hundreds of tenants are checked against the same parameters. */
 const valueSchemas = new WeakMap<ParameterDeclaration, z.ZodType>();
 
-/** The schema that a value of this parameter must fit: its type and its bounds. */
+/** Schema of a parameter's values: checks type and bounds. */
 export function valueSchemaOf(parameter: ParameterDeclaration): z.ZodType {
-  const built = valueSchemas.get(parameter) ?? buildValueSchema(parameter);
-  valueSchemas.set(parameter, built);
-  return built;
+  const schema = valueSchemas.get(parameter) ?? buildValueSchema(parameter);
+  valueSchemas.set(parameter, schema);
+  return schema;
 }
 
 function buildValueSchema(parameter: ParameterDeclaration): z.ZodType {
   switch (parameter.type) {
     case 'integer':
-      return withinNumbers(z.int(), parameter);
+      return addNumberBounds(z.int(), parameter);
     case 'number':
-      return withinNumbers(z.number(), parameter);
+      return addNumberBounds(z.number(), parameter);
     case 'boolean':
       return z.boolean();
     case 'string':
-      return withinStrings(parameter);
+      return buildStringSchema(parameter);
     case 'duration':
-      return durationSchema.pipe(withinNumbers(z.number(), parameter));
+      return durationSchema.pipe(addNumberBounds(z.number(), parameter));
     case 'list':
       return z
-        .array(withinStrings(parameter))
+        .array(buildStringSchema(parameter))
         .min(parameter.minItems ?? 0)
         .max(parameter.maxItems ?? MAX_LIST_ITEMS);
     case 'databases':
-      return databasesWithin(parameter);
+      return buildDatabasesSchema(parameter);
     case 'requestKinds':
-      return requestKindsWithin(parameter);
+      return buildRequestKindsSchema(parameter);
   }
 }
 
@@ -123,7 +123,7 @@
       ...issue,
       path: ['parameters', name, 'default', ...issue.path],
     }));
-    return problemsOfIssues(issues, locate);
+    return toDocumentProblems(issues, locate);
   });
 }
 
@@ -133,9 +133,9 @@
   readonly enum?: readonly number[] | undefined;
 }
 
-function withinNumbers(schema: z.ZodNumber, bounds: NumberBounds): z.ZodType<number, number> {
-  const atLeast = bounds.minimum === undefined ? schema : schema.min(bounds.minimum);
-  const bounded = bounds.maximum === undefined ? atLeast : atLeast.max(bounds.maximum);
+function addNumberBounds(schema: z.ZodNumber, bounds: NumberBounds): z.ZodType<number, number> {
+  const withMinimum = bounds.minimum === undefined ? schema : schema.min(bounds.minimum);
+  const bounded = bounds.maximum === undefined ? withMinimum : withMinimum.max(bounds.maximum);
   const choices = bounds.enum;
   if (choices === undefined) return bounded;
   return bounded.refine((value) => choices.includes(value), {
@@ -148,13 +148,13 @@
   readonly pattern?: string | undefined;
 }
 
-function withinStrings(bounds: StringBounds): z.ZodType<string, string> {
-  const text = z.string().max(MAX_STRING_LENGTH);
+function buildStringSchema(bounds: StringBounds): z.ZodType<string, string> {
+  const unrestricted = z.string().max(MAX_STRING_LENGTH);
   const expression = bounds.pattern === undefined ? undefined : new RegExp(bounds.pattern, 'u');
   const matching =
     expression === undefined
-      ? text
-      : text.regex(expression, { error: `expected text that matches ${bounds.pattern}` });
+      ? unrestricted
+      : unrestricted.regex(expression, { error: `expected text that matches ${bounds.pattern}` });
   const choices = bounds.enum;
   if (choices === undefined) return matching;
   return matching.refine((value) => choices.includes(value), {
@@ -162,7 +162,7 @@
   });
 }
 
-function databasesWithin(bounds: {
+function buildDatabasesSchema(bounds: {
   readonly groups?: readonly string[] | undefined;
   readonly maxItems?: number | undefined;
 }): z.ZodType {
@@ -181,7 +181,7 @@
   });
 }
 
-function requestKindsWithin(bounds: {
+function buildRequestKindsSchema(bounds: {
   readonly maximumStalenessMs?: number | undefined;
   readonly maximumDeadlineMs?: number | undefined;
   readonly maximumWeight?: number | undefined;
@@ -205,7 +205,7 @@
   });
 }
 
-function isPattern(text: string): boolean {
+function isRegularExpression(text: string): boolean {
   try {
     new RegExp(text, 'u');
     return true;
--- a/src/core/configuration/peer-selection.ts
+++ b/src/core/configuration/peer-selection.ts
@@ -1,23 +1,23 @@
-/** Which peers a node asks. */
+/** Selects the peers that a node queries. */
 import type { RandomSource } from './backoff.js';
 import type { ConfigurationMember } from './relays.js';
 
-/** Share of anti-entropy rounds that go to another zone. */
-const OTHER_ZONE_SHARE = 0.25;
+/** Fraction of anti-entropy rounds that query a peer in another zone. */
+const OTHER_ZONE_FRACTION = 0.25;
 
-/** The peer of one anti-entropy round, mostly of the own zone; undefined if there is no other. */
-export function antiEntropyPeer(
+/** A random peer for one anti-entropy round, mostly of the own zone; undefined if there is none. */
+export function selectAntiEntropyPeer(
   ownZone: readonly ConfigurationMember[],
   otherZones: readonly ConfigurationMember[],
   random: RandomSource,
 ): ConfigurationMember | undefined {
-  const wantOther = random() < OTHER_ZONE_SHARE;
-  const [preferred, rest] = wantOther ? [otherZones, ownZone] : [ownZone, otherZones];
+  const prefersOtherZone = random() < OTHER_ZONE_FRACTION;
+  const [preferred, rest] = prefersOtherZone ? [otherZones, ownZone] : [ownZone, otherZones];
   const members = preferred.length > 0 ? preferred : rest;
   return members[Math.floor(random() * members.length)];
 }
 
-/** Some members, each at most once. */
+/** Random members, up to `count`, each at most once. */
 export function sample(
   members: readonly ConfigurationMember[],
   count: number,
--- a/src/core/configuration/policy-schema.ts
+++ b/src/core/configuration/policy-schema.ts
@@ -1,6 +1,7 @@
 /**
- * The fields of a template's policy. Built twice from one description: for a template, where each
- * field may be a reference `{ parameter: name }`, and for a tenant, where all values are filled in.
+ * Schemas of a policy. Both are built by the same functions: one for templates, where each field
+ * may be a reference `{ parameter: name }`, and one for tenants, after the references were replaced
+ * by values.
  */
 import { z } from 'zod';
 import { durationSchema } from './duration.js';
@@ -12,12 +13,14 @@
 const MAX_DATABASES = 64;
 const MAX_REQUEST_KINDS = 64;
 const DEFAULT_DEADLINE_MS = 30_000;
-/** Short enough that forgotten transactions give scarce connections back while callers wait. */
+/**
+ * Short enough that abandoned transactions release scarce connections while callers wait for one.
+ */
 export const DEFAULT_IDLE_TRANSACTION_TIMEOUT_MS = 30_000;
 const MIN_IDLE_TRANSACTION_TIMEOUT_MS = 10;
 const MAX_IDLE_TRANSACTION_TIMEOUT_MS = 3_600_000;
 
-/** The kind of requests without a marker. */
+/** Kind of the requests that name no kind. */
 export const DEFAULT_REQUEST_KIND = 'default';
 
 /** Names of declarations, groups, parameters and request kinds. */
@@ -25,7 +28,7 @@
   error: 'expected a name: a letter, then letters, digits, dash, underscore, at most 63 characters',
 });
 
-/** PostgreSQL names: any text that fits its 63 bytes. */
+/** Names in PostgreSQL: any text of at most 63 bytes. */
 export const postgresNameSchema = z
   .string()
   .min(1)
@@ -38,46 +41,48 @@
   readonly parameter: string;
 }
 
-/** True for `{ parameter: name }` and nothing beside it. */
+/** True for `{ parameter: name }` without further fields. */
 export function isParameterReference(value: unknown): value is ParameterReference {
   if (typeof value !== 'object' || value === null) return false;
-  return 'parameter' in value && typeof value.parameter === 'string' && keyCount(value) === 1;
+  return 'parameter' in value && typeof value.parameter === 'string' && countKeys(value) === 1;
 }
 
-/** How one request kind is served, as declared; `weight` and the others have defaults. */
-export const requestKindSchema = requestKindShape((schema) => schema);
-/** A policy's request kinds by name. */
-export const requestKindsSchema = z.record(nameSchema, requestKindSchema).refine(withinKinds, {
-  error: `expected at most ${MAX_REQUEST_KINDS} request kinds`,
-});
+/** Schema of one request kind; all fields have defaults. */
+export const requestKindSchema = buildRequestKindSchema((schema) => schema);
+/** Schema of a policy's request kinds, by name. */
+export const requestKindsSchema = z
+  .record(nameSchema, requestKindSchema)
+  .refine(hasAllowedKindCount, {
+    error: `expected at most ${MAX_REQUEST_KINDS} request kinds`,
+  });
 
-/** A database name and the group behind it, as declared. */
-export const databaseSchema = databaseShape((schema) => schema);
-/** A policy's databases. */
+/** Schema of a database name and the group that serves it. */
+export const databaseSchema = buildDatabaseSchema((schema) => schema);
+/** Schema of a policy's databases. */
 export const databasesSchema = z.array(databaseSchema).min(1).max(MAX_DATABASES);
 
-/** The policy of one tenant after its parameters were filled in. */
-export const resolvedPolicySchema = policyShape((schema) => schema);
+/** Schema of a tenant's policy, with the parameters substituted. */
+export const resolvedPolicySchema = buildPolicySchema((schema) => schema);
 
-/** The policy of a template, with references in any place. */
-export const templatePolicySchema = policyShape(orReference);
+/** Schema of a template's policy, with references to parameters in any place. */
+export const templatePolicySchema = buildPolicySchema(orReference);
 
-/** A policy with its parameters filled in. */
+/** A policy with the parameters substituted. */
 export type ResolvedPolicy = z.output<typeof resolvedPolicySchema>;
-/** A request kind as it is published. */
+/** A published request kind. */
 export type RequestKindDeclaration = z.output<typeof requestKindSchema>;
-/** A database as it is published. */
+/** A published database. */
 export type DatabaseDeclaration = z.output<typeof databaseSchema>;
 
-type Wrap = <Schema extends z.ZodType>(schema: Schema) => Schema;
+type SchemaWrapper = <Schema extends z.ZodType>(schema: Schema) => Schema;
 
-function policyShape(wrap: Wrap) {
+function buildPolicySchema(wrap: SchemaWrapper) {
   const count = (maximum: number) => wrap(z.int().min(0).max(maximum));
   return z.strictObject({
     databaseRole: wrap(postgresNameSchema),
     databases: wrap(
       z
-        .array(wrap(databaseShape(wrap)))
+        .array(wrap(buildDatabaseSchema(wrap)))
         .min(1)
         .max(MAX_DATABASES),
     ),
@@ -94,14 +99,14 @@
     requestsPerSecond: wrap(z.number().positive().max(MAX_REQUESTS_PER_SECOND)),
     burst: wrap(z.int().min(1).max(MAX_REQUESTS_PER_SECOND)),
     requestKinds: wrap(
-      z.record(nameSchema, wrap(requestKindShape(wrap))).refine(withinKinds, {
+      z.record(nameSchema, wrap(buildRequestKindSchema(wrap))).refine(hasAllowedKindCount, {
         error: `expected at most ${MAX_REQUEST_KINDS} request kinds`,
       }),
     ),
   });
 }
 
-function databaseShape(wrap: Wrap) {
+function buildDatabaseSchema(wrap: SchemaWrapper) {
   return z.strictObject({
     database: wrap(postgresNameSchema),
     group: wrap(nameSchema),
@@ -110,7 +115,7 @@
   });
 }
 
-function requestKindShape(wrap: Wrap) {
+function buildRequestKindSchema(wrap: SchemaWrapper) {
   return z.strictObject({
     stalenessBoundMs: wrap(durationSchema).prefault(0),
     repeatable: wrap(z.boolean()).prefault(false),
@@ -119,9 +124,9 @@
   });
 }
 
-/** Accepts a reference in place of a value; keeps the messages of the value's own schema. */
+/** Accepts a reference instead of a value; keeps the messages of the value's schema. */
 export function orReference<Schema extends z.ZodType>(schema: Schema): Schema {
-  const accepting = z.unknown().transform((value, context) => {
+  const valueOrReference = z.unknown().transform((value, context) => {
     if (isParameterReference(value)) return value;
     const parsed = schema.safeParse(value);
     if (parsed.success) return parsed.data;
@@ -130,14 +135,14 @@
     }
     return z.NEVER;
   });
-  // The reference is replaced by a value of this schema before anything reads the policy.
-  return accepting as unknown as Schema;
+  // The cast is safe: references are replaced by values of this schema before the policy is read.
+  return valueOrReference as unknown as Schema;
 }
 
-function withinKinds(kinds: object): boolean {
-  return keyCount(kinds) <= MAX_REQUEST_KINDS;
+function hasAllowedKindCount(kinds: object): boolean {
+  return countKeys(kinds) <= MAX_REQUEST_KINDS;
 }
 
-function keyCount(value: object): number {
+function countKeys(value: object): number {
   return Object.keys(value).length;
 }
--- a/src/core/configuration/publish.ts
+++ b/src/core/configuration/publish.ts
@@ -1,11 +1,11 @@
 /**
- * Plans a publish as one compare-and-swap transaction. All publishes compare and touch the head
- * key, so that they form one line of versions, and each leaves a record under its publish id.
+ * Plans a publish as one compare-and-swap transaction. Every publish compares and writes the head
+ * key, so that all publishes form one linear history, and stores a record under its publish id.
  *
- * A lost answer is resolved by reading the record of the publish id back. If it is absent and the
- * head has moved, the transaction can never apply any more, since its compare on the head fails
- * for good; if the head has not moved, sending the very same transaction again applies it at most
- * once, since the first to arrive moves the head.
+ * If the store's response is lost, the publisher reads the record of the publish id. If the record
+ * is absent and the head has changed, the transaction can no longer be applied, because its compare
+ * on the head will always fail. If the head is unchanged, the same transaction can be sent again:
+ * it is applied at most once, because the first copy to arrive changes the head.
  */
 import { err, ok, type Result } from 'neverthrow';
 import type { KeyValue, RevisionCompare, TransactionOperation } from '../../platform/contract.js';
@@ -15,9 +15,9 @@
   type DeclarationKey,
   keyOf,
   type LocatedDeclaration,
-  unlocated,
+  withoutLocation,
 } from './declaration.js';
-import { differencesOf, type FieldDifference } from './difference.js';
+import { type FieldDifference, findDifferences } from './difference.js';
 import type { DocumentProblem } from './document.js';
 import {
   type ConflictingVersion,
@@ -30,25 +30,25 @@
   type ConfigurationEntry,
   currentKeyOf,
   decodeEntry,
-  entriesOf,
   HEAD_KEY,
   historyKeyOf,
   type PublishRecord,
   publishKeyOf,
   type StoredEntry,
+  toConfigurationEntries,
 } from './store-layout.js';
 
-/** Versions of one name that the store keeps. */
-export const HISTORY_VERSIONS = 20;
-/** Publish records that the store keeps. */
-export const PUBLISH_RECORDS = 200;
-/** Declarations in one publish: three operations each stay within a store's usual 128. */
+/** Number of versions of each declaration that the store keeps. */
+export const MAX_HISTORY_VERSIONS = 20;
+/** Number of publish records that the store keeps. */
+export const MAX_PUBLISH_RECORDS = 200;
+/** Three store operations per declaration stay within the usual limit of 128 per transaction. */
 export const MAX_CHANGES_PER_PUBLISH = 40;
-/** A declaration as JSON: bounded by what one message between nodes may carry. */
+/** Size of a declaration as JSON; bounded by the maximum size of a message between nodes. */
 export const MAX_DECLARATION_BYTES = 128 * 1024;
 const MAX_RECORDS_PRUNED_PER_PUBLISH = 4;
 
-/** What the store holds, read at one revision. */
+/** The published declarations, read from the store at one revision. */
 export interface PublishedState {
   /** Mod revision of the head key; 0 before the first publish. */
   readonly headRevision: ConfigurationRevision;
@@ -60,23 +60,23 @@
   readonly revision: ConfigurationRevision;
 }
 
-/** One declaration to put, or one to remove. */
+/** A declaration to add or replace, or the key of one to remove. */
 export type ProposedChange =
   | { readonly type: 'put'; readonly located: LocatedDeclaration }
   | { readonly type: 'remove'; readonly key: DeclarationKey };
 
-/** Who publishes what, and on which versions it is based. */
+/** A publish: its author, its changes, and the versions that they are based on. */
 export interface PublishRequest {
   readonly publishId: string;
   readonly publishedAt: number;
   readonly author: string;
   readonly comment: string;
   readonly changes: readonly ProposedChange[];
-  /** Revision that each changed declaration must still have; 0: it must not exist. */
+  /** Revision that each changed declaration must still have; 0: it must not exist; absent: any. */
   readonly expectedRevisions: ReadonlyMap<DeclarationKey, ConfigurationRevision>;
 }
 
-/** The change to one declaration. */
+/** The change of one declaration that a publish would make. */
 export interface PlannedChange {
   readonly key: DeclarationKey;
   readonly version: number;
@@ -84,7 +84,7 @@
   readonly differences: readonly FieldDifference[];
 }
 
-/** A transaction ready to send. No operations: nothing would change. */
+/** A transaction for the store. Without operations: the publish would change nothing. */
 export interface PublishPlan {
   readonly publishId: string;
   readonly changes: readonly PlannedChange[];
@@ -92,31 +92,34 @@
   readonly operations: readonly TransactionOperation[];
 }
 
-/** Plans a publish against what the store holds, or tells why it can't be. */
+/**
+ * Plans a publish against the stored declarations; fails if it conflicts with them or is invalid.
+ * @param recordKeys store keys of all publish records, oldest first; the excess is deleted
+ */
 export function planPublish(
   current: PublishedState,
   request: PublishRequest,
-  oldRecordKeys: readonly string[] = [],
+  recordKeys: readonly string[] = [],
 ): Result<PublishPlan, PublishConflictError | InvalidDeclarationError> {
   const conflicts = findConflicts(current, request);
   if (conflicts.length > 0) return err(new PublishConflictError(conflicts));
-  const changes = request.changes.filter((change) => isChange(current, change));
+  const changes = request.changes.filter((change) => changesDeclaration(current, change));
   const invalid = checkChanges(current, changes);
   if (invalid !== undefined) return err(invalid);
   const planned = changes.map((change) => planChange(current, change));
-  return ok(planOf(current, request, changes, planned, oldRecordKeys));
+  return ok(createPlan(current, request, changes, planned, recordKeys));
 }
 
-/** What the store holds, from a range over the current prefix. */
-export function publishedStateOf(keyValues: readonly KeyValue[]): PublishedState {
+/** Decodes the result of a range request for the current prefix. */
+export function toPublishedState(keyValues: readonly KeyValue[]): PublishedState {
   const head = keyValues.find(({ key }) => key === HEAD_KEY);
   return {
     headRevision: head?.modRevision ?? 0,
-    entries: decodeEntries(entriesOf(keyValues)),
+    entries: decodeEntries(toConfigurationEntries(keyValues)),
   };
 }
 
-/** Decodes entries by key; those that can't be decoded are left out. */
+/** Decodes entries, by key; leaves out those that can't be decoded. */
 export function decodeEntries(
   entries: Iterable<ConfigurationEntry>,
 ): ReadonlyMap<DeclarationKey, PublishedEntry> {
@@ -128,28 +131,28 @@
   return decoded;
 }
 
-/** The declarations in force; tombstones are left out. */
-export function liveCatalogueOf(
+/** The declarations in force, without tombstones. */
+export function toLiveCatalogue(
   entries: ReadonlyMap<DeclarationKey, PublishedEntry>,
 ): Map<DeclarationKey, CatalogueEntry> {
   const catalogue = new Map<DeclarationKey, CatalogueEntry>();
   for (const [key, { declaration, revision }] of entries) {
-    if (declaration !== null) catalogue.set(key, { ...unlocated(declaration), revision });
+    if (declaration !== null) catalogue.set(key, { ...withoutLocation(declaration), revision });
   }
   return catalogue;
 }
 
-/** Key of the declaration that a change is about. */
+/** Key of the declaration that a change adds, replaces or removes. */
 export function keyOfChange(change: ProposedChange): DeclarationKey {
   return change.type === 'remove' ? change.key : keyOf(change.located.declaration);
 }
 
-/** What the change would leave in force: undefined for a removal. */
+/** The declaration that would be in force after the change; undefined for a removal. */
 function declarationOf(change: ProposedChange): Declaration | undefined {
   return change.type === 'remove' ? undefined : change.located.declaration;
 }
 
-/** Revision of a live declaration; 0 for none. A tombstone counts as none. */
+/** Revision of a declaration in force; 0 if it does not exist or was removed. */
 export function liveRevisionOf(current: PublishedState, key: DeclarationKey): number {
   const entry = current.entries.get(key);
   return entry === undefined || entry.declaration === null ? 0 : entry.revision;
@@ -167,34 +170,37 @@
   });
 }
 
-function isChange(current: PublishedState, change: ProposedChange): boolean {
+function changesDeclaration(current: PublishedState, change: ProposedChange): boolean {
   const inForce = current.entries.get(keyOfChange(change))?.declaration ?? undefined;
-  return differencesOf(inForce, declarationOf(change)).length > 0;
+  return findDifferences(inForce, declarationOf(change)).length > 0;
 }
 
-/** Checks the catalogue as it would be. Faults that were there before don't stand in the way. */
+/** Checks the catalogue that would result. Problems that exist already don't prevent a publish. */
 function checkChanges(
   current: PublishedState,
   changes: readonly ProposedChange[],
 ): InvalidDeclarationError | undefined {
   if (changes.length > MAX_CHANGES_PER_PUBLISH) {
-    return new InvalidDeclarationError([tooManyChanges(changes)]);
+    return new InvalidDeclarationError([createTooManyChangesProblem(changes)]);
   }
-  const elsewhere = changes.flatMap(gatewayProblem);
-  if (elsewhere.length > 0) return new InvalidDeclarationError(elsewhere);
-  const tooLarge = changes.flatMap(sizeProblem);
+  const gatewayProblems = changes.flatMap(checkGateway);
+  if (gatewayProblems.length > 0) return new InvalidDeclarationError(gatewayProblems);
+  const tooLarge = changes.flatMap(checkSize);
   if (tooLarge.length > 0) return new InvalidDeclarationError(tooLarge);
-  const before = liveCatalogueOf(current.entries);
-  const known = new Set(resolveCatalogue(before).problems.map(problemIdentity));
+  const before = toLiveCatalogue(current.entries);
+  const existingProblems = new Set(resolveCatalogue(before).problems.map(problemIdentity));
   const after = applyChanges(before, changes);
   const problems = resolveCatalogue(after).problems.filter(
-    (problem) => !known.has(problemIdentity(problem)),
+    (problem) => !existingProblems.has(problemIdentity(problem)),
   );
   return problems.length > 0 ? new InvalidDeclarationError(problems) : undefined;
 }
 
-/** Templates of the direct gateway are built into it; its nodes read nothing from this store. */
-function gatewayProblem(change: ProposedChange): DocumentProblem[] {
+/**
+ * Rejects templates of the direct gateway: they are built into it, and its nodes don't read this
+ * store.
+ */
+function checkGateway(change: ProposedChange): DocumentProblem[] {
   if (change.type !== 'put' || !isRouteTemplate(change.located.declaration)) return [];
   const expected = 'a template for the proxy; those of the direct gateway are built into it';
   return [{ location: change.located.locate(['gateway']), field: 'gateway', expected }];
@@ -217,7 +223,7 @@
   return JSON.stringify([problem.location.source, problem.field, problem.expected]);
 }
 
-function tooManyChanges(changes: readonly ProposedChange[]): DocumentProblem {
+function createTooManyChangesProblem(changes: readonly ProposedChange[]): DocumentProblem {
   const source = `publish of ${changes.length} declarations`;
   return {
     location: { source, line: undefined, column: undefined },
@@ -226,7 +232,7 @@
   };
 }
 
-function sizeProblem(change: ProposedChange): DocumentProblem[] {
+function checkSize(change: ProposedChange): DocumentProblem[] {
   if (change.type === 'remove') return [];
   const { declaration, locate } = change.located;
   if (Buffer.byteLength(JSON.stringify(declaration)) <= MAX_DECLARATION_BYTES) return [];
@@ -241,16 +247,16 @@
     key,
     version: (entry?.version ?? 0) + 1,
     removed: change.type === 'remove',
-    differences: differencesOf(entry?.declaration ?? undefined, declarationOf(change)),
+    differences: findDifferences(entry?.declaration ?? undefined, declarationOf(change)),
   };
 }
 
-function planOf(
+function createPlan(
   current: PublishedState,
   request: PublishRequest,
   changes: readonly ProposedChange[],
   planned: readonly PlannedChange[],
-  oldRecordKeys: readonly string[],
+  recordKeys: readonly string[],
 ): PublishPlan {
   const { publishId } = request;
   if (planned.length === 0) return { publishId, changes: [], compares: [], operations: [] };
@@ -258,15 +264,15 @@
     const version = planned[index]?.version ?? 1;
     return operationsOf(change, version, publishId);
   });
-  const prunes = prunedRecords(oldRecordKeys).map(deletion);
-  const record = recordOf(request, planned);
+  const pruneOperations = selectRecordsToPrune(recordKeys).map(createDeletion);
+  const record = createRecord(request, planned);
   return {
     publishId,
     changes: planned,
     compares: [{ key: HEAD_KEY, modRevision: current.headRevision }],
     operations: [
       ...writes,
-      ...prunes,
+      ...pruneOperations,
       { type: 'put', key: publishKeyOf(publishId), value: JSON.stringify(record) },
       { type: 'put', key: HEAD_KEY, value: JSON.stringify({ publishId }) },
     ],
@@ -285,22 +291,22 @@
     { type: 'put', key: currentKeyOf(key), value },
     { type: 'put', key: historyKeyOf(key, version), value },
   ];
-  const oldest = version - HISTORY_VERSIONS;
-  return oldest < 1 ? operations : [...operations, deletion(historyKeyOf(key, oldest))];
+  const oldest = version - MAX_HISTORY_VERSIONS;
+  return oldest < 1 ? operations : [...operations, createDeletion(historyKeyOf(key, oldest))];
 }
 
-function recordOf(request: PublishRequest, planned: readonly PlannedChange[]): PublishRecord {
+function createRecord(request: PublishRequest, planned: readonly PlannedChange[]): PublishRecord {
   const { publishId, publishedAt, author, comment } = request;
   const changes = planned.map(({ key, version, removed }) => ({ key, version, removed }));
   return { publishId, publishedAt, author, comment, changes };
 }
 
-/** The oldest records beyond the bound; `keys` are oldest first. */
-function prunedRecords(keys: readonly string[]): readonly string[] {
-  const excess = Math.max(0, keys.length + 1 - PUBLISH_RECORDS);
+/** Selects the oldest of the records in excess of the limit; `keys` are sorted oldest first. */
+function selectRecordsToPrune(keys: readonly string[]): readonly string[] {
+  const excess = Math.max(0, keys.length + 1 - MAX_PUBLISH_RECORDS);
   return keys.slice(0, Math.min(excess, MAX_RECORDS_PRUNED_PER_PUBLISH));
 }
 
-function deletion(key: string): TransactionOperation {
+function createDeletion(key: string): TransactionOperation {
   return { type: 'delete', key };
 }
--- a/src/core/configuration/relay-role.ts
+++ b/src/core/configuration/relay-role.ts
@@ -1,24 +1,26 @@
 /**
- * Whether this node relays: a candidate by rendezvous claims one of the zone's slots by a lease in
- * the store. The lease only bounds how many watches the store carries. Two holders, none, or one
- * that was paused past its lease do no harm: replicas never go back, and peers even out the rest.
+ * Decides whether this node relays, that is, watches the store and pushes its changes to the zone.
+ * A candidate, chosen by rendezvous hashing, claims one of the zone's slots with a lease in the
+ * store. The lease only limits the number of watches on the store. Two holders of a slot, no
+ * holder, or a holder that was paused past its lease do no harm: a replica never goes back to an
+ * older revision, and anti-entropy between peers delivers what a push missed.
  */
 import type { Milliseconds } from '../units.js';
 import { Backoff, jitter, type RandomSource } from './backoff.js';
 
-/** Length of a relay's lease. */
+/** Duration of a relay's lease. */
 export const RELAY_LEASE_SECONDS = 15;
-const RENEW_INTERVAL_MS = 5000;
-const REFUSED_RETRY_MS = 8000;
+const RENEWAL_PERIOD_MS = 5000;
+const REFUSED_CLAIM_RETRY_MS = 8000;
 const CLAIM_BACKOFF = { initialMs: 500, maximumMs: 10_000 };
 
-/** A lease on one slot. */
+/** A lease on one of the zone's relay slots. */
 export interface RelayLease {
   readonly leaseId: string;
   readonly slot: number;
 }
 
-/** What goes into the role. */
+/** Input of the relay role. */
 export type RelayRoleEvent =
   | { readonly type: 'candidacy-changed'; readonly candidate: boolean }
   | { readonly type: 'claimed'; readonly lease: RelayLease }
@@ -27,11 +29,11 @@
   | { readonly type: 'claim-failed'; readonly retryAfterMs: Milliseconds }
   | { readonly type: 'renewed' }
   | { readonly type: 'renewal-failed'; readonly retryAfterMs: Milliseconds }
-  /** The store says that the lease has lapsed. */
+  /** The store reported that the lease has expired. */
   | { readonly type: 'lease-lapsed' }
   | { readonly type: 'tick' };
 
-/** What comes out of the role. */
+/** Output of the relay role. */
 export type RelayRoleEffect =
   | { readonly type: 'claim-relay' }
   | { readonly type: 'renew-lease'; readonly lease: RelayLease }
@@ -39,9 +41,9 @@
 
 /** The state machine of one node's relay lease. */
 export class RelayRole {
-  #candidate = false;
+  #isCandidate = false;
   #lease: RelayLease | undefined;
-  #asking = false;
+  #isRequestPending = false;
   #nextAt: Milliseconds | undefined;
   readonly #backoff: Backoff;
 
@@ -49,13 +51,13 @@
     this.#backoff = new Backoff(CLAIM_BACKOFF, random);
   }
 
-  /** True while this node should follow the store. */
-  get active(): boolean {
-    return this.#candidate && this.#lease !== undefined;
+  /** True while this node should watch the store. */
+  get isActive(): boolean {
+    return this.#isCandidate && this.#lease !== undefined;
   }
 
   nextDeadline(): Milliseconds | undefined {
-    return this.#asking ? undefined : this.#nextAt;
+    return this.#isRequestPending ? undefined : this.#nextAt;
   }
 
   handle(event: RelayRoleEvent, now: Milliseconds): RelayRoleEffect[] {
@@ -63,46 +65,46 @@
       case 'candidacy-changed':
         return this.#setCandidate(event.candidate, now);
       case 'claimed':
-        return this.#claimed(event.lease, now);
+        return this.#handleClaimed(event.lease, now);
       case 'claim-refused':
-        return this.#answered(now + jitter(REFUSED_RETRY_MS, this.random));
+        return this.#finishRequest(now + jitter(REFUSED_CLAIM_RETRY_MS, this.random));
       case 'claim-failed':
       case 'renewal-failed':
-        return this.#answered(now + this.#backoff.next(event.retryAfterMs));
+        return this.#finishRequest(now + this.#backoff.next(event.retryAfterMs));
       case 'renewed':
         this.#backoff.reset();
-        return this.#answered(now + jitter(RENEW_INTERVAL_MS, this.random));
+        return this.#finishRequest(now + jitter(RENEWAL_PERIOD_MS, this.random));
       case 'lease-lapsed':
         this.#lease = undefined;
-        return this.#answered(now);
+        return this.#finishRequest(now);
       case 'tick':
         return this.#tick(now);
     }
   }
 
   #setCandidate(candidate: boolean, now: Milliseconds): RelayRoleEffect[] {
-    if (candidate === this.#candidate) return [];
-    this.#candidate = candidate;
+    if (candidate === this.#isCandidate) return [];
+    this.#isCandidate = candidate;
     this.#nextAt = candidate ? now : undefined;
     return candidate ? this.#tick(now) : this.#release();
   }
 
-  #claimed(lease: RelayLease, now: Milliseconds): RelayRoleEffect[] {
+  #handleClaimed(lease: RelayLease, now: Milliseconds): RelayRoleEffect[] {
     this.#lease = lease;
     this.#backoff.reset();
-    const effects = this.#answered(now + jitter(RENEW_INTERVAL_MS, this.random));
-    return this.#candidate ? effects : this.#release();
+    const effects = this.#finishRequest(now + jitter(RENEWAL_PERIOD_MS, this.random));
+    return this.#isCandidate ? effects : this.#release();
   }
 
-  #answered(nextAt: Milliseconds): RelayRoleEffect[] {
-    this.#asking = false;
-    this.#nextAt = this.#candidate ? nextAt : undefined;
+  #finishRequest(nextAt: Milliseconds): RelayRoleEffect[] {
+    this.#isRequestPending = false;
+    this.#nextAt = this.#isCandidate ? nextAt : undefined;
     return [];
   }
 
   #tick(now: Milliseconds): RelayRoleEffect[] {
-    if (this.#asking || this.#nextAt === undefined || now < this.#nextAt) return [];
-    this.#asking = true;
+    if (this.#isRequestPending || this.#nextAt === undefined || now < this.#nextAt) return [];
+    this.#isRequestPending = true;
     this.#nextAt = undefined;
     return [
       this.#lease === undefined
--- a/src/core/configuration/relays.ts
+++ b/src/core/configuration/relays.ts
@@ -1,18 +1,18 @@
 /**
- * Who relays in a zone, and along which tree a change is pushed. Both follow by rendezvous hashing
- * from the live members, so that nodes with the same view agree without talking. Views that differ
- * cost a push twice or a push too few, which anti-entropy makes good.
+ * Selects the nodes that relay in a zone, and the tree along which a change is pushed. Both result
+ * from rendezvous hashing over the live members, so that nodes with the same view agree without
+ * communicating. If views differ, a push is sent twice or is missing; anti-entropy compensates.
  */
 import { createHash } from 'node:crypto';
 
-/** Nodes of a zone that may hold the store's watch. */
+/** Number of nodes per zone that watch the store. */
 export const RELAYS_PER_ZONE = 2;
-/** Nodes that one node pushes a change to. */
+/** Maximum number of nodes to which one node pushes a change. */
 export const PUSH_FAN_OUT = 8;
 
 const SCORE_BYTES = 6;
 
-/** A live node as the membership tells it. */
+/** A live node, as reported by the membership protocol. */
 export interface ConfigurationMember {
   readonly nodeId: string;
   readonly host: string;
@@ -20,27 +20,27 @@
   readonly zone: string;
 }
 
-/** The nodes that should relay in a zone, best first. */
-export function relayCandidates(
+/** Selects the nodes that should relay in a zone, best first. */
+export function selectRelayCandidates(
   zone: string,
   members: readonly ConfigurationMember[],
 ): readonly ConfigurationMember[] {
   const inZone = members.filter((member) => member.zone === zone);
-  return byScore(`relay ${zone}`, inZone).slice(0, RELAYS_PER_ZONE);
+  return sortByScore(`relay ${zone}`, inZone).slice(0, RELAYS_PER_ZONE);
 }
 
 /**
- * To whom a node passes a change on that `root` began to push: its children in a tree over the
- * zone's members. Empty for leaves and for a node that is not in the view.
+ * Selects the nodes to which a node forwards a change that `root` pushed: its children in a tree
+ * over the zone's members. Empty for leaves and for a node that is not among the members.
  */
-export function pushTargets(
+export function selectPushTargets(
   root: string,
   nodeId: string,
   zone: string,
   members: readonly ConfigurationMember[],
 ): readonly ConfigurationMember[] {
   const others = members.filter((member) => member.zone === zone && member.nodeId !== root);
-  const order = byScore(`push ${root}`, others);
+  const order = sortByScore(`push ${root}`, others);
   const index = nodeId === root ? 0 : order.findIndex((member) => member.nodeId === nodeId) + 1;
   if (index === 0 && nodeId !== root) return [];
   // The root is index 0 of the tree; `order[i]` is index i + 1.
@@ -48,8 +48,8 @@
   return order.slice(firstChild - 1, firstChild - 1 + PUSH_FAN_OUT);
 }
 
-/** True if two views list the same members at the same places. */
-export function sameMembers(
+/** True if two lists contain the same members, with the same addresses, in the same order. */
+export function areSameMembers(
   left: readonly ConfigurationMember[],
   right: readonly ConfigurationMember[],
 ): boolean {
@@ -67,7 +67,7 @@
   });
 }
 
-function byScore(
+function sortByScore(
   key: string,
   members: readonly ConfigurationMember[],
 ): readonly ConfigurationMember[] {
--- a/src/core/configuration/resolve.ts
+++ b/src/core/configuration/resolve.ts
@@ -1,13 +1,13 @@
-/** Fills a template's policy with a tenant's parameters. */
+/** Resolves a tenant's policy: substitutes its parameters in the template's policy. */
 import { err, ok, type Result } from 'neverthrow';
 import type { z } from 'zod';
 import type { LocatedDeclaration, TemplateDeclaration, TenantDeclaration } from './declaration.js';
-import { unlocated } from './declaration.js';
+import { withoutLocation } from './declaration.js';
 import {
   type DocumentProblem,
   type FieldPath,
   formatFieldPath,
-  problemsOfIssues,
+  toDocumentProblems,
 } from './document.js';
 import { InvalidDeclarationError } from './errors.js';
 import type { ConfigurationRevision, RequestKindPolicy, TenantPolicy } from './model.js';
@@ -24,33 +24,35 @@
 
 /**
  * The effective policy of a tenant.
- * @param revision when the template or the tenant last changed, whichever is later
- * @param locate places of the tenant's fields, for problems
+ * @param revision at which the template or the tenant last changed, whichever is later
+ * @param locate returns the locations of the tenant's fields, for problems
  */
 export function resolveTenant(
   template: TemplateDeclaration,
   tenant: TenantDeclaration,
   revision: ConfigurationRevision = 0,
-  locate: LocatedDeclaration['locate'] = unlocated(tenant).locate,
+  locate: LocatedDeclaration['locate'] = withoutLocation(tenant).locate,
 ): Result<TenantPolicy, InvalidDeclarationError> {
   const problems: DocumentProblem[] = [];
   const values = checkParameters(template, tenant, locate, problems);
   const { scramVerifier } = tenant;
   if (scramVerifier === undefined) {
-    problems.push(missing(locate, ['scramVerifier'], 'a SCRAM verifier, or --password-env NAME'));
+    problems.push(
+      createProblem(locate, ['scramVerifier'], 'a SCRAM verifier, or --password-env NAME'),
+    );
   }
   if (problems.length > 0 || scramVerifier === undefined) {
     return err(new InvalidDeclarationError(problems));
   }
-  const parsed = resolvedPolicySchema.safeParse(substitute(template.policy, values));
+  const parsed = resolvedPolicySchema.safeParse(substituteParameters(template.policy, values));
   if (!parsed.success) {
-    const issues = parsed.error.issues.map((issue) => blameParameter(template, issue));
-    return err(new InvalidDeclarationError(problemsOfIssues(issues, locate)));
+    const issues = parsed.error.issues.map((issue) => attributeToParameter(template, issue));
+    return err(new InvalidDeclarationError(toDocumentProblems(issues, locate)));
   }
-  return ok(policyOf(tenant, scramVerifier, parsed.data, revision));
+  return ok(createPolicy(tenant, scramVerifier, parsed.data, revision));
 }
 
-/** Names of all parameters that a policy refers to, with the paths of the references. */
+/** Finds all references to parameters in a policy, with their paths. */
 export function findReferences(
   policy: unknown,
   path: FieldPath = [],
@@ -72,34 +74,42 @@
   for (const name of Object.keys(tenant.parameters)) {
     if (Object.hasOwn(template.parameters, name)) continue;
     const expected = `a parameter of template ${template.name}`;
-    problems.push(missing(locate, ['parameters', name], expected));
+    problems.push(createProblem(locate, ['parameters', name], expected));
   }
   for (const [name, parameter] of Object.entries(template.parameters)) {
     const given = Object.hasOwn(tenant.parameters, name)
       ? tenant.parameters[name]
       : parameter.default;
     if (given === undefined) {
-      problems.push(missing(locate, ['parameters', name], `a value of type ${parameter.type}`));
+      problems.push(
+        createProblem(locate, ['parameters', name], `a value of type ${parameter.type}`),
+      );
       continue;
     }
     const parsed = valueSchemaOf(parameter).safeParse(given);
     if (parsed.success) values.set(name, parsed.data);
-    else problems.push(...problemsOfIssues(under(['parameters', name], parsed.error), locate));
+    else
+      problems.push(
+        ...toDocumentProblems(withPathPrefix(['parameters', name], parsed.error), locate),
+      );
   }
   return values;
 }
 
-function substitute(value: unknown, values: ParameterValues): unknown {
+function substituteParameters(value: unknown, values: ParameterValues): unknown {
   if (isParameterReference(value)) return values.get(value.parameter);
-  if (Array.isArray(value)) return value.map((item) => substitute(item, values));
+  if (Array.isArray(value)) return value.map((item) => substituteParameters(item, values));
   if (typeof value !== 'object' || value === null) return value;
   return Object.fromEntries(
-    Object.entries(value).map(([key, item]) => [key, substitute(item, values)]),
+    Object.entries(value).map(([key, item]) => [key, substituteParameters(item, values)]),
   );
 }
 
-/** A policy that does not fit after substitution is the fault of the parameter put in there. */
-function blameParameter(template: TemplateDeclaration, issue: z.core.$ZodIssue): z.core.$ZodIssue {
+/** Attributes an invalid value to the parameter that was substituted at its path. */
+function attributeToParameter(
+  template: TemplateDeclaration,
+  issue: z.core.$ZodIssue,
+): z.core.$ZodIssue {
   const reference = findReferences(template.policy).find(({ path }) =>
     path.every((step, index) => issue.path[index] === step),
   );
@@ -109,7 +119,7 @@
   return { ...issue, message, path: ['parameters', reference.parameter, ...rest] };
 }
 
-function policyOf(
+function createPolicy(
   tenant: TenantDeclaration,
   scramVerifier: string,
   policy: ResolvedPolicy,
@@ -125,23 +135,23 @@
       ...access,
       backendDatabase: access.backendDatabase ?? access.database,
     })),
-    requestKinds: requestKindPolicies(requestKinds),
+    requestKinds: createRequestKindPolicies(requestKinds),
     enabled: tenant.enabled,
     revision,
   };
 }
 
-/** The kind `default` is always there: strict and not repeatable unless declared otherwise. */
-function requestKindPolicies(declared: ResolvedPolicy['requestKinds']): RequestKindPolicy[] {
+/** Adds the kind `default` if undeclared: reads from the primary only, not repeatable. */
+function createRequestKindPolicies(declared: ResolvedPolicy['requestKinds']): RequestKindPolicy[] {
   const kinds = { [DEFAULT_REQUEST_KIND]: requestKindSchema.parse({}), ...declared };
   return Object.entries(kinds).map(([kind, policy]) => ({ kind, ...policy }));
 }
 
-function under(prefix: readonly string[], error: z.ZodError): z.core.$ZodIssue[] {
+function withPathPrefix(prefix: readonly string[], error: z.ZodError): z.core.$ZodIssue[] {
   return error.issues.map((issue) => ({ ...issue, path: [...prefix, ...issue.path] }));
 }
 
-function missing(
+function createProblem(
   locate: LocatedDeclaration['locate'],
   path: FieldPath,
   expected: string,
--- a/src/core/configuration/route-template-schema.ts
+++ b/src/core/configuration/route-template-schema.ts
@@ -1,6 +1,6 @@
 /**
- * Templates of the direct gateway: `kind: Template` with `gateway: direct`. Their parameters are the
- * fields of a published route, so that they have bounds but no defaults, and only numbers.
+ * Templates of the direct gateway: `kind: Template` with `gateway: direct`. Their parameters are
+ * the fields of a published route, which are all numbers; they have bounds but no defaults.
  */
 import { z } from 'zod';
 import { ROUTE_PARAMETERS, ROUTE_TYPES } from '../tenancy/route-template.js';
@@ -18,7 +18,7 @@
 const description = z.string().max(1000).optional();
 const numberBounds = { minimum: z.number().optional(), maximum: z.number().optional() };
 
-/** A field of published routes, with the bounds within which it counts. */
+/** A field of published routes, and its bounds. */
 export const routeParameterSchema = z.discriminatedUnion('type', [
   z.strictObject({ type: z.literal('integer'), ...numberBounds, description }),
   z.strictObject({ type: z.literal('number'), ...numberBounds, description }),
@@ -31,7 +31,7 @@
 ]);
 export type RouteParameterDeclaration = z.output<typeof routeParameterSchema>;
 
-/** Each field of the policy by itself. */
+/** Schema of each field of the policy. */
 export const ROUTE_POLICY_FIELDS = {
   priority: z.int().min(0),
   targetLatencyMs: durationSchema,
@@ -46,7 +46,7 @@
   retryBurst: z.number().min(0).max(MAX_RETRY_BURST),
 } as const;
 
-/** A template of the direct gateway as operators write it. */
+/** Schema of a template of the direct gateway. */
 export const routeTemplateSchema = z.strictObject({
   kind: z.literal('Template'),
   gateway: z.literal('direct'),
--- a/src/core/configuration/route-templates.ts
+++ b/src/core/configuration/route-templates.ts
@@ -1,4 +1,4 @@
-/** Checks templates of the direct gateway, and compiles them to the data that the gateway holds. */
+/** Checks templates of the direct gateway, and compiles them to the data built into it. */
 import { err, ok, type Result } from 'neverthrow';
 import {
   type FieldSource,
@@ -20,9 +20,9 @@
   type RouteTemplateDeclaration,
 } from './route-template-schema.js';
 
-/** Beyond this no published field counts. */
-const GREATEST_VALUE = Number.MAX_SAFE_INTEGER;
-const GREATEST_DURATION_MS = 24 * 3_600_000;
+/** Upper bound of a published field whose parameter declares none. */
+const MAX_VALUE = Number.MAX_SAFE_INTEGER;
+const MAX_DURATION_MS = 24 * 3_600_000;
 
 /** True for a template of the direct gateway. */
 export function isRouteTemplate(
@@ -31,7 +31,7 @@
   return declaration.kind === 'Template' && declaration.gateway === 'direct';
 }
 
-/** Every field that a parameter fills must take each value within the parameter's bounds. */
+/** Checks that each field accepts every value within the bounds of its parameter. */
 export function checkRouteTemplate(
   template: RouteTemplateDeclaration,
   locate: LocatedDeclaration['locate'],
@@ -40,12 +40,13 @@
     const source = template.policy[field];
     if (!isParameterReference(source)) return [];
     const parameter = template.parameters[source.parameter as RouteParameter];
-    // An undeclared parameter is told with those of other templates.
+    // The check of all templates reports undeclared parameters.
     if (parameter === undefined) return [];
     const { minimum, maximum } = boundsOf(parameter);
     const schema = ROUTE_POLICY_FIELDS[field];
-    const fits = [minimum, maximum].every((value) => schema.safeParse(value).success);
-    if (fits && (parameter.type !== 'number' || schema.safeParse(minimum + 0.5).success)) return [];
+    const boundsFit = [minimum, maximum].every((value) => schema.safeParse(value).success);
+    if (boundsFit && (parameter.type !== 'number' || schema.safeParse(minimum + 0.5).success))
+      return [];
     return [
       {
         location: locate(['policy', field]),
@@ -56,7 +57,7 @@
   });
 }
 
-/** One template for each type of route, as the gateway holds them. They must have been checked. */
+/** Compiles the templates, one for each type of route. They must have been checked before. */
 export function compileRouteTemplates(
   declarations: readonly LocatedDeclaration[],
 ): Result<RouteTemplates, InvalidDeclarationError> {
@@ -68,7 +69,7 @@
       const expected = `one template for routes of type ${declaration.routeType}`;
       problems.push({ location: locate(['routeType']), field: 'routeType', expected });
     }
-    compiled.set(declaration.routeType, compile(declaration));
+    compiled.set(declaration.routeType, compileTemplate(declaration));
   }
   for (const type of ROUTE_TYPES) {
     if (compiled.has(type)) continue;
@@ -79,7 +80,7 @@
   return ok(Object.fromEntries(compiled) as unknown as RouteTemplates);
 }
 
-function compile(declaration: RouteTemplateDeclaration): RouteTemplate {
+function compileTemplate(declaration: RouteTemplateDeclaration): RouteTemplate {
   const parameters = Object.entries(declaration.parameters).map(([name, parameter]) => {
     return [name, boundsOf(parameter)] as const;
   });
@@ -98,6 +99,6 @@
 }
 
 function boundsOf(parameter: RouteParameterDeclaration): Required<ParameterBounds> {
-  const greatest = parameter.type === 'duration' ? GREATEST_DURATION_MS : GREATEST_VALUE;
-  return { minimum: parameter.minimum ?? 0, maximum: parameter.maximum ?? greatest };
+  const maxValue = parameter.type === 'duration' ? MAX_DURATION_MS : MAX_VALUE;
+  return { minimum: parameter.minimum ?? 0, maximum: parameter.maximum ?? maxValue };
 }
--- a/src/core/configuration/snapshot-builder.ts
+++ b/src/core/configuration/snapshot-builder.ts
@@ -1,55 +1,55 @@
 /**
- * Keeps the snapshot in force in step with a catalogue. A change to tenants resolves just those and
- * copies the maps; a change to a template, or anything unusual, resolves the whole catalogue, so
- * that the outcome is always that of `snapshotOf`.
+ * Keeps a snapshot up to date with a catalogue. After a change of tenants it resolves only those
+ * and copies the maps. After a change of a template, or if a tenant is invalid or its user name is
+ * taken, it resolves the whole catalogue, so that the result always equals that of `buildSnapshot`.
  */
 import {
+  buildSnapshot,
   type Catalogue,
   type CatalogueEntry,
   ResolutionCache,
-  resolveEntry,
-  snapshotOf,
+  resolveTenantEntry,
 } from './catalogue.js';
 import type { DeclarationKey } from './declaration.js';
 import type { ConfigurationRevision, ConfigurationSnapshot, TenantPolicy } from './model.js';
 
 const TENANT_PREFIX = 'tenant/';
 
-/** Builds the snapshot that follows from a replica. */
+/** Builds the snapshots of a replica's catalogue. */
 export class SnapshotBuilder {
   readonly #catalogue: Catalogue;
   readonly #resolutions = new ResolutionCache();
-  readonly #changed = new Set<DeclarationKey>();
+  readonly #changedKeys = new Set<DeclarationKey>();
   #snapshot: ConfigurationSnapshot | undefined;
-  /** True if no declared tenant was left out of the last snapshot. */
+  /** True if the last snapshot contains every declared tenant. */
   #isComplete = false;
 
-  /** @param catalogue what the owner of this changes in place */
+  /** @param catalogue changed in place by the caller, who reports each change to `markChanged` */
   constructor(catalogue: Catalogue) {
     this.#catalogue = catalogue;
   }
 
-  /** The catalogue's entry of this key was put, replaced or deleted. */
+  /** Records that the catalogue's entry of this key was added, replaced or deleted. */
   markChanged(key: DeclarationKey): void {
-    this.#changed.add(key);
+    this.#changedKeys.add(key);
   }
 
-  /** What is in force, by the catalogue as it is now. */
+  /** Builds the snapshot of the catalogue's present contents. */
   build(revision: ConfigurationRevision): ConfigurationSnapshot {
-    const snapshot = this.#updated(revision) ?? this.#resolveAll(revision);
+    const snapshot = this.#updateTenants(revision) ?? this.#resolveAll(revision);
     this.#snapshot = snapshot;
-    this.#changed.clear();
+    this.#changedKeys.clear();
     return snapshot;
   }
 
-  /** Undefined if the last snapshot can't be brought up to date tenant by tenant. */
-  #updated(revision: ConfigurationRevision): ConfigurationSnapshot | undefined {
+  /** Updates the changed tenants alone; undefined if the whole catalogue must be resolved. */
+  #updateTenants(revision: ConfigurationRevision): ConfigurationSnapshot | undefined {
     const previous = this.#snapshot;
-    // A tenant that was left out could come in by a change to another: its user is free now.
+    // A change of one tenant can make another valid that was left out: its user name is now free.
     if (previous === undefined || !this.#isComplete) return undefined;
     const tenantsByUser = new Map(previous.tenantsByUser);
     const tenantsByName = new Map(previous.tenantsByName);
-    for (const key of this.#changed) {
+    for (const key of this.#changedKeys) {
       if (!key.startsWith(TENANT_PREFIX)) return undefined;
       const name = key.slice(TENANT_PREFIX.length);
       const before = tenantsByName.get(name);
@@ -60,8 +60,8 @@
         continue;
       }
       const policy = this.#resolve(entry);
-      const isUsual = policy?.tenant === name && !tenantsByUser.has(policy.user);
-      if (!isUsual) return undefined;
+      const isIndependent = policy?.tenant === name && !tenantsByUser.has(policy.user);
+      if (!isIndependent) return undefined;
       tenantsByName.set(name, policy);
       tenantsByUser.set(policy.user, policy);
     }
@@ -69,7 +69,7 @@
   }
 
   #resolveAll(revision: ConfigurationRevision): ConfigurationSnapshot {
-    const snapshot = snapshotOf(this.#catalogue, revision, this.#resolutions);
+    const snapshot = buildSnapshot(this.#catalogue, revision, this.#resolutions);
     const tenants = [...this.#catalogue.keys()].filter((key) => key.startsWith(TENANT_PREFIX));
     const { tenantsByName, tenantsByUser } = snapshot;
     this.#isComplete =
@@ -79,6 +79,6 @@
 
   #resolve(entry: CatalogueEntry): TenantPolicy | undefined {
     if (entry.declaration.kind !== 'Tenant') return undefined;
-    return resolveEntry(this.#catalogue, this.#resolutions, entry, entry.declaration, []);
+    return resolveTenantEntry(this.#catalogue, this.#resolutions, entry, entry.declaration, []);
   }
 }
--- a/src/core/configuration/store-follower.ts
+++ b/src/core/configuration/store-follower.ts
@@ -1,18 +1,19 @@
 /**
- * Follows the store while this node relays: reads everything once, then watches from there. A
- * watch that ended is begun again with a read; a watch that has gone silent is found by a look at
- * the head key from time to time. All nodes read the store once when they start.
+ * Watches the store while this node relays: reads all declarations once, then opens a watch from
+ * that revision. After a watch has ended, it reads again before it opens a new one. A watch that
+ * silently stopped delivering is detected by reading the head key periodically. Every node reads
+ * the store once when it starts.
  */
 import type { Milliseconds } from '../units.js';
 import { Backoff, jitter, type RandomSource } from './backoff.js';
 import type { ConfigurationRevision } from './model.js';
 
-const HEAD_CHECK_INTERVAL_MS = 15_000;
+const HEAD_CHECK_PERIOD_MS = 15_000;
 const READ_BACKOFF = { initialMs: 250, maximumMs: 10_000 };
 
-/** What goes into the follower. */
+/** Input of the store follower. */
 export type StoreFollowerEvent =
-  /** `wanted`: this node relays, or has no configuration yet. */
+  /** `watch`: this node relays. `read`: it has no configuration yet. */
   | { readonly type: 'demand-changed'; readonly watch: boolean; readonly read: boolean }
   | { readonly type: 'store-read'; readonly storeRevision: number }
   | { readonly type: 'store-read-failed'; readonly retryAfterMs: Milliseconds }
@@ -25,22 +26,22 @@
   | { readonly type: 'head-check-failed'; readonly retryAfterMs: Milliseconds }
   | { readonly type: 'tick' };
 
-/** What comes out of the follower. */
+/** Output of the store follower. */
 export type StoreFollowerEffect =
   | { readonly type: 'read-store' }
   | { readonly type: 'open-watch'; readonly fromRevision: number }
   | { readonly type: 'close-watch' }
   | { readonly type: 'check-head' };
 
-/** `idle`: nothing asked for. `waiting`: until `nextAt`, then a read. */
+/** `idle`: neither a read nor a watch is needed. `waiting`: reads at `nextAt`. */
 type FollowerPhase = 'idle' | 'waiting' | 'reading' | 'watching';
 
-/** The state machine of one node's reads and watch. */
+/** The state machine of one node's reads of the store and its watch on it. */
 export class StoreFollower {
   #phase: FollowerPhase = 'idle';
-  #watchWanted = false;
-  #readWanted = false;
-  #checking = false;
+  #needsWatch = false;
+  #needsRead = false;
+  #isCheckingHead = false;
   #nextAt: Milliseconds | undefined;
   readonly #backoff: Backoff;
 
@@ -48,7 +49,7 @@
     this.#backoff = new Backoff(READ_BACKOFF, random);
   }
 
-  get watching(): boolean {
+  get isWatching(): boolean {
     return this.#phase === 'watching';
   }
 
@@ -61,25 +62,25 @@
       case 'demand-changed':
         return this.#setDemand(event.watch, event.read, now);
       case 'store-read':
-        return this.#read(event.storeRevision, now);
+        return this.#handleRead(event.storeRevision, now);
       case 'store-read-failed':
-        return this.#wait(now + this.#backoff.next(event.retryAfterMs));
+        return this.#scheduleRead(now + this.#backoff.next(event.retryAfterMs));
       case 'watch-ended':
-        return this.#phase === 'watching' ? this.#wait(now + this.#backoff.next()) : [];
+        return this.#phase === 'watching' ? this.#scheduleRead(now + this.#backoff.next()) : [];
       case 'head-checked':
-        return this.#headChecked(event.headRevision > event.replicaRevision, now);
+        return this.#handleHeadCheck(event.headRevision > event.replicaRevision, now);
       case 'head-check-failed':
-        return this.#headChecked(false, now);
+        return this.#handleHeadCheck(false, now);
       case 'tick':
         return this.#tick(now);
     }
   }
 
   #setDemand(watch: boolean, read: boolean, now: Milliseconds): StoreFollowerEffect[] {
-    this.#watchWanted = watch;
-    this.#readWanted = read;
+    this.#needsWatch = watch;
+    this.#needsRead = read;
     if (this.#phase === 'watching' && !watch) return this.#stopWatching();
-    if (this.#phase === 'waiting' && !watch && !read) return this.#rest();
+    if (this.#phase === 'waiting' && !watch && !read) return this.#becomeIdle();
     if (this.#phase === 'idle' && (watch || read)) {
       this.#nextAt = now;
       this.#phase = 'waiting';
@@ -88,26 +89,26 @@
     return [];
   }
 
-  #read(storeRevision: number, now: Milliseconds): StoreFollowerEffect[] {
-    this.#readWanted = false;
+  #handleRead(storeRevision: number, now: Milliseconds): StoreFollowerEffect[] {
+    this.#needsRead = false;
     this.#backoff.reset();
-    if (!this.#watchWanted) return this.#rest();
+    if (!this.#needsWatch) return this.#becomeIdle();
     this.#phase = 'watching';
     this.#scheduleCheck(now);
     return [{ type: 'open-watch', fromRevision: storeRevision + 1 }];
   }
 
-  #wait(until: Milliseconds): StoreFollowerEffect[] {
-    if (!this.#watchWanted && !this.#readWanted) return this.#rest();
+  #scheduleRead(until: Milliseconds): StoreFollowerEffect[] {
+    if (!this.#needsWatch && !this.#needsRead) return this.#becomeIdle();
     this.#phase = 'waiting';
     this.#nextAt = until;
     return [];
   }
 
-  #headChecked(behind: boolean, now: Milliseconds): StoreFollowerEffect[] {
-    this.#checking = false;
+  #handleHeadCheck(isBehind: boolean, now: Milliseconds): StoreFollowerEffect[] {
+    this.#isCheckingHead = false;
     if (this.#phase !== 'watching') return [];
-    if (!behind) {
+    if (!isBehind) {
       this.#scheduleCheck(now);
       return [];
     }
@@ -123,21 +124,21 @@
       this.#phase = 'reading';
       return [{ type: 'read-store' }];
     }
-    if (this.#phase !== 'watching' || this.#checking) return [];
-    this.#checking = true;
+    if (this.#phase !== 'watching' || this.#isCheckingHead) return [];
+    this.#isCheckingHead = true;
     return [{ type: 'check-head' }];
   }
 
   #scheduleCheck(now: Milliseconds): void {
-    this.#nextAt = now + jitter(HEAD_CHECK_INTERVAL_MS, this.random);
+    this.#nextAt = now + jitter(HEAD_CHECK_PERIOD_MS, this.random);
   }
 
   #stopWatching(): StoreFollowerEffect[] {
-    this.#rest();
+    this.#becomeIdle();
     return [{ type: 'close-watch' }];
   }
 
-  #rest(): StoreFollowerEffect[] {
+  #becomeIdle(): StoreFollowerEffect[] {
     this.#phase = 'idle';
     this.#nextAt = undefined;
     return [];
--- a/src/core/configuration/store-layout.ts
+++ b/src/core/configuration/store-layout.ts
@@ -1,12 +1,12 @@
 /**
- * Where the configuration lies in the store, and the form of its values.
+ * The store keys of the configuration, and the format of their values.
  *
- * - `meadowstack/configuration/current/…`: what is in force; relays watch this prefix
- *   - `current/head`: touched by every publish, so that its mod revision orders all versions
+ * - `meadowstack/configuration/current/…`: the configuration in force; relays watch this prefix
+ *   - `current/head`: written by every publish, so that its mod revision orders all versions
  *   - `current/template/<name>`, `current/tenant/<name>`: declarations and tombstones
- * - `meadowstack/configuration/history/<key>/<version>`: the last versions of each declaration
- * - `meadowstack/configuration/publish/<id>`: which publishes were applied
- * - `meadowstack/relay/<zone>/<slot>`: leases of the relays
+ * - `meadowstack/configuration/history/<key>/<version>`: the latest versions of each declaration
+ * - `meadowstack/configuration/publish/<id>`: the record of each applied publish
+ * - `meadowstack/relay/<zone>/<slot>`: the leases of the relays
  */
 import { err, ok, type Result } from 'neverthrow';
 import { z } from 'zod';
@@ -15,13 +15,13 @@
 import { StoredValueError } from './errors.js';
 import type { ConfigurationRevision } from './model.js';
 
-/** Prefix of everything about the configuration. */
+/** Prefix of all keys of the configuration except the relay leases. */
 export const CONFIGURATION_PREFIX = 'meadowstack/configuration/';
-/** Prefix of what is in force. */
+/** Prefix of the declarations in force. */
 export const CURRENT_PREFIX = `${CONFIGURATION_PREFIX}current/`;
-/** Key of the last publish. */
+/** Key that every publish writes; its value names the latest publish. */
 export const HEAD_KEY = `${CURRENT_PREFIX}head`;
-/** Prefix of the records of publishes. */
+/** Prefix of the publish records. */
 export const PUBLISH_PREFIX = `${CONFIGURATION_PREFIX}publish/`;
 
 const HISTORY_PREFIX = `${CONFIGURATION_PREFIX}history/`;
@@ -29,7 +29,7 @@
 const VERSION_DIGITS = 10;
 
 const storedEntrySchema = z.object({
-  /** Counts the versions of this name, from 1. */
+  /** Version of this declaration, counted from 1. */
   version: z.int().min(1),
   publishId: z.string().min(1),
   /** Null: a tombstone. */
@@ -38,25 +38,25 @@
 
 const publishRecordSchema = z.object({
   publishId: z.string(),
-  /** Milliseconds since the Unix epoch, by the operator's clock; for people only. */
+  /** Milliseconds since the Unix epoch, by the operator's clock; for display only. */
   publishedAt: z.number(),
-  /** Who published, as the command line was told. */
+  /** The author named on the command line. */
   author: z.string(),
   comment: z.string(),
   changes: z.array(z.object({ key: z.string(), version: z.int(), removed: z.boolean() })),
 });
 
-/** A declaration as the store holds it. */
+/** The stored form of a declaration. */
 export type StoredEntry = z.output<typeof storedEntrySchema>;
 
-/** What one publish changed. */
+/** The stored record of one publish. */
 export type PublishRecord = z.output<typeof publishRecordSchema>;
 
-/** One declaration or tombstone with its revision, in the form that replicas pass on. */
+/** One declaration or tombstone with its revision, as nodes send it to each other. */
 export interface ConfigurationEntry {
   readonly key: DeclarationKey;
   readonly revision: ConfigurationRevision;
-  /** JSON text of a `StoredEntry`, as the store holds it. */
+  /** JSON text of a `StoredEntry`, unchanged from the store. */
   readonly value: string;
 }
 
@@ -70,7 +70,7 @@
   return `${HISTORY_PREFIX}${key}/`;
 }
 
-/** Store key of one version; sorts by version. */
+/** Store key of one version; the keys sort by version. */
 export function historyKeyOf(key: DeclarationKey, version: number): string {
   return `${historyPrefixOf(key)}${String(version).padStart(VERSION_DIGITS, '0')}`;
 }
@@ -90,20 +90,20 @@
   return `${relayPrefixOf(zone)}${slot}`;
 }
 
-/** The declaration key of a store key under the current prefix; undefined for the head or others. */
+/** The declaration key of a store key under the current prefix; undefined for all other keys. */
 export function declarationKeyOf(storeKey: string): DeclarationKey | undefined {
   if (!storeKey.startsWith(CURRENT_PREFIX)) return undefined;
   const key = storeKey.slice(CURRENT_PREFIX.length);
   return isDeclarationKey(key) ? key : undefined;
 }
 
-/** True if the text has the form of a declaration key. */
+/** True if the text is a valid declaration key. */
 export function isDeclarationKey(text: string): text is DeclarationKey {
   return /^(template|tenant)\/[A-Za-z][A-Za-z0-9_-]*$/.test(text);
 }
 
-/** Entries of a range over the current prefix. */
-export function entriesOf(keyValues: readonly KeyValue[]): ConfigurationEntry[] {
+/** Converts the store entries that hold declarations, and leaves out all others. */
+export function toConfigurationEntries(keyValues: readonly KeyValue[]): ConfigurationEntry[] {
   return keyValues.flatMap(({ key, modRevision, value }) => {
     const declarationKey = declarationKeyOf(key);
     return declarationKey === undefined
@@ -114,7 +114,7 @@
 
 /** Parses a stored declaration. */
 export function decodeEntry(key: string, value: string): Result<StoredEntry, StoredValueError> {
-  return decode(key, value, storedEntrySchema);
+  return decodeStored(key, value, storedEntrySchema);
 }
 
 /** Parses a publish record. */
@@ -122,10 +122,10 @@
   key: string,
   value: string,
 ): Result<PublishRecord, StoredValueError> {
-  return decode(key, value, publishRecordSchema);
+  return decodeStored(key, value, publishRecordSchema);
 }
 
-function decode<Output>(
+function decodeStored<Output>(
   key: string,
   value: string,
   schema: z.ZodType<Output>,
--- a/src/core/configuration/watch-assembler.ts
+++ b/src/core/configuration/watch-assembler.ts
@@ -1,14 +1,14 @@
 /**
- * Puts the events of a watch over the current prefix together into deltas. Every publish puts the
- * head key last in its transaction, so what came before the head's event is complete.
+ * Assembles the events of a watch on the current prefix into deltas. Every publish writes the head
+ * key last in its transaction, so that all its changes have arrived before the head's event.
  */
 import type { WatchEvent } from '../../platform/contract.js';
 import type { DeclarationKey } from './declaration.js';
 import type { ConfigurationRevision } from './model.js';
 import type { ConfigurationDelta } from './replica.js';
-import { type ConfigurationEntry, entriesOf, HEAD_KEY } from './store-layout.js';
+import { type ConfigurationEntry, HEAD_KEY, toConfigurationEntries } from './store-layout.js';
 
-/** Assembles one watch's events; a new watch needs a new one. */
+/** Assembles the events of one watch; each watch needs its own instance. */
 export class WatchAssembler {
   readonly #pending = new Map<DeclarationKey, ConfigurationEntry>();
   #headRevision: ConfigurationRevision;
@@ -18,7 +18,7 @@
     this.#headRevision = headRevision;
   }
 
-  /** The delta that these events complete, if they do. */
+  /** Adds events; returns the delta that they complete, if any. */
   add(events: readonly WatchEvent[]): ConfigurationDelta | undefined {
     let headRevision = this.#headRevision;
     for (const event of events) {
@@ -26,7 +26,8 @@
       if (event.entry.key === HEAD_KEY) {
         headRevision = Math.max(headRevision, event.entry.modRevision);
       }
-      for (const entry of entriesOf([event.entry])) this.#pending.set(entry.key, entry);
+      for (const entry of toConfigurationEntries([event.entry]))
+        this.#pending.set(entry.key, entry);
     }
     if (headRevision === this.#headRevision) return undefined;
     return this.#complete(headRevision);
--- a/src/core/machine-list/agent.ts
+++ b/src/core/machine-list/agent.ts
@@ -142,7 +142,7 @@
   }
 
   #isReaderNode(nodeId: string): boolean {
-    return this.#view.candidates().some((candidate) => candidate.nodeId === nodeId);
+    return this.#view.relayCandidates().some((candidate) => candidate.nodeId === nodeId);
   }
 
   get #heartbeatExpiresAt(): Milliseconds {
@@ -243,7 +243,7 @@
 
   #startReportRound(now: Milliseconds): MachineListEffect<Item>[] {
     this.#nextReportAt = now + jitter(REPORT_INTERVAL_MS, this.#random);
-    const peer = this.#view.antiEntropyPeer(this.#random);
+    const peer = this.#view.selectAntiEntropyPeer(this.#random);
     return peer === undefined ? [] : [{ type: 'ask-report', peer }];
   }
 
@@ -302,7 +302,7 @@
     if (lastForwarded !== undefined && compareStamps(delta.to.stamp, lastForwarded) <= 0) return [];
     this.#forwarded.set(root, delta.to.stamp);
     const isSmall = delta.changed.length + delta.removed.length <= MAX_PUSHED_ENTRIES;
-    return this.#view.pushTargets(root).map((peer) => {
+    return this.#view.selectPushTargets(root).map((peer) => {
       return isSmall ? { type: 'push', peer, root, delta } : { type: 'ask-report', peer };
     });
   }
--- a/src/node/configuration/publisher.ts
+++ b/src/node/configuration/publisher.ts
@@ -18,7 +18,7 @@
   type PublishPlan,
   type PublishRequest,
   planPublish,
-  publishedStateOf,
+  toPublishedState,
 } from '../../core/configuration/publish.js';
 import {
   CURRENT_PREFIX,
@@ -91,7 +91,7 @@
 
   /** What is in force in the store. */
   read(): ResultAsync<PublishedState, DeclarationStoreError> {
-    return this.#range(CURRENT_PREFIX).map(publishedStateOf);
+    return this.#range(CURRENT_PREFIX).map(toPublishedState);
   }
 
   /** What a publish would change; changes nothing. */
@@ -156,7 +156,7 @@
       ({ key }) => key === publishKeyOf(request.publishId),
     );
     if (applied !== undefined) return ended(ok(outcomeOfRecord(request.publishId, applied)));
-    const published = publishedStateOf(current.value.entries);
+    const published = toPublishedState(current.value.entries);
     const recordKeys = [...records.value.entries].sort(byRevision).map(({ key }) => key);
     const plan = planPublish(published, request, recordKeys);
     if (plan.isErr()) return ended(err(plan.error));
--- a/src/node/configuration/service.ts
+++ b/src/node/configuration/service.ts
@@ -9,7 +9,7 @@
 } from '../../core/configuration/agent-contract.js';
 import type { ConfigurationSnapshot } from '../../core/configuration/model.js';
 import type { RelayLease, RelayRoleEvent } from '../../core/configuration/relay-role.js';
-import { type ConfigurationMember, sameMembers } from '../../core/configuration/relays.js';
+import { areSameMembers, type ConfigurationMember } from '../../core/configuration/relays.js';
 import type { Milliseconds } from '../../core/units.js';
 import type { NodeIdentity, WireValue } from '../../peer/contract.js';
 import type { StoreError } from '../../platform/contract.js';
@@ -89,7 +89,7 @@
   /** To be called when the membership changed; it is also looked at once a second. */
   membersChanged(): void {
     const members = this.options.members();
-    if (sameMembers(members, this.#members)) return;
+    if (areSameMembers(members, this.#members)) return;
     this.#members = members;
     this.#handle({ type: 'members-changed', members });
   }
@@ -124,7 +124,7 @@
   #onDigest(body: WireValue, nodeId: string): WireValue {
     const parsed = digestRequestSchema.safeParse(body);
     if (!parsed.success) throw new ConfigurationMessageError(DIGEST_METHOD);
-    const answer = this.#agent.digestAnswer();
+    const answer = this.#agent.digestResponse();
     this.#handle({ type: 'digest-received', nodeId, digest: parsed.data.digest });
     return answer;
   }
--- a/src/node/configuration/store-session.ts
+++ b/src/node/configuration/store-session.ts
@@ -5,10 +5,10 @@
 import type { ConfigurationDelta } from '../../core/configuration/replica.js';
 import {
   CURRENT_PREFIX,
-  entriesOf,
   HEAD_KEY,
   relayKeyOf,
   relayPrefixOf,
+  toConfigurationEntries,
 } from '../../core/configuration/store-layout.js';
 import { WatchAssembler } from '../../core/configuration/watch-assembler.js';
 import type { Store, StoreError } from '../../platform/contract.js';
@@ -43,7 +43,7 @@
       delta: {
         sinceRevision: 0,
         revision: entries.find(({ key }) => key === HEAD_KEY)?.modRevision ?? 0,
-        entries: entriesOf(entries),
+        entries: toConfigurationEntries(entries),
       },
     }));
   }
--- a/src/node/machine-list/service.ts
+++ b/src/node/machine-list/service.ts
@@ -2,7 +2,7 @@
  * The machine list of one node: reads the service while the agent asks for it, exchanges differences
  * with other nodes, and tells of changes.
  */
-import { type ConfigurationMember, sameMembers } from '../../core/configuration/relays.js';
+import { areSameMembers, type ConfigurationMember } from '../../core/configuration/relays.js';
 import { MachineListAgent } from '../../core/machine-list/agent.js';
 import type {
   MachineListEffect,
@@ -91,7 +91,7 @@
   /** To be called when the membership changed. */
   membersChanged(): void {
     const members = this.options.members();
-    if (sameMembers(members, this.#members)) return;
+    if (areSameMembers(members, this.#members)) return;
     this.#members = members;
     this.#handle({ type: 'members-changed', members });
   }
--- a/src/node/settings.ts
+++ b/src/node/settings.ts
@@ -11,8 +11,8 @@
   formatProblem,
   type LocatedDocument,
   parseYaml,
-  problemsOfIssues,
   type SourceLocation,
+  toDocumentProblems,
 } from '../core/configuration/document.js';
 import { type ErrorLabel, MeadowstackError } from '../core/errors.js';
 import {
@@ -99,7 +99,7 @@
   const parsed = settingsSchema.safeParse(merged);
   if (parsed.success) return ok(parsed.data);
   const locate = (path: FieldPath) => locateSetting(path, overrides, document);
-  return err(new SettingsError(problemsOfIssues(parsed.error.issues, locate)));
+  return err(new SettingsError(toDocumentProblems(parsed.error.issues, locate)));
 }
 
 /** Variables first, flags after them, so that flags win. An empty variable counts as not set. */
--- a/test/integration/cluster/silent-from-start.test.ts
+++ b/test/integration/cluster/silent-from-start.test.ts
@@ -5,7 +5,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { type Cluster, tenantYaml } from '../../../bench/harness/cluster.js';
-import { relayCandidates } from '../../../src/core/configuration/relays.js';
+import { selectRelayCandidates } from '../../../src/core/configuration/relays.js';
 import { GROUP, inForce, startSmallCluster, statusOf, TENANT } from '../../support/cluster.js';
 
 const NODES = ['proxy-1', 'proxy-2', 'proxy-3', 'proxy-4'];
@@ -13,7 +13,7 @@
 const PUBLISHED_CONNECTIONS = 700;
 
 /** The two that all nodes would have relay if all were alive. */
-const SILENT = relayCandidates(
+const SILENT = selectRelayCandidates(
   ZONE,
   NODES.map((nodeId) => ({ nodeId, zone: ZONE, host: '', port: 0 })),
 ).map(({ nodeId }) => nodeId);
--- a/test/property/publisher.test.ts
+++ b/test/property/publisher.test.ts
@@ -4,8 +4,8 @@
 import { type DeclarationKey, keyOf } from '../../src/core/configuration/declaration.js';
 import { PublishConflictError } from '../../src/core/configuration/errors.js';
 import {
-  HISTORY_VERSIONS,
   liveRevisionOf,
+  MAX_HISTORY_VERSIONS,
   type ProposedChange,
   type PublishedState,
   type PublishRequest,
@@ -192,21 +192,21 @@
 
 test('history is bounded, and a removed name goes on counting', async () => {
   const { store, publisher } = await prepared();
-  for (let connections = 1; connections <= HISTORY_VERSIONS + 5; connections += 1) {
+  for (let connections = 1; connections <= MAX_HISTORY_VERSIONS + 5; connections += 1) {
     const changes = putsOf(tenantYaml('a', connections));
     (await publisher.publish(requestOf(`p${connections}`, changes, undefined)))._unsafeUnwrap();
   }
   const removal: ProposedChange = { type: 'remove', key: 'tenant/a' };
   (await publisher.publish(requestOf('gone', [removal], undefined)))._unsafeUnwrap();
   const history = (await publisher.history('tenant/a'))._unsafeUnwrap();
-  assert.is(history.length, HISTORY_VERSIONS);
+  assert.is(history.length, MAX_HISTORY_VERSIONS);
   assert.is(history.at(-1)?.declaration, null);
   const state = (await publisher.read())._unsafeUnwrap();
   assert.is(liveRevisionOf(state, 'tenant/a'), 0);
   const back = requestOf('back', putsOf(tenantYaml('a', 7)), state);
   (await publisher.publish(back))._unsafeUnwrap();
   const [, last] = (await publisher.history('tenant/a'))._unsafeUnwrap().slice(-2);
-  assert.is(last?.version, HISTORY_VERSIONS + 8);
+  assert.is(last?.version, MAX_HISTORY_VERSIONS + 8);
   assert.is(store.applied.at(-1)?.revision, store.revision);
 });
 
--- a/test/property/relays.test.ts
+++ b/test/property/relays.test.ts
@@ -4,9 +4,9 @@
 import {
   type ConfigurationMember,
   PUSH_FAN_OUT,
-  pushTargets,
   RELAYS_PER_ZONE,
-  relayCandidates,
+  selectPushTargets,
+  selectRelayCandidates,
 } from '../../src/core/configuration/relays.js';
 
 const SETTINGS = { seed: 20_261_202, numRuns: 60 };
@@ -28,7 +28,7 @@
       const root = inZone[pick % inZone.length]?.nodeId ?? '';
       const reached = [root];
       for (const nodeId of reached) {
-        const targets = pushTargets(root, nodeId, 'x', members);
+        const targets = selectPushTargets(root, nodeId, 'x', members);
         assert.ok(targets.length <= PUSH_FAN_OUT);
         reached.push(...targets.map((target) => target.nodeId));
       }
@@ -43,13 +43,13 @@
   fc.assert(
     fc.property(fc.integer({ min: 6, max: 200 }), fc.nat(), (count, pick) => {
       const members = membersOf(count);
-      const candidates = relayCandidates('y', members);
-      assert.equal(relayCandidates('y', [...members].reverse()), candidates);
+      const candidates = selectRelayCandidates('y', members);
+      assert.equal(selectRelayCandidates('y', [...members].reverse()), candidates);
       assert.is(candidates.length, Math.min(RELAYS_PER_ZONE, candidates.length));
       const gone = members[pick % count];
       const rest = members.filter((member) => member !== gone);
       const kept = candidates.filter((candidate) => candidate !== gone);
-      assert.equal(relayCandidates('y', rest).slice(0, kept.length), kept);
+      assert.equal(selectRelayCandidates('y', rest).slice(0, kept.length), kept);
     }),
     SETTINGS,
   );
--- a/test/unit/declaration.test.ts
+++ b/test/unit/declaration.test.ts
@@ -1,9 +1,9 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import {
-  catalogueOf,
+  buildCatalogue,
+  buildSnapshot,
   resolveCatalogue,
-  snapshotOf,
 } from '../../src/core/configuration/catalogue.js';
 import { parseDeclarations } from '../../src/core/configuration/declaration.js';
 import { formatProblem } from '../../src/core/configuration/document.js';
@@ -15,13 +15,13 @@
 }
 
 function catalogueProblems(...texts: string[]): string[] {
-  return resolveCatalogue(catalogueOf(declared(...texts))).problems.map(formatProblem);
+  return resolveCatalogue(buildCatalogue(declared(...texts))).problems.map(formatProblem);
 }
 
 test('a tenant gets its template filled with its parameters and defaults', () => {
-  const catalogue = catalogueOf(declared(TEMPLATE_YAML, tenantYaml('bureau', 30)));
+  const catalogue = buildCatalogue(declared(TEMPLATE_YAML, tenantYaml('bureau', 30)));
   assert.equal(resolveCatalogue(catalogue).problems, []);
-  const policy = snapshotOf(catalogue, 7).tenantsByUser.get('bureau');
+  const policy = buildSnapshot(catalogue, 7).tenantsByUser.get('bureau');
   assert.is(policy?.maxConnections, 30);
   assert.equal(policy?.databases, [
     { database: 'orders', group: 'orders', backendDatabase: 'orders' },
--- a/test/unit/difference.test.ts
+++ b/test/unit/difference.test.ts
@@ -1,11 +1,11 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { differencesOf } from '../../src/core/configuration/difference.js';
+import { findDifferences } from '../../src/core/configuration/difference.js';
 
 test('names each field that is new, gone or changed', () => {
   const before = { name: 'a', parameters: { connections: 1, gone: true }, list: [1, 2] };
   const after = { name: 'a', parameters: { connections: 2, fresh: 'x' }, list: [1, 3, 4] };
-  assert.equal(differencesOf(before, after), [
+  assert.equal(findDifferences(before, after), [
     { field: 'list[1]', before: 2, after: 3 },
     { field: 'list[2]', before: undefined, after: 4 },
     { field: 'parameters.connections', before: 1, after: 2 },
@@ -15,15 +15,15 @@
 });
 
 test('a value against a container is one difference, and equal values are none', () => {
-  assert.equal(differencesOf({ a: 1 }, { a: { b: 1 } }), [
+  assert.equal(findDifferences({ a: 1 }, { a: { b: 1 } }), [
     { field: 'a', before: 1, after: { b: 1 } },
   ]);
-  assert.equal(differencesOf({ a: [{ b: 1 }] }, { a: [{ b: 1 }] }), []);
+  assert.equal(findDifferences({ a: [{ b: 1 }] }, { a: [{ b: 1 }] }), []);
 });
 
 test('an empty container that appears or goes is a difference', () => {
-  assert.equal(differencesOf({}, { a: {} }), [{ field: 'a', before: undefined, after: {} }]);
-  assert.equal(differencesOf({ a: [] }, { a: {} }), [{ field: 'a', before: [], after: {} }]);
+  assert.equal(findDifferences({}, { a: {} }), [{ field: 'a', before: undefined, after: {} }]);
+  assert.equal(findDifferences({ a: [] }, { a: {} }), [{ field: 'a', before: [], after: {} }]);
 });
 
 test.run();
--- a/test/unit/direct/tenant-templates.test.ts
+++ b/test/unit/direct/tenant-templates.test.ts
@@ -9,7 +9,7 @@
   generateTemplateModule,
   TEMPLATES_FILE,
 } from '../../../bench/generate-templates.js';
-import { catalogueOf, resolveCatalogue } from '../../../src/core/configuration/catalogue.js';
+import { buildCatalogue, resolveCatalogue } from '../../../src/core/configuration/catalogue.js';
 import { parseDeclarations } from '../../../src/core/configuration/declaration.js';
 import { formatProblem } from '../../../src/core/configuration/document.js';
 import { planPublish } from '../../../src/core/configuration/publish.js';
@@ -26,7 +26,7 @@
   const parsed = parseDeclarations([{ source: 'F', text: TEXT.replace(from, to) }]);
   const problems = parsed.isErr()
     ? parsed.error.problems
-    : resolveCatalogue(catalogueOf(parsed.value)).problems;
+    : resolveCatalogue(buildCatalogue(parsed.value)).problems;
   return problems.map(formatProblem).join('\n');
 }
 
@@ -54,7 +54,7 @@
   assert.match(problemsWith('queueWeight: 1', filled), /policy.queueWeight: .*bounds fit/);
   const bounded = TEXT.replace('{ type: integer }', '{ type: integer, minimum: 1, maximum: 9 }');
   const declarations = declared(bounded.replace('queueWeight: 1', filled));
-  assert.equal(resolveCatalogue(catalogueOf(declarations)).problems, []);
+  assert.equal(resolveCatalogue(buildCatalogue(declarations)).problems, []);
 });
 
 test('there is one template for each type of route', () => {
@@ -80,7 +80,7 @@
   );
   assert.match(planned._unsafeUnwrapErr().message, /gateway: expected a template for the proxy/);
   const tenant = tenantYaml('bureau').replace('template: standard', 'template: strict');
-  const { problems } = resolveCatalogue(catalogueOf(declared(TEXT, tenant)));
+  const { problems } = resolveCatalogue(buildCatalogue(declared(TEXT, tenant)));
   assert.match(problems.map(formatProblem).join(), /template: expected a template .*for the proxy/);
 });
 
