--- a/test/integration/cluster/configuration-faults.test.ts
+++ b/test/integration/cluster/configuration-faults.test.ts
@@ -1,6 +1,7 @@
 /**
- * An accepted configuration is in force on every proxy within seconds and never reverts: while
- * operators race and answers are lost, a relay is paused, and proxies restart without the store.
+ * An accepted configuration is in force on every proxy within seconds and never reverts to an older
+ * one. Faults: concurrent publishes while the store's responses are lost, paused relays, and
+ * proxies that restart while the store is down or slow.
  */
 import { randomUUID } from 'node:crypto';
 import { setTimeout as pause } from 'node:timers/promises';
@@ -31,7 +32,7 @@
 } from '../../support/cluster.js';
 import { until } from '../../support/until.js';
 
-/** All in one zone, so that two of them relay and the others depend on those. */
+/** All in one zone, so that two of them relay to the others. */
 const NODES = ['proxy-1', 'proxy-2', 'proxy-3', 'proxy-4'];
 const ZONE = 'a';
 const RELAYS_A_ZONE = 2;
@@ -63,8 +64,9 @@
 test.after.each(({ cluster }) => cluster.store.heal());
 
 /**
- * Nothing of what was sampled so far reverted. That it is in force everywhere is waited for; within which time, the
- * same faults show in virtual time (property/configuration-agent.test.ts), and the bench with a real clock.
+ * Asserts that no sampled configuration reverted so far, without a check of how long a publish
+ * takes: the tests wait until it is in force everywhere. That time is checked under the same faults
+ * in virtual time (property/configuration-agent.test.ts) and in longer runs in real time.
  */
 function assertNotReverted({ recorder }: Context): void {
   const history = { ...EMPTY_HISTORY, ...recorder.history(), endedAt: Date.now() };
@@ -84,14 +86,14 @@
   return (await statusOf(cluster, nodeId)).configuration.revision;
 }
 
-/** Publishes and resolves with the accepted revision. */
+/** Publishes a connection limit and resolves with the accepted revision. */
 async function publish({ cluster, recorder }: Context, connections: number): Promise<number> {
   const revision = await cluster.publishTexts([declarationText(connections)]);
   recorder.configurationAccepted(revision);
   return revision;
 }
 
-/** An operator with a connection of its own to the store. */
+/** Creates an operator with its own connection to the store. */
 function createOperator(
   cluster: Cluster,
   name: string,
@@ -107,7 +109,7 @@
 
 test('operators who race with lost answers: each accepted publish is applied once, in one order', async (context) => {
   const { cluster, recorder } = context;
-  // A relay's claim may fail many times while answers are lost, and then nobody watches the store.
+  // While responses are lost, a relay's claim may fail repeatedly; no node then watches the store.
   await relaysKnown(context);
   await cluster.store.setFaults({ loseAnswerProbability: 0.4, seed: LOST_ANSWERS_SEED });
   const accepted = new Map<string, number>();
@@ -167,7 +169,7 @@
 
 test('relays that are paused hold up nobody else and come back to the newest', async (context) => {
   const { cluster, recorder } = context;
-  // Relays that nobody heard from before they fell silent: see silent-from-start.test.ts.
+  // silent-from-start.test.ts covers relays that become silent before any node heard from them.
   await allHeard(cluster, NODES);
   await relaysKnown(context);
   const { relays } = recorder;
@@ -183,7 +185,7 @@
     second = await publish(context, 3002);
     await inForce(cluster, second, others);
   } finally {
-    // Also after a failure: the tests that follow need all of them.
+    // The next tests need all proxies running, also if this test fails.
     for (const relay of relays) {
       cluster.proxy(relay).resume();
       recorder.proxyStarted(relay);
--- a/test/integration/cluster/configuration.test.ts
+++ b/test/integration/cluster/configuration.test.ts
@@ -1,4 +1,4 @@
-/** Published changes bite on every proxy, also on sessions that are open. */
+/** Published changes take effect on every proxy, also for open sessions. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { type Cluster, tenantYaml } from '../../../bench/harness/cluster.js';
@@ -32,7 +32,7 @@
       });
     }
   });
-  // However the limit is shared out, a fleet that may hold one connection holds at most one here.
+  // However a limit of one is shared among the proxies, this proxy may hold at most one.
   await cluster.publishTexts([tenantYaml({ ...tenant, parameters: '  connections: 1' })]);
   await ended;
   const survivors = await Promise.all(
@@ -45,7 +45,7 @@
   );
   assert.is(survivors.filter((survived) => survived).length, 1);
   await Promise.all(callers.map((caller) => caller.client.end()));
-  // Until then a share may still be lowered, and a caller of the next test would be ended with it.
+  // Otherwise a proxy's share could still be lowered, which would end a caller of the next test.
   await inForce(cluster, await cluster.publishTexts([tenantYaml(tenant)]));
 });
 
--- a/test/integration/cluster/silent-from-start.test.ts
+++ b/test/integration/cluster/silent-from-start.test.ts
@@ -1,6 +1,6 @@
 /**
- * Proxies that the machine list names but that fell silent before any other heard from them: no
- * probe can find them dead, and yet they must not keep the places that they would have when alive.
+ * Proxies that are in the machine list but became silent before any other proxy heard from them. No
+ * probe can find them dead, but they must not keep the relay slots that they would hold if alive.
  */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -12,7 +12,7 @@
 const ZONE = 'a';
 const PUBLISHED_CONNECTIONS = 700;
 
-/** The two that all nodes would have relay if all were alive. */
+/** The two nodes that every node would select as relays if all were alive. */
 const SILENT = selectRelayCandidates(
   ZONE,
   NODES.map((nodeId) => ({ nodeId, zone: ZONE, host: '', port: 0 })),
--- a/test/integration/configuration-service.test.ts
+++ b/test/integration/configuration-service.test.ts
@@ -17,7 +17,7 @@
   readonly service: ConfigurationService;
   readonly transport: ListeningTransport['transport'];
   readonly client: StoreClient;
-  /** Revisions in the order in which they came into force. */
+  /** Revisions in the order in which this node applied them. */
   readonly revisions: number[];
 }
 
--- a/test/property/configuration-agent.test.ts
+++ b/test/property/configuration-agent.test.ts
@@ -16,7 +16,7 @@
 const SEED = 20_261_202;
 const ZONES = ['a', 'b', 'c'];
 const IN_FORCE_MS = 2000;
-/** By then membership takes a paused node for dead. */
+/** Time after which the membership protocol considers a paused node dead. */
 const SUSPECTED_AFTER_MS = 2000;
 
 function grow(simulation: ConfigurationSimulation, count: number): void {
@@ -45,7 +45,7 @@
   maxLength: 3,
 });
 
-/** The state of the store after each publish, as full lists of entries. */
+/** The complete list of entries in the store after each publish. */
 function historyOf(publishes: readonly (readonly string[])[]): ConfigurationEntry[][] {
   const entries = new Map<string, ConfigurationEntry>();
   return publishes.map((names, index) => {
@@ -117,7 +117,7 @@
   | { readonly type: 'publish'; readonly names: readonly string[] }
   | { readonly type: 'store'; readonly down: boolean }
   | { readonly type: 'restart'; readonly index: number }
-  /** Longer than a relay's lease at times: the holder is paused and unaware. */
+  /** May outlast a relay's lease, so that the holder does not notice that the lease expired. */
   | { readonly type: 'pause'; readonly index: number; readonly ms: number }
   | { readonly type: 'loss'; readonly share: number }
   | { readonly type: 'pass'; readonly ms: number };
@@ -231,7 +231,7 @@
   );
 });
 
-/** Publishes, and fails for a node that has not got it within the time that callers are promised. */
+/** Publishes, and fails if a node has not applied the publish within `CONFIGURATION_GRACE_MS`. */
 function publishInTime(simulation: ConfigurationSimulation, name: string): void {
   simulation.publish(name);
   simulation.runUntil(simulation.now + CONFIGURATION_GRACE_MS);
--- a/test/property/publisher.test.ts
+++ b/test/property/publisher.test.ts
@@ -23,7 +23,7 @@
   return new Publisher({ store, random, wait, ...(attempts === undefined ? {} : { attempts }) });
 }
 
-/** Lets other promises go first, a number of times. */
+/** Yields to other pending promises `count` times. */
 async function turns(count: number): Promise<void> {
   for (let turn = 0; turn < count; turn += 1) await Promise.resolve();
 }
@@ -112,7 +112,7 @@
   const changes = putsOf(tenantYaml(operator.tenant, operator.connections));
   const request = requestOf(`operator-${index}`, changes, basis.value);
   const first = await publisher.publish(request);
-  // An operator who was told that the outcome is unknown, or the store down, tries again.
+  // An operator retries once if the outcome is unknown or the store is down.
   const last = first.isErr() ? await publisher.publish(request) : first;
   return last.match(
     ({ changed }) => (changed ? 'changed' : 'unchanged'),
@@ -126,7 +126,7 @@
   else assert.is(times, outcome === 'changed' ? 1 : 0, `${publishId}: ${outcome}`);
 }
 
-/** The versions of each name in the store's order are 1, 2, 3, … */
+/** Asserts that the versions of each name, in the order of the store, are 1, 2, 3, … */
 function assertLinear(store: MemoryStore): void {
   for (const name of ['a', 'b'] as const) {
     const prefix = `meadowstack/configuration/history/tenant/${name}/`;
--- a/test/support/declarations.ts
+++ b/test/support/declarations.ts
@@ -1,10 +1,10 @@
-/** Declarations that several tests use. */
+/** Declarations used by several tests. */
 import {
   type LocatedDeclaration,
   parseDeclarations,
 } from '../../src/core/configuration/declaration.js';
 
-/** A verifier of the right form; of no password. */
+/** A verifier in the right format that matches no password. */
 export const VERIFIER = `SCRAM-SHA-256$4096:${'A'.repeat(22)}==$${'B'.repeat(43)}=:${'C'.repeat(43)}=`;
 
 export const TEMPLATE_YAML = `kind: Template
@@ -27,7 +27,7 @@
     lookup: { stalenessBoundMs: { parameter: staleness } }
 `;
 
-/** A tenant of that template. */
+/** A tenant that uses `TEMPLATE_YAML`. */
 export function tenantYaml(name: string, connections = 20, user = name): string {
   return `kind: Tenant
 name: ${name}
@@ -40,7 +40,7 @@
 `;
 }
 
-/** Parses YAML that is known to be right. */
+/** Parses valid declarations. */
 export function declared(...texts: readonly string[]): readonly LocatedDeclaration[] {
   const files = texts.map((text, index) => ({ source: `file${index + 1}.yaml`, text }));
   return parseDeclarations(files)._unsafeUnwrap();
