--- a/src/core/configuration/backoff.ts
+++ b/src/core/configuration/backoff.ts
@@ -1,7 +1,7 @@
 /** Exponential backoff with jitter, so that many nodes don't retry at the same moment. */
 import type { Milliseconds } from '../units.js';
 
-/** Returns a random number in [0, 1). */
+/** Returns a random number in [0, 1); the caller seeds it. */
 export type RandomSource = () => number;
 
 /** Bounds of the delays. */
