--- a/src/core/promotion/duty-store.ts
+++ b/src/core/promotion/duty-store.ts
@@ -34,7 +34,7 @@
   primaryKeyOf,
   suspicionPrefixOf,
 } from './records.js';
-import { isTrouble, type PromotionRuntime } from './runtime.js';
+import { isStoreCallError, type PromotionRuntime } from './runtime.js';
 import type { StoreView } from './store-view.js';
 
 /** A service's record or note to be written; both are replaced as they are known now. */
@@ -131,7 +131,7 @@
     const record = this.primaries.recordOf(service);
     if (record?.phase !== 'changing') return [];
     const told: InstanceEntry[] = [];
-    for (const entry of this.duty.under(acknowledgementPrefixOf(service))) {
+    for (const entry of this.duty.entriesUnder(acknowledgementPrefixOf(service))) {
       const acknowledged = decodeRecord(entry, parseAcknowledgementRecord);
       if (acknowledged?.change === record.change) told.push(...(acknowledged.unlisted ?? []));
     }
@@ -140,13 +140,13 @@
 
   /** Nodes whose lease has not run out. */
   liveNodes(): number {
-    return [...this.duty.under(NODE_PREFIX)].length;
+    return [...this.duty.entriesUnder(NODE_PREFIX)].length;
   }
 
   /** The live nodes that others can reach. */
   reachableNodes(): ReachableNode[] {
     const reachable: ReachableNode[] = [];
-    for (const entry of this.duty.under(NODE_PREFIX)) {
+    for (const entry of this.duty.entriesUnder(NODE_PREFIX)) {
       const nodeId = nodeOfNodeKey(entry.key);
       const peer = decodeRecord(entry, parseNodeRecord)?.peer;
       if (nodeId !== undefined && peer !== undefined) reachable.push({ nodeId, ...peer });
@@ -157,7 +157,7 @@
   /** The live nodes that may read the store for others, where they answer questions for their directory. */
   possibleReaders(): ReaderCandidate[] {
     const nodes: ReaderCandidate[] = [];
-    for (const entry of this.duty.under(NODE_PREFIX)) {
+    for (const entry of this.duty.entriesUnder(NODE_PREFIX)) {
       const nodeId = nodeOfNodeKey(entry.key);
       const { peer, directoryAt, linkMbps = 0 } = decodeRecord(entry, parseNodeRecord) ?? {};
       if (nodeId === undefined || peer === undefined || directoryAt === undefined) continue;
@@ -173,7 +173,7 @@
   /** Nodes that suspect this primary. */
   suspicionsOf(service: string, instance: string): number {
     let count = 0;
-    for (const entry of this.duty.under(suspicionPrefixOf(service))) {
+    for (const entry of this.duty.entriesUnder(suspicionPrefixOf(service))) {
       if (decodeRecord(entry, parseSuspicionRecord)?.instance === instance) count += 1;
     }
     return count;
@@ -187,7 +187,7 @@
     const begunAt = Math.max(this.primaries.recordRevisionOf(service), this.election.token ?? 0);
     if (this.duty.revision < begunAt) return undefined;
     const inUse: string[] = [];
-    for (const entry of this.duty.under(NODE_PREFIX)) {
+    for (const entry of this.duty.entriesUnder(NODE_PREFIX)) {
       const node = nodeOfNodeKey(entry.key);
       if (node !== undefined && !this.#hasAcknowledged(service, record, node)) inUse.push(node);
     }
@@ -197,7 +197,7 @@
   /** End of the old primary's log, as the nodes that demoted it tell. */
   endOf(service: string, { change }: PrimaryRecord): Position | undefined {
     let latest: Position | undefined;
-    for (const entry of this.duty.under(acknowledgementPrefixOf(service))) {
+    for (const entry of this.duty.entriesUnder(acknowledgementPrefixOf(service))) {
       const record = decodeRecord(entry, parseAcknowledgementRecord);
       if (record?.change !== change || record.end === undefined) continue;
       latest = latest === undefined ? record.end : laterPosition(latest, record.end);
@@ -229,9 +229,9 @@
       { key: noteKey, modRevision: this.duty.get(noteKey)?.modRevision ?? 0 },
     ];
     this.runtime.transaction(compares, operations, (answer) => {
-      const succeeded = !isTrouble(answer) && answer.succeeded;
+      const succeeded = !isStoreCallError(answer) && answer.succeeded;
       if (succeeded) {
-        for (const { view, key, value } of puts) view.noteOwnPut(key, value, answer.revision);
+        for (const { view, key, value } of puts) view.recordOwnPut(key, value, answer.revision);
       }
       onDone(succeeded);
     });
--- a/src/core/promotion/election.ts
+++ b/src/core/promotion/election.ts
@@ -6,7 +6,7 @@
 import type { NodeLease } from './lease.js';
 import type { Participation } from './participation.js';
 import { decodeRecord, LEADER_KEY, type LeaderRecord, parseLeaderRecord } from './records.js';
-import { isTrouble, type PromotionRuntime } from './runtime.js';
+import { isStoreCallError, type PromotionRuntime } from './runtime.js';
 import type { StoreView } from './store-view.js';
 
 export class Election {
@@ -93,7 +93,7 @@
     this.runtime.transaction(compares, [{ type: 'delete', key: LEADER_KEY }], (answer) => {
       this.#removing = undefined;
       onDone();
-      if (!isTrouble(answer)) return;
+      if (!isStoreCallError(answer)) return;
       this.runtime.after(this.runtime.timings.storeRetryDelayMs, () => {
         if (this.records.get(LEADER_KEY)?.modRevision === modRevision) this.#remove(modRevision);
       });
@@ -161,8 +161,8 @@
     const value = JSON.stringify(record);
     const put = { type: 'put', key: LEADER_KEY, value, leaseId } as const;
     this.runtime.transaction([{ key: LEADER_KEY, modRevision: 0 }], [put], (answer) => {
-      if (!isTrouble(answer) && answer.succeeded && leaseId === this.lease.leaseId) {
-        this.records.noteOwnPut(LEADER_KEY, value, answer.revision);
+      if (!isStoreCallError(answer) && answer.succeeded && leaseId === this.lease.leaseId) {
+        this.records.recordOwnPut(LEADER_KEY, value, answer.revision);
       }
       if (this.records.get(LEADER_KEY) === undefined) this.#planLater();
     });
--- a/src/core/promotion/leader.ts
+++ b/src/core/promotion/leader.ts
@@ -11,7 +11,7 @@
 import { LEADER_WATCH_PREFIX } from './records.js';
 import type { PromotionRuntime } from './runtime.js';
 import { Scope } from './scope.js';
-import { ServiceDuty } from './service-duty.js';
+import { ServiceLeader } from './service-leader.js';
 import { StoreView } from './store-view.js';
 
 /** The fleet is published at most this often. */
@@ -32,7 +32,7 @@
   readonly #fleet: FleetPublisher;
   #scope: Scope;
   #services = new Map<string, ServiceDescription>();
-  #duties = new Map<string, ServiceDuty>();
+  #duties = new Map<string, ServiceLeader>();
   #isLeading = false;
   #publishing = false;
   #looking = false;
@@ -69,11 +69,11 @@
   }
 
   noteAlive(service: string, instance: string): void {
-    this.#duties.get(service)?.noteAlive(instance);
+    this.#duties.get(service)?.recordAlive(instance);
   }
 
   noteFailing(service: string, instance: string): void {
-    this.#duties.get(service)?.noteFailing(instance);
+    this.#duties.get(service)?.recordFailing(instance);
   }
 
   /** This node has taken or lost the lead. */
@@ -119,7 +119,7 @@
     this.#duty.stop();
   }
 
-  #createDuty(service: string): ServiceDuty {
+  #createDuty(service: string): ServiceLeader {
     const context = {
       runtime: this.runtime,
       election: this.election,
@@ -127,7 +127,7 @@
       store: this.#store,
       syncReplicasOf: (name: string) => this.#services.get(name)?.syncReplicas ?? 1,
     };
-    return new ServiceDuty(context, this.lease, service);
+    return new ServiceLeader(context, this.lease, service);
   }
 
   /** That a fleet counts as small again is a matter of time. */
--- a/src/core/promotion/lease.ts
+++ b/src/core/promotion/lease.ts
@@ -5,7 +5,7 @@
 import { MILLISECONDS_PER_SECOND, type Milliseconds } from '../units.js';
 import { LEADER_KEY } from './records.js';
 import { RetryPause } from './retry-pause.js';
-import { isTrouble, type PromotionRuntime, type StoreTrouble } from './runtime.js';
+import { isStoreCallError, type PromotionRuntime, type StoreCallError } from './runtime.js';
 
 /** A node without a lease can't vouch for any primary, so it must notice soon that the store is back. */
 const BACKOFF_MAXIMUM_MS = 500;
@@ -53,9 +53,9 @@
     const sentAt = this.runtime.now;
     this.runtime.grantLease(leaseSeconds, (answer) => {
       if (this.#stopped) return;
-      if (isTrouble(answer)) {
+      if (isStoreCallError(answer)) {
         this.#noteTrouble();
-        this.#pause.begin(this.#backoff(answer), () => this.#stopped || this.start());
+        this.#pause.schedule(this.#backoff(answer), () => this.#stopped || this.start());
         return;
       }
       this.#failures = 0;
@@ -68,7 +68,7 @@
 
   /** The store answers again: a grant that waits to be asked for once more is asked for now. */
   retryNow(): void {
-    this.#pause.end();
+    this.#pause.runNow();
   }
 
   /** The store came back from a copy: it may lack the lease, or its last renewals. */
@@ -110,14 +110,14 @@
       this.#noteTrouble();
       this.#renew();
     });
-    this.runtime.keepLease(leaseId, (answer) => {
+    this.runtime.renewLease(leaseId, (answer) => {
       if (this.#stopped || leaseId !== this.#leaseId) return;
       this.#silences = 0;
       if (answer === true) {
         this.#failures = 0;
         this.#validUntil = Math.max(this.#validUntil, this.#endOf(sentAt));
         this.#renewAfter(Math.max(0, leaseRenewPeriodMs - (this.runtime.now - sentAt)));
-      } else if (answer.leaseOver) {
+      } else if (answer.isLeaseGone) {
         this.#replace();
       } else {
         this.#noteTrouble();
@@ -137,7 +137,7 @@
     });
     const cancel = this.#cancelNext;
     this.runtime.range(LEADER_KEY, (answer) => {
-      if (this.#stopped || isTrouble(answer) || this.#silences === 0) return;
+      if (this.#stopped || isStoreCallError(answer) || this.#silences === 0) return;
       cancel();
       this.#silences = 0;
       this.#renewAfter(0);
@@ -156,7 +156,7 @@
     this.#troubleAt = this.runtime.now;
   }
 
-  #backoff({ retryAfterMs }: StoreTrouble): Milliseconds {
+  #backoff({ retryAfterMs }: StoreCallError): Milliseconds {
     const bound = this.runtime.timings.storeRetryDelayMs * 2 ** this.#failures;
     this.#failures += 1;
     return Math.max(retryAfterMs, this.runtime.jittered(Math.min(BACKOFF_MAXIMUM_MS, bound)));
--- a/src/core/promotion/lost-records.ts
+++ b/src/core/promotion/lost-records.ts
@@ -15,7 +15,7 @@
   parsePrimaryRecord,
   serviceOfPrimaryKey,
 } from './records.js';
-import { isTrouble, type PromotionRuntime } from './runtime.js';
+import { isStoreCallError, type PromotionRuntime } from './runtime.js';
 
 /** All nodes know what is lost: most of them hear that another has written it again. */
 const WRITE_AGAIN_SPREAD_MS: Milliseconds = 300;
@@ -25,7 +25,7 @@
   /** Revision at which the store has a key now, as far as is known; 0 for none. */
   storedRevisionOf(key: string): number;
   /** Takes an entry that the store has now. */
-  take(entry: KeyValue): void;
+  setEntry(entry: KeyValue): void;
 }
 
 /** Records that the store has lost, as they were known, until they are written again. */
@@ -47,12 +47,12 @@
   }
 
   /** A later change of the key is known. */
-  forget(key: string): void {
+  remove(key: string): void {
     this.#records.delete(key);
   }
 
   /** The store came back with this entry of a key, or with none. */
-  noteReturn(known: KeyValue, stored: KeyValue | undefined): void {
+  addIfLost(known: KeyValue, stored: KeyValue | undefined): void {
     if (this.runtime.isDisabled('lost-records')) return;
     const value = this.#heldValue(this.#records.get(known.key) ?? known, stored);
     if (value === undefined) return;
@@ -63,7 +63,7 @@
   /**
    * What holds of a key though the store has this entry, with the store's revision. Undefined if the entry itself holds.
    */
-  heldOver(stored: KeyValue): KeyValue | undefined {
+  findOverride(stored: KeyValue): KeyValue | undefined {
     const known = this.#records.get(stored.key);
     if (known === undefined) return undefined;
     const value = this.#heldValue(known, stored);
@@ -101,13 +101,13 @@
   #write({ key, value }: KeyValue): void {
     const compares = [{ key, modRevision: this.host.storedRevisionOf(key) }];
     this.runtime.transaction(compares, [{ type: 'put', key, value }], (answer) => {
-      if (isTrouble(answer) || !this.#records.has(key)) return;
+      if (isStoreCallError(answer) || !this.#records.has(key)) return;
       const [stored] = answer.current;
       if (answer.succeeded) {
         this.runtime.log('warn', 'record written again after a return of the store', { key });
         this.#records.delete(key);
-        this.host.take({ key, value, createRevision: 0, modRevision: answer.revision });
-      } else if (stored !== undefined) this.host.take(this.heldOver(stored) ?? stored);
+        this.host.setEntry({ key, value, createRevision: 0, modRevision: answer.revision });
+      } else if (stored !== undefined) this.host.setEntry(this.findOverride(stored) ?? stored);
     });
   }
 }
--- a/src/core/promotion/machine.ts
+++ b/src/core/promotion/machine.ts
@@ -41,7 +41,7 @@
 const NO_KEYS: ReadonlySet<string> = new Set();
 const NO_READERS: readonly ReachableNode[] = [];
 
-export class PromotionMachine {
+export class PromotionStateMachine {
   readonly #runtime: PromotionRuntime;
   readonly #lease: NodeLease;
   readonly #records: StoreView;
@@ -114,15 +114,15 @@
   }
 
   /** Members that there may be and that can't be asked: they count as silent. Undefined while nothing can be proven. */
-  unseenMembersOf(service: string): string[] | undefined {
+  membersWithoutAddress(service: string): string[] | undefined {
     if (!this.#mayRelyOnRecords(this.#runtime.now)) return undefined;
-    return this.#primaries.unseenMembers(service);
+    return this.#primaries.membersWithoutAddress(service);
   }
 
   /** Whether this node would know who joined lately: by the store, or by a peer that has read the records. */
   areMembersCurrent(service: string, now: Milliseconds): boolean {
     if (this.#runtime.isDisabled('current-members') || this.#lease.isValid(now)) return true;
-    return now - this.#primaries.toldAt(service) <= TOLD_MAX_AGE_MS;
+    return now - this.#primaries.membersReportedAt(service) <= TOLD_MAX_AGE_MS;
   }
 
   /** What this process reads may be older than what was acted on, and it remembers nothing. */
@@ -156,8 +156,8 @@
   }
 
   /** Whether another life of this instance has its id now. */
-  isBornAgain(instance: InstanceEntry): boolean {
-    return this.#primaries.isBornAgain(instance);
+  hasNewIncarnation(instance: InstanceEntry): boolean {
+    return this.#primaries.hasNewIncarnation(instance);
   }
 
   /** The nodes that keep the tenants' quotas, as the leader named them last. */
@@ -176,8 +176,8 @@
   }
 
   /** True if a success of the primary needs no telling: nothing depends on it. */
-  isSuccessIdle(service: string): boolean {
-    return this.#election.token === undefined && this.#suspicions.isWell(service);
+  canIgnoreSuccess(service: string): boolean {
+    return this.#election.token === undefined && this.#suspicions.isHealthy(service);
   }
 
   /** Revision up to which the records are known; 0 if they are not. */
@@ -206,23 +206,23 @@
       case 'tick':
         return;
       case 'answer':
-        this.#runtime.answer(event.request, event.answer);
+        this.#runtime.handleAnswer(event.request, event.answer);
         return;
       case 'watch-events':
-        this.#records.watchEvents(event.watch, event.events, event.revision);
-        this.#leader.duty.watchEvents(event.watch, event.events, event.revision);
+        this.#records.handleWatchEvents(event.watch, event.events, event.revision);
+        this.#leader.duty.handleWatchEvents(event.watch, event.events, event.revision);
         return;
       case 'watch-ended':
-        this.#records.watchEnded(event.watch);
-        this.#leader.duty.watchEnded(event.watch);
+        this.#records.handleWatchEnded(event.watch);
+        this.#leader.duty.handleWatchEnded(event.watch);
         return;
       case 'instances-changed':
-        this.#primaries.noteInstances(event.entries, this.#runtime.now);
+        this.#primaries.updateInstances(event.entries, this.#runtime.now);
         this.#tellChanges();
         this.#leader.update();
         return;
       case 'members-told':
-        this.#primaries.noteMembersTold(event.entries, this.#runtime.now);
+        this.#primaries.setReportedMembers(event.entries, this.#runtime.now);
         return;
       case 'services-changed':
         this.#services = event.services.map(({ name }) => name);
@@ -236,7 +236,7 @@
         this.#noteSuccess(event.service, event.use);
         return;
       case 'use-ended':
-        this.#participation.noteUseEnded(event.service, event.change);
+        this.#participation.handleUseEnded(event.service, event.change);
         return;
       case 'store-returned':
         this.#lease.retryNow();
@@ -270,14 +270,14 @@
     this.#runtime.era.note(era, now, wasPermitted);
     if (this.#runtime.isDisabled('era-registration')) return;
     this.#lease.noteEra();
-    this.#participation.noteEra();
-    this.#suspicions.noteEra();
+    this.#participation.handleEraChange();
+    this.#suspicions.handleEraChange();
   }
 
   #noteFailure({ service, use, silentForMs }: PrimaryFailedEvent): void {
     const instance = this.#primaries.primaryIdOf(service);
     if (instance === undefined) return;
-    this.#suspicions.noteFailure(service, instance, use, silentForMs);
+    this.#suspicions.recordFailure(service, instance, use, silentForMs);
     this.#leader.noteFailing(service, instance);
     // The news that it is being replaced may be held up on the way.
     if (this.#suspicions.suspectOf(service) === undefined) return;
@@ -289,7 +289,7 @@
   #noteSuccess(service: string, use: PrimaryUse): void {
     const instance = this.#primaries.primaryIdOf(service);
     if (instance === undefined) return;
-    this.#suspicions.noteSuccess(service, instance, use);
+    this.#suspicions.recordSuccess(service, instance, use);
     this.#leader.noteAlive(service, instance);
   }
 
@@ -299,12 +299,12 @@
     this.#tellChanges();
     for (const key of keys) {
       const service = serviceOfMembersKey(key);
-      if (service !== undefined) this.#primaries.noteMembersRecord(service, this.#runtime.now);
+      if (service !== undefined) this.#primaries.applyMembersRecord(service, this.#runtime.now);
     }
-    for (const entry of this.#records.under(RECORD_PREFIX)) {
+    for (const entry of this.#records.entriesUnder(RECORD_PREFIX)) {
       const service = serviceOfPrimaryKey(entry.key);
       if (service === undefined) continue;
-      this.#participation.noteRecord(service, this.#primaries.recordOf(service));
+      this.#participation.handleRecord(service, this.#primaries.recordOf(service));
     }
     this.#election.update();
     this.#leader.update();
@@ -315,7 +315,7 @@
       const id = this.#primaries.primaryIdOf(service);
       if (this.#told.has(service) && this.#told.get(service) === id) continue;
       this.#told.set(service, id);
-      this.#suspicions.notePrimary(service, id);
+      this.#suspicions.setPrimary(service, id);
       this.#runtime.emit({ type: 'primary-changed', service });
     }
   }
--- a/src/core/promotion/members.ts
+++ b/src/core/promotion/members.ts
@@ -52,7 +52,9 @@
     // The log of one that is gone goes to its successor at the same address, unless that is the instance itself born again.
     const gone = this.#noted()
       .filter((member) => !this.primaries.isPresent(member.id))
-      .filter((member) => this.primaries.isBornAgain(member) || !addresses.has(addressOf(member)));
+      .filter(
+        (member) => this.primaries.hasNewIncarnation(member) || !addresses.has(addressOf(member)),
+      );
     return [...present, ...gone];
   }
 
@@ -118,7 +120,7 @@
     this.update();
     this.#watchDeparted();
     const gone = this.current().filter(({ id }) => {
-      const goneForMs = this.primaries.goneForMs(id, this.runtime.now);
+      const goneForMs = this.primaries.missingForMs(id, this.runtime.now);
       return goneForMs !== undefined && goneForMs >= GONE_BEFORE_CHECK_MS;
     });
     for (const known of [this.#endAfterDeath, this.#heardAt]) {
@@ -156,7 +158,7 @@
       this.#lookForReplicaWith(end, member, primaryId);
       return;
     }
-    if (this.primaries.isBornAgain(member)) {
+    if (this.primaries.hasNewIncarnation(member)) {
       this.#noteEndOf(member, primaryId);
       return;
     }
@@ -173,7 +175,7 @@
   /** One that answered meanwhile is alive, and this leader knows of no silence before its own first question. */
   #silentForMs(id: string): Milliseconds {
     const { now } = this.runtime;
-    const goneForMs = this.primaries.goneForMs(id, now) ?? 0;
+    const goneForMs = this.primaries.missingForMs(id, now) ?? 0;
     const heardAt = this.#heardAt.get(id) ?? Number.NEGATIVE_INFINITY;
     return Math.min(goneForMs, now - Math.max(this.#begunAt, heardAt));
   }
@@ -209,7 +211,7 @@
     const member = note.members.filter((one) => one.id === id);
     const departed = [...member, ...note.departed.filter((one) => one.id !== id)];
     if (!this.runtime.isDisabled('forgotten-members')) {
-      for (const one of member) this.primaries.noteDeparted(one, this.runtime.now);
+      for (const one of member) this.primaries.addDeparted(one, this.runtime.now);
     }
     const left = members.map((one) => one.id);
     this.runtime.log('info', 'member forgotten', { service: this.service, member: id, left });
--- a/src/core/promotion/monitor.ts
+++ b/src/core/promotion/monitor.ts
@@ -44,7 +44,7 @@
     private readonly runtime: PromotionRuntime,
     private readonly primaries: Pick<
       Primaries,
-      'goneForMs' | 'instance' | 'isPresent' | 'primaryIdOf'
+      'missingForMs' | 'instance' | 'isPresent' | 'primaryIdOf'
     >,
     private readonly store: Pick<DutyStore, 'liveNodes' | 'suspicionsOf'>,
     readonly service: string,
@@ -68,7 +68,7 @@
   }
 
   /** This node got an answer of the primary. */
-  noteAlive(instance: string): void {
+  recordAlive(instance: string): void {
     if (instance !== this.#primaryId) return;
     this.#aliveAt = this.runtime.now;
     this.#silences = 0;
@@ -76,14 +76,14 @@
   }
 
   /** A request of this node failed there: that is looked into at once. */
-  noteFailing(instance: string): void {
+  recordFailing(instance: string): void {
     if (instance !== this.#primaryId || this.#isProbing || this.#hasMissed) return;
     this.#aliveAt = Number.NEGATIVE_INFINITY;
     this.#probeIfNeeded();
   }
 
   /** Suspicions are let rest for a while after a change. */
-  noteChanged(): void {
+  startSuspicionCooldown(): void {
     this.#restUntil = this.runtime.now + this.runtime.timings.suspicionCooldownMs;
   }
 
@@ -99,7 +99,7 @@
     if (this.#silences >= MISSES_UNTIL_DEAD || this.#refusals >= MISSES_UNTIL_DEAD) return 'dead';
     const isPresent = this.primaries.isPresent(id);
     if (isPresent && this.primaries.instance(id)?.draining) return 'draining';
-    const goneForMs = this.primaries.goneForMs(id, this.runtime.now);
+    const goneForMs = this.primaries.missingForMs(id, this.runtime.now);
     if (goneForMs !== undefined && goneForMs >= this.runtime.timings.missingEntryReplaceAfterMs) {
       return 'entry-gone';
     }
--- a/src/core/promotion/participation.ts
+++ b/src/core/promotion/participation.ts
@@ -18,7 +18,7 @@
   parseAcknowledgementRecord,
   parseNodeRecord,
 } from './records.js';
-import { isTrouble, type PromotionRuntime } from './runtime.js';
+import { isStoreCallError, type PromotionRuntime } from './runtime.js';
 import type { StoreView } from './store-view.js';
 
 /** How far a node has got with its acknowledgement of a change. */
@@ -69,7 +69,7 @@
   }
 
   /** The store came back from a copy, which may lack the registration and what was acknowledged. */
-  noteEra(): void {
+  handleEraChange(): void {
     const { leaseId } = this.lease;
     this.#registeredLease = undefined;
     for (const state of this.#acknowledgements.values()) state.cancel();
@@ -85,7 +85,7 @@
   }
 
   /** The record of a service as it is now. */
-  noteRecord(service: string, record: PrimaryRecord | undefined): void {
+  handleRecord(service: string, record: PrimaryRecord | undefined): void {
     const state = this.#acknowledgements.get(service);
     const { leaseId } = this.lease;
     if (record?.phase !== 'changing') {
@@ -100,7 +100,7 @@
   }
 
   /** The data path has nothing on its way to the old primary any more. */
-  noteUseEnded(service: string, change: number): void {
+  handleUseEnded(service: string, change: number): void {
     const state = this.#acknowledgements.get(service);
     if (state?.change !== change || state.step !== 'ending-use') return;
     state.cancel();
@@ -115,7 +115,7 @@
     const compares = [{ key, modRevision: knownRevision }];
     this.runtime.transaction(compares, [put], (answer) => {
       if (this.#stopped || leaseId !== this.lease.leaseId) return;
-      if (isTrouble(answer)) {
+      if (isStoreCallError(answer)) {
         const again = (): void => this.#register(leaseId, knownRevision);
         this.runtime.after(this.#retryDelay(answer.retryAfterMs), () => {
           if (!this.#stopped && leaseId === this.lease.leaseId) again();
@@ -135,7 +135,7 @@
     this.#registeredLease = leaseId;
     this.#registeredRevision = revision;
     if (!this.records.isRunning) this.records.start();
-    else if (this.records.revision < revision) this.records.readAnew();
+    else if (this.records.revision < revision) this.records.readNow();
     this.onRegistered();
   }
 
@@ -167,7 +167,7 @@
     const put = { type: 'put', key, value, leaseId } as const;
     this.runtime.transaction([{ key, modRevision: knownRevision }], [put], (answer) => {
       if (this.#acknowledgements.get(service) !== state) return;
-      if (isTrouble(answer)) {
+      if (isStoreCallError(answer)) {
         const again = (): void => this.#write(service, state, knownRevision);
         state.cancel = this.runtime.after(this.#retryDelay(answer.retryAfterMs), again);
         return;
--- a/src/core/promotion/peer-publisher.ts
+++ b/src/core/promotion/peer-publisher.ts
@@ -58,7 +58,7 @@
 
   /** In one order whoever leads, so that the same ones have a place. */
   #registered(): PeerAddress[] {
-    return [...this.duty.under(NODE_PREFIX)]
+    return [...this.duty.entriesUnder(NODE_PREFIX)]
       .map((entry) => decodeRecord(entry, parseNodeRecord)?.directoryAt)
       .filter((address) => address !== undefined)
       .sort((left, right) => (keyOf(left) < keyOf(right) ? -1 : 1))
--- a/src/core/promotion/preflight.ts
+++ b/src/core/promotion/preflight.ts
@@ -22,9 +22,9 @@
   /** It can't be carried through now. */
   | {
       readonly type: 'wait';
-      readonly heardAny: boolean;
+      readonly anyResponded: boolean;
       /** What each member said, by id. */
-      readonly said: Readonly<Record<string, string>>;
+      readonly responses: Readonly<Record<string, string>>;
     }
   /** The primary that was taken for dead answers. */
   | { readonly type: 'alive' }
@@ -34,7 +34,7 @@
 type Answer = InstanceStatus | ControlFailure;
 
 /** Asks every member once, and tells whether the change may begin. */
-export function preflight(
+export function runPreflight(
   runtime: PromotionRuntime,
   scope: Scope,
   options: PreflightOptions,
@@ -84,7 +84,11 @@
     const planned = fromAnswers && (reason === 'draining' || reason === 'entry-gone');
     return { type: 'go', planned, term };
   }
-  return { type: 'wait', heardAny: fromAnswers || answering.length > 0, said: saidBy(answers) };
+  return {
+    type: 'wait',
+    anyResponded: fromAnswers || answering.length > 0,
+    responses: saidBy(answers),
+  };
 }
 
 /**
--- a/src/core/promotion/primaries.ts
+++ b/src/core/promotion/primaries.ts
@@ -27,7 +27,7 @@
 interface KnownInstance {
   readonly entry: InstanceEntry;
   /** Since when the store has no entry of it. */
-  readonly goneAt: Milliseconds | undefined;
+  readonly missingSince: Milliseconds | undefined;
 }
 
 /** Entries that are gone are remembered so long, for calls that concern a change. */
@@ -49,18 +49,18 @@
     private readonly troubleAt: () => Milliseconds,
   ) {}
 
-  noteInstances(entries: readonly InstanceEntry[], now: Milliseconds): void {
-    this.#unlisted.noteInstances(entries, now);
+  updateInstances(entries: readonly InstanceEntry[], now: Milliseconds): void {
+    this.#unlisted.updateInstances(entries, now);
     this.#noteEntries(entries, now);
   }
 
   #noteEntries(entries: readonly InstanceEntry[], now: Milliseconds): void {
     this.#claims.clear();
     const present = new Set(entries.map(({ id }) => id));
-    for (const entry of entries) this.#instances.set(entry.id, { entry, goneAt: undefined });
-    for (const [id, { entry, goneAt }] of this.#instances) {
+    for (const entry of entries) this.#instances.set(entry.id, { entry, missingSince: undefined });
+    for (const [id, { entry, missingSince: goneAt }] of this.#instances) {
       if (present.has(id)) continue;
-      if (goneAt === undefined) this.#instances.set(id, { entry, goneAt: now });
+      if (goneAt === undefined) this.#instances.set(id, { entry, missingSince: now });
       else if (now - goneAt > REMEMBERED_MS) this.#instances.delete(id);
     }
   }
@@ -71,7 +71,7 @@
   }
 
   /** Whether the store has an entry of another life of this instance: the one that is meant is over, with its log. */
-  isBornAgain(instance: InstanceEntry): boolean {
+  hasNewIncarnation(instance: InstanceEntry): boolean {
     if (instance.lifeOf === undefined || this.isPresent(instance.id)) return false;
     return this.present(instance.service).some((other) => isOtherIncarnation(instance, other));
   }
@@ -79,7 +79,9 @@
   /** Entries of a service that the store has now. */
   present(service: string): InstanceEntry[] {
     return [...this.#instances.values()]
-      .filter(({ entry, goneAt }) => entry.service === service && goneAt === undefined)
+      .filter(
+        ({ entry, missingSince: goneAt }) => entry.service === service && goneAt === undefined,
+      )
       .map(({ entry }) => entry);
   }
 
@@ -105,7 +107,7 @@
    * Ids of members that the records tell of and whose address is not known; undefined while neither the records nor a
    * peer has told who else there may be.
    */
-  unseenMembers(service: string): string[] | undefined {
+  membersWithoutAddress(service: string): string[] | undefined {
     const isTold = this.#toldAt.has(service);
     if (!isTold && this.#membersRecordOf(service) === undefined) return undefined;
     const counted = this.countedMembers(service);
@@ -115,27 +117,27 @@
   }
 
   /** A peer that knows the records told these members, those too that were gone before this node began. */
-  noteMembersTold(entries: readonly InstanceEntry[], now: Milliseconds): void {
+  setReportedMembers(entries: readonly InstanceEntry[], now: Milliseconds): void {
     this.#noteEntries(entries, now);
     for (const { service } of entries) this.#toldAt.set(service, now);
   }
 
   /** When a peer that has read the records last told the members. */
-  toldAt(service: string): Milliseconds {
+  membersReportedAt(service: string): Milliseconds {
     return this.#toldAt.get(service) ?? Number.NEGATIVE_INFINITY;
   }
 
   /** The leader's word on the members of a service has changed. */
-  noteMembersRecord(service: string, now: Milliseconds): void {
+  applyMembersRecord(service: string, now: Milliseconds): void {
     const record = this.#membersRecordOf(service);
     if (record === undefined) return;
-    this.#unlisted.noteRecord(service, record);
-    for (const entry of record.departed) this.noteDeparted(entry, now);
+    this.#unlisted.applyRecord(service, record);
+    for (const entry of record.departed) this.addDeparted(entry, now);
   }
 
   /** Counts one that has no entry for as long as if this node had seen it go. */
-  noteDeparted(entry: InstanceEntry, now: Milliseconds): void {
-    if (!this.#instances.has(entry.id)) this.#instances.set(entry.id, { entry, goneAt: now });
+  addDeparted(entry: InstanceEntry, now: Milliseconds): void {
+    if (!this.#instances.has(entry.id)) this.#instances.set(entry.id, { entry, missingSince: now });
   }
 
   /** Members that this node has seen, that have no entry now, and that no record has named. */
@@ -149,15 +151,15 @@
 
   isPresent(id: string): boolean {
     const known = this.#instances.get(id);
-    return known !== undefined && known.goneAt === undefined;
+    return known !== undefined && known.missingSince === undefined;
   }
 
   /** How long the entry has been gone while the store was well; undefined while it is there. */
-  goneForMs(id: string, now: Milliseconds): Milliseconds | undefined {
+  missingForMs(id: string, now: Milliseconds): Milliseconds | undefined {
     const known = this.#instances.get(id);
     if (known === undefined) return Number.POSITIVE_INFINITY;
-    if (known.goneAt === undefined) return undefined;
-    return now - Math.max(known.goneAt, this.troubleAt());
+    if (known.missingSince === undefined) return undefined;
+    return now - Math.max(known.missingSince, this.troubleAt());
   }
 
   /** Asked for with every request: each entry is decoded once. */
@@ -188,7 +190,7 @@
   primaryOf(service: string, now: Milliseconds): InstanceEntry | undefined {
     const id = this.primaryIdOf(service);
     if (id === undefined) return undefined;
-    const goneForMs = this.goneForMs(id, now);
+    const goneForMs = this.missingForMs(id, now);
     if (goneForMs !== undefined && goneForMs >= this.timings.missingEntryUsableMs) return undefined;
     return this.instance(id);
   }
@@ -202,7 +204,7 @@
     const claims = [...this.#instances.values()].filter(
       ({ entry }) => entry.service === service && entry.role === 'primary',
     );
-    const present = claims.filter(({ goneAt }) => goneAt === undefined);
+    const present = claims.filter(({ missingSince: goneAt }) => goneAt === undefined);
     const counted = present.length > 0 ? present : claims;
     return counted.length === 1 ? counted[0]?.entry.id : undefined;
   }
--- a/src/core/promotion/retry-pause.ts
+++ b/src/core/promotion/retry-pause.ts
@@ -9,7 +9,7 @@
   constructor(private readonly runtime: Pick<PromotionRuntime, 'after'>) {}
 
   /** Does this after a while, or once the pause is ended. */
-  begin(delayMs: Milliseconds, action: () => void): void {
+  schedule(delayMs: Milliseconds, action: () => void): void {
     const act = (): void => {
       cancel();
       this.#end = undefined;
@@ -20,7 +20,7 @@
   }
 
   /** What waits is done now. */
-  end(): void {
+  runNow(): void {
     this.#end?.();
   }
 }
--- a/src/core/promotion/runtime.ts
+++ b/src/core/promotion/runtime.ts
@@ -24,12 +24,12 @@
 import type { PromotionOptions } from './options.js';
 
 /** A call to the store failed, or no answer came in time: then it may have been done. */
-export interface StoreTrouble {
-  readonly leaseOver: boolean;
+export interface StoreCallError {
+  readonly isLeaseGone: boolean;
   readonly retryAfterMs: Milliseconds;
 }
 
-const NO_ANSWER: StoreTrouble = { leaseOver: false, retryAfterMs: 0 };
+const NO_ANSWER: StoreCallError = { isLeaseGone: false, retryAfterMs: 0 };
 
 interface PendingRequest {
   /** Called with undefined if no answer came in time. */
@@ -86,7 +86,7 @@
     return boundMs / 2 + (boundMs / 2) * this.options.random();
   }
 
-  answer(request: number, answer: RequestAnswer): void {
+  handleAnswer(request: number, answer: RequestAnswer): void {
     const pending = this.#pending.get(request);
     if (pending === undefined) return;
     this.#pending.delete(request);
@@ -94,7 +94,7 @@
     pending.onAnswer(answer);
   }
 
-  range(prefix: string, onAnswer: (answer: RangeResponse | StoreTrouble) => void): void {
+  range(prefix: string, onAnswer: (answer: RangeResponse | StoreCallError) => void): void {
     this.#ask({ type: 'range', prefix }, this.timings.storeTimeoutMs, (answer) =>
       onAnswer(answer?.type === 'range' ? answer.range : troubleOf(answer)),
     );
@@ -103,7 +103,7 @@
   transaction(
     compares: readonly RevisionCompare[],
     operations: readonly TransactionOperation[],
-    onAnswer: (answer: TransactionResponse | StoreTrouble) => void,
+    onAnswer: (answer: TransactionResponse | StoreCallError) => void,
   ): void {
     const request = { type: 'transaction', compares, operations } as const;
     this.#ask(request, this.timings.storeTimeoutMs, (answer) =>
@@ -111,14 +111,14 @@
     );
   }
 
-  grantLease(seconds: number, onAnswer: (leaseId: string | StoreTrouble) => void): void {
+  grantLease(seconds: number, onAnswer: (leaseId: string | StoreCallError) => void): void {
     this.#ask({ type: 'grant-lease', seconds }, this.timings.storeTimeoutMs, (answer) =>
       onAnswer(answer?.type === 'lease' ? answer.leaseId : troubleOf(answer)),
     );
   }
 
   /** A late answer counts as well: the lease ran on from the call's arrival. */
-  keepLease(leaseId: string, onAnswer: (kept: true | StoreTrouble) => void): void {
+  renewLease(leaseId: string, onAnswer: (kept: true | StoreCallError) => void): void {
     this.#ask({ type: 'keep-lease', leaseId }, undefined, (answer) =>
       onAnswer(answer?.type === 'done' ? true : troubleOf(answer)),
     );
@@ -173,11 +173,11 @@
 }
 
 /** Tells trouble from an answer. */
-export function isTrouble(answer: unknown): answer is StoreTrouble {
-  return typeof answer === 'object' && answer !== null && 'leaseOver' in answer;
+export function isStoreCallError(answer: unknown): answer is StoreCallError {
+  return typeof answer === 'object' && answer !== null && 'isLeaseGone' in answer;
 }
 
-function troubleOf(answer: RequestAnswer | undefined): StoreTrouble {
+function troubleOf(answer: RequestAnswer | undefined): StoreCallError {
   if (answer?.type !== 'store-failed') return NO_ANSWER;
-  return { leaseOver: answer.isLeaseGone, retryAfterMs: answer.retryAfterMs ?? 0 };
+  return { isLeaseGone: answer.isLeaseGone, retryAfterMs: answer.retryAfterMs ?? 0 };
 }
--- a/src/core/promotion/service-duty.ts
+++ b/src/core/promotion/service-leader.ts
@@ -7,7 +7,7 @@
 import type { NodeLease } from './lease.js';
 import { GroupMembers } from './members.js';
 import { type ChangeReason, PrimaryMonitor } from './monitor.js';
-import { type PreflightResult, preflight } from './preflight.js';
+import { type PreflightResult, runPreflight } from './preflight.js';
 import { addressOfInstance, type ServingRecord } from './records.js';
 import { Scope } from './scope.js';
 
@@ -19,7 +19,7 @@
 
 type PreflightOf<Type extends PreflightResult['type']> = Extract<PreflightResult, { type: Type }>;
 
-export class ServiceDuty {
+export class ServiceLeader {
   readonly #scope: Scope;
   readonly #monitor: PrimaryMonitor;
   readonly #members: GroupMembers;
@@ -45,7 +45,7 @@
     this.#scope = new Scope(runtime);
     this.#members = new GroupMembers(runtime, primaries, store, service);
     const watched = {
-      goneForMs: (id: string, now: Milliseconds) => primaries.goneForMs(id, now),
+      missingForMs: (id: string, now: Milliseconds) => primaries.missingForMs(id, now),
       instance: (id: string) => primaries.instance(id),
       isPresent: (id: string) => primaries.isPresent(id),
       primaryIdOf: (name: string) => store.primaryIdOf(name),
@@ -73,12 +73,12 @@
     this.#aftercare?.stop();
   }
 
-  noteAlive(instance: string): void {
-    this.#monitor.noteAlive(instance);
+  recordAlive(instance: string): void {
+    this.#monitor.recordAlive(instance);
   }
 
-  noteFailing(instance: string): void {
-    if (this.#change === undefined) this.#monitor.noteFailing(instance);
+  recordFailing(instance: string): void {
+    if (this.#change === undefined) this.#monitor.recordFailing(instance);
   }
 
   /** Records, notes, acknowledgements or instances may have changed. */
@@ -118,7 +118,7 @@
     const { tookMs } = change;
     runtime.log('info', 'primary changed', { service: this.service, ...record, tookMs });
     this.#endChange();
-    this.#monitor.noteChanged();
+    this.#monitor.startSuspicionCooldown();
     if (record.instance === change.record.from) {
       this.#nextLookAt = runtime.now + REST_AFTER_RETURN_MS;
     }
@@ -164,7 +164,7 @@
       syncReplicas: this.context.syncReplicasOf(this.service),
       isPresent: (id: string) => primaries.isPresent(id),
     };
-    preflight(runtime, this.#scope, options, (result) => {
+    runPreflight(runtime, this.#scope, options, (result) => {
       this.#looking = false;
       this.#noteLook(from, reason, result);
     });
@@ -182,10 +182,10 @@
 
   #noteLook(from: InstanceEntry, reason: ChangeReason, result: PreflightResult): void {
     const { runtime, primaries, store, election } = this.context;
-    if (result.type === 'alive') this.#monitor.noteAlive(from.id);
+    if (result.type === 'alive') this.#monitor.recordAlive(from.id);
     if (result.type === 'wait') {
-      this.#logObstacle({ service: this.service, from: from.id, reason, said: result.said });
-      this.#noteDeafness(result.heardAny);
+      this.#logObstacle({ service: this.service, from: from.id, reason, said: result.responses });
+      this.#noteDeafness(result.anyResponded);
     } else this.#deafLooks = 0;
     const isStillPrimary = store.primaryIdOf(this.service) === from.id;
     if (result.type === 'succeeded' && isStillPrimary && election.mayAct()) {
--- a/src/core/promotion/store-view.ts
+++ b/src/core/promotion/store-view.ts
@@ -7,7 +7,7 @@
 import { keyOf } from '../directory/watch-history.js';
 import { LostRecords } from './lost-records.js';
 import { RetryPause } from './retry-pause.js';
-import { isTrouble, type PromotionRuntime } from './runtime.js';
+import { isStoreCallError, type PromotionRuntime } from './runtime.js';
 
 const BACKOFF_MAXIMUM_MS = 1000;
 
@@ -39,7 +39,7 @@
     this.#pause = new RetryPause(runtime);
     this.#lost = new LostRecords(runtime, {
       storedRevisionOf: (key) => this.#storedRevisionOf(key),
-      take: (entry) => this.#takeStored(entry),
+      setEntry: (entry) => this.#takeStored(entry),
     });
   }
 
@@ -60,7 +60,7 @@
     return this.#entries.get(key);
   }
 
-  *under(prefix: string): Iterable<KeyValue> {
+  *entriesUnder(prefix: string): Iterable<KeyValue> {
     for (const entry of this.#entries.values()) if (entry.key.startsWith(prefix)) yield entry;
   }
 
@@ -72,7 +72,7 @@
 
   /** The store answers again: what waits to be tried once more is tried now. */
   retryNow(): void {
-    this.#pause.end();
+    this.#pause.runNow();
   }
 
   /** Ends the watch and forgets everything. */
@@ -93,7 +93,7 @@
   }
 
   /** The same, when the store is known to answer: a read that is on its way may have been lost. */
-  readAnew(): void {
+  readNow(): void {
     if (this.#running) this.#ask();
   }
 
@@ -105,7 +105,7 @@
       const isLatest = read === this.#reads;
       if (isLatest) this.#reading = false;
       if (!this.#running) return;
-      if (isTrouble(answer)) {
+      if (isStoreCallError(answer)) {
         if (isLatest) this.#later(() => this.read(), answer.retryAfterMs);
         return;
       }
@@ -116,7 +116,7 @@
     });
   }
 
-  watchEvents(watch: number, events: readonly WatchEvent[], revision: number): void {
+  handleWatchEvents(watch: number, events: readonly WatchEvent[], revision: number): void {
     if (watch !== this.#watch) return;
     const changed = new Set<string>();
     for (const event of events) if (this.#apply(event)) changed.add(keyOf(event));
@@ -125,18 +125,18 @@
     if (changed.size > 0) this.onChange(changed);
   }
 
-  watchEnded(watch: number): void {
+  handleWatchEnded(watch: number): void {
     if (watch !== this.#watch) return;
     this.#watch = undefined;
     this.#later(() => this.read(), 0);
   }
 
   /** A change of this node's own that the store has acknowledged; the watch will tell it too. */
-  noteOwnPut(key: string, value: string, modRevision: number): void {
+  recordOwnPut(key: string, value: string, modRevision: number): void {
     if (!this.#running || modRevision <= this.#revision) return;
     const known = this.#entries.get(key);
     if (known !== undefined && known.modRevision >= modRevision) return;
-    this.#lost.forget(key);
+    this.#lost.remove(key);
     const createRevision = known?.createRevision ?? modRevision;
     this.#entries.set(key, { key, value, createRevision, modRevision });
     this.onChange(new Set([key]));
@@ -148,7 +148,7 @@
     const present = new Map(entries.map((entry) => [entry.key, entry]));
     const isReturn = this.#revision > 0 && !isInSameEra(this.#revision, revision);
     if (isReturn) {
-      for (const [key, known] of this.#entries) this.#lost.noteReturn(known, present.get(key));
+      for (const [key, known] of this.#entries) this.#lost.addIfLost(known, present.get(key));
     }
     for (const [key, { modRevision }] of this.#entries) {
       if (present.has(key) || modRevision > revision || this.#lost.has(key)) continue;
@@ -156,7 +156,7 @@
       changed.add(key);
     }
     for (const entry of entries) {
-      const held = this.#lost.heldOver(entry);
+      const held = this.#lost.findOverride(entry);
       if (held !== undefined) {
         this.#entries.set(entry.key, held);
         continue;
@@ -179,7 +179,7 @@
     const known = this.#entries.get(key);
     if (known !== undefined && known.modRevision >= modRevision) return false;
     if (event.type === 'delete') return this.#entries.delete(key);
-    const held = this.#lost.heldOver(event.entry);
+    const held = this.#lost.findOverride(event.entry);
     this.#entries.set(key, held ?? event.entry);
     return held === undefined;
   }
@@ -215,6 +215,6 @@
       this.runtime.timings.storeRetryDelayMs * 2 ** this.#failures,
     );
     this.#failures += 1;
-    this.#pause.begin(Math.max(atLeastMs, this.runtime.jittered(bound)), action);
+    this.#pause.schedule(Math.max(atLeastMs, this.runtime.jittered(bound)), action);
   }
 }
--- a/src/core/promotion/suspicion.ts
+++ b/src/core/promotion/suspicion.ts
@@ -6,7 +6,7 @@
 import type { PrimaryUse } from './contract.js';
 import type { NodeLease } from './lease.js';
 import { type SuspicionRecord, suspicionKeyOf } from './records.js';
-import { isTrouble, type PromotionRuntime } from './runtime.js';
+import { isStoreCallError, type PromotionRuntime } from './runtime.js';
 
 /** Failures are told by at least so many requests. */
 const MINIMUM_FAILURES = 2;
@@ -39,7 +39,12 @@
   ) {}
 
   /** A request failed; nothing that was asked of the primary has been answered for `silentForMs`. */
-  noteFailure(service: string, instance: string, use: PrimaryUse, silentForMs: Milliseconds): void {
+  recordFailure(
+    service: string,
+    instance: string,
+    use: PrimaryUse,
+    silentForMs: Milliseconds,
+  ): void {
     const { now, timings } = this.runtime;
     const health = this.#healthOf(service, instance);
     const failing = health.failingSince.get(use);
@@ -53,7 +58,7 @@
     this.#update(service);
   }
 
-  noteSuccess(service: string, instance: string, use: PrimaryUse): void {
+  recordSuccess(service: string, instance: string, use: PrimaryUse): void {
     const health = this.#health.get(service);
     if (health === undefined || health.instance !== instance) return;
     // A commit also shows that the instance can be reached; a read does not show that commits work.
@@ -65,12 +70,12 @@
   }
 
   /** No request failed since the last success. */
-  isWell(service: string): boolean {
+  isHealthy(service: string): boolean {
     return !this.#health.has(service);
   }
 
   /** The primary of the service may have changed. */
-  notePrimary(service: string, instance: string | undefined): void {
+  setPrimary(service: string, instance: string | undefined): void {
     const health = this.#health.get(service);
     if (health === undefined || health.instance === instance) return;
     this.#health.delete(service);
@@ -116,7 +121,7 @@
   }
 
   /** The store came back from a copy, which may lack what was written, or hold what was taken back. */
-  noteEra(): void {
+  handleEraChange(): void {
     for (const [service, written] of this.#written) {
       written.instance = UNKNOWN_INSTANCE;
       written.revision = 0;
@@ -160,7 +165,7 @@
     const compares = [{ key, modRevision: written.revision }];
     this.runtime.transaction(compares, [operation], (answer) => {
       written.writing = false;
-      if (isTrouble(answer)) {
+      if (isStoreCallError(answer)) {
         // Nothing was told yet: the pause between tellings has no say.
         const { storeRetryDelayMs } = this.runtime.timings;
         const delayMs = Math.max(answer.retryAfterMs, this.runtime.jittered(storeRetryDelayMs));
--- a/src/core/promotion/unlisted-members.ts
+++ b/src/core/promotion/unlisted-members.ts
@@ -22,7 +22,7 @@
   readonly #sightings = new Map<string, Sighting>();
 
   /** All entries that the store has now. */
-  noteInstances(entries: readonly InstanceEntry[], now: Milliseconds): void {
+  updateInstances(entries: readonly InstanceEntry[], now: Milliseconds): void {
     const present = new Set(entries.map(({ id }) => id));
     for (const entry of entries) this.#notePresent(entry, now);
     for (const [id, sighting] of this.#sightings) {
@@ -32,7 +32,7 @@
     }
   }
 
-  noteRecord(service: string, { members, departed }: MembersRecord): void {
+  applyRecord(service: string, { members, departed }: MembersRecord): void {
     const listed = new Set(members.map(({ id }) => id));
     this.#listed.set(service, listed);
     for (const id of listed) this.#noteListed(id);
--- a/src/direct/promotion/service.ts
+++ b/src/direct/promotion/service.ts
@@ -10,7 +10,7 @@
   PromotionEvent,
   PromotionRequest,
 } from '../../core/promotion/contract.js';
-import { PromotionMachine } from '../../core/promotion/machine.js';
+import { PromotionStateMachine } from '../../core/promotion/machine.js';
 import { DEFAULT_PROMOTION_TIMINGS, type PromotionTimings } from '../../core/promotion/options.js';
 import type { PeerLocation } from '../../core/promotion/records.js';
 import type { QuotaKeepers } from '../../core/tenancy/quota-keepers.js';
@@ -64,7 +64,7 @@
 
 export class PromotionService implements PrimaryView {
   onChange: (service: string) => void = () => {};
-  readonly #machine: PromotionMachine;
+  readonly #machine: PromotionStateMachine;
   readonly #runner: RequestRunner;
   readonly #confirmation: TermConfirmation;
   readonly #now: () => Milliseconds;
@@ -80,7 +80,7 @@
 
   constructor(private readonly options: PromotionServiceOptions) {
     const { nodeName, incarnation, store, promotion } = options;
-    const isOver = (instance: InstanceEntry): boolean => this.#machine.isBornAgain(instance);
+    const isOver = (instance: InstanceEntry): boolean => this.#machine.hasNewIncarnation(instance);
     const control = rejectReplacedIncarnations(options.control, isOver);
     const asking =
       options.status &&
@@ -89,7 +89,7 @@
     const minimumSeconds = Math.ceil(options.minimumLeaseMs / MILLISECONDS_PER_SECOND);
     const leaseSeconds = Math.max(timings.leaseSeconds, minimumSeconds);
     this.#now = options.now ?? (() => performance.now());
-    this.#machine = new PromotionMachine({
+    this.#machine = new PromotionStateMachine({
       nodeName,
       incarnation,
       directoryAt: options.directoryAt,
@@ -110,7 +110,7 @@
       classifyFailure,
       onHeld: (primary, term) => this.#demote(control, primary, term, timings.controlTimeoutMs),
       membersOf: (service) => this.#machine.membersOf(service),
-      unseenMembersOf: (service) => this.#machine.unseenMembersOf(service),
+      unseenMembersOf: (service) => this.#machine.membersWithoutAddress(service),
       areMembersCurrent: (service) => this.#machine.areMembersCurrent(service, this.#now()),
       syncReplicasOf: (service) => this.#syncReplicas.get(service) ?? 0,
       now: this.#now,
@@ -244,7 +244,7 @@
   }
 
   reportPrimarySuccess(service: string, _now: Milliseconds, use: PrimaryUse = 'reach'): void {
-    if (this.#machine.isSuccessIdle(service)) return;
+    if (this.#machine.canIgnoreSuccess(service)) return;
     this.#handle({ type: 'primary-succeeded', service, use });
   }
 
--- a/test/support/promotion-feed.ts
+++ b/test/support/promotion-feed.ts
@@ -4,7 +4,7 @@
   PromotionRequest,
   RequestAnswer,
 } from '../../src/core/promotion/contract.js';
-import type { PromotionMachine } from '../../src/core/promotion/machine.js';
+import type { PromotionStateMachine } from '../../src/core/promotion/machine.js';
 
 /** What a request is answered at once; one without an answer stays open. */
 export type AnswerTo = (request: PromotionRequest) => RequestAnswer | undefined;
@@ -14,7 +14,7 @@
  * old primary ends as soon as that is asked of it.
  */
 export function feed(
-  machine: PromotionMachine,
+  machine: PromotionStateMachine,
   events: readonly PromotionEvent[],
   now: number,
   answerTo: AnswerTo,
--- a/test/support/promotion/node.ts
+++ b/test/support/promotion/node.ts
@@ -19,7 +19,7 @@
   type RoundAnswer,
   type TrustedUse,
 } from '../../../src/core/promotion/evidence.js';
-import { PromotionMachine } from '../../../src/core/promotion/machine.js';
+import { PromotionStateMachine } from '../../../src/core/promotion/machine.js';
 import { DEFAULT_PROMOTION_TIMINGS } from '../../../src/core/promotion/options.js';
 import type { SimulatedGroup } from './group.js';
 import type { SimulatedNetwork } from './network.js';
@@ -50,7 +50,7 @@
 }
 
 export class SimulatedNode {
-  machine: PromotionMachine | undefined;
+  machine: PromotionStateMachine | undefined;
   frozenUntil = 0;
   readonly log: string[] = [];
   writesAcknowledged = 0;
@@ -91,7 +91,7 @@
     this.#inbox = [];
     this.#writes.clear();
     this.frozenUntil = 0;
-    this.machine = new PromotionMachine({
+    this.machine = new PromotionStateMachine({
       nodeName: this.name,
       incarnation: `${this.name}-${this.#life}`,
       timings: DEFAULT_PROMOTION_TIMINGS,
@@ -376,7 +376,7 @@
     const life = this.#life;
     const members = this.machine?.membersOf(service) ?? [];
     // As with the members: who is known by the end of the round was not asked.
-    const unseen = this.machine?.unseenMembersOf(service);
+    const unseen = this.machine?.membersWithoutAddress(service);
     if (unseen === undefined) return;
     const answers = new Map<string, RoundAnswer>();
     let isFinished = false;
--- a/test/unit/lives.test.ts
+++ b/test/unit/lives.test.ts
@@ -45,15 +45,15 @@
 test('a life is over once the store has an entry of another one, and only then', () => {
   const never = () => Number.NEGATIVE_INFINITY;
   const primaries = new Primaries({} as StoreView, DEFAULT_PROMOTION_TIMINGS, never);
-  primaries.noteInstances([FIRST], 0);
-  assert.not(primaries.isBornAgain(FIRST));
-  primaries.noteInstances([], 10);
-  assert.not(primaries.isBornAgain(FIRST), 'its entry may have lapsed');
-  primaries.noteInstances([SECOND], 20);
-  assert.ok(primaries.isBornAgain(FIRST));
-  assert.not(primaries.isBornAgain(SECOND));
+  primaries.updateInstances([FIRST], 0);
+  assert.not(primaries.hasNewIncarnation(FIRST));
+  primaries.updateInstances([], 10);
+  assert.not(primaries.hasNewIncarnation(FIRST), 'its entry may have lapsed');
+  primaries.updateInstances([SECOND], 20);
+  assert.ok(primaries.hasNewIncarnation(FIRST));
+  assert.not(primaries.hasNewIncarnation(SECOND));
   const { lifeOf: _, ...untold } = FIRST;
-  assert.not(primaries.isBornAgain({ ...untold, id: 'i-1' }));
+  assert.not(primaries.hasNewIncarnation({ ...untold, id: 'i-1' }));
 });
 
 test('records and peers carry lives', () => {
--- a/test/unit/preflight.test.ts
+++ b/test/unit/preflight.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { ControlFailure } from '../../src/core/promotion/contract.js';
-import { type PreflightResult, preflight } from '../../src/core/promotion/preflight.js';
+import { type PreflightResult, runPreflight } from '../../src/core/promotion/preflight.js';
 import type { PromotionRuntime } from '../../src/core/promotion/runtime.js';
 import type { Scope } from '../../src/core/promotion/scope.js';
 import type { InstanceEntry, InstanceStatus } from '../../src/direct/contract.js';
@@ -45,7 +45,7 @@
     ...{ from: FROM, others: [HEIR, REPLICA, LOST], reason: 'dead' as const, syncReplicas: 1 },
     isPresent: (id: string) => id !== FROM.id && id !== LOST.id,
   };
-  preflight(runtime, scope, options, (told) => {
+  runPreflight(runtime, scope, options, (told) => {
     result = told;
   });
   return result;
@@ -76,8 +76,8 @@
 
 test('what each member said is told where too few answer', () => {
   const result = lookAt({ heir: 'refused', replica: status('replica', 9n) });
-  const said = { old: 'silent', heir: 'refused', replica: 'replica', 'lost-one': 'silent' };
-  assert.equal(result, { type: 'wait', heardAny: true, said });
+  const responses = { old: 'silent', heir: 'refused', replica: 'replica', 'lost-one': 'silent' };
+  assert.equal(result, { type: 'wait', anyResponded: true, responses });
 });
 
 test.run();
--- a/test/unit/promotion-connections.test.ts
+++ b/test/unit/promotion-connections.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { PromotionRequest, RequestAnswer } from '../../src/core/promotion/contract.js';
-import { PromotionMachine } from '../../src/core/promotion/machine.js';
+import { PromotionStateMachine } from '../../src/core/promotion/machine.js';
 import { DEFAULT_PROMOTION_TIMINGS } from '../../src/core/promotion/options.js';
 import {
   LEADER_KEY,
@@ -49,7 +49,7 @@
 
 /** What a node asks for until it has acknowledged the change. */
 function requestsOf(mayConnect: boolean): PromotionRequest[] {
-  const machine = new PromotionMachine({
+  const machine = new PromotionStateMachine({
     ...{ nodeName: 'node', incarnation: 'i', timings: DEFAULT_PROMOTION_TIMINGS },
     ...{ random: () => 0.5, mayConnect: () => mayConnect },
   });
--- a/test/unit/promotion-monitor.test.ts
+++ b/test/unit/promotion-monitor.test.ts
@@ -25,7 +25,7 @@
       primaryIdOf: () => 'a',
       instance: () => this.#entry(),
       isPresent: () => true,
-      goneForMs: () => undefined,
+      missingForMs: () => undefined,
     },
     { liveNodes: () => 3, suspicionsOf: () => 0 },
     'group',
@@ -37,7 +37,7 @@
     const until = this.runtime.now + durationMs;
     while (this.runtime.now < until) {
       this.runtime.now += STEP_MS;
-      if (isAnswering) this.monitor.noteAlive('a');
+      if (isAnswering) this.monitor.recordAlive('a');
       this.runtime.agenda.run(this.runtime.now);
       this.#answerProbes();
     }
@@ -70,7 +70,7 @@
         busySlots: 0,
         connections: 1,
       };
-      this.runtime.answer(effect.id, { type: 'status', status });
+      this.runtime.handleAnswer(effect.id, { type: 'status', status });
     }
   }
 }
--- a/test/unit/promotion-start.test.ts
+++ b/test/unit/promotion-start.test.ts
@@ -6,7 +6,7 @@
   PromotionRequest,
   RequestAnswer,
 } from '../../src/core/promotion/contract.js';
-import { PromotionMachine } from '../../src/core/promotion/machine.js';
+import { PromotionStateMachine } from '../../src/core/promotion/machine.js';
 import { DEFAULT_PROMOTION_TIMINGS } from '../../src/core/promotion/options.js';
 import { type PrimaryRecord, primaryKeyOf } from '../../src/core/promotion/records.js';
 import type { InstanceEntry } from '../../src/direct/contract.js';
@@ -46,7 +46,7 @@
 
 /** A machine and what it asked for; requests of the types that the store answers are answered at once. */
 function startWith(answered: readonly AnsweredRequest[]) {
-  const machine = new PromotionMachine({
+  const machine = new PromotionStateMachine({
     ...{ nodeName: 'node', incarnation: 'i', timings: DEFAULT_PROMOTION_TIMINGS },
     random: () => 0.5,
   });
--- a/test/unit/store-return.test.ts
+++ b/test/unit/store-return.test.ts
@@ -4,7 +4,7 @@
 import * as assert from 'uvu/assert';
 import { StoreReturn } from '../../src/core/directory/store-return.js';
 import type { PromotionEvent, RequestAnswer } from '../../src/core/promotion/contract.js';
-import { PromotionMachine } from '../../src/core/promotion/machine.js';
+import { PromotionStateMachine } from '../../src/core/promotion/machine.js';
 import { DEFAULT_PROMOTION_TIMINGS } from '../../src/core/promotion/options.js';
 import { PrefixReader } from '../../src/direct/prefix-reader.js';
 import type { Store } from '../../src/platform/contract.js';
@@ -30,7 +30,7 @@
 });
 
 test('a lease and records that were refused are asked for at once when the store answers again', () => {
-  const machine = new PromotionMachine({
+  const machine = new PromotionStateMachine({
     ...{ nodeName: 'node', incarnation: 'i', timings: DEFAULT_PROMOTION_TIMINGS },
     random: () => 0.5,
   });
--- a/test/unit/unlisted-members.test.ts
+++ b/test/unit/unlisted-members.test.ts
@@ -21,34 +21,34 @@
 
 test('one that came and went before a record named it counts, until one does', () => {
   const unlisted = new UnlistedMembers();
-  unlisted.noteRecord(SERVICE, { members: [entry('first')], departed: [] });
-  unlisted.noteInstances([entry('first'), entry('late')], 0);
+  unlisted.applyRecord(SERVICE, { members: [entry('first')], departed: [] });
+  unlisted.updateInstances([entry('first'), entry('late')], 0);
   assert.equal(idsOf(unlisted), [], 'while it has an entry');
-  unlisted.noteInstances([], 100);
+  unlisted.updateInstances([], 100);
   assert.equal(idsOf(unlisted), ['late']);
-  unlisted.noteRecord(SERVICE, { members: [entry('first'), entry('late')], departed: [] });
+  unlisted.applyRecord(SERVICE, { members: [entry('first'), entry('late')], departed: [] });
   assert.equal(idsOf(unlisted), []);
 });
 
 test('one that was forgotten counts again only if it is seen again', () => {
   const unlisted = new UnlistedMembers();
   const forgotten = { members: [], departed: [entry('late')] };
-  unlisted.noteInstances([entry('late')], 0);
-  unlisted.noteInstances([], 100);
-  unlisted.noteRecord(SERVICE, forgotten);
+  unlisted.updateInstances([entry('late')], 0);
+  unlisted.updateInstances([], 100);
+  unlisted.applyRecord(SERVICE, forgotten);
   assert.equal(idsOf(unlisted), []);
-  unlisted.noteInstances([entry('late')], 200);
-  unlisted.noteRecord(SERVICE, forgotten);
-  unlisted.noteInstances([], 300);
+  unlisted.updateInstances([entry('late')], 200);
+  unlisted.applyRecord(SERVICE, forgotten);
+  unlisted.updateInstances([], 300);
   assert.equal(idsOf(unlisted), ['late'], 'the record may be older than its return');
 });
 
 test('one whose log has gone to a later instance at its address does not count', () => {
   const unlisted = new UnlistedMembers();
-  unlisted.noteInstances([entry('late', 'place')], 0);
-  unlisted.noteInstances([entry('later', 'place')], 100);
+  unlisted.updateInstances([entry('late', 'place')], 0);
+  unlisted.updateInstances([entry('later', 'place')], 100);
   assert.equal(idsOf(unlisted), []);
-  unlisted.noteInstances([], 200);
+  unlisted.updateInstances([], 200);
   assert.equal(idsOf(unlisted), ['later']);
 });
 
