--- a/src/core/promotion/lost-records.ts
+++ b/src/core/promotion/lost-records.ts
@@ -18,7 +18,7 @@
 import { isStoreCallError, type PromotionRuntime } from './runtime.js';
 
 /** All nodes know what is lost: most of them hear that another has written it again. */
-const WRITE_AGAIN_SPREAD_MS: Milliseconds = 300;
+const REWRITE_MAX_DELAY_MS: Milliseconds = 300;
 
 /** Whoever holds the entries. */
 export interface LostRecordsHost {
@@ -31,7 +31,7 @@
 /** Records that the store has lost, as they were known, until they are written again. */
 export class LostRecords {
   readonly #records = new Map<string, KeyValue>();
-  #isPlanned = false;
+  #isWriteScheduled = false;
 
   constructor(
     private readonly runtime: PromotionRuntime,
@@ -54,10 +54,10 @@
   /** The store came back with this entry of a key, or with none. */
   addIfLost(known: KeyValue, stored: KeyValue | undefined): void {
     if (this.runtime.isDisabled('lost-records')) return;
-    const value = this.#heldValue(this.#records.get(known.key) ?? known, stored);
+    const value = this.#overridingValue(this.#records.get(known.key) ?? known, stored);
     if (value === undefined) return;
     this.#records.set(known.key, { ...known, value });
-    this.#writeLater();
+    this.#scheduleWrites();
   }
 
   /**
@@ -66,7 +66,7 @@
   findOverride(stored: KeyValue): KeyValue | undefined {
     const known = this.#records.get(stored.key);
     if (known === undefined) return undefined;
-    const value = this.#heldValue(known, stored);
+    const value = this.#overridingValue(known, stored);
     if (value === undefined) {
       this.#records.delete(stored.key);
       return undefined;
@@ -76,25 +76,25 @@
   }
 
   /** The value that holds of a key where it is not the store's own; undefined if it is. */
-  #heldValue(known: KeyValue, stored: KeyValue | undefined): string | undefined {
+  #overridingValue(known: KeyValue, stored: KeyValue | undefined): string | undefined {
     if (known.value === stored?.value) return undefined;
     if (serviceOfPrimaryKey(known.key) !== undefined) {
       const isLater = this.runtime.isDisabled('later-term') ? isLaterChange : isLaterRecord;
       const record = decodeRecord(known, parsePrimaryRecord);
       return isLater(record, decodeRecord(stored, parsePrimaryRecord)) ? known.value : undefined;
     }
-    if (isMembersKey(known.key)) return joinedMembers(known, stored);
+    if (isMembersKey(known.key)) return mergeMembers(known, stored);
     // The leader that lives on has written its notes alone.
     return isHandoverKey(known.key) ? known.value : undefined;
   }
 
-  #writeLater(): void {
-    if (this.#records.size === 0 || this.#isPlanned) return;
-    this.#isPlanned = true;
-    this.runtime.after(this.runtime.jittered(WRITE_AGAIN_SPREAD_MS), () => {
-      this.#isPlanned = false;
+  #scheduleWrites(): void {
+    if (this.#records.size === 0 || this.#isWriteScheduled) return;
+    this.#isWriteScheduled = true;
+    this.runtime.after(this.runtime.jittered(REWRITE_MAX_DELAY_MS), () => {
+      this.#isWriteScheduled = false;
       for (const record of this.#records.values()) this.#write(record);
-      this.#writeLater();
+      this.#scheduleWrites();
     });
   }
 
@@ -113,18 +113,19 @@
 }
 
 /** Which of two lists is later can't be told over several returns: a member too many only has to answer once more. */
-function joinedMembers(known: KeyValue, stored: KeyValue | undefined): string | undefined {
-  const listed = decodeRecord(stored, parseMembersRecord);
-  if (listed === undefined) return known.value;
-  const before = decodeRecord(known, parseMembersRecord);
-  const members = joined(listed.members, before?.members ?? []);
-  const departed = joined(listed.departed, before?.departed ?? []);
-  const isWhole =
-    members.length === listed.members.length && departed.length === listed.departed.length;
-  return isWhole ? undefined : JSON.stringify({ members, departed } satisfies MembersRecord);
+function mergeMembers(known: KeyValue, stored: KeyValue | undefined): string | undefined {
+  const storedRecord = decodeRecord(stored, parseMembersRecord);
+  if (storedRecord === undefined) return known.value;
+  const knownRecord = decodeRecord(known, parseMembersRecord);
+  const members = mergeEntries(storedRecord.members, knownRecord?.members ?? []);
+  const departed = mergeEntries(storedRecord.departed, knownRecord?.departed ?? []);
+  const isComplete =
+    members.length === storedRecord.members.length &&
+    departed.length === storedRecord.departed.length;
+  return isComplete ? undefined : JSON.stringify({ members, departed } satisfies MembersRecord);
 }
 
-function joined(
+function mergeEntries(
   listed: readonly InstanceEntry[],
   others: readonly InstanceEntry[],
 ): readonly InstanceEntry[] {
--- a/src/core/promotion/machine.ts
+++ b/src/core/promotion/machine.ts
@@ -34,10 +34,10 @@
 
 type PrimaryFailedEvent = Extract<PromotionEvent, { type: 'primary-failed' }>;
 
-const RELEASE_CHECK_MS = 50;
-const READ_WHEN_SUSPECT_MS = 1000;
+const RELEASE_CHECK_PERIOD_MS = 50;
+const SUSPICION_REREAD_PERIOD_MS = 1000;
 /** What a peer told of the members counts as current for so long: peers are asked more often while the store is away. */
-const TOLD_MAX_AGE_MS: Milliseconds = 2000;
+const REPORTED_MEMBERS_MAX_AGE_MS: Milliseconds = 2000;
 const NO_KEYS: ReadonlySet<string> = new Set();
 const NO_READERS: readonly ReachableNode[] = [];
 
@@ -51,11 +51,11 @@
   readonly #leader: Leader;
   readonly #suspicions: Suspicions;
   /** Primary of each service as it was told last. */
-  readonly #told = new Map<string, string | undefined>();
+  readonly #announced = new Map<string, string | undefined>();
   #services: readonly string[] = [];
   #fleetEntry: KeyValue | undefined;
   #fleetRecord: FleetRecord | undefined;
-  #readAt: Milliseconds = Number.NEGATIVE_INFINITY;
+  #rereadAt: Milliseconds = Number.NEGATIVE_INFINITY;
   #isStopped = false;
 
   constructor(options: PromotionOptions) {
@@ -77,8 +77,8 @@
     this.#leader = new Leader(runtime, this.#election, this.#lease, this.#primaries, this.#records);
     this.#suspicions = new Suspicions(runtime, this.#lease);
     this.#lease.onGranted = (leaseId) => this.#participation.register(leaseId);
-    this.#participation.onRegistered = () => this.#noteRecords(NO_KEYS);
-    this.#records.onChange = (keys) => this.#noteRecords(keys);
+    this.#participation.onRegistered = () => this.#handleRecordChanges(NO_KEYS);
+    this.#records.onChange = (keys) => this.#handleRecordChanges(keys);
     this.#election.onChange = () => this.#leader.noteElection();
   }
 
@@ -90,7 +90,7 @@
   handle(event: PromotionEvent, now: Milliseconds): PromotionEffect[] {
     if (this.#isStopped && event.type !== 'answer' && event.type !== 'tick') return [];
     this.#runtime.now = Math.max(this.#runtime.now, now);
-    this.#take(event);
+    this.#dispatch(event);
     this.#runtime.agenda.run(this.#runtime.now);
     return this.#runtime.takeEffects();
   }
@@ -122,7 +122,7 @@
   /** Whether this node would know who joined lately: by the store, or by a peer that has read the records. */
   areMembersCurrent(service: string, now: Milliseconds): boolean {
     if (this.#runtime.isDisabled('current-members') || this.#lease.isValid(now)) return true;
-    return now - this.#primaries.membersReportedAt(service) <= TOLD_MAX_AGE_MS;
+    return now - this.#primaries.membersReportedAt(service) <= REPORTED_MEMBERS_MAX_AGE_MS;
   }
 
   /** What this process reads may be older than what was acted on, and it remembers nothing. */
@@ -198,7 +198,7 @@
     return this.#fleetRecord;
   }
 
-  #take(event: PromotionEvent): void {
+  #dispatch(event: PromotionEvent): void {
     switch (event.type) {
       case 'start':
         this.#start();
@@ -218,7 +218,7 @@
         return;
       case 'instances-changed':
         this.#primaries.updateInstances(event.entries, this.#runtime.now);
-        this.#tellChanges();
+        this.#announcePrimaryChanges();
         this.#leader.update();
         return;
       case 'members-told':
@@ -226,14 +226,14 @@
         return;
       case 'services-changed':
         this.#services = event.services.map(({ name }) => name);
-        this.#tellChanges();
+        this.#announcePrimaryChanges();
         this.#leader.noteServices(event.services);
         return;
       case 'primary-failed':
-        this.#noteFailure(event);
+        this.#handlePrimaryFailure(event);
         return;
       case 'primary-succeeded':
-        this.#noteSuccess(event.service, event.use);
+        this.#handlePrimarySuccess(event.service, event.use);
         return;
       case 'use-ended':
         this.#participation.handleUseEnded(event.service, event.change);
@@ -243,10 +243,10 @@
         this.#records.retryNow();
         return;
       case 'store-era':
-        this.#noteStoreEra(event.era);
+        this.#handleStoreEra(event.era);
         return;
       case 'release-leadership':
-        this.#release();
+        this.#releaseLeadership();
         return;
       case 'stop':
         this.#stop();
@@ -263,7 +263,7 @@
   }
 
   /** Leases, registrations and what hangs on them may be gone, or back: each is shown or written anew before it counts. */
-  #noteStoreEra(era: number): void {
+  #handleStoreEra(era: number): void {
     const { now } = this.#runtime;
     const wasPermitted =
       this.#participation.isPermitted(now) || this.#runtime.isDisabled('era-coverage');
@@ -274,29 +274,29 @@
     this.#suspicions.handleEraChange();
   }
 
-  #noteFailure({ service, use, silentForMs }: PrimaryFailedEvent): void {
+  #handlePrimaryFailure({ service, use, silentForMs }: PrimaryFailedEvent): void {
     const instance = this.#primaries.primaryIdOf(service);
     if (instance === undefined) return;
     this.#suspicions.recordFailure(service, instance, use, silentForMs);
     this.#leader.noteFailing(service, instance);
     // The news that it is being replaced may be held up on the way.
     if (this.#suspicions.suspectOf(service) === undefined) return;
-    if (this.#runtime.now - this.#readAt < READ_WHEN_SUSPECT_MS) return;
-    this.#readAt = this.#runtime.now;
+    if (this.#runtime.now - this.#rereadAt < SUSPICION_REREAD_PERIOD_MS) return;
+    this.#rereadAt = this.#runtime.now;
     this.#records.read();
   }
 
-  #noteSuccess(service: string, use: PrimaryUse): void {
+  #handlePrimarySuccess(service: string, use: PrimaryUse): void {
     const instance = this.#primaries.primaryIdOf(service);
     if (instance === undefined) return;
     this.#suspicions.recordSuccess(service, instance, use);
     this.#leader.noteAlive(service, instance);
   }
 
-  #noteRecords(keys: ReadonlySet<string>): void {
-    const settled = decodeRecord(this.#records.get(ERA_KEY), parseEraRecord);
-    this.#runtime.era.noteRecorded(settled?.era);
-    this.#tellChanges();
+  #handleRecordChanges(keys: ReadonlySet<string>): void {
+    const settledEra = decodeRecord(this.#records.get(ERA_KEY), parseEraRecord);
+    this.#runtime.era.noteRecorded(settledEra?.era);
+    this.#announcePrimaryChanges();
     for (const key of keys) {
       const service = serviceOfMembersKey(key);
       if (service !== undefined) this.#primaries.applyMembersRecord(service, this.#runtime.now);
@@ -310,21 +310,21 @@
     this.#leader.update();
   }
 
-  #tellChanges(): void {
+  #announcePrimaryChanges(): void {
     for (const service of this.#services) {
       const id = this.#primaries.primaryIdOf(service);
-      if (this.#told.has(service) && this.#told.get(service) === id) continue;
-      this.#told.set(service, id);
+      if (this.#announced.has(service) && this.#announced.get(service) === id) continue;
+      this.#announced.set(service, id);
       this.#suspicions.setPrimary(service, id);
       this.#runtime.emit({ type: 'primary-changed', service });
     }
   }
 
   /** Hands the lead on, once the next holder may call promotions without following too soon. */
-  #release(): void {
+  #releaseLeadership(): void {
     const isLeader = this.#election.token !== undefined;
     if (isLeader && (this.#leader.isCalling || !this.#election.mayHandOn)) {
-      this.#runtime.after(RELEASE_CHECK_MS, () => this.#release());
+      this.#runtime.after(RELEASE_CHECK_PERIOD_MS, () => this.#releaseLeadership());
       return;
     }
     this.#election.stop();
--- a/src/core/promotion/members.ts
+++ b/src/core/promotion/members.ts
@@ -12,18 +12,18 @@
 import type { PromotionRuntime } from './runtime.js';
 import { Scope } from './scope.js';
 
-const CHECK_EVERY_MS = 1000;
-const GONE_BEFORE_CHECK_MS = 1000;
-const DEPARTED_KEPT = 6;
+const CHECK_PERIOD_MS = 1000;
+const CHECK_MISSING_AFTER_MS = 1000;
+const MAX_DEPARTED_MEMBERS = 6;
 
 export class GroupMembers {
   readonly #scope: Scope;
-  #writing = false;
+  #isWriting = false;
   /** End of the primary's log, seen after a member that is gone was found dead. */
-  readonly #endAfterDeath = new Map<string, Position>();
+  readonly #primaryEndAfterDeath = new Map<string, Position>();
   /** When a member that is gone last gave any answer. */
-  readonly #heardAt = new Map<string, Milliseconds>();
-  #begunAt: Milliseconds = Number.POSITIVE_INFINITY;
+  readonly #lastResponseAt = new Map<string, Milliseconds>();
+  #startedAt: Milliseconds = Number.POSITIVE_INFINITY;
 
   constructor(
     private readonly runtime: PromotionRuntime,
@@ -35,10 +35,10 @@
   }
 
   start(): void {
-    this.#begunAt = this.runtime.now;
+    this.#startedAt = this.runtime.now;
     this.update();
-    this.#watchDeparted();
-    this.#scope.after(CHECK_EVERY_MS, () => this.#check());
+    this.#probeDeparted();
+    this.#scope.after(CHECK_PERIOD_MS, () => this.#check());
   }
 
   stop(): void {
@@ -50,20 +50,20 @@
     const present = this.primaries.present(this.service);
     const addresses = new Set(present.map(addressOf));
     // The log of one that is gone goes to its successor at the same address, unless that is the instance itself born again.
-    const gone = this.#noted()
+    const missing = this.#recordedMembers()
       .filter((member) => !this.primaries.isPresent(member.id))
       .filter(
         (member) => this.primaries.hasNewIncarnation(member) || !addresses.has(addressOf(member)),
       );
-    return [...present, ...gone];
+    return [...present, ...missing];
   }
 
-  #noted(): readonly InstanceEntry[] {
+  #recordedMembers(): readonly InstanceEntry[] {
     const { members } = this.store.noteOf(this.service);
     const ids = new Set(members.map(({ id }) => id));
     const others = new Map<string, InstanceEntry>();
-    const beyond = [...this.store.membersBeyondNote(this.service), ...this.#unlisted()];
-    for (const member of beyond) if (!ids.has(member.id)) others.set(member.id, member);
+    const unrecorded = [...this.store.membersBeyondNote(this.service), ...this.#unlisted()];
+    for (const member of unrecorded) if (!ids.has(member.id)) others.set(member.id, member);
     return others.size === 0 ? members : [...members, ...others.values()];
   }
 
@@ -92,7 +92,7 @@
     const members = this.current();
     const note = this.store.noteOf(this.service);
     const primary = this.primaries.primaryIdOf(this.service) ?? note.primary;
-    const isSame = primary === note.primary && sameMembers(members, note.members);
+    const isSame = primary === note.primary && areSameMembers(members, note.members);
     const isPublished = this.store.areMembersPublished(this.service);
     if ((isSame && isPublished) || members.length === 0) return;
     this.#write(members, primary);
@@ -103,12 +103,12 @@
     primary: string | undefined,
     departed?: readonly InstanceEntry[],
   ): void {
-    if (this.#writing) return;
-    this.#writing = true;
+    if (this.#isWriting) return;
+    this.#isWriting = true;
     const known = this.store.noteOf(this.service);
     const note = { ...known, members, primary, departed: departed ?? known.departed };
     const onDone = this.#scope.guard((succeeded: boolean) => {
-      this.#writing = false;
+      this.#isWriting = false;
       const waitMs = succeeded ? 0 : this.runtime.timings.storeRetryDelayMs;
       this.#scope.after(waitMs, () => this.update());
     });
@@ -116,57 +116,58 @@
   }
 
   #check(): void {
-    this.#scope.after(CHECK_EVERY_MS, () => this.#check());
+    this.#scope.after(CHECK_PERIOD_MS, () => this.#check());
     this.update();
-    this.#watchDeparted();
-    const gone = this.current().filter(({ id }) => {
-      const goneForMs = this.primaries.missingForMs(id, this.runtime.now);
-      return goneForMs !== undefined && goneForMs >= GONE_BEFORE_CHECK_MS;
+    this.#probeDeparted();
+    const missing = this.current().filter(({ id }) => {
+      const missingMs = this.primaries.missingForMs(id, this.runtime.now);
+      return missingMs !== undefined && missingMs >= CHECK_MISSING_AFTER_MS;
     });
-    for (const known of [this.#endAfterDeath, this.#heardAt]) {
+    for (const known of [this.#primaryEndAfterDeath, this.#lastResponseAt]) {
       for (const id of known.keys()) {
-        if (!gone.some((member) => member.id === id)) known.delete(id);
+        if (!missing.some((member) => member.id === id)) known.delete(id);
       }
     }
     const primaryId = this.primaries.primaryIdOf(this.service);
     if (primaryId === undefined) return;
-    for (const member of gone) if (member.id !== primaryId) this.#checkGone(member, primaryId);
+    for (const member of missing)
+      if (member.id !== primaryId) this.#checkMissing(member, primaryId);
   }
 
   /** One that was forgotten and answers may count towards commits again, with or without an entry. */
-  #watchDeparted(): void {
+  #probeDeparted(): void {
     if (this.runtime.isDisabled('forgotten-members')) return;
     for (const member of this.departed()) {
       const onAnswer = this.#scope.guard((answer: InstanceStatus | ControlFailure) => {
-        if (answer !== 'refused' && answer !== 'silent') this.#takeBack(member);
+        if (answer !== 'refused' && answer !== 'silent') this.#readmit(member);
       });
       this.runtime.control('status', member, 0, onAnswer);
     }
   }
 
-  #takeBack(member: InstanceEntry): void {
+  #readmit(member: InstanceEntry): void {
     const { members, departed, primary } = this.store.noteOf(this.service);
-    if (this.#writing || members.some(({ id }) => id === member.id)) return;
+    if (this.#isWriting || members.some(({ id }) => id === member.id)) return;
     this.runtime.log('info', 'member is back', { service: this.service, member: member.id });
     const others = departed.filter(({ id }) => id !== member.id);
     this.#write([...members, member], primary, others);
   }
 
-  #checkGone(member: InstanceEntry, primaryId: string): void {
-    const end = this.#endAfterDeath.get(member.id);
+  #checkMissing(member: InstanceEntry, primaryId: string): void {
+    const end = this.#primaryEndAfterDeath.get(member.id);
     if (end !== undefined) {
-      this.#lookForReplicaWith(end, member, primaryId);
+      this.#findReplicaWith(end, member, primaryId);
       return;
     }
     if (this.primaries.hasNewIncarnation(member)) {
-      this.#noteEndOf(member, primaryId);
+      this.#readPrimaryEnd(member, primaryId);
       return;
     }
     const onAnswer = this.#scope.guard((answer: InstanceStatus | ControlFailure) => {
-      if (answer !== 'silent') this.#heardAt.set(member.id, this.runtime.now);
+      if (answer !== 'silent') this.#lastResponseAt.set(member.id, this.runtime.now);
       const silentForMs = this.#silentForMs(member.id);
       if (isMemberDead(answer, silentForMs, this.runtime.timings)) {
-        this.#noteEndOf(member, primaryId);
+        this.#readPrimaryEnd(member, primaryId);
       }
     });
     this.runtime.control('status', member, 0, onAnswer);
@@ -175,35 +176,35 @@
   /** One that answered meanwhile is alive, and this leader knows of no silence before its own first question. */
   #silentForMs(id: string): Milliseconds {
     const { now } = this.runtime;
-    const goneForMs = this.primaries.missingForMs(id, now) ?? 0;
-    const heardAt = this.#heardAt.get(id) ?? Number.NEGATIVE_INFINITY;
-    return Math.min(goneForMs, now - Math.max(this.#begunAt, heardAt));
+    const missingMs = this.primaries.missingForMs(id, now) ?? 0;
+    const lastResponseAt = this.#lastResponseAt.get(id) ?? Number.NEGATIVE_INFINITY;
+    return Math.min(missingMs, now - Math.max(this.#startedAt, lastResponseAt));
   }
 
-  #noteEndOf(member: InstanceEntry, primaryId: string): void {
+  #readPrimaryEnd(member: InstanceEntry, primaryId: string): void {
     const primary = this.primaries.instance(primaryId);
     if (primary === undefined) return;
     const onAnswer = this.#scope.guard((answer: InstanceStatus | ControlFailure) => {
       if (typeof answer === 'string' || answer.role !== 'primary') return;
-      this.#endAfterDeath.set(member.id, answer.received);
-      this.#lookForReplicaWith(answer.received, member, primaryId);
+      this.#primaryEndAfterDeath.set(member.id, answer.received);
+      this.#findReplicaWith(answer.received, member, primaryId);
     });
     this.runtime.control('status', primary, 0, onAnswer);
   }
 
-  #lookForReplicaWith(end: Position, member: InstanceEntry, primaryId: string): void {
+  #findReplicaWith(end: Position, member: InstanceEntry, primaryId: string): void {
     for (const replica of this.primaries.present(this.service)) {
       if (replica.id === primaryId) continue;
       const onAnswer = this.#scope.guard((answer: InstanceStatus | ControlFailure) => {
         if (typeof answer === 'string' || answer.role !== 'replica') return;
-        if (comparePositions(answer.received, end) >= 0) this.#forget(member);
+        if (comparePositions(answer.received, end) >= 0) this.#removeMember(member);
       });
       this.runtime.control('status', replica, 0, onAnswer);
     }
   }
 
-  #forget({ id }: InstanceEntry): void {
-    this.#endAfterDeath.delete(id);
+  #removeMember({ id }: InstanceEntry): void {
+    this.#primaryEndAfterDeath.delete(id);
     const note = this.store.noteOf(this.service);
     const members = note.members.filter((member) => member.id !== id);
     if (members.length === note.members.length || this.primaries.isPresent(id)) return;
@@ -215,7 +216,7 @@
     }
     const left = members.map((one) => one.id);
     this.runtime.log('info', 'member forgotten', { service: this.service, member: id, left });
-    this.#write(members, note.primary, departed.slice(0, DEPARTED_KEPT));
+    this.#write(members, note.primary, departed.slice(0, MAX_DEPARTED_MEMBERS));
   }
 }
 
@@ -236,7 +237,7 @@
   return `${host}:${port}`;
 }
 
-function sameMembers(left: readonly InstanceEntry[], right: readonly InstanceEntry[]): boolean {
+function areSameMembers(left: readonly InstanceEntry[], right: readonly InstanceEntry[]): boolean {
   if (left.length !== right.length) return false;
   return left.every((member) =>
     right.some(({ id, host, port }) => {
--- a/src/core/promotion/monitor.ts
+++ b/src/core/promotion/monitor.ts
@@ -23,22 +23,22 @@
   /** It says that it is a replica. */
   | 'lost-lead';
 
-const SUSPICION_SHARE = 3;
-const MINIMUM_SUSPICIONS = 2;
-const MISSES_UNTIL_DEAD = 2;
+const NODES_PER_REQUIRED_SUSPICION = 3;
+const MIN_SUSPICIONS = 2;
+const PROBES_TO_CONFIRM = 2;
 /** A new leader looks at the primary after this. */
-const FIRST_LOOK_MS = 100;
+const FIRST_PROBE_DELAY_MS = 100;
 
 export class PrimaryMonitor {
   readonly #scope: Scope;
   #cancelProbe = (): void => {};
   #isProbing = false;
   #aliveAt: Milliseconds = Number.NEGATIVE_INFINITY;
-  #refusals = 0;
-  #silences = 0;
-  #timesReplica = 0;
+  #refused = 0;
+  #unanswered = 0;
+  #replicaResponses = 0;
   #primaryId: string | undefined;
-  #restUntil: Milliseconds = 0;
+  #suspicionsIgnoredUntil: Milliseconds = 0;
 
   constructor(
     private readonly runtime: PromotionRuntime,
@@ -58,8 +58,8 @@
    * before, and nobody would have noticed.
    */
   start(): void {
-    this.#followPrimary();
-    this.#aliveAt = this.runtime.now + FIRST_LOOK_MS - this.runtime.timings.probePeriodMs;
+    this.#trackPrimary();
+    this.#aliveAt = this.runtime.now + FIRST_PROBE_DELAY_MS - this.runtime.timings.probePeriodMs;
     this.#probeIfNeeded();
   }
 
@@ -71,66 +71,66 @@
   recordAlive(instance: string): void {
     if (instance !== this.#primaryId) return;
     this.#aliveAt = this.runtime.now;
-    this.#silences = 0;
-    this.#refusals = 0;
+    this.#unanswered = 0;
+    this.#refused = 0;
   }
 
   /** A request of this node failed there: that is looked into at once. */
   recordFailing(instance: string): void {
-    if (instance !== this.#primaryId || this.#isProbing || this.#hasMissed) return;
+    if (instance !== this.#primaryId || this.#isProbing || this.#hasFailedProbe) return;
     this.#aliveAt = Number.NEGATIVE_INFINITY;
     this.#probeIfNeeded();
   }
 
   /** Suspicions are let rest for a while after a change. */
   startSuspicionCooldown(): void {
-    this.#restUntil = this.runtime.now + this.runtime.timings.suspicionCooldownMs;
+    this.#suspicionsIgnoredUntil = this.runtime.now + this.runtime.timings.suspicionCooldownMs;
   }
 
   /** Looks for a reason in what is known without a probe. */
   evaluate(): void {
-    const id = this.#followPrimary();
+    const id = this.#trackPrimary();
     if (id === undefined || this.#scope.isEnded) return;
     const reason = this.#reasonOf(id);
     if (reason !== undefined) this.onReason(id, reason);
   }
 
   #reasonOf(id: string): ChangeReason | undefined {
-    if (this.#silences >= MISSES_UNTIL_DEAD || this.#refusals >= MISSES_UNTIL_DEAD) return 'dead';
+    if (this.#unanswered >= PROBES_TO_CONFIRM || this.#refused >= PROBES_TO_CONFIRM) return 'dead';
     const isPresent = this.primaries.isPresent(id);
     if (isPresent && this.primaries.instance(id)?.draining) return 'draining';
-    const goneForMs = this.primaries.missingForMs(id, this.runtime.now);
-    if (goneForMs !== undefined && goneForMs >= this.runtime.timings.missingEntryReplaceAfterMs) {
+    const missingMs = this.primaries.missingForMs(id, this.runtime.now);
+    if (missingMs !== undefined && missingMs >= this.runtime.timings.missingEntryReplaceAfterMs) {
       return 'entry-gone';
     }
-    if (this.#timesReplica >= MISSES_UNTIL_DEAD) return 'lost-lead';
+    if (this.#replicaResponses >= PROBES_TO_CONFIRM) return 'lost-lead';
     return this.#isSuspected(id) ? 'suspected' : undefined;
   }
 
   #isSuspected(id: string): boolean {
-    if (this.runtime.now < this.#restUntil) return false;
+    if (this.runtime.now < this.#suspicionsIgnoredUntil) return false;
     const nodes = this.store.liveNodes();
-    const needed =
-      nodes < SUSPICION_SHARE
+    const requiredSuspicions =
+      nodes < NODES_PER_REQUIRED_SUSPICION
         ? 1
-        : Math.max(MINIMUM_SUSPICIONS, Math.ceil(nodes / SUSPICION_SHARE));
-    return this.store.suspicionsOf(this.service, id) >= needed;
+        : Math.max(MIN_SUSPICIONS, Math.ceil(nodes / NODES_PER_REQUIRED_SUSPICION));
+    return this.store.suspicionsOf(this.service, id) >= requiredSuspicions;
   }
 
-  #followPrimary(): string | undefined {
+  #trackPrimary(): string | undefined {
     const id = this.primaries.primaryIdOf(this.service);
     if (id !== this.#primaryId) {
       this.#primaryId = id;
-      this.#silences = 0;
-      this.#refusals = 0;
-      this.#timesReplica = 0;
+      this.#unanswered = 0;
+      this.#refused = 0;
+      this.#replicaResponses = 0;
       this.#aliveAt = this.runtime.now;
     }
     return id;
   }
 
-  get #hasMissed(): boolean {
-    return this.#silences > 0 || this.#refusals > 0;
+  get #hasFailedProbe(): boolean {
+    return this.#unanswered > 0 || this.#refused > 0;
   }
 
   #probeAfter(delayMs: Milliseconds): void {
@@ -141,11 +141,11 @@
   #probeIfNeeded(): void {
     this.#cancelProbe();
     const { probePeriodMs } = this.runtime.timings;
-    const id = this.#followPrimary();
+    const id = this.#trackPrimary();
     const instance = id === undefined ? undefined : this.primaries.instance(id);
     // An answer shows that it lives; whether it leads, only its own word does.
-    const isDenied = instance?.role === 'replica';
-    const dueInMs = isDenied ? 0 : this.#aliveAt + probePeriodMs - this.runtime.now;
+    const isReplicaByEntry = instance?.role === 'replica';
+    const dueInMs = isReplicaByEntry ? 0 : this.#aliveAt + probePeriodMs - this.runtime.now;
     if (instance === undefined || dueInMs > 0) {
       const waitMs = instance === undefined ? probePeriodMs : dueInMs;
       this.#probeAfter(waitMs);
@@ -154,33 +154,33 @@
     }
     const onAnswer = this.#scope.guard((answer: InstanceStatus | ControlFailure) => {
       this.#isProbing = false;
-      if (this.#primaryId === instance.id) this.#noteProbe(answer);
+      if (this.#primaryId === instance.id) this.#recordProbe(answer);
       this.evaluate();
-      this.#probeAfter(this.#nextProbeMs());
+      this.#probeAfter(this.#nextProbeDelayMs());
     });
     this.#isProbing = true;
     this.runtime.control('status', instance, 0, onAnswer);
   }
 
-  #noteProbe(answer: InstanceStatus | ControlFailure): void {
+  #recordProbe(answer: InstanceStatus | ControlFailure): void {
     if (answer === 'refused') {
-      this.#refusals += 1;
+      this.#refused += 1;
       return;
     }
     if (answer === 'silent') {
-      this.#silences += 1;
+      this.#unanswered += 1;
       return;
     }
     this.#aliveAt = this.runtime.now;
-    this.#silences = 0;
-    this.#refusals = 0;
+    this.#unanswered = 0;
+    this.#refused = 0;
     if (typeof answer === 'string') return;
-    this.#timesReplica = answer.role === 'replica' ? this.#timesReplica + 1 : 0;
+    this.#replicaResponses = answer.role === 'replica' ? this.#replicaResponses + 1 : 0;
   }
 
-  #nextProbeMs(): Milliseconds {
+  #nextProbeDelayMs(): Milliseconds {
     const { probeRetryDelayMs, probePeriodMs } = this.runtime.timings;
-    if (this.#refusals === 1) return probeRetryDelayMs;
-    return this.#silences === 1 ? 0 : probePeriodMs;
+    if (this.#refused === 1) return probeRetryDelayMs;
+    return this.#unanswered === 1 ? 0 : probePeriodMs;
   }
 }
--- a/src/core/promotion/participation.ts
+++ b/src/core/promotion/participation.ts
@@ -36,10 +36,10 @@
 export class Participation {
   /** Called when the node got its permission, or may have lost it. */
   onRegistered: () => void = () => {};
-  #registeredLease: string | undefined;
+  #leaseId: string | undefined;
   #registeredRevision = 0;
   #acknowledgements = new Map<string, AcknowledgementState>();
-  #stopped = false;
+  #isStopped = false;
 
   constructor(
     private readonly runtime: PromotionRuntime,
@@ -59,7 +59,7 @@
   /** Registered under the present lease, and the records are known from after that. */
   get isRegistered(): boolean {
     const { leaseId } = this.lease;
-    if (this.#stopped || leaseId === undefined || leaseId !== this.#registeredLease) return false;
+    if (this.#isStopped || leaseId === undefined || leaseId !== this.#leaseId) return false;
     return this.records.revision >= this.#registeredRevision;
   }
 
@@ -71,15 +71,15 @@
   /** The store came back from a copy, which may lack the registration and what was acknowledged. */
   handleEraChange(): void {
     const { leaseId } = this.lease;
-    this.#registeredLease = undefined;
+    this.#leaseId = undefined;
     for (const state of this.#acknowledgements.values()) state.cancel();
     this.#acknowledgements.clear();
-    if (!this.#stopped && leaseId !== undefined) this.#register(leaseId, 0);
+    if (!this.#isStopped && leaseId !== undefined) this.#register(leaseId, 0);
   }
 
   /** Ends what of the node's permission is left. */
   stop(): void {
-    this.#stopped = true;
+    this.#isStopped = true;
     for (const state of this.#acknowledgements.values()) state.cancel();
     this.#acknowledgements.clear();
   }
@@ -114,25 +114,25 @@
     const put = { type: 'put', key, value: JSON.stringify(record), leaseId } as const;
     const compares = [{ key, modRevision: knownRevision }];
     this.runtime.transaction(compares, [put], (answer) => {
-      if (this.#stopped || leaseId !== this.lease.leaseId) return;
+      if (this.#isStopped || leaseId !== this.lease.leaseId) return;
       if (isStoreCallError(answer)) {
-        const again = (): void => this.#register(leaseId, knownRevision);
+        const retry = (): void => this.#register(leaseId, knownRevision);
         this.runtime.after(this.#retryDelay(answer.retryAfterMs), () => {
-          if (!this.#stopped && leaseId === this.lease.leaseId) again();
+          if (!this.#isStopped && leaseId === this.lease.leaseId) retry();
         });
         return;
       }
       const current = answer.current.find((entry) => entry.key === key);
       const currentRevision = current?.modRevision ?? 0;
       const isOwn = decodeRecord(current, parseNodeRecord)?.leaseId === leaseId;
-      if (answer.succeeded) this.#noteRegistered(leaseId, answer.revision);
-      else if (isOwn) this.#noteRegistered(leaseId, currentRevision);
+      if (answer.succeeded) this.#setRegistered(leaseId, answer.revision);
+      else if (isOwn) this.#setRegistered(leaseId, currentRevision);
       else this.#register(leaseId, currentRevision);
     });
   }
 
-  #noteRegistered(leaseId: string, revision: number): void {
-    this.#registeredLease = leaseId;
+  #setRegistered(leaseId: string, revision: number): void {
+    this.#leaseId = leaseId;
     this.#registeredRevision = revision;
     if (!this.records.isRunning) this.records.start();
     else if (this.records.revision < revision) this.records.readNow();
@@ -161,15 +161,15 @@
     state.cancel = () => {};
     const { leaseId, change, end } = state;
     const key = acknowledgementKeyOf(service, this.runtime.options.nodeName);
-    const seen = this.unlistedOf(service);
-    const unlisted = seen.length === 0 ? undefined : seen;
+    const unlistedMembers = this.unlistedOf(service);
+    const unlisted = unlistedMembers.length === 0 ? undefined : unlistedMembers;
     const value = encodeAcknowledgement({ change, leaseId, end, unlisted });
     const put = { type: 'put', key, value, leaseId } as const;
     this.runtime.transaction([{ key, modRevision: knownRevision }], [put], (answer) => {
       if (this.#acknowledgements.get(service) !== state) return;
       if (isStoreCallError(answer)) {
-        const again = (): void => this.#write(service, state, knownRevision);
-        state.cancel = this.runtime.after(this.#retryDelay(answer.retryAfterMs), again);
+        const retry = (): void => this.#write(service, state, knownRevision);
+        state.cancel = this.runtime.after(this.#retryDelay(answer.retryAfterMs), retry);
         return;
       }
       const current = answer.current.find((entry) => entry.key === key);
@@ -201,26 +201,26 @@
       return;
     }
     state.step = 'demoting';
-    let isOver = false;
-    const goOn = (): void => {
-      if (isOver || this.#acknowledgements.get(service) !== state) return;
-      isOver = true;
+    let hasProceeded = false;
+    const proceed = (): void => {
+      if (hasProceeded || this.#acknowledgements.get(service) !== state) return;
+      hasProceeded = true;
       state.cancel();
       this.#write(service, state, 0);
     };
-    state.cancel = this.runtime.after(this.runtime.timings.demoteWaitMs, goOn);
+    state.cancel = this.runtime.after(this.runtime.timings.demoteWaitMs, proceed);
     this.runtime.control('demote', instance, term + 1, (answer) => {
       if (typeof answer !== 'string' && answer.role === 'replica') state.end = answer.received;
-      if (state.step === 'written' && state.end !== undefined) this.#writeEnd(service, state);
-      else goOn();
+      if (state.step === 'written' && state.end !== undefined) this.#writeLogEnd(service, state);
+      else proceed();
     });
   }
 
-  #writeEnd(service: string, state: AcknowledgementState): void {
+  #writeLogEnd(service: string, state: AcknowledgementState): void {
     if (this.#acknowledgements.get(service) === state) this.#write(service, state, state.revision);
   }
 
-  #retryDelay(atLeastMs: Milliseconds): Milliseconds {
-    return Math.max(atLeastMs, this.runtime.jittered(this.runtime.timings.storeRetryDelayMs));
+  #retryDelay(minDelayMs: Milliseconds): Milliseconds {
+    return Math.max(minDelayMs, this.runtime.jittered(this.runtime.timings.storeRetryDelayMs));
   }
 }
--- a/src/core/promotion/peer-publisher.ts
+++ b/src/core/promotion/peer-publisher.ts
@@ -20,35 +20,35 @@
 
 /** In larger fleets some nodes are not told of; whoever needs them has seeds. */
 const MAX_ADDRESSES = 64;
-const PUBLISH_PAUSE_MS = 1000;
+const PUBLISH_COOLDOWN_MS = 1000;
 
 export class PeerPublisher {
   /** The term of office in which a write or a pause is on. */
-  #busyIn: Scope | undefined;
+  #busyScope: Scope | undefined;
 
   constructor(
     private readonly runtime: PromotionRuntime,
     private readonly election: Election,
     private readonly records: StoreView,
-    private readonly duty: StoreView,
+    private readonly leaderView: StoreView,
   ) {}
 
   /** Looks for new addresses; `scope` ends with this node's duty. */
   update(scope: Scope): void {
-    if (this.#busyIn === scope || !this.election.mayAct() || !this.duty.isReady) return;
+    if (this.#busyScope === scope || !this.election.mayAct() || !this.leaderView.isReady) return;
     const published = decodeRecord(this.records.get(PEERS_KEY), parsePeersRecord)?.addresses ?? [];
-    const known = new Set(published.map(keyOf));
-    const live = this.#registered();
-    if (live.every((address) => known.has(keyOf(address)))) return;
-    this.#busyIn = scope;
-    const isLive = new Set(live.map(keyOf));
-    const gone = published.filter((address) => !isLive.has(keyOf(address)));
+    const known = new Set(published.map(addressKeyOf));
+    const live = this.#registeredAddresses();
+    if (live.every((address) => known.has(addressKeyOf(address)))) return;
+    this.#busyScope = scope;
+    const isLive = new Set(live.map(addressKeyOf));
+    const gone = published.filter((address) => !isLive.has(addressKeyOf(address)));
     const addresses = [...live, ...gone].slice(0, MAX_ADDRESSES);
     const value = JSON.stringify({ addresses } satisfies PeersRecord);
     const compares = [{ key: LEADER_KEY, modRevision: this.election.token ?? 0 }];
     const onDone = scope.guard(() => {
-      scope.after(PUBLISH_PAUSE_MS, () => {
-        this.#busyIn = undefined;
+      scope.after(PUBLISH_COOLDOWN_MS, () => {
+        this.#busyScope = undefined;
         this.update(scope);
       });
     });
@@ -57,15 +57,15 @@
   }
 
   /** In one order whoever leads, so that the same ones have a place. */
-  #registered(): PeerAddress[] {
-    return [...this.duty.entriesUnder(NODE_PREFIX)]
+  #registeredAddresses(): PeerAddress[] {
+    return [...this.leaderView.entriesUnder(NODE_PREFIX)]
       .map((entry) => decodeRecord(entry, parseNodeRecord)?.directoryAt)
       .filter((address) => address !== undefined)
-      .sort((left, right) => (keyOf(left) < keyOf(right) ? -1 : 1))
+      .sort((left, right) => (addressKeyOf(left) < addressKeyOf(right) ? -1 : 1))
       .slice(0, MAX_ADDRESSES);
   }
 }
 
-function keyOf({ host, port }: PeerAddress): string {
+function addressKeyOf({ host, port }: PeerAddress): string {
   return `${host}:${port}`;
 }
--- a/src/core/promotion/preflight.ts
+++ b/src/core/promotion/preflight.ts
@@ -31,7 +31,7 @@
   /** Another instance has its address and its log, and leads the same term. */
   | { readonly type: 'succeeded'; readonly by: string; readonly term: number };
 
-type Answer = InstanceStatus | ControlFailure;
+type MemberAnswer = InstanceStatus | ControlFailure;
 
 /** Asks every member once, and tells whether the change may begin. */
 export function runPreflight(
@@ -41,14 +41,14 @@
   onResult: (result: PreflightResult) => void,
 ): void {
   const members = [options.from, ...options.others];
-  const answers = new Map<string, Answer>();
-  let isOver = false;
+  const answers = new Map<string, MemberAnswer>();
+  let isDecided = false;
   for (const member of members) {
-    const onAnswer = scope.guard((answer: Answer) => {
+    const onAnswer = scope.guard((answer: MemberAnswer) => {
       answers.set(member.id, answer);
-      if (isOver || !isEnough(options, answers)) return;
-      isOver = true;
-      onResult(judge(options, answers));
+      if (isDecided || !hasEnoughAnswers(options, answers)) return;
+      isDecided = true;
+      onResult(decide(options, answers));
     });
     runtime.control('status', member, 0, onAnswer);
   }
@@ -58,36 +58,39 @@
  * One that was found dead or is suspected by many is not waited for: it is likely to stay silent, and
  * the others suffice for a change.
  */
-function isEnough(
+function hasEnoughAnswers(
   { from, others, reason }: PreflightOptions,
-  answers: ReadonlyMap<string, Answer>,
+  answers: ReadonlyMap<string, MemberAnswer>,
 ): boolean {
   if (answers.size === others.length + 1) return true;
   if (answers.has(from.id) || (reason !== 'dead' && reason !== 'suspected')) return false;
-  return others.every(({ id }) => isAnswer(answers.get(id)));
+  return others.every(({ id }) => hasAnswered(answers.get(id)));
 }
 
-function judge(options: PreflightOptions, answers: ReadonlyMap<string, Answer>): PreflightResult {
+function decide(
+  options: PreflightOptions,
+  answers: ReadonlyMap<string, MemberAnswer>,
+): PreflightResult {
   const { from, others, reason, syncReplicas } = options;
   const statuses = [...answers.values()].filter((answer) => typeof answer !== 'string');
   const term = statuses.reduce((highest, status) => Math.max(highest, status.term), 0);
-  const fromAnswers = isAnswer(answers.get(from.id));
-  if (reason === 'dead' && fromAnswers) return { type: 'alive' };
-  const successor = successorOf(options, answers);
+  const hasOldPrimaryAnswered = hasAnswered(answers.get(from.id));
+  if (reason === 'dead' && hasOldPrimaryAnswered) return { type: 'alive' };
+  const successor = findSuccessor(options, answers);
   if (successor !== undefined) return successor;
-  const answering = others.filter(({ id }) => isAnswer(answers.get(id)));
-  const isReady = others.some(
+  const answeringOthers = others.filter(({ id }) => hasAnswered(answers.get(id)));
+  const hasCandidate = others.some(
     ({ id, draining }) => !draining && options.isPresent(id) && typeof answers.get(id) === 'object',
   );
-  const provesEnd = others.length - answering.length < Math.max(1, syncReplicas);
-  if (isReady && (fromAnswers || provesEnd)) {
-    const planned = fromAnswers && (reason === 'draining' || reason === 'entry-gone');
+  const isLogEndProven = others.length - answeringOthers.length < Math.max(1, syncReplicas);
+  if (hasCandidate && (hasOldPrimaryAnswered || isLogEndProven)) {
+    const planned = hasOldPrimaryAnswered && (reason === 'draining' || reason === 'entry-gone');
     return { type: 'go', planned, term };
   }
   return {
     type: 'wait',
-    anyResponded: fromAnswers || answering.length > 0,
-    responses: saidBy(answers),
+    anyResponded: hasOldPrimaryAnswered || answeringOthers.length > 0,
+    responses: summarizeAnswers(answers),
   };
 }
 
@@ -95,33 +98,35 @@
  * An instance that ends leaves its log to a new one at its address. If that one leads, nobody has led since, and it has
  * all that any other member has received, the group's log goes on there, and no promotion is needed.
  */
-function successorOf(
+function findSuccessor(
   { from, others, isPresent }: PreflightOptions,
-  answers: ReadonlyMap<string, Answer>,
+  answers: ReadonlyMap<string, MemberAnswer>,
 ): PreflightResult | undefined {
   if (answers.get(from.id) !== 'refused') return undefined;
-  const heir = others.find(
+  const successor = others.find(
     ({ id, host, port }) => isPresent(id) && host === from.host && port === from.port,
   );
-  const status = heir === undefined ? undefined : answers.get(heir.id);
-  if (heir === undefined || typeof status !== 'object' || status.role !== 'primary') {
+  const status = successor === undefined ? undefined : answers.get(successor.id);
+  if (successor === undefined || typeof status !== 'object' || status.role !== 'primary') {
     return undefined;
   }
   for (const { id } of others) {
     const other = answers.get(id);
-    if (id === heir.id || typeof other !== 'object') continue;
+    if (id === successor.id || typeof other !== 'object') continue;
     const isAhead = comparePositions(other.received, status.received) > 0;
     if (other.role === 'primary' || other.term > status.term || isAhead) return undefined;
   }
-  return { type: 'succeeded', by: heir.id, term: status.term };
+  return { type: 'succeeded', by: successor.id, term: status.term };
 }
 
-function saidBy(answers: ReadonlyMap<string, Answer>): Readonly<Record<string, string>> {
+function summarizeAnswers(
+  answers: ReadonlyMap<string, MemberAnswer>,
+): Readonly<Record<string, string>> {
   return Object.fromEntries(
     [...answers].map(([id, answer]) => [id, typeof answer === 'string' ? answer : answer.role]),
   );
 }
 
-function isAnswer(answer: Answer | undefined): boolean {
+function hasAnswered(answer: MemberAnswer | undefined): boolean {
   return answer !== undefined && answer !== 'refused' && answer !== 'silent';
 }
--- a/src/core/promotion/primaries.ts
+++ b/src/core/promotion/primaries.ts
@@ -31,37 +31,37 @@
 }
 
 /** Entries that are gone are remembered so long, for calls that concern a change. */
-const REMEMBERED_MS = 600_000;
+const RETENTION_MS = 600_000;
 
 export class Primaries {
   readonly #unlisted = new UnlistedMembers();
   readonly #instances = new Map<string, KnownInstance>();
   readonly #decoded = new Map<string, DecodedRecord>();
   /** When a peer last told the members of a service. */
-  readonly #toldAt = new Map<string, Milliseconds>();
+  readonly #membersReportedAt = new Map<string, Milliseconds>();
   /** Who calls itself primary, by service; made anew when the instances change. */
-  readonly #claims = new Map<string, string | undefined>();
+  readonly #claimants = new Map<string, string | undefined>();
 
   constructor(
     private readonly records: StoreView,
     private readonly timings: PromotionTimings,
     /** Last time that the store was not well: what it lacks then says nothing. */
-    private readonly troubleAt: () => Milliseconds,
+    private readonly lastStoreTroubleAt: () => Milliseconds,
   ) {}
 
   updateInstances(entries: readonly InstanceEntry[], now: Milliseconds): void {
     this.#unlisted.updateInstances(entries, now);
-    this.#noteEntries(entries, now);
+    this.#updateEntries(entries, now);
   }
 
-  #noteEntries(entries: readonly InstanceEntry[], now: Milliseconds): void {
-    this.#claims.clear();
+  #updateEntries(entries: readonly InstanceEntry[], now: Milliseconds): void {
+    this.#claimants.clear();
     const present = new Set(entries.map(({ id }) => id));
     for (const entry of entries) this.#instances.set(entry.id, { entry, missingSince: undefined });
-    for (const [id, { entry, missingSince: goneAt }] of this.#instances) {
+    for (const [id, { entry, missingSince }] of this.#instances) {
       if (present.has(id)) continue;
-      if (goneAt === undefined) this.#instances.set(id, { entry, missingSince: now });
-      else if (now - goneAt > REMEMBERED_MS) this.#instances.delete(id);
+      if (missingSince === undefined) this.#instances.set(id, { entry, missingSince: now });
+      else if (now - missingSince > RETENTION_MS) this.#instances.delete(id);
     }
   }
 
@@ -79,9 +79,7 @@
   /** Entries of a service that the store has now. */
   present(service: string): InstanceEntry[] {
     return [...this.#instances.values()]
-      .filter(
-        ({ entry, missingSince: goneAt }) => entry.service === service && goneAt === undefined,
-      )
+      .filter(({ entry, missingSince }) => entry.service === service && missingSince === undefined)
       .map(({ entry }) => entry);
   }
 
@@ -97,10 +95,10 @@
    * before it began, by the leader's word.
    */
   countedMembers(service: string): InstanceEntry[] {
-    const seen = this.remembered(service);
-    const ids = new Set(seen.map(({ id }) => id));
-    const told = this.#membersRecordOf(service)?.members ?? [];
-    return [...seen, ...told.filter(({ id }) => !ids.has(id))];
+    const observed = this.remembered(service);
+    const ids = new Set(observed.map(({ id }) => id));
+    const recorded = this.#membersRecordOf(service)?.members ?? [];
+    return [...observed, ...recorded.filter(({ id }) => !ids.has(id))];
   }
 
   /**
@@ -108,23 +106,23 @@
    * peer has told who else there may be.
    */
   membersWithoutAddress(service: string): string[] | undefined {
-    const isTold = this.#toldAt.has(service);
-    if (!isTold && this.#membersRecordOf(service) === undefined) return undefined;
-    const counted = this.countedMembers(service);
+    const areReported = this.#membersReportedAt.has(service);
+    if (!areReported && this.#membersRecordOf(service) === undefined) return undefined;
+    const candidates = this.countedMembers(service);
     const record = this.recordOf(service);
     const named = record?.phase === 'changing' ? record.from : record?.instance;
-    return named === undefined || counted.some(({ id }) => id === named) ? [] : [named];
+    return named === undefined || candidates.some(({ id }) => id === named) ? [] : [named];
   }
 
   /** A peer that knows the records told these members, those too that were gone before this node began. */
   setReportedMembers(entries: readonly InstanceEntry[], now: Milliseconds): void {
-    this.#noteEntries(entries, now);
-    for (const { service } of entries) this.#toldAt.set(service, now);
+    this.#updateEntries(entries, now);
+    for (const { service } of entries) this.#membersReportedAt.set(service, now);
   }
 
   /** When a peer that has read the records last told the members. */
   membersReportedAt(service: string): Milliseconds {
-    return this.#toldAt.get(service) ?? Number.NEGATIVE_INFINITY;
+    return this.#membersReportedAt.get(service) ?? Number.NEGATIVE_INFINITY;
   }
 
   /** The leader's word on the members of a service has changed. */
@@ -159,7 +157,7 @@
     const known = this.#instances.get(id);
     if (known === undefined) return Number.POSITIVE_INFINITY;
     if (known.missingSince === undefined) return undefined;
-    return now - Math.max(known.missingSince, this.troubleAt());
+    return now - Math.max(known.missingSince, this.lastStoreTroubleAt());
   }
 
   /** Asked for with every request: each entry is decoded once. */
@@ -190,22 +188,22 @@
   primaryOf(service: string, now: Milliseconds): InstanceEntry | undefined {
     const id = this.primaryIdOf(service);
     if (id === undefined) return undefined;
-    const goneForMs = this.missingForMs(id, now);
-    if (goneForMs !== undefined && goneForMs >= this.timings.missingEntryUsableMs) return undefined;
+    const missingMs = this.missingForMs(id, now);
+    if (missingMs !== undefined && missingMs >= this.timings.missingEntryUsableMs) return undefined;
     return this.instance(id);
   }
 
   #selfDeclared(service: string): string | undefined {
-    if (!this.#claims.has(service)) this.#claims.set(service, this.#claimOf(service));
-    return this.#claims.get(service);
+    if (!this.#claimants.has(service)) this.#claimants.set(service, this.#findClaimant(service));
+    return this.#claimants.get(service);
   }
 
-  #claimOf(service: string): string | undefined {
-    const claims = [...this.#instances.values()].filter(
+  #findClaimant(service: string): string | undefined {
+    const claimants = [...this.#instances.values()].filter(
       ({ entry }) => entry.service === service && entry.role === 'primary',
     );
-    const present = claims.filter(({ missingSince: goneAt }) => goneAt === undefined);
-    const counted = present.length > 0 ? present : claims;
+    const present = claimants.filter(({ missingSince }) => missingSince === undefined);
+    const counted = present.length > 0 ? present : claimants;
     return counted.length === 1 ? counted[0]?.entry.id : undefined;
   }
 }
--- a/src/core/promotion/retry-pause.ts
+++ b/src/core/promotion/retry-pause.ts
@@ -4,7 +4,7 @@
 
 export class RetryPause {
   /** Undefined while there is no pause. */
-  #end: (() => void) | undefined;
+  #runNow: (() => void) | undefined;
 
   constructor(private readonly runtime: Pick<PromotionRuntime, 'after'>) {}
 
@@ -12,15 +12,15 @@
   schedule(delayMs: Milliseconds, action: () => void): void {
     const act = (): void => {
       cancel();
-      this.#end = undefined;
+      this.#runNow = undefined;
       action();
     };
     const cancel = this.runtime.after(delayMs, act);
-    this.#end = act;
+    this.#runNow = act;
   }
 
   /** What waits is done now. */
   runNow(): void {
-    this.#end?.();
+    this.#runNow?.();
   }
 }
--- a/src/core/promotion/runtime.ts
+++ b/src/core/promotion/runtime.ts
@@ -29,7 +29,7 @@
   readonly retryAfterMs: Milliseconds;
 }
 
-const NO_ANSWER: StoreCallError = { isLeaseGone: false, retryAfterMs: 0 };
+const NO_RESPONSE: StoreCallError = { isLeaseGone: false, retryAfterMs: 0 };
 
 interface PendingRequest {
   /** Called with undefined if no answer came in time. */
@@ -95,8 +95,8 @@
   }
 
   range(prefix: string, onAnswer: (answer: RangeResponse | StoreCallError) => void): void {
-    this.#ask({ type: 'range', prefix }, this.timings.storeTimeoutMs, (answer) =>
-      onAnswer(answer?.type === 'range' ? answer.range : troubleOf(answer)),
+    this.#send({ type: 'range', prefix }, this.timings.storeTimeoutMs, (answer) =>
+      onAnswer(answer?.type === 'range' ? answer.range : toStoreCallError(answer)),
     );
   }
 
@@ -106,26 +106,26 @@
     onAnswer: (answer: TransactionResponse | StoreCallError) => void,
   ): void {
     const request = { type: 'transaction', compares, operations } as const;
-    this.#ask(request, this.timings.storeTimeoutMs, (answer) =>
-      onAnswer(answer?.type === 'transaction' ? answer.transaction : troubleOf(answer)),
+    this.#send(request, this.timings.storeTimeoutMs, (answer) =>
+      onAnswer(answer?.type === 'transaction' ? answer.transaction : toStoreCallError(answer)),
     );
   }
 
   grantLease(seconds: number, onAnswer: (leaseId: string | StoreCallError) => void): void {
-    this.#ask({ type: 'grant-lease', seconds }, this.timings.storeTimeoutMs, (answer) =>
-      onAnswer(answer?.type === 'lease' ? answer.leaseId : troubleOf(answer)),
+    this.#send({ type: 'grant-lease', seconds }, this.timings.storeTimeoutMs, (answer) =>
+      onAnswer(answer?.type === 'lease' ? answer.leaseId : toStoreCallError(answer)),
     );
   }
 
   /** A late answer counts as well: the lease ran on from the call's arrival. */
   renewLease(leaseId: string, onAnswer: (kept: true | StoreCallError) => void): void {
-    this.#ask({ type: 'keep-lease', leaseId }, undefined, (answer) =>
-      onAnswer(answer?.type === 'done' ? true : troubleOf(answer)),
+    this.#send({ type: 'keep-lease', leaseId }, undefined, (answer) =>
+      onAnswer(answer?.type === 'done' ? true : toStoreCallError(answer)),
     );
   }
 
   revokeLease(leaseId: string, onAnswer: () => void): void {
-    this.#ask({ type: 'revoke-lease', leaseId }, this.timings.storeTimeoutMs, () => onAnswer());
+    this.#send({ type: 'revoke-lease', leaseId }, this.timings.storeTimeoutMs, () => onAnswer());
   }
 
   control(
@@ -137,7 +137,7 @@
     const timeoutMs =
       action === 'status' ? this.timings.probeTimeoutMs : this.timings.controlTimeoutMs;
     const request = { type: 'control', action, instance, term, timeoutMs } as const;
-    this.#ask(request, timeoutMs, (answer) => {
+    this.#send(request, timeoutMs, (answer) => {
       if (answer?.type === 'status') onAnswer(answer.status);
       else onAnswer(answer?.type === 'control-failed' ? answer.failure : 'silent');
     });
@@ -145,7 +145,7 @@
 
   promote(request: Omit<PromoteRequest, 'type'>, onAnswer: (outcome: PromoteOutcome) => void) {
     const timeoutMs = request.endsAt - this.now;
-    this.#ask({ type: 'promote', ...request }, timeoutMs, (answer) =>
+    this.#send({ type: 'promote', ...request }, timeoutMs, (answer) =>
       onAnswer(answer?.type === 'promotion' ? answer.outcome : 'unknown'),
     );
   }
@@ -156,17 +156,17 @@
     this.#pending.clear();
   }
 
-  #ask(
+  #send(
     request: PromotionRequest,
     timeoutMs: Milliseconds | undefined,
     onAnswer: (answer: RequestAnswer | undefined) => void,
   ): void {
     const id = this.nextId();
-    const giveUp = (): void => {
+    const onTimeout = (): void => {
       this.#pending.delete(id);
       onAnswer(undefined);
     };
-    const cancelTimeout = timeoutMs === undefined ? () => {} : this.after(timeoutMs, giveUp);
+    const cancelTimeout = timeoutMs === undefined ? () => {} : this.after(timeoutMs, onTimeout);
     this.#pending.set(id, { onAnswer, cancelTimeout });
     this.emit({ type: 'request', id, request });
   }
@@ -177,7 +177,7 @@
   return typeof answer === 'object' && answer !== null && 'isLeaseGone' in answer;
 }
 
-function troubleOf(answer: RequestAnswer | undefined): StoreCallError {
-  if (answer?.type !== 'store-failed') return NO_ANSWER;
+function toStoreCallError(answer: RequestAnswer | undefined): StoreCallError {
+  if (answer?.type !== 'store-failed') return NO_RESPONSE;
   return { isLeaseGone: answer.isLeaseGone, retryAfterMs: answer.retryAfterMs ?? 0 };
 }
--- a/src/core/promotion/service-leader.ts
+++ b/src/core/promotion/service-leader.ts
@@ -11,11 +11,11 @@
 import { addressOfInstance, type ServingRecord } from './records.js';
 import { Scope } from './scope.js';
 
-const PREFLIGHT_EVERY_MS = 300;
+const PREFLIGHT_PERIOD_MS = 300;
 /** After a change that had to take the old primary once more. */
-const REST_AFTER_RETURN_MS = 1000;
+const REPROMOTION_COOLDOWN_MS = 1000;
 /** A leader that hears nobody, though the primary seems to be dead, resigns after so many looks. */
-const DEAF_LOOKS_UNTIL_RESIGNING = 3;
+const UNANSWERED_PREFLIGHTS_UNTIL_RESIGNING = 3;
 
 type PreflightOf<Type extends PreflightResult['type']> = Extract<PreflightResult, { type: Type }>;
 
@@ -26,14 +26,14 @@
   readonly #calls: PromotionCalls;
   #change: PrimaryChange | undefined;
   #aftercare: Aftercare | undefined;
-  #aftercareOf: string | undefined;
-  #looking = false;
-  #nextLookAt: Milliseconds = 0;
-  #deafLooks = 0;
+  #aftercareKey: string | undefined;
+  #isBusy = false;
+  #nextPreflightAt: Milliseconds = 0;
+  #unansweredPreflights = 0;
   /** The change that this leader wrote last, or tried to. */
-  #begunChange: number | undefined;
+  #startedChange: number | undefined;
   /** What stood in the way of a change, as it was logged last. */
-  #obstacle = '';
+  #lastLoggedObstacle = '';
 
   constructor(
     private readonly context: Omit<ChangeContext, 'membersOf' | 'departedOf' | 'calls'>,
@@ -51,7 +51,7 @@
       primaryIdOf: (name: string) => store.primaryIdOf(name),
     };
     this.#monitor = new PrimaryMonitor(runtime, watched, store, service, (id, reason) =>
-      this.#consider(id, reason),
+      this.#considerChange(id, reason),
     );
   }
 
@@ -88,7 +88,7 @@
       if (this.#change?.record.change !== record.change) {
         this.#endChange();
         this.#aftercare?.stop();
-        this.#aftercareOf = undefined;
+        this.#aftercareKey = undefined;
         const context: ChangeContext = {
           ...this.context,
           calls: this.#calls,
@@ -104,31 +104,31 @@
       return;
     }
     if (record?.phase === 'serving' && this.#change?.record.change === record.change) {
-      this.#noteFinished(this.#change, record);
+      this.#handleFinished(this.#change, record);
     }
     this.#endChange();
     this.#members.update();
-    if (record?.phase === 'serving') this.#careFor(record.instance, record.term, false);
+    if (record?.phase === 'serving') this.#startAftercare(record.instance, record.term, false);
     this.#monitor.evaluate();
   }
 
   /** The record that ends this leader's change is written, by whichever way that became known. */
-  #noteFinished(change: PrimaryChange, record: ServingRecord): void {
+  #handleFinished(change: PrimaryChange, record: ServingRecord): void {
     const { runtime } = this.context;
     const { tookMs } = change;
     runtime.log('info', 'primary changed', { service: this.service, ...record, tookMs });
     this.#endChange();
     this.#monitor.startSuspicionCooldown();
     if (record.instance === change.record.from) {
-      this.#nextLookAt = runtime.now + REST_AFTER_RETURN_MS;
+      this.#nextPreflightAt = runtime.now + REPROMOTION_COOLDOWN_MS;
     }
-    this.#careFor(record.instance, record.term, true);
+    this.#startAftercare(record.instance, record.term, true);
   }
 
   /** A change that another leader began before the store came back from a copy may have lost its candidate's name. */
   #mayHaveBeenCalled(change: number): boolean {
     const { runtime, store } = this.context;
-    if (change === this.#begunChange || runtime.isDisabled('unnamed-calls')) return false;
+    if (change === this.#startedChange || runtime.isDisabled('unnamed-calls')) return false;
     return runtime.era.mayHaveLostCalls(store.begunAt, runtime.now);
   }
 
@@ -137,26 +137,26 @@
     this.#change = undefined;
   }
 
-  #careFor(leaderId: string, term: number, areHeld: boolean): void {
+  #startAftercare(leaderId: string, term: number, areHeld: boolean): void {
     const key = `${leaderId} ${term}`;
-    if (this.#aftercareOf === key) return;
+    if (this.#aftercareKey === key) return;
     this.#aftercare?.stop();
-    this.#aftercareOf = key;
+    this.#aftercareKey = key;
     const members = this.#members.current();
     const mayAct = (): boolean => this.context.election.mayAct();
     this.#aftercare = new Aftercare(this.context.runtime, { leaderId, term, members, mayAct });
     this.#aftercare.start(areHeld);
   }
 
-  #consider(fromId: string, reason: ChangeReason): void {
+  #considerChange(fromId: string, reason: ChangeReason): void {
     const { runtime, primaries, election } = this.context;
-    if (this.#change !== undefined || this.#looking || !election.mayAct()) return;
-    if (runtime.now < this.#nextLookAt) return;
+    if (this.#change !== undefined || this.#isBusy || !election.mayAct()) return;
+    if (runtime.now < this.#nextPreflightAt) return;
     const members = this.#members.current();
-    const from = this.#entryOf(fromId, members);
+    const from = this.#findEntry(fromId, members);
     if (from === undefined) return;
-    this.#looking = true;
-    this.#nextLookAt = runtime.now + PREFLIGHT_EVERY_MS;
+    this.#isBusy = true;
+    this.#nextPreflightAt = runtime.now + PREFLIGHT_PERIOD_MS;
     const options = {
       from,
       others: members.filter(({ id }) => id !== fromId),
@@ -165,31 +165,31 @@
       isPresent: (id: string) => primaries.isPresent(id),
     };
     runPreflight(runtime, this.#scope, options, (result) => {
-      this.#looking = false;
-      this.#noteLook(from, reason, result);
+      this.#isBusy = false;
+      this.#handlePreflight(from, reason, result);
     });
   }
 
   /** A primary that this leader has never seen is known by its record: another may have its address and its log. */
-  #entryOf(id: string, members: readonly InstanceEntry[]): InstanceEntry | undefined {
+  #findEntry(id: string, members: readonly InstanceEntry[]): InstanceEntry | undefined {
     const { primaries } = this.context;
     const known = members.find((member) => member.id === id) ?? primaries.instance(id);
     const record = primaries.recordOf(this.service);
     if (known !== undefined || record?.at === undefined) return known;
-    const unseen = { zone: '', slots: 0, draining: false, role: 'replica' } as const;
-    return { id, service: this.service, ...record.at, ...unseen };
+    const placeholder = { zone: '', slots: 0, draining: false, role: 'replica' } as const;
+    return { id, service: this.service, ...record.at, ...placeholder };
   }
 
-  #noteLook(from: InstanceEntry, reason: ChangeReason, result: PreflightResult): void {
+  #handlePreflight(from: InstanceEntry, reason: ChangeReason, result: PreflightResult): void {
     const { runtime, primaries, store, election } = this.context;
     if (result.type === 'alive') this.#monitor.recordAlive(from.id);
     if (result.type === 'wait') {
       this.#logObstacle({ service: this.service, from: from.id, reason, said: result.responses });
-      this.#noteDeafness(result.anyResponded);
-    } else this.#deafLooks = 0;
+      this.#resignIfUnanswered(result.anyResponded);
+    } else this.#unansweredPreflights = 0;
     const isStillPrimary = store.primaryIdOf(this.service) === from.id;
     if (result.type === 'succeeded' && isStillPrimary && election.mayAct()) {
-      this.#noteSuccession(from, result);
+      this.#writeSuccession(from, result);
       return;
     }
     if (result.type !== 'go' || !isStillPrimary || !election.mayAct()) return;
@@ -199,7 +199,7 @@
     const { planned } = result;
     const at = addressOfInstance(from);
     const record = { phase: 'changing', change, from: from.id, at, term, planned } as const;
-    this.#begunChange = change;
+    this.#startedChange = change;
     const note = {
       ...store.noteOf(this.service),
       members: this.#members.current(),
@@ -207,29 +207,29 @@
       candidate: undefined,
       change,
     };
-    this.#looking = true;
+    this.#isBusy = true;
     runtime.log('info', 'primary to be replaced', { service: this.service, from: from.id, reason });
     const onDone = this.#scope.guard(() => {
-      this.#looking = false;
+      this.#isBusy = false;
       this.update();
     });
     store.write({ service: this.service, record, note }, onDone);
   }
 
   /** The same term goes on at another instance: only the record is brought up to date. */
-  #noteSuccession(from: InstanceEntry, { by, term }: PreflightOf<'succeeded'>): void {
+  #writeSuccession(from: InstanceEntry, { by, term }: PreflightOf<'succeeded'>): void {
     const { runtime, primaries, store } = this.context;
     const known = primaries.recordOf(this.service);
     if (known?.phase !== 'serving' || known.term !== term) return;
     const at = addressOfInstance(from);
     const record = { phase: 'serving', change: known.change + 1, instance: by, at, term } as const;
     const note = { ...store.noteOf(this.service), members: this.#members.current(), primary: by };
-    this.#looking = true;
+    this.#isBusy = true;
     runtime.log('info', 'primary succeeded at its address', {
       ...{ service: this.service, from: from.id, by, term },
     });
     const onDone = this.#scope.guard(() => {
-      this.#looking = false;
+      this.#isBusy = false;
       this.update();
     });
     store.write({ service: this.service, record, note }, onDone);
@@ -238,15 +238,15 @@
   /** Each obstacle is told once: the looks go on several times a second. */
   #logObstacle(fields: Readonly<Record<string, unknown>>): void {
     const obstacle = JSON.stringify(fields);
-    if (obstacle === this.#obstacle) return;
-    this.#obstacle = obstacle;
+    if (obstacle === this.#lastLoggedObstacle) return;
+    this.#lastLoggedObstacle = obstacle;
     this.context.runtime.log('warn', 'primary not replaced: too few members answer', fields);
   }
 
-  #noteDeafness(heardAny: boolean): void {
+  #resignIfUnanswered(heardAny: boolean): void {
     const { runtime, store, election } = this.context;
-    this.#deafLooks = heardAny ? 0 : this.#deafLooks + 1;
-    if (this.#deafLooks < DEAF_LOOKS_UNTIL_RESIGNING) return;
+    this.#unansweredPreflights = heardAny ? 0 : this.#unansweredPreflights + 1;
+    if (this.#unansweredPreflights < UNANSWERED_PREFLIGHTS_UNTIL_RESIGNING) return;
     if (store.liveNodes() <= 1 || !election.mayHandOn) return;
     runtime.log('warn', 'no member answers, resigning', { service: this.service });
     election.resign(runtime.timings.candidacyCooldownMs);
--- a/src/core/promotion/store-view.ts
+++ b/src/core/promotion/store-view.ts
@@ -9,7 +9,7 @@
 import { RetryPause } from './retry-pause.js';
 import { isStoreCallError, type PromotionRuntime } from './runtime.js';
 
-const BACKOFF_MAXIMUM_MS = 1000;
+const MAX_BACKOFF_MS = 1000;
 
 export class StoreView {
   /** Called after a change or a whole read, with the keys that changed. */
@@ -21,13 +21,13 @@
   #revision = 0;
   /** Revision of the last whole read: events up to it are old. */
   #readRevision = 0;
-  #watch: number | undefined;
-  #reading = false;
+  #watchId: number | undefined;
+  #isReading = false;
   /** Reads that were asked for, to tell the latest. */
-  #reads = 0;
+  #readCount = 0;
   /** Asked for while another read was on its way, which may be older than what is wanted. */
-  #readAgain = false;
-  #running = false;
+  #shouldReadAgain = false;
+  #isRunning = false;
   /** Until what failed is tried again. */
   readonly #pause: RetryPause;
   #failures = 0;
@@ -39,7 +39,7 @@
     this.#pause = new RetryPause(runtime);
     this.#lost = new LostRecords(runtime, {
       storedRevisionOf: (key) => this.#storedRevisionOf(key),
-      setEntry: (entry) => this.#takeStored(entry),
+      setEntry: (entry) => this.#setStored(entry),
     });
   }
 
@@ -49,7 +49,7 @@
   }
 
   get isRunning(): boolean {
-    return this.#running;
+    return this.#isRunning;
   }
 
   get revision(): number {
@@ -65,8 +65,8 @@
   }
 
   start(): void {
-    if (this.#running) return;
-    this.#running = true;
+    if (this.#isRunning) return;
+    this.#isRunning = true;
     this.read();
   }
 
@@ -77,7 +77,7 @@
 
   /** Ends the watch and forgets everything. */
   stop(): void {
-    this.#running = false;
+    this.#isRunning = false;
     this.#closeWatch();
     this.#entries.clear();
     this.#lost.clear();
@@ -87,37 +87,37 @@
 
   /** Reads everything anew, for when the watch may be behind. */
   read(): void {
-    if (!this.#running) return;
-    this.#readAgain = this.#reading;
-    if (!this.#reading) this.#ask();
+    if (!this.#isRunning) return;
+    this.#shouldReadAgain = this.#isReading;
+    if (!this.#isReading) this.#sendRead();
   }
 
   /** The same, when the store is known to answer: a read that is on its way may have been lost. */
   readNow(): void {
-    if (this.#running) this.#ask();
+    if (this.#isRunning) this.#sendRead();
   }
 
-  #ask(): void {
-    this.#reading = true;
-    this.#reads += 1;
-    const read = this.#reads;
+  #sendRead(): void {
+    this.#isReading = true;
+    this.#readCount += 1;
+    const read = this.#readCount;
     this.runtime.range(this.prefix, (answer) => {
-      const isLatest = read === this.#reads;
-      if (isLatest) this.#reading = false;
-      if (!this.#running) return;
+      const isLatest = read === this.#readCount;
+      if (isLatest) this.#isReading = false;
+      if (!this.#isRunning) return;
       if (isStoreCallError(answer)) {
-        if (isLatest) this.#later(() => this.read(), answer.retryAfterMs);
+        if (isLatest) this.#retryLater(() => this.read(), answer.retryAfterMs);
         return;
       }
       this.#failures = 0;
       this.#replace(answer.entries, answer.revision);
-      if (this.#watch === undefined) this.#openWatch();
-      if (isLatest && this.#readAgain) this.read();
+      if (this.#watchId === undefined) this.#openWatch();
+      if (isLatest && this.#shouldReadAgain) this.read();
     });
   }
 
   handleWatchEvents(watch: number, events: readonly WatchEvent[], revision: number): void {
-    if (watch !== this.#watch) return;
+    if (watch !== this.#watchId) return;
     const changed = new Set<string>();
     for (const event of events) if (this.#apply(event)) changed.add(keyOf(event));
     this.#failures = 0;
@@ -126,14 +126,14 @@
   }
 
   handleWatchEnded(watch: number): void {
-    if (watch !== this.#watch) return;
-    this.#watch = undefined;
-    this.#later(() => this.read(), 0);
+    if (watch !== this.#watchId) return;
+    this.#watchId = undefined;
+    this.#retryLater(() => this.read(), 0);
   }
 
   /** A change of this node's own that the store has acknowledged; the watch will tell it too. */
   recordOwnPut(key: string, value: string, modRevision: number): void {
-    if (!this.#running || modRevision <= this.#revision) return;
+    if (!this.#isRunning || modRevision <= this.#revision) return;
     const known = this.#entries.get(key);
     if (known !== undefined && known.modRevision >= modRevision) return;
     this.#lost.remove(key);
@@ -146,8 +146,8 @@
     if (revision < this.#revision) return;
     const changed = new Set<string>();
     const present = new Map(entries.map((entry) => [entry.key, entry]));
-    const isReturn = this.#revision > 0 && !isInSameEra(this.#revision, revision);
-    if (isReturn) {
+    const wasRestored = this.#revision > 0 && !isInSameEra(this.#revision, revision);
+    if (wasRestored) {
       for (const [key, known] of this.#entries) this.#lost.addIfLost(known, present.get(key));
     }
     for (const [key, { modRevision }] of this.#entries) {
@@ -190,31 +190,31 @@
     return isInSameEra(modRevision, this.#revision) ? modRevision : 0;
   }
 
-  #takeStored(entry: KeyValue): void {
-    if (!this.#running) return;
+  #setStored(entry: KeyValue): void {
+    if (!this.#isRunning) return;
     this.#entries.set(entry.key, entry);
     this.onChange(new Set([entry.key]));
   }
 
   #openWatch(): void {
     const id = this.runtime.nextId();
-    this.#watch = id;
+    this.#watchId = id;
     const fromRevision = this.#revision + 1;
     this.runtime.emit({ type: 'open-watch', id, prefix: this.prefix, fromRevision });
   }
 
   #closeWatch(): void {
-    if (this.#watch === undefined) return;
-    this.runtime.emit({ type: 'close-watch', id: this.#watch });
-    this.#watch = undefined;
+    if (this.#watchId === undefined) return;
+    this.runtime.emit({ type: 'close-watch', id: this.#watchId });
+    this.#watchId = undefined;
   }
 
-  #later(action: () => void, atLeastMs: number): void {
-    const bound = Math.min(
-      BACKOFF_MAXIMUM_MS,
+  #retryLater(action: () => void, minDelayMs: number): void {
+    const maxDelayMs = Math.min(
+      MAX_BACKOFF_MS,
       this.runtime.timings.storeRetryDelayMs * 2 ** this.#failures,
     );
     this.#failures += 1;
-    this.#pause.schedule(Math.max(atLeastMs, this.runtime.jittered(bound)), action);
+    this.#pause.schedule(Math.max(minDelayMs, this.runtime.jittered(maxDelayMs)), action);
   }
 }
--- a/src/core/promotion/suspicion.ts
+++ b/src/core/promotion/suspicion.ts
@@ -9,7 +9,7 @@
 import { isStoreCallError, type PromotionRuntime } from './runtime.js';
 
 /** Failures are told by at least so many requests. */
-const MINIMUM_FAILURES = 2;
+const MIN_FAILURES = 2;
 /** Stands for whatever the store may hold: differs from every instance, and from none. */
 const UNKNOWN_INSTANCE = '';
 
@@ -23,9 +23,9 @@
 /** What the store holds of this node's suspicion, as far as known. */
 interface WrittenSuspicion {
   instance: string | undefined;
-  writing: boolean;
+  isBusy: boolean;
   revision: number;
-  nextAt: Milliseconds;
+  nextWriteAt: Milliseconds;
   leaseId: string | undefined;
 }
 
@@ -52,8 +52,8 @@
       failing.count += 1;
     } else {
       health.failingSince.set(use, { at: now - silentForMs, count: 1 });
-      const restMs = Math.max(0, timings.suspectAfterMs - silentForMs);
-      this.runtime.after(restMs, () => this.#update(service));
+      const remainingMs = Math.max(0, timings.suspectAfterMs - silentForMs);
+      this.runtime.after(remainingMs, () => this.#update(service));
     }
     this.#update(service);
   }
@@ -88,7 +88,7 @@
     if (health === undefined) return undefined;
     const since = this.runtime.now - this.runtime.timings.suspectAfterMs;
     const isSuspect = [...health.failingSince.values()].some(
-      ({ at, count }) => at <= since && count >= MINIMUM_FAILURES,
+      ({ at, count }) => at <= since && count >= MIN_FAILURES,
     );
     return isSuspect ? health.instance : undefined;
   }
@@ -102,22 +102,22 @@
   }
 
   #update(service: string): void {
-    const wanted = this.suspectOf(service);
+    const suspect = this.suspectOf(service);
     const written = this.#writtenOf(service);
     const { leaseId } = this.lease;
-    if (written.writing || leaseId === undefined || !this.lease.isValid(this.runtime.now)) return;
+    if (written.isBusy || leaseId === undefined || !this.lease.isValid(this.runtime.now)) return;
     // What hung on an earlier lease is gone, or will be.
     const known = written.leaseId === leaseId ? written.instance : undefined;
-    if (wanted === known) return;
-    if (this.runtime.now < written.nextAt) {
-      written.writing = true;
-      this.runtime.after(written.nextAt - this.runtime.now, () => {
-        written.writing = false;
+    if (suspect === known) return;
+    if (this.runtime.now < written.nextWriteAt) {
+      written.isBusy = true;
+      this.runtime.after(written.nextWriteAt - this.runtime.now, () => {
+        written.isBusy = false;
         this.#update(service);
       });
       return;
     }
-    this.#write(service, wanted, written, leaseId);
+    this.#write(service, suspect, written, leaseId);
   }
 
   /** The store came back from a copy, which may lack what was written, or hold what was taken back. */
@@ -135,9 +135,9 @@
     if (known !== undefined) return known;
     const written = {
       instance: undefined,
-      writing: false,
+      isBusy: false,
       revision: 0,
-      nextAt: 0,
+      nextWriteAt: 0,
       leaseId: undefined,
     };
     this.#written.set(service, written);
@@ -151,8 +151,8 @@
     leaseId: string,
   ): void {
     const key = suspicionKeyOf(service, this.runtime.options.nodeName);
-    written.writing = true;
-    written.nextAt = this.runtime.now + this.runtime.timings.suspicionPeriodMs;
+    written.isBusy = true;
+    written.nextWriteAt = this.runtime.now + this.runtime.timings.suspicionPeriodMs;
     const operation =
       instance === undefined
         ? ({ type: 'delete', key } as const)
@@ -164,12 +164,12 @@
           } as const);
     const compares = [{ key, modRevision: written.revision }];
     this.runtime.transaction(compares, [operation], (answer) => {
-      written.writing = false;
+      written.isBusy = false;
       if (isStoreCallError(answer)) {
         // Nothing was told yet: the pause between tellings has no say.
         const { storeRetryDelayMs } = this.runtime.timings;
         const delayMs = Math.max(answer.retryAfterMs, this.runtime.jittered(storeRetryDelayMs));
-        written.nextAt = this.runtime.now + delayMs;
+        written.nextWriteAt = this.runtime.now + delayMs;
       } else {
         const currentRevision = answer.current.find((entry) => entry.key === key)?.modRevision;
         if (answer.succeeded) {
@@ -178,7 +178,7 @@
           written.revision = instance === undefined ? 0 : answer.revision;
         } else {
           written.revision = currentRevision ?? 0;
-          written.nextAt = this.runtime.now;
+          written.nextWriteAt = this.runtime.now;
         }
       }
       this.#update(service);
