--- a/src/core/promotion/change.ts
+++ b/src/core/promotion/change.ts
@@ -69,7 +69,7 @@
       from: members.find(({ id }) => id === record.from) ?? primaries.instance(record.from),
       replicas: members.filter(({ id }) => id !== record.from),
       term: record.term,
-      isPresent: (id) => primaries.isPresent(id),
+      isPresent: (id) => primaries.isRegistered(id),
       mayAct: () => context.election.mayAct(),
       onFinding: () => this.step(),
     });
--- a/src/core/promotion/duty-store.ts
+++ b/src/core/promotion/duty-store.ts
@@ -100,7 +100,7 @@
     const known = this.primaries.primaryIdOf(service);
     if (known !== undefined || this.runtime.isDisabled('noted-primary')) return known;
     if (!this.records.isReady || this.primaries.recordOf(service) !== undefined) return undefined;
-    const present = this.primaries.present(service);
+    const present = this.primaries.registeredInstances(service);
     if (present.some(({ role }) => role === 'primary')) return undefined;
     return this.noteOf(service).primary;
   }
@@ -256,14 +256,14 @@
   /** Those that this leader counts no more, other nodes need not hear of. */
   #departedToPublish(service: string, { departed }: HandoverRecord): readonly InstanceEntry[] {
     if (departed.length === 0 || this.runtime.isDisabled('forgotten-members')) return [];
-    const remembered = new Set(this.primaries.remembered(service).map(({ id }) => id));
+    const remembered = new Set(this.primaries.rememberedInstances(service).map(({ id }) => id));
     return departed.filter(({ id }) => remembered.has(id));
   }
 
   /** Asked at every update of the leader: what looks at all nodes comes last. */
   #mayTellLater(members: readonly InstanceEntry[]): boolean {
     if (this.runtime.now - this.#begunAt >= FIRST_MEMBERS_MS) return false;
-    const areAllPresent = members.every(({ id }) => this.primaries.isPresent(id));
+    const areAllPresent = members.every(({ id }) => this.primaries.isRegistered(id));
     return areAllPresent && this.liveNodes() >= SMALLEST_READER_FLEET;
   }
 
--- a/src/core/promotion/lost-records.ts
+++ b/src/core/promotion/lost-records.ts
@@ -1,6 +1,7 @@
 /**
- * Which records that a node knows hold though the store came back from a copy without them: what was acted on is never taken
- * back. Keys that hang on leases, and what the leader makes anew from these, are the store's alone.
+ * Decides which known records stay in force although the store was restored from a backup without them: a node
+ * never reverts what it has acted on. Keys bound to a lease, and keys that the leader derives from these records,
+ * are taken as the store has them.
  */
 import type { InstanceEntry } from '../../direct/contract.js';
 import type { KeyValue } from '../../platform/contract.js';
@@ -17,18 +18,21 @@
 } from './records.js';
 import { isStoreCallError, type PromotionRuntime } from './runtime.js';
 
-/** All nodes know what is lost: most of them hear that another has written it again. */
+/**
+ * Maximum random delay before a lost record is rewritten. Every node knows the lost records, so most nodes learn
+ * during the delay that another has already rewritten them.
+ */
 const REWRITE_MAX_DELAY_MS: Milliseconds = 300;
 
-/** Whoever holds the entries. */
+/** Holds the entries of the watched prefix. */
 export interface LostRecordsHost {
-  /** Revision at which the store has a key now, as far as is known; 0 for none. */
+  /** Revision at which the store has a key now, as far as known; 0 if it does not have it. */
   storedRevisionOf(key: string): number;
-  /** Takes an entry that the store has now. */
+  /** Sets an entry as the store has it now. */
   setEntry(entry: KeyValue): void;
 }
 
-/** Records that the store has lost, as they were known, until they are written again. */
+/** Records that the store has lost, with their last known values, until they are rewritten. */
 export class LostRecords {
   readonly #records = new Map<string, KeyValue>();
   #isWriteScheduled = false;
@@ -46,12 +50,12 @@
     this.#records.clear();
   }
 
-  /** A later change of the key is known. */
+  /** Removes a record because a later change of its key is known. */
   remove(key: string): void {
     this.#records.delete(key);
   }
 
-  /** The store came back with this entry of a key, or with none. */
+  /** Called for each known entry after a restore, with the entry that the store now has for its key, if any. */
   addIfLost(known: KeyValue, stored: KeyValue | undefined): void {
     if (this.runtime.isDisabled('lost-records')) return;
     const value = this.#overridingValue(this.#records.get(known.key) ?? known, stored);
@@ -61,7 +65,8 @@
   }
 
   /**
-   * What holds of a key though the store has this entry, with the store's revision. Undefined if the entry itself holds.
+   * The known entry that overrides the one in the store, with the store's revision; undefined if the store's entry
+   * is in force.
    */
   findOverride(stored: KeyValue): KeyValue | undefined {
     const known = this.#records.get(stored.key);
@@ -75,7 +80,7 @@
     return { ...known, value, modRevision: stored.modRevision };
   }
 
-  /** The value that holds of a key where it is not the store's own; undefined if it is. */
+  /** Value that overrides the one in the store; undefined if the store's value is in force. */
   #overridingValue(known: KeyValue, stored: KeyValue | undefined): string | undefined {
     if (known.value === stored?.value) return undefined;
     if (serviceOfPrimaryKey(known.key) !== undefined) {
@@ -84,7 +89,7 @@
       return isLater(record, decodeRecord(stored, parsePrimaryRecord)) ? known.value : undefined;
     }
     if (isMembersKey(known.key)) return mergeMembers(known, stored);
-    // The leader that lives on has written its notes alone.
+    // Only leaders write handover records: one that leads before and after the restore wrote the latest one itself.
     return isHandoverKey(known.key) ? known.value : undefined;
   }
 
@@ -112,7 +117,10 @@
   }
 }
 
-/** Which of two lists is later can't be told over several returns: a member too many only has to answer once more. */
+/**
+ * Merges both member lists; undefined if the store's list is complete. After several restores it can't be
+ * determined which list is later; a surplus member does no harm, since it only has to respond once more.
+ */
 function mergeMembers(known: KeyValue, stored: KeyValue | undefined): string | undefined {
   const storedRecord = decodeRecord(stored, parseMembersRecord);
   if (storedRecord === undefined) return known.value;
@@ -134,8 +142,9 @@
 }
 
 /**
- * Terms only grow, and are the instances' own. Changes are counted by the records, so that one that a copy lacks is counted
- * once more: they tell only of records of one term. A change that begins comes after the primary of its term.
+ * Compares records by term first: terms only grow, and the instances themselves keep them. Change numbers are
+ * derived from the records, so a change that the backup lacks is numbered again: they order only records of one
+ * term. Within a term, a change starts after that term's primary was recorded.
  */
 function isLaterRecord(known: PrimaryRecord | undefined, stored: PrimaryRecord | undefined) {
   if (known === undefined || stored === undefined) return known !== undefined;
@@ -144,7 +153,7 @@
   return known.change > stored.change;
 }
 
-/** Changes are counted; each begins with one record and ends with the other. */
+/** Compares records by change number; within one change, the serving record follows the changing record. */
 function isLaterChange(known: PrimaryRecord | undefined, stored: PrimaryRecord | undefined) {
   if (known === undefined || stored === undefined) return known !== undefined;
   if (known.change !== stored.change) return known.change > stored.change;
--- a/src/core/promotion/machine.ts
+++ b/src/core/promotion/machine.ts
@@ -1,6 +1,6 @@
 /**
- * The promotion machine of one node: its lease and registration, the records it follows, its part in
- * changes, and the duty of promotions while it leads. Pure: events and times in, effects out.
+ * Promotion state machine of one node: its lease and registration, the records it watches, its part in primary
+ * changes, and the promotions themselves while it is the leader. Pure: events and times in, effects out.
  */
 import type { InstanceEntry } from '../../direct/contract.js';
 import type { PeerAddress } from '../../peer/contract.js';
@@ -34,9 +34,14 @@
 
 type PrimaryFailedEvent = Extract<PromotionEvent, { type: 'primary-failed' }>;
 
+/** Period at which a leader checks whether it may hand over leadership. */
 const RELEASE_CHECK_PERIOD_MS = 50;
+/** Minimum period between reads of the records because the primary is suspected. */
 const SUSPICION_REREAD_PERIOD_MS = 1000;
-/** What a peer told of the members counts as current for so long: peers are asked more often while the store is away. */
+/**
+ * Maximum age of a peer's report of the members that counts as current: during an outage of the store, peers are
+ * polled more often than this.
+ */
 const REPORTED_MEMBERS_MAX_AGE_MS: Milliseconds = 2000;
 const NO_KEYS: ReadonlySet<string> = new Set();
 const NO_READERS: readonly ReachableNode[] = [];
@@ -50,7 +55,7 @@
   readonly #election: Election;
   readonly #leader: Leader;
   readonly #suspicions: Suspicions;
-  /** Primary of each service as it was told last. */
+  /** Primary of each service as it was last announced. */
   readonly #announced = new Map<string, string | undefined>();
   #services: readonly string[] = [];
   #fleetEntry: KeyValue | undefined;
@@ -82,7 +87,7 @@
     this.#election.onChange = () => this.#leader.noteElection();
   }
 
-  /** Earliest time at which a tick is wanted. */
+  /** Earliest time at which a `tick` event is needed. */
   nextDeadline(): Milliseconds | undefined {
     return this.#runtime.agenda.next();
   }
@@ -95,12 +100,15 @@
     return this.#runtime.takeEffects();
   }
 
-  /** The instance that takes writes now; undefined while it changes or is unknown. */
+  /** The instance that accepts writes now; undefined during a primary change or if it is unknown. */
   primaryOf(service: string, now: Milliseconds): InstanceEntry | undefined {
     return this.#primaries.primaryOf(service, now);
   }
 
-  /** True if what the primary, or this instance, answers now is surely not of a deposed one. */
+  /**
+   * Whether a response sent now by the service's primary, or by the given instance as primary, is certainly not
+   * from a replaced primary.
+   */
   mayTrustPrimary(service: string, now: Milliseconds, instance?: string): boolean {
     if (!this.#participation.isPermitted(now) || !this.#mayRelyOnRecords(now)) return false;
     if (this.#runtime.era.mayHaveMissedRecords(now)) return false;
@@ -108,74 +116,80 @@
     return primary !== undefined && (instance === undefined || instance === primary.id);
   }
 
-  /** Members of a service that this node has seen lately or the leader counts, also if they are gone. */
+  /** Members of a service that this node has seen recently or that the leader counts, registered or not. */
   membersOf(service: string): InstanceEntry[] {
     return this.#primaries.countedMembers(service);
   }
 
-  /** Members that there may be and that can't be asked: they count as silent. Undefined while nothing can be proven. */
+  /**
+   * Ids of members that may exist and can't be queried: they count as unresponsive. Undefined while nothing can be
+   * proven.
+   */
   membersWithoutAddress(service: string): string[] | undefined {
     if (!this.#mayRelyOnRecords(this.#runtime.now)) return undefined;
     return this.#primaries.membersWithoutAddress(service);
   }
 
-  /** Whether this node would know who joined lately: by the store, or by a peer that has read the records. */
+  /**
+   * Whether this node would know of recently joined members: from the store, or from a peer that has read the
+   * records.
+   */
   areMembersCurrent(service: string, now: Milliseconds): boolean {
     if (this.#runtime.isDisabled('current-members') || this.#lease.isValid(now)) return true;
     return now - this.#primaries.membersReportedAt(service) <= REPORTED_MEMBERS_MAX_AGE_MS;
   }
 
-  /** What this process reads may be older than what was acted on, and it remembers nothing. */
+  /** False while the store may have lost records that were acted on, and this process remembers none of them. */
   #mayRelyOnRecords(now: Milliseconds): boolean {
     return this.#runtime.era.mayRelyOnRecords(now) || this.#runtime.isDisabled('era-memory');
   }
 
-  /** True while the record says that another primary is being made. */
+  /** Whether a change of the service's primary is in progress, by its record. */
   isChanging(service: string): boolean {
     return this.#primaries.recordOf(service)?.phase === 'changing';
   }
 
-  /** Nodes that there are, as the leader counted them last; at least this one. */
+  /** Number of live nodes as last published by the leader; at least 1, for this node. */
   liveNodeCount(): number {
     return Math.max(1, this.#fleet()?.nodes ?? 1);
   }
 
-  /** The nodes that own instances, if the fleet is too large for all to connect to all. */
+  /** Nodes that own connections to instances; undefined while every node connects to every instance. */
   ownerRoster(): OwnerRoster | undefined {
     return this.#fleet()?.owners;
   }
 
-  /** The nodes that lend connections to those that come back, where all connect to all otherwise. */
+  /** Nodes that lend connections to returning nodes, in a fleet whose nodes otherwise connect by themselves. */
   returnRoster(): OwnerRoster | undefined {
     return this.#fleet()?.returnOwners;
   }
 
-  /** The nodes that read the store for the others; the same list until the leader names another. */
+  /** Nodes that read the store for the others; the same list until the leader publishes another. */
   watchReaders(): readonly ReachableNode[] {
     return this.#fleet()?.readers ?? NO_READERS;
   }
 
-  /** Whether another life of this instance has its id now. */
+  /** Whether another incarnation of this instance is registered now. */
   hasNewIncarnation(instance: InstanceEntry): boolean {
     return this.#primaries.hasNewIncarnation(instance);
   }
 
-  /** The nodes that keep the tenants' quotas, as the leader named them last. */
+  /** Nodes that keep the tenants' quotas, as last published by the leader. */
   quotaKeepers(): QuotaKeepers | undefined {
     return this.#fleet()?.keepers;
   }
 
-  /** True while the leader can't have named another keeper for what this node keeps. */
+  /** True while the leader can't yet have replaced this node as a keeper of quotas. */
   mayKeepQuotas(now: Milliseconds): boolean {
     return this.#participation.isRegistered && now < this.#lease.validUntil + KEEPER_GRACE_MS;
   }
 
-  /** Where nodes answer questions for their directory, as the leader told last. */
+  /** Addresses at which nodes serve their directory, as last published by the leader. */
   peerAddresses(): readonly PeerAddress[] {
     return decodeRecord(this.#records.get(PEERS_KEY), parsePeersRecord)?.addresses ?? [];
   }
 
-  /** True if a success of the primary needs no telling: nothing depends on it. */
+  /** True if a success at the primary need not be reported, because nothing depends on it. */
   canIgnoreSuccess(service: string): boolean {
     return this.#election.token === undefined && this.#suspicions.isHealthy(service);
   }
@@ -254,15 +268,19 @@
   }
 
   /**
-   * Records bind only when read after the registration. One whose answer is late or lost must not keep the node from
-   * knowing whom to ask: what it reads before is trusted no more than what a peer told.
+   * Starts the lease, and after a delay reads the records even without a registration. Records are binding only if
+   * read after the registration, but a late or lost response to it must not keep the node from learning which peers
+   * and instances it can query. Records read earlier are trusted no more than a peer's report.
    */
   #start(): void {
     this.#lease.start();
     this.#runtime.after(this.#runtime.timings.unregisteredReadDelayMs, () => this.#records.start());
   }
 
-  /** Leases, registrations and what hangs on them may be gone, or back: each is shown or written anew before it counts. */
+  /**
+   * After a restore of the store, leases, registrations and keys bound to them may be gone or present again: each
+   * is renewed or rewritten before it counts.
+   */
   #handleStoreEra(era: number): void {
     const { now } = this.#runtime;
     const wasPermitted =
@@ -270,8 +288,8 @@
     this.#runtime.era.note(era, now, wasPermitted);
     if (this.#runtime.isDisabled('era-registration')) return;
     this.#lease.noteEra();
-    this.#participation.handleEraChange();
-    this.#suspicions.handleEraChange();
+    this.#participation.handleStoreRestore();
+    this.#suspicions.handleStoreRestore();
   }
 
   #handlePrimaryFailure({ service, use, silentForMs }: PrimaryFailedEvent): void {
@@ -279,7 +297,7 @@
     if (instance === undefined) return;
     this.#suspicions.recordFailure(service, instance, use, silentForMs);
     this.#leader.noteFailing(service, instance);
-    // The news that it is being replaced may be held up on the way.
+    // The watch may be late with the record that replaces the primary.
     if (this.#suspicions.suspectOf(service) === undefined) return;
     if (this.#runtime.now - this.#rereadAt < SUSPICION_REREAD_PERIOD_MS) return;
     this.#rereadAt = this.#runtime.now;
@@ -320,7 +338,9 @@
     }
   }
 
-  /** Hands the lead on, once the next holder may call promotions without following too soon. */
+  /**
+   * Hands over leadership, once its successor may call promotions without following this node's last call too soon.
+   */
   #releaseLeadership(): void {
     const isLeader = this.#election.token !== undefined;
     if (isLeader && (this.#leader.isCalling || !this.#election.mayHandOn)) {
--- a/src/core/promotion/members.ts
+++ b/src/core/promotion/members.ts
@@ -1,6 +1,6 @@
 /**
- * Every instance of a service that may hold an acknowledged commit which no other has received. One
- * that is gone is forgotten only once it is shown that the others have what it had.
+ * Tracks every instance of a service that may hold an acknowledged commit that no other has received. An instance
+ * whose registration is gone is removed only once another is proven to have what it had.
  */
 import type { InstanceEntry, InstanceStatus } from '../../direct/contract.js';
 import { comparePositions, type Position } from '../position.js';
@@ -13,15 +13,16 @@
 import { Scope } from './scope.js';
 
 const CHECK_PERIOD_MS = 1000;
+/** Time for which a registration must be missing before its member is checked. */
 const CHECK_MISSING_AFTER_MS = 1000;
 const MAX_DEPARTED_MEMBERS = 6;
 
 export class GroupMembers {
   readonly #scope: Scope;
   #isWriting = false;
-  /** End of the primary's log, seen after a member that is gone was found dead. */
+  /** End of the primary's log, by id of a missing member: read after that member was found dead. */
   readonly #primaryEndAfterDeath = new Map<string, Position>();
-  /** When a member that is gone last gave any answer. */
+  /** Time of the last response of any kind from each missing member. */
   readonly #lastResponseAt = new Map<string, Milliseconds>();
   #startedAt: Milliseconds = Number.POSITIVE_INFINITY;
 
@@ -45,49 +46,55 @@
     this.#scope.end();
   }
 
-  /** All members, as the store or the instances themselves tell. */
+  /** All members: those that are registered, and those that only records or nodes still list. */
   current(): InstanceEntry[] {
-    const present = this.primaries.present(this.service);
+    const present = this.primaries.registeredInstances(this.service);
     const addresses = new Set(present.map(addressOf));
-    // The log of one that is gone goes to its successor at the same address, unless that is the instance itself born again.
-    const missing = this.#recordedMembers()
-      .filter((member) => !this.primaries.isPresent(member.id))
+    // A missing member's log passes to the instance that now has its address, unless that is a new incarnation of
+    // the member itself.
+    const missing = this.#knownMembers()
+      .filter((member) => !this.primaries.isRegistered(member.id))
       .filter(
         (member) => this.primaries.hasNewIncarnation(member) || !addresses.has(addressOf(member)),
       );
     return [...present, ...missing];
   }
 
-  #recordedMembers(): readonly InstanceEntry[] {
+  #knownMembers(): readonly InstanceEntry[] {
     const { members } = this.store.noteOf(this.service);
     const ids = new Set(members.map(({ id }) => id));
     const others = new Map<string, InstanceEntry>();
-    const unrecorded = [...this.store.membersBeyondNote(this.service), ...this.#unlisted()];
-    for (const member of unrecorded) if (!ids.has(member.id)) others.set(member.id, member);
+    const additional = [...this.store.membersBeyondNote(this.service), ...this.#unlisted()];
+    for (const member of additional) if (!ids.has(member.id)) others.set(member.id, member);
     return others.size === 0 ? members : [...members, ...others.values()];
   }
 
-  /** What this node or, by their acknowledgements, others have seen and no record names. */
+  /** Members that no record lists and that this node has seen, or other nodes by their acknowledgements. */
   #unlisted(): readonly InstanceEntry[] {
     if (this.runtime.isDisabled('unlisted-members')) return [];
     return [...this.primaries.unlisted(this.service), ...this.store.unlistedByNodes(this.service)];
   }
 
-  /** Forgotten members that have no entry yet, should they come back. */
+  /** Departed members without a registration, in case they come back. */
   departed(): InstanceEntry[] {
     const current = this.current();
-    const noted = this.store.noteOf(this.service).departed;
-    const departed = this.runtime.era.hasRisen ? [...noted, ...this.#remembered(noted)] : noted;
+    const recordedDeparted = this.store.noteOf(this.service).departed;
+    const departed = this.runtime.era.hasRisen
+      ? [...recordedDeparted, ...this.#remembered(recordedDeparted)]
+      : recordedDeparted;
     return departed.filter(({ id }) => current.every((member) => member.id !== id));
   }
 
-  /** A return of the store may have taken the note back: whoever was seen may have been forgotten since, and come back. */
+  /**
+   * A restore of the store may have reverted the handover record: any instance that this node remembers may since
+   * have been removed from the members, and may come back.
+   */
   #remembered(noted: readonly InstanceEntry[]): InstanceEntry[] {
     const ids = new Set(noted.map(({ id }) => id));
-    return this.primaries.remembered(this.service).filter(({ id }) => !ids.has(id));
+    return this.primaries.rememberedInstances(this.service).filter(({ id }) => !ids.has(id));
   }
 
-  /** Brings the note in the store up to date. */
+  /** Brings the handover record in the store up to date. */
   update(): void {
     const members = this.current();
     const note = this.store.noteOf(this.service);
@@ -130,11 +137,10 @@
     }
     const primaryId = this.primaries.primaryIdOf(this.service);
     if (primaryId === undefined) return;
-    for (const member of missing)
-      if (member.id !== primaryId) this.#checkMissing(member, primaryId);
+    for (const member of missing) if (member.id !== primaryId) this.#checkMember(member, primaryId);
   }
 
-  /** One that was forgotten and answers may count towards commits again, with or without an entry. */
+  /** A departed member that responds may count towards commits again, registered or not. */
   #probeDeparted(): void {
     if (this.runtime.isDisabled('forgotten-members')) return;
     for (const member of this.departed()) {
@@ -153,7 +159,7 @@
     this.#write([...members, member], primary, others);
   }
 
-  #checkMissing(member: InstanceEntry, primaryId: string): void {
+  #checkMember(member: InstanceEntry, primaryId: string): void {
     const end = this.#primaryEndAfterDeath.get(member.id);
     if (end !== undefined) {
       this.#findReplicaWith(end, member, primaryId);
@@ -173,7 +179,10 @@
     this.runtime.control('status', member, 0, onAnswer);
   }
 
-  /** One that answered meanwhile is alive, and this leader knows of no silence before its own first question. */
+  /**
+   * A member that has responded since its registration ended is alive, and this leader knows of no silence before
+   * its own first query.
+   */
   #silentForMs(id: string): Milliseconds {
     const { now } = this.runtime;
     const missingMs = this.primaries.missingForMs(id, now) ?? 0;
@@ -193,7 +202,7 @@
   }
 
   #findReplicaWith(end: Position, member: InstanceEntry, primaryId: string): void {
-    for (const replica of this.primaries.present(this.service)) {
+    for (const replica of this.primaries.registeredInstances(this.service)) {
       if (replica.id === primaryId) continue;
       const onAnswer = this.#scope.guard((answer: InstanceStatus | ControlFailure) => {
         if (typeof answer === 'string' || answer.role !== 'replica') return;
@@ -207,7 +216,7 @@
     this.#primaryEndAfterDeath.delete(id);
     const note = this.store.noteOf(this.service);
     const members = note.members.filter((member) => member.id !== id);
-    if (members.length === note.members.length || this.primaries.isPresent(id)) return;
+    if (members.length === note.members.length || this.primaries.isRegistered(id)) return;
     if (this.primaries.primaryIdOf(this.service) === undefined) return;
     const member = note.members.filter((one) => one.id === id);
     const departed = [...member, ...note.departed.filter((one) => one.id !== id)];
@@ -221,9 +230,10 @@
 }
 
 /**
- * Whether a member that is gone receives nothing any more, by its answer to a question now and how long its entry has
- * been gone, with the store well, and nothing was heard of it. That it had said that it leaves makes no difference: cut
- * off from the store and this node it may serve on, and be the only one that receives commits.
+ * Whether a missing member certainly receives nothing any more: judged by its response to a query now, and by the
+ * time for which, with the store available, its registration has been missing without any response. An announced
+ * shutdown makes no difference: cut off from the store and from this node, the member may continue to serve, and be
+ * the only one that receives commits.
  */
 export function isMemberDead(
   answer: InstanceStatus | ControlFailure,
--- a/src/core/promotion/monitor.ts
+++ b/src/core/promotion/monitor.ts
@@ -1,6 +1,6 @@
 /**
- * Watches one service's primary for the leader: probes it while nothing else shows that it lives, and
- * tells when it has to be replaced and why.
+ * Monitors one service's primary for the leader: probes it while nothing else shows that it is alive, and reports
+ * when and why it must be replaced.
  */
 import type { InstanceStatus } from '../../direct/contract.js';
 import type { Milliseconds } from '../units.js';
@@ -12,21 +12,23 @@
 
 /** Why a primary is replaced. */
 export type ChangeReason =
-  /** Nothing listens there, or it is silent. */
+  /** Nothing listens at its address, or it does not respond. */
   | 'dead'
-  /** It is leaving. */
+  /** It is shutting down. */
   | 'draining'
-  /** Its entry is gone, with the store well. */
+  /** Its registration is gone while the store is available. */
   | 'entry-gone'
-  /** Many nodes can't reach it, or get no commit acknowledged. */
+  /** Many nodes can't reach it, or get no commit acknowledged there. */
   | 'suspected'
-  /** It says that it is a replica. */
+  /** It responds that it is a replica. */
   | 'lost-lead';
 
+/** A primary is replaced if at least one in this many live nodes suspects it. */
 const NODES_PER_REQUIRED_SUSPICION = 3;
 const MIN_SUSPICIONS = 2;
+/** Number of probes with the same result that give a reason for replacement. */
 const PROBES_TO_CONFIRM = 2;
-/** A new leader looks at the primary after this. */
+/** Delay after which a new leader first probes the primary. */
 const FIRST_PROBE_DELAY_MS = 100;
 
 export class PrimaryMonitor {
@@ -44,7 +46,7 @@
     private readonly runtime: PromotionRuntime,
     private readonly primaries: Pick<
       Primaries,
-      'missingForMs' | 'instance' | 'isPresent' | 'primaryIdOf'
+      'missingForMs' | 'instance' | 'isRegistered' | 'primaryIdOf'
     >,
     private readonly store: Pick<DutyStore, 'liveNodes' | 'suspicionsOf'>,
     readonly service: string,
@@ -54,8 +56,8 @@
   }
 
   /**
-   * Looks soon, unless requests of this node show life: the primary may have died with the leader
-   * before, and nobody would have noticed.
+   * Probes soon, unless requests of this node show that the primary is alive: it may have died together with the
+   * previous leader, unnoticed.
    */
   start(): void {
     this.#trackPrimary();
@@ -67,7 +69,7 @@
     this.#scope.end();
   }
 
-  /** This node got an answer of the primary. */
+  /** Records a response of the primary to this node. */
   recordAlive(instance: string): void {
     if (instance !== this.#primaryId) return;
     this.#aliveAt = this.runtime.now;
@@ -75,19 +77,19 @@
     this.#refused = 0;
   }
 
-  /** A request of this node failed there: that is looked into at once. */
+  /** Records that a request of this node failed at the primary, which is then probed immediately. */
   recordFailing(instance: string): void {
     if (instance !== this.#primaryId || this.#isProbing || this.#hasFailedProbe) return;
     this.#aliveAt = Number.NEGATIVE_INFINITY;
     this.#probeIfNeeded();
   }
 
-  /** Suspicions are let rest for a while after a change. */
+  /** Ignores suspicions for a while after a primary change. */
   startSuspicionCooldown(): void {
     this.#suspicionsIgnoredUntil = this.runtime.now + this.runtime.timings.suspicionCooldownMs;
   }
 
-  /** Looks for a reason in what is known without a probe. */
+  /** Reports a reason for replacement that is known without a probe. */
   evaluate(): void {
     const id = this.#trackPrimary();
     if (id === undefined || this.#scope.isEnded) return;
@@ -97,8 +99,8 @@
 
   #reasonOf(id: string): ChangeReason | undefined {
     if (this.#unanswered >= PROBES_TO_CONFIRM || this.#refused >= PROBES_TO_CONFIRM) return 'dead';
-    const isPresent = this.primaries.isPresent(id);
-    if (isPresent && this.primaries.instance(id)?.draining) return 'draining';
+    const isRegistered = this.primaries.isRegistered(id);
+    if (isRegistered && this.primaries.instance(id)?.draining) return 'draining';
     const missingMs = this.primaries.missingForMs(id, this.runtime.now);
     if (missingMs !== undefined && missingMs >= this.runtime.timings.missingEntryReplaceAfterMs) {
       return 'entry-gone';
@@ -143,9 +145,9 @@
     const { probePeriodMs } = this.runtime.timings;
     const id = this.#trackPrimary();
     const instance = id === undefined ? undefined : this.primaries.instance(id);
-    // An answer shows that it lives; whether it leads, only its own word does.
-    const isReplicaByEntry = instance?.role === 'replica';
-    const dueInMs = isReplicaByEntry ? 0 : this.#aliveAt + probePeriodMs - this.runtime.now;
+    // Any response shows that the instance is alive; only its own status shows that it is still the primary.
+    const isRegisteredAsReplica = instance?.role === 'replica';
+    const dueInMs = isRegisteredAsReplica ? 0 : this.#aliveAt + probePeriodMs - this.runtime.now;
     if (instance === undefined || dueInMs > 0) {
       const waitMs = instance === undefined ? probePeriodMs : dueInMs;
       this.#probeAfter(waitMs);
--- a/src/core/promotion/participation.ts
+++ b/src/core/promotion/participation.ts
@@ -1,7 +1,7 @@
 /**
- * A node's part in changes of a primary: it registers under its lease, and stops using a primary and
- * says so when that is being replaced. What relies on the primary being no deposed one needs the
- * permission that this gives; a promotion waits for every node that may have it.
+ * A node's part in primary changes: it registers under its lease, and when a primary is being replaced it stops
+ * using it and acknowledges that. Relying on a primary not having been replaced requires the permission given here;
+ * a promotion waits for every node that may have it.
  */
 import type { InstanceEntry } from '../../direct/contract.js';
 import type { Position } from '../position.js';
@@ -21,22 +21,23 @@
 import { isStoreCallError, type PromotionRuntime } from './runtime.js';
 import type { StoreView } from './store-view.js';
 
-/** How far a node has got with its acknowledgement of a change. */
+/** Progress of a node's acknowledgement of a primary change. */
 interface AcknowledgementState {
   readonly record: ChangingRecord;
   readonly change: number;
   readonly leaseId: string;
   cancel: () => void;
   step: 'ending-use' | 'demoting' | 'writing' | 'written';
-  /** Revision at which it was written. */
+  /** Revision at which the acknowledgement was written. */
   revision: number;
+  /** End of the old primary's log, if this node demoted it. */
   end: Position | undefined;
 }
 
 export class Participation {
-  /** Called when the node got its permission, or may have lost it. */
+  /** Called when the node has gained its permission, or may have lost it. */
   onRegistered: () => void = () => {};
-  #leaseId: string | undefined;
+  #registeredLease: string | undefined;
   #registeredRevision = 0;
   #acknowledgements = new Map<string, AcknowledgementState>();
   #isStopped = false;
@@ -46,7 +47,7 @@
     private readonly lease: NodeLease,
     private readonly records: StoreView,
     private readonly instanceOf: (id: string) => InstanceEntry | undefined,
-    /** Members that this node has seen and no record names. */
+    /** Members that this node has seen and no record lists. */
     private readonly unlistedOf: (service: string) => readonly InstanceEntry[],
   ) {}
 
@@ -56,35 +57,39 @@
     return this.lease.isValid(now) || this.runtime.isDisabled('permission-lapse');
   }
 
-  /** Registered under the present lease, and the records are known from after that. */
+  /**
+   * Whether the node is registered under its current lease and knows the records as of that registration or later.
+   */
   get isRegistered(): boolean {
     const { leaseId } = this.lease;
-    if (this.#isStopped || leaseId === undefined || leaseId !== this.#leaseId) return false;
+    if (this.#isStopped || leaseId === undefined || leaseId !== this.#registeredLease) return false;
     return this.records.revision >= this.#registeredRevision;
   }
 
-  /** Begins to follow the records once the node's key is written: only then are they binding. */
+  /** Registers the node, and starts to watch the records once its key is written: only then are they binding. */
   register(leaseId: string): void {
     this.#register(leaseId, 0);
   }
 
-  /** The store came back from a copy, which may lack the registration and what was acknowledged. */
-  handleEraChange(): void {
+  /**
+   * Registers again after a restore of the store: the backup may lack the registration and the acknowledgements.
+   */
+  handleStoreRestore(): void {
     const { leaseId } = this.lease;
-    this.#leaseId = undefined;
+    this.#registeredLease = undefined;
     for (const state of this.#acknowledgements.values()) state.cancel();
     this.#acknowledgements.clear();
     if (!this.#isStopped && leaseId !== undefined) this.#register(leaseId, 0);
   }
 
-  /** Ends what of the node's permission is left. */
+  /** Ends the node's permission, if it has it. */
   stop(): void {
     this.#isStopped = true;
     for (const state of this.#acknowledgements.values()) state.cancel();
     this.#acknowledgements.clear();
   }
 
-  /** The record of a service as it is now. */
+  /** Handles the present record of a service. */
   handleRecord(service: string, record: PrimaryRecord | undefined): void {
     const state = this.#acknowledgements.get(service);
     const { leaseId } = this.lease;
@@ -99,7 +104,7 @@
     this.#acknowledge(service, record, leaseId);
   }
 
-  /** The data path has nothing on its way to the old primary any more. */
+  /** The data path has no write in flight to the old primary any more. */
   handleUseEnded(service: string, change: number): void {
     const state = this.#acknowledgements.get(service);
     if (state?.change !== change || state.step !== 'ending-use') return;
@@ -132,7 +137,7 @@
   }
 
   #setRegistered(leaseId: string, revision: number): void {
-    this.#leaseId = leaseId;
+    this.#registeredLease = leaseId;
     this.#registeredRevision = revision;
     if (!this.records.isRunning) this.records.start();
     else if (this.records.revision < revision) this.records.readNow();
@@ -186,11 +191,11 @@
   }
 
   /**
-   * The leader may be cut off from an old primary that this node reaches, and that may still get
-   * commits acknowledged: this node demotes it too, and tells the end of its log. A planned change
-   * leaves this to the leader, which waits until no node has a write on its way. A silent one is
-   * not waited for long: what it tells later is written later. In a fleet with owners only these do
-   * it: the instance has no connections for all.
+   * The leader may be cut off from an old primary that this node reaches, and that may still get commits
+   * acknowledged: this node demotes it as well, and reports the end of its log. In a planned change only the leader
+   * demotes it, after no node has a write in flight any more. The wait for an unresponsive instance is short: an
+   * end reported later is written later. In a fleet with owners only the owners demote it: the instance does not
+   * have enough connections for all nodes.
    */
   #demote(service: string, state: AcknowledgementState): void {
     const { from, term, planned } = state.record;
--- a/src/core/promotion/peer-publisher.ts
+++ b/src/core/promotion/peer-publisher.ts
@@ -1,7 +1,7 @@
 /**
- * Tells all nodes where the others answer questions for their directory, for times at which the store
- * can't be heard. A node that is gone keeps its place: it comes back at the same address, and may then
- * know nobody. Done by the leader, in one key, and only when an address is new.
+ * Publishes to all nodes the addresses at which nodes serve their directory, for times when the store can't be
+ * reached. A node that is gone stays in the list: it comes back at the same address, and may then know no other
+ * node. Written by the leader, to one key, and only when an address is new.
  */
 import type { PeerAddress } from '../../peer/contract.js';
 import type { Election } from './election.js';
@@ -18,12 +18,12 @@
 import type { Scope } from './scope.js';
 import type { StoreView } from './store-view.js';
 
-/** In larger fleets some nodes are not told of; whoever needs them has seeds. */
+/** Larger fleets leave some nodes out; a node that needs more addresses has its configured seeds. */
 const MAX_ADDRESSES = 64;
 const PUBLISH_COOLDOWN_MS = 1000;
 
 export class PeerPublisher {
-  /** The term of office in which a write or a pause is on. */
+  /** Scope of the leadership in which a write or the delay after one is in progress. */
   #busyScope: Scope | undefined;
 
   constructor(
@@ -33,7 +33,7 @@
     private readonly leaderView: StoreView,
   ) {}
 
-  /** Looks for new addresses; `scope` ends with this node's duty. */
+  /** Publishes the addresses if one is new; `scope` ends with this node's leadership. */
   update(scope: Scope): void {
     if (this.#busyScope === scope || !this.election.mayAct() || !this.leaderView.isReady) return;
     const published = decodeRecord(this.records.get(PEERS_KEY), parsePeersRecord)?.addresses ?? [];
@@ -56,7 +56,7 @@
     this.runtime.transaction(compares, [put], () => onDone(undefined));
   }
 
-  /** In one order whoever leads, so that the same ones have a place. */
+  /** Sorted, so that every leader selects the same addresses. */
   #registeredAddresses(): PeerAddress[] {
     return [...this.leaderView.entriesUnder(NODE_PREFIX)]
       .map((entry) => decodeRecord(entry, parseNodeRecord)?.directoryAt)
--- a/src/core/promotion/preflight.ts
+++ b/src/core/promotion/preflight.ts
@@ -1,6 +1,6 @@
 /**
- * A look at all members before a change is announced: a change that can't be carried through would
- * leave the service without any primary, where the old one may still serve most callers.
+ * Queries all members before a primary change is announced: a change that can't be completed would leave the
+ * service without any primary, where the old one may still serve most callers.
  */
 import type { InstanceEntry, InstanceStatus } from '../../direct/contract.js';
 import { comparePositions } from '../position.js';
@@ -10,108 +10,111 @@
 import type { Scope } from './scope.js';
 
 export interface PreflightOptions {
-  readonly from: InstanceEntry;
+  readonly oldPrimary: InstanceEntry;
   readonly others: readonly InstanceEntry[];
   readonly reason: ChangeReason;
   readonly syncReplicas: number;
-  readonly isPresent: (id: string) => boolean;
+  readonly isRegistered: (id: string) => boolean;
 }
 
 export type PreflightResult =
   | { readonly type: 'go'; readonly planned: boolean; readonly term: number }
-  /** It can't be carried through now. */
+  /** The change can't be completed now. */
   | {
       readonly type: 'wait';
       readonly anyResponded: boolean;
-      /** What each member said, by id. */
+      /** Response of each member, by id. */
       readonly responses: Readonly<Record<string, string>>;
     }
-  /** The primary that was taken for dead answers. */
+  /** The primary that was considered dead responds. */
   | { readonly type: 'alive' }
-  /** Another instance has its address and its log, and leads the same term. */
+  /** Another instance has the primary's address and log, and is primary of the same term. */
   | { readonly type: 'succeeded'; readonly by: string; readonly term: number };
 
-type MemberAnswer = InstanceStatus | ControlFailure;
+type StatusResponse = InstanceStatus | ControlFailure;
 
-/** Asks every member once, and tells whether the change may begin. */
+/** Queries every member once, and reports whether the change may start. */
 export function runPreflight(
   runtime: PromotionRuntime,
   scope: Scope,
   options: PreflightOptions,
   onResult: (result: PreflightResult) => void,
 ): void {
-  const members = [options.from, ...options.others];
-  const answers = new Map<string, MemberAnswer>();
+  const members = [options.oldPrimary, ...options.others];
+  const responses = new Map<string, StatusResponse>();
   let isDecided = false;
   for (const member of members) {
-    const onAnswer = scope.guard((answer: MemberAnswer) => {
-      answers.set(member.id, answer);
-      if (isDecided || !hasEnoughAnswers(options, answers)) return;
+    const onResponse = scope.guard((response: StatusResponse) => {
+      responses.set(member.id, response);
+      if (isDecided || !hasEnoughResponses(options, responses)) return;
       isDecided = true;
-      onResult(decide(options, answers));
+      onResult(decide(options, responses));
     });
-    runtime.control('status', member, 0, onAnswer);
+    runtime.control('status', member, 0, onResponse);
   }
 }
 
 /**
- * One that was found dead or is suspected by many is not waited for: it is likely to stay silent, and
- * the others suffice for a change.
+ * A primary that was found dead or that many nodes suspect is not waited for: it will probably not respond, and the
+ * other members are enough for a change.
  */
-function hasEnoughAnswers(
-  { from, others, reason }: PreflightOptions,
-  answers: ReadonlyMap<string, MemberAnswer>,
+function hasEnoughResponses(
+  { oldPrimary, others, reason }: PreflightOptions,
+  responses: ReadonlyMap<string, StatusResponse>,
 ): boolean {
-  if (answers.size === others.length + 1) return true;
-  if (answers.has(from.id) || (reason !== 'dead' && reason !== 'suspected')) return false;
-  return others.every(({ id }) => hasAnswered(answers.get(id)));
+  if (responses.size === others.length + 1) return true;
+  if (responses.has(oldPrimary.id) || (reason !== 'dead' && reason !== 'suspected')) return false;
+  return others.every(({ id }) => hasResponded(responses.get(id)));
 }
 
 function decide(
   options: PreflightOptions,
-  answers: ReadonlyMap<string, MemberAnswer>,
+  responses: ReadonlyMap<string, StatusResponse>,
 ): PreflightResult {
-  const { from, others, reason, syncReplicas } = options;
-  const statuses = [...answers.values()].filter((answer) => typeof answer !== 'string');
+  const { oldPrimary, others, reason, syncReplicas } = options;
+  const statuses = [...responses.values()].filter((response) => typeof response !== 'string');
   const term = statuses.reduce((highest, status) => Math.max(highest, status.term), 0);
-  const hasOldPrimaryAnswered = hasAnswered(answers.get(from.id));
-  if (reason === 'dead' && hasOldPrimaryAnswered) return { type: 'alive' };
-  const successor = findSuccessor(options, answers);
+  const hasOldPrimaryResponded = hasResponded(responses.get(oldPrimary.id));
+  if (reason === 'dead' && hasOldPrimaryResponded) return { type: 'alive' };
+  const successor = findSuccessor(options, responses);
   if (successor !== undefined) return successor;
-  const answeringOthers = others.filter(({ id }) => hasAnswered(answers.get(id)));
+  const respondingOthers = others.filter(({ id }) => hasResponded(responses.get(id)));
   const hasCandidate = others.some(
-    ({ id, draining }) => !draining && options.isPresent(id) && typeof answers.get(id) === 'object',
+    ({ id, draining }) =>
+      !draining && options.isRegistered(id) && typeof responses.get(id) === 'object',
   );
-  const isLogEndProven = others.length - answeringOthers.length < Math.max(1, syncReplicas);
-  if (hasCandidate && (hasOldPrimaryAnswered || isLogEndProven)) {
-    const planned = hasOldPrimaryAnswered && (reason === 'draining' || reason === 'entry-gone');
+  const isLogEndProven = others.length - respondingOthers.length < Math.max(1, syncReplicas);
+  if (hasCandidate && (hasOldPrimaryResponded || isLogEndProven)) {
+    const planned = hasOldPrimaryResponded && (reason === 'draining' || reason === 'entry-gone');
     return { type: 'go', planned, term };
   }
   return {
     type: 'wait',
-    anyResponded: hasOldPrimaryAnswered || answeringOthers.length > 0,
-    responses: summarizeAnswers(answers),
+    anyResponded: hasOldPrimaryResponded || respondingOthers.length > 0,
+    responses: summarizeResponses(responses),
   };
 }
 
 /**
- * An instance that ends leaves its log to a new one at its address. If that one leads, nobody has led since, and it has
- * all that any other member has received, the group's log goes on there, and no promotion is needed.
+ * An instance that ends leaves its log to a new one at its address. If the new one is primary, no other has become
+ * primary since, and the new one has everything that any other member has received, then the group's log continues
+ * there and no promotion is needed.
  */
 function findSuccessor(
-  { from, others, isPresent }: PreflightOptions,
-  answers: ReadonlyMap<string, MemberAnswer>,
+  { oldPrimary, others, isRegistered }: PreflightOptions,
+  responses: ReadonlyMap<string, StatusResponse>,
 ): PreflightResult | undefined {
-  if (answers.get(from.id) !== 'refused') return undefined;
+  if (responses.get(oldPrimary.id) !== 'refused') return undefined;
   const successor = others.find(
-    ({ id, host, port }) => isPresent(id) && host === from.host && port === from.port,
+    ({ id, host, port }) =>
+      isRegistered(id) && host === oldPrimary.host && port === oldPrimary.port,
   );
-  const status = successor === undefined ? undefined : answers.get(successor.id);
+  const status = successor === undefined ? undefined : responses.get(successor.id);
   if (successor === undefined || typeof status !== 'object' || status.role !== 'primary') {
     return undefined;
   }
   for (const { id } of others) {
-    const other = answers.get(id);
+    const other = responses.get(id);
     if (id === successor.id || typeof other !== 'object') continue;
     const isAhead = comparePositions(other.received, status.received) > 0;
     if (other.role === 'primary' || other.term > status.term || isAhead) return undefined;
@@ -119,14 +122,17 @@
   return { type: 'succeeded', by: successor.id, term: status.term };
 }
 
-function summarizeAnswers(
-  answers: ReadonlyMap<string, MemberAnswer>,
+function summarizeResponses(
+  responses: ReadonlyMap<string, StatusResponse>,
 ): Readonly<Record<string, string>> {
   return Object.fromEntries(
-    [...answers].map(([id, answer]) => [id, typeof answer === 'string' ? answer : answer.role]),
+    [...responses].map(([id, response]) => [
+      id,
+      typeof response === 'string' ? response : response.role,
+    ]),
   );
 }
 
-function hasAnswered(answer: MemberAnswer | undefined): boolean {
-  return answer !== undefined && answer !== 'refused' && answer !== 'silent';
+function hasResponded(response: StatusResponse | undefined): boolean {
+  return response !== undefined && response !== 'refused' && response !== 'silent';
 }
--- a/src/core/promotion/primaries.ts
+++ b/src/core/promotion/primaries.ts
@@ -1,6 +1,6 @@
 /**
- * Who is the primary of each service, from the records and from what the instances announce of
- * themselves. A record binds; before the first change the one that calls itself primary is it.
+ * Determines the primary of each service, from the records and from the instances' registrations. A record is
+ * binding; before the first primary change, the instance that declares itself primary is the primary.
  */
 import type { InstanceEntry } from '../../direct/contract.js';
 import type { KeyValue } from '../../platform/contract.js';
@@ -26,27 +26,27 @@
 
 interface KnownInstance {
   readonly entry: InstanceEntry;
-  /** Since when the store has no entry of it. */
+  /** Time since which the store has had no registration of it. */
   readonly missingSince: Milliseconds | undefined;
 }
 
-/** Entries that are gone are remembered so long, for calls that concern a change. */
+/** Time for which missing instances are remembered, for calls that concern a primary change. */
 const RETENTION_MS = 600_000;
 
 export class Primaries {
   readonly #unlisted = new UnlistedMembers();
   readonly #instances = new Map<string, KnownInstance>();
   readonly #decoded = new Map<string, DecodedRecord>();
-  /** When a peer last told the members of a service. */
+  /** Time at which a peer last reported the members of a service. */
   readonly #membersReportedAt = new Map<string, Milliseconds>();
-  /** Who calls itself primary, by service; made anew when the instances change. */
+  /** Instance that declares itself primary, by service; cleared when the instances change. */
   readonly #claimants = new Map<string, string | undefined>();
 
   constructor(
     private readonly records: StoreView,
     private readonly timings: PromotionTimings,
-    /** Last time that the store was not well: what it lacks then says nothing. */
-    private readonly lastStoreTroubleAt: () => Milliseconds,
+    /** Last time at which the store was unavailable: an entry missing then proves nothing. */
+    private readonly lastStoreFailureAt: () => Milliseconds,
   ) {}
 
   updateInstances(entries: readonly InstanceEntry[], now: Milliseconds): void {
@@ -65,45 +65,47 @@
     }
   }
 
-  /** An instance by its id, also if its entry is gone. */
+  /** An instance by its id, registered or not. */
   instance(id: string): InstanceEntry | undefined {
     return this.#instances.get(id)?.entry;
   }
 
-  /** Whether the store has an entry of another life of this instance: the one that is meant is over, with its log. */
+  /** Whether another incarnation of this instance is registered: the given one has then ended, with its log. */
   hasNewIncarnation(instance: InstanceEntry): boolean {
-    if (instance.lifeOf === undefined || this.isPresent(instance.id)) return false;
-    return this.present(instance.service).some((other) => isOtherIncarnation(instance, other));
+    if (instance.lifeOf === undefined || this.isRegistered(instance.id)) return false;
+    return this.registeredInstances(instance.service).some((other) =>
+      isOtherIncarnation(instance, other),
+    );
   }
 
-  /** Entries of a service that the store has now. */
-  present(service: string): InstanceEntry[] {
+  /** Instances of a service that are registered now. */
+  registeredInstances(service: string): InstanceEntry[] {
     return [...this.#instances.values()]
       .filter(({ entry, missingSince }) => entry.service === service && missingSince === undefined)
       .map(({ entry }) => entry);
   }
 
-  /** Entries of a service that the store has, or had within memory. */
-  remembered(service: string): InstanceEntry[] {
+  /** Instances of a service that are registered, or were within the retention time. */
+  rememberedInstances(service: string): InstanceEntry[] {
     return [...this.#instances.values()]
       .map(({ entry }) => entry)
       .filter((entry) => entry.service === service);
   }
 
   /**
-   * All that may have counted towards an acknowledged commit: those that this node has seen, and those that were gone
-   * before it began, by the leader's word.
+   * Every instance that may have counted towards an acknowledged commit: those that this node has seen, and, by the
+   * leader's record, those that were gone before this node started.
    */
   countedMembers(service: string): InstanceEntry[] {
-    const observed = this.remembered(service);
+    const observed = this.rememberedInstances(service);
     const ids = new Set(observed.map(({ id }) => id));
     const recorded = this.#membersRecordOf(service)?.members ?? [];
     return [...observed, ...recorded.filter(({ id }) => !ids.has(id))];
   }
 
   /**
-   * Ids of members that the records tell of and whose address is not known; undefined while neither the records nor a
-   * peer has told who else there may be.
+   * Ids of members that the records name and whose address is unknown; undefined while neither the records nor a
+   * peer have reported which members there may be.
    */
   membersWithoutAddress(service: string): string[] | undefined {
     const areReported = this.#membersReportedAt.has(service);
@@ -114,18 +116,21 @@
     return named === undefined || candidates.some(({ id }) => id === named) ? [] : [named];
   }
 
-  /** A peer that knows the records told these members, those too that were gone before this node began. */
+  /**
+   * Takes the members reported by a peer that knows the records, including those that were gone before this node
+   * started.
+   */
   setReportedMembers(entries: readonly InstanceEntry[], now: Milliseconds): void {
     this.#updateEntries(entries, now);
     for (const { service } of entries) this.#membersReportedAt.set(service, now);
   }
 
-  /** When a peer that has read the records last told the members. */
+  /** Time at which a peer that has read the records last reported the members. */
   membersReportedAt(service: string): Milliseconds {
     return this.#membersReportedAt.get(service) ?? Number.NEGATIVE_INFINITY;
   }
 
-  /** The leader's word on the members of a service has changed. */
+  /** Applies the leader's record of a service's members after a change. */
   applyMembersRecord(service: string, now: Milliseconds): void {
     const record = this.#membersRecordOf(service);
     if (record === undefined) return;
@@ -133,12 +138,12 @@
     for (const entry of record.departed) this.addDeparted(entry, now);
   }
 
-  /** Counts one that has no entry for as long as if this node had seen it go. */
+  /** Counts an instance without a registration for as long as if this node had seen its registration end. */
   addDeparted(entry: InstanceEntry, now: Milliseconds): void {
     if (!this.#instances.has(entry.id)) this.#instances.set(entry.id, { entry, missingSince: now });
   }
 
-  /** Members that this node has seen, that have no entry now, and that no record has named. */
+  /** Members that this node has seen, that are not registered now, and that no record has listed. */
   unlisted(service: string): InstanceEntry[] {
     return this.#unlisted.of(service);
   }
@@ -147,20 +152,20 @@
     return decodeRecord(this.records.get(membersKeyOf(service)), parseMembersRecord);
   }
 
-  isPresent(id: string): boolean {
+  isRegistered(id: string): boolean {
     const known = this.#instances.get(id);
     return known !== undefined && known.missingSince === undefined;
   }
 
-  /** How long the entry has been gone while the store was well; undefined while it is there. */
+  /** Time for which the registration has been missing while the store was available; undefined while it exists. */
   missingForMs(id: string, now: Milliseconds): Milliseconds | undefined {
     const known = this.#instances.get(id);
     if (known === undefined) return Number.POSITIVE_INFINITY;
     if (known.missingSince === undefined) return undefined;
-    return now - Math.max(known.missingSince, this.lastStoreTroubleAt());
+    return now - Math.max(known.missingSince, this.lastStoreFailureAt());
   }
 
-  /** Asked for with every request: each entry is decoded once. */
+  /** Called for every request, so each entry is decoded only once. */
   recordOf(service: string): PrimaryRecord | undefined {
     const entry = this.records.get(primaryKeyOf(service));
     if (entry === undefined) return undefined;
@@ -171,12 +176,12 @@
     return record;
   }
 
-  /** Mod revision of the service's record; 0 if it has none. */
+  /** Revision at which the service's record was last changed; 0 if it has none. */
   recordRevisionOf(service: string): number {
     return this.records.get(primaryKeyOf(service))?.modRevision ?? 0;
   }
 
-  /** Id of the primary, whether or not the store has an entry of it; undefined while it changes. */
+  /** Id of the primary, registered or not; undefined during a primary change. */
   primaryIdOf(service: string): string | undefined {
     const record = this.recordOf(service);
     if (record !== undefined) return record.phase === 'serving' ? record.instance : undefined;
@@ -184,7 +189,7 @@
     return this.#selfDeclared(service);
   }
 
-  /** The primary, while its entry counts. */
+  /** The primary, unless its registration has been missing for too long. */
   primaryOf(service: string, now: Milliseconds): InstanceEntry | undefined {
     const id = this.primaryIdOf(service);
     if (id === undefined) return undefined;
--- a/src/core/promotion/retry-pause.ts
+++ b/src/core/promotion/retry-pause.ts
@@ -1,14 +1,14 @@
-/** A pause before something is tried again, which the return of the store ends early. */
+/** Delay before a retry, which ends early when the store responds again. */
 import type { Milliseconds } from '../units.js';
 import type { PromotionRuntime } from './runtime.js';
 
 export class RetryPause {
-  /** Undefined while there is no pause. */
+  /** Undefined while nothing is scheduled. */
   #runNow: (() => void) | undefined;
 
   constructor(private readonly runtime: Pick<PromotionRuntime, 'after'>) {}
 
-  /** Does this after a while, or once the pause is ended. */
+  /** Runs an action after a delay, or earlier by `runNow`. */
   schedule(delayMs: Milliseconds, action: () => void): void {
     const act = (): void => {
       cancel();
@@ -19,7 +19,7 @@
     this.#runNow = act;
   }
 
-  /** What waits is done now. */
+  /** Runs the scheduled action immediately. */
   runNow(): void {
     this.#runNow?.();
   }
--- a/src/core/promotion/runtime.ts
+++ b/src/core/promotion/runtime.ts
@@ -1,7 +1,7 @@
 /**
- * What the parts of the promotion machine share: the time of the event at hand, an agenda, and
- * requests with what follows their answers. Continuations make the order of steps readable; they run
- * only inside `handle`, so the machine stays a function of its events.
+ * State that the components of the promotion state machine share: the time of the current event, timers, and
+ * requests with the handlers of their responses. Handlers keep the steps readable in order; they run only inside
+ * `handle`, so the machine stays a function of its events.
  */
 import type { InstanceEntry, InstanceStatus, PromoteOutcome } from '../../direct/contract.js';
 import type {
@@ -23,7 +23,7 @@
 import { EraSettling } from './era-settling.js';
 import type { PromotionOptions } from './options.js';
 
-/** A call to the store failed, or no answer came in time: then it may have been done. */
+/** A call to the store failed, or got no response in time and may have taken effect. */
 export interface StoreCallError {
   readonly isLeaseGone: boolean;
   readonly retryAfterMs: Milliseconds;
@@ -32,7 +32,7 @@
 const NO_RESPONSE: StoreCallError = { isLeaseGone: false, retryAfterMs: 0 };
 
 interface PendingRequest {
-  /** Called with undefined if no answer came in time. */
+  /** Called with undefined if no response arrived in time. */
   readonly onAnswer: (answer: RequestAnswer | undefined) => void;
   readonly cancelTimeout: () => void;
 }
@@ -71,7 +71,7 @@
     return effects;
   }
 
-  /** A number that no other request or watch has. */
+  /** An id that no other request or watch has. */
   nextId(): number {
     this.#nextId += 1;
     return this.#nextId;
@@ -117,7 +117,7 @@
     );
   }
 
-  /** A late answer counts as well: the lease ran on from the call's arrival. */
+  /** Without a timeout: a late response counts as well, since the renewed lease runs from the call's arrival. */
   renewLease(leaseId: string, onAnswer: (kept: true | StoreCallError) => void): void {
     this.#send({ type: 'keep-lease', leaseId }, undefined, (answer) =>
       onAnswer(answer?.type === 'done' ? true : toStoreCallError(answer)),
@@ -150,7 +150,7 @@
     );
   }
 
-  /** Forgets every request and deadline. */
+  /** Discards all requests and timers. */
   clear(): void {
     this.agenda.clear();
     this.#pending.clear();
@@ -172,7 +172,7 @@
   }
 }
 
-/** Tells trouble from an answer. */
+/** Distinguishes a failed call from a response. */
 export function isStoreCallError(answer: unknown): answer is StoreCallError {
   return typeof answer === 'object' && answer !== null && 'isLeaseGone' in answer;
 }
--- a/src/core/promotion/service-leader.ts
+++ b/src/core/promotion/service-leader.ts
@@ -1,4 +1,4 @@
-/** What the leader does for one service: watches its primary, changes it, and cleans up after. */
+/** What the leader does for one service: monitors its primary, replaces it, and checks the replicas afterwards. */
 import type { InstanceEntry } from '../../direct/contract.js';
 import type { Milliseconds } from '../units.js';
 import { Aftercare } from './aftercare.js';
@@ -11,10 +11,14 @@
 import { addressOfInstance, type ServingRecord } from './records.js';
 import { Scope } from './scope.js';
 
+/** Minimum time between preflight checks. */
 const PREFLIGHT_PERIOD_MS = 300;
-/** After a change that had to take the old primary once more. */
+/** Time without preflight checks after a change that had to promote the old primary again. */
 const REPROMOTION_COOLDOWN_MS = 1000;
-/** A leader that hears nobody, though the primary seems to be dead, resigns after so many looks. */
+/**
+ * A leader that gets no response from any member, though the primary seems dead, resigns after this many preflight
+ * checks.
+ */
 const UNANSWERED_PREFLIGHTS_UNTIL_RESIGNING = 3;
 
 type PreflightOf<Type extends PreflightResult['type']> = Extract<PreflightResult, { type: Type }>;
@@ -25,14 +29,16 @@
   readonly #members: GroupMembers;
   readonly #calls: PromotionCalls;
   #change: PrimaryChange | undefined;
-  #aftercare: Aftercare | undefined;
-  #aftercareKey: string | undefined;
+  #heldCheck: Aftercare | undefined;
+  /** Primary and term for which the replicas were last checked. */
+  #heldCheckKey: string | undefined;
+  /** A preflight check or a write is in progress. */
   #isBusy = false;
   #nextPreflightAt: Milliseconds = 0;
   #unansweredPreflights = 0;
-  /** The change that this leader wrote last, or tried to. */
+  /** The change that this leader last wrote or tried to write. */
   #startedChange: number | undefined;
-  /** What stood in the way of a change, as it was logged last. */
+  /** Obstacle to a change that was logged last. */
   #lastLoggedObstacle = '';
 
   constructor(
@@ -47,7 +53,7 @@
     const watched = {
       missingForMs: (id: string, now: Milliseconds) => primaries.missingForMs(id, now),
       instance: (id: string) => primaries.instance(id),
-      isPresent: (id: string) => primaries.isPresent(id),
+      isRegistered: (id: string) => primaries.isRegistered(id),
       primaryIdOf: (name: string) => store.primaryIdOf(name),
     };
     this.#monitor = new PrimaryMonitor(runtime, watched, store, service, (id, reason) =>
@@ -70,7 +76,7 @@
     this.#monitor.stop();
     this.#members.stop();
     this.#change?.stop();
-    this.#aftercare?.stop();
+    this.#heldCheck?.stop();
   }
 
   recordAlive(instance: string): void {
@@ -81,14 +87,14 @@
     if (this.#change === undefined) this.#monitor.recordFailing(instance);
   }
 
-  /** Records, notes, acknowledgements or instances may have changed. */
+  /** Handles possible changes of records, handover records, acknowledgements or instances. */
   update(): void {
     const record = this.context.primaries.recordOf(this.service);
     if (record?.phase === 'changing') {
       if (this.#change?.record.change !== record.change) {
         this.#endChange();
-        this.#aftercare?.stop();
-        this.#aftercareKey = undefined;
+        this.#heldCheck?.stop();
+        this.#heldCheckKey = undefined;
         const context: ChangeContext = {
           ...this.context,
           calls: this.#calls,
@@ -108,11 +114,11 @@
     }
     this.#endChange();
     this.#members.update();
-    if (record?.phase === 'serving') this.#startAftercare(record.instance, record.term, false);
+    if (record?.phase === 'serving') this.#checkHeldReplicas(record.instance, record.term, false);
     this.#monitor.evaluate();
   }
 
-  /** The record that ends this leader's change is written, by whichever way that became known. */
+  /** Handles the record that ends this leader's change, however this node has learned of it. */
   #handleFinished(change: PrimaryChange, record: ServingRecord): void {
     const { runtime } = this.context;
     const { tookMs } = change;
@@ -122,10 +128,13 @@
     if (record.instance === change.record.from) {
       this.#nextPreflightAt = runtime.now + REPROMOTION_COOLDOWN_MS;
     }
-    this.#startAftercare(record.instance, record.term, true);
+    this.#checkHeldReplicas(record.instance, record.term, true);
   }
 
-  /** A change that another leader began before the store came back from a copy may have lost its candidate's name. */
+  /**
+   * Whether a promotion may have been called for a candidate that no record names: a change that another leader
+   * started before a restore of the store may have lost its candidate's name.
+   */
   #mayHaveBeenCalled(change: number): boolean {
     const { runtime, store } = this.context;
     if (change === this.#startedChange || runtime.isDisabled('unnamed-calls')) return false;
@@ -137,15 +146,20 @@
     this.#change = undefined;
   }
 
-  #startAftercare(leaderId: string, term: number, areHeld: boolean): void {
-    const key = `${leaderId} ${term}`;
-    if (this.#aftercareKey === key) return;
-    this.#aftercare?.stop();
-    this.#aftercareKey = key;
+  #checkHeldReplicas(primaryId: string, term: number, areHeld: boolean): void {
+    const key = `${primaryId} ${term}`;
+    if (this.#heldCheckKey === key) return;
+    this.#heldCheck?.stop();
+    this.#heldCheckKey = key;
     const members = this.#members.current();
     const mayAct = (): boolean => this.context.election.mayAct();
-    this.#aftercare = new Aftercare(this.context.runtime, { leaderId, term, members, mayAct });
-    this.#aftercare.start(areHeld);
+    this.#heldCheck = new Aftercare(this.context.runtime, {
+      leaderId: primaryId,
+      term,
+      members,
+      mayAct,
+    });
+    this.#heldCheck.start(areHeld);
   }
 
   #considerChange(fromId: string, reason: ChangeReason): void {
@@ -153,24 +167,27 @@
     if (this.#change !== undefined || this.#isBusy || !election.mayAct()) return;
     if (runtime.now < this.#nextPreflightAt) return;
     const members = this.#members.current();
-    const from = this.#findEntry(fromId, members);
-    if (from === undefined) return;
+    const oldPrimary = this.#findEntry(fromId, members);
+    if (oldPrimary === undefined) return;
     this.#isBusy = true;
     this.#nextPreflightAt = runtime.now + PREFLIGHT_PERIOD_MS;
     const options = {
-      from,
+      oldPrimary,
       others: members.filter(({ id }) => id !== fromId),
       reason,
       syncReplicas: this.context.syncReplicasOf(this.service),
-      isPresent: (id: string) => primaries.isPresent(id),
+      isRegistered: (id: string) => primaries.isRegistered(id),
     };
     runPreflight(runtime, this.#scope, options, (result) => {
       this.#isBusy = false;
-      this.#handlePreflight(from, reason, result);
+      this.#handlePreflight(oldPrimary, reason, result);
     });
   }
 
-  /** A primary that this leader has never seen is known by its record: another may have its address and its log. */
+  /**
+   * Finds a primary's entry. One that this leader has never seen is identified by its record: another instance may
+   * have its address and log.
+   */
   #findEntry(id: string, members: readonly InstanceEntry[]): InstanceEntry | undefined {
     const { primaries } = this.context;
     const known = members.find((member) => member.id === id) ?? primaries.instance(id);
@@ -180,16 +197,21 @@
     return { id, service: this.service, ...record.at, ...placeholder };
   }
 
-  #handlePreflight(from: InstanceEntry, reason: ChangeReason, result: PreflightResult): void {
+  #handlePreflight(oldPrimary: InstanceEntry, reason: ChangeReason, result: PreflightResult): void {
     const { runtime, primaries, store, election } = this.context;
-    if (result.type === 'alive') this.#monitor.recordAlive(from.id);
+    if (result.type === 'alive') this.#monitor.recordAlive(oldPrimary.id);
     if (result.type === 'wait') {
-      this.#logObstacle({ service: this.service, from: from.id, reason, said: result.responses });
+      this.#logObstacle({
+        service: this.service,
+        from: oldPrimary.id,
+        reason,
+        said: result.responses,
+      });
       this.#resignIfUnanswered(result.anyResponded);
     } else this.#unansweredPreflights = 0;
-    const isStillPrimary = store.primaryIdOf(this.service) === from.id;
+    const isStillPrimary = store.primaryIdOf(this.service) === oldPrimary.id;
     if (result.type === 'succeeded' && isStillPrimary && election.mayAct()) {
-      this.#writeSuccession(from, result);
+      this.#writeSuccession(oldPrimary, result);
       return;
     }
     if (result.type !== 'go' || !isStillPrimary || !election.mayAct()) return;
@@ -197,18 +219,22 @@
     const change = (known?.change ?? 0) + 1;
     const term = Math.max(result.term, known?.term ?? 0);
     const { planned } = result;
-    const at = addressOfInstance(from);
-    const record = { phase: 'changing', change, from: from.id, at, term, planned } as const;
+    const at = addressOfInstance(oldPrimary);
+    const record = { phase: 'changing', change, from: oldPrimary.id, at, term, planned } as const;
     this.#startedChange = change;
     const note = {
       ...store.noteOf(this.service),
       members: this.#members.current(),
-      primary: from.id,
+      primary: oldPrimary.id,
       candidate: undefined,
       change,
     };
     this.#isBusy = true;
-    runtime.log('info', 'primary to be replaced', { service: this.service, from: from.id, reason });
+    runtime.log('info', 'primary to be replaced', {
+      service: this.service,
+      from: oldPrimary.id,
+      reason,
+    });
     const onDone = this.#scope.guard(() => {
       this.#isBusy = false;
       this.update();
@@ -216,17 +242,17 @@
     store.write({ service: this.service, record, note }, onDone);
   }
 
-  /** The same term goes on at another instance: only the record is brought up to date. */
-  #writeSuccession(from: InstanceEntry, { by, term }: PreflightOf<'succeeded'>): void {
+  /** The same term continues at another instance: only the record is updated. */
+  #writeSuccession(oldPrimary: InstanceEntry, { by, term }: PreflightOf<'succeeded'>): void {
     const { runtime, primaries, store } = this.context;
     const known = primaries.recordOf(this.service);
     if (known?.phase !== 'serving' || known.term !== term) return;
-    const at = addressOfInstance(from);
+    const at = addressOfInstance(oldPrimary);
     const record = { phase: 'serving', change: known.change + 1, instance: by, at, term } as const;
     const note = { ...store.noteOf(this.service), members: this.#members.current(), primary: by };
     this.#isBusy = true;
     runtime.log('info', 'primary succeeded at its address', {
-      ...{ service: this.service, from: from.id, by, term },
+      ...{ service: this.service, from: oldPrimary.id, by, term },
     });
     const onDone = this.#scope.guard(() => {
       this.#isBusy = false;
@@ -235,7 +261,7 @@
     store.write({ service: this.service, record, note }, onDone);
   }
 
-  /** Each obstacle is told once: the looks go on several times a second. */
+  /** Logs each obstacle once: the preflight checks repeat several times a second. */
   #logObstacle(fields: Readonly<Record<string, unknown>>): void {
     const obstacle = JSON.stringify(fields);
     if (obstacle === this.#lastLoggedObstacle) return;
@@ -243,9 +269,9 @@
     this.context.runtime.log('warn', 'primary not replaced: too few members answer', fields);
   }
 
-  #resignIfUnanswered(heardAny: boolean): void {
+  #resignIfUnanswered(anyResponded: boolean): void {
     const { runtime, store, election } = this.context;
-    this.#unansweredPreflights = heardAny ? 0 : this.#unansweredPreflights + 1;
+    this.#unansweredPreflights = anyResponded ? 0 : this.#unansweredPreflights + 1;
     if (this.#unansweredPreflights < UNANSWERED_PREFLIGHTS_UNTIL_RESIGNING) return;
     if (store.liveNodes() <= 1 || !election.mayHandOn) return;
     runtime.log('warn', 'no member answers, resigning', { service: this.service });
--- a/src/core/promotion/store-view.ts
+++ b/src/core/promotion/store-view.ts
@@ -1,6 +1,6 @@
 /**
- * The keys under a prefix of the store, as this node knows them: read once, then followed by a watch.
- * What is known never goes back: older news of a key is passed over.
+ * The keys under a prefix of the store, as this node knows them: read once, then kept current by a watch. Known
+ * values never go back: an older change of a key is skipped.
  */
 import type { KeyValue, WatchEvent } from '../../platform/contract.js';
 import { isInSameEra } from '../directory/store-position.js';
@@ -12,23 +12,23 @@
 const MAX_BACKOFF_MS = 1000;
 
 export class StoreView {
-  /** Called after a change or a whole read, with the keys that changed. */
+  /** Called with the changed keys after a change, and after each full read even if no key changed. */
   onChange: (keys: ReadonlySet<string>) => void = () => {};
   readonly #entries = new Map<string, KeyValue>();
-  /** In the entries these stand with the revision that the store has. */
+  /** Records that the store has lost; `#entries` has them with the revision of the key in the store. */
   readonly #lost: LostRecords;
-  /** Everything up to this revision is known. */
+  /** Revision up to which all changes are known; 0 before the first read. */
   #revision = 0;
-  /** Revision of the last whole read: events up to it are old. */
+  /** Revision of the last full read: watch events up to it are outdated. */
   #readRevision = 0;
   #watchId: number | undefined;
   #isReading = false;
-  /** Reads that were asked for, to tell the latest. */
+  /** Number of reads sent, to identify the latest. */
   #readCount = 0;
-  /** Asked for while another read was on its way, which may be older than what is wanted. */
+  /** A read was requested while another, which may be too old, was in flight. */
   #shouldReadAgain = false;
   #isRunning = false;
-  /** Until what failed is tried again. */
+  /** Delay before a failed read or watch is retried. */
   readonly #pause: RetryPause;
   #failures = 0;
 
@@ -43,7 +43,7 @@
     });
   }
 
-  /** True once everything was read. */
+  /** True after the first full read. */
   get isReady(): boolean {
     return this.#revision > 0;
   }
@@ -70,12 +70,12 @@
     this.read();
   }
 
-  /** The store answers again: what waits to be tried once more is tried now. */
+  /** Retries what failed immediately, because the store responds again. */
   retryNow(): void {
     this.#pause.runNow();
   }
 
-  /** Ends the watch and forgets everything. */
+  /** Ends the watch and discards all entries. */
   stop(): void {
     this.#isRunning = false;
     this.#closeWatch();
@@ -85,14 +85,14 @@
     this.#readRevision = 0;
   }
 
-  /** Reads everything anew, for when the watch may be behind. */
+  /** Reads everything again, for when the watch may be behind; waits for a read in flight. */
   read(): void {
     if (!this.#isRunning) return;
     this.#shouldReadAgain = this.#isReading;
     if (!this.#isReading) this.#sendRead();
   }
 
-  /** The same, when the store is known to answer: a read that is on its way may have been lost. */
+  /** Like `read`, but waits for nothing: the store is known to respond, and a read in flight may have been lost. */
   readNow(): void {
     if (this.#isRunning) this.#sendRead();
   }
@@ -131,7 +131,7 @@
     this.#retryLater(() => this.read(), 0);
   }
 
-  /** A change of this node's own that the store has acknowledged; the watch will tell it too. */
+  /** Records a change made by this node once the store has acknowledged it; the watch reports it as well. */
   recordOwnPut(key: string, value: string, modRevision: number): void {
     if (!this.#isRunning || modRevision <= this.#revision) return;
     const known = this.#entries.get(key);
@@ -156,9 +156,9 @@
       changed.add(key);
     }
     for (const entry of entries) {
-      const held = this.#lost.findOverride(entry);
-      if (held !== undefined) {
-        this.#entries.set(entry.key, held);
+      const override = this.#lost.findOverride(entry);
+      if (override !== undefined) {
+        this.#entries.set(entry.key, override);
         continue;
       }
       const known = this.#entries.get(entry.key);
@@ -168,7 +168,7 @@
     }
     this.#revision = revision;
     this.#readRevision = revision;
-    // Also without a change: what is known is known to be newer.
+    // Called even if nothing changed: the entries are now known to be newer.
     this.onChange(changed);
   }
 
@@ -179,12 +179,12 @@
     const known = this.#entries.get(key);
     if (known !== undefined && known.modRevision >= modRevision) return false;
     if (event.type === 'delete') return this.#entries.delete(key);
-    const held = this.#lost.findOverride(event.entry);
-    this.#entries.set(key, held ?? event.entry);
-    return held === undefined;
+    const override = this.#lost.findOverride(event.entry);
+    this.#entries.set(key, override ?? event.entry);
+    return override === undefined;
   }
 
-  /** What is known from an era before the store has not. */
+  /** Revision of a key in the store: 0 for an entry of an earlier store era, which the store no longer has. */
   #storedRevisionOf(key: string): number {
     const modRevision = this.#entries.get(key)?.modRevision ?? 0;
     return isInSameEra(modRevision, this.#revision) ? modRevision : 0;
--- a/src/core/promotion/suspicion.ts
+++ b/src/core/promotion/suspicion.ts
@@ -1,6 +1,6 @@
 /**
- * Which primaries this node can't work with, from what its callers meet there. A suspicion is a key
- * under the node's lease; the leader counts them.
+ * Determines which primaries this node can't work with, from failures of its callers' requests. A suspicion is a
+ * key under the node's lease; the leader counts them.
  */
 import type { Milliseconds } from '../units.js';
 import type { PrimaryUse } from './contract.js';
@@ -8,19 +8,19 @@
 import { type SuspicionRecord, suspicionKeyOf } from './records.js';
 import { isStoreCallError, type PromotionRuntime } from './runtime.js';
 
-/** Failures are told by at least so many requests. */
+/** Minimum number of failed requests for a suspicion. */
 const MIN_FAILURES = 2;
-/** Stands for whatever the store may hold: differs from every instance, and from none. */
+/** Stands for an unknown suspicion in the store: differs from every instance, and from no suspicion. */
 const UNKNOWN_INSTANCE = '';
 
 interface ServiceHealth {
-  /** Primary that this is of. */
+  /** Primary at which the requests failed. */
   readonly instance: string;
-  /** First failure since the last success, by use. */
+  /** First failure since the last success and number of failures since then, by use. */
   readonly failingSince: Map<PrimaryUse, { readonly at: Milliseconds; count: number }>;
 }
 
-/** What the store holds of this node's suspicion, as far as known. */
+/** This node's suspicion as stored, as far as known. */
 interface WrittenSuspicion {
   instance: string | undefined;
   isBusy: boolean;
@@ -38,7 +38,7 @@
     private readonly lease: NodeLease,
   ) {}
 
-  /** A request failed; nothing that was asked of the primary has been answered for `silentForMs`. */
+  /** Records a failed request; the primary has responded to nothing for `silentForMs`. */
   recordFailure(
     service: string,
     instance: string,
@@ -69,12 +69,12 @@
     this.#update(service);
   }
 
-  /** No request failed since the last success. */
+  /** Whether no request has failed since the last success. */
   isHealthy(service: string): boolean {
     return !this.#health.has(service);
   }
 
-  /** The primary of the service may have changed. */
+  /** Discards the failures at an earlier primary. */
   setPrimary(service: string, instance: string | undefined): void {
     const health = this.#health.get(service);
     if (health === undefined || health.instance === instance) return;
@@ -82,7 +82,7 @@
     this.#update(service);
   }
 
-  /** Instance that this node suspects now. */
+  /** The instance that this node suspects now. */
   suspectOf(service: string): string | undefined {
     const health = this.#health.get(service);
     if (health === undefined) return undefined;
@@ -106,7 +106,7 @@
     const written = this.#writtenOf(service);
     const { leaseId } = this.lease;
     if (written.isBusy || leaseId === undefined || !this.lease.isValid(this.runtime.now)) return;
-    // What hung on an earlier lease is gone, or will be.
+    // A key under an earlier lease is gone, or will be.
     const known = written.leaseId === leaseId ? written.instance : undefined;
     if (suspect === known) return;
     if (this.runtime.now < written.nextWriteAt) {
@@ -120,12 +120,15 @@
     this.#write(service, suspect, written, leaseId);
   }
 
-  /** The store came back from a copy, which may lack what was written, or hold what was taken back. */
-  handleEraChange(): void {
+  /**
+   * Rewrites the suspicions after a restore of the store: the backup may lack one that was written, or have one
+   * that was deleted.
+   */
+  handleStoreRestore(): void {
     for (const [service, written] of this.#written) {
       written.instance = UNKNOWN_INSTANCE;
       written.revision = 0;
-      // Not before the lease is renewed.
+      // The lease has to be renewed first.
       this.runtime.after(this.runtime.timings.leaseRenewPeriodMs, () => this.#update(service));
     }
   }
@@ -166,7 +169,7 @@
     this.runtime.transaction(compares, [operation], (answer) => {
       written.isBusy = false;
       if (isStoreCallError(answer)) {
-        // Nothing was told yet: the pause between tellings has no say.
+        // Nothing was written, so the minimum period between suspicions does not apply.
         const { storeRetryDelayMs } = this.runtime.timings;
         const delayMs = Math.max(answer.retryAfterMs, this.runtime.jittered(storeRetryDelayMs));
         written.nextWriteAt = this.runtime.now + delayMs;
--- a/src/core/promotion/unlisted-members.ts
+++ b/src/core/promotion/unlisted-members.ts
@@ -1,7 +1,7 @@
 /**
- * Members that this node has seen and no record of the leader's names: one whose entry came and went while the store took no
- * writes. It may have received a commit that no other has, so it counts until a record names it; from then on the
- * leader's records tell whether it does.
+ * Members that this node has seen and no record of the leader lists: their registration began and ended while the
+ * store accepted no writes. Such a member may have received a commit that no other has, so it counts until a record
+ * lists it; from then on the leader's records decide whether it counts.
  */
 import type { InstanceEntry } from '../../direct/contract.js';
 import type { Milliseconds } from '../units.js';
@@ -11,24 +11,24 @@
 
 interface ObservedMember {
   entry: InstanceEntry;
-  seenAt: Milliseconds;
-  isPresent: boolean;
+  lastSeenAt: Milliseconds;
+  isRegistered: boolean;
   isListed: boolean;
 }
 
 export class UnlistedMembers {
-  /** Ids of the members by the latest record, by service. */
+  /** Ids of the members in the latest record, by service. */
   readonly #listed = new Map<string, ReadonlySet<string>>();
   readonly #observed = new Map<string, ObservedMember>();
 
-  /** All entries that the store has now. */
+  /** Takes all instances that are registered now. */
   updateInstances(entries: readonly InstanceEntry[], now: Milliseconds): void {
-    const present = new Set(entries.map(({ id }) => id));
-    for (const entry of entries) this.#recordPresent(entry, now);
-    for (const [id, sighting] of this.#observed) {
-      if (present.has(id)) continue;
-      sighting.isPresent = false;
-      if (now - sighting.seenAt > RETENTION_MS) this.#observed.delete(id);
+    const registered = new Set(entries.map(({ id }) => id));
+    for (const entry of entries) this.#recordRegistered(entry, now);
+    for (const [id, member] of this.#observed) {
+      if (registered.has(id)) continue;
+      member.isRegistered = false;
+      if (now - member.lastSeenAt > RETENTION_MS) this.#observed.delete(id);
     }
   }
 
@@ -37,29 +37,32 @@
     this.#listed.set(service, listed);
     for (const id of listed) this.#markListed(id);
     for (const { id } of departed) {
-      // One that is there again may have come back after it was forgotten.
-      if (this.#observed.get(id)?.isPresent !== true) this.#markListed(id);
+      // A member that is registered again may have come back after its departure was recorded.
+      if (this.#observed.get(id)?.isRegistered !== true) this.#markListed(id);
     }
   }
 
-  /** Those without an entry now; not one whose log has gone to a later instance at its address. */
+  /**
+   * Members that are not registered now and that no record lists, except one whose log has passed to a later
+   * instance at its address.
+   */
   of(service: string): InstanceEntry[] {
-    const ofService = [...this.#observed.values()].filter(({ entry }) => entry.service === service);
-    return ofService
-      .filter(({ isPresent, isListed }) => !isPresent && !isListed)
-      .filter((sighting) => !ofService.some((other) => isSuccessor(other, sighting)))
+    const observed = [...this.#observed.values()].filter(({ entry }) => entry.service === service);
+    return observed
+      .filter(({ isRegistered, isListed }) => !isRegistered && !isListed)
+      .filter((member) => !observed.some((other) => isSuccessor(other, member)))
       .map(({ entry }) => entry);
   }
 
-  #recordPresent(entry: InstanceEntry, now: Milliseconds): void {
+  #recordRegistered(entry: InstanceEntry, now: Milliseconds): void {
     const known = this.#observed.get(entry.id);
-    const isListed = known?.isPresent === true ? known.isListed : this.#isListed(entry);
-    this.#observed.set(entry.id, { entry, seenAt: now, isPresent: true, isListed });
+    const isListed = known?.isRegistered === true ? known.isListed : this.#isListed(entry);
+    this.#observed.set(entry.id, { entry, lastSeenAt: now, isRegistered: true, isListed });
   }
 
   #markListed(id: string): void {
-    const sighting = this.#observed.get(id);
-    if (sighting !== undefined) sighting.isListed = true;
+    const member = this.#observed.get(id);
+    if (member !== undefined) member.isListed = true;
   }
 
   #isListed({ service, id }: InstanceEntry): boolean {
@@ -67,7 +70,7 @@
   }
 }
 
-function isSuccessor(other: ObservedMember, { entry, seenAt }: ObservedMember): boolean {
+function isSuccessor(other: ObservedMember, { entry, lastSeenAt }: ObservedMember): boolean {
   const isSameAddress = other.entry.host === entry.host && other.entry.port === entry.port;
-  return isSameAddress && other.entry.id !== entry.id && other.seenAt > seenAt;
+  return isSameAddress && other.entry.id !== entry.id && other.lastSeenAt > lastSeenAt;
 }
--- a/test/unit/preflight.test.ts
+++ b/test/unit/preflight.test.ts
@@ -1,4 +1,4 @@
-/** What a look at all members comes to before a change of primary. */
+/** Results of the query of all members before a primary change. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { ControlFailure } from '../../src/core/promotion/contract.js';
@@ -24,13 +24,13 @@
   return { role, term, received: { timeline: term, lsn }, ...rest };
 }
 
-const FROM = member('old', ADDRESS);
-const HEIR = member('heir', ADDRESS);
+const OLD_PRIMARY = member('old', ADDRESS);
+const SUCCESSOR = member('heir', ADDRESS);
 const REPLICA = member('replica');
 const LOST = member('lost-one');
 
-/** The result of a look in which the members answer so. */
-function lookAt(answers: Readonly<Record<string, Answer>>): PreflightResult | undefined {
+/** The result of a preflight check with these responses. */
+function preflightWith(answers: Readonly<Record<string, Answer>>): PreflightResult | undefined {
   let result: PreflightResult | undefined;
   const runtime = {
     control: (
@@ -42,17 +42,22 @@
   } as unknown as PromotionRuntime;
   const scope = { guard: <A>(onAnswer: A): A => onAnswer } as unknown as Scope;
   const options = {
-    ...{ from: FROM, others: [HEIR, REPLICA, LOST], reason: 'dead' as const, syncReplicas: 1 },
-    isPresent: (id: string) => id !== FROM.id && id !== LOST.id,
+    ...{
+      oldPrimary: OLD_PRIMARY,
+      others: [SUCCESSOR, REPLICA, LOST],
+      reason: 'dead' as const,
+      syncReplicas: 1,
+    },
+    isRegistered: (id: string) => id !== OLD_PRIMARY.id && id !== LOST.id,
   };
-  runPreflight(runtime, scope, options, (told) => {
-    result = told;
+  runPreflight(runtime, scope, options, (outcome) => {
+    result = outcome;
   });
   return result;
 }
 
 test('a primary that was replaced in place, with its log, leads on', () => {
-  const result = lookAt({
+  const result = preflightWith({
     ...{ old: 'refused', heir: status('primary', 9n), replica: status('replica', 9n) },
   });
   assert.equal(result, { type: 'succeeded', by: 'heir', term: TERM });
@@ -65,17 +70,17 @@
   ['does not lead', { heir: status('replica', 9n), replica: status('replica', 9n) }],
 ] as const) {
   test(`one at its address that ${name} does not`, () => {
-    assert.is.not(lookAt({ old: 'refused', ...answers })?.type, 'succeeded');
+    assert.is.not(preflightWith({ old: 'refused', ...answers })?.type, 'succeeded');
   });
 }
 
 test('a silent primary has no successor yet: it may live', () => {
-  const result = lookAt({ heir: status('primary', 9n), replica: status('replica', 9n) });
+  const result = preflightWith({ heir: status('primary', 9n), replica: status('replica', 9n) });
   assert.is.not(result?.type, 'succeeded');
 });
 
 test('what each member said is told where too few answer', () => {
-  const result = lookAt({ heir: 'refused', replica: status('replica', 9n) });
+  const result = preflightWith({ heir: 'refused', replica: status('replica', 9n) });
   const responses = { old: 'silent', heir: 'refused', replica: 'replica', 'lost-one': 'silent' };
   assert.equal(result, { type: 'wait', anyResponded: true, responses });
 });
--- a/test/unit/promotion-monitor.test.ts
+++ b/test/unit/promotion-monitor.test.ts
@@ -1,4 +1,4 @@
-/** When the leader asks a primary for its status, and what makes that needless. */
+/** When the leader probes a primary, and when other responses make a probe unnecessary. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { PrimaryMonitor } from '../../src/core/promotion/monitor.js';
@@ -9,7 +9,7 @@
 const { probePeriodMs } = DEFAULT_PROMOTION_TIMINGS;
 const STEP_MS = 50;
 
-class Watched {
+class MonitoredPrimary {
   readonly runtime = new PromotionRuntime({
     nodeName: 'node',
     incarnation: 'life',
@@ -24,7 +24,7 @@
     {
       primaryIdOf: () => 'a',
       instance: () => this.#entry(),
-      isPresent: () => true,
+      isRegistered: () => true,
       missingForMs: () => undefined,
     },
     { liveNodes: () => 3, suspicionsOf: () => 0 },
@@ -32,7 +32,7 @@
     (_primary, reason) => this.reasons.push(reason),
   );
 
-  /** Lets time pass; with `isAnswering`, the primary answers something else in every step. */
+  /** Advances the time; with `isAnswering`, the primary responds to another request in every step. */
   run(durationMs: number, isAnswering: boolean): void {
     const until = this.runtime.now + durationMs;
     while (this.runtime.now < until) {
@@ -76,26 +76,26 @@
 }
 
 test('a primary that answers other questions is not probed', () => {
-  const watched = new Watched();
-  watched.monitor.start();
-  watched.run(10 * probePeriodMs, true);
-  assert.is(watched.probes, 0);
+  const monitored = new MonitoredPrimary();
+  monitored.monitor.start();
+  monitored.run(10 * probePeriodMs, true);
+  assert.is(monitored.probes, 0);
 });
 
 test('a primary that nothing else is heard of is probed', () => {
-  const watched = new Watched();
-  watched.monitor.start();
-  watched.run(10 * probePeriodMs, false);
-  assert.ok(watched.probes >= 8, `${watched.probes} probes`);
+  const monitored = new MonitoredPrimary();
+  monitored.monitor.start();
+  monitored.run(10 * probePeriodMs, false);
+  assert.ok(monitored.probes >= 8, `${monitored.probes} probes`);
 });
 
 test('a primary that announces itself as a replica is asked, though it answers', () => {
-  const watched = new Watched();
-  watched.monitor.start();
-  watched.run(2 * probePeriodMs, true);
-  watched.role = 'replica';
-  watched.run(4 * probePeriodMs, true);
-  assert.ok(watched.reasons.includes('lost-lead'), `${watched.probes} probes`);
+  const monitored = new MonitoredPrimary();
+  monitored.monitor.start();
+  monitored.run(2 * probePeriodMs, true);
+  monitored.role = 'replica';
+  monitored.run(4 * probePeriodMs, true);
+  assert.ok(monitored.reasons.includes('lost-lead'), `${monitored.probes} probes`);
 });
 
 test.run();
--- a/test/unit/store-return.test.ts
+++ b/test/unit/store-return.test.ts
@@ -1,4 +1,4 @@
-/** After an absence of the store, what waits to be tried once more is tried at the first answer. */
+/** After an outage of the store, failed calls are retried at its first response. */
 import { errAsync } from 'neverthrow';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
--- a/test/unit/unlisted-members.test.ts
+++ b/test/unit/unlisted-members.test.ts
@@ -59,8 +59,8 @@
       { key: 'k', value, createRevision: 1, modRevision: 1 },
       parseAcknowledgementRecord,
     );
-  const told = decode(encodeAcknowledgement({ ...record, unlisted: [entry('late')] }));
-  assert.equal(told?.unlisted, [entry('late')]);
+  const decoded = decode(encodeAcknowledgement({ ...record, unlisted: [entry('late')] }));
+  assert.equal(decoded?.unlisted, [entry('late')]);
   assert.is(decode(encodeAcknowledgement(record))?.unlisted, undefined);
 });
 
