--- a/src/core/promotion/members.ts
+++ b/src/core/promotion/members.ts
@@ -78,10 +78,10 @@
   /** Departed members without a registration, in case they come back. */
   departed(): InstanceEntry[] {
     const current = this.current();
-    const recordedDeparted = this.store.noteOf(this.service).departed;
+    const recorded = this.store.noteOf(this.service).departed;
     const departed = this.runtime.era.hasRisen
-      ? [...recordedDeparted, ...this.#remembered(recordedDeparted)]
-      : recordedDeparted;
+      ? [...recorded, ...this.#remembered(recorded)]
+      : recorded;
     return departed.filter(({ id }) => current.every((member) => member.id !== id));
   }
 
@@ -89,17 +89,17 @@
    * A restore of the store may have reverted the handover record: any instance that this node remembers may since
    * have been removed from the members, and may come back.
    */
-  #remembered(noted: readonly InstanceEntry[]): InstanceEntry[] {
-    const ids = new Set(noted.map(({ id }) => id));
+  #remembered(recorded: readonly InstanceEntry[]): InstanceEntry[] {
+    const ids = new Set(recorded.map(({ id }) => id));
     return this.primaries.rememberedInstances(this.service).filter(({ id }) => !ids.has(id));
   }
 
   /** Brings the handover record in the store up to date. */
   update(): void {
     const members = this.current();
-    const note = this.store.noteOf(this.service);
-    const primary = this.primaries.primaryIdOf(this.service) ?? note.primary;
-    const isSame = primary === note.primary && areSameMembers(members, note.members);
+    const handover = this.store.noteOf(this.service);
+    const primary = this.primaries.primaryIdOf(this.service) ?? handover.primary;
+    const isSame = primary === handover.primary && areSameMembers(members, handover.members);
     const isPublished = this.store.areMembersPublished(this.service);
     if ((isSame && isPublished) || members.length === 0) return;
     this.#write(members, primary);
@@ -113,13 +113,13 @@
     if (this.#isWriting) return;
     this.#isWriting = true;
     const known = this.store.noteOf(this.service);
-    const note = { ...known, members, primary, departed: departed ?? known.departed };
+    const handover = { ...known, members, primary, departed: departed ?? known.departed };
     const onDone = this.#scope.guard((succeeded: boolean) => {
       this.#isWriting = false;
       const waitMs = succeeded ? 0 : this.runtime.timings.storeRetryDelayMs;
       this.#scope.after(waitMs, () => this.update());
     });
-    this.store.write({ service: this.service, note }, onDone);
+    this.store.write({ service: this.service, note: handover }, onDone);
   }
 
   #check(): void {
@@ -214,18 +214,18 @@
 
   #removeMember({ id }: InstanceEntry): void {
     this.#primaryEndAfterDeath.delete(id);
-    const note = this.store.noteOf(this.service);
-    const members = note.members.filter((member) => member.id !== id);
-    if (members.length === note.members.length || this.primaries.isRegistered(id)) return;
+    const handover = this.store.noteOf(this.service);
+    const members = handover.members.filter((member) => member.id !== id);
+    if (members.length === handover.members.length || this.primaries.isRegistered(id)) return;
     if (this.primaries.primaryIdOf(this.service) === undefined) return;
-    const member = note.members.filter((one) => one.id === id);
-    const departed = [...member, ...note.departed.filter((one) => one.id !== id)];
+    const removed = handover.members.filter((one) => one.id === id);
+    const departed = [...removed, ...handover.departed.filter((one) => one.id !== id)];
     if (!this.runtime.isDisabled('forgotten-members')) {
-      for (const one of member) this.primaries.addDeparted(one, this.runtime.now);
+      for (const one of removed) this.primaries.addDeparted(one, this.runtime.now);
     }
     const left = members.map((one) => one.id);
     this.runtime.log('info', 'member forgotten', { service: this.service, member: id, left });
-    this.#write(members, note.primary, departed.slice(0, MAX_DEPARTED_MEMBERS));
+    this.#write(members, handover.primary, departed.slice(0, MAX_DEPARTED_MEMBERS));
   }
 }
 
--- a/src/core/promotion/service-leader.ts
+++ b/src/core/promotion/service-leader.ts
@@ -222,7 +222,7 @@
     const at = addressOfInstance(oldPrimary);
     const record = { phase: 'changing', change, from: oldPrimary.id, at, term, planned } as const;
     this.#startedChange = change;
-    const note = {
+    const handover = {
       ...store.noteOf(this.service),
       members: this.#members.current(),
       primary: oldPrimary.id,
@@ -239,7 +239,7 @@
       this.#isBusy = false;
       this.update();
     });
-    store.write({ service: this.service, record, note }, onDone);
+    store.write({ service: this.service, record, note: handover }, onDone);
   }
 
   /** The same term continues at another instance: only the record is updated. */
@@ -249,7 +249,11 @@
     if (known?.phase !== 'serving' || known.term !== term) return;
     const at = addressOfInstance(oldPrimary);
     const record = { phase: 'serving', change: known.change + 1, instance: by, at, term } as const;
-    const note = { ...store.noteOf(this.service), members: this.#members.current(), primary: by };
+    const handover = {
+      ...store.noteOf(this.service),
+      members: this.#members.current(),
+      primary: by,
+    };
     this.#isBusy = true;
     runtime.log('info', 'primary succeeded at its address', {
       ...{ service: this.service, from: oldPrimary.id, by, term },
@@ -258,7 +262,7 @@
       this.#isBusy = false;
       this.update();
     });
-    store.write({ service: this.service, record, note }, onDone);
+    store.write({ service: this.service, record, note: handover }, onDone);
   }
 
   /** Logs each obstacle once: the preflight checks repeat several times a second. */
--- a/test/unit/lives.test.ts
+++ b/test/unit/lives.test.ts
@@ -1,4 +1,7 @@
-/** An instance that starts again under its id holds nothing of before: it is another one in all that is believed of it. */
+/**
+ * An instance that restarts under its id has lost its earlier state, so nothing known of one incarnation applies to
+ * another.
+ */
 import { errAsync, okAsync } from 'neverthrow';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
--- a/test/unit/promotion-connections.test.ts
+++ b/test/unit/promotion-connections.test.ts
@@ -1,4 +1,4 @@
-/** A node that holds no connections to an instance takes part in a change without a call to it. */
+/** A node that may not connect to an instance takes part in a primary change without calling the instance. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { PromotionRequest, RequestAnswer } from '../../src/core/promotion/contract.js';
@@ -28,7 +28,7 @@
   return { key, value: JSON.stringify(value), createRevision: REVISION, modRevision: REVISION };
 }
 
-/** A store in which another node leads and has begun to replace the primary. */
+/** A store in which another node is leader and has started to replace the primary. */
 function answerTo(request: PromotionRequest): RequestAnswer | undefined {
   switch (request.type) {
     case 'grant-lease':
@@ -47,7 +47,7 @@
   }
 }
 
-/** What a node asks for until it has acknowledged the change. */
+/** Requests of a node until it has acknowledged the primary change. */
 function requestsOf(mayConnect: boolean): PromotionRequest[] {
   const machine = new PromotionStateMachine({
     ...{ nodeName: 'node', incarnation: 'i', timings: DEFAULT_PROMOTION_TIMINGS },
@@ -73,7 +73,7 @@
 test('a node without connections acknowledges at once', () => {
   const requests = requestsOf(false);
   assert.not(requests.some(({ type }) => type === 'control'));
-  // Its registration, and the acknowledgement.
+  // The registration and the acknowledgement.
   assert.is(requests.filter(({ type }) => type === 'transaction').length, 2);
 });
 
--- a/test/unit/promotion-start.test.ts
+++ b/test/unit/promotion-start.test.ts
@@ -1,4 +1,4 @@
-/** A node that starts while the store leaves its writes unanswered knows the primaries by reading alone. */
+/** A node whose writes to the store get no response at its start learns the primaries by reading alone. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import type {
@@ -44,17 +44,17 @@
   },
 };
 
-/** A machine and what it asked for; requests of the types that the store answers are answered at once. */
+/** Starts a state machine and collects its requests; those of the given types get a response immediately. */
 function startWith(answered: readonly AnsweredRequest[]) {
   const machine = new PromotionStateMachine({
     ...{ nodeName: 'node', incarnation: 'i', timings: DEFAULT_PROMOTION_TIMINGS },
     random: () => 0.5,
   });
-  const asked: PromotionRequest['type'][] = [];
-  const answerTo = ({ type }: PromotionRequest): RequestAnswer | undefined =>
+  const requested: PromotionRequest['type'][] = [];
+  const respondTo = ({ type }: PromotionRequest): RequestAnswer | undefined =>
     answered.some((one) => one === type) ? ANSWERS[type as AnsweredRequest] : undefined;
   const handle = (events: readonly PromotionEvent[], now: number): void => {
-    asked.push(...feed(machine, events, now, answerTo).map(({ type }) => type));
+    requested.push(...feed(machine, events, now, respondTo).map(({ type }) => type));
   };
   const services = [{ name: SERVICE, maxConnections: 34, syncReplicas: 1 }];
   const start = [
@@ -63,7 +63,7 @@
     { type: 'start' },
   ] as const;
   handle(start, 0);
-  return { machine, asked, tick: (now: number) => handle([{ type: 'tick' }], now) };
+  return { machine, requested, tick: (now: number) => handle([{ type: 'tick' }], now) };
 }
 
 const { unregisteredReadDelayMs } = DEFAULT_PROMOTION_TIMINGS;
@@ -82,10 +82,10 @@
 }
 
 test('a node that is registered at once reads the records once', () => {
-  const { machine, asked, tick } = startWith(['grant-lease', 'transaction', 'range']);
+  const { machine, requested, tick } = startWith(['grant-lease', 'transaction', 'range']);
   assert.ok(machine.mayTrustPrimary(SERVICE, 0));
   tick(unregisteredReadDelayMs);
-  assert.is(asked.filter((type) => type === 'range').length, 1);
+  assert.is(requested.filter((type) => type === 'range').length, 1);
 });
 
 test.run();
