--- a/src/core/promotion/leader.ts
+++ b/src/core/promotion/leader.ts
@@ -60,7 +60,7 @@
   }
 
   get isCalling(): boolean {
-    return [...this.#duties.values()].some(({ isCalling }) => isCalling);
+    return [...this.#duties.values()].some(({ isCallInProgress }) => isCallInProgress);
   }
 
   noteServices(services: readonly ServiceDescription[]): void {
--- a/src/core/promotion/service-leader.ts
+++ b/src/core/promotion/service-leader.ts
@@ -61,7 +61,7 @@
     );
   }
 
-  get isCalling(): boolean {
+  get isCallInProgress(): boolean {
     return this.#calls.isCalling;
   }
 
