--- a/src/core/promotion/leader-store.ts
+++ b/src/core/promotion/leader-store.ts
@@ -34,7 +34,7 @@
   primaryKeyOf,
   suspicionPrefixOf,
 } from './records.js';
-import { isTrouble, type PromotionRuntime } from './runtime.js';
+import { isStoreCallError, type PromotionRuntime } from './runtime.js';
 import type { StoreView } from './store-view.js';
 
 /** Primary record and handover record of a service to be written, in one transaction. */
@@ -100,7 +100,7 @@
     const known = this.primaries.primaryIdOf(service);
     if (known !== undefined || this.runtime.isDisabled('noted-primary')) return known;
     if (!this.records.isReady || this.primaries.recordOf(service) !== undefined) return undefined;
-    const present = this.primaries.present(service);
+    const present = this.primaries.registeredInstances(service);
     if (present.some(({ role }) => role === 'primary')) return undefined;
     return this.handoverOf(service).primary;
   }
@@ -131,7 +131,7 @@
     const record = this.primaries.recordOf(service);
     if (record?.phase !== 'changing') return [];
     const reported: InstanceEntry[] = [];
-    for (const entry of this.leaderView.under(acknowledgementPrefixOf(service))) {
+    for (const entry of this.leaderView.entriesUnder(acknowledgementPrefixOf(service))) {
       const acknowledgement = decodeRecord(entry, parseAcknowledgementRecord);
       if (acknowledgement?.change === record.change)
         reported.push(...(acknowledgement.unlisted ?? []));
@@ -141,13 +141,13 @@
 
   /** Number of nodes whose lease has not expired. */
   countLiveNodes(): number {
-    return [...this.leaderView.under(NODE_PREFIX)].length;
+    return [...this.leaderView.entriesUnder(NODE_PREFIX)].length;
   }
 
   /** Live nodes that other nodes can reach. */
   reachableNodes(): ReachableNode[] {
     const reachable: ReachableNode[] = [];
-    for (const entry of this.leaderView.under(NODE_PREFIX)) {
+    for (const entry of this.leaderView.entriesUnder(NODE_PREFIX)) {
       const nodeId = nodeOfNodeKey(entry.key);
       const peer = decodeRecord(entry, parseNodeRecord)?.peer;
       if (nodeId !== undefined && peer !== undefined) reachable.push({ nodeId, ...peer });
@@ -158,7 +158,7 @@
   /** Live nodes that may read the store for others, with the address at which they serve their directory. */
   readerCandidates(): ReaderCandidate[] {
     const nodes: ReaderCandidate[] = [];
-    for (const entry of this.leaderView.under(NODE_PREFIX)) {
+    for (const entry of this.leaderView.entriesUnder(NODE_PREFIX)) {
       const nodeId = nodeOfNodeKey(entry.key);
       const { peer, directoryAt, linkMbps = 0 } = decodeRecord(entry, parseNodeRecord) ?? {};
       if (nodeId === undefined || peer === undefined || directoryAt === undefined) continue;
@@ -174,7 +174,7 @@
   /** Number of nodes that suspect this primary. */
   countSuspicions(service: string, instance: string): number {
     let count = 0;
-    for (const entry of this.leaderView.under(suspicionPrefixOf(service))) {
+    for (const entry of this.leaderView.entriesUnder(suspicionPrefixOf(service))) {
       if (decodeRecord(entry, parseSuspicionRecord)?.instance === instance) count += 1;
     }
     return count;
@@ -191,7 +191,7 @@
     );
     if (this.leaderView.revision < minRevision) return undefined;
     const inUse: string[] = [];
-    for (const entry of this.leaderView.under(NODE_PREFIX)) {
+    for (const entry of this.leaderView.entriesUnder(NODE_PREFIX)) {
       const node = nodeOfNodeKey(entry.key);
       if (node !== undefined && !this.#hasAcknowledged(service, record, node)) inUse.push(node);
     }
@@ -201,7 +201,7 @@
   /** End of the old primary's log, as reported by the nodes that demoted it. */
   demotedLogEnd(service: string, { change }: PrimaryRecord): Position | undefined {
     let latest: Position | undefined;
-    for (const entry of this.leaderView.under(acknowledgementPrefixOf(service))) {
+    for (const entry of this.leaderView.entriesUnder(acknowledgementPrefixOf(service))) {
       const record = decodeRecord(entry, parseAcknowledgementRecord);
       if (record?.change !== change || record.end === undefined) continue;
       latest = latest === undefined ? record.end : laterPosition(latest, record.end);
@@ -233,9 +233,9 @@
       { key: handoverKey, modRevision: this.leaderView.get(handoverKey)?.modRevision ?? 0 },
     ];
     this.runtime.transaction(compares, operations, (answer) => {
-      const succeeded = !isTrouble(answer) && answer.succeeded;
+      const succeeded = !isStoreCallError(answer) && answer.succeeded;
       if (succeeded) {
-        for (const { view, key, value } of puts) view.noteOwnPut(key, value, answer.revision);
+        for (const { view, key, value } of puts) view.recordOwnPut(key, value, answer.revision);
       }
       onDone(succeeded);
     });
@@ -263,14 +263,14 @@
   /** Departed members that this leader still tracks; the other nodes need not know of any others. */
   #departedToPublish(service: string, { departed }: HandoverRecord): readonly InstanceEntry[] {
     if (departed.length === 0 || this.runtime.isDisabled('forgotten-members')) return [];
-    const tracked = new Set(this.primaries.remembered(service).map(({ id }) => id));
+    const tracked = new Set(this.primaries.rememberedInstances(service).map(({ id }) => id));
     return departed.filter(({ id }) => tracked.has(id));
   }
 
   /** Runs at every update of the leader, so the check that iterates over all nodes comes last. */
   #mayPublishLater(members: readonly InstanceEntry[]): boolean {
     if (this.runtime.now - this.#leadingSince >= INITIAL_MEMBERS_DELAY_MS) return false;
-    const areAllPresent = members.every(({ id }) => this.primaries.isPresent(id));
+    const areAllPresent = members.every(({ id }) => this.primaries.isRegistered(id));
     return areAllPresent && this.countLiveNodes() >= SMALLEST_READER_FLEET;
   }
 
--- a/src/core/promotion/leader.ts
+++ b/src/core/promotion/leader.ts
@@ -11,7 +11,7 @@
 import { LEADER_WATCH_PREFIX } from './records.js';
 import type { PromotionRuntime } from './runtime.js';
 import { Scope } from './scope.js';
-import { ServiceDuty } from './service-duty.js';
+import { ServiceLeader } from './service-leader.js';
 import { StoreView } from './store-view.js';
 
 /** Minimum interval between two publications of the fleet record. */
@@ -32,7 +32,7 @@
   readonly #fleet: FleetPublisher;
   #scope: Scope;
   #services = new Map<string, ServiceDescription>();
-  #serviceLeaders = new Map<string, ServiceDuty>();
+  #serviceLeaders = new Map<string, ServiceLeader>();
   #isLeading = false;
   #isPublishing = false;
   #isRecheckScheduled = false;
@@ -60,7 +60,7 @@
   }
 
   get isCallInProgress(): boolean {
-    return [...this.#serviceLeaders.values()].some(({ isCalling }) => isCalling);
+    return [...this.#serviceLeaders.values()].some(({ isCallInProgress }) => isCallInProgress);
   }
 
   setServices(services: readonly ServiceDescription[]): void {
@@ -69,11 +69,11 @@
   }
 
   recordAlive(service: string, instance: string): void {
-    this.#serviceLeaders.get(service)?.noteAlive(instance);
+    this.#serviceLeaders.get(service)?.recordAlive(instance);
   }
 
   recordFailing(service: string, instance: string): void {
-    this.#serviceLeaders.get(service)?.noteFailing(instance);
+    this.#serviceLeaders.get(service)?.recordFailing(instance);
   }
 
   /** Starts or stops the work when this node becomes leader or stops being leader. */
@@ -119,7 +119,7 @@
     this.#leaderView.stop();
   }
 
-  #createServiceLeader(service: string): ServiceDuty {
+  #createServiceLeader(service: string): ServiceLeader {
     const context = {
       runtime: this.runtime,
       election: this.election,
@@ -127,7 +127,7 @@
       store: this.#store,
       syncReplicasOf: (name: string) => this.#services.get(name)?.syncReplicas ?? 1,
     };
-    return new ServiceDuty(context, this.lease, service);
+    return new ServiceLeader(context, this.lease, service);
   }
 
   /** Whether a fleet counts as small again depends on time, so it is checked again without any event. */
--- a/src/core/promotion/lease.ts
+++ b/src/core/promotion/lease.ts
@@ -5,7 +5,7 @@
 import { MILLISECONDS_PER_SECOND, type Milliseconds } from '../units.js';
 import { LEADER_KEY } from './records.js';
 import { RetryPause } from './retry-pause.js';
-import { isTrouble, type PromotionRuntime, type StoreTrouble } from './runtime.js';
+import { isStoreCallError, type PromotionRuntime, type StoreCallError } from './runtime.js';
 
 /** A node without a lease can't confirm any primary, so it must notice soon that the store is available again. */
 const MAX_BACKOFF_MS = 500;
@@ -53,9 +53,9 @@
     const sentAt = this.runtime.now;
     this.runtime.grantLease(leaseSeconds, (answer) => {
       if (this.#isStopped) return;
-      if (isTrouble(answer)) {
+      if (isStoreCallError(answer)) {
         this.#recordFailure();
-        this.#grantRetry.begin(this.#backoff(answer), () => this.#isStopped || this.start());
+        this.#grantRetry.schedule(this.#backoff(answer), () => this.#isStopped || this.start());
         return;
       }
       this.#failures = 0;
@@ -68,7 +68,7 @@
 
   /** Requests a delayed grant now, since the store responds again. */
   retryNow(): void {
-    this.#grantRetry.end();
+    this.#grantRetry.runNow();
   }
 
   /** Stops relying on the lease until it is renewed: the restored store may lack it, or its last renewals. */
@@ -110,14 +110,14 @@
       this.#recordFailure();
       this.#renew();
     });
-    this.runtime.keepLease(leaseId, (answer) => {
+    this.runtime.renewLease(leaseId, (answer) => {
       if (this.#isStopped || leaseId !== this.#leaseId) return;
       this.#unansweredRenewals = 0;
       if (answer === true) {
         this.#failures = 0;
         this.#validUntil = Math.max(this.#validUntil, this.#expiryOf(sentAt));
         this.#renewAfter(Math.max(0, leaseRenewPeriodMs - (this.runtime.now - sentAt)));
-      } else if (answer.leaseOver) {
+      } else if (answer.isLeaseGone) {
         this.#replaceLease();
       } else {
         this.#recordFailure();
@@ -137,7 +137,7 @@
     });
     const cancel = this.#cancelScheduled;
     this.runtime.range(LEADER_KEY, (answer) => {
-      if (this.#isStopped || isTrouble(answer) || this.#unansweredRenewals === 0) return;
+      if (this.#isStopped || isStoreCallError(answer) || this.#unansweredRenewals === 0) return;
       cancel();
       this.#unansweredRenewals = 0;
       this.#renewAfter(0);
@@ -156,7 +156,7 @@
     this.#lastFailureAt = this.runtime.now;
   }
 
-  #backoff({ retryAfterMs }: StoreTrouble): Milliseconds {
+  #backoff({ retryAfterMs }: StoreCallError): Milliseconds {
     const bound = this.runtime.timings.storeRetryDelayMs * 2 ** this.#failures;
     this.#failures += 1;
     return Math.max(retryAfterMs, this.runtime.jittered(Math.min(MAX_BACKOFF_MS, bound)));
--- a/src/core/promotion/machine.ts
+++ b/src/core/promotion/machine.ts
@@ -1,6 +1,6 @@
 /**
- * The promotion machine of one node: its lease and registration, the records it follows, its part in
- * changes, and the duty of promotions while it leads. Pure: events and times in, effects out.
+ * Promotion state machine of one node: its lease and registration, the records it watches, its part in primary
+ * changes, and the promotions themselves while it is the leader. Pure: events and times in, effects out.
  */
 import type { InstanceEntry } from '../../direct/contract.js';
 import type { PeerAddress } from '../../peer/contract.js';
@@ -34,14 +34,19 @@
 
 type PrimaryFailedEvent = Extract<PromotionEvent, { type: 'primary-failed' }>;
 
-const RELEASE_CHECK_MS = 50;
-const READ_WHEN_SUSPECT_MS = 1000;
-/** What a peer told of the members counts as current for so long: peers are asked more often while the store is away. */
-const TOLD_MAX_AGE_MS: Milliseconds = 2000;
+/** Period at which a leader checks whether it may hand over leadership. */
+const RELEASE_CHECK_PERIOD_MS = 50;
+/** Minimum period between reads of the records because the primary is suspected. */
+const SUSPICION_REREAD_PERIOD_MS = 1000;
+/**
+ * Maximum age of a peer's report of the members that counts as current: during an outage of the store, peers are
+ * polled more often than this.
+ */
+const REPORTED_MEMBERS_MAX_AGE_MS: Milliseconds = 2000;
 const NO_KEYS: ReadonlySet<string> = new Set();
 const NO_READERS: readonly ReachableNode[] = [];
 
-export class PromotionMachine {
+export class PromotionStateMachine {
   readonly #runtime: PromotionRuntime;
   readonly #lease: NodeLease;
   readonly #records: StoreView;
@@ -50,12 +55,12 @@
   readonly #election: Election;
   readonly #leader: Leader;
   readonly #suspicions: Suspicions;
-  /** Primary of each service as it was told last. */
-  readonly #told = new Map<string, string | undefined>();
+  /** Primary of each service as it was last announced. */
+  readonly #announced = new Map<string, string | undefined>();
   #services: readonly string[] = [];
   #fleetEntry: KeyValue | undefined;
   #fleetRecord: FleetRecord | undefined;
-  #readAt: Milliseconds = Number.NEGATIVE_INFINITY;
+  #rereadAt: Milliseconds = Number.NEGATIVE_INFINITY;
   #isStopped = false;
 
   constructor(options: PromotionOptions) {
@@ -81,12 +86,12 @@
     this.#leader = new Leader(runtime, this.#election, this.#lease, this.#primaries, this.#records);
     this.#suspicions = new Suspicions(runtime, this.#lease);
     this.#lease.onGranted = (leaseId) => this.#participation.register(leaseId);
-    this.#participation.onRegistered = () => this.#noteRecords(NO_KEYS);
-    this.#records.onChange = (keys) => this.#noteRecords(keys);
+    this.#participation.onRegistered = () => this.#handleRecordChanges(NO_KEYS);
+    this.#records.onChange = (keys) => this.#handleRecordChanges(keys);
     this.#election.onChange = () => this.#leader.handleElectionChange();
   }
 
-  /** Earliest time at which a tick is wanted. */
+  /** Earliest time at which a `tick` event is needed. */
   nextDeadline(): Milliseconds | undefined {
     return this.#runtime.timers.nextAt();
   }
@@ -94,17 +99,20 @@
   handle(event: PromotionEvent, now: Milliseconds): PromotionEffect[] {
     if (this.#isStopped && event.type !== 'answer' && event.type !== 'tick') return [];
     this.#runtime.now = Math.max(this.#runtime.now, now);
-    this.#take(event);
+    this.#dispatch(event);
     this.#runtime.timers.runDue(this.#runtime.now);
     return this.#runtime.takeEffects();
   }
 
-  /** The instance that takes writes now; undefined while it changes or is unknown. */
+  /** The instance that accepts writes now; undefined during a primary change or if it is unknown. */
   primaryOf(service: string, now: Milliseconds): InstanceEntry | undefined {
     return this.#primaries.primaryOf(service, now);
   }
 
-  /** True if what the primary, or this instance, answers now is surely not of a deposed one. */
+  /**
+   * Whether a response sent now by the service's primary, or by the given instance as primary, is certainly not
+   * from a replaced primary.
+   */
   mayTrustPrimary(service: string, now: Milliseconds, instance?: string): boolean {
     if (!this.#participation.isPermitted(now) || !this.#mayRelyOnRecords(now)) return false;
     if (this.#runtime.era.mayHaveMissedRecords(now)) return false;
@@ -112,76 +120,82 @@
     return primary !== undefined && (instance === undefined || instance === primary.id);
   }
 
-  /** Members of a service that this node has seen lately or the leader counts, also if they are gone. */
+  /** Members of a service that this node has seen recently or that the leader counts, registered or not. */
   membersOf(service: string): InstanceEntry[] {
     return this.#primaries.countedMembers(service);
   }
 
-  /** Members that there may be and that can't be asked: they count as silent. Undefined while nothing can be proven. */
-  unseenMembersOf(service: string): string[] | undefined {
+  /**
+   * Ids of members that may exist and can't be queried: they count as unresponsive. Undefined while nothing can be
+   * proven.
+   */
+  membersWithoutAddress(service: string): string[] | undefined {
     if (!this.#mayRelyOnRecords(this.#runtime.now)) return undefined;
-    return this.#primaries.unseenMembers(service);
+    return this.#primaries.membersWithoutAddress(service);
   }
 
-  /** Whether this node would know who joined lately: by the store, or by a peer that has read the records. */
+  /**
+   * Whether this node would know of recently joined members: from the store, or from a peer that has read the
+   * records.
+   */
   areMembersCurrent(service: string, now: Milliseconds): boolean {
     if (this.#runtime.isDisabled('current-members') || this.#lease.isValid(now)) return true;
-    return now - this.#primaries.toldAt(service) <= TOLD_MAX_AGE_MS;
+    return now - this.#primaries.membersReportedAt(service) <= REPORTED_MEMBERS_MAX_AGE_MS;
   }
 
-  /** What this process reads may be older than what was acted on, and it remembers nothing. */
+  /** False while the store may have lost records that were acted on, and this process remembers none of them. */
   #mayRelyOnRecords(now: Milliseconds): boolean {
     return this.#runtime.era.mayRelyOnRecords(now) || this.#runtime.isDisabled('era-memory');
   }
 
-  /** True while the record says that another primary is being made. */
+  /** Whether a change of the service's primary is in progress, by its record. */
   isChanging(service: string): boolean {
     return this.#primaries.recordOf(service)?.phase === 'changing';
   }
 
-  /** Nodes that there are, as the leader counted them last; at least this one. */
+  /** Number of live nodes as last published by the leader; at least 1, for this node. */
   liveNodeCount(): number {
     return Math.max(1, this.#fleet()?.nodes ?? 1);
   }
 
-  /** The nodes that own instances, if the fleet is too large for all to connect to all. */
+  /** Nodes that own connections to instances; undefined while every node connects to every instance. */
   ownerRoster(): OwnerRoster | undefined {
     return this.#fleet()?.owners;
   }
 
-  /** The nodes that lend connections to those that come back, where all connect to all otherwise. */
+  /** Nodes that lend connections to returning nodes, in a fleet whose nodes otherwise connect by themselves. */
   returnRoster(): OwnerRoster | undefined {
     return this.#fleet()?.returnOwners;
   }
 
-  /** The nodes that read the store for the others; the same list until the leader names another. */
+  /** Nodes that read the store for the others; the same list until the leader publishes another. */
   watchReaders(): readonly ReachableNode[] {
     return this.#fleet()?.readers ?? NO_READERS;
   }
 
-  /** Whether another life of this instance has its id now. */
-  isBornAgain(instance: InstanceEntry): boolean {
-    return this.#primaries.isBornAgain(instance);
+  /** Whether another incarnation of this instance is registered now. */
+  hasNewIncarnation(instance: InstanceEntry): boolean {
+    return this.#primaries.hasNewIncarnation(instance);
   }
 
-  /** The nodes that keep the tenants' quotas, as the leader named them last. */
+  /** Nodes that keep the tenants' quotas, as last published by the leader. */
   quotaKeepers(): QuotaKeepers | undefined {
     return this.#fleet()?.keepers;
   }
 
-  /** True while the leader can't have named another keeper for what this node keeps. */
+  /** True while the leader can't yet have replaced this node as a keeper of quotas. */
   mayKeepQuotas(now: Milliseconds): boolean {
     return this.#participation.isRegistered && now < this.#lease.validUntil + KEEPER_GRACE_MS;
   }
 
-  /** Where nodes answer questions for their directory, as the leader told last. */
+  /** Addresses at which nodes serve their directory, as last published by the leader. */
   peerAddresses(): readonly PeerAddress[] {
     return decodeRecord(this.#records.get(PEERS_KEY), parsePeersRecord)?.addresses ?? [];
   }
 
-  /** True if a success of the primary needs no telling: nothing depends on it. */
-  isSuccessIdle(service: string): boolean {
-    return this.#election.fencingToken === undefined && this.#suspicions.isWell(service);
+  /** True if a success at the primary need not be reported, because nothing depends on it. */
+  canIgnoreSuccess(service: string): boolean {
+    return this.#election.fencingToken === undefined && this.#suspicions.isHealthy(service);
   }
 
   /** Revision up to which the records are known; 0 if they are not. */
@@ -202,7 +216,7 @@
     return this.#fleetRecord;
   }
 
-  #take(event: PromotionEvent): void {
+  #dispatch(event: PromotionEvent): void {
     switch (event.type) {
       case 'start':
         this.#start();
@@ -210,47 +224,47 @@
       case 'tick':
         return;
       case 'answer':
-        this.#runtime.answer(event.request, event.answer);
+        this.#runtime.handleAnswer(event.request, event.answer);
         return;
       case 'watch-events':
-        this.#records.watchEvents(event.watch, event.events, event.revision);
-        this.#leader.leaderView.watchEvents(event.watch, event.events, event.revision);
+        this.#records.handleWatchEvents(event.watch, event.events, event.revision);
+        this.#leader.leaderView.handleWatchEvents(event.watch, event.events, event.revision);
         return;
       case 'watch-ended':
-        this.#records.watchEnded(event.watch);
-        this.#leader.leaderView.watchEnded(event.watch);
+        this.#records.handleWatchEnded(event.watch);
+        this.#leader.leaderView.handleWatchEnded(event.watch);
         return;
       case 'instances-changed':
-        this.#primaries.noteInstances(event.entries, this.#runtime.now);
-        this.#tellChanges();
+        this.#primaries.updateInstances(event.entries, this.#runtime.now);
+        this.#announcePrimaryChanges();
         this.#leader.update();
         return;
       case 'members-told':
-        this.#primaries.noteMembersTold(event.entries, this.#runtime.now);
+        this.#primaries.setReportedMembers(event.entries, this.#runtime.now);
         return;
       case 'services-changed':
         this.#services = event.services.map(({ name }) => name);
-        this.#tellChanges();
+        this.#announcePrimaryChanges();
         this.#leader.setServices(event.services);
         return;
       case 'primary-failed':
-        this.#noteFailure(event);
+        this.#handlePrimaryFailure(event);
         return;
       case 'primary-succeeded':
-        this.#noteSuccess(event.service, event.use);
+        this.#handlePrimarySuccess(event.service, event.use);
         return;
       case 'use-ended':
-        this.#participation.noteUseEnded(event.service, event.change);
+        this.#participation.handleUseEnded(event.service, event.change);
         return;
       case 'store-returned':
         this.#lease.retryNow();
         this.#records.retryNow();
         return;
       case 'store-era':
-        this.#noteStoreEra(event.era);
+        this.#handleStoreEra(event.era);
         return;
       case 'release-leadership':
-        this.#release();
+        this.#releaseLeadership();
         return;
       case 'stop':
         this.#stop();
@@ -258,77 +272,83 @@
   }
 
   /**
-   * Records bind only when read after the registration. One whose answer is late or lost must not keep the node from
-   * knowing whom to ask: what it reads before is trusted no more than what a peer told.
+   * Starts the lease, and after a delay reads the records even without a registration. Records are binding only if
+   * read after the registration, but a late or lost response to it must not keep the node from learning which peers
+   * and instances it can query. Records read earlier are trusted no more than a peer's report.
    */
   #start(): void {
     this.#lease.start();
     this.#runtime.after(this.#runtime.timings.unregisteredReadDelayMs, () => this.#records.start());
   }
 
-  /** Leases, registrations and what hangs on them may be gone, or back: each is shown or written anew before it counts. */
-  #noteStoreEra(era: number): void {
+  /**
+   * After a restore of the store, leases, registrations and keys bound to them may be gone or present again: each
+   * is renewed or rewritten before it counts.
+   */
+  #handleStoreEra(era: number): void {
     const { now } = this.#runtime;
     const wasPermitted =
       this.#participation.isPermitted(now) || this.#runtime.isDisabled('era-coverage');
     this.#runtime.era.recordEra(era, now, wasPermitted);
     if (this.#runtime.isDisabled('era-registration')) return;
     this.#lease.handleStoreRestore();
-    this.#participation.noteEra();
-    this.#suspicions.noteEra();
+    this.#participation.handleStoreRestore();
+    this.#suspicions.handleStoreRestore();
   }
 
-  #noteFailure({ service, use, silentForMs }: PrimaryFailedEvent): void {
+  #handlePrimaryFailure({ service, use, silentForMs }: PrimaryFailedEvent): void {
     const instance = this.#primaries.primaryIdOf(service);
     if (instance === undefined) return;
-    this.#suspicions.noteFailure(service, instance, use, silentForMs);
+    this.#suspicions.recordFailure(service, instance, use, silentForMs);
     this.#leader.recordFailing(service, instance);
-    // The news that it is being replaced may be held up on the way.
+    // The watch may be late with the record that replaces the primary.
     if (this.#suspicions.suspectOf(service) === undefined) return;
-    if (this.#runtime.now - this.#readAt < READ_WHEN_SUSPECT_MS) return;
-    this.#readAt = this.#runtime.now;
+    if (this.#runtime.now - this.#rereadAt < SUSPICION_REREAD_PERIOD_MS) return;
+    this.#rereadAt = this.#runtime.now;
     this.#records.read();
   }
 
-  #noteSuccess(service: string, use: PrimaryUse): void {
+  #handlePrimarySuccess(service: string, use: PrimaryUse): void {
     const instance = this.#primaries.primaryIdOf(service);
     if (instance === undefined) return;
-    this.#suspicions.noteSuccess(service, instance, use);
+    this.#suspicions.recordSuccess(service, instance, use);
     this.#leader.recordAlive(service, instance);
   }
 
-  #noteRecords(keys: ReadonlySet<string>): void {
-    const settled = decodeRecord(this.#records.get(ERA_KEY), parseEraRecord);
-    this.#runtime.era.setSettledEra(settled?.era);
-    this.#tellChanges();
+  #handleRecordChanges(keys: ReadonlySet<string>): void {
+    const settledEra = decodeRecord(this.#records.get(ERA_KEY), parseEraRecord);
+    this.#runtime.era.setSettledEra(settledEra?.era);
+    this.#announcePrimaryChanges();
     for (const key of keys) {
       const service = serviceOfMembersKey(key);
-      if (service !== undefined) this.#primaries.noteMembersRecord(service, this.#runtime.now);
+      if (service !== undefined) this.#primaries.applyMembersRecord(service, this.#runtime.now);
     }
-    for (const entry of this.#records.under(RECORD_PREFIX)) {
+    for (const entry of this.#records.entriesUnder(RECORD_PREFIX)) {
       const service = serviceOfPrimaryKey(entry.key);
       if (service === undefined) continue;
-      this.#participation.noteRecord(service, this.#primaries.recordOf(service));
+      this.#participation.handleRecord(service, this.#primaries.recordOf(service));
     }
     this.#election.update();
     this.#leader.update();
   }
 
-  #tellChanges(): void {
+  #announcePrimaryChanges(): void {
     for (const service of this.#services) {
       const id = this.#primaries.primaryIdOf(service);
-      if (this.#told.has(service) && this.#told.get(service) === id) continue;
-      this.#told.set(service, id);
-      this.#suspicions.notePrimary(service, id);
+      if (this.#announced.has(service) && this.#announced.get(service) === id) continue;
+      this.#announced.set(service, id);
+      this.#suspicions.setPrimary(service, id);
       this.#runtime.emit({ type: 'primary-changed', service });
     }
   }
 
-  /** Hands the lead on, once the next holder may call promotions without following too soon. */
-  #release(): void {
+  /**
+   * Hands over leadership, once its successor may call promotions without following this node's last call too soon.
+   */
+  #releaseLeadership(): void {
     const isLeader = this.#election.fencingToken !== undefined;
     if (isLeader && (this.#leader.isCallInProgress || !this.#election.mayHandOver)) {
-      this.#runtime.after(RELEASE_CHECK_MS, () => this.#release());
+      this.#runtime.after(RELEASE_CHECK_PERIOD_MS, () => this.#releaseLeadership());
       return;
     }
     this.#election.stop();
--- a/src/core/promotion/members.ts
+++ b/src/core/promotion/members.ts
@@ -1,6 +1,6 @@
 /**
- * Every instance of a service that may hold an acknowledged commit which no other has received. One
- * that is gone is forgotten only once it is shown that the others have what it had.
+ * Tracks every instance of a service that may hold an acknowledged commit that no other has received. An instance
+ * whose registration is gone is removed only once another is proven to have what it had.
  */
 import type { InstanceEntry, InstanceStatus } from '../../direct/contract.js';
 import { comparePositions, type Position } from '../position.js';
@@ -12,18 +12,19 @@
 import type { PromotionRuntime } from './runtime.js';
 import { Scope } from './scope.js';
 
-const CHECK_EVERY_MS = 1000;
-const GONE_BEFORE_CHECK_MS = 1000;
-const DEPARTED_KEPT = 6;
+const CHECK_PERIOD_MS = 1000;
+/** Time for which a registration must be missing before its member is checked. */
+const CHECK_MISSING_AFTER_MS = 1000;
+const MAX_DEPARTED_MEMBERS = 6;
 
 export class GroupMembers {
   readonly #scope: Scope;
-  #writing = false;
-  /** End of the primary's log, seen after a member that is gone was found dead. */
-  readonly #endAfterDeath = new Map<string, Position>();
-  /** When a member that is gone last gave any answer. */
-  readonly #heardAt = new Map<string, Milliseconds>();
-  #begunAt: Milliseconds = Number.POSITIVE_INFINITY;
+  #isWriting = false;
+  /** End of the primary's log, by id of a missing member: read after that member was found dead. */
+  readonly #primaryEndAfterDeath = new Map<string, Position>();
+  /** Time of the last response of any kind from each missing member. */
+  readonly #lastResponseAt = new Map<string, Milliseconds>();
+  #startedAt: Milliseconds = Number.POSITIVE_INFINITY;
 
   constructor(
     private readonly runtime: PromotionRuntime,
@@ -35,37 +36,40 @@
   }
 
   start(): void {
-    this.#begunAt = this.runtime.now;
+    this.#startedAt = this.runtime.now;
     this.update();
-    this.#watchDeparted();
-    this.#scope.after(CHECK_EVERY_MS, () => this.#check());
+    this.#probeDeparted();
+    this.#scope.after(CHECK_PERIOD_MS, () => this.#check());
   }
 
   stop(): void {
     this.#scope.end();
   }
 
-  /** All members, as the store or the instances themselves tell. */
+  /** All members: those that are registered, and those that only records or nodes still list. */
   current(): InstanceEntry[] {
-    const present = this.primaries.present(this.service);
+    const present = this.primaries.registeredInstances(this.service);
     const addresses = new Set(present.map(addressOf));
-    // The log of one that is gone goes to its successor at the same address, unless that is the instance itself born again.
-    const gone = this.#noted()
-      .filter((member) => !this.primaries.isPresent(member.id))
-      .filter((member) => this.primaries.isBornAgain(member) || !addresses.has(addressOf(member)));
-    return [...present, ...gone];
+    // A missing member's log passes to the instance that now has its address, unless that is a new incarnation of
+    // the member itself.
+    const missing = this.#knownMembers()
+      .filter((member) => !this.primaries.isRegistered(member.id))
+      .filter(
+        (member) => this.primaries.hasNewIncarnation(member) || !addresses.has(addressOf(member)),
+      );
+    return [...present, ...missing];
   }
 
-  #noted(): readonly InstanceEntry[] {
+  #knownMembers(): readonly InstanceEntry[] {
     const { members } = this.store.handoverOf(this.service);
     const ids = new Set(members.map(({ id }) => id));
     const others = new Map<string, InstanceEntry>();
-    const beyond = [...this.store.membersNewerThanHandover(this.service), ...this.#unlisted()];
-    for (const member of beyond) if (!ids.has(member.id)) others.set(member.id, member);
+    const additional = [...this.store.membersNewerThanHandover(this.service), ...this.#unlisted()];
+    for (const member of additional) if (!ids.has(member.id)) others.set(member.id, member);
     return others.size === 0 ? members : [...members, ...others.values()];
   }
 
-  /** What this node or, by their acknowledgements, others have seen and no record names. */
+  /** Members that no record lists and that this node has seen, or other nodes by their acknowledgements. */
   #unlisted(): readonly InstanceEntry[] {
     if (this.runtime.isDisabled('unlisted-members')) return [];
     return [
@@ -74,28 +78,31 @@
     ];
   }
 
-  /** Forgotten members that have no entry yet, should they come back. */
+  /** Departed members without a registration, in case they come back. */
   departed(): InstanceEntry[] {
     const current = this.current();
-    const noted = this.store.handoverOf(this.service).departed;
+    const recorded = this.store.handoverOf(this.service).departed;
     const departed = this.runtime.era.hasStoreBeenRestored
-      ? [...noted, ...this.#remembered(noted)]
-      : noted;
+      ? [...recorded, ...this.#remembered(recorded)]
+      : recorded;
     return departed.filter(({ id }) => current.every((member) => member.id !== id));
   }
 
-  /** A return of the store may have taken the note back: whoever was seen may have been forgotten since, and come back. */
-  #remembered(noted: readonly InstanceEntry[]): InstanceEntry[] {
-    const ids = new Set(noted.map(({ id }) => id));
-    return this.primaries.remembered(this.service).filter(({ id }) => !ids.has(id));
+  /**
+   * A restore of the store may have reverted the handover record: any instance that this node remembers may since
+   * have been removed from the members, and may come back.
+   */
+  #remembered(recorded: readonly InstanceEntry[]): InstanceEntry[] {
+    const ids = new Set(recorded.map(({ id }) => id));
+    return this.primaries.rememberedInstances(this.service).filter(({ id }) => !ids.has(id));
   }
 
-  /** Brings the note in the store up to date. */
+  /** Brings the handover record in the store up to date. */
   update(): void {
     const members = this.current();
-    const note = this.store.handoverOf(this.service);
-    const primary = this.primaries.primaryIdOf(this.service) ?? note.primary;
-    const isSame = primary === note.primary && sameMembers(members, note.members);
+    const handover = this.store.handoverOf(this.service);
+    const primary = this.primaries.primaryIdOf(this.service) ?? handover.primary;
+    const isSame = primary === handover.primary && areSameMembers(members, handover.members);
     const isPublished = this.store.areMembersPublished(this.service);
     if ((isSame && isPublished) || members.length === 0) return;
     this.#write(members, primary);
@@ -106,126 +113,130 @@
     primary: string | undefined,
     departed?: readonly InstanceEntry[],
   ): void {
-    if (this.#writing) return;
-    this.#writing = true;
+    if (this.#isWriting) return;
+    this.#isWriting = true;
     const known = this.store.handoverOf(this.service);
-    const note = { ...known, members, primary, departed: departed ?? known.departed };
+    const handover = { ...known, members, primary, departed: departed ?? known.departed };
     const onDone = this.#scope.guard((succeeded: boolean) => {
-      this.#writing = false;
+      this.#isWriting = false;
       const waitMs = succeeded ? 0 : this.runtime.timings.storeRetryDelayMs;
       this.#scope.after(waitMs, () => this.update());
     });
-    this.store.write({ service: this.service, handover: note }, onDone);
+    this.store.write({ service: this.service, handover }, onDone);
   }
 
   #check(): void {
-    this.#scope.after(CHECK_EVERY_MS, () => this.#check());
+    this.#scope.after(CHECK_PERIOD_MS, () => this.#check());
     this.update();
-    this.#watchDeparted();
-    const gone = this.current().filter(({ id }) => {
-      const goneForMs = this.primaries.goneForMs(id, this.runtime.now);
-      return goneForMs !== undefined && goneForMs >= GONE_BEFORE_CHECK_MS;
+    this.#probeDeparted();
+    const missing = this.current().filter(({ id }) => {
+      const missingMs = this.primaries.missingForMs(id, this.runtime.now);
+      return missingMs !== undefined && missingMs >= CHECK_MISSING_AFTER_MS;
     });
-    for (const known of [this.#endAfterDeath, this.#heardAt]) {
+    for (const known of [this.#primaryEndAfterDeath, this.#lastResponseAt]) {
       for (const id of known.keys()) {
-        if (!gone.some((member) => member.id === id)) known.delete(id);
+        if (!missing.some((member) => member.id === id)) known.delete(id);
       }
     }
     const primaryId = this.primaries.primaryIdOf(this.service);
     if (primaryId === undefined) return;
-    for (const member of gone) if (member.id !== primaryId) this.#checkGone(member, primaryId);
+    for (const member of missing) if (member.id !== primaryId) this.#checkMember(member, primaryId);
   }
 
-  /** One that was forgotten and answers may count towards commits again, with or without an entry. */
-  #watchDeparted(): void {
+  /** A departed member that responds may count towards commits again, registered or not. */
+  #probeDeparted(): void {
     if (this.runtime.isDisabled('forgotten-members')) return;
     for (const member of this.departed()) {
       const onAnswer = this.#scope.guard((answer: InstanceStatus | ControlFailure) => {
-        if (answer !== 'refused' && answer !== 'silent') this.#takeBack(member);
+        if (answer !== 'refused' && answer !== 'silent') this.#readmit(member);
       });
       this.runtime.control('status', member, 0, onAnswer);
     }
   }
 
-  #takeBack(member: InstanceEntry): void {
+  #readmit(member: InstanceEntry): void {
     const { members, departed, primary } = this.store.handoverOf(this.service);
-    if (this.#writing || members.some(({ id }) => id === member.id)) return;
+    if (this.#isWriting || members.some(({ id }) => id === member.id)) return;
     this.runtime.log('info', 'member is back', { service: this.service, member: member.id });
     const others = departed.filter(({ id }) => id !== member.id);
     this.#write([...members, member], primary, others);
   }
 
-  #checkGone(member: InstanceEntry, primaryId: string): void {
-    const end = this.#endAfterDeath.get(member.id);
+  #checkMember(member: InstanceEntry, primaryId: string): void {
+    const end = this.#primaryEndAfterDeath.get(member.id);
     if (end !== undefined) {
-      this.#lookForReplicaWith(end, member, primaryId);
+      this.#findReplicaWith(end, member, primaryId);
       return;
     }
-    if (this.primaries.isBornAgain(member)) {
-      this.#noteEndOf(member, primaryId);
+    if (this.primaries.hasNewIncarnation(member)) {
+      this.#readPrimaryEnd(member, primaryId);
       return;
     }
     const onAnswer = this.#scope.guard((answer: InstanceStatus | ControlFailure) => {
-      if (answer !== 'silent') this.#heardAt.set(member.id, this.runtime.now);
+      if (answer !== 'silent') this.#lastResponseAt.set(member.id, this.runtime.now);
       const silentForMs = this.#silentForMs(member.id);
       if (isMemberDead(answer, silentForMs, this.runtime.timings)) {
-        this.#noteEndOf(member, primaryId);
+        this.#readPrimaryEnd(member, primaryId);
       }
     });
     this.runtime.control('status', member, 0, onAnswer);
   }
 
-  /** One that answered meanwhile is alive, and this leader knows of no silence before its own first question. */
+  /**
+   * A member that has responded since its registration ended is alive, and this leader knows of no silence before
+   * its own first query.
+   */
   #silentForMs(id: string): Milliseconds {
     const { now } = this.runtime;
-    const goneForMs = this.primaries.goneForMs(id, now) ?? 0;
-    const heardAt = this.#heardAt.get(id) ?? Number.NEGATIVE_INFINITY;
-    return Math.min(goneForMs, now - Math.max(this.#begunAt, heardAt));
+    const missingMs = this.primaries.missingForMs(id, now) ?? 0;
+    const lastResponseAt = this.#lastResponseAt.get(id) ?? Number.NEGATIVE_INFINITY;
+    return Math.min(missingMs, now - Math.max(this.#startedAt, lastResponseAt));
   }
 
-  #noteEndOf(member: InstanceEntry, primaryId: string): void {
+  #readPrimaryEnd(member: InstanceEntry, primaryId: string): void {
     const primary = this.primaries.instance(primaryId);
     if (primary === undefined) return;
     const onAnswer = this.#scope.guard((answer: InstanceStatus | ControlFailure) => {
       if (typeof answer === 'string' || answer.role !== 'primary') return;
-      this.#endAfterDeath.set(member.id, answer.received);
-      this.#lookForReplicaWith(answer.received, member, primaryId);
+      this.#primaryEndAfterDeath.set(member.id, answer.received);
+      this.#findReplicaWith(answer.received, member, primaryId);
     });
     this.runtime.control('status', primary, 0, onAnswer);
   }
 
-  #lookForReplicaWith(end: Position, member: InstanceEntry, primaryId: string): void {
-    for (const replica of this.primaries.present(this.service)) {
+  #findReplicaWith(end: Position, member: InstanceEntry, primaryId: string): void {
+    for (const replica of this.primaries.registeredInstances(this.service)) {
       if (replica.id === primaryId) continue;
       const onAnswer = this.#scope.guard((answer: InstanceStatus | ControlFailure) => {
         if (typeof answer === 'string' || answer.role !== 'replica') return;
-        if (comparePositions(answer.received, end) >= 0) this.#forget(member);
+        if (comparePositions(answer.received, end) >= 0) this.#removeMember(member);
       });
       this.runtime.control('status', replica, 0, onAnswer);
     }
   }
 
-  #forget({ id }: InstanceEntry): void {
-    this.#endAfterDeath.delete(id);
-    const note = this.store.handoverOf(this.service);
-    const members = note.members.filter((member) => member.id !== id);
-    if (members.length === note.members.length || this.primaries.isPresent(id)) return;
+  #removeMember({ id }: InstanceEntry): void {
+    this.#primaryEndAfterDeath.delete(id);
+    const handover = this.store.handoverOf(this.service);
+    const members = handover.members.filter((member) => member.id !== id);
+    if (members.length === handover.members.length || this.primaries.isRegistered(id)) return;
     if (this.primaries.primaryIdOf(this.service) === undefined) return;
-    const member = note.members.filter((one) => one.id === id);
-    const departed = [...member, ...note.departed.filter((one) => one.id !== id)];
+    const removed = handover.members.filter((one) => one.id === id);
+    const departed = [...removed, ...handover.departed.filter((one) => one.id !== id)];
     if (!this.runtime.isDisabled('forgotten-members')) {
-      for (const one of member) this.primaries.noteDeparted(one, this.runtime.now);
+      for (const one of removed) this.primaries.addDeparted(one, this.runtime.now);
     }
     const left = members.map((one) => one.id);
     this.runtime.log('info', 'member forgotten', { service: this.service, member: id, left });
-    this.#write(members, note.primary, departed.slice(0, DEPARTED_KEPT));
+    this.#write(members, handover.primary, departed.slice(0, MAX_DEPARTED_MEMBERS));
   }
 }
 
 /**
- * Whether a member that is gone receives nothing any more, by its answer to a question now and how long its entry has
- * been gone, with the store well, and nothing was heard of it. That it had said that it leaves makes no difference: cut
- * off from the store and this node it may serve on, and be the only one that receives commits.
+ * Whether a missing member certainly receives nothing any more: judged by its response to a query now, and by the
+ * time for which, with the store available, its registration has been missing without any response. An announced
+ * shutdown makes no difference: cut off from the store and from this node, the member may continue to serve, and be
+ * the only one that receives commits.
  */
 export function isMemberDead(
   answer: InstanceStatus | ControlFailure,
@@ -239,7 +250,7 @@
   return `${host}:${port}`;
 }
 
-function sameMembers(left: readonly InstanceEntry[], right: readonly InstanceEntry[]): boolean {
+function areSameMembers(left: readonly InstanceEntry[], right: readonly InstanceEntry[]): boolean {
   if (left.length !== right.length) return false;
   return left.every((member) =>
     right.some(({ id, host, port }) => {
--- a/src/core/promotion/participation.ts
+++ b/src/core/promotion/participation.ts
@@ -1,7 +1,7 @@
 /**
- * A node's part in changes of a primary: it registers under its lease, and stops using a primary and
- * says so when that is being replaced. What relies on the primary being no deposed one needs the
- * permission that this gives; a promotion waits for every node that may have it.
+ * A node's part in primary changes: it registers under its lease, and when a primary is being replaced it stops
+ * using it and acknowledges that. Relying on a primary not having been replaced requires the permission given here;
+ * a promotion waits for every node that may have it.
  */
 import type { InstanceEntry } from '../../direct/contract.js';
 import type { Position } from '../position.js';
@@ -18,35 +18,36 @@
   parseAcknowledgementRecord,
   parseNodeRecord,
 } from './records.js';
-import { isTrouble, type PromotionRuntime } from './runtime.js';
+import { isStoreCallError, type PromotionRuntime } from './runtime.js';
 import type { StoreView } from './store-view.js';
 
-/** How far a node has got with its acknowledgement of a change. */
+/** Progress of a node's acknowledgement of a primary change. */
 interface AcknowledgementState {
   readonly record: ChangingRecord;
   readonly change: number;
   readonly leaseId: string;
   cancel: () => void;
   step: 'ending-use' | 'demoting' | 'writing' | 'written';
-  /** Revision at which it was written. */
+  /** Revision at which the acknowledgement was written. */
   revision: number;
+  /** End of the old primary's log, if this node demoted it. */
   end: Position | undefined;
 }
 
 export class Participation {
-  /** Called when the node got its permission, or may have lost it. */
+  /** Called when the node has gained its permission, or may have lost it. */
   onRegistered: () => void = () => {};
   #registeredLease: string | undefined;
   #registeredRevision = 0;
   #acknowledgements = new Map<string, AcknowledgementState>();
-  #stopped = false;
+  #isStopped = false;
 
   constructor(
     private readonly runtime: PromotionRuntime,
     private readonly lease: NodeLease,
     private readonly records: StoreView,
     private readonly instanceOf: (id: string) => InstanceEntry | undefined,
-    /** Members that this node has seen and no record names. */
+    /** Members that this node has seen and no record lists. */
     private readonly unlistedOf: (service: string) => readonly InstanceEntry[],
   ) {}
 
@@ -56,36 +57,40 @@
     return this.lease.isValid(now) || this.runtime.isDisabled('permission-lapse');
   }
 
-  /** Registered under the present lease, and the records are known from after that. */
+  /**
+   * Whether the node is registered under its current lease and knows the records as of that registration or later.
+   */
   get isRegistered(): boolean {
     const { leaseId } = this.lease;
-    if (this.#stopped || leaseId === undefined || leaseId !== this.#registeredLease) return false;
+    if (this.#isStopped || leaseId === undefined || leaseId !== this.#registeredLease) return false;
     return this.records.revision >= this.#registeredRevision;
   }
 
-  /** Begins to follow the records once the node's key is written: only then are they binding. */
+  /** Registers the node, and starts to watch the records once its key is written: only then are they binding. */
   register(leaseId: string): void {
     this.#register(leaseId, 0);
   }
 
-  /** The store came back from a copy, which may lack the registration and what was acknowledged. */
-  noteEra(): void {
+  /**
+   * Registers again after a restore of the store: the backup may lack the registration and the acknowledgements.
+   */
+  handleStoreRestore(): void {
     const { leaseId } = this.lease;
     this.#registeredLease = undefined;
     for (const state of this.#acknowledgements.values()) state.cancel();
     this.#acknowledgements.clear();
-    if (!this.#stopped && leaseId !== undefined) this.#register(leaseId, 0);
+    if (!this.#isStopped && leaseId !== undefined) this.#register(leaseId, 0);
   }
 
-  /** Ends what of the node's permission is left. */
+  /** Ends the node's permission, if it has it. */
   stop(): void {
-    this.#stopped = true;
+    this.#isStopped = true;
     for (const state of this.#acknowledgements.values()) state.cancel();
     this.#acknowledgements.clear();
   }
 
-  /** The record of a service as it is now. */
-  noteRecord(service: string, record: PrimaryRecord | undefined): void {
+  /** Handles the present record of a service. */
+  handleRecord(service: string, record: PrimaryRecord | undefined): void {
     const state = this.#acknowledgements.get(service);
     const { leaseId } = this.lease;
     if (record?.phase !== 'changing') {
@@ -99,8 +104,8 @@
     this.#acknowledge(service, record, leaseId);
   }
 
-  /** The data path has nothing on its way to the old primary any more. */
-  noteUseEnded(service: string, change: number): void {
+  /** The data path has no write in flight to the old primary any more. */
+  handleUseEnded(service: string, change: number): void {
     const state = this.#acknowledgements.get(service);
     if (state?.change !== change || state.step !== 'ending-use') return;
     state.cancel();
@@ -114,28 +119,28 @@
     const put = { type: 'put', key, value: JSON.stringify(record), leaseId } as const;
     const compares = [{ key, modRevision: knownRevision }];
     this.runtime.transaction(compares, [put], (answer) => {
-      if (this.#stopped || leaseId !== this.lease.leaseId) return;
-      if (isTrouble(answer)) {
-        const again = (): void => this.#register(leaseId, knownRevision);
+      if (this.#isStopped || leaseId !== this.lease.leaseId) return;
+      if (isStoreCallError(answer)) {
+        const retry = (): void => this.#register(leaseId, knownRevision);
         this.runtime.after(this.#retryDelay(answer.retryAfterMs), () => {
-          if (!this.#stopped && leaseId === this.lease.leaseId) again();
+          if (!this.#isStopped && leaseId === this.lease.leaseId) retry();
         });
         return;
       }
       const current = answer.current.find((entry) => entry.key === key);
       const currentRevision = current?.modRevision ?? 0;
       const isOwn = decodeRecord(current, parseNodeRecord)?.leaseId === leaseId;
-      if (answer.succeeded) this.#noteRegistered(leaseId, answer.revision);
-      else if (isOwn) this.#noteRegistered(leaseId, currentRevision);
+      if (answer.succeeded) this.#setRegistered(leaseId, answer.revision);
+      else if (isOwn) this.#setRegistered(leaseId, currentRevision);
       else this.#register(leaseId, currentRevision);
     });
   }
 
-  #noteRegistered(leaseId: string, revision: number): void {
+  #setRegistered(leaseId: string, revision: number): void {
     this.#registeredLease = leaseId;
     this.#registeredRevision = revision;
     if (!this.records.isRunning) this.records.start();
-    else if (this.records.revision < revision) this.records.readAnew();
+    else if (this.records.revision < revision) this.records.readNow();
     this.onRegistered();
   }
 
@@ -161,15 +166,15 @@
     state.cancel = () => {};
     const { leaseId, change, end } = state;
     const key = acknowledgementKeyOf(service, this.runtime.options.nodeName);
-    const seen = this.unlistedOf(service);
-    const unlisted = seen.length === 0 ? undefined : seen;
+    const unlistedMembers = this.unlistedOf(service);
+    const unlisted = unlistedMembers.length === 0 ? undefined : unlistedMembers;
     const value = encodeAcknowledgement({ change, leaseId, end, unlisted });
     const put = { type: 'put', key, value, leaseId } as const;
     this.runtime.transaction([{ key, modRevision: knownRevision }], [put], (answer) => {
       if (this.#acknowledgements.get(service) !== state) return;
-      if (isTrouble(answer)) {
-        const again = (): void => this.#write(service, state, knownRevision);
-        state.cancel = this.runtime.after(this.#retryDelay(answer.retryAfterMs), again);
+      if (isStoreCallError(answer)) {
+        const retry = (): void => this.#write(service, state, knownRevision);
+        state.cancel = this.runtime.after(this.#retryDelay(answer.retryAfterMs), retry);
         return;
       }
       const current = answer.current.find((entry) => entry.key === key);
@@ -186,11 +191,11 @@
   }
 
   /**
-   * The leader may be cut off from an old primary that this node reaches, and that may still get
-   * commits acknowledged: this node demotes it too, and tells the end of its log. A planned change
-   * leaves this to the leader, which waits until no node has a write on its way. A silent one is
-   * not waited for long: what it tells later is written later. In a fleet with owners only these do
-   * it: the instance has no connections for all.
+   * The leader may be cut off from an old primary that this node reaches, and that may still get commits
+   * acknowledged: this node demotes it as well, and reports the end of its log. In a planned change only the leader
+   * demotes it, after no node has a write in flight any more. The wait for an unresponsive instance is short: an
+   * end reported later is written later. In a fleet with owners only the owners demote it: the instance does not
+   * have enough connections for all nodes.
    */
   #demote(service: string, state: AcknowledgementState): void {
     const { from, term, planned } = state.record;
@@ -201,26 +206,26 @@
       return;
     }
     state.step = 'demoting';
-    let isOver = false;
-    const goOn = (): void => {
-      if (isOver || this.#acknowledgements.get(service) !== state) return;
-      isOver = true;
+    let hasProceeded = false;
+    const proceed = (): void => {
+      if (hasProceeded || this.#acknowledgements.get(service) !== state) return;
+      hasProceeded = true;
       state.cancel();
       this.#write(service, state, 0);
     };
-    state.cancel = this.runtime.after(this.runtime.timings.demoteWaitMs, goOn);
+    state.cancel = this.runtime.after(this.runtime.timings.demoteWaitMs, proceed);
     this.runtime.control('demote', instance, term + 1, (answer) => {
       if (typeof answer !== 'string' && answer.role === 'replica') state.end = answer.received;
-      if (state.step === 'written' && state.end !== undefined) this.#writeEnd(service, state);
-      else goOn();
+      if (state.step === 'written' && state.end !== undefined) this.#writeLogEnd(service, state);
+      else proceed();
     });
   }
 
-  #writeEnd(service: string, state: AcknowledgementState): void {
+  #writeLogEnd(service: string, state: AcknowledgementState): void {
     if (this.#acknowledgements.get(service) === state) this.#write(service, state, state.revision);
   }
 
-  #retryDelay(atLeastMs: Milliseconds): Milliseconds {
-    return Math.max(atLeastMs, this.runtime.jittered(this.runtime.timings.storeRetryDelayMs));
+  #retryDelay(minDelayMs: Milliseconds): Milliseconds {
+    return Math.max(minDelayMs, this.runtime.jittered(this.runtime.timings.storeRetryDelayMs));
   }
 }
--- a/src/core/promotion/runtime.ts
+++ b/src/core/promotion/runtime.ts
@@ -1,7 +1,7 @@
 /**
- * What the parts of the promotion machine share: the time of the event at hand, an agenda, and
- * requests with what follows their answers. Continuations make the order of steps readable; they run
- * only inside `handle`, so the machine stays a function of its events.
+ * State that the components of the promotion state machine share: the time of the current event, timers, and
+ * requests with the handlers of their responses. Handlers keep the steps readable in order; they run only inside
+ * `handle`, so the machine stays a function of its events.
  */
 import type { InstanceEntry, InstanceStatus, PromoteOutcome } from '../../direct/contract.js';
 import type {
@@ -23,16 +23,16 @@
 import type { PromotionOptions } from './options.js';
 import { TimerQueue } from './timer-queue.js';
 
-/** A call to the store failed, or no answer came in time: then it may have been done. */
-export interface StoreTrouble {
-  readonly leaseOver: boolean;
+/** A call to the store failed, or got no response in time and may have taken effect. */
+export interface StoreCallError {
+  readonly isLeaseGone: boolean;
   readonly retryAfterMs: Milliseconds;
 }
 
-const NO_ANSWER: StoreTrouble = { leaseOver: false, retryAfterMs: 0 };
+const NO_RESPONSE: StoreCallError = { isLeaseGone: false, retryAfterMs: 0 };
 
 interface PendingRequest {
-  /** Called with undefined if no answer came in time. */
+  /** Called with undefined if no response arrived in time. */
   readonly onAnswer: (answer: RequestAnswer | undefined) => void;
   readonly cancelTimeout: () => void;
 }
@@ -71,7 +71,7 @@
     return effects;
   }
 
-  /** A number that no other request or watch has. */
+  /** An id that no other request or watch has. */
   nextId(): number {
     this.#nextId += 1;
     return this.#nextId;
@@ -86,7 +86,7 @@
     return boundMs / 2 + (boundMs / 2) * this.options.random();
   }
 
-  answer(request: number, answer: RequestAnswer): void {
+  handleAnswer(request: number, answer: RequestAnswer): void {
     const pending = this.#pending.get(request);
     if (pending === undefined) return;
     this.#pending.delete(request);
@@ -94,38 +94,38 @@
     pending.onAnswer(answer);
   }
 
-  range(prefix: string, onAnswer: (answer: RangeResponse | StoreTrouble) => void): void {
-    this.#ask({ type: 'range', prefix }, this.timings.storeTimeoutMs, (answer) =>
-      onAnswer(answer?.type === 'range' ? answer.range : troubleOf(answer)),
+  range(prefix: string, onAnswer: (answer: RangeResponse | StoreCallError) => void): void {
+    this.#send({ type: 'range', prefix }, this.timings.storeTimeoutMs, (answer) =>
+      onAnswer(answer?.type === 'range' ? answer.range : toStoreCallError(answer)),
     );
   }
 
   transaction(
     compares: readonly RevisionCompare[],
     operations: readonly TransactionOperation[],
-    onAnswer: (answer: TransactionResponse | StoreTrouble) => void,
+    onAnswer: (answer: TransactionResponse | StoreCallError) => void,
   ): void {
     const request = { type: 'transaction', compares, operations } as const;
-    this.#ask(request, this.timings.storeTimeoutMs, (answer) =>
-      onAnswer(answer?.type === 'transaction' ? answer.transaction : troubleOf(answer)),
+    this.#send(request, this.timings.storeTimeoutMs, (answer) =>
+      onAnswer(answer?.type === 'transaction' ? answer.transaction : toStoreCallError(answer)),
     );
   }
 
-  grantLease(seconds: number, onAnswer: (leaseId: string | StoreTrouble) => void): void {
-    this.#ask({ type: 'grant-lease', seconds }, this.timings.storeTimeoutMs, (answer) =>
-      onAnswer(answer?.type === 'lease' ? answer.leaseId : troubleOf(answer)),
+  grantLease(seconds: number, onAnswer: (leaseId: string | StoreCallError) => void): void {
+    this.#send({ type: 'grant-lease', seconds }, this.timings.storeTimeoutMs, (answer) =>
+      onAnswer(answer?.type === 'lease' ? answer.leaseId : toStoreCallError(answer)),
     );
   }
 
-  /** A late answer counts as well: the lease ran on from the call's arrival. */
-  keepLease(leaseId: string, onAnswer: (kept: true | StoreTrouble) => void): void {
-    this.#ask({ type: 'keep-lease', leaseId }, undefined, (answer) =>
-      onAnswer(answer?.type === 'done' ? true : troubleOf(answer)),
+  /** Without a timeout: a late response counts as well, since the renewed lease runs from the call's arrival. */
+  renewLease(leaseId: string, onAnswer: (kept: true | StoreCallError) => void): void {
+    this.#send({ type: 'keep-lease', leaseId }, undefined, (answer) =>
+      onAnswer(answer?.type === 'done' ? true : toStoreCallError(answer)),
     );
   }
 
   revokeLease(leaseId: string, onAnswer: () => void): void {
-    this.#ask({ type: 'revoke-lease', leaseId }, this.timings.storeTimeoutMs, () => onAnswer());
+    this.#send({ type: 'revoke-lease', leaseId }, this.timings.storeTimeoutMs, () => onAnswer());
   }
 
   control(
@@ -137,7 +137,7 @@
     const timeoutMs =
       action === 'status' ? this.timings.probeTimeoutMs : this.timings.controlTimeoutMs;
     const request = { type: 'control', action, instance, term, timeoutMs } as const;
-    this.#ask(request, timeoutMs, (answer) => {
+    this.#send(request, timeoutMs, (answer) => {
       if (answer?.type === 'status') onAnswer(answer.status);
       else onAnswer(answer?.type === 'control-failed' ? answer.failure : 'silent');
     });
@@ -145,39 +145,39 @@
 
   promote(request: Omit<PromoteRequest, 'type'>, onAnswer: (outcome: PromoteOutcome) => void) {
     const timeoutMs = request.endsAt - this.now;
-    this.#ask({ type: 'promote', ...request }, timeoutMs, (answer) =>
+    this.#send({ type: 'promote', ...request }, timeoutMs, (answer) =>
       onAnswer(answer?.type === 'promotion' ? answer.outcome : 'unknown'),
     );
   }
 
-  /** Forgets every request and deadline. */
+  /** Discards all requests and timers. */
   clear(): void {
     this.timers.clear();
     this.#pending.clear();
   }
 
-  #ask(
+  #send(
     request: PromotionRequest,
     timeoutMs: Milliseconds | undefined,
     onAnswer: (answer: RequestAnswer | undefined) => void,
   ): void {
     const id = this.nextId();
-    const giveUp = (): void => {
+    const onTimeout = (): void => {
       this.#pending.delete(id);
       onAnswer(undefined);
     };
-    const cancelTimeout = timeoutMs === undefined ? () => {} : this.after(timeoutMs, giveUp);
+    const cancelTimeout = timeoutMs === undefined ? () => {} : this.after(timeoutMs, onTimeout);
     this.#pending.set(id, { onAnswer, cancelTimeout });
     this.emit({ type: 'request', id, request });
   }
 }
 
-/** Tells trouble from an answer. */
-export function isTrouble(answer: unknown): answer is StoreTrouble {
-  return typeof answer === 'object' && answer !== null && 'leaseOver' in answer;
+/** Distinguishes a failed call from a response. */
+export function isStoreCallError(answer: unknown): answer is StoreCallError {
+  return typeof answer === 'object' && answer !== null && 'isLeaseGone' in answer;
 }
 
-function troubleOf(answer: RequestAnswer | undefined): StoreTrouble {
-  if (answer?.type !== 'store-failed') return NO_ANSWER;
-  return { leaseOver: answer.isLeaseGone, retryAfterMs: answer.retryAfterMs ?? 0 };
+function toStoreCallError(answer: RequestAnswer | undefined): StoreCallError {
+  if (answer?.type !== 'store-failed') return NO_RESPONSE;
+  return { isLeaseGone: answer.isLeaseGone, retryAfterMs: answer.retryAfterMs ?? 0 };
 }
--- a/src/core/promotion/store-view.ts
+++ b/src/core/promotion/store-view.ts
@@ -1,34 +1,34 @@
 /**
- * The keys under a prefix of the store, as this node knows them: read once, then followed by a watch.
- * What is known never goes back: older news of a key is passed over.
+ * The keys under a prefix of the store, as this node knows them: read once, then kept current by a watch. Known
+ * values never go back: an older change of a key is skipped.
  */
 import type { KeyValue, WatchEvent } from '../../platform/contract.js';
 import { isInSameEra } from '../directory/store-position.js';
 import { keyOf } from '../directory/watch-history.js';
 import { LostRecords } from './lost-records.js';
 import { RetryPause } from './retry-pause.js';
-import { isTrouble, type PromotionRuntime } from './runtime.js';
+import { isStoreCallError, type PromotionRuntime } from './runtime.js';
 
-const BACKOFF_MAXIMUM_MS = 1000;
+const MAX_BACKOFF_MS = 1000;
 
 export class StoreView {
-  /** Called after a change or a whole read, with the keys that changed. */
+  /** Called with the changed keys after a change, and after each full read even if no key changed. */
   onChange: (keys: ReadonlySet<string>) => void = () => {};
   readonly #entries = new Map<string, KeyValue>();
-  /** In the entries these stand with the revision that the store has. */
+  /** Records that the store has lost; `#entries` has them with the revision of the key in the store. */
   readonly #lost: LostRecords;
-  /** Everything up to this revision is known. */
+  /** Revision up to which all changes are known; 0 before the first read. */
   #revision = 0;
-  /** Revision of the last whole read: events up to it are old. */
+  /** Revision of the last full read: watch events up to it are outdated. */
   #readRevision = 0;
-  #watch: number | undefined;
-  #reading = false;
-  /** Reads that were asked for, to tell the latest. */
-  #reads = 0;
-  /** Asked for while another read was on its way, which may be older than what is wanted. */
-  #readAgain = false;
-  #running = false;
-  /** Until what failed is tried again. */
+  #watchId: number | undefined;
+  #isReading = false;
+  /** Number of reads sent, to identify the latest. */
+  #readCount = 0;
+  /** A read was requested while another, which may be too old, was in flight. */
+  #shouldReadAgain = false;
+  #isRunning = false;
+  /** Delay before a failed read or watch is retried. */
   readonly #pause: RetryPause;
   #failures = 0;
 
@@ -39,17 +39,17 @@
     this.#pause = new RetryPause(runtime);
     this.#lost = new LostRecords(runtime, {
       storedRevisionOf: (key) => this.#storedRevisionOf(key),
-      take: (entry) => this.#takeStored(entry),
+      setEntry: (entry) => this.#setStored(entry),
     });
   }
 
-  /** True once everything was read. */
+  /** True after the first full read. */
   get isReady(): boolean {
     return this.#revision > 0;
   }
 
   get isRunning(): boolean {
-    return this.#running;
+    return this.#isRunning;
   }
 
   get revision(): number {
@@ -60,24 +60,24 @@
     return this.#entries.get(key);
   }
 
-  *under(prefix: string): Iterable<KeyValue> {
+  *entriesUnder(prefix: string): Iterable<KeyValue> {
     for (const entry of this.#entries.values()) if (entry.key.startsWith(prefix)) yield entry;
   }
 
   start(): void {
-    if (this.#running) return;
-    this.#running = true;
+    if (this.#isRunning) return;
+    this.#isRunning = true;
     this.read();
   }
 
-  /** The store answers again: what waits to be tried once more is tried now. */
+  /** Retries what failed immediately, because the store responds again. */
   retryNow(): void {
-    this.#pause.end();
+    this.#pause.runNow();
   }
 
-  /** Ends the watch and forgets everything. */
+  /** Ends the watch and discards all entries. */
   stop(): void {
-    this.#running = false;
+    this.#isRunning = false;
     this.#closeWatch();
     this.#entries.clear();
     this.#lost.clear();
@@ -85,39 +85,39 @@
     this.#readRevision = 0;
   }
 
-  /** Reads everything anew, for when the watch may be behind. */
+  /** Reads everything again, for when the watch may be behind; waits for a read in flight. */
   read(): void {
-    if (!this.#running) return;
-    this.#readAgain = this.#reading;
-    if (!this.#reading) this.#ask();
+    if (!this.#isRunning) return;
+    this.#shouldReadAgain = this.#isReading;
+    if (!this.#isReading) this.#sendRead();
   }
 
-  /** The same, when the store is known to answer: a read that is on its way may have been lost. */
-  readAnew(): void {
-    if (this.#running) this.#ask();
+  /** Like `read`, but waits for nothing: the store is known to respond, and a read in flight may have been lost. */
+  readNow(): void {
+    if (this.#isRunning) this.#sendRead();
   }
 
-  #ask(): void {
-    this.#reading = true;
-    this.#reads += 1;
-    const read = this.#reads;
+  #sendRead(): void {
+    this.#isReading = true;
+    this.#readCount += 1;
+    const read = this.#readCount;
     this.runtime.range(this.prefix, (answer) => {
-      const isLatest = read === this.#reads;
-      if (isLatest) this.#reading = false;
-      if (!this.#running) return;
-      if (isTrouble(answer)) {
-        if (isLatest) this.#later(() => this.read(), answer.retryAfterMs);
+      const isLatest = read === this.#readCount;
+      if (isLatest) this.#isReading = false;
+      if (!this.#isRunning) return;
+      if (isStoreCallError(answer)) {
+        if (isLatest) this.#retryLater(() => this.read(), answer.retryAfterMs);
         return;
       }
       this.#failures = 0;
       this.#replace(answer.entries, answer.revision);
-      if (this.#watch === undefined) this.#openWatch();
-      if (isLatest && this.#readAgain) this.read();
+      if (this.#watchId === undefined) this.#openWatch();
+      if (isLatest && this.#shouldReadAgain) this.read();
     });
   }
 
-  watchEvents(watch: number, events: readonly WatchEvent[], revision: number): void {
-    if (watch !== this.#watch) return;
+  handleWatchEvents(watch: number, events: readonly WatchEvent[], revision: number): void {
+    if (watch !== this.#watchId) return;
     const changed = new Set<string>();
     for (const event of events) if (this.#apply(event)) changed.add(keyOf(event));
     this.#failures = 0;
@@ -125,18 +125,18 @@
     if (changed.size > 0) this.onChange(changed);
   }
 
-  watchEnded(watch: number): void {
-    if (watch !== this.#watch) return;
-    this.#watch = undefined;
-    this.#later(() => this.read(), 0);
+  handleWatchEnded(watch: number): void {
+    if (watch !== this.#watchId) return;
+    this.#watchId = undefined;
+    this.#retryLater(() => this.read(), 0);
   }
 
-  /** A change of this node's own that the store has acknowledged; the watch will tell it too. */
-  noteOwnPut(key: string, value: string, modRevision: number): void {
-    if (!this.#running || modRevision <= this.#revision) return;
+  /** Records a change made by this node once the store has acknowledged it; the watch reports it as well. */
+  recordOwnPut(key: string, value: string, modRevision: number): void {
+    if (!this.#isRunning || modRevision <= this.#revision) return;
     const known = this.#entries.get(key);
     if (known !== undefined && known.modRevision >= modRevision) return;
-    this.#lost.forget(key);
+    this.#lost.remove(key);
     const createRevision = known?.createRevision ?? modRevision;
     this.#entries.set(key, { key, value, createRevision, modRevision });
     this.onChange(new Set([key]));
@@ -146,9 +146,9 @@
     if (revision < this.#revision) return;
     const changed = new Set<string>();
     const present = new Map(entries.map((entry) => [entry.key, entry]));
-    const isReturn = this.#revision > 0 && !isInSameEra(this.#revision, revision);
-    if (isReturn) {
-      for (const [key, known] of this.#entries) this.#lost.noteReturn(known, present.get(key));
+    const wasRestored = this.#revision > 0 && !isInSameEra(this.#revision, revision);
+    if (wasRestored) {
+      for (const [key, known] of this.#entries) this.#lost.addIfLost(known, present.get(key));
     }
     for (const [key, { modRevision }] of this.#entries) {
       if (present.has(key) || modRevision > revision || this.#lost.has(key)) continue;
@@ -156,9 +156,9 @@
       changed.add(key);
     }
     for (const entry of entries) {
-      const held = this.#lost.heldOver(entry);
-      if (held !== undefined) {
-        this.#entries.set(entry.key, held);
+      const override = this.#lost.findOverride(entry);
+      if (override !== undefined) {
+        this.#entries.set(entry.key, override);
         continue;
       }
       const known = this.#entries.get(entry.key);
@@ -168,7 +168,7 @@
     }
     this.#revision = revision;
     this.#readRevision = revision;
-    // Also without a change: what is known is known to be newer.
+    // Called even if nothing changed: the entries are now known to be newer.
     this.onChange(changed);
   }
 
@@ -179,42 +179,42 @@
     const known = this.#entries.get(key);
     if (known !== undefined && known.modRevision >= modRevision) return false;
     if (event.type === 'delete') return this.#entries.delete(key);
-    const held = this.#lost.heldOver(event.entry);
-    this.#entries.set(key, held ?? event.entry);
-    return held === undefined;
+    const override = this.#lost.findOverride(event.entry);
+    this.#entries.set(key, override ?? event.entry);
+    return override === undefined;
   }
 
-  /** What is known from an era before the store has not. */
+  /** Revision of a key in the store: 0 for an entry of an earlier store era, which the store no longer has. */
   #storedRevisionOf(key: string): number {
     const modRevision = this.#entries.get(key)?.modRevision ?? 0;
     return isInSameEra(modRevision, this.#revision) ? modRevision : 0;
   }
 
-  #takeStored(entry: KeyValue): void {
-    if (!this.#running) return;
+  #setStored(entry: KeyValue): void {
+    if (!this.#isRunning) return;
     this.#entries.set(entry.key, entry);
     this.onChange(new Set([entry.key]));
   }
 
   #openWatch(): void {
     const id = this.runtime.nextId();
-    this.#watch = id;
+    this.#watchId = id;
     const fromRevision = this.#revision + 1;
     this.runtime.emit({ type: 'open-watch', id, prefix: this.prefix, fromRevision });
   }
 
   #closeWatch(): void {
-    if (this.#watch === undefined) return;
-    this.runtime.emit({ type: 'close-watch', id: this.#watch });
-    this.#watch = undefined;
+    if (this.#watchId === undefined) return;
+    this.runtime.emit({ type: 'close-watch', id: this.#watchId });
+    this.#watchId = undefined;
   }
 
-  #later(action: () => void, atLeastMs: number): void {
-    const bound = Math.min(
-      BACKOFF_MAXIMUM_MS,
+  #retryLater(action: () => void, minDelayMs: number): void {
+    const maxDelayMs = Math.min(
+      MAX_BACKOFF_MS,
       this.runtime.timings.storeRetryDelayMs * 2 ** this.#failures,
     );
     this.#failures += 1;
-    this.#pause.begin(Math.max(atLeastMs, this.runtime.jittered(bound)), action);
+    this.#pause.schedule(Math.max(minDelayMs, this.runtime.jittered(maxDelayMs)), action);
   }
 }
--- a/src/core/promotion/suspicion.ts
+++ b/src/core/promotion/suspicion.ts
@@ -1,31 +1,31 @@
 /**
- * Which primaries this node can't work with, from what its callers meet there. A suspicion is a key
- * under the node's lease; the leader counts them.
+ * Determines which primaries this node can't work with, from failures of its callers' requests. A suspicion is a
+ * key under the node's lease; the leader counts them.
  */
 import type { Milliseconds } from '../units.js';
 import type { PrimaryUse } from './contract.js';
 import type { NodeLease } from './lease.js';
 import { type SuspicionRecord, suspicionKeyOf } from './records.js';
-import { isTrouble, type PromotionRuntime } from './runtime.js';
+import { isStoreCallError, type PromotionRuntime } from './runtime.js';
 
-/** Failures are told by at least so many requests. */
-const MINIMUM_FAILURES = 2;
-/** Stands for whatever the store may hold: differs from every instance, and from none. */
+/** Minimum number of failed requests for a suspicion. */
+const MIN_FAILURES = 2;
+/** Stands for an unknown suspicion in the store: differs from every instance, and from no suspicion. */
 const UNKNOWN_INSTANCE = '';
 
 interface ServiceHealth {
-  /** Primary that this is of. */
+  /** Primary at which the requests failed. */
   readonly instance: string;
-  /** First failure since the last success, by use. */
+  /** First failure since the last success and number of failures since then, by use. */
   readonly failingSince: Map<PrimaryUse, { readonly at: Milliseconds; count: number }>;
 }
 
-/** What the store holds of this node's suspicion, as far as known. */
+/** This node's suspicion as stored, as far as known. */
 interface WrittenSuspicion {
   instance: string | undefined;
-  writing: boolean;
+  isBusy: boolean;
   revision: number;
-  nextAt: Milliseconds;
+  nextWriteAt: Milliseconds;
   leaseId: string | undefined;
 }
 
@@ -38,8 +38,13 @@
     private readonly lease: NodeLease,
   ) {}
 
-  /** A request failed; nothing that was asked of the primary has been answered for `silentForMs`. */
-  noteFailure(service: string, instance: string, use: PrimaryUse, silentForMs: Milliseconds): void {
+  /** Records a failed request; the primary has responded to nothing for `silentForMs`. */
+  recordFailure(
+    service: string,
+    instance: string,
+    use: PrimaryUse,
+    silentForMs: Milliseconds,
+  ): void {
     const { now, timings } = this.runtime;
     const health = this.#healthOf(service, instance);
     const failing = health.failingSince.get(use);
@@ -47,13 +52,13 @@
       failing.count += 1;
     } else {
       health.failingSince.set(use, { at: now - silentForMs, count: 1 });
-      const restMs = Math.max(0, timings.suspectAfterMs - silentForMs);
-      this.runtime.after(restMs, () => this.#update(service));
+      const remainingMs = Math.max(0, timings.suspectAfterMs - silentForMs);
+      this.runtime.after(remainingMs, () => this.#update(service));
     }
     this.#update(service);
   }
 
-  noteSuccess(service: string, instance: string, use: PrimaryUse): void {
+  recordSuccess(service: string, instance: string, use: PrimaryUse): void {
     const health = this.#health.get(service);
     if (health === undefined || health.instance !== instance) return;
     // A commit also shows that the instance can be reached; a read does not show that commits work.
@@ -64,26 +69,26 @@
     this.#update(service);
   }
 
-  /** No request failed since the last success. */
-  isWell(service: string): boolean {
+  /** Whether no request has failed since the last success. */
+  isHealthy(service: string): boolean {
     return !this.#health.has(service);
   }
 
-  /** The primary of the service may have changed. */
-  notePrimary(service: string, instance: string | undefined): void {
+  /** Discards the failures at an earlier primary. */
+  setPrimary(service: string, instance: string | undefined): void {
     const health = this.#health.get(service);
     if (health === undefined || health.instance === instance) return;
     this.#health.delete(service);
     this.#update(service);
   }
 
-  /** Instance that this node suspects now. */
+  /** The instance that this node suspects now. */
   suspectOf(service: string): string | undefined {
     const health = this.#health.get(service);
     if (health === undefined) return undefined;
     const since = this.runtime.now - this.runtime.timings.suspectAfterMs;
     const isSuspect = [...health.failingSince.values()].some(
-      ({ at, count }) => at <= since && count >= MINIMUM_FAILURES,
+      ({ at, count }) => at <= since && count >= MIN_FAILURES,
     );
     return isSuspect ? health.instance : undefined;
   }
@@ -97,30 +102,33 @@
   }
 
   #update(service: string): void {
-    const wanted = this.suspectOf(service);
+    const suspect = this.suspectOf(service);
     const written = this.#writtenOf(service);
     const { leaseId } = this.lease;
-    if (written.writing || leaseId === undefined || !this.lease.isValid(this.runtime.now)) return;
-    // What hung on an earlier lease is gone, or will be.
+    if (written.isBusy || leaseId === undefined || !this.lease.isValid(this.runtime.now)) return;
+    // A key under an earlier lease is gone, or will be.
     const known = written.leaseId === leaseId ? written.instance : undefined;
-    if (wanted === known) return;
-    if (this.runtime.now < written.nextAt) {
-      written.writing = true;
-      this.runtime.after(written.nextAt - this.runtime.now, () => {
-        written.writing = false;
+    if (suspect === known) return;
+    if (this.runtime.now < written.nextWriteAt) {
+      written.isBusy = true;
+      this.runtime.after(written.nextWriteAt - this.runtime.now, () => {
+        written.isBusy = false;
         this.#update(service);
       });
       return;
     }
-    this.#write(service, wanted, written, leaseId);
+    this.#write(service, suspect, written, leaseId);
   }
 
-  /** The store came back from a copy, which may lack what was written, or hold what was taken back. */
-  noteEra(): void {
+  /**
+   * Rewrites the suspicions after a restore of the store: the backup may lack one that was written, or have one
+   * that was deleted.
+   */
+  handleStoreRestore(): void {
     for (const [service, written] of this.#written) {
       written.instance = UNKNOWN_INSTANCE;
       written.revision = 0;
-      // Not before the lease is renewed.
+      // The lease has to be renewed first.
       this.runtime.after(this.runtime.timings.leaseRenewPeriodMs, () => this.#update(service));
     }
   }
@@ -130,9 +138,9 @@
     if (known !== undefined) return known;
     const written = {
       instance: undefined,
-      writing: false,
+      isBusy: false,
       revision: 0,
-      nextAt: 0,
+      nextWriteAt: 0,
       leaseId: undefined,
     };
     this.#written.set(service, written);
@@ -146,8 +154,8 @@
     leaseId: string,
   ): void {
     const key = suspicionKeyOf(service, this.runtime.options.nodeName);
-    written.writing = true;
-    written.nextAt = this.runtime.now + this.runtime.timings.suspicionPeriodMs;
+    written.isBusy = true;
+    written.nextWriteAt = this.runtime.now + this.runtime.timings.suspicionPeriodMs;
     const operation =
       instance === undefined
         ? ({ type: 'delete', key } as const)
@@ -159,12 +167,12 @@
           } as const);
     const compares = [{ key, modRevision: written.revision }];
     this.runtime.transaction(compares, [operation], (answer) => {
-      written.writing = false;
-      if (isTrouble(answer)) {
-        // Nothing was told yet: the pause between tellings has no say.
+      written.isBusy = false;
+      if (isStoreCallError(answer)) {
+        // Nothing was written, so the minimum period between suspicions does not apply.
         const { storeRetryDelayMs } = this.runtime.timings;
         const delayMs = Math.max(answer.retryAfterMs, this.runtime.jittered(storeRetryDelayMs));
-        written.nextAt = this.runtime.now + delayMs;
+        written.nextWriteAt = this.runtime.now + delayMs;
       } else {
         const currentRevision = answer.current.find((entry) => entry.key === key)?.modRevision;
         if (answer.succeeded) {
@@ -173,7 +181,7 @@
           written.revision = instance === undefined ? 0 : answer.revision;
         } else {
           written.revision = currentRevision ?? 0;
-          written.nextAt = this.runtime.now;
+          written.nextWriteAt = this.runtime.now;
         }
       }
       this.#update(service);
