--- a/bench/simulation/fleet/owner-role.ts
+++ b/bench/simulation/fleet/owner-role.ts
@@ -72,7 +72,7 @@
   }
 
   onRedirect(): void {
-    this.#routes.onRedirect(GROUP);
+    this.#routes.handleRedirect(GROUP);
   }
 
   /** Hands a request to the machine, or says why not. */
@@ -113,7 +113,7 @@
 
   #take(changes: readonly OwnersChange[]): void {
     for (const change of changes) {
-      this.#routes.onOwnersChanged(change, this.#context.clock.now);
+      this.#routes.handleOwnersChanged(change, this.#context.clock.now);
       this.#tell({ type: 'owners-changed', change });
     }
   }
--- a/src/core/limits/lease-options.ts
+++ b/src/core/limits/lease-options.ts
@@ -27,7 +27,7 @@
   renewMs: 2000,
   maxClockDrift: 0.01,
   // Only the allocator keeps the sum within the limit, so nothing may be used without a lease.
-  unleasedShare: 0,
+  unleasedFraction: 0,
   electionPeriodMs: 500,
   maxMachineListLagMs: 10_000,
   urgentRenewalPeriodMs: 100,
--- a/src/core/limits/tenant-allocator.ts
+++ b/src/core/limits/tenant-allocator.ts
@@ -6,7 +6,7 @@
  * holds. If all answer, it need not wait for old leases to lapse.
  */
 import { BudgetGranter } from '../ownership/budget-granter.js';
-import type { ShareAnswer, ShareRequest } from '../ownership/budget-lease.js';
+import type { ShareRequest, ShareResponse } from '../ownership/budget-lease.js';
 import { divideKeepingInUse } from '../ownership/share-division.js';
 import type { TenantName } from '../request.js';
 import type { Milliseconds } from '../units.js';
@@ -75,7 +75,7 @@
 
   /** Connections that holders may believe to have, in sum. */
   outstanding(now: Milliseconds): number {
-    return this.#granter.outstanding(now);
+    return this.#granter.outstandingConnections(now);
   }
 
   hasAuthority(now: Milliseconds): boolean {
@@ -119,7 +119,7 @@
     if (complete) this.#granter.handle({ type: 'holders-complete' }, now);
   }
 
-  answer(request: ShareRequest, now: Milliseconds): ShareAnswer {
+  answer(request: ShareRequest, now: Milliseconds): ShareResponse {
     this.#lastRequestAt = now;
     return this.#granter.answer(request, now);
   }
@@ -142,7 +142,11 @@
 
   #askReports({ knownNodes }: AllocatorView, now: Milliseconds): AllocatorEffect[] {
     const term = this.#granter.term(now);
-    if (term === undefined || !this.#granter.isAlone(now) || !this.#granter.isWaiting(now)) {
+    if (
+      term === undefined ||
+      !this.#granter.isSoleGranter(now) ||
+      !this.#granter.mayHaveUnknownShares(now)
+    ) {
       return [];
     }
     if (knownNodes.length > this.#options.maxReportingNodes) return [];
--- a/src/core/limits/tenant-shares.ts
+++ b/src/core/limits/tenant-shares.ts
@@ -4,7 +4,7 @@
  * Keeps state only for tenants that have callers here, or had a moment ago.
  */
 import { BudgetHolder } from '../ownership/budget-holder.js';
-import type { ShareAnswer, ShareRequest } from '../ownership/budget-lease.js';
+import type { ShareRequest, ShareResponse } from '../ownership/budget-lease.js';
 import type { TenantName } from '../request.js';
 import type { Milliseconds } from '../units.js';
 import type { TenantLeaseOptions } from './lease-options.js';
@@ -131,16 +131,16 @@
   /** What this node holds, for an allocator that asks under its term. */
   report(tenant: TenantName, term: string, limit: number, now: Milliseconds): ShareRequest {
     const use = this.#useOf(tenant, now);
-    use.holder.learnTerm(term);
+    use.holder.setTerm(term);
     return this.#request(use, limit, now);
   }
 
   /** Takes the answer to a request. */
-  receive({ tenant, request }: TenantShareRequest, answer: ShareAnswer, now: Milliseconds): void {
+  receive({ tenant, request }: TenantShareRequest, answer: ShareResponse, now: Milliseconds): void {
     const use = this.#uses.get(tenant);
     if (use === undefined || use.holder.id !== request.holder) return;
-    const isLate = use.holder.isLate(answer);
-    use.holder.receive(answer, now);
+    const isLate = use.holder.isOutdated(answer);
+    use.holder.receiveResponse(answer, now);
     if (use.holder.nextRequestAt() < now) use.lastSentAt = Number.NEGATIVE_INFINITY;
     if (isLate || answer.type !== 'granted') return;
     use.returned = request.holding === 0 && request.wanted === 0;
--- a/src/core/ownership/budget-granter.ts
+++ b/src/core/ownership/budget-granter.ts
@@ -1,46 +1,47 @@
 /**
- * Grants shares of one instance's connection limit. The right to grant is a lock in the instance
- * itself, held on the prober's connection and confirmed by its probes, so that two granters with
- * different views can't grant at once.
+ * Grants leased shares of one instance's connection limit. The right to grant (authority) is a lock in
+ * the instance itself, held on the prober's connection and confirmed by its probes, so that two
+ * granters with different views of the membership can't grant at once.
  *
- * A new granter waits until the one before it has surely stopped, then renews what holders report,
- * and grants anew only when every share that it was not told of has surely lapsed.
+ * A new granter waits until the previous one has provably stopped. It then renews the shares that
+ * holders report, and grants additional connections only when every unreported share has provably
+ * expired.
  */
 import type { Milliseconds } from '../units.js';
 import {
   type BudgetLeaseOptions,
   type HolderId,
   leasableConnections,
-  type ShareAnswer,
   type ShareRequest,
+  type ShareResponse,
   withDrift,
 } from './budget-lease.js';
 import {
+  availableConnections,
   type DivisionInput,
   divideEvenly,
-  freeOf,
   isOverLimit,
   type OtherHolder,
-  partOfLoweredLimit,
   type ShareDivision,
+  shareOfLoweredLimit,
 } from './share-division.js';
 
-/** What goes into the granter. */
+/** Input of the granter. */
 export type GranterEvent =
-  /** A probe that was sent at `sentAt` on the connection that holds the lock was answered. */
+  /** A probe sent at `sentAt` on the connection that holds the lock received a response. */
   | {
       readonly type: 'authority-confirmed';
       readonly sentAt: Milliseconds;
-      /** No other granter has renewed its authority for so long already; default 0. */
+      /** Time for which no other granter has renewed its authority; default 0. */
       readonly quietMs?: Milliseconds;
     }
-  /** The connection that held the lock is gone. */
+  /** The connection that held the lock was closed. */
   | { readonly type: 'authority-lost' }
   | { readonly type: 'limit-changed'; readonly limit: number }
-  /** Every node that could hold a share has sent a request in the present term. */
+  /** Every node that could hold a share has sent a request in the current term. */
   | { readonly type: 'holders-complete' };
 
-/** Connections that a holder may believe to have, until this time on the granter's clock. */
+/** Connections that a holder may assume it has, until this time on the granter's clock. */
 interface GrantedShare {
   readonly connections: number;
   readonly until: Milliseconds;
@@ -52,19 +53,19 @@
   readonly needed: number;
   readonly inUse: number;
   readonly shares: readonly GrantedShare[];
-  /** What is left to it of what it used when the limit was last lowered. */
-  readonly loweredTo: number | undefined;
-  /** A holder that has not asked again until then is forgotten. */
+  /** Connections that remained to it, of those in use, when the limit was last lowered. */
+  readonly loweredShare: number | undefined;
+  /** A holder that sends no further request by then is removed. */
   readonly activeUntil: Milliseconds;
 }
 
 interface Authority {
-  /** Identifies this holding of the lock; unique over all granters. */
+  /** Identifies this acquisition of the lock; unique over all granters. */
   readonly term: string;
-  /** Since then no other granter has renewed its authority. */
+  /** No other granter has renewed its authority since this time. */
   readonly acquiredAt: Milliseconds;
   readonly confirmedUntil: Milliseconds;
-  /** All shares granted before are known. */
+  /** All shares granted by earlier granters are known. */
   readonly holdersComplete: boolean;
 }
 
@@ -78,7 +79,7 @@
   #acquisitions = 0;
   #limit: number;
 
-  /** `granterId` must be unique for the life of the process, such as node id and incarnation. */
+  /** `granterId` must be unique to one run of a process, such as node id and incarnation. */
   constructor(
     granterId: string,
     limit: number,
@@ -95,25 +96,25 @@
     if (event.type === 'limit-changed') this.#changeLimit(event.limit);
     else if (event.type === 'authority-lost') this.#loseAuthority();
     else if (event.type === 'holders-complete') this.#completeHolders();
-    else this.#confirm(event.sentAt, event.quietMs ?? 0, now);
+    else this.#confirmAuthority(event.sentAt, event.quietMs ?? 0, now);
   }
 
-  /** Names the present holding of the right to grant; undefined without it. */
+  /** Identifies the current acquisition of the lock; undefined without authority. */
   term(now: Milliseconds): string | undefined {
     return this.hasAuthority(now) ? this.#authority?.term : undefined;
   }
 
-  /** True while shares of an earlier granter may be out that this one does not know of. */
-  isWaiting(now: Milliseconds): boolean {
+  /** True while unexpired shares of an earlier granter may exist that no holder has reported. */
+  mayHaveUnknownShares(now: Milliseconds): boolean {
     const authority = this.#authority;
     if (authority === undefined) return false;
-    return !authority.holdersComplete && now - authority.acquiredAt < this.#lapseMs();
+    return !authority.holdersComplete && now - authority.acquiredAt < this.#maxShareLifetimeMs();
   }
 
-  /** True once the granter before has surely stopped granting. */
-  isAlone(now: Milliseconds): boolean {
+  /** True once the previous granter has provably stopped granting. */
+  isSoleGranter(now: Milliseconds): boolean {
     const authority = this.#authority;
-    return authority !== undefined && now - authority.acquiredAt >= this.#silenceMs();
+    return authority !== undefined && now - authority.acquiredAt >= this.#maxAuthorityMs();
   }
 
   /** True if this node may grant now. */
@@ -121,33 +122,35 @@
     return this.#authority !== undefined && now < this.#authority.confirmedUntil;
   }
 
-  answer(request: ShareRequest, now: Milliseconds): ShareAnswer {
+  answer(request: ShareRequest, now: Milliseconds): ShareResponse {
     const { holder, number } = request;
     const authority = this.#authority;
     if (authority === undefined || now >= authority.confirmedUntil) {
       return refusal(number, 'no-authority');
     }
-    if (!this.isAlone(now)) return refusal(number, 'waiting');
-    // Without the term the request may have been sent while another granter could still act.
+    if (!this.isSoleGranter(now)) return refusal(number, 'waiting');
+    // Without the current term, the request may have been sent while another granter could still grant.
     if (request.term !== authority.term) return refusal(number, 'term-unknown', authority.term);
     const record = this.#holders.get(holder);
     if (record !== undefined && number <= record.lastNumber) return refusal(number, 'stale');
     const input = this.#divisionInput(request, now);
-    const loweredTo = isOverLimit(input) ? this.#loweredTo(input, request) : record?.loweredTo;
-    const connections = this.#decide(input, loweredTo);
-    const mayGrowSoon = this.isWaiting(now) || this.#isUnusedElsewhere(holder, now);
-    this.#record(request, connections, loweredTo, now);
+    const loweredShare = isOverLimit(input)
+      ? this.#loweredShareOf(input, request)
+      : record?.loweredShare;
+    const connections = this.#connectionsToGrant(input, loweredShare);
+    const mayGrowSoon = this.mayHaveUnknownShares(now) || this.#hasUnusedElsewhere(holder, now);
+    this.#record(request, connections, loweredShare, now);
     return { type: 'granted', number, connections, mayGrowSoon };
   }
 
-  /** Connections that holders may believe to have, in sum. */
-  outstanding(now: Milliseconds): number {
+  /** Total of the connections that holders may assume they have. */
+  outstandingConnections(now: Milliseconds): number {
     let sum = 0;
-    for (const record of this.#holders.values()) sum += heldBy(record, now);
+    for (const record of this.#holders.values()) sum += maxHeldBy(record, now);
     return sum;
   }
 
-  #confirm(sentAt: Milliseconds, quietMs: Milliseconds, now: Milliseconds): void {
+  #confirmAuthority(sentAt: Milliseconds, quietMs: Milliseconds, now: Milliseconds): void {
     const confirmedUntil = sentAt + this.#options.authorityMs;
     const acquiredAt = now - quietMs;
     const held = this.#authority;
@@ -169,7 +172,7 @@
     this.#limit = limit;
     if (!isLower) return;
     for (const [holder, record] of this.#holders) {
-      this.#holders.set(holder, { ...record, loweredTo: undefined });
+      this.#holders.set(holder, { ...record, loweredShare: undefined });
     }
   }
 
@@ -183,13 +186,13 @@
     this.#holders.clear();
   }
 
-  /** Within this time the granter before has surely stopped granting. */
-  #silenceMs(): Milliseconds {
+  /** Time after which the previous granter has provably stopped granting. */
+  #maxAuthorityMs(): Milliseconds {
     return withDrift(this.#options.authorityMs, this.#options.maxClockDrift);
   }
 
-  /** Within this time every share that it granted and that was not reported has lapsed. */
-  #lapseMs(): Milliseconds {
+  /** Time after which every unreported share of the previous granter has expired. */
+  #maxShareLifetimeMs(): Milliseconds {
     const { authorityMs, leaseMs, maxClockDrift } = this.#options;
     return withDrift(authorityMs + leaseMs, maxClockDrift);
   }
@@ -198,27 +201,32 @@
     const others: OtherHolder[] = [];
     for (const [holder, record] of this.#holders) {
       if (holder === request.holder || !isActive(record, now)) continue;
-      const { wanted, needed, inUse, loweredTo } = record;
-      others.push({ wanted, needed, inUse, loweredTo, held: heldBy(record, now) });
+      const { wanted, needed, inUse, loweredShare } = record;
+      others.push({ wanted, needed, inUse, loweredShare, held: maxHeldBy(record, now) });
     }
     const { holding, inUse, needed } = request;
-    const wanted = this.isWaiting(now) ? Math.min(request.wanted, holding) : request.wanted;
+    const wanted = this.mayHaveUnknownShares(now)
+      ? Math.min(request.wanted, holding)
+      : request.wanted;
     const leasable = leasableConnections(this.#limit, this.#options);
     return { leasable, wanted, needed, holding, inUse, others };
   }
 
-  #decide(input: DivisionInput, loweredTo: number | undefined): number {
-    return Math.max(0, Math.min(input.wanted, this.#divide(input), freeOf(input, loweredTo)));
+  #connectionsToGrant(input: DivisionInput, loweredShare: number | undefined): number {
+    return Math.max(
+      0,
+      Math.min(input.wanted, this.#divide(input), availableConnections(input, loweredShare)),
+    );
   }
 
-  /** Set once for each holder after a limit was lowered, so that nobody is cut twice. */
-  #loweredTo(input: DivisionInput, { holder }: ShareRequest): number {
-    return this.#holders.get(holder)?.loweredTo ?? partOfLoweredLimit(input);
+  /** Computed once per holder after the limit was lowered, so that no holder is cut twice. */
+  #loweredShareOf(input: DivisionInput, { holder }: ShareRequest): number {
+    return this.#holders.get(holder)?.loweredShare ?? shareOfLoweredLimit(input);
   }
 
-  #isUnusedElsewhere(holder: HolderId, now: Milliseconds): boolean {
+  #hasUnusedElsewhere(holder: HolderId, now: Milliseconds): boolean {
     for (const [other, record] of this.#holders) {
-      if (other !== holder && heldBy(record, now) > record.inUse) return true;
+      if (other !== holder && maxHeldBy(record, now) > record.inUse) return true;
     }
     return false;
   }
@@ -226,13 +234,13 @@
   #record(
     request: ShareRequest,
     connections: number,
-    loweredTo: number | undefined,
+    loweredShare: number | undefined,
     now: Milliseconds,
   ): void {
     const { leaseMs, maxClockDrift } = this.#options;
     const until = now + withDrift(leaseMs, maxClockDrift);
     const previous = this.#holders.get(request.holder)?.shares ?? [];
-    // The holder says what it holds; it will act on no answer to an earlier request any more.
+    // The holder reports what it holds, and ignores responses to its earlier requests from now on.
     const kept = previous
       .filter((share) => share.until > now)
       .map((share) => ({ ...share, connections: Math.min(share.connections, request.holding) }));
@@ -245,21 +253,21 @@
       needed,
       inUse,
       shares,
-      loweredTo,
+      loweredShare,
       activeUntil: until,
     });
-    this.#forgetLapsed(now);
+    this.#removeExpired(now);
   }
 
-  #forgetLapsed(now: Milliseconds): void {
+  #removeExpired(now: Milliseconds): void {
     for (const [holder, record] of this.#holders) {
       if (record.activeUntil <= now) this.#holders.delete(holder);
     }
   }
 }
 
-/** The most that the holder may believe to have. */
-function heldBy(record: HolderRecord, now: Milliseconds): number {
+/** Maximum number of connections that the holder may assume it has. */
+function maxHeldBy(record: HolderRecord, now: Milliseconds): number {
   let most = 0;
   for (const share of record.shares) {
     if (share.until > now) most = Math.max(most, share.connections);
@@ -268,13 +276,13 @@
 }
 
 function isActive(record: HolderRecord, now: Milliseconds): boolean {
-  return record.activeUntil > now && (record.wanted > 0 || heldBy(record, now) > 0);
+  return record.activeUntil > now && (record.wanted > 0 || maxHeldBy(record, now) > 0);
 }
 
 function refusal(
   number: number,
-  reason: Extract<ShareAnswer, { type: 'refused' }>['reason'],
+  reason: Extract<ShareResponse, { type: 'refused' }>['reason'],
   term?: string,
-): ShareAnswer {
+): ShareResponse {
   return { type: 'refused', number, reason, term };
 }
--- a/src/core/ownership/budget-holder.ts
+++ b/src/core/ownership/budget-holder.ts
@@ -1,9 +1,9 @@
 /**
- * Holds one owner's share of one instance's connection limit. The share lapses by this node's own
- * clock, counted from when the request was sent, so a node that was paused finds it gone.
+ * Holds one owner's share of one instance's connection limit. The share expires by this node's own
+ * clock, counted from when the request was sent, so a node that was paused finds it expired.
  */
 import type { Milliseconds } from '../units.js';
-import type { BudgetLeaseOptions, HolderId, ShareAnswer, ShareRequest } from './budget-lease.js';
+import type { BudgetLeaseOptions, HolderId, ShareRequest, ShareResponse } from './budget-lease.js';
 
 interface Share {
   readonly connections: number;
@@ -26,24 +26,24 @@
   /** `inUse` of the latest request. */
   #sentInUse = 0;
 
-  /** `id` must be unique for the life of the process, such as node id and incarnation. */
+  /** `id` must be unique to one run of a process, such as node id and incarnation. */
   constructor(id: HolderId, options: BudgetLeaseOptions) {
     this.id = id;
     this.#options = options;
   }
 
-  /** `needed`: those that are not merely in reserve. */
+  /** `needed`: the part of `connections` that is not just a reserve. */
   setWanted(connections: number, needed = connections): void {
     this.#wanted = connections;
     this.#needed = needed;
   }
 
-  /** Connections that can't be given back without cutting somebody off. */
+  /** Connections that can't be released without interrupting a caller. */
   setInUse(connections: number): void {
     this.#inUse = connections;
   }
 
-  /** Connections that may be held now. Ask before each opening; close what is beyond. */
+  /** Connections that may be held now. Check before opening one, and close those above it. */
   connections(now: Milliseconds): number {
     return now < this.#share.until ? this.#share.connections : 0;
   }
@@ -53,17 +53,17 @@
     return this.#lastSentAt + this.#options.renewMs;
   }
 
-  /** When the share lapses; in the past if there is none. */
-  get heldUntil(): Milliseconds {
+  /** When the share expires; in the past if there is none. */
+  get shareExpiresAt(): Milliseconds {
     return this.#share.until;
   }
 
-  /** A granter has made its term known. The next request will carry it. */
-  learnTerm(term: string): void {
+  /** Sets the granter's term, which the next request carries. */
+  setTerm(term: string): void {
     this.#term = term;
   }
 
-  /** The request to send now. Answers to earlier ones will be ignored. */
+  /** The request to send now. Responses to earlier requests are ignored from then on. */
   request(now: Milliseconds): ShareRequest {
     this.#lastNumber += 1;
     this.#lastSentAt = now;
@@ -79,16 +79,16 @@
     };
   }
 
-  /** True if the answer is to an earlier request than the latest. */
-  isLate(answer: ShareAnswer): boolean {
+  /** True if the response doesn't belong to the latest request. */
+  isOutdated(answer: ShareResponse): boolean {
     return answer.number !== this.#lastNumber;
   }
 
-  /** Takes an answer; true if the share has changed. */
-  receive(answer: ShareAnswer, now: Milliseconds): boolean {
-    if (this.isLate(answer)) return false;
+  /** Applies a response; true if the number of connections has changed. */
+  receiveResponse(answer: ShareResponse, now: Milliseconds): boolean {
+    if (this.isOutdated(answer)) return false;
     if (answer.type === 'refused') {
-      this.#onRefused(answer.term);
+      this.#handleRefusal(answer.term);
       return false;
     }
     const previous = this.connections(now);
@@ -97,8 +97,8 @@
   }
 
   /**
-   * What was taken into use after the request was sent is kept under the old share, which the
-   * granter still counts: the next request will report it.
+   * Connections taken into use after the request was sent are kept under the old share, which the
+   * granter still counts. The next request, sent at once, reports them.
    */
   #shareAfter(granted: number, previous: number): Share {
     const kept = Math.min(this.#inUse, previous);
@@ -109,16 +109,16 @@
     return { connections: granted, until: this.#lastSentAt + this.#options.leaseMs };
   }
 
-  /** Gives the share up: a holder that stops lets others have it at its next request. */
+  /** Gives up the share. The granter can grant it to others after this holder's next request. */
   release(): void {
     this.setWanted(0);
     this.#share = NO_SHARE;
   }
 
-  #onRefused(term: string | undefined): void {
+  #handleRefusal(term: string | undefined): void {
     if (term === undefined || term === this.#term) return;
     this.#term = term;
-    // The granter is there: ask again at once instead of waiting for the next renewal.
+    // The granter is reachable: send the next request at once instead of at the next renewal.
     this.#lastSentAt = Number.NEGATIVE_INFINITY;
   }
 }
--- a/src/core/ownership/budget-lease.ts
+++ b/src/core/ownership/budget-lease.ts
@@ -1,63 +1,63 @@
 /**
- * Shares of an instance's connection limit as leases: what the holder of a share asks, what the
- * granter answers, and the times on which both sides' arithmetic rests. See docs/design/ownership.md.
+ * Shares of an instance's connection limit, granted as leases: the holder's request, the granter's
+ * response, and the timing that both sides rely on. See docs/design/ownership.md.
  */
 import { MeadowstackError } from '../errors.js';
 import type { Milliseconds } from '../units.js';
 
-/** One life of one node, as holder of a share. */
+/** Identifies a holder of shares: one incarnation of one node. */
 export type HolderId = string;
 
 /** Timing of leased connections. */
 export interface BudgetLeaseOptions {
-  /** A share ends this long after its holder sent the request that renewed it. */
+  /** Lifetime of a share, from the time at which its holder sent the request that renewed it. */
   readonly leaseMs: Milliseconds;
-  /** A granter may grant this long after it sent a probe that showed that it holds the lock. */
+  /** How long a granter may grant, from the time at which it sent a probe that confirmed its lock. */
   readonly authorityMs: Milliseconds;
-  /** How often a holder renews. */
+  /** Interval between a holder's renewals. */
   readonly renewMs: Milliseconds;
-  /** Any two clocks run at the same rate within this ratio of real time, in [0, 1). */
+  /** Maximum deviation of any clock's rate from real time, as a fraction in [0, 1). */
   readonly maxClockDrift: number;
-  /** Part of the limit that is not leased: for owners that can't reach a granter, and for probes. */
-  readonly unleasedShare: number;
+  /** Fraction of the limit that is not leased: for owners that can't reach a granter, and for probes. */
+  readonly unleasedFraction: number;
 }
 
-/** Timing unless a test asks otherwise. */
+/** Default timing. */
 export const DEFAULT_BUDGET_LEASE_OPTIONS: BudgetLeaseOptions = {
   leaseMs: 4000,
   authorityMs: 1000,
   renewMs: 1000,
   maxClockDrift: 0.01,
-  unleasedShare: 0.2,
+  unleasedFraction: 0.2,
 };
 
 /** A holder's request for a new or renewed share. */
 export interface ShareRequest {
   readonly holder: HolderId;
-  /** Grows with each request of this holder; older ones are ignored. */
+  /** Increases with each request of this holder; the granter refuses a request whose number is not higher. */
   readonly number: number;
   /** Connections that the holder could use. */
   readonly wanted: number;
-  /** Connections of `wanted` that are not merely in reserve. */
+  /** The part of `wanted` that is not just a reserve. */
   readonly needed: number;
   /** Connections that its unexpired share allows at the time of sending. */
   readonly holding: number;
-  /** Connections of `holding` that can't be given back without cutting somebody off. */
+  /** The part of `holding` that can't be released without interrupting a caller. */
   readonly inUse: number;
-  /** The granter's term as the holder last heard it: proof that the request is not older. */
+  /** The granter's term as last known to the holder: proves that the request is not older than the term. */
   readonly term: string | undefined;
 }
 
-/** What a granter answers. */
-export type ShareAnswer =
+/** A granter's response to a request. */
+export type ShareResponse =
   | {
       readonly type: 'granted';
       readonly number: number;
       readonly connections: number;
-      /** Others hold more than they use, or old shares lapse: asking again may give more. */
+      /** Other holders have unused connections, or old shares are about to expire: a further request may get more. */
       readonly mayGrowSoon: boolean;
     }
-  /** Ask again, with this term. */
+  /** The holder should send another request, with this term. */
   | {
       readonly type: 'refused';
       readonly number: number;
@@ -71,21 +71,21 @@
 }
 
 /**
- * A time on this node's clock within which `duration` has surely passed on any other clock, if
- * both run within the drift.
+ * Time on this node's clock after which at least `duration` has passed on any other clock, if both
+ * clocks stay within the drift.
  */
 export function withDrift(duration: Milliseconds, maxClockDrift: number): Milliseconds {
   return (duration * (1 + maxClockDrift)) / (1 - maxClockDrift);
 }
 
-/** Connections that are leased out of an instance's limit. */
+/** The part of an instance's connection limit that is granted as leases. */
 export function leasableConnections(limit: number, options: BudgetLeaseOptions): number {
-  return Math.floor(limit * (1 - options.unleasedShare));
+  return Math.floor(limit * (1 - options.unleasedFraction));
 }
 
 /**
- * Connections that an owner without a share may try to open. The instance itself arbitrates: it
- * refuses (SQLSTATE 53300) whatever is beyond its limit.
+ * Connections that an owner without a share may try to open. The instance itself enforces its limit:
+ * it refuses connections above it (SQLSTATE 53300).
  */
 export function unleasedConnections(
   limit: number,
--- a/src/core/ownership/connection-sharing.ts
+++ b/src/core/ownership/connection-sharing.ts
@@ -1,121 +1,125 @@
 /**
- * How the nodes of a direct gateway share the connections that one instance takes. In a small fleet
- * every node connects to every instance by itself. Where that would leave less than one connection for
- * each node, a few owners of each instance hold its connections, and the others reach it through them.
+ * How the nodes of a direct gateway share the connections that one instance accepts. In a small fleet
+ * every node connects to every instance itself. Where that would leave less than one connection per
+ * node, a few owners of each instance hold its connections, and the other nodes use it through them.
  *
- * The decision is made in one place, by the leader, and published with the owners: nodes that decided
- * for themselves would share by different rules while their counts differ.
+ * The leader alone decides and publishes the decision with the owners: if each node decided, nodes
+ * would share by different rules whenever their counts of live nodes differ.
  */
 import type { Milliseconds } from '../units.js';
 
-/** Connections of an instance that are left to control calls of whichever node leads. */
+/** Connections of an instance that are reserved for the leader's control calls. */
 export const RESERVED_CONNECTIONS = 4;
-/** Each instance has at least so many owners, so that one may be lost. */
-const MINIMUM_OWNERS = 2;
+/** Minimum number of owners per instance, so that one may fail. */
+const MIN_OWNERS = 2;
 /**
- * One more owner of each instance for so many nodes: their statements pass through the owners, and more
- * of them are lost at once. With two and a spare one, half of 67 nodes without power took all three of
- * one instance in seven with them.
+ * Each instance has one more owner per this number of nodes: the nodes' statements pass through the
+ * owners, and in a larger fleet more nodes fail at once. With two owners and a spare, a power failure of
+ * half of 67 nodes took down all three for one instance in seven.
  */
 const NODES_PER_OWNER = 50;
-/** With fewer connections an owner queues statements that the instance could run. */
-const MINIMUM_OWNER_CONNECTIONS = 4;
+/** With fewer connections, an owner queues statements that the instance could execute. */
+const MIN_OWNER_CONNECTIONS = 4;
 /**
- * Shares kept free beside those of the owners: one for the spare owner, which is used when no owner can
- * be reached, and one for a node that still takes itself for an owner after another has replaced it.
+ * Shares kept free in addition to those of the owners: one for the spare owner, which is used when no
+ * owner can be reached, and one for a node that still considers itself an owner after its replacement.
  */
-const SPARE_SHARES = 2;
-/** A fleet that has shrunk is believed to stay small after this. */
-const SMALL_FLEET_MEMORY_MS: Milliseconds = 30_000;
+const SPARE_SHARE_COUNT = 2;
+/** A fleet counts as small only after it has been small for this time: killed nodes come back. */
+const SMALL_FLEET_CONFIRMATION_MS: Milliseconds = 30_000;
 
 /** How an instance's connections are shared among the nodes. */
 export type ConnectionSharing =
-  /** Every node holds some of its own. */
+  /** Every node holds connections of its own. */
   | { readonly type: 'direct' }
-  /** Each instance has so many owners. */
+  /** Only the owners of an instance hold connections to it. */
   | { readonly type: 'owners'; readonly ownersPerInstance: number };
 
-/** What the decision rests on. */
+/** Input of the decision. */
 export interface FleetSize {
   readonly liveNodes: number;
-  /** Connections that one instance takes, the fewest of all services; undefined if none is known. */
+  /** Connection limit of one instance, the lowest over all services; undefined if none is known. */
   readonly maxConnections: number | undefined;
-  /** Larger fleets have owners, whatever the budget; undefined leaves it to the budget. */
+  /** Fleets with more nodes have owners, whatever `maxConnections` is; undefined: `maxConnections` decides. */
   readonly largestDirectFleet?: number | undefined;
 }
 
-/** Owners of each instance in a fleet of this size. */
+/** Number of owners per instance in a fleet of this size. */
 export function ownersPerInstance(liveNodes: number, maxConnections: number): number {
-  const forLoad = MINIMUM_OWNERS + Math.floor(liveNodes / NODES_PER_OWNER);
-  const shares = Math.floor(usable(maxConnections) / MINIMUM_OWNER_CONNECTIONS);
-  return Math.max(MINIMUM_OWNERS, Math.min(forLoad, shares - SPARE_SHARES));
+  const forLoad = MIN_OWNERS + Math.floor(liveNodes / NODES_PER_OWNER);
+  const shares = Math.floor(usableConnections(maxConnections) / MIN_OWNER_CONNECTIONS);
+  return Math.max(MIN_OWNERS, Math.min(forLoad, shares - SPARE_SHARE_COUNT));
 }
 
 /**
- * Where connections are of one tenant each, an owner that has few opens one for most statements: the share of a node
- * that still takes itself for an owner is used too, since an owner's connections give way to one another.
+ * Where each connection belongs to one tenant, an owner with few connections has to open one for most statements. So
+ * the share of a replaced owner is used too: an owner can close one of its connections to open another.
  */
-const SPARE_SHARES_BY_TENANT = 1;
+const SPARE_SHARE_COUNT_BY_TENANT = 1;
 
 /**
  * Connections that one owner may open to one instance.
- * @param isByTenant whether each connection is of one tenant
+ * @param isByTenant whether each connection belongs to one tenant
  */
 export function connectionsPerOwner(
   owners: number,
   maxConnections: number,
   isByTenant = false,
 ): number {
-  const spareShares = isByTenant ? SPARE_SHARES_BY_TENANT : SPARE_SHARES;
-  return Math.max(1, Math.floor(usable(maxConnections) / (owners + spareShares)));
+  const spareShares = isByTenant ? SPARE_SHARE_COUNT_BY_TENANT : SPARE_SHARE_COUNT;
+  return Math.max(1, Math.floor(usableConnections(maxConnections) / (owners + spareShares)));
 }
 
-function usable(maxConnections: number): number {
+function usableConnections(maxConnections: number): number {
   return Math.max(0, maxConnections - RESERVED_CONNECTIONS);
 }
 
 /**
- * The decision with its memory. Between the size at which owners are needed and that at which they are
- * not any more lie the reserved connections; and it takes time until a fleet counts as small again,
- * since killed nodes come back.
+ * Decides how connections are shared, with hysteresis. The fleet sizes at which owners become necessary
+ * and unnecessary differ by the reserved connections, and a fleet counts as small again only after some
+ * time, since killed nodes come back.
  */
 export class SharingDecision {
   #smallSince: Milliseconds | undefined;
 
-  /** `current` is what is published now. */
+  /** `current` is the published decision. */
   decide(current: ConnectionSharing, fleet: FleetSize, now: Milliseconds): ConnectionSharing {
     const { liveNodes, maxConnections } = fleet;
     if (maxConnections === undefined) return current;
     if (current.type === 'direct') {
-      return liveNodes > enterAbove(fleet, maxConnections)
-        ? ownersFor(liveNodes, maxConnections)
+      return liveNodes > maxNodesWithoutOwners(fleet, maxConnections)
+        ? sharingByOwners(liveNodes, maxConnections)
         : current;
     }
-    if (liveNodes > leaveAt(fleet, maxConnections)) {
+    if (liveNodes > maxNodesToRemoveOwners(fleet, maxConnections)) {
       this.#smallSince = undefined;
-      return grown(current.ownersPerInstance, liveNodes, maxConnections);
+      return withMoreOwners(current.ownersPerInstance, liveNodes, maxConnections);
     }
     this.#smallSince ??= now;
-    if (now - this.#smallSince < SMALL_FLEET_MEMORY_MS) return current;
+    if (now - this.#smallSince < SMALL_FLEET_CONFIRMATION_MS) return current;
     this.#smallSince = undefined;
     return { type: 'direct' };
   }
 }
 
-function enterAbove({ largestDirectFleet }: FleetSize, maxConnections: number): number {
+function maxNodesWithoutOwners({ largestDirectFleet }: FleetSize, maxConnections: number): number {
   return largestDirectFleet ?? maxConnections;
 }
 
-function leaveAt({ largestDirectFleet }: FleetSize, maxConnections: number): number {
-  return largestDirectFleet ?? usable(maxConnections);
+function maxNodesToRemoveOwners({ largestDirectFleet }: FleetSize, maxConnections: number): number {
+  return largestDirectFleet ?? usableConnections(maxConnections);
 }
 
-function ownersFor(liveNodes: number, maxConnections: number): ConnectionSharing {
+function sharingByOwners(liveNodes: number, maxConnections: number): ConnectionSharing {
   return { type: 'owners', ownersPerInstance: ownersPerInstance(liveNodes, maxConnections) };
 }
 
-/** The number of owners only grows: nodes that were killed come back, and each change moves owners. */
-function grown(current: number, liveNodes: number, maxConnections: number): ConnectionSharing {
+/** The number of owners never decreases: killed nodes come back, and each change moves owners. */
+function withMoreOwners(
+  current: number,
+  liveNodes: number,
+  maxConnections: number,
+): ConnectionSharing {
   const wanted = ownersPerInstance(liveNodes, maxConnections);
   return { type: 'owners', ownersPerInstance: Math.max(current, wanted) };
 }
--- a/src/core/ownership/hand-over.ts
+++ b/src/core/ownership/hand-over.ts
@@ -1,10 +1,9 @@
 /**
- * Hand-over of a group between owners: view change, announce, warm, serve.
+ * Hand-over of a group between owners: warm, serve, announce, retire.
  *
- * A new owner opens its connections first and then tells those who served before; they go on
- * serving until then, send their gateways on, and retire. Nothing depends on it for safety: if a
- * message is lost or a side is gone, the deadlines end the hand-over and a request costs a wait for
- * a connection.
+ * A new owner opens its connections first and then notifies the former owners. These serve until then,
+ * redirect their gateways, and retire. Safety doesn't depend on it: if a message is lost or a side has
+ * failed, the deadlines end the hand-over, and a request has to wait for a connection.
  */
 import type { GroupName } from '../request.js';
 import type { Milliseconds } from '../units.js';
@@ -13,39 +12,39 @@
 /** What this node does for a group. */
 export type OwnerPhase = 'none' | 'warming' | 'serving' | 'retiring';
 
-/** What goes into a hand-over. */
+/** Input of the hand-over. */
 export type HandOverEvent =
   | { readonly type: 'owners-changed'; readonly change: OwnersChange }
-  /** The connections asked for by `warm` are open, or as many as can be had. */
+  /** The connections requested by `warm` are open, or as many as are available. */
   | { readonly type: 'warmed'; readonly group: GroupName }
-  /** Another owner serves the group now. */
+  /** Another owner announced that it serves the group now. */
   | { readonly type: 'serving-announced'; readonly group: GroupName; readonly from: string }
-  /** The node is dead: nothing is to be waited for from it or told to it. */
+  /** The node is dead: no announcement from it is awaited any more. */
   | { readonly type: 'member-gone'; readonly nodeId: string }
   | { readonly type: 'tick' };
 
-/** What comes out of a hand-over. */
+/** Output of the hand-over. */
 export type HandOverEffect =
   /** Open connections, then report `warmed`. */
   | { readonly type: 'warm'; readonly group: GroupName }
   /** Accept requests as the owner. */
   | { readonly type: 'serve'; readonly group: GroupName }
-  /** Tell these nodes that this one serves. */
+  /** Notify these nodes that this one serves the group. */
   | { readonly type: 'announce-serving'; readonly group: GroupName; readonly to: readonly string[] }
-  /** Tell gateways with open streams to use these owners from now on. */
+  /** Redirect gateways with open streams to these owners. */
   | { readonly type: 'redirect'; readonly group: GroupName; readonly owners: readonly string[] }
-  /** Finish what runs, accept nothing new, then close the connections. */
+  /** Accept no new requests, finish running ones, then close the connections. */
   | { readonly type: 'retire'; readonly group: GroupName };
 
 /** Timing of a hand-over. */
 export interface HandOverOptions {
   /** A new owner serves after this time even if its connections are not open. */
   readonly warmTimeoutMs: Milliseconds;
-  /** A former owner retires after this time even if no successor was heard of. */
+  /** A former owner retires after this time even if no successor has announced itself. */
   readonly retireTimeoutMs: Milliseconds;
 }
 
-/** Timing unless a test asks otherwise. */
+/** Default timing. */
 export const DEFAULT_HAND_OVER_OPTIONS: HandOverOptions = {
   warmTimeoutMs: 2000,
   retireTimeoutMs: 5000,
@@ -62,7 +61,7 @@
       readonly phase: 'retiring';
       readonly deadline: Milliseconds;
       readonly owners: readonly string[];
-      /** Owners that have not said yet that they serve. */
+      /** Owners that have not announced yet that they serve. */
       readonly awaited: ReadonlySet<string>;
     };
 
@@ -103,32 +102,32 @@
   #dispatch(event: HandOverEvent): void {
     switch (event.type) {
       case 'owners-changed':
-        this.#onOwnersChanged(event.change);
+        this.#handleOwnersChanged(event.change);
         return;
       case 'warmed':
-        this.#onWarmed(event.group);
+        this.#handleWarmed(event.group);
         return;
       case 'serving-announced':
-        this.#stopAwaiting(event.group, event.from);
+        this.#removeAwaited(event.group, event.from);
         return;
       case 'member-gone':
-        for (const group of [...this.#groups.keys()]) this.#stopAwaiting(group, event.nodeId);
+        for (const group of [...this.#groups.keys()]) this.#removeAwaited(group, event.nodeId);
         return;
       case 'tick':
         return;
     }
   }
 
-  #onOwnersChanged(change: OwnersChange): void {
+  #handleOwnersChanged(change: OwnersChange): void {
     const phase = this.phaseOf(change.group);
     const isOwner = change.owners.includes(this.#selfId);
-    if (isOwner && phase === 'none') this.#begin(change);
+    if (isOwner && phase === 'none') this.#startWarming(change);
     else if (isOwner && phase === 'retiring') this.#serve(change.group);
     else if (!isOwner && phase === 'warming') this.#retire(change.group);
-    else if (!isOwner && phase !== 'none') this.#beginRetiring(change);
+    else if (!isOwner && phase !== 'none') this.#startRetiring(change);
   }
 
-  #begin({ group, previous }: OwnersChange): void {
+  #startWarming({ group, previous }: OwnersChange): void {
     const predecessors = previous.filter((nodeId) => nodeId !== this.#selfId);
     this.#emit({ type: 'warm', group });
     if (predecessors.length === 0) {
@@ -139,7 +138,7 @@
     this.#groups.set(group, { phase: 'warming', deadline, predecessors });
   }
 
-  #onWarmed(group: GroupName): void {
+  #handleWarmed(group: GroupName): void {
     const state = this.#groups.get(group);
     if (state?.phase !== 'warming') return;
     this.#serve(group);
@@ -151,9 +150,9 @@
     this.#emit({ type: 'serve', group });
   }
 
-  #beginRetiring({ group, previous, owners }: OwnersChange): void {
+  #startRetiring({ group, previous, owners }: OwnersChange): void {
     const state = this.#groups.get(group);
-    // Owners that were there before this change serve already, unless they were awaited before.
+    // Owners that stay in this change serve already, unless they were still awaited.
     const stillAwaited = state?.phase === 'retiring' ? state.awaited : new Set<string>();
     const awaited = owners.filter(
       (nodeId) => !previous.includes(nodeId) || stillAwaited.has(nodeId),
@@ -161,19 +160,19 @@
     const deadline =
       state?.phase === 'retiring' ? state.deadline : this.#now + this.#options.retireTimeoutMs;
     this.#groups.set(group, { phase: 'retiring', deadline, owners, awaited: new Set(awaited) });
-    this.#retireIfFree(group);
+    this.#retireIfNoneAwaited(group);
   }
 
-  #stopAwaiting(group: GroupName, nodeId: string): void {
+  #removeAwaited(group: GroupName, nodeId: string): void {
     const state = this.#groups.get(group);
     if (state?.phase !== 'retiring' || !state.awaited.has(nodeId)) return;
     const awaited = new Set(state.awaited);
     awaited.delete(nodeId);
     this.#groups.set(group, { ...state, awaited });
-    this.#retireIfFree(group);
+    this.#retireIfNoneAwaited(group);
   }
 
-  #retireIfFree(group: GroupName): void {
+  #retireIfNoneAwaited(group: GroupName): void {
     const state = this.#groups.get(group);
     if (state?.phase !== 'retiring' || state.awaited.size > 0) return;
     this.#emit({ type: 'redirect', group, owners: state.owners });
@@ -188,7 +187,7 @@
   #runDeadlines(): void {
     for (const [group, state] of [...this.#groups]) {
       if (state.phase === 'serving' || state.deadline > this.#now) continue;
-      if (state.phase === 'warming') this.#onWarmed(group);
+      if (state.phase === 'warming') this.#handleWarmed(group);
       else {
         this.#emit({ type: 'redirect', group, owners: state.owners });
         this.#retire(group);
--- a/src/core/ownership/hash.ts
+++ b/src/core/ownership/hash.ts
@@ -1,4 +1,4 @@
-/** The hash of ownership: xxHash64 by xxhash-wasm. Load it once at start-up. */
+/** Hash function for ownership: xxHash64 by xxhash-wasm. Load it once at start-up. */
 import xxhash from 'xxhash-wasm';
 import type { Hash64 } from './rendezvous.js';
 
--- a/src/core/ownership/instance-owners.ts
+++ b/src/core/ownership/instance-owners.ts
@@ -1,12 +1,12 @@
 /**
- * Which members of the roster own an instance: rendezvous hashing, first among the members of the
- * instance's zone. A statement crosses zones once at most then, wherever its caller is.
+ * Selects the owners of an instance from the roster by rendezvous hashing, preferring nodes in the
+ * instance's zone. A statement then crosses zones at most once, wherever its caller is.
  */
 import type { ZoneName } from '../request.js';
 import type { ReachableNode } from './owner-roster.js';
 import { type Hash64, hashHalves, scoreOf } from './rendezvous.js';
 
-/** What ownership depends on. */
+/** An instance, as far as its owners depend on it. */
 export interface OwnedInstance {
   readonly id: string;
   readonly zone: ZoneName;
@@ -30,32 +30,33 @@
   const group = hashHalves(hash, `instance:${instance.id}`);
   const scored = roster.map((node) => ({
     node,
-    isNear: node.zone === instance.zone,
+    isInSameZone: node.zone === instance.zone,
     score: scoreOf(group, hashHalves(hash, `member:${node.nodeId}`)),
   }));
   scored.sort((left, right) => {
-    if (left.isNear !== right.isNear) return left.isNear ? -1 : 1;
+    if (left.isInSameZone !== right.isInSameZone) return left.isInSameZone ? -1 : 1;
     return right.score - left.score || (left.node.nodeId < right.node.nodeId ? -1 : 1);
   });
   const ranked = scored.map(({ node }) => node);
   return { owners: ranked.slice(0, count), spare: ranked[count] };
 }
 
-/** Whether a node may hold connections to the instance: as an owner or as the spare one. */
+/** Whether a node may hold connections to the instance, as an owner or as the spare. */
 export function mayConnect({ owners, spare }: InstanceOwners, nodeId: string): boolean {
   return spare?.nodeId === nodeId || owners.some((owner) => owner.nodeId === nodeId);
 }
 
 /**
- * The owners in the order in which they are tried, by whoever asks: a node, so that the nodes spread over them; or a
- * tenant where connections are of one tenant each, so that all nodes find its connections at the same owner.
+ * The owners in the order in which a requester tries them. The requester is a node, so that nodes spread over the
+ * owners; or, where each connection belongs to one tenant, a tenant, so that all nodes find its connections at the
+ * same owner.
  */
-export function preferenceOf(
+export function ownersByPreference(
   { owners, spare }: InstanceOwners,
-  asker: string,
+  requesterId: string,
   hash: Hash64,
 ): readonly ReachableNode[] {
-  const self = hashHalves(hash, `caller:${asker}`);
+  const self = hashHalves(hash, `caller:${requesterId}`);
   const scored = owners.map((node) => ({
     node,
     score: scoreOf(self, hashHalves(hash, `member:${node.nodeId}`)),
--- a/src/core/ownership/owner-index.ts
+++ b/src/core/ownership/owner-index.ts
@@ -1,6 +1,6 @@
 /**
- * The owners of all groups of interest, kept up to date as members come and go. A member that goes
- * costs a new selection for the groups it owned only; one that comes costs one weight a group.
+ * The owners of all groups of interest, updated as members join and leave. A member that leaves causes a
+ * new selection only for the groups it owned; one that joins costs one score computation per group.
  */
 import type { GroupName, ZoneName } from '../request.js';
 import {
@@ -34,10 +34,10 @@
   readonly owners: readonly ScoredCandidate[];
 }
 
-/** Owners of a group unless an option says otherwise. */
+/** Default number of owners per group. */
 export const DEFAULT_OWNERS_PER_GROUP = 2;
 
-/** The owners of all groups, kept up to date member by member. */
+/** The owners of all groups, updated member by member. */
 export class OwnerIndex {
   readonly #hash: Hash64;
   readonly #ownersPerGroup: number;
@@ -65,10 +65,10 @@
     return owned;
   }
 
-  /** Adds a group, or takes its new zones; the same zones as before cost nothing. */
+  /** Adds a group or updates its zones; does nothing if the zones are the same as before. */
   setGroup(placement: GroupPlacement): OwnersChange[] {
     const known = this.#groups.get(placement.group);
-    if (known !== undefined && isSameZones(known.hashed.zones, placement.zones)) return [];
+    if (known !== undefined && hasSameZones(known.hashed.zones, placement.zones)) return [];
     const previous = known?.owners ?? [];
     const hashed = hashGroup(this.#hash, placement.group, placement.zones);
     return this.#assign(hashed, previous, this.#select(hashed));
@@ -78,12 +78,12 @@
     this.#groups.delete(group);
   }
 
-  /** A member is live: alive or suspect, and not leaving. */
+  /** Adds a live member: alive or suspect, and not leaving. */
   addMember(candidate: OwnerCandidate): OwnersChange[] {
     return this.addMembers([candidate]);
   }
 
-  /** Several members at once: one selection a group at most. */
+  /** Adds several members with at most one selection per group. */
   addMembers(candidates: readonly OwnerCandidate[]): OwnersChange[] {
     const changes: OwnersChange[] = [];
     const added: HashedCandidate[] = [];
@@ -110,7 +110,7 @@
     return added;
   }
 
-  /** A member is dead or leaving. */
+  /** Removes a member that is dead or leaving. */
   removeMember(nodeId: string): OwnersChange[] {
     const removed = this.#candidates.get(nodeId);
     if (removed === undefined) return [];
@@ -130,7 +130,7 @@
     else this.#byZone.delete(removed.zone);
   }
 
-  /** False if the newcomer surely is no owner; a weight and a comparison instead of a selection. */
+  /** False if the added member is certainly not an owner; cheaper than a selection: one score, one comparison. */
   #mayOwn(
     hashed: HashedGroup,
     owners: readonly ScoredCandidate[],
@@ -161,7 +161,7 @@
   return owners.map(({ candidate }) => candidate.nodeId);
 }
 
-function isSameZones(known: ReadonlySet<ZoneName>, zones: readonly ZoneName[]): boolean {
-  const told = new Set(zones);
-  return known.size === told.size && [...told].every((zone) => known.has(zone));
+function hasSameZones(known: ReadonlySet<ZoneName>, zones: readonly ZoneName[]): boolean {
+  const zoneSet = new Set(zones);
+  return known.size === zoneSet.size && [...zoneSet].every((zone) => known.has(zone));
 }
--- a/src/core/ownership/rendezvous.ts
+++ b/src/core/ownership/rendezvous.ts
@@ -1,11 +1,11 @@
 /**
- * Rendezvous (highest random weight) hashing of groups to owners, with zone preference: owners lie
+ * Rendezvous (highest random weight) hashing of groups to owners, with zone preference: owners are
  * in different zones as far as possible, and in the group's own zones as far as possible. A member
- * that comes or goes moves only the groups that it wins or held.
+ * that joins or leaves moves only the groups that it wins or owned.
  */
 import type { GroupName, ZoneName } from '../request.js';
 
-/** A 64-bit hash of a text; injected, since the library's needs an asynchronous start. */
+/** Computes a 64-bit hash of a text; injected, since the library has to be loaded asynchronously. */
 export type Hash64 = (text: string) => bigint;
 
 /** A live member that may own groups. */
@@ -29,11 +29,11 @@
   readonly zones: ReadonlySet<ZoneName>;
 }
 
-/** A candidate with its weight for one group. */
+/** A candidate with its score (the random weight) for one group. */
 export interface ScoredCandidate {
   readonly candidate: HashedCandidate;
   readonly score: number;
-  /** Orders before the weight: 0 is the winner of one of the group's zones; see `tierOf`. */
+  /** Takes precedence over the score: 0 is the winner of one of the group's zones; see `tierOf`. */
   readonly tier: number;
 }
 
@@ -46,27 +46,27 @@
 const LOW_32_BITS = 0xffff_ffffn;
 const HALF_BITS = 32n;
 
-/** Hash of a text in two halves. */
+/** The hash of a text, as two halves. */
 export function hashHalves(hash: Hash64, text: string): HashHalves {
   const value = hash(text);
   return { high: Number(value >> HALF_BITS), low: Number(value & LOW_32_BITS) };
 }
 
-// Literals, not spreads: V8 makes slow dictionary objects of spreads, and weights read these
-// millions of times at start.
-/** A candidate with its hashes. */
+// Object literals instead of spreads: V8 turns spreads into slow dictionary-mode objects, and scores read
+// these millions of times at start-up.
+/** Computes the hash of a candidate. */
 export function hashCandidate(hash: Hash64, { nodeId, zone }: OwnerCandidate): HashedCandidate {
   const { high, low } = hashHalves(hash, `member:${nodeId}`);
   return { nodeId, zone, high, low };
 }
 
-/** A group with its hashes. */
+/** Computes the hash of a group. */
 export function hashGroup(hash: Hash64, group: GroupName, zones: readonly ZoneName[]): HashedGroup {
   const { high, low } = hashHalves(hash, `group:${group}`);
   return { group, zones: new Set(zones), high, low };
 }
 
-/** Weight of a member for a group, 32 bits: the finaliser of MurmurHash3 over both hashes. */
+/** Score of a member for a group, 32 bits: the finaliser of MurmurHash3 applied to both hashes. */
 export function scoreOf(group: HashHalves, member: HashHalves): number {
   return mix32(mix32(group.low ^ member.low) ^ group.high ^ member.high);
 }
@@ -80,7 +80,7 @@
 
 /**
  * The owners of a group, best first, at most `count`. First the winner of each of the group's
- * zones, then the winners of other zones, then whoever is next; each time by weight.
+ * zones, then the winners of other zones, then the other candidates; each of these ordered by score.
  */
 export function selectOwners(
   group: HashedGroup,
@@ -88,19 +88,19 @@
   count: number,
 ): readonly ScoredCandidate[] {
   const winners = zones.flatMap(({ members }) => winnerOf(group, members));
-  // With a winner from enough zones nobody else can be an owner: the common case, and the fast one.
+  // Common case: with winners from enough zones, no other candidate can be an owner, and no ranking is needed.
   const ranked = winners.length >= count ? winners : zones.flatMap((zone) => rankZone(group, zone));
   return ranked.sort(compareScored).slice(0, count);
 }
 
-/** Negative if `left` comes before `right`; equal weights are ordered by node id. */
+/** Negative if `left` comes before `right`; equal scores are ordered by node id. */
 export function compareScored(left: ScoredCandidate, right: ScoredCandidate): number {
   if (left.tier !== right.tier) return left.tier - right.tier;
   if (left.score !== right.score) return right.score - left.score;
   return left.candidate.nodeId < right.candidate.nodeId ? -1 : 1;
 }
 
-/** The candidate as the winner of its zone. */
+/** Scores the candidate as the winner of its zone. */
 export function asWinner(group: HashedGroup, candidate: HashedCandidate): ScoredCandidate {
   const tier = tierOf(group, candidate.zone, 0);
   return { candidate, score: scoreOf(group, candidate), tier };
@@ -111,7 +111,7 @@
   return (rank === 0 ? 0 : 2) + (group.zones.has(zone) ? 0 : 1);
 }
 
-/** The heaviest member of a zone. A plain loop: it runs for every group and member at start. */
+/** The member of a zone with the highest score. A plain loop, since it runs for every group and member at start-up. */
 function winnerOf(group: HashedGroup, members: readonly HashedCandidate[]): ScoredCandidate[] {
   let winner: HashedCandidate | undefined;
   let best = -1;
--- a/src/core/ownership/share-division.ts
+++ b/src/core/ownership/share-division.ts
@@ -1,20 +1,20 @@
-/** How a granter divides a limit among the holders that ask it. Pure functions of what it knows. */
+/** How a granter divides a connection limit among the holders. Pure functions of their requests and shares. */
 
-/** What a granter knows of the other holders when it divides the connections. */
+/** What a granter knows of a holder other than the requesting one. */
 export interface OtherHolder {
   readonly wanted: number;
   readonly needed: number;
   readonly inUse: number;
-  /** The most that it may believe to have. */
+  /** Maximum number of connections that it may assume it has. */
   readonly held: number;
-  /** What the granter left to it of what it used when the limit was last lowered. */
-  readonly loweredTo: number | undefined;
+  /** Connections that remained to it, of those in use, when the limit was last lowered. */
+  readonly loweredShare: number | undefined;
 }
 
-/** What a granter knows when it divides the connections. */
+/** Input of a division. */
 export interface DivisionInput {
   readonly leasable: number;
-  /** What the asking holder wants, needs, has, and uses. */
+  /** Connections that the requesting holder wants, needs, holds, and uses. */
   readonly wanted: number;
   readonly needed: number;
   readonly holding: number;
@@ -22,10 +22,10 @@
   readonly others: readonly OtherHolder[];
 }
 
-/** Connections for the asking holder; the granter never lets them exceed what is free. */
+/** Computes the requesting holder's connections; the granter caps the result at what is available. */
 export type ShareDivision = (input: DivisionInput) => number;
 
-/** An equal share to each holder, and beyond it what the others don't want. */
+/** Gives each holder an equal share, and in addition the connections that the others don't want. */
 export function divideEvenly({ leasable, others }: DivisionInput): number {
   const fair = Math.floor(leasable / (others.length + 1));
   const claimed = others.reduce((sum, { wanted }) => sum + Math.min(wanted, fair), 0);
@@ -33,8 +33,8 @@
 }
 
 /**
- * What is in use stays with its holder. Needs come first, each up to an equal share; reserves are
- * given only from what nobody needs.
+ * Connections in use stay with their holder. Needs come first, each up to an equal share; reserves are
+ * granted only from connections that no holder needs.
  */
 export function divideKeepingInUse(input: DivisionInput): number {
   const { leasable, needed, holding, inUse, others } = input;
@@ -46,30 +46,30 @@
   return Math.max(forNeeds + reserve, Math.min(inUse, holding));
 }
 
-/** Only after the limit was lowered. */
+/** True if the holders have more than the leasable connections, which happens only after the limit was lowered. */
 export function isOverLimit(input: DivisionInput): boolean {
-  return input.holding > unheldOf(input);
+  return input.holding > unheldConnections(input);
 }
 
-function unheldOf({ leasable, others }: DivisionInput): number {
+function unheldConnections({ leasable, others }: DivisionInput): number {
   return others.reduce((left, { held }) => left - held, leasable);
 }
 
-/** Connections that the asking holder may have beside the others. */
-export function freeOf(input: DivisionInput, loweredTo = 0): number {
-  const unheld = unheldOf(input);
-  return isOverLimit(input) ? Math.max(unheld, Math.min(input.holding, loweredTo)) : unheld;
+/** Maximum number of connections for the requesting holder, given what the others hold. */
+export function availableConnections(input: DivisionInput, loweredShare = 0): number {
+  const unheld = unheldConnections(input);
+  return isOverLimit(input) ? Math.max(unheld, Math.min(input.holding, loweredShare)) : unheld;
 }
 
 /**
- * The asking holder's part of a limit that is lower than what is out: in proportion to what is in
- * use, and beside what the others were left or will be left.
+ * The requesting holder's share of a limit that is lower than the connections held: proportional to the
+ * connections in use, and without those that remain or will remain to the other holders.
  */
-export function partOfLoweredLimit({ leasable, inUse, others }: DivisionInput): number {
+export function shareOfLoweredLimit({ leasable, inUse, others }: DivisionInput): number {
   const allInUse = others.reduce((sum, other) => sum + other.inUse, inUse);
   const partOf = (used: number): number => (allInUse === 0 ? 0 : (used * leasable) / allInUse);
   const leftToOthers = others.reduce(
-    (sum, other) => sum + (other.loweredTo ?? Math.floor(partOf(other.inUse))),
+    (sum, other) => sum + (other.loweredShare ?? Math.floor(partOf(other.inUse))),
     0,
   );
   return Math.max(0, Math.min(inUse, Math.ceil(partOf(inUse)), leasable - leftToOthers));
--- a/src/core/ownership/watch-readers.ts
+++ b/src/core/ownership/watch-readers.ts
@@ -1,45 +1,46 @@
 /**
- * Which nodes read the store for the others. In a large fleet two nodes follow it, two of each other zone follow these,
- * and all others the two of their zone, so that its calls grow neither with the nodes nor with the zones. The readers of
- * the zones are named by the leader; every node derives from them which two follow the store.
+ * Selects the nodes that read the store for the others (readers). In a large fleet two nodes watch the store itself,
+ * two nodes of each other zone watch through these, and all others through the two of their zone, so that the number
+ * of store calls grows neither with the nodes nor with the zones. The leader publishes the readers of all zones; every
+ * node derives from them which two watch the store.
  */
-import { nextRoster, type ReachableNode } from './owner-roster.js';
+import { computeRoster, type ReachableNode } from './owner-roster.js';
 
-/** Two, so that the loss of one delays nothing. */
+/** Two, so that the failure of one causes no delay. */
 const READERS_PER_ZONE = 2;
-/** The same: both polls must be lost before anyone else has to ask the store. */
-const READERS_OF_STORE = 2;
-/** Below this size each node reads the store by itself: there is little to spare. */
-export const SMALLEST_READER_FLEET = 24;
-/** A fleet that has readers keeps them down to this size: many nodes may restart at once. */
-const SMALLEST_FLEET_KEPT = 12;
+/** Two for the same reason: only if the polls of both fail does another node have to query the store. */
+const STORE_READER_COUNT = 2;
+/** In a smaller fleet each node reads the store itself, since readers would save few calls. */
+export const MIN_FLEET_WITH_READERS = 24;
+/** A fleet that has readers keeps them down to this size, since many nodes may restart at once. */
+const MIN_FLEET_KEEPING_READERS = 12;
 
 /** A node that may read for others. */
 export interface ReaderCandidate extends ReachableNode {
-  /** What its link carries; 0 if it does not tell. */
+  /** Bandwidth of its network link; 0 if it does not report one. */
   readonly linkMbps: number;
 }
 
 /**
- * The readers that follow `previous`, of these live nodes; none in a small fleet. Each change goes from a reader to all
- * nodes of its zone, and what its own callers say waits behind that: nodes with the fastest links go first.
+ * The new readers, chosen from the live nodes; readers among `previous` are preferred. None in a small fleet. A reader
+ * sends each change to all nodes of its zone, and its own callers' traffic waits behind that; so only nodes with the
+ * fastest links of their zone are chosen.
  */
-export function nextReaders(
+export function selectReaders(
   previous: readonly ReachableNode[],
   live: readonly ReaderCandidate[],
-  smallestFleet = SMALLEST_READER_FLEET,
+  minFleet = MIN_FLEET_WITH_READERS,
 ): readonly ReachableNode[] {
-  const smallest =
-    previous.length > 0 ? Math.min(smallestFleet, SMALLEST_FLEET_KEPT) : smallestFleet;
-  if (live.length < smallest) return [];
+  const minNodes = previous.length > 0 ? Math.min(minFleet, MIN_FLEET_KEEPING_READERS) : minFleet;
+  if (live.length < minNodes) return [];
   const zones = new Set(live.map(({ zone }) => zone));
   const fastest = [...zones].flatMap((zone) =>
     fastestOf(live.filter((node) => node.zone === zone)),
   );
-  return nextRoster(previous, fastest, READERS_PER_ZONE * zones.size);
+  return computeRoster(previous, fastest, READERS_PER_ZONE * zones.size);
 }
 
-/** Nodes of a zone whose links are no slower than those of its fastest few. */
+/** Nodes of a zone whose links are at least as fast as the slowest of its `READERS_PER_ZONE` fastest. */
 function fastestOf(nodes: readonly ReaderCandidate[]): readonly ReachableNode[] {
   const links = nodes.map(({ linkMbps }) => linkMbps).sort((left, right) => right - left);
   const slowest = links[READERS_PER_ZONE - 1] ?? 0;
@@ -48,15 +49,16 @@
     .map(({ linkMbps: _linkMbps, ...node }) => node);
 }
 
-/** Through whom a node follows the store. */
+/** How a node watches the store. */
 export type ReadersOfNode =
-  /** It follows the store itself, and tells others. */
+  /** It watches the store itself, and relays changes to other nodes. */
   | { readonly type: 'self' }
-  /** It follows readers of other zones, and tells its own. */
+  /** It watches through the two readers of the store, and relays changes to its zone. */
   | { readonly type: 'relay'; readonly readers: readonly ReachableNode[] }
+  /** It watches through the readers of its zone. */
   | { readonly type: 'others'; readonly readers: readonly ReachableNode[] };
 
-/** The readers that a node follows. */
+/** The readers through which a node watches the store. */
 export function readersOf(
   node: Pick<ReachableNode, 'nodeId' | 'zone'>,
   readers: readonly ReachableNode[],
@@ -64,12 +66,12 @@
   const isNode = ({ nodeId }: ReachableNode): boolean => nodeId === node.nodeId;
   const inZone = readers.filter(({ zone }) => zone === node.zone);
   if (!inZone.some(isNode)) return { type: 'others', readers: inZone };
-  const ofStore = readersOfStore(readers);
+  const ofStore = storeReaders(readers);
   return ofStore.some(isNode) ? { type: 'self' } : { type: 'relay', readers: ofStore };
 }
 
-/** The readers that a node may follow besides, while neither its own nor the store serve it. */
-export function furtherReadersOf(
+/** The other readers, which a node may use while neither its own readers nor the store serve it. */
+export function fallbackReadersOf(
   node: Pick<ReachableNode, 'nodeId' | 'zone'>,
   readers: readonly ReachableNode[],
 ): readonly ReachableNode[] {
@@ -78,10 +80,10 @@
   return readers.filter((reader) => reader.nodeId !== node.nodeId && !followed.includes(reader));
 }
 
-/** One of each of the first zones by name, so that the loss of a reader moves no other; two where there is one zone. */
-function readersOfStore(readers: readonly ReachableNode[]): readonly ReachableNode[] {
+/** One of each of the first zones by name, so that the failure of a reader moves no other; two if there is one zone. */
+function storeReaders(readers: readonly ReachableNode[]): readonly ReachableNode[] {
   const zones = [...new Set(readers.map(({ zone }) => zone))].sort();
   const firsts = zones.flatMap((zone) => readers.find((reader) => reader.zone === zone) ?? []);
   const others = readers.filter((reader) => !firsts.includes(reader));
-  return [...firsts, ...others].slice(0, READERS_OF_STORE);
+  return [...firsts, ...others].slice(0, STORE_READER_COUNT);
 }
--- a/src/core/promotion/duty-store.ts
+++ b/src/core/promotion/duty-store.ts
@@ -5,7 +5,7 @@
 import type { InstanceEntry } from '../../direct/contract.js';
 import type { KeyValue } from '../../platform/contract.js';
 import type { ReachableNode } from '../ownership/owner-roster.js';
-import { type ReaderCandidate, SMALLEST_READER_FLEET } from '../ownership/watch-readers.js';
+import { MIN_FLEET_WITH_READERS, type ReaderCandidate } from '../ownership/watch-readers.js';
 import { laterPosition, type Position } from '../position.js';
 import type { Milliseconds } from '../units.js';
 import type { Election } from './election.js';
@@ -264,7 +264,7 @@
   #mayTellLater(members: readonly InstanceEntry[]): boolean {
     if (this.runtime.now - this.#begunAt >= FIRST_MEMBERS_MS) return false;
     const areAllPresent = members.every(({ id }) => this.primaries.isPresent(id));
-    return areAllPresent && this.liveNodes() >= SMALLEST_READER_FLEET;
+    return areAllPresent && this.liveNodes() >= MIN_FLEET_WITH_READERS;
   }
 
   /** @param gone nodes that must have no lease, for the record to be written */
--- a/src/core/promotion/fleet-publisher.ts
+++ b/src/core/promotion/fleet-publisher.ts
@@ -5,13 +5,13 @@
 import type { ServiceDescription } from '../../direct/contract.js';
 import { type ConnectionSharing, SharingDecision } from '../ownership/connection-sharing.js';
 import {
-  nextRoster,
+  areSameOwners,
+  areSameRosters,
+  computeRoster,
   type OwnerRoster,
   type ReachableNode,
-  sameOwners,
-  sameRoster,
 } from '../ownership/owner-roster.js';
-import { nextReaders } from '../ownership/watch-readers.js';
+import { selectReaders } from '../ownership/watch-readers.js';
 import { maxFleetWithoutReturnOwners } from '../return/returning-fleet.js';
 import {
   FIRST_KEEPERS_MS,
@@ -86,7 +86,7 @@
     if (sharing.type === 'direct') {
       return { nodes, readers, keepers, returnOwners: this.#returnOwners(published, nodes) };
     }
-    const roster = nextRoster(published?.owners?.nodes ?? [], this.store.reachableNodes());
+    const roster = computeRoster(published?.owners?.nodes ?? [], this.store.reachableNodes());
     // Without a node that others reach there is no other way than each for itself.
     if (roster.length === 0) return { nodes, readers, keepers };
     const owners = { ownersPerInstance: sharing.ownersPerInstance, nodes: roster };
@@ -105,7 +105,7 @@
       this.runtime.now,
     );
     if (sharing.type === 'direct') return undefined;
-    const roster = nextRoster(before?.nodes ?? [], this.store.reachableNodes());
+    const roster = computeRoster(before?.nodes ?? [], this.store.reachableNodes());
     const { ownersPerInstance } = sharing;
     return roster.length === 0 ? undefined : { ownersPerInstance, nodes: roster };
   }
@@ -113,7 +113,7 @@
   #readers(published: FleetRecord | undefined): readonly ReachableNode[] | undefined {
     const { smallestReaderFleet } = this.runtime.options;
     const live = this.store.possibleReaders();
-    const readers = nextReaders(published?.readers ?? [], live, smallestReaderFleet);
+    const readers = selectReaders(published?.readers ?? [], live, smallestReaderFleet);
     return readers.length === 0 ? undefined : readers;
   }
 
@@ -168,7 +168,9 @@
 
 function sameFleet(left: FleetRecord, right: FleetRecord): boolean {
   if (left.nodes !== right.nodes) return false;
-  if (!sameRoster(left.readers ?? [], right.readers ?? [])) return false;
+  if (!areSameRosters(left.readers ?? [], right.readers ?? [])) return false;
   if (!sameKeepers(left.keepers, right.keepers)) return false;
-  return sameOwners(left.owners, right.owners) && sameOwners(left.returnOwners, right.returnOwners);
+  return (
+    areSameOwners(left.owners, right.owners) && areSameOwners(left.returnOwners, right.returnOwners)
+  );
 }
--- a/src/core/tenancy/quota-keepers.ts
+++ b/src/core/tenancy/quota-keepers.ts
@@ -3,7 +3,7 @@
  * of them, so that most of it is there while a part has no keeper. A part goes to another node only once the lease of
  * its keeper is over at the store: until then the keeper may give out what the other one would give once more.
  */
-import { type ReachableNode, sameRoster } from '../ownership/owner-roster.js';
+import { areSameRosters, type ReachableNode } from '../ownership/owner-roster.js';
 import type { Milliseconds } from '../units.js';
 
 /** Parts; the loss of a node leaves every fourth tenant with two thirds of its quota for some seconds. */
@@ -116,5 +116,5 @@
 
 /** Whether both name the same nodes for the same parts. */
 export function sameKeepers(left: QuotaKeepers = [], right: QuotaKeepers = []): boolean {
-  return sameRoster(left, right);
+  return areSameRosters(left, right);
 }
--- a/src/direct/readers/reader-store.ts
+++ b/src/direct/readers/reader-store.ts
@@ -5,7 +5,7 @@
 import type { ResultAsync } from 'neverthrow';
 import type { ReachableNode } from '../../core/ownership/owner-roster.js';
 import {
-  furtherReadersOf,
+  fallbackReadersOf,
   type ReadersOfNode,
   readersOf,
 } from '../../core/ownership/watch-readers.js';
@@ -167,7 +167,7 @@
     if (readers === this.#readers) return;
     this.#readers = readers;
     this.#readersOfNode = readersOf(this.options.node, readers);
-    const further = furtherReadersOf(this.options.node, readers);
+    const further = fallbackReadersOf(this.options.node, readers);
     for (const followed of this.#prefixes.values()) {
       followed.setReaders(this.#readersOfNode, further);
     }
--- a/src/direct/relay/relay-host.ts
+++ b/src/direct/relay/relay-host.ts
@@ -1,5 +1,5 @@
 /** Starts the relay when the fleet gets owners, and tells who owns an instance. */
-import { type OwnerRoster, sameOwners } from '../../core/ownership/owner-roster.js';
+import { areSameOwners, type OwnerRoster } from '../../core/ownership/owner-roster.js';
 import type { Milliseconds } from '../../core/units.js';
 import type { InstanceEntry } from '../contract.js';
 import type { InstanceOwnership } from './contract.js';
@@ -32,7 +32,7 @@
    * @param isInForce false if this node connects by itself, and lends to those that come back
    */
   update(roster: OwnerRoster | undefined, isInForce = true): void {
-    if (sameOwners(roster, this.#wanted) && isInForce === this.#isInForce) return;
+    if (areSameOwners(roster, this.#wanted) && isInForce === this.#isInForce) return;
     this.#wanted = roster;
     this.#isInForce = isInForce;
     if (roster === undefined || this.#relay !== undefined) this.#apply();
--- a/src/direct/relay/relay.ts
+++ b/src/direct/relay/relay.ts
@@ -3,7 +3,7 @@
  * those of the others. Loaded only in fleets with owners, since a start costs time.
  */
 import { createHash } from 'node:crypto';
-import { mayConnect, ownersOf, preferenceOf } from '../../core/ownership/instance-owners.js';
+import { mayConnect, ownersByPreference, ownersOf } from '../../core/ownership/instance-owners.js';
 import type { OwnerRoster } from '../../core/ownership/owner-roster.js';
 import type { Hash64 } from '../../core/ownership/rendezvous.js';
 import type { Milliseconds } from '../../core/units.js';
@@ -61,8 +61,8 @@
     if (mayConnect(owners, nodeName)) return { isOwned: true, lender: undefined };
     const lender = new OwnerLessor({
       ...{ instance, counters, now, transport: this.#transport, health: this.#health },
-      owners: preferenceOf(owners, nodeName, hash64),
-      ownersFor: (account) => preferenceOf(owners, account, hash64),
+      owners: ownersByPreference(owners, nodeName, hash64),
+      ownersFor: (account) => ownersByPreference(owners, account, hash64),
     });
     return { isOwned: false, lender };
   }
--- a/src/direct/service-runtime.ts
+++ b/src/direct/service-runtime.ts
@@ -1,7 +1,7 @@
 /** One database group as this node uses it: a pool for each instance, and what is known of its log. */
 import { connectionsPerOwner, RESERVED_CONNECTIONS } from '../core/ownership/connection-sharing.js';
 import type { OwnerRoster } from '../core/ownership/owner-roster.js';
-import { UNSETTLED_SHARE, unsettledConnections } from '../core/ownership/unsettled-share.js';
+import { UNSETTLED_FRACTION, unsettledConnections } from '../core/ownership/unsettled-share.js';
 import type { ReadCandidate } from '../core/placement/expected-time.js';
 import type { Position } from '../core/position.js';
 import { isOtherIncarnation } from '../core/promotion/incarnations.js';
@@ -250,7 +250,7 @@
     const { isByTenant } = this.options;
     const share = connectionsPerOwner(owners, this.#maxConnections, isByTenant?.());
     const isSettled = this.options.now() - state.ownedSince >= SETTLED_MS;
-    const ownedLimit = isSettled ? share : Math.ceil(share * UNSETTLED_SHARE);
+    const ownedLimit = isSettled ? share : Math.ceil(share * UNSETTLED_FRACTION);
     const limit = state.isOwned ? ownedLimit : 0;
     state.pool.setLimit(limit, limit, owners, state.isOwned);
   }
--- a/src/node/limits/allocator-service.ts
+++ b/src/node/limits/allocator-service.ts
@@ -11,7 +11,7 @@
 import { type AllocatorEffect, TenantAllocator } from '../../core/limits/tenant-allocator.js';
 import type { TenantShareRequest } from '../../core/limits/tenant-shares.js';
 import { VoterSets } from '../../core/limits/voter-sets.js';
-import type { ShareAnswer } from '../../core/ownership/budget-lease.js';
+import type { ShareResponse } from '../../core/ownership/budget-lease.js';
 import type { Hash64, OwnerCandidate } from '../../core/ownership/rendezvous.js';
 import type { TenantName } from '../../core/request.js';
 import type { Milliseconds } from '../../core/units.js';
@@ -89,7 +89,7 @@
     });
   }
 
-  answer({ tenant, request }: TenantShareRequest): ShareAnswer {
+  answer({ tenant, request }: TenantShareRequest): ShareResponse {
     const now = this.#options.now();
     const isFirst = this.#options.nodes.allocatorOf(tenant) === this.#options.nodeId;
     const running = this.#running.get(tenant) ?? (isFirst ? this.#start(tenant, now) : undefined);
--- a/src/node/limits/messages.ts
+++ b/src/node/limits/messages.ts
@@ -2,7 +2,7 @@
 import { z } from 'zod';
 import { MeadowstackError } from '../../core/errors.js';
 import type { Vote } from '../../core/limits/election.js';
-import type { ShareAnswer, ShareRequest } from '../../core/ownership/budget-lease.js';
+import type { ShareRequest, ShareResponse } from '../../core/ownership/budget-lease.js';
 
 /** Asks a voter for its vote. */
 export const VOTE_METHOD = 'limits.vote';
@@ -29,7 +29,7 @@
   term: z.union([name, z.undefined()]),
 });
 
-const shareAnswer: z.ZodType<ShareAnswer> = z.discriminatedUnion('type', [
+const shareAnswer: z.ZodType<ShareResponse> = z.discriminatedUnion('type', [
   z.object({
     type: z.literal('granted'),
     number: count,
--- a/src/node/limits/peer-client.ts
+++ b/src/node/limits/peer-client.ts
@@ -4,7 +4,7 @@
 import type { MeadowstackError } from '../../core/errors.js';
 import type { Vote } from '../../core/limits/election.js';
 import type { TenantShareRequest } from '../../core/limits/tenant-shares.js';
-import type { ShareAnswer, ShareRequest } from '../../core/ownership/budget-lease.js';
+import type { ShareRequest, ShareResponse } from '../../core/ownership/budget-lease.js';
 import type { TenantName } from '../../core/request.js';
 import type { PeerTransport, WireValue } from '../../peer/contract.js';
 import {
@@ -48,7 +48,7 @@
   askShares(
     nodeId: string,
     requests: readonly TenantShareRequest[],
-  ): ResultAsync<readonly ShareAnswer[], MeadowstackError> {
+  ): ResultAsync<readonly ShareResponse[], MeadowstackError> {
     return this.#call(nodeId, SHARE_METHOD, { requests }, shareAnswersSchema).map(
       ({ answers }) => answers,
     );
--- a/src/node/owner-directory.ts
+++ b/src/node/owner-directory.ts
@@ -105,7 +105,7 @@
 
   /** An owner refused because it no longer owns the group. */
   onRefused(group: GroupName): void {
-    this.#routes.onRedirect(group);
+    this.#routes.handleRedirect(group);
   }
 
   handles(method: string): boolean {
@@ -126,7 +126,7 @@
   #apply(changes: readonly OwnersChange[]): void {
     const now = this.#options.now();
     for (const change of changes) {
-      this.#routes.onOwnersChanged(change, now);
+      this.#routes.handleOwnersChanged(change, now);
       this.#handle({ type: 'owners-changed', change });
     }
   }
--- a/test/property/connection-sharing.test.ts
+++ b/test/property/connection-sharing.test.ts
@@ -13,13 +13,13 @@
 import {
   type InstanceOwners,
   mayConnect,
+  ownersByPreference,
   ownersOf,
-  preferenceOf,
 } from '../../src/core/ownership/instance-owners.js';
 import {
-  nextRoster,
+  areSameRosters,
+  computeRoster,
   type ReachableNode,
-  sameRoster,
 } from '../../src/core/ownership/owner-roster.js';
 
 const SEED = 20261202;
@@ -124,7 +124,7 @@
       assert.is(known.owners.length, Math.min(count, nodes.length));
       for (const node of nodes) {
         assert.is(mayConnect(known, node.nodeId), holders(known).includes(node));
-        const preferred = preferenceOf(known, node.nodeId, hash);
+        const preferred = ownersByPreference(known, node.nodeId, hash);
         assert.equal(new Set(preferred), new Set(holders(known)));
         assert.is(preferred.at(-1), known.spare ?? preferred.at(-1));
       }
@@ -152,9 +152,9 @@
   fc.assert(
     fc.property(nodeSets, nodeSets, (first, second) => {
       const size = 30;
-      const before = nextRoster([], first.map(nodeOf), size);
+      const before = computeRoster([], first.map(nodeOf), size);
       const live = second.map(nodeOf);
-      const after = nextRoster(before, live, size);
+      const after = computeRoster(before, live, size);
       const perZone = size / ZONES.length;
       for (const zone of ZONES) {
         const inZone = live.filter((node) => node.zone === zone).length;
@@ -167,16 +167,16 @@
       const liveIds = new Set(live.map(({ nodeId }) => nodeId));
       const staying = before.filter(({ nodeId }) => liveIds.has(nodeId));
       for (const node of staying) assert.ok(after.some(({ nodeId }) => nodeId === node.nodeId));
-      assert.ok(sameRoster(nextRoster(after, [...live].reverse(), size), after));
+      assert.ok(areSameRosters(computeRoster(after, [...live].reverse(), size), after));
     }),
     RUNS,
   );
 });
 
 test('a node that comes back at another address is listed there', () => {
-  const before = nextRoster([], [nodeOf(1), nodeOf(2)]);
+  const before = computeRoster([], [nodeOf(1), nodeOf(2)]);
   const moved = { ...nodeOf(1), host: '10.9.9.9' };
-  assert.equal(nextRoster(before, [moved, nodeOf(2)]), [moved, nodeOf(2)]);
+  assert.equal(computeRoster(before, [moved, nodeOf(2)]), [moved, nodeOf(2)]);
 });
 
 test.run();
--- a/test/property/return-of-fleet.test.ts
+++ b/test/property/return-of-fleet.test.ts
@@ -9,7 +9,10 @@
   connectionsPerOwner,
   SharingDecision,
 } from '../../src/core/ownership/connection-sharing.js';
-import { UNSETTLED_SHARE, unsettledConnections } from '../../src/core/ownership/unsettled-share.js';
+import {
+  UNSETTLED_FRACTION,
+  unsettledConnections,
+} from '../../src/core/ownership/unsettled-share.js';
 import { maxFleetWithoutReturnOwners } from '../../src/core/return/returning-fleet.js';
 import { SimulatedClock } from '../support/promotion/clock.js';
 
@@ -146,7 +149,7 @@
   }
   const owners = sharing.ownersPerInstance;
   const share = connectionsPerOwner(owners, MAX_CONNECTIONS);
-  const limit = Math.ceil(share * UNSETTLED_SHARE);
+  const limit = Math.ceil(share * UNSETTLED_FRACTION);
   return { holders: owners, limit, hopMs: HOP_MS };
 }
 
--- a/test/property/watch-readers.test.ts
+++ b/test/property/watch-readers.test.ts
@@ -5,7 +5,7 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { ReachableNode } from '../../src/core/ownership/owner-roster.js';
-import { furtherReadersOf, readersOf } from '../../src/core/ownership/watch-readers.js';
+import { fallbackReadersOf, readersOf } from '../../src/core/ownership/watch-readers.js';
 import type { Milliseconds } from '../../src/core/units.js';
 import { seededRandom } from '../support/random.js';
 import { MAX_AGE_MS, PREFIX, ReaderNetwork, type VirtualNode } from '../support/reader-network.js';
@@ -23,7 +23,7 @@
 
 function nameReaders(network: ReaderNetwork, readers: readonly ReachableNode[]): void {
   for (const { followed, place } of network.nodes) {
-    followed.setReaders(readersOf(place, readers), furtherReadersOf(place, readers));
+    followed.setReaders(readersOf(place, readers), fallbackReadersOf(place, readers));
   }
 }
 
--- a/test/support/budget-network.ts
+++ b/test/support/budget-network.ts
@@ -7,8 +7,8 @@
 import {
   type BudgetLeaseOptions,
   DEFAULT_BUDGET_LEASE_OPTIONS,
-  type ShareAnswer,
   type ShareRequest,
+  type ShareResponse,
 } from '../../src/core/ownership/budget-lease.js';
 import { seededRandom } from './random.js';
 
@@ -116,8 +116,8 @@
   }
 
   #answer(granter: BudgetNode, to: BudgetNode, request: ShareRequest): void {
-    const answer: ShareAnswer = granter.granter.answer(request, granter.clock(this.now));
-    this.#post(to, () => to.holder.receive(answer, to.clock(this.now)));
+    const answer: ShareResponse = granter.granter.answer(request, granter.clock(this.now));
+    this.#post(to, () => to.holder.receiveResponse(answer, to.clock(this.now)));
   }
 
   #useInstance(node: BudgetNode, sentAt: number): void {
--- a/test/unit/allocator-service.test.ts
+++ b/test/unit/allocator-service.test.ts
@@ -4,7 +4,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { DEFAULT_TENANT_LEASE_OPTIONS } from '../../src/core/limits/lease-options.js';
-import type { ShareAnswer } from '../../src/core/ownership/budget-lease.js';
+import type { ShareResponse } from '../../src/core/ownership/budget-lease.js';
 import { loadHash64 } from '../../src/core/ownership/hash.js';
 import { AllocatorService } from '../../src/node/limits/allocator-service.js';
 import { parseCall, VOTE_METHOD, voteRequestSchema } from '../../src/node/limits/messages.js';
@@ -70,13 +70,13 @@
   }
 
   /** Asks as the only holder; a first refusal tells the term. */
-  ask(use: { holding: number; inUse: number }): ShareAnswer {
+  ask(use: { holding: number; inUse: number }): ShareResponse {
     const refused = this.#ask(use, undefined);
     if (refused.type === 'granted') return refused;
     return this.#ask(use, refused.term);
   }
 
-  #ask(use: { holding: number; inUse: number }, term: string | undefined): ShareAnswer {
+  #ask(use: { holding: number; inUse: number }, term: string | undefined): ShareResponse {
     this.#requests += 1;
     const request = { holder: 'proxy-2#1/1', number: this.#requests, wanted: USED, needed: USED };
     return this.#service.answer({ tenant: TENANT, request: { ...request, ...use, term } });
--- a/test/unit/budget-lease.test.ts
+++ b/test/unit/budget-lease.test.ts
@@ -69,7 +69,7 @@
 test('a share counts from when its request was sent, not from the answer', () => {
   const holder = new BudgetHolder('h', OPTIONS);
   const { number } = holder.request(1000);
-  holder.receive(
+  holder.receiveResponse(
     { type: 'granted', number, connections: 5, mayGrowSoon: false },
     1000 + leaseMs - 1,
   );
@@ -81,9 +81,9 @@
   const granter = granterAt(LAPSE_MS);
   const leasable = leasableConnections(LIMIT, OPTIONS);
   granter.answer(request({ wanted: LIMIT }), LAPSE_MS);
-  assert.is(granter.outstanding(LAPSE_MS), leasable);
+  assert.is(granter.outstandingConnections(LAPSE_MS), leasable);
   granter.answer(request({ number: 2, wanted: 0, holding: 0 }), LAPSE_MS);
-  assert.is(granter.outstanding(LAPSE_MS), 0);
+  assert.is(granter.outstandingConnections(LAPSE_MS), 0);
 });
 
 test('what is not leased is divided among the owners, one connection at least', () => {
@@ -96,13 +96,13 @@
   const holder = new BudgetHolder('h', OPTIONS);
   const grant = (connections: number, at: number): void => {
     const { number } = holder.request(at);
-    holder.receive({ type: 'granted', number, connections, mayGrowSoon: false }, at);
+    holder.receiveResponse({ type: 'granted', number, connections, mayGrowSoon: false }, at);
   };
   grant(10, 1000);
   holder.setInUse(3);
   const { number } = holder.request(2000);
   holder.setInUse(7);
-  holder.receive({ type: 'granted', number, connections: 4, mayGrowSoon: false }, 2001);
+  holder.receiveResponse({ type: 'granted', number, connections: 4, mayGrowSoon: false }, 2001);
   assert.is(holder.connections(2001), 7);
   assert.ok(holder.nextRequestAt() <= 2001);
   assert.is(holder.connections(1000 + leaseMs), 0, 'not beyond the end of the old share');
@@ -113,7 +113,7 @@
   const holder = new BudgetHolder('h', OPTIONS);
   holder.setInUse(5);
   const { number } = holder.request(1000);
-  holder.receive({ type: 'granted', number, connections: 2, mayGrowSoon: false }, 1001);
+  holder.receiveResponse({ type: 'granted', number, connections: 2, mayGrowSoon: false }, 1001);
   assert.is(holder.connections(1001), 2);
 });
 
--- a/test/unit/hand-over.test.ts
+++ b/test/unit/hand-over.test.ts
@@ -78,19 +78,19 @@
 
 test('a gateway uses an owner that stays first, a newcomer after the redirect', () => {
   const routes = new GroupRoutes(1000, () => true);
-  routes.onOwnersChanged(START, 0);
+  routes.handleOwnersChanged(START, 0);
   assert.equal(routes.routeOf(GROUP, 0), ['a', 'b']);
-  routes.onOwnersChanged({ group: GROUP, previous: ['a', 'b'], owners: ['c', 'a'] }, 5000);
+  routes.handleOwnersChanged({ group: GROUP, previous: ['a', 'b'], owners: ['c', 'a'] }, 5000);
   assert.equal(routes.routeOf(GROUP, 5001), ['a', 'c']);
-  routes.onRedirect(GROUP);
+  routes.handleRedirect(GROUP);
   assert.equal(routes.routeOf(GROUP, 5002), ['c', 'a']);
 });
 
 test('a gateway stays with live former owners if none stays, and leaves them in time', () => {
   const dead = new Set<string>();
   const routes = new GroupRoutes(1000, (nodeId) => !dead.has(nodeId));
-  routes.onOwnersChanged(START, 0);
-  routes.onOwnersChanged({ group: GROUP, previous: ['a', 'b'], owners: ['c', 'd'] }, 5000);
+  routes.handleOwnersChanged(START, 0);
+  routes.handleOwnersChanged({ group: GROUP, previous: ['a', 'b'], owners: ['c', 'd'] }, 5000);
   assert.equal(routes.routeOf(GROUP, 5500), ['a', 'b', 'c', 'd']);
   dead.add('a');
   assert.equal(routes.routeOf(GROUP, 5500), ['b', 'c', 'd']);
--- a/test/unit/watch-readers.test.ts
+++ b/test/unit/watch-readers.test.ts
@@ -6,9 +6,9 @@
 import { WatchHistory } from '../../src/core/directory/watch-history.js';
 import type { ReachableNode } from '../../src/core/ownership/owner-roster.js';
 import {
-  nextReaders,
   type ReaderCandidate,
   readersOf,
+  selectReaders,
 } from '../../src/core/ownership/watch-readers.js';
 import { parseToldStretch, parseWatchRequest } from '../../src/direct/readers/messages.js';
 import type { WatchEvent } from '../../src/platform/contract.js';
@@ -35,37 +35,37 @@
 });
 
 test('a large fleet has two readers in each zone, a small one none', () => {
-  const readers = nextReaders([], fleet(['a', 'b', 'c'], 10));
+  const readers = selectReaders([], fleet(['a', 'b', 'c'], 10));
   assert.equal(
     readers.map(({ nodeId }) => nodeId),
     ['a-0', 'a-1', 'b-0', 'b-1', 'c-0', 'c-1'],
   );
-  assert.equal(nextReaders([], fleet(['a', 'b', 'c'], 7)), []);
+  assert.equal(selectReaders([], fleet(['a', 'b', 'c'], 7)), []);
 });
 
 test('readers stay while they live, also when half of the fleet restarts', () => {
   const all = fleet(['a', 'b'], 14);
   const before = [node('a', 5), node('a', 6), node('b', 5), node('b', 6)];
-  assert.equal(nextReaders(before, all), before);
+  assert.equal(selectReaders(before, all), before);
   const left = all.filter(({ nodeId }) => nodeId !== 'a-5').slice(0, 14);
-  const names = nextReaders(before, left).map(({ nodeId }) => nodeId);
+  const names = selectReaders(before, left).map(({ nodeId }) => nodeId);
   assert.ok(names.includes('a-6') && !names.includes('a-5'));
-  assert.equal(nextReaders(before, all.slice(0, 11)), []);
+  assert.equal(selectReaders(before, all.slice(0, 11)), []);
 });
 
 test('nodes with the fastest links of their zone read, also instead of slower ones that read before', () => {
   const slow = fleet(['a'], 24);
   const fast = [candidate(node('a', 30), 200), candidate(node('a', 31), 200)];
   const names = (nodes: readonly ReachableNode[]): string[] => nodes.map(({ nodeId }) => nodeId);
-  const before = nextReaders([], slow);
+  const before = selectReaders([], slow);
   assert.equal(names(before), ['a-0', 'a-1']);
-  const after = nextReaders(before, [...slow, ...fast]);
+  const after = selectReaders(before, [...slow, ...fast]);
   assert.equal(after, [node('a', 30), node('a', 31)]);
-  assert.equal(names(nextReaders(after, [...slow, ...fast.slice(1)])), ['a-0', 'a-31']);
+  assert.equal(names(selectReaders(after, [...slow, ...fast.slice(1)])), ['a-0', 'a-31']);
 });
 
 test('a node follows the readers of its zone, and a reader itself', () => {
-  const readers = nextReaders([], fleet(['a', 'b'], 12));
+  const readers = selectReaders([], fleet(['a', 'b'], 12));
   assert.equal(readersOf(node('a', 0), readers), { type: 'self' });
   assert.equal(readersOf(node('b', 9), readers), {
     type: 'others',
@@ -75,7 +75,7 @@
 });
 
 test('of all readers two of different zones follow the store, and the others these', () => {
-  const readers = nextReaders([], fleet(['c', 'a', 'b'], 12));
+  const readers = selectReaders([], fleet(['c', 'a', 'b'], 12));
   const ofStore = [node('a', 0), node('b', 0)];
   for (const reader of ofStore) assert.equal(readersOf(reader, readers), { type: 'self' });
   for (const relay of [node('a', 1), node('b', 1), node('c', 0), node('c', 1)]) {
@@ -84,7 +84,7 @@
   const left = readers.filter(({ nodeId }) => nodeId !== 'a-0');
   assert.equal(readersOf(node('a', 1), left), { type: 'self' });
   assert.equal(readersOf(node('b', 0), left), { type: 'self' }, 'stays');
-  const oneZone = nextReaders([], fleet(['a'], 24));
+  const oneZone = selectReaders([], fleet(['a'], 24));
   for (const reader of oneZone) assert.equal(readersOf(reader, oneZone), { type: 'self' });
 });
 
