--- a/scale/components/membership.ts
+++ b/scale/components/membership.ts
@@ -1,6 +1,6 @@
 /** One membership machine that knows a fleet of a given size. */
 import { DEFAULT_MEMBERSHIP_OPTIONS } from '../../src/core/membership/contract.js';
-import { MembershipMachine } from '../../src/core/membership/machine.js';
+import { MembershipStateMachine } from '../../src/core/membership/machine.js';
 import type { MemberUpdate } from '../../src/core/membership/member.js';
 import { rounded } from '../distribution.js';
 import type { NodePlace } from '../hollow-node.js';
@@ -48,11 +48,14 @@
   };
 }
 
-function machineThatKnows(places: readonly NodePlace[], random: () => number): MembershipMachine {
+function machineThatKnows(
+  places: readonly NodePlace[],
+  random: () => number,
+): MembershipStateMachine {
   const [self, ...others] = places;
   const place = self ?? { nodeId: 'self', zone: 'z', host: '10.0.0.1', peerPort: 1 };
   const { nodeId, zone, host, peerPort } = place;
-  const machine = new MembershipMachine(
+  const machine = new MembershipStateMachine(
     { nodeId, incarnation: INCARNATION, zone, host, peerPort },
     DEFAULT_MEMBERSHIP_OPTIONS,
     random,
--- a/scale/hollow-membership.ts
+++ b/scale/hollow-membership.ts
@@ -6,7 +6,7 @@
   SyncResponse,
 } from '../src/core/membership/contract.js';
 import { DEFAULT_MEMBERSHIP_OPTIONS, type ListedNode } from '../src/core/membership/contract.js';
-import { MembershipMachine, type SelfDescription } from '../src/core/membership/machine.js';
+import { MembershipStateMachine, type OwnMember } from '../src/core/membership/machine.js';
 import { SYNC_METHOD, SYNC_PUSH_METHOD } from '../src/node/membership/service.js';
 import {
   decodeDatagram,
@@ -43,7 +43,7 @@
 }
 
 export class HollowMembership {
-  readonly machine: MembershipMachine;
+  readonly machine: MembershipStateMachine;
   readonly #context: HollowContext;
   readonly #node: NetworkNode;
   readonly #listener: HollowMembershipListener;
@@ -53,13 +53,13 @@
   constructor(
     context: HollowContext,
     node: NetworkNode,
-    self: SelfDescription,
+    self: OwnMember,
     listener: HollowMembershipListener,
   ) {
     this.#context = context;
     this.#node = node;
     this.#listener = listener;
-    this.machine = new MembershipMachine(self, DEFAULT_MEMBERSHIP_OPTIONS, context.random);
+    this.machine = new MembershipStateMachine(self, DEFAULT_MEMBERSHIP_OPTIONS, context.random);
     this.#timer = new DeadlineTimer(
       context.clock,
       () => this.machine.nextDeadline(),
--- a/src/core/membership/anti-entropy.ts
+++ b/src/core/membership/anti-entropy.ts
@@ -1,13 +1,13 @@
 /**
- * Push-pull anti-entropy: two nodes compare one digest for each bucket of members and exchange the
- * buckets that differ, a bounded number of members at a time.
+ * Push-pull anti-entropy: two nodes compare one digest per bucket of members and exchange the members
+ * of the buckets that differ, a bounded number at a time.
  */
 import type { SyncPush, SyncRequest, SyncResponse } from './contract.js';
 import type { MemberUpdate } from './member.js';
 import { BUCKET_COUNT, type MemberTable } from './member-table.js';
 
-/** The answer to a request: whole buckets that differ, from its cursor on. */
-export function answerSync(
+/** Creates the response to a request: all members of the buckets that differ, from the cursor on. */
+export function createSyncResponse(
   table: MemberTable,
   sender: MemberUpdate,
   request: SyncRequest,
@@ -26,22 +26,22 @@
 }
 
 /**
- * What the asker has to tell after it took in the answer: its members of the buckets that still
- * differ. Undefined if there is nothing to tell.
+ * Creates what the requester sends back after it has applied the response: its members in the buckets
+ * that still differ. Undefined if there are none.
  */
-export function pushAfterAnswer(
+export function createSyncPush(
   table: MemberTable,
   sender: MemberUpdate,
-  answer: SyncResponse,
+  response: SyncResponse,
   cursor: number,
   maxMembers: number,
 ): SyncPush | undefined {
   const digests = table.digests();
   const byBucket = table.byBucket();
-  const end = answer.nextCursor ?? BUCKET_COUNT;
+  const end = response.nextCursor ?? BUCKET_COUNT;
   const updates: MemberUpdate[] = [];
   for (let bucket = cursor; bucket < end && updates.length < maxMembers; bucket += 1) {
-    if (digests[bucket] === answer.digests[bucket]) continue;
+    if (digests[bucket] === response.digests[bucket]) continue;
     updates.push(...(byBucket[bucket] ?? []));
   }
   return updates.length === 0 ? undefined : { sender, updates };
--- a/src/core/membership/deadlines.ts
+++ b/src/core/membership/deadlines.ts
@@ -1,7 +1,7 @@
-/** Deadlines of members: when a suspicion becomes a death, when a dead member is forgotten. */
+/** Deadlines of members: when a suspect is declared dead, and when a dead member is removed. */
 import type { Milliseconds } from '../units.js';
 
-/** Times by key, the earliest first. */
+/** Deadlines by node id. */
 export class Deadlines {
   readonly #deadlines = new Map<string, Milliseconds>();
 
@@ -28,7 +28,7 @@
     return due;
   }
 
-  /** Moves all deadlines, after this node itself was paused. */
+  /** Delays all deadlines, after this node itself was paused. */
   postpone(delay: Milliseconds): void {
     for (const [nodeId, deadline] of this.#deadlines) {
       this.#deadlines.set(nodeId, deadline + delay);
--- a/src/core/membership/dissemination.ts
+++ b/src/core/membership/dissemination.ts
@@ -1,15 +1,15 @@
 /**
- * Updates that still have to be spread. Each is sent a bounded number of times; those that were
- * never sent go first, the others take turns.
+ * Updates that still have to be disseminated. Each is sent a bounded number of times; updates that were
+ * never sent go first, the others in round-robin order.
  */
 import { type MemberUpdate, updateBytes } from './member.js';
 
 interface QueuedUpdate {
   readonly update: MemberUpdate;
-  readonly sent: number;
+  readonly sendCount: number;
 }
 
-/** Updates to be spread, the least often sent first. */
+/** Queue of updates to disseminate, unsent ones first. */
 export class DisseminationQueue {
   readonly #fresh = new Map<string, QueuedUpdate>();
   readonly #repeated = new Map<string, QueuedUpdate>();
@@ -25,7 +25,7 @@
   /** Queues an update in place of an older one about the same member. */
   add(update: MemberUpdate): void {
     this.remove(update.nodeId);
-    this.#fresh.set(update.nodeId, { update, sent: 0 });
+    this.#fresh.set(update.nodeId, { update, sendCount: 0 });
   }
 
   remove(nodeId: string): void {
@@ -33,18 +33,18 @@
     this.#repeated.delete(nodeId);
   }
 
-  /** Updates for one message, at most `maxBytes` encoded; each leaves after `maxSends` messages. */
+  /** Takes updates for one message, at most `maxBytes` encoded; each is removed after `maxSends` messages. */
   take(maxBytes: number, maxSends: number): MemberUpdate[] {
-    const chosen: QueuedUpdate[] = [];
+    const selected: QueuedUpdate[] = [];
     let bytes = 0;
     for (const queued of this.#inOrder()) {
       const size = updateBytes(queued.update);
       if (bytes + size > maxBytes) break;
       bytes += size;
-      chosen.push(queued);
+      selected.push(queued);
     }
-    for (const queued of chosen) this.#countSend(queued, maxSends);
-    return chosen.map((queued) => queued.update);
+    for (const queued of selected) this.#countSend(queued, maxSends);
+    return selected.map((queued) => queued.update);
   }
 
   *#inOrder(): IterableIterator<QueuedUpdate> {
@@ -54,8 +54,8 @@
 
   #countSend(queued: QueuedUpdate, maxSends: number): void {
     const { update } = queued;
-    const sent = queued.sent + 1;
+    const sendCount = queued.sendCount + 1;
     this.remove(update.nodeId);
-    if (sent < maxSends) this.#repeated.set(update.nodeId, { update, sent });
+    if (sendCount < maxSends) this.#repeated.set(update.nodeId, { update, sendCount: sendCount });
   }
 }
--- a/src/core/membership/machine-list-view.ts
+++ b/src/core/membership/machine-list-view.ts
@@ -1,4 +1,4 @@
-/** What the machine list says of proxies: seeds and leaving marks. It lags, so it never decides alone. */
+/** The proxies on the machine list: seeds and leaving marks. The list lags, so it never decides alone. */
 import type { Milliseconds } from '../units.js';
 import type { ListedNode } from './contract.js';
 
@@ -6,18 +6,18 @@
 export class MachineListView {
   readonly #selfId: string;
   #nodes = new Map<string, ListedNode>();
-  /** The list has shown this node as live in this life, so a leaving mark is meant for this life. */
-  #seenLive = false;
+  /** The list has shown this node as live in its current incarnation, so a leaving mark refers to this one. */
+  #wasListedLive = false;
 
   constructor(selfId: string) {
     this.#selfId = selfId;
   }
 
-  /** Takes the new list; returns the ids whose leaving mark has changed. */
+  /** Replaces the list; returns the ids whose leaving mark has changed. */
   replace(nodes: readonly ListedNode[]): string[] {
     const previous = this.#nodes;
     this.#nodes = new Map(nodes.map((node) => [node.nodeId, node]));
-    if (this.#nodes.get(this.#selfId)?.leaving === false) this.#seenLive = true;
+    if (this.#nodes.get(this.#selfId)?.leaving === false) this.#wasListedLive = true;
     const ids = new Set([...previous.keys(), ...this.#nodes.keys()]);
     return [...ids].filter((id) => isLeaving(previous.get(id)) !== this.isLeaving(id));
   }
@@ -26,7 +26,7 @@
     return isLeaving(this.#nodes.get(nodeId));
   }
 
-  /** Other nodes that the list calls live. */
+  /** Other nodes that are listed and not marked as leaving. */
   others(): ListedNode[] {
     return [...this.#nodes.values()].filter(
       (node) => node.nodeId !== this.#selfId && !node.leaving,
@@ -34,11 +34,11 @@
   }
 
   /**
-   * True if this node should begin its planned stop. A mark that was there before this life began
-   * may belong to an earlier life, so it must outlast the list's lag.
+   * True if this node should begin its graceful shutdown. A leaving mark that existed before this
+   * incarnation started may refer to an earlier one, so it must persist longer than the list's lag.
    */
-  tellsSelfToLeave(ageMs: Milliseconds, maxMachineListLagMs: Milliseconds): boolean {
-    return this.isLeaving(this.#selfId) && (this.#seenLive || ageMs >= maxMachineListLagMs);
+  shouldLeave(ageMs: Milliseconds, maxMachineListLagMs: Milliseconds): boolean {
+    return this.isLeaving(this.#selfId) && (this.#wasListedLive || ageMs >= maxMachineListLagMs);
   }
 }
 
--- a/src/core/membership/member-table.ts
+++ b/src/core/membership/member-table.ts
@@ -1,13 +1,13 @@
-/** All members known, by node id, with one digest for each bucket of node ids. */
+/** All known members by node id, with one digest per bucket of node ids. */
 import { hashText } from '../hash-text.js';
 import type { ZoneName } from '../request.js';
 import type { NodeAddress } from './contract.js';
 import { hashState, type MemberUpdate } from './member.js';
 
-/** Buckets of the digests: at 4,600 members a bucket holds 18. */
+/** Number of digest buckets: with 4,600 members, a bucket holds 18. */
 export const BUCKET_COUNT = 256;
 
-/** All members known, with digests by bucket. */
+/** All known members, with digests by bucket. */
 export class MemberTable {
   readonly #members = new Map<string, MemberUpdate>();
   readonly #digests = new Uint32Array(BUCKET_COUNT);
@@ -27,10 +27,10 @@
     return this.#members.values();
   }
 
-  /** Puts a member in place of what was known of it; returns it as it is kept. */
-  set(told: MemberUpdate): MemberUpdate {
-    this.delete(told.nodeId);
-    const update = compactUpdate(told, this.#sharedZone(told.zone));
+  /** Inserts or replaces a member; returns the stored copy. */
+  set(received: MemberUpdate): MemberUpdate {
+    this.delete(received.nodeId);
+    const update = compactUpdate(received, this.#sharedZone(received.zone));
     this.#members.set(update.nodeId, update);
     this.#toggleDigest(update);
     if (update.liveness !== 'dead') this.#liveCount += 1;
@@ -49,14 +49,14 @@
     return [...this.#digests];
   }
 
-  /** All members, dead ones too, by bucket. */
+  /** All members by bucket, including dead ones. */
   byBucket(): MemberUpdate[][] {
     const buckets = Array.from({ length: BUCKET_COUNT }, (): MemberUpdate[] => []);
     for (const member of this.#members.values()) buckets[bucketOf(member.nodeId)]?.push(member);
     return buckets;
   }
 
-  /** One string for each zone, not one for each member: decoding makes new ones. */
+  /** Shares one string per zone among all members, since decoding creates a new one for each update. */
   #sharedZone(zone: ZoneName): ZoneName {
     const known = this.#zones.get(zone);
     if (known !== undefined) return known;
@@ -65,8 +65,8 @@
   }
 
   /**
-   * XOR, so that the order of changes does not matter and a change costs the same at any size. The
-   * dead are left out: each node forgets them at its own time.
+   * XOR, so that the order of changes does not matter and the cost of a change does not depend on the
+   * number of members. Dead members are left out, since each node removes them at a different time.
    */
   #toggleDigest(update: MemberUpdate): void {
     if (update.liveness === 'dead') return;
@@ -75,18 +75,18 @@
   }
 }
 
-/** A literal and not a spread, of which V8 makes a dictionary several times the size. */
-function compactUpdate(told: MemberUpdate, zone: ZoneName): MemberUpdate {
+/** An object literal instead of a spread, which V8 turns into a dictionary-mode object several times the size. */
+function compactUpdate(received: MemberUpdate, zone: ZoneName): MemberUpdate {
   return {
-    nodeId: told.nodeId,
-    incarnation: told.incarnation,
-    version: told.version,
-    liveness: told.liveness,
-    leaving: told.leaving,
+    nodeId: received.nodeId,
+    incarnation: received.incarnation,
+    version: received.version,
+    liveness: received.liveness,
+    leaving: received.leaving,
     zone,
-    host: told.host,
-    peerPort: told.peerPort,
-    configurationRevision: told.configurationRevision,
+    host: received.host,
+    peerPort: received.peerPort,
+    configurationRevision: received.configurationRevision,
   };
 }
 
--- a/src/core/membership/member.ts
+++ b/src/core/membership/member.ts
@@ -1,32 +1,32 @@
 /**
- * What is known of one member, and how two pieces of knowledge are merged. The merge is a join of
- * a lattice (commutative, associative, idempotent), so nodes that have seen the same updates in
- * any order agree.
+ * The state of one member, and how two states are merged. The merge is the join of a lattice
+ * (commutative, associative, idempotent), so nodes that have received the same updates in any order
+ * agree.
  */
 import type { ConfigurationRevision } from '../configuration/model.js';
 import { hashText } from '../hash-text.js';
 import type { ZoneName } from '../request.js';
 
-/** What probes say. `dead` is refuted by the member itself with a higher version. */
+/** Result of probes. The member itself refutes `suspect` and `dead` with a higher version. */
 export type Liveness = 'alive' | 'suspect' | 'dead';
 
-/** What the rest of the program sees: dead before leaving before suspect before alive. */
+/** Status for the rest of the program; dead takes precedence over leaving, leaving over suspect, suspect over alive. */
 export type MemberStatus = 'alive' | 'suspect' | 'leaving' | 'dead';
 
-/** One member as told from node to node. */
+/** State of one member as nodes exchange it. */
 export interface MemberUpdate {
   readonly nodeId: string;
-  /** Which life of the node: a later life replaces everything known of an earlier one. */
+  /** Identifies one process run of the node; the state of a higher incarnation replaces that of a lower one. */
   readonly incarnation: number;
-  /** Raised by the member itself, within one life, to refute a suspicion or a death. */
+  /** Incremented by the member itself, within one incarnation, to refute a suspicion or a death. */
   readonly version: number;
   readonly liveness: Liveness;
-  /** The member said that it is leaving. Final for this life. */
+  /** The member reported that it is leaving. Final for this incarnation. */
   readonly leaving: boolean;
   readonly zone: ZoneName;
   readonly host: string;
   readonly peerPort: number;
-  /** Only grows within one life; not worth a broadcast of its own. */
+  /** Never decreases within one incarnation; a change is not disseminated by itself. */
   readonly configurationRevision: ConfigurationRevision;
 }
 
@@ -43,13 +43,16 @@
 
 const LIVENESS_RANK: Readonly<Record<Liveness, number>> = { alive: 0, suspect: 1, dead: 2 };
 
-/** The join of what is known and what is told. Returns `known` itself if nothing is new. */
-export function mergeUpdates(known: MemberUpdate, told: MemberUpdate): MemberUpdate {
-  if (told.incarnation > known.incarnation) return told;
-  if (told.incarnation < known.incarnation) return known;
-  const later = laterLiveness(known, told);
-  const leaving = known.leaving || told.leaving;
-  const configurationRevision = Math.max(known.configurationRevision, told.configurationRevision);
+/** Merges a received state into the known one. Returns `known` itself if nothing is new. */
+export function mergeUpdates(known: MemberUpdate, received: MemberUpdate): MemberUpdate {
+  if (received.incarnation > known.incarnation) return received;
+  if (received.incarnation < known.incarnation) return known;
+  const later = newerLiveness(known, received);
+  const leaving = known.leaving || received.leaving;
+  const configurationRevision = Math.max(
+    known.configurationRevision,
+    received.configurationRevision,
+  );
   const unchanged =
     later === known &&
     leaving === known.leaving &&
@@ -68,12 +71,13 @@
   };
 }
 
-function laterLiveness(known: MemberUpdate, told: MemberUpdate): MemberUpdate {
-  if (told.version !== known.version) return told.version > known.version ? told : known;
-  return LIVENESS_RANK[told.liveness] > LIVENESS_RANK[known.liveness] ? told : known;
+function newerLiveness(known: MemberUpdate, received: MemberUpdate): MemberUpdate {
+  if (received.version !== known.version)
+    return received.version > known.version ? received : known;
+  return LIVENESS_RANK[received.liveness] > LIVENESS_RANK[known.liveness] ? received : known;
 }
 
-/** True if two updates differ in more than attributes, so that others must hear of it. */
+/** True if two updates differ in more than attributes, so that the difference has to be disseminated. */
 export function differsInState(left: MemberUpdate, right: MemberUpdate): boolean {
   return (
     left.incarnation !== right.incarnation ||
@@ -83,23 +87,23 @@
   );
 }
 
-/** The status that follows from an update and from the machine list's mark. */
-export function statusOf(update: MemberUpdate, listedLeaving: boolean): MemberStatus {
+/** The status that results from an update and the machine list's leaving mark. */
+export function statusOf(update: MemberUpdate, isListedLeaving: boolean): MemberStatus {
   if (update.liveness === 'dead') return 'dead';
-  if (update.leaving || listedLeaving) return 'leaving';
+  if (update.leaving || isListedLeaving) return 'leaving';
   return update.liveness;
 }
 
 /** The member as the rest of the program sees it. */
-export function describeMember(update: MemberUpdate, listedLeaving: boolean): Member {
+export function describeMember(update: MemberUpdate, isListedLeaving: boolean): Member {
   const { nodeId, incarnation, zone, host, peerPort, configurationRevision } = update;
-  const status = statusOf(update, listedLeaving);
+  const status = statusOf(update, isListedLeaving);
   return { nodeId, incarnation, zone, host, peerPort, status, configurationRevision };
 }
 
-/** Bytes of the fixed part of an encoded update, at most: array head and five numbers. */
+/** Maximum size of the fixed part of an encoded update: array header and five numbers. */
 const FIXED_UPDATE_BYTES = 36;
-/** Encoded head of a string, at most (strings here are shorter than 64 KB). */
+/** Maximum size of a string's header (strings here are shorter than 64 KB). */
 const STRING_HEAD_BYTES = 3;
 
 /** Upper bound of the encoded size of an update, in bytes (identifiers are ASCII). */
--- a/src/core/membership/knowledge.ts
+++ b/src/core/membership/membership-state.ts
@@ -1,6 +1,6 @@
 /**
- * What this node knows of the members and of itself: takes in updates, refutes what is said wrongly
- * of this node, keeps the deadlines of suspicion, and queues what others must hear.
+ * A node's view of the members and of itself: applies updates, refutes wrong reports about this node,
+ * keeps the deadlines of suspicions, and queues updates for dissemination.
  */
 import type { Milliseconds } from '../units.js';
 import type { MemberEvent, MembershipOptions } from './contract.js';
@@ -16,27 +16,27 @@
 } from './member.js';
 import { MemberTable } from './member-table.js';
 
-/** Told of what changed; the machine turns it into effects. */
-export interface KnowledgeListener {
+/** Receives changes of the state; the state machine turns them into effects. */
+export interface MembershipListener {
   onMemberChanged(event: MemberEvent): void;
-  /** A member became live that was unknown or dead before. */
+  /** A member that was unknown or dead became live. */
   onMemberLive(update: MemberUpdate): void;
   onIncarnationRaised(incarnation: number): void;
-  /** The machine list's mark for this node id. */
+  /** Whether the machine list marks this node id as leaving. */
   isListedLeaving(nodeId: string): boolean;
 }
 
-/** What a node knows of itself and the others. */
-export class MembershipKnowledge {
+/** A node's view of itself and of the other members. */
+export class MembershipState {
   readonly table = new MemberTable();
   readonly queue = new DisseminationQueue();
   readonly #options: MembershipOptions;
-  readonly #listener: KnowledgeListener;
+  readonly #listener: MembershipListener;
   readonly #suspicions = new Deadlines();
   readonly #tombstones = new Deadlines();
   #self: MemberUpdate;
 
-  constructor(self: MemberUpdate, options: MembershipOptions, listener: KnowledgeListener) {
+  constructor(self: MemberUpdate, options: MembershipOptions, listener: MembershipListener) {
     this.#self = self;
     this.#options = options;
     this.#listener = listener;
@@ -46,7 +46,7 @@
     return this.#self;
   }
 
-  /** Changes what this node says of itself and, if others must hear of it, queues it. */
+  /** Changes this node's own entry and queues it if its state has changed. */
   updateSelf(change: Partial<MemberUpdate>): void {
     const previous = this.#self;
     this.#self = { ...previous, ...change };
@@ -62,28 +62,29 @@
     return describeMember(update, this.#listener.isListedLeaving(update.nodeId));
   }
 
-  /** Sends of each update by this node, at the present number of members. */
+  /** How often this node sends each update, for the current number of members. */
   maxSends(): number {
     return Math.ceil(this.#options.retransmitMultiplier * this.#logMembers());
   }
 
   /**
-   * Takes in one update, from its subject or from others. `spread`: pass it on; a node that joins
-   * does not repeat the table that it was just given.
+   * Applies one update, from its subject or from another member. `spread`: also queue it for
+   * dissemination; a joining node does not repeat the table that it has just received.
    */
-  apply(told: MemberUpdate, now: Milliseconds, spread = true): void {
-    if (told.nodeId === this.#self.nodeId) {
-      this.#applyToSelf(told);
+  apply(received: MemberUpdate, now: Milliseconds, spread = true): void {
+    if (received.nodeId === this.#self.nodeId) {
+      this.#applyToSelf(received);
       return;
     }
-    const known = this.table.get(told.nodeId);
-    // A death of somebody unknown is no news, and must not outlive the tombstones of others.
-    if (known === undefined && told.liveness === 'dead') return;
-    const merged = known === undefined ? told : mergeUpdates(known, told);
-    if (merged !== known) this.#accept(known, merged, now, spread);
+    const known = this.table.get(received.nodeId);
+    // The death of an unknown member is irrelevant, and a tombstone for it would keep the entry in circulation after
+    // the tombstones of the other nodes have expired.
+    if (known === undefined && received.liveness === 'dead') return;
+    const merged = known === undefined ? received : mergeUpdates(known, received);
+    if (merged !== known) this.#store(known, merged, now, spread);
   }
 
-  /** A probe of this member failed. The verdict is about what was known when the probe began. */
+  /** Suspects a member whose probe failed, unless its state has changed since the probe started. */
   suspect(target: MemberUpdate, now: Milliseconds): void {
     const known = this.table.get(target.nodeId);
     if (known === undefined || known.liveness !== 'alive') return;
@@ -91,7 +92,7 @@
     this.apply({ ...known, liveness: 'suspect' }, now);
   }
 
-  /** There is proof that this life of the member is over. */
+  /** Declares the member dead: there is proof that its known incarnation has ended. */
   declareDead(nodeId: string, now: Milliseconds): void {
     const known = this.table.get(nodeId);
     if (known !== undefined) this.apply({ ...known, liveness: 'dead' }, now);
@@ -102,12 +103,12 @@
     for (const nodeId of this.#tombstones.takeDue(now)) this.table.delete(nodeId);
   }
 
-  /** Ids of dead members that are still remembered. */
+  /** Ids of dead members that have not been removed yet. */
   deadIds(): string[] {
     return this.#tombstones.ids();
   }
 
-  /** This node was paused: what it did not hear meanwhile is nobody's fault. */
+  /** Postpones the suspicions after this node was paused: it could not receive refutations meanwhile. */
   postpone(delay: Milliseconds): void {
     this.#suspicions.postpone(delay);
   }
@@ -116,7 +117,7 @@
     return this.#suspicions.next();
   }
 
-  #accept(
+  #store(
     known: MemberUpdate | undefined,
     merged: MemberUpdate,
     now: Milliseconds,
@@ -124,11 +125,11 @@
   ): void {
     const wasLive = known !== undefined && known.liveness !== 'dead';
     const kept = this.table.set(merged);
-    const isNews = known === undefined || differsInState(known, merged);
-    if (spread && isNews) this.queue.add(kept);
+    const differs = known === undefined || differsInState(known, merged);
+    if (spread && differs) this.queue.add(kept);
     this.#setDeadlines(known, merged, now);
     if (!wasLive && merged.liveness !== 'dead') this.#listener.onMemberLive(merged);
-    this.#tell(known, merged);
+    this.#notifyChange(known, merged);
   }
 
   #setDeadlines(known: MemberUpdate | undefined, merged: MemberUpdate, now: Milliseconds): void {
@@ -144,23 +145,23 @@
     if (liveness === 'dead') this.#tombstones.set(nodeId, now + this.#options.deadRetentionMs);
   }
 
-  #tell(known: MemberUpdate | undefined, merged: MemberUpdate): void {
+  #notifyChange(known: MemberUpdate | undefined, merged: MemberUpdate): void {
     const change = changeOf(known, merged);
     if (change === undefined) return;
     this.#listener.onMemberChanged({ change, member: this.describe(merged) });
   }
 
-  #applyToSelf(told: MemberUpdate): void {
+  #applyToSelf(received: MemberUpdate): void {
     const self = this.#self;
-    if (told.incarnation > self.incarnation) {
-      // Another life with our name and a later start: our clock was set back over the restart.
-      this.updateSelf({ incarnation: told.incarnation + 1, version: 0 });
+    if (received.incarnation > self.incarnation) {
+      // A previous process with this node id has a higher incarnation: the clock was set back before the restart.
+      this.updateSelf({ incarnation: received.incarnation + 1, version: 0 });
       this.#listener.onIncarnationRaised(this.#self.incarnation);
       return;
     }
-    const isWrong = told.liveness !== 'alive' && self.liveness === 'alive';
-    const isCurrent = told.incarnation === self.incarnation && told.version >= self.version;
-    if (isWrong && isCurrent) this.updateSelf({ version: told.version + 1 });
+    const needsRefutation = received.liveness !== 'alive' && self.liveness === 'alive';
+    const isCurrent = received.incarnation === self.incarnation && received.version >= self.version;
+    if (needsRefutation && isCurrent) this.updateSelf({ version: received.version + 1 });
   }
 
   #suspicionMs(): Milliseconds {
@@ -168,7 +169,7 @@
     return periods * this.#options.probePeriodMs;
   }
 
-  /** log10 of the number of members with this one, at least 1. */
+  /** log10 of the number of members including this node, at least 1. */
   #logMembers(): number {
     return Math.max(1, Math.log10(this.table.liveCount + 1));
   }
@@ -178,12 +179,12 @@
   known: MemberUpdate | undefined,
   merged: MemberUpdate,
 ): MemberEvent['change'] | undefined {
-  const isNewLife = known === undefined || known.incarnation !== merged.incarnation;
+  const isNewIncarnation = known === undefined || known.incarnation !== merged.incarnation;
   if (merged.liveness === 'dead') {
     if (known?.liveness === 'dead') return undefined;
     return merged.leaving ? 'left' : 'failed';
   }
-  if (isNewLife || known.liveness === 'dead') return 'joined';
+  if (isNewIncarnation || known.liveness === 'dead') return 'joined';
   if (merged.liveness === 'suspect' && known.liveness !== 'suspect') return 'suspected';
   if (statusOf(known, false) !== statusOf(merged, false)) return 'updated';
   const sameRevision = known.configurationRevision === merged.configurationRevision;
--- a/src/core/membership/outbox.ts
+++ b/src/core/membership/outbox.ts
@@ -1,6 +1,6 @@
 /**
- * What the machine sends: builds the messages, fills them with updates within their bounds, keeps
- * the budget of gossip, and collects the effects of one event.
+ * Builds outgoing messages, fills them with updates up to their size limit, enforces the byte budget
+ * of gossip, and collects the effects of one event.
  */
 import { MILLISECONDS_PER_SECOND } from '../units.js';
 import type {
@@ -9,10 +9,10 @@
   MembershipOptions,
   NodeAddress,
 } from './contract.js';
-import type { MembershipKnowledge } from './knowledge.js';
 import { type MemberUpdate, updateBytes } from './member.js';
+import type { MembershipState } from './membership-state.js';
 
-/** Bytes of a datagram besides its updates: IP and UDP headers, type, sequence, MAC. */
+/** Size of a datagram without its updates: IP and UDP headers, type, sequence, MAC. */
 const DATAGRAM_OVERHEAD_BYTES = 64;
 
 interface Envelope {
@@ -20,16 +20,16 @@
   readonly updates: readonly MemberUpdate[];
 }
 
-/** Effects and messages of the event that is being handled. */
+/** Collects the effects, including messages, of the event that is being handled. */
 export class Outbox {
-  readonly #knowledge: MembershipKnowledge;
+  readonly #state: MembershipState;
   readonly #options: MembershipOptions;
   #effects: MembershipEffect[] = [];
-  /** Bytes that gossip may still send now; below zero after a message larger than that. */
+  /** Bytes that gossip may still send now; negative after a message that exceeded the budget. */
   #gossipTokens = 0;
 
-  constructor(knowledge: MembershipKnowledge, options: MembershipOptions) {
-    this.#knowledge = knowledge;
+  constructor(state: MembershipState, options: MembershipOptions) {
+    this.#state = state;
     this.#options = options;
   }
 
@@ -44,7 +44,7 @@
     return effects;
   }
 
-  /** `nodeId`: whom the ping is for, if known, so that it hears what is wrongly said of it. */
+  /** `nodeId`: the receiver, if known, so that it is informed if it is wrongly considered suspect or dead. */
   sendPing(to: NodeAddress, sequence: number, nodeId: string | undefined): void {
     this.#send(to, { type: 'ping', sequence, ...this.#envelope(nodeId) });
   }
@@ -64,37 +64,40 @@
   }
 
   sendGossip(nodeId: string): void {
-    const member = this.#knowledge.table.get(nodeId);
+    const member = this.#state.table.get(nodeId);
     if (member === undefined) return;
     const envelope = this.#envelope(nodeId);
     this.#gossipTokens -= envelopeBytes(envelope);
     this.#send(member, { type: 'gossip', ...envelope });
   }
 
-  /** Once a gossip period. */
+  /** Refills the gossip budget; called once per gossip period. */
   refillGossip(): void {
     const { gossipPeriodMs, gossipBytesPerSecond } = this.#options;
     const refill = (gossipBytesPerSecond * gossipPeriodMs) / MILLISECONDS_PER_SECOND;
     this.#gossipTokens = Math.min(gossipBytesPerSecond, this.#gossipTokens + refill);
   }
 
-  /** True if there is something to gossip and budget for it. */
+  /** True if there are updates to gossip and the budget allows a message. */
   get mayGossip(): boolean {
-    return this.#gossipTokens >= 0 && !this.#knowledge.queue.isEmpty;
+    return this.#gossipTokens >= 0 && !this.#state.queue.isEmpty;
   }
 
   #send(to: NodeAddress, message: MembershipMessage): void {
     this.emit({ type: 'send', to: { host: to.host, peerPort: to.peerPort }, message });
   }
 
-  /** A receiver that is wrongly held for silent or dead is told so first. */
+  /** If the receiver is considered suspect or dead, that update goes first, so that the receiver can refute it. */
   #envelope(receiver: string | undefined): Envelope {
-    const { self, table, queue } = this.#knowledge;
+    const { self, table, queue } = this.#state;
     const known = receiver === undefined ? undefined : table.get(receiver);
-    const isWronged = known !== undefined && known.liveness !== 'alive';
-    const first = isWronged ? [known] : [];
-    const room = this.#options.maxUpdateBytes - bytesOf(first);
-    return { sender: self, updates: [...first, ...queue.take(room, this.#knowledge.maxSends())] };
+    const mustRefute = known !== undefined && known.liveness !== 'alive';
+    const first = mustRefute ? [known] : [];
+    const availableBytes = this.#options.maxUpdateBytes - bytesOf(first);
+    return {
+      sender: self,
+      updates: [...first, ...queue.take(availableBytes, this.#state.maxSends())],
+    };
   }
 }
 
--- a/src/core/membership/prober.ts
+++ b/src/core/membership/prober.ts
@@ -1,6 +1,6 @@
 /**
- * Probes under way: direct first, then through others, then the target is reported as silent.
- * Also keeps the probes that this node makes on behalf of others.
+ * Probes in progress: each is direct at first, then indirect through other members, then reported as
+ * failed. Also keeps the probes that this node makes on behalf of others.
  */
 import type { Milliseconds } from '../units.js';
 import type { MembershipOptions, NodeAddress } from './contract.js';
@@ -19,11 +19,11 @@
   readonly expiresAt: Milliseconds;
 }
 
-/** Probes that others may ask of this node at a time; more are ignored. */
+/** Maximum number of simultaneous probes on behalf of others; further requests are ignored. */
 const MAX_RELAYS = 256;
 const SEQUENCE_LIMIT = 0xffff_ffff;
 
-/** Probes under way. */
+/** Probes in progress. */
 export class Prober {
   readonly #options: MembershipOptions;
   readonly #probes = new Map<number, Probe>();
@@ -40,7 +40,7 @@
   }
 
   /** Starts a probe and returns the sequence number for its ping. */
-  begin(target: MemberUpdate, now: Milliseconds): number {
+  startProbe(target: MemberUpdate, now: Milliseconds): number {
     const sequence = this.nextSequence();
     const indirectAt = now + this.#options.probeTimeoutMs;
     const failsAt = now + this.#options.probePeriodMs;
@@ -52,15 +52,15 @@
     return [...this.#probes.values()].some((probe) => probe.target.nodeId === nodeId);
   }
 
-  /** Ends the probe that an answer belongs to; returns whom it was meant for. */
-  end(sequence: number): MemberUpdate | undefined {
+  /** Ends the probe that a response belongs to; returns its target. */
+  endProbe(sequence: number): MemberUpdate | undefined {
     const probe = this.#probes.get(sequence);
     this.#probes.delete(sequence);
     return probe?.target;
   }
 
-  /** Remembers a probe on behalf of another; returns the sequence for the ping, if accepted. */
-  beginRelay(requester: NodeAddress, sequence: number, now: Milliseconds): number | undefined {
+  /** Starts a probe on behalf of another member; returns the sequence number for its ping, if accepted. */
+  startRelay(requester: NodeAddress, sequence: number, now: Milliseconds): number | undefined {
     if (this.#relays.size >= MAX_RELAYS) return undefined;
     const own = this.nextSequence();
     const expiresAt = now + this.#options.probePeriodMs;
@@ -74,8 +74,8 @@
     return relay;
   }
 
-  /** Probes that now need the help of others; each is returned once. */
-  takeIndirect(now: Milliseconds): { sequence: number; target: MemberUpdate }[] {
+  /** Probes that are now due to become indirect; each is returned once. */
+  takeIndirectDue(now: Milliseconds): { sequence: number; target: MemberUpdate }[] {
     const due: { sequence: number; target: MemberUpdate }[] = [];
     for (const [sequence, probe] of this.#probes) {
       if (probe.indirectSent || probe.indirectAt > now) continue;
@@ -85,7 +85,7 @@
     return due;
   }
 
-  /** Targets whose probe has failed; the probes are over. */
+  /** Ends the probes that have failed and returns their targets. */
   takeFailed(now: Milliseconds): MemberUpdate[] {
     const failed: MemberUpdate[] = [];
     for (const [sequence, probe] of this.#probes) {
@@ -99,7 +99,7 @@
     return failed;
   }
 
-  /** Forgets all probes without a verdict, after this node itself was paused. */
+  /** Discards all probes without a result, after this node itself was paused. */
   reset(): void {
     this.#probes.clear();
     this.#relays.clear();
--- a/src/core/membership/chance.ts
+++ b/src/core/membership/random-choices.ts
@@ -1,28 +1,28 @@
-/** Random choices of the membership machine, from the generator that its builder seeded. */
+/** Random choices of the membership state machine, from an injected generator. */
 import type { Milliseconds } from '../units.js';
 import type { Random } from './target-rings.js';
 
-/** Periods vary by this share either way, so that nodes do not fall into step. */
-const JITTER_SHARE = 0.25;
+/** Periods vary by this fraction in both directions, so that nodes don't synchronise. */
+const JITTER_FRACTION = 0.25;
 
-/** Draws of the membership. */
-export class Chance {
+/** Random delays and samples. */
+export class RandomChoices {
   readonly #random: Random;
 
   constructor(random: Random) {
     this.#random = random;
   }
 
-  /** A point within a span, uniform. */
-  within(span: Milliseconds): Milliseconds {
-    return span * this.#random();
+  /** Uniform in [0, max). */
+  uniformDelay(max: Milliseconds): Milliseconds {
+    return max * this.#random();
   }
 
   jittered(period: Milliseconds): Milliseconds {
-    return period * (1 - JITTER_SHARE + 2 * JITTER_SHARE * this.#random());
+    return period * (1 - JITTER_FRACTION + 2 * JITTER_FRACTION * this.#random());
   }
 
-  /** Up to `count` different items. */
+  /** Up to `count` items at different positions. */
   sample<Item>(items: readonly Item[], count: number): Item[] {
     const pool = [...items];
     const chosen: Item[] = [];
--- a/src/core/membership/synchroniser.ts
+++ b/src/core/membership/synchroniser.ts
@@ -1,41 +1,41 @@
 /**
- * Joining and periodic anti-entropy: asks one node at a time for what differs, and answers others.
- * A node is joined once a whole table was compared. The period then doubles up to its maximum, so
- * that a starting fleet converges fast and a quiet one spends little.
+ * Joining and periodic anti-entropy: requests the members that differ from one node at a time, and
+ * responds to requests. A node has joined once a whole table was compared. The period then doubles up to
+ * its maximum, so that a starting fleet converges fast and a stable one causes little traffic.
  */
 import type { Milliseconds } from '../units.js';
-import { answerSync, pushAfterAnswer } from './anti-entropy.js';
-import type { Chance } from './chance.js';
+import { createSyncPush, createSyncResponse } from './anti-entropy.js';
 import type { MembershipEvent, MembershipOptions, NodeAddress } from './contract.js';
-import type { MembershipKnowledge } from './knowledge.js';
+import type { MembershipState } from './membership-state.js';
 import type { Outbox } from './outbox.js';
+import type { RandomChoices } from './random-choices.js';
 
-const PERIOD_GROWTH = 2;
+const PERIOD_GROWTH_FACTOR = 2;
 
 /** Anti-entropy with one member at a time. */
 export class Synchroniser {
-  readonly #knowledge: MembershipKnowledge;
+  readonly #state: MembershipState;
   readonly #outbox: Outbox;
   readonly #options: MembershipOptions;
-  readonly #chance: Chance;
+  readonly #randomChoices: RandomChoices;
   #joined = false;
   #periodMs: Milliseconds;
   #nextSyncAt = 0;
 
   constructor(
-    knowledge: MembershipKnowledge,
+    state: MembershipState,
     outbox: Outbox,
     options: MembershipOptions,
-    chance: Chance,
+    randomChoices: RandomChoices,
   ) {
-    this.#knowledge = knowledge;
+    this.#state = state;
     this.#outbox = outbox;
     this.#options = options;
-    this.#chance = chance;
+    this.#randomChoices = randomChoices;
     this.#periodMs = options.probePeriodMs;
   }
 
-  /** True once another member's whole table was taken in, or there was nobody to ask. */
+  /** True once another member's whole table was compared, or if there was no node to sync with. */
   get isJoined(): boolean {
     return this.#joined;
   }
@@ -44,43 +44,46 @@
     return this.#nextSyncAt;
   }
 
-  /** Begins the periodic exchange with this node; undefined if there is none. */
+  /** Starts the periodic sync with this node; undefined if there is none. */
   start(target: NodeAddress | undefined, now: Milliseconds): void {
-    this.#nextSyncAt = now + this.#chance.jittered(this.#periodMs);
+    this.#nextSyncAt = now + this.#randomChoices.jittered(this.#periodMs);
     if (this.#joined) {
-      this.#periodMs = Math.min(this.#options.syncPeriodMs, this.#periodMs * PERIOD_GROWTH);
+      this.#periodMs = Math.min(this.#options.syncPeriodMs, this.#periodMs * PERIOD_GROWTH_FACTOR);
     }
     if (target === undefined) this.#joined = true;
     else this.request(target, 0);
   }
 
-  /** Asks for what differs from bucket `cursor` on. */
+  /** Requests the members that differ, from bucket `cursor` on. */
   request(to: NodeAddress, cursor: number): void {
-    const { self, table } = this.#knowledge;
+    const { self, table } = this.#state;
     const request = { sender: self, digests: table.digests(), cursor };
     this.#outbox.emit({ type: 'sync', to: { host: to.host, peerPort: to.peerPort }, request });
   }
 
-  onRequested(
+  handleRequest(
     event: Extract<MembershipEvent, { type: 'sync-requested' }>,
     now: Milliseconds,
   ): void {
     const { requestId, request } = event;
-    const { self, table } = this.#knowledge;
-    this.#knowledge.apply(request.sender, now);
-    const answer = answerSync(table, self, request, this.#options.maxSyncMembers);
-    this.#outbox.emit({ type: 'sync-reply', requestId, answer });
+    const { self, table } = this.#state;
+    this.#state.apply(request.sender, now);
+    const response = createSyncResponse(table, self, request, this.#options.maxSyncMembers);
+    this.#outbox.emit({ type: 'sync-reply', requestId, answer: response });
   }
 
-  onAnswered(event: Extract<MembershipEvent, { type: 'sync-answered' }>, now: Milliseconds): void {
-    const { from, cursor, answer } = event;
-    this.#knowledge.apply(answer.sender, now);
-    // A joining node does not repeat the table that it is given.
-    for (const update of answer.updates) this.#knowledge.apply(update, now, this.#joined);
-    const { self, table } = this.#knowledge;
-    const push = pushAfterAnswer(table, self, answer, cursor, this.#options.maxSyncMembers);
+  handleResponse(
+    event: Extract<MembershipEvent, { type: 'sync-answered' }>,
+    now: Milliseconds,
+  ): void {
+    const { from, cursor, answer: response } = event;
+    this.#state.apply(response.sender, now);
+    // A joining node does not disseminate the table that it receives.
+    for (const update of response.updates) this.#state.apply(update, now, this.#joined);
+    const { self, table } = this.#state;
+    const push = createSyncPush(table, self, response, cursor, this.#options.maxSyncMembers);
     if (push !== undefined) this.#outbox.emit({ type: 'sync-push', to: from, push });
-    if (answer.nextCursor === undefined) this.#joined = true;
-    else this.request(from, answer.nextCursor);
+    if (response.nextCursor === undefined) this.#joined = true;
+    else this.request(from, response.nextCursor);
   }
 }
--- a/src/core/membership/target-rings.ts
+++ b/src/core/membership/target-rings.ts
@@ -1,21 +1,21 @@
 /**
- * Whom to probe next and whom to gossip to. One ring for the own zone and one for the others; each
- * is walked in a random order that changes with every round, so that every member is probed within
- * two rounds of its ring and the load is even.
+ * Selects the members to probe and to gossip to. There is one ring for this node's zone and one for all
+ * other zones. Each ring is traversed in a random order that changes with every round, so that every
+ * member is probed within two rounds of its ring and the load is even.
  */
 import type { ZoneName } from '../request.js';
 import type { Member } from './member.js';
 
-/** Uniform in [0, 1); seeded by whoever builds the machine. */
+/** Random number generator, uniform in [0, 1); injected, so that the creator can seed it. */
 export type Random = () => number;
 
-/** What a ring needs to know of a member. */
+/** The properties of a member that a ring needs. */
 export interface RingMember extends Pick<Member, 'nodeId' | 'zone'> {}
 
-/** Tells whether a node id still is a member to be probed. */
+/** Whether a node id still belongs to a member that should be probed. */
 export type IsLive = (nodeId: string) => boolean;
 
-const RANDOM_PICK_ATTEMPTS = 4;
+const MAX_PICK_ATTEMPTS = 4;
 
 class Ring {
   #ids: string[] = [];
@@ -26,14 +26,14 @@
     readonly isLive: IsLive,
   ) {}
 
-  /** At a random place, so that a new member does not wait for a whole round. */
+  /** Inserts at a random position, so that a new member does not have to wait for a whole round. */
   insert(nodeId: string): void {
-    const place = Math.floor(this.random() * (this.#ids.length + 1));
-    this.#ids.splice(place, 0, nodeId);
-    if (place < this.#position) this.#position += 1;
+    const index = Math.floor(this.random() * (this.#ids.length + 1));
+    this.#ids.splice(index, 0, nodeId);
+    if (index < this.#position) this.#position += 1;
   }
 
-  /** The next member in this round; ids that are no longer live are left out of the next round. */
+  /** The next live member in this round; ids that are no longer live are removed before the next round. */
   next(): string | undefined {
     for (let rounds = 0; rounds < 2; rounds += 1) {
       while (this.#position < this.#ids.length) {
@@ -41,20 +41,20 @@
         this.#position += 1;
         if (nodeId !== undefined && this.isLive(nodeId)) return nodeId;
       }
-      this.#beginRound();
+      this.#startRound();
     }
     return undefined;
   }
 
   pick(): string | undefined {
-    for (let attempt = 0; attempt < RANDOM_PICK_ATTEMPTS; attempt += 1) {
+    for (let attempt = 0; attempt < MAX_PICK_ATTEMPTS; attempt += 1) {
       const nodeId = this.#ids[Math.floor(this.random() * this.#ids.length)];
       if (nodeId !== undefined && this.isLive(nodeId)) return nodeId;
     }
     return undefined;
   }
 
-  #beginRound(): void {
+  #startRound(): void {
     this.#position = 0;
     this.#ids = [...new Set(this.#ids)].filter((nodeId) => this.isLive(nodeId));
     for (let index = this.#ids.length - 1; index > 0; index -= 1) {
@@ -64,23 +64,23 @@
 
   #swap(left: number, right: number): void {
     const ids = this.#ids;
-    const kept = ids[left] ?? '';
+    const previous = ids[left] ?? '';
     ids[left] = ids[right] ?? '';
-    ids[right] = kept;
+    ids[right] = previous;
   }
 }
 
-/** Whom to probe and to gossip to next. */
+/** Selects the next members to probe and to gossip to. */
 export class TargetRings {
   readonly #zone: ZoneName;
-  readonly #remoteShare: number;
+  readonly #crossZoneFraction: number;
   readonly #random: Random;
   readonly #local: Ring;
   readonly #remote: Ring;
 
   constructor(zone: ZoneName, crossZoneFraction: number, random: Random, isLive: IsLive) {
     this.#zone = zone;
-    this.#remoteShare = crossZoneFraction;
+    this.#crossZoneFraction = crossZoneFraction;
     this.#random = random;
     this.#local = new Ring(random, isLive);
     this.#remote = new Ring(random, isLive);
@@ -108,7 +108,7 @@
   }
 
   #order(): [Ring, Ring] {
-    const remoteFirst = this.#random() < this.#remoteShare;
+    const remoteFirst = this.#random() < this.#crossZoneFraction;
     return remoteFirst ? [this.#remote, this.#local] : [this.#local, this.#remote];
   }
 }
--- a/src/node/membership/service.ts
+++ b/src/node/membership/service.ts
@@ -16,7 +16,7 @@
   type NodeAddress,
   type SyncResponse,
 } from '../../core/membership/contract.js';
-import { MembershipMachine, type SelfDescription } from '../../core/membership/machine.js';
+import { MembershipStateMachine, type OwnMember } from '../../core/membership/machine.js';
 import type { Member } from '../../core/membership/member.js';
 import type { PeerTransport, WireValue } from '../../peer/contract.js';
 import { PeerListenError, PeerProtocolError } from '../../peer/errors.js';
@@ -42,7 +42,7 @@
 /** What the service is made of. */
 export interface MembershipServiceOptions {
   /** This node. `peerPort` is the port of its links, and of its datagrams. */
-  readonly self: SelfDescription;
+  readonly self: OwnMember;
   readonly transport: Pick<PeerTransport, 'call'>;
   readonly options?: Partial<MembershipOptions>;
   /** Datagrams carry a MAC with this key; the same on all nodes. */
@@ -73,7 +73,7 @@
   /** Another life of this node id with a later start was seen; see the core. */
   onIncarnationRaised: ((incarnation: number) => void) | undefined;
 
-  readonly #machine: MembershipMachine;
+  readonly #machine: MembershipStateMachine;
   readonly #transport: Pick<PeerTransport, 'call'>;
   readonly #address: NodeAddress;
   readonly #secret: Buffer | undefined;
@@ -86,7 +86,7 @@
   constructor(options: MembershipServiceOptions) {
     const machineOptions = { ...DEFAULT_MEMBERSHIP_OPTIONS, ...options.options };
     const random = options.random ?? Math.random;
-    this.#machine = new MembershipMachine(options.self, machineOptions, random);
+    this.#machine = new MembershipStateMachine(options.self, machineOptions, random);
     this.#transport = options.transport;
     this.#address = { host: options.self.host, peerPort: options.self.peerPort };
     this.#secret = options.clusterSecret;
--- a/src/node/node-links.ts
+++ b/src/node/node-links.ts
@@ -1,7 +1,7 @@
 /** The links of a node that is being put together: listening already, routed once the node stands. */
 import type { Result } from 'neverthrow';
 import type { MeadowstackError } from '../core/errors.js';
-import type { SelfDescription } from '../core/membership/machine.js';
+import type { OwnMember } from '../core/membership/machine.js';
 import { loadHash64 } from '../core/ownership/hash.js';
 import type { Hash64 } from '../core/ownership/rendezvous.js';
 import type { NodeIdentity, PeerAddress } from '../peer/contract.js';
@@ -38,7 +38,7 @@
 }
 
 /** This node as its peers see it. */
-export function selfOf(settings: Settings, links: NodeLinks): SelfDescription & FleetNode {
+export function selfOf(settings: Settings, links: NodeLinks): OwnMember & FleetNode {
   return {
     ...links.identity,
     zone: settings.zone,
--- a/test/support/membership-network.ts
+++ b/test/support/membership-network.ts
@@ -6,7 +6,7 @@
   type MembershipEvent,
   type NodeAddress,
 } from '../../src/core/membership/contract.js';
-import { MembershipMachine } from '../../src/core/membership/machine.js';
+import { MembershipStateMachine } from '../../src/core/membership/machine.js';
 import type { MemberStatus } from '../../src/core/membership/member.js';
 import { updateBytes } from '../../src/core/membership/member.js';
 import { seededRandom } from './random.js';
@@ -19,7 +19,7 @@
   readonly nodeId: string;
   readonly zone: string;
   readonly address: NodeAddress;
-  readonly machine: MembershipMachine;
+  readonly machine: MembershipStateMachine;
   readonly changes: string[];
   paused: boolean;
   crashed: boolean;
@@ -66,7 +66,7 @@
       nodeId,
       zone,
       address: { host, peerPort },
-      machine: new MembershipMachine(self, this.options, this.random),
+      machine: new MembershipStateMachine(self, this.options, this.random),
       changes: [],
       paused: false,
       crashed: false,
