--- a/src/core/directory/entry-directory.ts
+++ b/src/core/directory/entry-directory.ts
@@ -1,28 +1,28 @@
 /**
- * Entries of one kind by their ids, as reads and watches of the store tell them. Tells what changed;
- * what is older than what is known is passed over, so that a change told twice does no harm.
+ * Entries of one kind by their ids, as read from the store and updated by watches. Reports what changed.
+ * Updates older than the known state are skipped, so that receiving a change twice is harmless.
  */
 
 /** One entry as the store has it. */
 export interface StoredEntry<Entry> {
   readonly id: string;
-  /** Undefined if the text can't be understood: what was known before stays. */
+  /** Undefined if the value can't be parsed; the previously known entry is then kept. */
   readonly entry: Entry | undefined;
   readonly revision: number;
 }
 
-/** An entry that is gone. */
+/** An entry that was removed. */
 export interface RemovedEntry<Entry> {
   readonly id: string;
-  /** Of the removal; for a removal found by a read, the read's. */
+  /** Revision of the removal; for a removal found by a read, revision of the read. */
   readonly revision: number;
-  /** As it was last known. */
+  /** The last known entry. */
   readonly entry: Entry;
 }
 
-/** What one step changed. */
+/** The changes made by one read or by a batch of updates. */
 export interface DirectoryChange<Entry> {
-  /** Ids that were added or whose entry is another. */
+  /** Ids that were added or whose entry has changed. */
   readonly put: readonly string[];
   readonly removed: readonly RemovedEntry<Entry>[];
 }
@@ -35,25 +35,25 @@
   readonly #entries = new Map<string, Entry>();
   readonly #revisions = new Map<string, number>();
 
-  /** @param same whether two entries of one id say the same */
-  constructor(private readonly same: (left: Entry, right: Entry) => boolean) {}
+  /** @param isSame whether two entries of one id are equal */
+  constructor(private readonly isSame: (left: Entry, right: Entry) => boolean) {}
 
-  /** All entries. The map is the directory's own and changes with it. */
+  /** All entries. The map is not a copy and changes with the directory. */
   entries(): ReadonlyMap<string, Entry> {
     return this.#entries;
   }
 
-  /** Takes a whole read: entries that are not in it and not newer than it are gone. */
+  /** Applies a complete read: removes entries that are absent from it and not newer than it. */
   replace(all: readonly StoredEntry<Entry>[], revision: number): DirectoryChange<Entry> {
     const present = new Set(all.map(({ id }) => id));
-    const gone = [...this.#entries.keys()].filter((id) => !present.has(id));
+    const missingIds = [...this.#entries.keys()].filter((id) => !present.has(id));
     return this.update([
-      ...gone.map((id) => ({ type: 'delete' as const, id, revision })),
+      ...missingIds.map((id) => ({ type: 'delete' as const, id, revision })),
       ...all.map((stored) => ({ type: 'put' as const, stored })),
     ]);
   }
 
-  /** Takes updates in their order. */
+  /** Applies updates in the given order. */
   update(updates: readonly EntryUpdate<Entry>[]): DirectoryChange<Entry> {
     const put = new Set<string>();
     const removed = new Map<string, RemovedEntry<Entry>>();
@@ -75,7 +75,7 @@
     if (revision <= (this.#revisions.get(id) ?? 0)) return false;
     this.#revisions.set(id, revision);
     const known = this.#entries.get(id);
-    if (entry === undefined || (known !== undefined && this.same(known, entry))) return false;
+    if (entry === undefined || (known !== undefined && this.isSame(known, entry))) return false;
     this.#entries.set(id, entry);
     return true;
   }
--- a/src/core/directory/peer-clock.ts
+++ b/src/core/directory/peer-clock.ts
@@ -1,26 +1,27 @@
 /**
- * Times of another node's steady clock, by this node's own. A question was asked before its answer was written: a time
- * that the answer gives as the answerer's present is no earlier than the question, so that every time of its clock is
- * known to be no earlier than some time of this one, however long the answer took. No I/O and no clock.
+ * Converts times of a peer's monotonic clock to this node's clock. The peer writes its response after this node sent
+ * the request, so the peer's current time in the response is no earlier than the request. This gives, for each time of
+ * the peer's clock, a lower bound on this node's clock, however long the response took. No I/O; the caller passes the
+ * time.
  */
 import type { Milliseconds } from '../units.js';
 
 export class PeerClock {
-  /** What is added to a time of the peer's clock. */
+  /** Added to a time of the peer's clock to get the lower bound. */
   #offset: Milliseconds | undefined;
 
   constructor(
-    /** When the peer was asked, by this node's clock. */
-    private readonly askedAt: Milliseconds,
+    /** When the request was sent to the peer, by this node's clock. */
+    private readonly requestedAt: Milliseconds,
   ) {}
 
-  /** Takes the peer's present as its first answer gives it; later ones say nothing more. */
-  noteAnswer(peerNow: Milliseconds): void {
-    this.#offset ??= this.askedAt - peerNow;
+  /** Records the peer's current time from its first response; later responses are ignored. */
+  recordResponse(peerNow: Milliseconds): void {
+    this.#offset ??= this.requestedAt - peerNow;
   }
 
-  /** A time of this node's clock that is no later than this time of the peer's; none before the first answer. */
-  earliest(peerTime: Milliseconds): Milliseconds | undefined {
+  /** A time of this node's clock that is no later than `peerTime`; undefined before the first response. */
+  earliestOwnTime(peerTime: Milliseconds): Milliseconds | undefined {
     return this.#offset === undefined ? undefined : this.#offset + peerTime;
   }
 }
--- a/src/core/directory/prefix-follower.ts
+++ b/src/core/directory/prefix-watch.ts
@@ -1,39 +1,39 @@
 /**
- * Decides how one prefix of the store is followed: one read of the range, then a watch from there. A
- * watch that lost its connection is opened again at once, other failures back off, and a watch whose
- * history is gone is begun again with a read. No I/O and no clock: pauses are told as effects.
+ * Decides how one prefix of the store is watched: one read of the range, then a watch from its revision.
+ * A watch that lost its connection is reopened at once, other failures back off, and a watch whose
+ * history was compacted starts again with a read. No I/O and no clock: pauses are effects.
  */
 import { type BackoffPolicy, backoffPause } from '../retry/backoff.js';
 import type { Milliseconds } from '../units.js';
 
-export type PrefixFollowerEvent =
+export type PrefixWatchEvent =
   | { readonly type: 'start' }
   | { readonly type: 'range-read'; readonly revision: number }
   | { readonly type: 'range-failed'; readonly retryAfterMs: Milliseconds | undefined }
-  /** The watch told its events, or that there are none, up to this revision. */
+  /** The watch has delivered all events up to this revision, if there were any. */
   | { readonly type: 'watch-progress'; readonly revision: number }
   | {
       readonly type: 'watch-ended';
-      /** The watch's history is gone. */
+      /** The store has compacted the revisions from which the watch would continue. */
       readonly compacted: boolean;
-      /** Its connection was lost, rather than the store refusing. */
+      /** The connection was lost; false if the store refused the watch. */
       readonly lost: boolean;
       readonly retryAfterMs: Milliseconds | undefined;
     }
-  /** The pause that was asked for is over. */
+  /** The requested pause has ended. */
   | { readonly type: 'pause-over' };
 
-export type PrefixFollowerEffect =
+export type PrefixWatchEffect =
   | { readonly type: 'read-range' }
   | { readonly type: 'open-watch'; readonly fromRevision: number }
   | { readonly type: 'pause'; readonly pauseMs: Milliseconds };
 
-/** The state machine of one prefix. Events come one at a time, in the order of the effects. */
-export class PrefixFollower {
-  /** Revision up to which everything was told; undefined if the range is to be read. */
+/** State machine of one prefix. Events arrive one at a time, in the order of the effects. */
+export class PrefixWatchStateMachine {
+  /** Revision up to which all changes are known; undefined if the range has to be read. */
   #revision: number | undefined;
   #highestRevision = 0;
-  /** In a row, without any progress of a watch. */
+  /** Consecutive failures without progress of a watch. */
   #failures = 0;
 
   constructor(
@@ -42,25 +42,25 @@
     private readonly random: () => number,
   ) {}
 
-  /** Highest revision up to which everything was told, also if it must be read anew; at first 0. */
+  /** Highest revision up to which all changes were known, even if the range has to be read again; initially 0. */
   get highestRevision(): number {
     return this.#highestRevision;
   }
 
-  handle(event: PrefixFollowerEvent): PrefixFollowerEffect | undefined {
+  handle(event: PrefixWatchEvent): PrefixWatchEffect | undefined {
     switch (event.type) {
       case 'start':
       case 'pause-over':
         return this.#proceed();
       case 'range-read':
-        this.#noteRevision(event.revision);
+        this.#recordRevision(event.revision);
         return this.#proceed();
       case 'range-failed':
         this.#failures += 1;
         return this.#pause(event.retryAfterMs);
       case 'watch-progress':
         this.#failures = 0;
-        this.#noteRevision(Math.max(this.#revision ?? 0, event.revision));
+        this.#recordRevision(Math.max(this.#revision ?? 0, event.revision));
         return undefined;
       case 'watch-ended':
         this.#failures += 1;
@@ -70,17 +70,17 @@
     }
   }
 
-  #noteRevision(revision: number): void {
+  #recordRevision(revision: number): void {
     this.#revision = revision;
     this.#highestRevision = Math.max(this.#highestRevision, revision);
   }
 
-  #proceed(): PrefixFollowerEffect {
+  #proceed(): PrefixWatchEffect {
     if (this.#revision === undefined) return { type: 'read-range' };
     return { type: 'open-watch', fromRevision: this.#revision + 1 };
   }
 
-  #pause(retryAfterMs: Milliseconds | undefined): PrefixFollowerEffect {
+  #pause(retryAfterMs: Milliseconds | undefined): PrefixWatchEffect {
     const pauseMs = backoffPause(this.backoff, this.#failures, this.random(), retryAfterMs);
     return { type: 'pause', pauseMs };
   }
--- a/src/core/directory/reader-evidence.ts
+++ b/src/core/directory/reader-evidence.ts
@@ -1,47 +1,52 @@
 /**
- * What a node knows of the readers through which it follows a prefix of the store, and whether it may rely
- * on them or has to ask the store itself. No I/O and no clock.
+ * Tracks the readers through which a node watches a prefix of the store, and decides whether it can rely
+ * on them or has to query the store itself. No I/O; the caller passes the time.
  */
 import type { Milliseconds } from '../units.js';
 
-/** A reader that says nothing for so long is not relied on; it says something every 600 ms. */
-export const READER_SILENCE_MS: Milliseconds = 1500;
+/** A reader that sends nothing for this time is not relied on; it sends a message every 600 ms. */
+export const READER_TIMEOUT_MS: Milliseconds = 1500;
 
-interface Evidence {
-  readonly heardAt: Milliseconds;
-  /** When the store last vouched for what the reader tells. */
-  readonly currentAt: Milliseconds;
-  /** Revision that the reader knows of and did not tell the changes up to. */
-  readonly aheadTo: number;
+interface ReaderStatus {
+  readonly receivedAt: Milliseconds;
+  /** When the store last confirmed the state that the reader relays. */
+  readonly currentAsOf: Milliseconds;
+  /** Revision that the reader knows of but has not sent all changes up to; 0 if none. */
+  readonly unsentRevision: number;
 }
 
-export class ReaderEvidence {
-  readonly #readers = new Map<string, Evidence>();
+export class ReaderTracker {
+  readonly #readers = new Map<string, ReaderStatus>();
 
-  /** The store's word is relied on for so long; a reader that hears nothing new from it says so by then. */
+  /** `maxAgeMs`: how long a confirmation by the store is relied on; without a newer one, a reader says so by then. */
   constructor(private readonly maxAgeMs: Milliseconds) {}
 
-  /** A reader has told all changes up to what is known here, or `aheadTo` names what it left out. */
-  noteTold(reader: string, now: Milliseconds, currentAt: Milliseconds, aheadTo = 0): void {
+  /** A reader has sent all changes, except for those up to `unsentRevision` if that is given. */
+  recordReport(reader: string, now: Milliseconds, currentAt: Milliseconds, aheadTo = 0): void {
     const before = this.#readers.get(reader);
     this.#readers.set(reader, {
-      heardAt: now,
-      currentAt,
-      aheadTo: Math.max(before?.aheadTo ?? 0, aheadTo),
+      receivedAt: now,
+      currentAsOf: currentAt,
+      unsentRevision: Math.max(before?.unsentRevision ?? 0, aheadTo),
     });
   }
 
-  noteLost(reader: string): void {
+  removeReader(reader: string): void {
     this.#readers.delete(reader);
   }
 
-  /** True while a reader tells everything in time, and none knows of changes that are not known here. */
-  isServed(now: Milliseconds, knownRevision: number): boolean {
+  /** True while at least one reader reports in time, and no such reader knows of changes that this node lacks. */
+  isServedByReaders(now: Milliseconds, knownRevision: number): boolean {
     const relied = [...this.#readers.values()].filter((evidence) => this.#isFresh(evidence, now));
-    return relied.length > 0 && relied.every(({ aheadTo }) => aheadTo <= knownRevision);
+    return (
+      relied.length > 0 && relied.every(({ unsentRevision: aheadTo }) => aheadTo <= knownRevision)
+    );
   }
 
-  #isFresh({ heardAt, currentAt }: Evidence, now: Milliseconds): boolean {
-    return now - heardAt <= READER_SILENCE_MS && now - currentAt <= this.maxAgeMs;
+  #isFresh(
+    { receivedAt: heardAt, currentAsOf: currentAt }: ReaderStatus,
+    now: Milliseconds,
+  ): boolean {
+    return now - heardAt <= READER_TIMEOUT_MS && now - currentAt <= this.maxAgeMs;
   }
 }
--- a/src/core/directory/relayed-word.ts
+++ b/src/core/directory/relayed-word.ts
@@ -1,46 +1,46 @@
 /**
- * The store's word as a reader heard it from another one: what it may tell its own followers, and when it should do so at
- * once. No I/O and no clock.
+ * How current the store data is that a reader received from another reader: what it may report to the nodes that watch
+ * through it, and when it should report at once. No I/O; the caller passes the times.
  */
 import type { Milliseconds } from '../units.js';
 
-/** When the store had no more than was told: as it answered, and as the poll was sent that it answered. */
-export interface WordTimes {
-  readonly currentAt: Milliseconds;
-  readonly provenAt: Milliseconds;
+/** Times at which the store had no further changes: when it responded, and when the poll was sent (proven). */
+export interface FreshnessTimes {
+  readonly currentAsOf: Milliseconds;
+  readonly provenCurrentAsOf: Milliseconds;
 }
 
-export class RelayedWord {
-  #times: WordTimes | undefined;
-  #passedCurrentAt: Milliseconds = Number.NEGATIVE_INFINITY;
+export class RelayedFreshness {
+  #times: FreshnessTimes | undefined;
+  #relayedCurrentAsOf: Milliseconds = Number.NEGATIVE_INFINITY;
 
-  /** A word that is younger by less waits for the next heartbeat: two readers of the store answer in turns. */
-  constructor(private readonly passEveryMs: Milliseconds) {}
+  /** Times newer by less than this wait for the next heartbeat: the two readers of the store report alternately. */
+  constructor(private readonly minRelayIntervalMs: Milliseconds) {}
 
-  /** Undefined if there is nothing to tell. */
-  get times(): WordTimes | undefined {
+  /** Undefined if there is nothing to report. */
+  get times(): FreshnessTimes | undefined {
     return this.#times;
   }
 
-  /** All changes up to what is known here were told, and stood at these times. */
-  note({ currentAt, provenAt }: WordTimes): void {
+  /** All changes up to the revision known here were received, and were current at these times. */
+  record({ currentAsOf: currentAt, provenCurrentAsOf: provenAt }: FreshnessTimes): void {
     if (!Number.isFinite(currentAt) || !Number.isFinite(provenAt)) return;
     this.#times = {
-      currentAt: Math.max(currentAt, this.#times?.currentAt ?? currentAt),
-      provenAt: Math.max(provenAt, this.#times?.provenAt ?? provenAt),
+      currentAsOf: Math.max(currentAt, this.#times?.currentAsOf ?? currentAt),
+      provenCurrentAsOf: Math.max(provenAt, this.#times?.provenCurrentAsOf ?? provenAt),
     };
   }
 
-  forget(): void {
+  clear(): void {
     this.#times = undefined;
   }
 
-  /** True once for each word that followers should hear at once. */
-  takeNews(hasChanges: boolean): boolean {
+  /** True once for each update that should be relayed at once. */
+  takeRelayDue(hasChanges: boolean): boolean {
     if (this.#times === undefined) return false;
-    const { currentAt } = this.#times;
-    if (!hasChanges && currentAt - this.#passedCurrentAt < this.passEveryMs) return false;
-    this.#passedCurrentAt = currentAt;
+    const { currentAsOf: currentAt } = this.#times;
+    if (!hasChanges && currentAt - this.#relayedCurrentAsOf < this.minRelayIntervalMs) return false;
+    this.#relayedCurrentAsOf = currentAt;
     return true;
   }
 }
--- a/src/core/directory/start-readiness.ts
+++ b/src/core/directory/start-readiness.ts
@@ -1,29 +1,30 @@
 /**
- * Whether a node that starts can serve: it needs routes, instances, and the primaries of its services. One that has no primary
- * yet refuses what other nodes could serve. A service whose primary is away holds it back for a bounded time.
+ * Whether a starting node is ready to serve: it needs routes, instances, and the primaries of its services. Without a
+ * primary it would refuse requests that other nodes could serve. A service that has no primary delays readiness for a
+ * bounded time only.
  */
 import type { Milliseconds } from '../units.js';
 
-/** A node waits so long for the primaries of its services, once it knows routes and instances. */
-export const PRIMARIES_WAIT_MS: Milliseconds = 900;
+/** How long a node waits for the primaries of its services, once it knows routes and instances. */
+export const MAX_PRIMARIES_WAIT_MS: Milliseconds = 900;
 
-/** What a node knows now. */
+/** What a starting node knows. */
 export interface KnownAtStart {
   /** Routes and instances. */
   readonly hasDirectory: boolean;
-  /** A primary of each service, or that one is being made. */
+  /** Each service's primary, or that a promotion is in progress. */
   readonly hasPrimaries: boolean;
 }
 
-/** Ready once, a node stays ready while it has a directory. */
+/** Once ready, a node stays ready while it knows routes and instances. */
 export class StartReadiness {
-  #waitsSince: Milliseconds | undefined;
-  #isStarted = false;
+  #waitingSince: Milliseconds | undefined;
+  #wasReady = false;
 
   isReady(now: Milliseconds, { hasDirectory, hasPrimaries }: KnownAtStart): boolean {
-    if (!hasDirectory || this.#isStarted) return hasDirectory;
-    this.#waitsSince ??= now;
-    this.#isStarted = hasPrimaries || now - this.#waitsSince >= PRIMARIES_WAIT_MS;
-    return this.#isStarted;
+    if (!hasDirectory || this.#wasReady) return hasDirectory;
+    this.#waitingSince ??= now;
+    this.#wasReady = hasPrimaries || now - this.#waitingSince >= MAX_PRIMARIES_WAIT_MS;
+    return this.#wasReady;
   }
 }
--- a/src/core/directory/store-era.ts
+++ b/src/core/directory/store-era.ts
@@ -1,46 +1,50 @@
 /**
- * Counts how often the store came back from a copy of itself, as its answers tell: what it acknowledged since that copy
- * is gone then, and it gives out the same revisions again. No I/O and no clock.
+ * Tracks the store's era, which each of its responses carries and which rises with each restore from a backup. After a
+ * restore, everything acknowledged since the backup is lost, and revisions are assigned a second time. No I/O and no
+ * clock.
  */
 
-/** What one answer tells of the era that it is of. */
-export type EraReading =
-  /** The era that is known, or a store that names none. */
+/** What one response shows about the store's era. */
+export type EraObservation =
+  /** The known era, or a store that reports none. */
   | { readonly type: 'present'; readonly era: number }
-  /** The first era heard of: since when it is, is not known. */
+  /** The first era seen; when it began is unknown. */
   | { readonly type: 'first'; readonly era: number }
-  /** The store came back from a copy since the answer before. */
+  /** The store was restored from a backup since the previous response. */
   | { readonly type: 'risen'; readonly era: number; readonly before: number }
-  /** The answer says nothing of what the store holds now. */
+  /** The response doesn't show the store's current state. */
   | { readonly type: 'unusable'; readonly reason: EraProblem };
 
-/** Why an answer can't be placed: it names no era though others did, none that is a number, or one that is over. */
+/**
+ * Why a response is unusable: it has no era although earlier ones had (`missing`), an era that is not a number
+ * (`malformed`), or one that a restore has ended (`over`).
+ */
 export type EraProblem = 'missing' | 'malformed' | 'over';
 
-/** Era of a store that names none. */
-export const ERA_OF_SILENT_STORE = 0;
+/** Era of a store that reports none. */
+export const DEFAULT_ERA = 0;
 const ERA_PATTERN = /^\d{1,15}$/;
 
-/** Follows the era over all answers of one store, in the order in which they come. */
+/** Tracks the era over all responses of one store, in the order of their arrival. */
 export class StoreEra {
-  #era = ERA_OF_SILENT_STORE;
-  #isNamed = false;
+  #era = DEFAULT_ERA;
+  #hasNamedEra = false;
   #hasAnswered = false;
 
-  /** The highest era heard of. */
+  /** The highest era seen. */
   get era(): number {
     return this.#era;
   }
 
-  /** Takes the era that an answer names; undefined if it names none. */
-  note(named: string | undefined): EraReading {
+  /** Evaluates the era that a response carries; undefined if it carries none. */
+  observe(named: string | undefined): EraObservation {
     const problem = this.#problemOf(named);
     if (problem !== undefined) return { type: 'unusable', reason: problem };
     const before = this.#era;
     const isFirst = !this.#hasAnswered;
     this.#hasAnswered = true;
     if (named === undefined) return { type: 'present', era: before };
-    this.#isNamed = true;
+    this.#hasNamedEra = true;
     this.#era = Number(named);
     const isRisen = !isFirst && this.#era > before;
     if (isRisen) return { type: 'risen', era: this.#era, before };
@@ -48,7 +52,7 @@
   }
 
   #problemOf(named: string | undefined): EraProblem | undefined {
-    if (named === undefined) return this.#isNamed ? 'missing' : undefined;
+    if (named === undefined) return this.#hasNamedEra ? 'missing' : undefined;
     if (!ERA_PATTERN.test(named)) return 'malformed';
     return Number(named) < this.#era ? 'over' : undefined;
   }
--- a/src/core/directory/store-return.ts
+++ b/src/core/directory/store-return.ts
@@ -1,26 +1,26 @@
 /**
- * Notices that the store answers again after a while in which it answered nothing. Configuration, instances, lease
- * and records are each tried again after pauses of their own; the first answer to any of them is worth telling the
- * others. No I/O and no clock.
+ * Detects that the store responds again after an outage. Configuration, instances, lease and records are each retried
+ * after separate pauses; when one of these calls succeeds, the others should be retried at once. No I/O; the caller
+ * passes the time.
  */
 import type { Milliseconds } from '../units.js';
 
-/** A store that answered some call so lately was not away: what fails beside that is refused for other reasons. */
-const AWAY_AFTER_MS: Milliseconds = 300;
+/** If any call succeeded within this time, there was no outage: other calls failed for other reasons. */
+const MIN_OUTAGE_MS: Milliseconds = 300;
 
-export class StoreReturn {
-  #doneAt: Milliseconds = Number.NEGATIVE_INFINITY;
+export class StoreOutageDetector {
+  #lastSuccessAt: Milliseconds = Number.NEGATIVE_INFINITY;
   #hasFailed = false;
 
-  /** Takes how a call ended; true if that is the first answer after an absence. */
-  noteCall(isDone: boolean, now: Milliseconds): boolean {
-    if (!isDone) {
+  /** Records the result of a call; true if it is the first success after an outage. */
+  recordCall(isSuccess: boolean, now: Milliseconds): boolean {
+    if (!isSuccess) {
       this.#hasFailed = true;
       return false;
     }
-    const isBack = this.#hasFailed && now - this.#doneAt >= AWAY_AFTER_MS;
-    this.#doneAt = now;
+    const isRecovered = this.#hasFailed && now - this.#lastSuccessAt >= MIN_OUTAGE_MS;
+    this.#lastSuccessAt = now;
     this.#hasFailed = false;
-    return isBack;
+    return isRecovered;
   }
 }
--- a/src/core/directory/watch-history.ts
+++ b/src/core/directory/watch-history.ts
@@ -1,19 +1,20 @@
 /**
- * The last changes of one prefix of the store, kept by a node so that others may follow the prefix through
- * it. Without gaps: whoever knows everything up to a revision within it is told all that follows. No I/O.
+ * The latest changes of one prefix of the store, kept by a reader so that other nodes can watch the prefix
+ * through it. The history has no gaps: a node that knows all changes up to a revision within it gets all
+ * later ones. No I/O.
  */
 import type { WatchEvent } from '../../platform/contract.js';
 
-/** Changes kept at most; whoever lacks more reads the store. */
+/** Maximum number of changes kept; a node that lacks older ones reads the store. */
 const MAX_EVENTS = 512;
-/** Characters of keys and values that are kept at most. */
+/** Maximum number of characters of the keys and values kept. */
 const MAX_CHARACTERS = 256 * 1024;
 
 /** All changes of a prefix between two revisions of the store. */
-export interface WatchStretch {
-  /** Changes up to this revision are left out. */
+export interface WatchRange {
+  /** Exclusive lower bound of the revisions. */
   readonly after: number;
-  /** Changes up to this revision are in it. */
+  /** Inclusive upper bound of the revisions. */
   readonly revision: number;
   readonly events: readonly WatchEvent[];
 }
@@ -24,29 +25,29 @@
   #events: WatchEvent[] = [];
   #characters = 0;
 
-  /** Revision up to which changes are known; 0 before the first stretch. */
+  /** Revision up to which changes are known; 0 before the first range. */
   get revision(): number {
     return this.#revision;
   }
 
-  /** Takes what follows; a stretch that leaves a gap begins a new history. */
-  append({ after, revision, events }: WatchStretch): void {
-    if (this.#revision === 0 || after > this.#revision) this.#beginAt(after);
-    const news = events.filter((event) => revisionOf(event) > this.#revision);
-    this.#events.push(...news);
-    for (const event of news) this.#characters += charactersOf(event);
+  /** Appends the next range; one that leaves a gap starts a new history. */
+  append({ after, revision, events }: WatchRange): void {
+    if (this.#revision === 0 || after > this.#revision) this.#restartAt(after);
+    const newEvents = events.filter((event) => revisionOf(event) > this.#revision);
+    this.#events.push(...newEvents);
+    for (const event of newEvents) this.#characters += charactersOf(event);
     this.#revision = Math.max(this.#revision, revision);
     this.#trim();
   }
 
-  /** What follows a revision; undefined if changes since then are not kept. */
-  since(after: number): WatchStretch | undefined {
+  /** Changes after a revision; undefined if not all of them are kept. */
+  changesSince(after: number): WatchRange | undefined {
     if (this.#revision === 0 || after < this.#after) return undefined;
     const events = this.#events.filter((event) => revisionOf(event) > after);
     return { after, revision: Math.max(after, this.#revision), events };
   }
 
-  #beginAt(after: number): void {
+  #restartAt(after: number): void {
     this.#after = after;
     this.#revision = after;
     this.#events = [];
@@ -63,12 +64,12 @@
   }
 }
 
-/** Characters of the keys and values of these changes. */
-export function sizeOfEvents(events: readonly WatchEvent[]): number {
+/** Number of characters in the keys and values of these changes. */
+export function countCharacters(events: readonly WatchEvent[]): number {
   return events.reduce((sum, event) => sum + charactersOf(event), 0);
 }
 
-/** Key that an event is about. */
+/** Key that an event refers to. */
 export function keyOf(event: WatchEvent): string {
   return event.type === 'put' ? event.entry.key : event.key;
 }
--- a/src/direct/prefix-reader.ts
+++ b/src/direct/prefix-reader.ts
@@ -1,5 +1,5 @@
 /** Runs what a `PrefixFollower` decides: reads and watches one prefix of the store. */
-import { PrefixFollower, type PrefixFollowerEvent } from '../core/directory/prefix-follower.js';
+import { type PrefixWatchEvent, PrefixWatchStateMachine } from '../core/directory/prefix-watch.js';
 import type { MeadowstackError } from '../core/errors.js';
 import type { BackoffPolicy } from '../core/retry/backoff.js';
 import type { Milliseconds } from '../core/units.js';
@@ -19,7 +19,7 @@
 }
 
 export class PrefixReader {
-  readonly #follower: PrefixFollower;
+  readonly #follower: PrefixWatchStateMachine;
   /** Ends the watch or the pause that is on. */
   #cancel: (() => void) | undefined;
   #isPausing = false;
@@ -30,7 +30,7 @@
   #provenAt: Milliseconds | undefined;
 
   constructor(private readonly options: PrefixReaderOptions) {
-    this.#follower = new PrefixFollower(options.backoff, () => options.random());
+    this.#follower = new PrefixWatchStateMachine(options.backoff, () => options.random());
   }
 
   start(): void {
@@ -66,7 +66,7 @@
     return this.#follower.highestRevision;
   }
 
-  #step(event: PrefixFollowerEvent): void {
+  #step(event: PrefixWatchEvent): void {
     if (this.#stopped) return;
     const effect = this.#follower.handle(event);
     if (effect === undefined) return;
@@ -124,7 +124,7 @@
     this.#provenAt = Math.max(this.#provenAt ?? at, at);
   }
 
-  #fail(error: MeadowstackError, event: PrefixFollowerEvent): void {
+  #fail(error: MeadowstackError, event: PrefixWatchEvent): void {
     if (this.#stopped) return;
     this.options.onProblem(error);
     this.#step(event);
--- a/src/direct/readers/contract.ts
+++ b/src/direct/readers/contract.ts
@@ -2,7 +2,7 @@
  * Messages between a node that watches a prefix of the store and a reader: a node that reads the store
  * itself and relays the changes to other nodes.
  */
-import type { WatchStretch } from '../../core/directory/watch-history.js';
+import type { WatchRange } from '../../core/directory/watch-history.js';
 import type { ReachableNode } from '../../core/ownership/owner-roster.js';
 import type { Milliseconds } from '../../core/units.js';
 
@@ -18,7 +18,7 @@
  * All changes of the prefix in a revision range, possibly none. A gap between one range and the next means
  * that the reader left out the changes in between because they are too many or too large.
  */
-export interface RelayedRange extends WatchStretch {
+export interface RelayedRange extends WatchRange {
   /** Time since the store confirmed the range. */
   readonly ageMs: Milliseconds;
   /** The reader's monotonic clock, now and when it sent the poll that confirmed the range. */
--- a/src/direct/readers/followed-prefix.ts
+++ b/src/direct/readers/followed-prefix.ts
@@ -2,9 +2,9 @@
  * One prefix of the store as this node follows it: by the store's own watch if it reads the store for others, or if its
  * readers don't serve it, and through them otherwise. Whoever watches sees one watch without gaps.
  */
-import { ReaderEvidence } from '../../core/directory/reader-evidence.js';
-import { RelayedWord, type WordTimes } from '../../core/directory/relayed-word.js';
-import { revisionOf, WatchHistory, type WatchStretch } from '../../core/directory/watch-history.js';
+import { ReaderTracker } from '../../core/directory/reader-evidence.js';
+import { type FreshnessTimes, RelayedFreshness } from '../../core/directory/relayed-word.js';
+import { revisionOf, WatchHistory, type WatchRange } from '../../core/directory/watch-history.js';
 import type { MeadowstackError } from '../../core/errors.js';
 import type { ReachableNode } from '../../core/ownership/owner-roster.js';
 import type { ReadersOfNode } from '../../core/ownership/watch-readers.js';
@@ -74,11 +74,11 @@
   /** Called when this node has nothing to tell followers any more. */
   onTellingEnded: () => void = () => {};
   readonly history = new WatchHistory();
-  readonly #evidence: ReaderEvidence;
+  readonly #evidence: ReaderTracker;
   readonly #subscriptions: ReaderSubscriptions;
   #role: ReadersOfNode['type'] = 'others';
   /** What readers told last; a node that is named tells it from then on. */
-  readonly #relayed: RelayedWord;
+  readonly #relayed: RelayedFreshness;
   #watcher: Watcher | undefined;
   /** When this node first watched; undefined before that. */
   #firstWatchAt: Milliseconds | undefined;
@@ -89,18 +89,18 @@
   #directAgainAt: Milliseconds = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly options: FollowedPrefixOptions) {
-    this.#evidence = new ReaderEvidence(options.maxAgeMs);
-    this.#relayed = new RelayedWord(options.passEveryMs);
+    this.#evidence = new ReaderTracker(options.maxAgeMs);
+    this.#relayed = new RelayedFreshness(options.passEveryMs);
     const { prefix, subscribe, now, random } = options;
     this.#subscriptions = new ReaderSubscriptions({
       ...{ prefix, subscribe, now, random },
       isBeginning: () => now() - (this.#firstWatchAt ?? now()) < BEGINNING_MS,
       onTold: (key, subscription, told) => this.#noteTold(key, subscription, told),
       onLost: (key) => {
-        this.#evidence.noteLost(key);
+        this.#evidence.removeReader(key);
         this.look();
       },
-      onDropped: (key) => this.#evidence.noteLost(key),
+      onDropped: (key) => this.#evidence.removeReader(key),
     });
   }
 
@@ -115,12 +115,12 @@
 
   /** When the store last vouched for what followers may be told; undefined while there is nothing to tell. */
   get answeredAt(): Milliseconds | undefined {
-    return latest(this.#direct?.answeredAt, this.#toldTimes?.currentAt);
+    return latest(this.#direct?.answeredAt, this.#toldTimes?.currentAsOf);
   }
 
   /** No later than when the store had nothing newer than what is known; undefined as `answeredAt` is. */
   get provenAt(): Milliseconds | undefined {
-    return latest(this.#direct?.provenAt, this.#toldTimes?.provenAt);
+    return latest(this.#direct?.provenAt, this.#toldTimes?.provenCurrentAsOf);
   }
 
   /** True if followers are told each word of the store. */
@@ -178,13 +178,13 @@
   }
 
   /** What readers told this node, if it is to tell others. */
-  get #toldTimes(): WordTimes | undefined {
+  get #toldTimes(): FreshnessTimes | undefined {
     return this.#role === 'others' ? undefined : this.#relayed.times;
   }
 
   #wantsDirect({ told }: Watcher): boolean {
     const now = this.options.now();
-    const isServed = this.#evidence.isServed(now, told);
+    const isServed = this.#evidence.isServedByReaders(now, told);
     this.#wasServed ||= isServed;
     if (now < this.#directAgainAt) return false;
     return this.#role === 'self' || !(isServed || this.#isFirstWatchWaiting(now));
@@ -199,7 +199,7 @@
 
   /** What this node knows already is told later in this turn, as the store would. */
   #catchUp(watcher: Watcher): void {
-    const known = this.history.since(watcher.told);
+    const known = this.history.changesSince(watcher.told);
     if (known === undefined || known.events.length === 0) return;
     queueMicrotask(() => {
       // Known from before: it says nothing of what the store has now.
@@ -253,7 +253,7 @@
     this.#direct = undefined;
     const watcher = this.#watcher;
     const isServed = watcher !== undefined && !compacted && !this.#wantsDirect(watcher);
-    if (!isServed) this.#relayed.forget();
+    if (!isServed) this.#relayed.clear();
     if (this.answeredAt === undefined) this.onTellingEnded();
     if (watcher === undefined || isServed) return;
     if (!compacted && this.#subscriptions.addFurther()) {
@@ -280,7 +280,7 @@
 
   #forgetRelayed(): void {
     if (this.#relayed.times === undefined) return;
-    this.#relayed.forget();
+    this.#relayed.clear();
     if (this.answeredAt === undefined) this.onTellingEnded();
   }
 
@@ -293,35 +293,39 @@
   #noteTold(key: string, subscription: Subscription, told: RelayedRange): void {
     const { clock } = subscription;
     const { ageMs, clockMs, provenMs, ...stretch } = told;
-    clock.noteAnswer(clockMs);
+    clock.recordResponse(clockMs);
     const now = this.options.now();
     const currentAt = now - ageMs;
     const watcher = this.#watcher;
     const isGap = watcher === undefined || stretch.after > watcher.told;
     if (isGap) subscription.hasGap = true;
-    this.#evidence.noteTold(key, now, currentAt, isGap ? stretch.revision : 0);
+    this.#evidence.recordReport(key, now, currentAt, isGap ? stretch.revision : 0);
     if (watcher === undefined) return;
-    const provenAt = clock.earliest(provenMs) ?? Number.NEGATIVE_INFINITY;
+    const provenAt = clock.earliestOwnTime(provenMs) ?? Number.NEGATIVE_INFINITY;
     if (!isGap) {
       // What is passed on must not grow younger with the hops that it takes.
-      const vouchedAt = clock.earliest(clockMs - ageMs) ?? Number.NEGATIVE_INFINITY;
-      if (this.#role !== 'self') this.#relayed.note({ currentAt: vouchedAt, provenAt });
+      const vouchedAt = clock.earliestOwnTime(clockMs - ageMs) ?? Number.NEGATIVE_INFINITY;
+      if (this.#role !== 'self')
+        this.#relayed.record({ currentAsOf: vouchedAt, provenCurrentAsOf: provenAt });
       if (!subscription.isFurther) this.#subscriptions.dropFurther();
-      this.#tellFromReader(watcher, stretch, { currentAt, provenAt });
+      this.#tellFromReader(watcher, stretch, {
+        currentAsOf: currentAt,
+        provenCurrentAsOf: provenAt,
+      });
     }
     this.look();
   }
 
-  #tellFromReader(watcher: Watcher, stretch: WatchStretch, at: WordTimes): void {
+  #tellFromReader(watcher: Watcher, stretch: WatchRange, at: FreshnessTimes): void {
     const told = this.#advance(watcher, stretch);
     this.options.counters.eventsFromReaders += told.length;
     const isDue = this.isProof || this.options.now() - watcher.toldAt >= UNCHANGED_EVERY_MS;
-    if (told.length > 0 || isDue) this.#tell(watcher, told, at.currentAt, at.provenAt);
-    if (this.#role === 'relay' && this.#relayed.takeNews(told.length > 0)) this.onRelayed();
+    if (told.length > 0 || isDue) this.#tell(watcher, told, at.currentAsOf, at.provenCurrentAsOf);
+    if (this.#role === 'relay' && this.#relayed.takeRelayDue(told.length > 0)) this.onRelayed();
   }
 
   /** Takes a stretch that leaves no gap, and gives what of it is new. */
-  #advance(watcher: Watcher, { revision, events }: WatchStretch): readonly WatchEvent[] {
+  #advance(watcher: Watcher, { revision, events }: WatchRange): readonly WatchEvent[] {
     const after = watcher.told;
     const news = events.filter((event) => revisionOf(event) > after);
     watcher.told = Math.max(after, revision);
--- a/src/direct/readers/watch-server.ts
+++ b/src/direct/readers/watch-server.ts
@@ -1,5 +1,5 @@
 /** Tells other nodes the changes of the prefixes that this node reads from the store. */
-import { sizeOfEvents } from '../../core/directory/watch-history.js';
+import { countCharacters } from '../../core/directory/watch-history.js';
 import type { Milliseconds } from '../../core/units.js';
 import type { PeerStream, WireValue } from '../../peer/contract.js';
 import type { ReaderCounters, RelayedRange } from './contract.js';
@@ -78,10 +78,10 @@
   #tell(follower: Follower): boolean {
     const { answeredAt, provenAt, history } = follower.followed;
     if (answeredAt === undefined || provenAt === undefined) return false;
-    const stretch = history.since(follower.told);
+    const stretch = history.changesSince(follower.told);
     const isPassedOn =
       stretch !== undefined &&
-      sizeOfEvents(stretch.events) <= this.#mostCharacters(follower.followed);
+      countCharacters(stretch.events) <= this.#mostCharacters(follower.followed);
     // A stretch that begins where it ends tells that there is more, at the store.
     const { revision } = history;
     const passed = isPassedOn ? stretch : { after: revision, revision, events: [] };
--- a/src/direct/store-sight.ts
+++ b/src/direct/store-sight.ts
@@ -1,5 +1,5 @@
 /** Lines and figures about the store's history: its returns from a copy, and what it refused or told out of turn. */
-import type { EraReading } from '../core/directory/store-era.js';
+import type { EraObservation } from '../core/directory/store-era.js';
 import type { Milliseconds } from '../core/units.js';
 import type { Logger } from '../observability/logger.js';
 import type { PassedConfiguration } from './directory-follower.js';
@@ -27,7 +27,7 @@
   ) {}
 
   /** An answer shows a rise of the era, or can't be placed in one. */
-  noteEra(reading: EraReading): void {
+  noteEra(reading: EraObservation): void {
     if (reading.type === 'risen') {
       this.counters.returns += 1;
       const { era, before } = reading;
--- a/test/property/configuration-proof.test.ts
+++ b/test/property/configuration-proof.test.ts
@@ -69,7 +69,7 @@
   for (let now = askedAt; now < DAY_MS; now += REQUEST_EVERY_MS) {
     while (told[0] !== undefined && told[0].arrivesAt <= now) {
       const word = told.shift() as Told;
-      clock.noteAnswer(word.clockMs);
+      clock.recordResponse(word.clockMs);
       isHeld = word.isHeld;
       bound.noteProven(earliest(clock, word, word.arrivesAt) ?? Number.NEGATIVE_INFINITY);
     }
@@ -91,7 +91,7 @@
 }
 
 test('nothing runs with a key that was taken away longer ago than the bound', () => {
-  const { ran, late } = total((clock, { provenMs }) => clock.earliest(provenMs));
+  const { ran, late } = total((clock, { provenMs }) => clock.earliestOwnTime(provenMs));
   assert.is(late, 0);
   assert.ok(ran > SEEDS * 50, `${ran} ran`);
 });
@@ -102,7 +102,7 @@
 });
 
 test('an age that counts from the answer of the poll would let some run', () => {
-  const { late } = total((clock, { clockMs }) => clock.earliest(clockMs));
+  const { late } = total((clock, { clockMs }) => clock.earliestOwnTime(clockMs));
   assert.ok(late > 0);
 });
 
--- a/test/unit/platform/store-era.test.ts
+++ b/test/unit/platform/store-era.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { KeyValueStore } from '../../../platform/store.js';
-import { type EraReading, StoreEra } from '../../../src/core/directory/store-era.js';
+import { type EraObservation, StoreEra } from '../../../src/core/directory/store-era.js';
 import { MAX_REVISION, toStorePosition } from '../../../src/core/directory/store-position.js';
 import {
   type ScriptedAnswer,
@@ -24,10 +24,10 @@
 
 async function withStore(
   answers: readonly ScriptedAnswer[],
-  run: (store: KeyValueStore, server: ScriptedServer, told: EraReading[]) => Promise<void>,
+  run: (store: KeyValueStore, server: ScriptedServer, told: EraObservation[]) => Promise<void>,
 ): Promise<void> {
   const server = await startScriptedServer((_request, earlier) => answers[earlier] ?? 'silent');
-  const told: EraReading[] = [];
+  const told: EraObservation[] = [];
   const store = new KeyValueStore({
     endpoint: server.endpoint,
     clientName: 'test',
@@ -155,10 +155,10 @@
 
 test('the era that is heard of first is no rise', () => {
   const era = new StoreEra();
-  assert.equal(era.note('17'), { type: 'first', era: 17 });
-  assert.equal(era.note('17'), { type: 'present', era: 17 });
-  assert.equal(era.note('19'), { type: 'risen', era: 19, before: 17 });
-  assert.equal(era.note('18'), { type: 'unusable', reason: 'over' });
+  assert.equal(era.observe('17'), { type: 'first', era: 17 });
+  assert.equal(era.observe('17'), { type: 'present', era: 17 });
+  assert.equal(era.observe('19'), { type: 'risen', era: 19, before: 17 });
+  assert.equal(era.observe('18'), { type: 'unusable', reason: 'over' });
 });
 
 test.run();
--- a/test/unit/start-readiness.test.ts
+++ b/test/unit/start-readiness.test.ts
@@ -1,6 +1,6 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { PRIMARIES_WAIT_MS, StartReadiness } from '../../src/core/directory/start-readiness.js';
+import { MAX_PRIMARIES_WAIT_MS, StartReadiness } from '../../src/core/directory/start-readiness.js';
 
 const EMPTY = { hasDirectory: false, hasPrimaries: false };
 const WITHOUT_PRIMARIES = { hasDirectory: true, hasPrimaries: false };
@@ -22,14 +22,14 @@
 test('a service without a primary holds a node back for a bounded time', () => {
   const readiness = new StartReadiness();
   assert.not(readiness.isReady(5, WITHOUT_PRIMARIES));
-  assert.not(readiness.isReady(5 + PRIMARIES_WAIT_MS - 1, WITHOUT_PRIMARIES));
-  assert.ok(readiness.isReady(5 + PRIMARIES_WAIT_MS, WITHOUT_PRIMARIES));
+  assert.not(readiness.isReady(5 + MAX_PRIMARIES_WAIT_MS - 1, WITHOUT_PRIMARIES));
+  assert.ok(readiness.isReady(5 + MAX_PRIMARIES_WAIT_MS, WITHOUT_PRIMARIES));
 });
 
 test('the time runs from when routes and instances are known', () => {
   const readiness = new StartReadiness();
   readiness.isReady(0, EMPTY);
-  assert.not(readiness.isReady(PRIMARIES_WAIT_MS, WITHOUT_PRIMARIES));
+  assert.not(readiness.isReady(MAX_PRIMARIES_WAIT_MS, WITHOUT_PRIMARIES));
 });
 
 test.run();
--- a/test/unit/store-return.test.ts
+++ b/test/unit/store-return.test.ts
@@ -2,7 +2,7 @@
 import { errAsync } from 'neverthrow';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { StoreReturn } from '../../src/core/directory/store-return.js';
+import { StoreOutageDetector } from '../../src/core/directory/store-return.js';
 import type { PromotionEvent, RequestAnswer } from '../../src/core/promotion/contract.js';
 import { PromotionMachine } from '../../src/core/promotion/machine.js';
 import { DEFAULT_PROMOTION_TIMINGS } from '../../src/core/promotion/options.js';
@@ -12,20 +12,20 @@
 import { feed } from '../support/promotion-feed.js';
 
 test('the first answer after an absence is told once, also the first of all', () => {
-  const seen = new StoreReturn();
-  assert.not(seen.noteCall(false, 0));
-  assert.ok(seen.noteCall(true, 100));
-  assert.not(seen.noteCall(true, 200));
-  assert.not(seen.noteCall(false, 1000));
-  assert.ok(seen.noteCall(true, 1100));
+  const seen = new StoreOutageDetector();
+  assert.not(seen.recordCall(false, 0));
+  assert.ok(seen.recordCall(true, 100));
+  assert.not(seen.recordCall(true, 200));
+  assert.not(seen.recordCall(false, 1000));
+  assert.ok(seen.recordCall(true, 1100));
 });
 
 test('a store that refuses some calls beside others that it answers was not away', () => {
-  const seen = new StoreReturn();
-  seen.noteCall(true, 0);
+  const seen = new StoreOutageDetector();
+  seen.recordCall(true, 0);
   for (let at = 100; at < 1000; at += 100) {
-    assert.not(seen.noteCall(false, at - 50));
-    assert.not(seen.noteCall(true, at));
+    assert.not(seen.recordCall(false, at - 50));
+    assert.not(seen.recordCall(true, at));
   }
 });
 
--- a/test/unit/watch-readers.test.ts
+++ b/test/unit/watch-readers.test.ts
@@ -1,8 +1,8 @@
 /** Who reads the store for the others, what a node keeps for them, and when it relies on its readers. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { READER_SILENCE_MS, ReaderEvidence } from '../../src/core/directory/reader-evidence.js';
-import { RelayedWord } from '../../src/core/directory/relayed-word.js';
+import { READER_TIMEOUT_MS, ReaderTracker } from '../../src/core/directory/reader-evidence.js';
+import { RelayedFreshness } from '../../src/core/directory/relayed-word.js';
 import { WatchHistory } from '../../src/core/directory/watch-history.js';
 import type { ReachableNode } from '../../src/core/ownership/owner-roster.js';
 import {
@@ -89,67 +89,67 @@
 });
 
 test('a relay passes on changes at once, and otherwise a word that is younger by some time', () => {
-  const word = new RelayedWord(400);
-  assert.not(word.takeNews(true));
-  word.note({ currentAt: 1000, provenAt: 900 });
-  assert.ok(word.takeNews(false));
-  word.note({ currentAt: 1300, provenAt: 1200 });
-  assert.not(word.takeNews(false));
-  assert.ok(word.takeNews(true));
-  word.note({ currentAt: 1100, provenAt: 1000 });
-  assert.equal(word.times, { currentAt: 1300, provenAt: 1200 });
-  word.note({ currentAt: 1700, provenAt: 1600 });
-  assert.ok(word.takeNews(false));
-  word.note({ currentAt: 1900, provenAt: Number.NEGATIVE_INFINITY });
-  assert.equal(word.times, { currentAt: 1700, provenAt: 1600 });
-  word.forget();
+  const word = new RelayedFreshness(400);
+  assert.not(word.takeRelayDue(true));
+  word.record({ currentAsOf: 1000, provenCurrentAsOf: 900 });
+  assert.ok(word.takeRelayDue(false));
+  word.record({ currentAsOf: 1300, provenCurrentAsOf: 1200 });
+  assert.not(word.takeRelayDue(false));
+  assert.ok(word.takeRelayDue(true));
+  word.record({ currentAsOf: 1100, provenCurrentAsOf: 1000 });
+  assert.equal(word.times, { currentAsOf: 1300, provenCurrentAsOf: 1200 });
+  word.record({ currentAsOf: 1700, provenCurrentAsOf: 1600 });
+  assert.ok(word.takeRelayDue(false));
+  word.record({ currentAsOf: 1900, provenCurrentAsOf: Number.NEGATIVE_INFINITY });
+  assert.equal(word.times, { currentAsOf: 1700, provenCurrentAsOf: 1600 });
+  word.clear();
   assert.is(word.times, undefined);
-  assert.not(word.takeNews(true));
+  assert.not(word.takeRelayDue(true));
 });
 
 test('a history tells what follows a revision, and nothing if it lacks a part', () => {
   const history = new WatchHistory();
-  assert.is(history.since(0), undefined);
+  assert.is(history.changesSince(0), undefined);
   history.append({ after: 4, revision: 8, events: [put('a', 6), put('b', 8)] });
   history.append({ after: 8, revision: 11, events: [put('a', 10)] });
-  assert.is(history.since(3), undefined);
-  assert.equal(history.since(6), {
+  assert.is(history.changesSince(3), undefined);
+  assert.equal(history.changesSince(6), {
     after: 6,
     revision: 11,
     events: [put('b', 8), put('a', 10)],
   });
-  assert.equal(history.since(20), { after: 20, revision: 20, events: [] });
+  assert.equal(history.changesSince(20), { after: 20, revision: 20, events: [] });
 });
 
 test('a history with a gap begins anew, and one that grows forgets the oldest', () => {
   const history = new WatchHistory();
   history.append({ after: 1, revision: 2, events: [put('a', 2)] });
   history.append({ after: 5, revision: 6, events: [put('a', 6)] });
-  assert.is(history.since(2), undefined);
-  assert.is(history.since(5)?.events.length, 1);
+  assert.is(history.changesSince(2), undefined);
+  assert.is(history.changesSince(5)?.events.length, 1);
   const large = 'x'.repeat(200_000);
   history.append({ after: 6, revision: 7, events: [put('a', 7, large)] });
   history.append({ after: 7, revision: 8, events: [put('a', 8, large)] });
-  assert.is(history.since(6), undefined);
-  assert.is(history.since(7)?.events.length, 1);
+  assert.is(history.changesSince(6), undefined);
+  assert.is(history.changesSince(7)?.events.length, 1);
 });
 
 test('a node relies on readers that speak, whose word is new, and that leave nothing out', () => {
-  const evidence = new ReaderEvidence(MAX_AGE_MS);
-  assert.not(evidence.isServed(0, 10));
-  evidence.noteTold('one', 1000, 900);
-  assert.ok(evidence.isServed(1000, 10));
-  assert.ok(evidence.isServed(1000 + READER_SILENCE_MS, 10));
-  assert.not(evidence.isServed(1001 + READER_SILENCE_MS, 10));
-  evidence.noteTold('one', 5000, 5000 - MAX_AGE_MS - 1);
-  assert.not(evidence.isServed(5000, 10));
-  evidence.noteTold('one', 6000, 6000);
-  evidence.noteTold('two', 6000, 6000, 12);
-  assert.not(evidence.isServed(6000, 11));
-  assert.ok(evidence.isServed(6000, 12));
-  evidence.noteLost('one');
-  evidence.noteLost('two');
-  assert.not(evidence.isServed(6000, 12));
+  const evidence = new ReaderTracker(MAX_AGE_MS);
+  assert.not(evidence.isServedByReaders(0, 10));
+  evidence.recordReport('one', 1000, 900);
+  assert.ok(evidence.isServedByReaders(1000, 10));
+  assert.ok(evidence.isServedByReaders(1000 + READER_TIMEOUT_MS, 10));
+  assert.not(evidence.isServedByReaders(1001 + READER_TIMEOUT_MS, 10));
+  evidence.recordReport('one', 5000, 5000 - MAX_AGE_MS - 1);
+  assert.not(evidence.isServedByReaders(5000, 10));
+  evidence.recordReport('one', 6000, 6000);
+  evidence.recordReport('two', 6000, 6000, 12);
+  assert.not(evidence.isServedByReaders(6000, 11));
+  assert.ok(evidence.isServedByReaders(6000, 12));
+  evidence.removeReader('one');
+  evidence.removeReader('two');
+  assert.not(evidence.isServedByReaders(6000, 12));
 });
 
 test('what is not in its form is not taken', () => {
