--- a/test/property/budget-lease.test.ts
+++ b/test/property/budget-lease.test.ts
@@ -1,4 +1,4 @@
-/** Shares of an instance's connections: their sum stays within the limit, whatever happens. */
+/** Leased shares of an instance's connections: their sum stays within the limit under any schedule of faults. */
 import fc from 'fast-check';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -59,22 +59,22 @@
   else if (fault === 'want') node.holder.setWanted(value * 10);
   else if (fault === 'cut') cutAndBreak(network, node);
   else if (fault === 'join-again') node.isCutFromInstance = false;
-  else if (fault === 'lossy') network.lossShare = value / 10;
+  else if (fault === 'lossy') network.lossFraction = value / 10;
   else if (fault === 'slow') network.maxLatencyMs = 4000;
   else if (fault === 'fast') network.maxLatencyMs = 100;
   else if (fault === 'authority') node.wantsAuthority = !node.wantsAuthority;
   else node.granterGuess = value === index ? undefined : value;
 }
 
-/** The worst for a granter: its lock is free for others and it does not hear of it. */
+/** The worst case for a granter: others can take its lock, and it is not notified. */
 function cutAndBreak(network: BudgetNetwork, node: BudgetNode): void {
   node.isCutFromInstance = true;
   network.breakSession(node);
 }
 
-/** All nodes want to grant and ask anyone. */
-function anarchy(seed: number): BudgetNetwork {
-  const network = started(seed);
+/** All nodes try to become the granter, and send their requests to any of them. */
+function startWithCompetingGranters(seed: number): BudgetNetwork {
+  const network = startNetwork(seed);
   for (const node of network.nodes) {
     node.wantsAuthority = true;
     node.granterGuess = undefined;
@@ -82,7 +82,7 @@
   return network;
 }
 
-function started(seed: number): BudgetNetwork {
+function startNetwork(seed: number): BudgetNetwork {
   const network = new BudgetNetwork(seed, NODES, LIMIT);
   for (const node of network.nodes) node.holder.setWanted(LIMIT);
   const [first] = network.nodes;
@@ -97,7 +97,7 @@
       fc.integer(),
       fc.array(stepArbitrary, { minLength: 15, maxLength: 40, size: 'max' }),
       (seed, steps) => {
-        const network = anarchy(seed);
+        const network = startWithCompetingGranters(seed);
         const leasable = leasableConnections(LIMIT, network.options);
         const check = (): void => {
           const sum = network.sumHeld();
@@ -113,22 +113,22 @@
     ),
     { seed: SEED, numRuns: 200 },
   );
-  assert.is(mostHeld, leasableConnections(LIMIT, started(0).options), 'the limit was reached');
+  assert.is(mostHeld, leasableConnections(LIMIT, startNetwork(0).options), 'the limit was reached');
 });
 
 test('shares are divided evenly among those who want them, and what is left is used', () => {
-  const network = started(SEED);
+  const network = startNetwork(SEED);
   const leasable = leasableConnections(LIMIT, network.options);
   network.run(20_000, () => undefined);
-  const fair = Math.floor(leasable / NODES);
-  for (const held of network.held()) assert.ok(held >= fair, network.held().join());
+  const equalShare = Math.floor(leasable / NODES);
+  for (const held of network.held()) assert.ok(held >= equalShare, network.held().join());
   for (const node of network.nodes.slice(1)) node.holder.setWanted(2);
   network.run(20_000, () => undefined);
   assert.equal(network.held(), [leasable - 2 * (NODES - 1), 2, 2, 2]);
 });
 
 test('shares survive a change of the granter', () => {
-  const network = started(SEED);
+  const network = startNetwork(SEED);
   network.run(20_000, () => undefined);
   const [first, second] = network.nodes;
   if (first === undefined || second === undefined) throw new Error('no nodes');
@@ -145,7 +145,7 @@
 });
 
 test('a paused holder finds its share gone, and the others get it', () => {
-  const network = started(SEED);
+  const network = startNetwork(SEED);
   network.run(20_000, () => undefined);
   const [, paused] = network.nodes;
   if (paused === undefined) throw new Error('no node');
--- a/test/property/configuration-proof.test.ts
+++ b/test/property/configuration-proof.test.ts
@@ -1,7 +1,8 @@
 /**
- * How long a node may go on with keys that it can't confirm, in virtual time: readers poll the store, tell others what
- * they heard, and every message may stand on its way for seconds. Whatever happens, nothing runs with a key that was
- * taken away longer ago than the bound. Judging the age of what a reader tells by its arrival is shown to break that.
+ * How long a node may accept keys that it can't confirm, in virtual time: readers poll the store and relay its
+ * responses to other nodes, and any message may be delayed by seconds. No request may run with a key that was revoked
+ * longer ago than the bound. The tests also show that computing the age of relayed data from its arrival would break
+ * that.
  */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -15,24 +16,28 @@
 const DAY_MS = 20_000;
 const REQUEST_EVERY_MS = 40;
 
-interface Told {
+interface RelayedReport {
   readonly arrivesAt: number;
   readonly clockMs: number;
   readonly provenMs: number;
-  /** Keys as the poll showed them. */
+  /** Whether the key existed according to the poll. */
   readonly isHeld: boolean;
 }
 
-/** What a reader tells one follower in a day: polls that may be slow, words that may be late, a link that may break. */
-function toldIn(random: () => number, revokedAt: number, clockOffset: number): Told[] {
-  const told: Told[] = [];
+/** A reader's reports to one node: polls may be slow, reports may be late, and the link may break for a while. */
+function simulateReports(
+  random: () => number,
+  revokedAt: number,
+  clockOffset: number,
+): RelayedReport[] {
+  const told: RelayedReport[] = [];
   const cutFrom = random() * DAY_MS;
   const cutTo = cutFrom + random() * 9000;
   let arrived = 0;
   for (let sentAt = random() * 500; sentAt < DAY_MS; ) {
     const readAt = sentAt + random() * POLL_MS;
     const answeredAt = readAt + (random() < 0.1 ? random() * 3000 : random() * POLL_MS);
-    // The store's answer is of some moment between the question and itself.
+    // The store's response shows its state at some time between the request and the response.
     const isHeld = readAt < revokedAt;
     const isCut = sentAt > cutFrom && sentAt < cutTo;
     const delay = random() < 0.2 ? random() * 6000 : random() * 50;
@@ -46,20 +51,20 @@
 
 interface Day {
   readonly ran: number;
-  /** Requests that ran with the key, sent later than the bound allows. */
+  /** Requests that ran with the key although they were sent later than the bound allows. */
   readonly late: number;
 }
 
-/** @param earliest the time that a word is taken to prove, by the follower's clock */
+/** @param earliest computes the time, by the receiving node's clock, for which a report counts as proof */
 function play(
   seed: number,
-  earliest: (clock: PeerClock, told: Told, now: number) => number | undefined,
+  earliest: (clock: PeerClock, told: RelayedReport, now: number) => number | undefined,
 ): Day {
   const random = seededRandom(seed);
   const revokedAt = 2000 + random() * 10_000;
   const acknowledgedAt = revokedAt;
   const askedAt = random() * 300;
-  const told = toldIn(random, revokedAt, (random() - 0.5) * 1e7).filter(
+  const told = simulateReports(random, revokedAt, (random() - 0.5) * 1e7).filter(
     ({ arrivesAt }) => arrivesAt > askedAt,
   );
   const clock = new PeerClock(askedAt);
@@ -68,7 +73,7 @@
   let [ran, late] = [0, 0];
   for (let now = askedAt; now < DAY_MS; now += REQUEST_EVERY_MS) {
     while (told[0] !== undefined && told[0].arrivesAt <= now) {
-      const word = told.shift() as Told;
+      const word = told.shift() as RelayedReport;
       clock.recordResponse(word.clockMs);
       isHeld = word.isHeld;
       bound.noteProven(earliest(clock, word, word.arrivesAt) ?? Number.NEGATIVE_INFINITY);
--- a/test/property/connection-sharing.test.ts
+++ b/test/property/connection-sharing.test.ts
@@ -1,4 +1,4 @@
-/** How the nodes of a direct gateway share an instance's connections, and who owns an instance. */
+/** How the nodes of a direct gateway share an instance's connections, and which nodes own an instance. */
 import fc from 'fast-check';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -26,7 +26,7 @@
 const RUNS = { seed: SEED, numRuns: 300 };
 const ZONES = ['a', 'b', 'c'];
 const DIRECT: ConnectionSharing = { type: 'direct' };
-const MEMORY_MS = 30_000;
+const SMALL_FLEET_CONFIRMATION_MS = 30_000;
 const hash = await loadHash64();
 
 const limits = fc.integer({ min: 16, max: 200 });
@@ -78,7 +78,8 @@
         if (liveNodes > maxConnections - RESERVED_CONNECTIONS) smallSince = undefined;
         else smallSince ??= now;
         sharing = decision.decide(sharing, { liveNodes, maxConnections }, now);
-        const mayBeDirect = smallSince !== undefined && now - smallSince >= MEMORY_MS;
+        const mayBeDirect =
+          smallSince !== undefined && now - smallSince >= SMALL_FLEET_CONFIRMATION_MS;
         if (sharing.type === 'direct') {
           assert.ok(mayBeDirect);
           return;
--- a/test/property/membership.test.ts
+++ b/test/property/membership.test.ts
@@ -24,11 +24,11 @@
   return network;
 }
 
-/** Time within which a death must be known everywhere: two rounds, suspicion, spreading. */
+/** Time within which all nodes must know of a death: two probe rounds, suspicion, dissemination. */
 function deathBoundMs(network: MembershipNetwork): number {
   const members = network.nodes.size;
-  const { probePeriodMs, suspicionMultiplier, crossZoneFraction: remoteShare } = network.options;
-  const roundPeriods = (2 * members) / Math.min(remoteShare, 1 - remoteShare);
+  const { probePeriodMs, suspicionMultiplier, crossZoneFraction } = network.options;
+  const roundPeriods = (2 * members) / Math.min(crossZoneFraction, 1 - crossZoneFraction);
   const suspicionPeriods = suspicionMultiplier * Math.max(1, Math.log10(members));
   return (roundPeriods + suspicionPeriods + 10) * probePeriodMs;
 }
@@ -72,10 +72,10 @@
 
 test('a fleet that starts at once converges, also with a fifth of the datagrams lost', () => {
   const network = new MembershipNetwork(SEED);
-  network.lossShare = 0.2;
+  network.lossFraction = 0.2;
   network.startFleet(24, 4);
   network.run(MINUTE_MS);
-  network.lossShare = 0;
+  network.lossFraction = 0;
   assert.ok(network.run(MINUTE_MS, () => network.isConverged()));
 });
 
@@ -83,7 +83,7 @@
   const network = startedFleet(SEED, 20);
   const listed = { nodeId: 'n20', zone: 'z0', host: '10.0.0.1', peerPort: 99, leaving: false };
   const [seed] = network.list;
-  network.lossShare = 1;
+  network.lossFraction = 1;
   network.list = seed === undefined ? [listed] : [seed, listed];
   const newcomer = network.start(listed);
   assert.ok(network.run(2 * SECOND_MS, () => newcomer.machine.isJoined));
@@ -107,9 +107,9 @@
 
 test('loss alone leads to no permanent death', () => {
   const network = startedFleet(SEED, 10);
-  network.lossShare = 0.35;
+  network.lossFraction = 0.35;
   network.run(3 * MINUTE_MS);
-  network.lossShare = 0;
+  network.lossFraction = 0;
   assert.ok(network.run(2 * MINUTE_MS, () => network.isConverged()));
 });
 
@@ -242,7 +242,7 @@
   network.run(MINUTE_MS);
   const periods = MINUTE_MS / network.options.probePeriodMs;
   const perNodeAndPeriod = (network.datagrams - before) / 30 / periods;
-  // One ping sent and one answered each period.
+  // Per period, each node sends one ping and one ack.
   assert.ok(perNodeAndPeriod <= 2.1, `${perNodeAndPeriod} datagrams`);
 });
 
@@ -276,7 +276,7 @@
   else if (fault === 'resume') network.resume(node);
   else if (fault === 'cut') network.isCut = (from, to) => (from === node) !== (to === node);
   else if (fault === 'heal') network.isCut = () => false;
-  else network.lossShare = fault === 'lossy' ? 0.3 : 0;
+  else network.lossFraction = fault === 'lossy' ? 0.3 : 0;
 }
 
 test('after any schedule of faults and a heal, all live nodes converge', () => {
@@ -289,7 +289,7 @@
         inject(network, step);
       }
       network.isCut = () => false;
-      network.lossShare = 0;
+      network.lossFraction = 0;
       for (const node of network.running()) network.resume(node);
       assert.ok(network.run(5 * MINUTE_MS, () => network.isConverged()));
     }),
--- a/test/property/ownership.test.ts
+++ b/test/property/ownership.test.ts
@@ -1,4 +1,4 @@
-/** Rendezvous hashing: agreement, zones, balance, and moves per member change. */
+/** Rendezvous hashing: agreement between nodes, zones, balance, and groups moved per member change. */
 import fc from 'fast-check';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -105,7 +105,7 @@
     const gone = previous.filter((owner) => !owners.includes(owner));
     assert.is(gone.length, 1, 'one place a group');
   }
-  // The least possible is an equal share of all places.
+  // The minimum is the new member's equal share of all owner places.
   const least = (groups * OWNERS) / (members + 1);
   assert.ok(taken.length < least * 1.25, `${taken.length} places moved, least ${least}`);
   assert.ok(taken.length > least * 0.75, `${taken.length} places moved, least ${least}`);
--- a/test/support/budget-network.ts
+++ b/test/support/budget-network.ts
@@ -1,6 +1,6 @@
 /**
- * A simulated instance with its lock, and nodes that believe what they like: any of them may try to
- * become the granter, clocks drift, messages are late or lost, nodes pause, sessions break.
+ * A simulated instance with its lock, and nodes whose views may be wrong: any of them may try to become
+ * the granter, clocks drift, messages are delayed or lost, nodes pause, sessions break.
  */
 import { BudgetGranter } from '../../src/core/ownership/budget-granter.js';
 import { BudgetHolder } from '../../src/core/ownership/budget-holder.js';
@@ -19,9 +19,9 @@
   readonly granter: BudgetGranter;
   readonly holder: BudgetHolder;
   paused = false;
-  /** Believes that it is the first owner, so it tries to hold the lock. */
+  /** Considers itself the first owner, so it tries to hold the lock. */
   wantsAuthority = false;
-  /** Index of the node that it takes for the granter; undefined: asks any that wants to be. */
+  /** Index of the node that it considers the granter; undefined: sends requests to any node that wants authority. */
   granterGuess: number | undefined = 0;
   /** Its messages to and from the instance are lost. */
   isCutFromInstance = false;
@@ -51,7 +51,7 @@
   readonly random: () => number;
   now = 0;
   maxLatencyMs = 40;
-  lossShare = 0;
+  lossFraction = 0;
   /** Session that holds the instance's lock. */
   lockedBy: number | undefined;
   readonly #sessions = new Set<number>();
@@ -66,7 +66,7 @@
     }
   }
 
-  /** Lets time pass and calls `check` after each step. */
+  /** Advances the time and calls `check` after each step. */
   run(durationMs: number, check: () => void): void {
     const end = this.now + durationMs;
     while (this.now < end) {
@@ -93,7 +93,7 @@
     for (const action of inbox) action();
   }
 
-  /** The server ends a session; its lock is free at once, its client does not know yet. */
+  /** The server ends a session: its lock is free at once, but the client does not know yet. */
   breakSession(node: BudgetNode): void {
     if (node.session === undefined) return;
     this.#sessions.delete(node.session);
@@ -171,9 +171,9 @@
     if (this.lockedBy === session) this.lockedBy = undefined;
   }
 
-  /** False if the message is lost. `undefined` is the instance. */
+  /** Sends a message; false if it is lost. `to` is undefined for the instance. */
   #post(to: BudgetNode | undefined, action: () => void): boolean {
-    if (this.random() < this.lossShare) return false;
+    if (this.random() < this.lossFraction) return false;
     this.#pending.push({ at: this.now + this.random() * this.maxLatencyMs, to, action });
     return true;
   }
--- a/test/support/membership-network.ts
+++ b/test/support/membership-network.ts
@@ -1,4 +1,4 @@
-/** A simulated network of membership machines: latency, loss, partitions, pauses, crashes; seeded. */
+/** A seeded simulation of membership state machines on a network: latency, loss, partitions, pauses, crashes. */
 import type { ListedNode, MembershipOptions } from '../../src/core/membership/contract.js';
 import {
   DEFAULT_MEMBERSHIP_OPTIONS,
@@ -23,7 +23,7 @@
   readonly changes: string[];
   paused: boolean;
   crashed: boolean;
-  /** What arrived while the node was paused. */
+  /** Events that arrived while the node was paused. */
   inbox: MembershipEvent[];
 }
 
@@ -37,10 +37,10 @@
   readonly nodes = new Map<string, SimulatedNode>();
   readonly random: () => number;
   now = 1_000_000;
-  lossShare = 0;
-  /** True if a message from one to the other is lost. */
+  lossFraction = 0;
+  /** True if messages between these nodes, in this direction, are lost. */
   isCut: (from: SimulatedNode, to: SimulatedNode) => boolean = () => false;
-  /** Greatest encoded size of the updates of one datagram so far, bytes. */
+  /** Largest encoded size of the updates of one datagram so far, in bytes. */
   largestUpdates = 0;
   datagrams = 0;
   list: ListedNode[] = [];
@@ -52,13 +52,13 @@
     this.options = { ...DEFAULT_MEMBERSHIP_OPTIONS, ...options };
   }
 
-  /** Adds nodes `n0`, `n1`, … spread over zones, all on the list, and starts them. */
+  /** Adds nodes `n0`, `n1`, … spread over zones, all on the machine list, and starts them. */
   startFleet(count: number, zones: number): void {
     for (let index = 0; index < count; index += 1) this.#list(`n${index}`, `z${index % zones}`);
     for (const listed of this.list) this.start(listed);
   }
 
-  /** Starts a node, or a new life of it under the same address. */
+  /** Starts a node, or a new incarnation of it at the same address. */
   start(listed: ListedNode, incarnation = this.now): SimulatedNode {
     const { nodeId, zone, host, peerPort } = listed;
     const self = { nodeId, incarnation, zone, host, peerPort };
@@ -89,7 +89,7 @@
     return node;
   }
 
-  /** As in a real process, due timers run before what has arrived meanwhile is read. */
+  /** As in a real process, due timers run before messages that arrived during the pause are read. */
   resume(node: SimulatedNode): void {
     node.paused = false;
     this.dispatch(node, { type: 'tick' });
@@ -99,10 +99,10 @@
   }
 
   dispatch(node: SimulatedNode, event: MembershipEvent): void {
-    for (const effect of node.machine.handle(event, this.now)) this.#carryOut(node, effect);
+    for (const effect of node.machine.handle(event, this.now)) this.#execute(node, effect);
   }
 
-  /** Lets time pass; stops early once the condition holds. True if it held. */
+  /** Advances the time; stops early once the condition holds. True if it held. */
   run(durationMs: number, until: () => boolean = () => false): boolean {
     const end = this.now + durationMs;
     while (this.now < end) {
@@ -114,26 +114,28 @@
     return false;
   }
 
-  /** Nodes that run, paused or not. */
+  /** Nodes that have not crashed, paused or not. */
   running(): SimulatedNode[] {
     return [...this.nodes.values()].filter((node) => !node.crashed);
   }
 
-  /** Status of `nodeId` as each other running node sees it; `unknown` if it does not. */
+  /** Statuses of `nodeId` at all other running nodes; `unknown` where it is not a known member. */
   statusesOf(nodeId: string): Set<MemberStatus | 'unknown'> {
     const others = this.running().filter((node) => node.nodeId !== nodeId);
     return new Set(others.map((node) => node.machine.member(nodeId)?.status ?? 'unknown'));
   }
 
-  /** True if all running nodes see each other alive in their present life, and no other node. */
+  /** True if all running nodes see each other alive in the current incarnation, and no crashed node as live. */
   isConverged(): boolean {
     const running = this.running();
     return running.every((node) =>
-      [...this.nodes.values()].every((other) => other === node || this.#seesRightly(node, other)),
+      [...this.nodes.values()].every(
+        (other) => other === node || this.#hasCorrectView(node, other),
+      ),
     );
   }
 
-  #seesRightly(node: SimulatedNode, other: SimulatedNode): boolean {
+  #hasCorrectView(node: SimulatedNode, other: SimulatedNode): boolean {
     const seen = node.machine.member(other.nodeId);
     if (other.crashed) return seen === undefined || seen.status === 'dead';
     return seen?.status === 'alive' && seen.incarnation === other.machine.self().incarnation;
@@ -168,12 +170,12 @@
     return [...this.nodes.values()].find((node) => node.address.peerPort === address.peerPort);
   }
 
-  #carryOut(from: SimulatedNode, effect: MembershipEffect): void {
+  #execute(from: SimulatedNode, effect: MembershipEffect): void {
     if (effect.type === 'send') {
       const bytes = effect.message.updates.reduce((sum, update) => sum + updateBytes(update), 0);
       this.largestUpdates = Math.max(this.largestUpdates, bytes);
       this.datagrams += 1;
-      if (this.random() >= this.lossShare) {
+      if (this.random() >= this.lossFraction) {
         this.#post(from, effect.to, { type: 'message', message: effect.message });
       }
     } else if (effect.type === 'sync') {
@@ -187,13 +189,13 @@
     }
   }
 
-  /** The call is answered at once, and the answer travels. */
+  /** The peer handles the call at once; only its response is delayed by the network. */
   #sync(from: SimulatedNode, effect: Extract<MembershipEffect, { type: 'sync' }>): void {
     const to = this.#at(effect.to);
     if (to === undefined || to.crashed || to.paused || this.isCut(from, to)) return;
     const request = { type: 'sync-requested', requestId: 1, request: effect.request } as const;
     for (const reply of to.machine.handle(request, this.now)) {
-      if (reply.type !== 'sync-reply') this.#carryOut(to, reply);
+      if (reply.type !== 'sync-reply') this.#execute(to, reply);
       else {
         const { cursor } = effect.request;
         const answered = { from: effect.to, cursor, answer: reply.answer };
--- a/test/unit/budget-lease.test.ts
+++ b/test/unit/budget-lease.test.ts
@@ -1,4 +1,4 @@
-/** The rules of budget leases that rare interleavings need, one by one. */
+/** The rules of leased shares that only matter in rare interleavings, tested one by one. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { BudgetGranter } from '../../src/core/ownership/budget-granter.js';
@@ -14,8 +14,8 @@
 const OPTIONS = DEFAULT_BUDGET_LEASE_OPTIONS;
 const { authorityMs, leaseMs, maxClockDrift } = OPTIONS;
 const LIMIT = 35;
-const SILENCE_MS = withDrift(authorityMs, maxClockDrift);
-const LAPSE_MS = withDrift(authorityMs + leaseMs, maxClockDrift);
+const MAX_AUTHORITY_MS = withDrift(authorityMs, maxClockDrift);
+const MAX_SHARE_LIFETIME_MS = withDrift(authorityMs + leaseMs, maxClockDrift);
 const TERM = 'g/1';
 
 function granterAt(now: number): BudgetGranter {
@@ -39,19 +39,22 @@
 }
 
 test('a new granter grants nothing while the one before it may still grant', () => {
-  const now = SILENCE_MS - 1;
+  const now = MAX_AUTHORITY_MS - 1;
   const answer = granterAt(now).answer(request({ holding: 10 }), now);
   assert.is(answer.type === 'refused' && answer.reason, 'waiting');
   assert.is(answer.type === 'refused' && answer.term, undefined, 'the term is not told yet');
 });
 
 test('a request without the term may be old: it gets the term and no share', () => {
-  const answer = granterAt(LAPSE_MS).answer(request({ term: 'another/1' }), LAPSE_MS);
+  const answer = granterAt(MAX_SHARE_LIFETIME_MS).answer(
+    request({ term: 'another/1' }),
+    MAX_SHARE_LIFETIME_MS,
+  );
   assert.equal(answer, { type: 'refused', number: 1, reason: 'term-unknown', term: TERM });
 });
 
 test('what holders report is renewed before the wait is over, and no more', () => {
-  const now = LAPSE_MS - 1;
+  const now = MAX_SHARE_LIFETIME_MS - 1;
   const granter = granterAt(now);
   const renewed = granter.answer(request({ holding: 4 }), now);
   assert.equal(renewed, { type: 'granted', number: 1, connections: 4, mayGrowSoon: true });
@@ -60,8 +63,8 @@
 });
 
 test('a granter without a fresh confirmation grants nothing', () => {
-  const granter = granterAt(LAPSE_MS);
-  const late = LAPSE_MS + authorityMs;
+  const granter = granterAt(MAX_SHARE_LIFETIME_MS);
+  const late = MAX_SHARE_LIFETIME_MS + authorityMs;
   const answer = granter.answer(request(), late);
   assert.is(answer.type === 'refused' && answer.reason, 'no-authority');
 });
@@ -78,12 +81,12 @@
 });
 
 test('a released share is free for others at the next request', () => {
-  const granter = granterAt(LAPSE_MS);
+  const granter = granterAt(MAX_SHARE_LIFETIME_MS);
   const leasable = leasableConnections(LIMIT, OPTIONS);
-  granter.answer(request({ wanted: LIMIT }), LAPSE_MS);
-  assert.is(granter.outstandingConnections(LAPSE_MS), leasable);
-  granter.answer(request({ number: 2, wanted: 0, holding: 0 }), LAPSE_MS);
-  assert.is(granter.outstandingConnections(LAPSE_MS), 0);
+  granter.answer(request({ wanted: LIMIT }), MAX_SHARE_LIFETIME_MS);
+  assert.is(granter.outstandingConnections(MAX_SHARE_LIFETIME_MS), leasable);
+  granter.answer(request({ number: 2, wanted: 0, holding: 0 }), MAX_SHARE_LIFETIME_MS);
+  assert.is(granter.outstandingConnections(MAX_SHARE_LIFETIME_MS), 0);
 });
 
 test('what is not leased is divided among the owners, one connection at least', () => {
