--- a/src/core/limits/tenant-allocator.ts
+++ b/src/core/limits/tenant-allocator.ts
@@ -7,7 +7,7 @@
  * for the share that it holds. If all respond, the allocator need not wait for old leases to expire.
  */
 import { BudgetGranter } from '../ownership/budget-granter.js';
-import type { ShareAnswer, ShareRequest } from '../ownership/budget-lease.js';
+import type { ShareRequest, ShareResponse } from '../ownership/budget-lease.js';
 import { divideKeepingInUse } from '../ownership/share-division.js';
 import type { TenantName } from '../request.js';
 import type { Milliseconds } from '../units.js';
@@ -76,7 +76,7 @@
 
   /** Total connections that holders may still use under shares granted here. */
   outstandingConnections(now: Milliseconds): number {
-    return this.#granter.outstanding(now);
+    return this.#granter.outstandingConnections(now);
   }
 
   hasAuthority(now: Milliseconds): boolean {
@@ -120,7 +120,7 @@
     if (isComplete) this.#granter.handle({ type: 'holders-complete' }, now);
   }
 
-  answer(request: ShareRequest, now: Milliseconds): ShareAnswer {
+  answer(request: ShareRequest, now: Milliseconds): ShareResponse {
     this.#lastRequestAt = now;
     return this.#granter.answer(request, now);
   }
@@ -143,7 +143,11 @@
 
   #requestReports({ knownNodes }: AllocatorView, now: Milliseconds): AllocatorEffect[] {
     const term = this.#granter.term(now);
-    if (term === undefined || !this.#granter.isAlone(now) || !this.#granter.isWaiting(now)) {
+    if (
+      term === undefined ||
+      !this.#granter.isSoleGranter(now) ||
+      !this.#granter.mayHaveUnknownShares(now)
+    ) {
       return [];
     }
     if (knownNodes.length > this.#options.maxReportingNodes) return [];
--- a/src/core/limits/tenant-shares.ts
+++ b/src/core/limits/tenant-shares.ts
@@ -4,7 +4,7 @@
  * Keeps state only for tenants that have callers at this node, or had some recently.
  */
 import { BudgetHolder } from '../ownership/budget-holder.js';
-import type { ShareAnswer, ShareRequest } from '../ownership/budget-lease.js';
+import type { ShareRequest, ShareResponse } from '../ownership/budget-lease.js';
 import type { TenantName } from '../request.js';
 import type { Milliseconds } from '../units.js';
 import type { TenantLeaseOptions } from './lease-options.js';
@@ -131,20 +131,20 @@
   /** Reports the share that this node holds, on request of an allocator in its term. */
   report(tenant: TenantName, term: string, limit: number, now: Milliseconds): ShareRequest {
     const usage = this.#usageOf(tenant, now);
-    usage.holder.learnTerm(term);
+    usage.holder.setTerm(term);
     return this.#request(usage, limit, now);
   }
 
   /** Applies the allocator's response to a request. */
   receiveResponse(
     { tenant, request }: TenantShareRequest,
-    answer: ShareAnswer,
+    answer: ShareResponse,
     now: Milliseconds,
   ): void {
     const usage = this.#usageByTenant.get(tenant);
     if (usage === undefined || usage.holder.id !== request.holder) return;
-    const isLate = usage.holder.isLate(answer);
-    usage.holder.receive(answer, now);
+    const isLate = usage.holder.isOutdated(answer);
+    usage.holder.receiveResponse(answer, now);
     if (usage.holder.nextRequestAt() < now) usage.lastSentAt = Number.NEGATIVE_INFINITY;
     if (isLate || answer.type !== 'granted') return;
     usage.isReturned = request.holding === 0 && request.wanted === 0;
--- a/src/core/promotion/leader-store.ts
+++ b/src/core/promotion/leader-store.ts
@@ -5,7 +5,7 @@
 import type { InstanceEntry } from '../../direct/contract.js';
 import type { KeyValue } from '../../platform/contract.js';
 import type { ReachableNode } from '../ownership/owner-roster.js';
-import { type ReaderCandidate, SMALLEST_READER_FLEET } from '../ownership/watch-readers.js';
+import { MIN_FLEET_WITH_READERS, type ReaderCandidate } from '../ownership/watch-readers.js';
 import { laterPosition, type Position } from '../position.js';
 import type { Milliseconds } from '../units.js';
 import type { Election } from './election.js';
@@ -271,7 +271,7 @@
   #mayPublishLater(members: readonly InstanceEntry[]): boolean {
     if (this.runtime.now - this.#leadingSince >= INITIAL_MEMBERS_DELAY_MS) return false;
     const areAllPresent = members.every(({ id }) => this.primaries.isRegistered(id));
-    return areAllPresent && this.countLiveNodes() >= SMALLEST_READER_FLEET;
+    return areAllPresent && this.countLiveNodes() >= MIN_FLEET_WITH_READERS;
   }
 
   /** @param gone nodes whose registration must be absent for the record to be written */
--- a/src/core/tenancy/quota-keepers.ts
+++ b/src/core/tenancy/quota-keepers.ts
@@ -4,7 +4,7 @@
  * another keeper only after the previous keeper's lease has expired at the store: until then, both could grant the
  * same quota.
  */
-import { type ReachableNode, sameRoster } from '../ownership/owner-roster.js';
+import { areSameRosters, type ReachableNode } from '../ownership/owner-roster.js';
 import type { Milliseconds } from '../units.js';
 
 /** Number of parts; the loss of a keeper leaves every fourth tenant two thirds of its quota for some seconds. */
@@ -122,5 +122,5 @@
 
 /** Whether both assign the same nodes to the same parts. */
 export function areSameKeepers(left: QuotaKeepers = [], right: QuotaKeepers = []): boolean {
-  return sameRoster(left, right);
+  return areSameRosters(left, right);
 }
