--- a/src/direct/announced-primary-view.ts
+++ b/src/direct/announced-primary-view.ts
@@ -12,7 +12,7 @@
   onChange: (service: string) => void = () => {};
   #instances: ReadonlyMap<string, InstanceEntry> = new Map();
 
-  noteInstances(instances: ReadonlyMap<string, InstanceEntry>): void {
+  setInstances(instances: ReadonlyMap<string, InstanceEntry>): void {
     this.#instances = instances;
   }
 
--- a/src/direct/belief-log.ts
+++ b/src/direct/belief-log.ts
@@ -7,10 +7,10 @@
 import type { PrimaryView } from './promotion/contract.js';
 
 /** Newest known positions that are older than this leave reads of some age to the primary. */
-const OLD_SAMPLE_MS: Milliseconds = 1000;
+const MAX_FRESH_SAMPLE_AGE_MS: Milliseconds = 1000;
 
 /** A service as far as beliefs about it are told. */
-export interface BelievedService {
+export interface ObservedService {
   readonly name: string;
   readonly samples: { newestAt(): Milliseconds | undefined };
 }
@@ -18,7 +18,7 @@
 export interface BeliefLogOptions {
   readonly logger: Logger;
   readonly view: PrimaryView;
-  readonly isStoreWell: () => boolean;
+  readonly isStoreHealthy: () => boolean;
   readonly now: () => Milliseconds;
 }
 
@@ -35,26 +35,34 @@
   constructor(private readonly options: BeliefLogOptions) {}
 
   /** Looks at everything; `sampled` are services whose positions are asked for. */
-  look(services: Iterable<BelievedService>, sampled: ReadonlySet<BelievedService>): void {
-    const { view, isStoreWell, now } = this.options;
+  refresh(services: Iterable<ObservedService>, sampled: ReadonlySet<ObservedService>): void {
+    const { view, isStoreHealthy, now } = this.options;
     const at = now();
-    this.#tell('store', undefined, isStoreWell() ? 'current' : 'out of touch');
+    this.#logIfChanged('store', undefined, isStoreHealthy() ? 'current' : 'out of touch');
     const roster = view.ownerRoster();
     const owners = roster?.nodes.map(({ nodeId }) => nodeId).join(' ') ?? 'every node for itself';
-    this.#tell('owners', undefined, owners);
-    this.#tell('watches primaries', undefined, view.watchesPrimaries ? 'this node' : 'another');
+    this.#logIfChanged('owners', undefined, owners);
+    this.#logIfChanged(
+      'watches primaries',
+      undefined,
+      view.watchesPrimaries ? 'this node' : 'another',
+    );
     for (const service of services) {
       const { name } = service;
-      this.#tell('primary', name, view.primaryOf(name)?.id ?? 'none');
-      this.#tell('change of primary', name, view.isChanging(name) ? 'under way' : 'none');
-      this.#tell('trust in primary', name, view.mayTrustPrimary(name, at) ? 'yes' : 'no');
+      this.#logIfChanged('primary', name, view.primaryOf(name)?.id ?? 'none');
+      this.#logIfChanged('change of primary', name, view.isChanging(name) ? 'under way' : 'none');
+      this.#logIfChanged('trust in primary', name, view.mayTrustPrimary(name, at) ? 'yes' : 'no');
       if (!sampled.has(service)) continue;
       const sampledAt = service.samples.newestAt() ?? Number.NEGATIVE_INFINITY;
-      this.#tell('known position', name, at - sampledAt > OLD_SAMPLE_MS ? 'too old' : 'fresh');
+      this.#logIfChanged(
+        'known position',
+        name,
+        at - sampledAt > MAX_FRESH_SAMPLE_AGE_MS ? 'too old' : 'fresh',
+      );
     }
   }
 
-  #tell(belief: string, service: string | undefined, text: string): void {
+  #logIfChanged(belief: string, service: string | undefined, text: string): void {
     const key = `${belief}/${service ?? ''}`;
     const before = this.#beliefs.get(key);
     if (before?.text === text) return;
--- a/src/direct/caller-server.ts
+++ b/src/direct/caller-server.ts
@@ -3,7 +3,7 @@
 import type { Milliseconds } from '../core/units.js';
 import { CallerSession, type CallerSessionOptions } from './caller-session.js';
 import { LineSplitter, WIRE_ENCODING } from './line-splitter.js';
-import { afterInput, afterReading } from './within.js';
+import { afterPendingInput, timeoutAfterInput } from './within.js';
 
 const KEEP_ALIVE_DELAY_MS = 10_000;
 /** A caller that does not read holds its own session up once so much waits for it. */
@@ -12,9 +12,9 @@
  * A caller that was told to leave has this long to do so before its connection is ended: the word and what the caller
  * says to it may each wait more than half a second on a full link of 10 Mbit/s (a request took 0.8 s to arrive).
  */
-const LEAVE_MS = 1500;
+const LEAVE_TIMEOUT_MS = 1500;
 /** The last word to a caller has this long to arrive before the connection is dropped. */
-const LINGER_MS = 500;
+const CLOSE_TIMEOUT_MS = 500;
 
 export type SessionDependencies = Omit<CallerSessionOptions, 'write' | 'end'>;
 
@@ -22,18 +22,18 @@
   readonly session: CallerSession;
   readonly socket: Socket;
   /** Ends the time that the caller has to leave. */
-  stopLeaving?: () => void;
+  cancelLeaveTimeout?: () => void;
 }
 
 export class CallerServer {
   readonly #server: Server;
   readonly #sessions = new Set<OpenSession>();
-  #drain: 'none' | 'idle' | 'any' = 'none';
+  #drainMode: 'none' | 'idle' | 'any' = 'none';
   #accepted = 0;
 
   constructor(
     private readonly dependencies: SessionDependencies,
-    private readonly leaveMs: Milliseconds = LEAVE_MS,
+    private readonly leaveTimeoutMs: Milliseconds = LEAVE_TIMEOUT_MS,
   ) {
     this.#server = createServer({ noDelay: true }, (socket) => this.#accept(socket));
   }
@@ -77,9 +77,9 @@
    * `inTransactions` inside one too.
    */
   drain(inTransactions: boolean): void {
-    this.#drain = inTransactions ? 'any' : 'idle';
-    afterInput(() => {
-      for (const open of [...this.#sessions]) this.#endAtRest(open);
+    this.#drainMode = inTransactions ? 'any' : 'idle';
+    afterPendingInput(() => {
+      for (const open of [...this.#sessions]) this.#notifyIfEndable(open);
     });
   }
 
@@ -87,8 +87,8 @@
   close(): void {
     this.stopAccepting();
     for (const { session, socket } of [...this.#sessions]) {
-      session.giveUp();
-      closeUnread(socket);
+      session.cutOff();
+      closeWithoutReading(socket);
     }
   }
 
@@ -104,11 +104,11 @@
       },
       end: () => socket.end(),
     });
-    if (this.#drain !== 'none') session.refuseStart();
+    if (this.#drainMode !== 'none') session.refuseStart();
     const open: OpenSession = { session, socket };
     this.#sessions.add(open);
-    session.onRest = () => {
-      this.#endAtRest(open);
+    session.onIdle = () => {
+      this.#notifyIfEndable(open);
     };
     socket.on('drain', () => {
       if (!socket.writableEnded) socket.resume();
@@ -116,7 +116,7 @@
     socket.on('data', (chunk: Buffer) => this.#receive(session, socket, splitter, chunk));
     socket.on('error', () => socket.destroy());
     socket.on('close', () => {
-      open.stopLeaving?.();
+      open.cancelLeaveTimeout?.();
       this.#sessions.delete(open);
       session.close();
     });
@@ -137,28 +137,30 @@
    * Ending the connection at once would lose a request that arrived unread or is on its way, since a paused socket
    * still reads: the caller is told, answered if it asks all the same, and leaves by itself.
    */
-  #endAtRest(open: OpenSession): void {
+  #notifyIfEndable(open: OpenSession): void {
     if (!this.#mayEnd(open)) return;
-    open.session.tellToLeave();
-    this.#giveTimeToLeave(open);
+    open.session.notifyStop();
+    this.#startLeaveTimeout(open);
   }
 
-  #giveTimeToLeave(open: OpenSession): void {
-    open.stopLeaving?.();
-    open.stopLeaving = afterReading(this.leaveMs, () => this.#endLingering(open));
+  #startLeaveTimeout(open: OpenSession): void {
+    open.cancelLeaveTimeout?.();
+    open.cancelLeaveTimeout = timeoutAfterInput(this.leaveTimeoutMs, () =>
+      this.#closeIfStillOpen(open),
+    );
   }
 
   #mayEnd({ session }: OpenSession): boolean {
-    if (this.#drain === 'none') return false;
-    return this.#drain === 'idle' ? session.atRest : !session.busy;
+    if (this.#drainMode === 'none') return false;
+    return this.#drainMode === 'idle' ? session.isIdle : !session.busy;
   }
 
   /** The caller has heard and not left: it may be out of reach, unless an answer is still on its way to it. */
-  #endLingering(open: OpenSession): void {
+  #closeIfStillOpen(open: OpenSession): void {
     const { socket } = open;
     if (socket.destroyed || !this.#mayEnd(open)) return;
-    if (socket.writableLength > 0) this.#giveTimeToLeave(open);
-    else closeUnread(socket);
+    if (socket.writableLength > 0) this.#startLeaveTimeout(open);
+    else closeWithoutReading(socket);
   }
 }
 
@@ -166,7 +168,7 @@
  * Closes a socket to which nothing is left to be sent, reading no more: one that is only ended or paused reads on, and
  * so does this one while something waits to be sent.
  */
-function closeUnread(socket: Socket): void {
+function closeWithoutReading(socket: Socket): void {
   socket.destroySoon();
-  setTimeout(() => socket.destroy(), LINGER_MS).unref();
+  setTimeout(() => socket.destroy(), CLOSE_TIMEOUT_MS).unref();
 }
--- a/src/direct/caller-session.ts
+++ b/src/direct/caller-session.ts
@@ -14,11 +14,12 @@
 } from '../core/statements/statement.js';
 import type { Milliseconds } from '../core/units.js';
 import type { RouteDescription } from './contract.js';
+import { InFlightStatements } from './in-flight-statements.js';
 import { WIRE_ENCODING } from './line-splitter.js';
 import type { RequestLog } from './request-log.js';
 import { RequestTrace } from './request-trace.js';
 import type { ServiceRuntime } from './service-runtime.js';
-import { GIVEN_UP, SessionLeaving } from './session-leaving.js';
+import { CUT_AT_STOP, SessionShutdown } from './session-shutdown.js';
 import {
   RETRY_AFTER_MS,
   type Refusal,
@@ -26,24 +27,23 @@
   type StatementRequest,
 } from './statement-request.js';
 import type { StatementRunner } from './statement-runner.js';
-import { StatementsUnderWay } from './statements-under-way.js';
 import type { Tenant } from './tenant.js';
 import { Transaction } from './transaction.js';
 import type { CallerMessage, StatementWire } from './wire.js';
-import { afterReading } from './within.js';
+import { timeoutAfterInput } from './within.js';
 
 const SHARED_NAME_LENGTH = 16;
 /** When to ask again is told as later than usual while a primary is being replaced. */
-const RETRY_AFTER_CHANGE_MS = 500;
+const RETRY_DURING_PRIMARY_CHANGE_MS = 500;
 /** Messages that a caller may send ahead of their answers. */
 const MAX_QUEUED_MESSAGES = 64;
 /** A caller that comes before this node knows its routes is answered after this at the latest. */
-const START_WAIT_MS = 1500;
+const CONFIGURATION_TIMEOUT_MS = 1500;
 /** A new value waits so long for what still runs with the old ones. */
-const VALUE_WAIT_MS = 1500;
+const VALUE_CHANGE_TIMEOUT_MS = 1500;
 
 /** A route with what serves it, and its tenant's policy and use of this node. */
-export interface FoundRoute {
+export interface ResolvedRoute {
   /** Who asks, by the caller's key; undefined where callers need none. */
   readonly account?: string | undefined;
   /** Why nothing is run for this caller now. */
@@ -55,11 +55,11 @@
 
 /** What a database name leads to now. */
 export interface RouteLookup {
-  find(database: string, keyDigest: string): FoundRoute | undefined;
+  find(database: string, keyDigest: string): ResolvedRoute | undefined;
   /** Counts one operation against an account's quota; gives why not if it is beyond that. */
-  spend?(account: string, priority: number): Spending;
+  spend?(account: string, priority: number): QuotaDecision;
   /** Resolves once routes are known: true, or false if they are still unknown after so long. */
-  known(withinMs: Milliseconds): Promise<boolean>;
+  waitForRoutes(timeoutMs: Milliseconds): Promise<boolean>;
   readonly transactionIdleMs: Milliseconds;
 }
 
@@ -85,7 +85,7 @@
 }
 
 /** One operation counted, or why not; at once where that is known here. */
-export type Spending = Refusal | undefined | Promise<Refusal | undefined>;
+export type QuotaDecision = Refusal | undefined | Promise<Refusal | undefined>;
 
 type StatementMessage = Extract<CallerMessage, { type: 'statement' }>;
 
@@ -106,26 +106,26 @@
   #state: TransactionState = 'idle';
   #lastWritten: Position | undefined;
   #writtenService: string | undefined;
-  readonly #underWay = new StatementsUnderWay();
+  readonly #inFlight = new InFlightStatements();
   readonly #queue: CallerMessage[] = [];
   #busy = false;
   /** The message that is being answered. */
-  #inHand: CallerMessage | undefined;
-  #ended = false;
+  #currentMessage: CallerMessage | undefined;
+  #hasEnded = false;
   /** Ends the watch of a transaction that rests. */
-  #stopIdleWatch: (() => void) | undefined;
+  #cancelIdleTimeout: (() => void) | undefined;
   /** The transaction was ended for resting too long, and the caller has not heard of it yet. */
-  #idledOut = false;
-  readonly #leaving: SessionLeaving;
+  #hasIdleTimedOut = false;
+  readonly #shutdown: SessionShutdown;
   /** Called when a message has been answered. */
-  onRest: (() => void) | undefined;
+  onIdle: (() => void) | undefined;
 
   constructor(private readonly options: CallerSessionOptions) {
-    this.#leaving = new SessionLeaving(options.wire, (text) => this.#write(text));
+    this.#shutdown = new SessionShutdown(options.wire, (text) => this.#write(text));
   }
 
   /** True between requests and outside any transaction. */
-  get atRest(): boolean {
+  get isIdle(): boolean {
     return !this.#busy && this.#queue.length === 0 && this.#state === 'idle';
   }
 
@@ -136,7 +136,7 @@
 
   /** Takes one message; answers come in the order of the messages. */
   receive(message: CallerMessage): void {
-    if (this.#ended) return;
+    if (this.#hasEnded) return;
     if (this.#queue.length >= MAX_QUEUED_MESSAGES) {
       this.#write(this.options.wire.encodeError('too-large', 'too many messages at once'));
       this.#queue.length = 0;
@@ -144,75 +144,76 @@
       return;
     }
     this.#queue.push(message);
-    if (!this.#busy) void this.#work();
+    if (!this.#busy) void this.#processQueue();
   }
 
   /**
    * The node stops, and the caller rests: it is told so, and a transaction that it left open is rolled back. The session
    * goes on until the caller leaves, so that a request which crosses this word on its way is answered too.
    */
-  tellToLeave(): void {
-    if (this.#ended || this.#leaving.isWordOpen) return;
-    this.#stopIdleWatch?.();
+  notifyStop(): void {
+    if (this.#hasEnded || this.#shutdown.isNoticeUnused) return;
+    this.#cancelIdleTimeout?.();
     if (this.#state === 'open') {
       this.#dropTransaction();
       this.#state = 'failed';
       this.options.counters.refused += 1;
     }
-    this.#leaving.tell(this.#state);
+    this.#shutdown.sendNotice(this.#state);
     if (this.#database === undefined) this.#end();
   }
 
   /** The caller came after the stop had begun: the node starts no session for it. */
   refuseStart(): void {
-    this.#leaving.refuseStart();
+    this.#shutdown.refuseStart();
   }
 
   /**
    * The node ends now: callers that are owed answers are told that there are none, and the session ends. What was sent
    * to an instance may have run, so that nothing is promised.
    */
-  giveUp(): void {
-    if (this.#ended) return;
-    const owed = this.#inHand === undefined ? this.#queue : [this.#inHand, ...this.#queue];
-    for (const message of owed) this.#giveUpOn(message);
+  cutOff(): void {
+    if (this.#hasEnded) return;
+    const owed =
+      this.#currentMessage === undefined ? this.#queue : [this.#currentMessage, ...this.#queue];
+    for (const message of owed) this.#cutOffRequest(message);
     this.#queue.length = 0;
     this.#end();
   }
 
-  #giveUpOn(message: CallerMessage): void {
-    if (message.type === 'start') this.#leaving.writeRefusal('idle');
+  #cutOffRequest(message: CallerMessage): void {
+    if (message.type === 'start') this.#shutdown.writeRefusal('idle');
     if (message.type !== 'statement') return;
     this.options.counters.failed += 1;
-    this.#tellRefused(message, GIVEN_UP);
-    this.#leaving.writeGivenUp(this.#state);
+    this.#logRefused(message, CUT_AT_STOP);
+    this.#shutdown.writeCutOff(this.#state);
   }
 
   /** The caller has gone: what it began is rolled back. */
   close(): void {
     this.#tenant?.closeSession();
     this.#tenant = undefined;
-    if (this.#ended) return;
-    this.#ended = true;
+    if (this.#hasEnded) return;
+    this.#hasEnded = true;
     this.#queue.length = 0;
-    this.#stopIdleWatch?.();
+    this.#cancelIdleTimeout?.();
     if (!this.#busy) this.#dropTransaction();
   }
 
-  async #work(): Promise<void> {
+  async #processQueue(): Promise<void> {
     this.#busy = true;
     for (let message = this.#queue.shift(); message !== undefined; message = this.#queue.shift()) {
-      this.#stopIdleWatch?.();
-      this.#inHand = message;
+      this.#cancelIdleTimeout?.();
+      this.#currentMessage = message;
       await this.#handle(message);
-      if (this.#ended) break;
+      if (this.#hasEnded) break;
     }
     this.#busy = false;
-    this.#inHand = undefined;
-    if (this.#ended) this.#dropTransaction();
+    this.#currentMessage = undefined;
+    if (this.#hasEnded) this.#dropTransaction();
     else {
-      this.#watchIdleTransaction();
-      this.onRest?.();
+      this.#startIdleTimeout();
+      this.onIdle?.();
     }
   }
 
@@ -221,14 +222,14 @@
     this.#transaction = undefined;
   }
 
-  #watchIdleTransaction(): void {
+  #startIdleTimeout(): void {
     if (this.#transaction === undefined) return;
     const idleMs = this.options.routes.transactionIdleMs;
-    this.#stopIdleWatch = afterReading(idleMs, () => {
+    this.#cancelIdleTimeout = timeoutAfterInput(idleMs, () => {
       this.options.counters.transactionsIdled += 1;
       this.#dropTransaction();
       this.#state = 'failed';
-      this.#idledOut = true;
+      this.#hasIdleTimedOut = true;
     });
   }
 
@@ -251,14 +252,14 @@
           return;
         }
         this.options.counters.statements += 1;
-        if (!this.#leaving.isTold) await this.#statement(message, message.statement);
-        else this.#endRefusal(message);
+        if (!this.#shutdown.isNotified) await this.#statement(message, message.statement);
+        else this.#refuseAfterNotice(message);
     }
   }
 
   #end(): void {
-    if (this.#ended) return;
-    this.#ended = true;
+    if (this.#hasEnded) return;
+    this.#hasEnded = true;
     this.options.end();
   }
 
@@ -269,13 +270,13 @@
       this.#end();
       return;
     }
-    if (this.#leaving.refusesStart) {
+    if (this.#shutdown.refusesStart) {
       this.options.counters.refused += 1;
-      this.#leaving.writeRefusal('idle');
+      this.#shutdown.writeRefusal('idle');
       this.#end();
       return;
     }
-    if (!(await routes.known(START_WAIT_MS))) {
+    if (!(await routes.waitForRoutes(CONFIGURATION_TIMEOUT_MS))) {
       this.#write(wire.encodeError('busy', 'no configuration yet'));
       this.#end();
       return;
@@ -293,7 +294,7 @@
       return;
     }
     // The caller may have gone while the routes were waited for.
-    if (this.#ended) return;
+    if (this.#hasEnded) return;
     if (!found.tenant.openSession()) {
       this.options.counters.refused += 1;
       const text = `too many sessions; retry after ${RETRY_AFTER_MS} ms`;
@@ -309,9 +310,9 @@
 
   async #statement(message: StatementMessage, statement: Statement): Promise<void> {
     if (this.#state === 'failed' && statement.type !== 'commit' && statement.type !== 'rollback') {
-      const idled = this.#idledOut;
-      this.#idledOut = false;
-      if (idled) this.#refuse('aborted', 'the transaction rested too long');
+      const hasIdleTimedOut = this.#hasIdleTimedOut;
+      this.#hasIdleTimedOut = false;
+      if (hasIdleTimedOut) this.#refuse('aborted', 'the transaction rested too long');
       else this.#refuse('malformed', 'the transaction has failed; only its end is possible');
       return;
     }
@@ -349,10 +350,10 @@
   }
 
   /** A statement that crossed the word to leave. */
-  #endRefusal(message: StatementMessage): void {
-    this.#leaving.refuseCrossing(this.#state);
+  #refuseAfterNotice(message: StatementMessage): void {
+    this.#shutdown.refuseAfterNotice(this.#state);
     this.options.counters.refusedAtStop += 1;
-    this.#tellRefused(message, this.#leaving.refusal(this.#state));
+    this.#logRefused(message, this.#shutdown.refusal(this.#state));
     const { type } = message.statement;
     if (type === 'commit' || type === 'rollback') this.#state = 'idle';
     this.#write(this.options.wire.encodeReady(this.#state, undefined));
@@ -368,9 +369,9 @@
       this.#refuse('no-database', 'no such database');
       return;
     }
-    const refusal = await this.#refusalFor(found);
+    const refusal = await this.#checkAdmission(found);
     if (refusal !== undefined) {
-      this.#refuseBeforehand(message, found, refusal);
+      this.#refuseUntried(message, found, refusal);
       return;
     }
     const { route, service, tenant, account } = found;
@@ -389,15 +390,15 @@
     this.#transaction = undefined;
     const failed = this.#state === 'failed';
     this.#state = 'idle';
-    this.#idledOut = false;
+    this.#hasIdleTimedOut = false;
     if (failed || transaction === undefined) {
       this.#refuseEnded(message);
       return;
     }
-    const revoked = this.#revokedFor(transaction);
+    const revoked = this.#revocationOf(transaction);
     if (revoked !== undefined) {
       transaction.abandon();
-      this.#refuseBeforehand(message, transaction, revoked);
+      this.#refuseUntried(message, transaction, revoked);
       return;
     }
     const { wire } = this.options;
@@ -408,24 +409,24 @@
       prepared: undefined,
       encode: () => wire.encodeStatement(message.id, message.text, undefined),
     });
-    if (transaction.wrote) this.#noteWritten(outcome, transaction.service);
-    this.#tellEnd(message, transaction, base.trace, outcome);
+    if (transaction.wrote) this.#recordWritten(outcome, transaction.service);
+    this.#logEnd(message, transaction, base.trace, outcome);
     this.#answer(outcome);
   }
 
   /** The transaction failed before; its own request told why. */
   #refuseEnded(message: StatementMessage): void {
     const refusal = { code: 'aborted', text: 'the transaction was rolled back' } as const;
-    this.#tellRefused(message, refusal);
+    this.#logRefused(message, refusal);
     this.#refuse(refusal.code, refusal.text);
   }
 
   /** Notes a request that was refused before anything was tried for it. */
-  #tellRefused(message: StatementMessage, refusal: Refusal): void {
+  #logRefused(message: StatementMessage, refusal: Refusal): void {
     const found = this.#route();
     if (found === undefined) return;
     const { trace } = this.#request(found);
-    this.#tellEnd(message, found, trace, { type: 'refused', refusal });
+    this.#logEnd(message, found, trace, { type: 'refused', refusal });
   }
 
   #rollback(): void {
@@ -435,12 +436,12 @@
     }
     this.#dropTransaction();
     this.#state = 'idle';
-    this.#idledOut = false;
+    this.#hasIdleTimedOut = false;
     this.#complete();
   }
 
   async #set(name: string, value: string): Promise<void> {
-    if (await this.#underWay.ended(VALUE_WAIT_MS)) {
+    if (await this.#inFlight.waitForEnd(VALUE_CHANGE_TIMEOUT_MS)) {
       this.#completeIf(this.#variables.set(name, value));
     } else this.#refuse('busy', `an earlier statement has not ended; ${this.#retryHint()}`);
   }
@@ -476,14 +477,14 @@
         : wire.encodeExecute(message.id, prepared.sharedName, argumentText, after);
     const transaction = this.#transaction;
     if (transaction !== undefined) {
-      const revoked = this.#revokedFor(transaction);
+      const revoked = this.#revocationOf(transaction);
       if (revoked !== undefined) {
-        this.#refuseBeforehand(message, transaction, revoked);
+        this.#refuseUntried(message, transaction, revoked);
         return;
       }
       const base = this.#request(transaction);
       const outcome = await transaction.run({ ...base, access, prepared, encode });
-      this.#tellEnd(message, transaction, base.trace, outcome);
+      this.#logEnd(message, transaction, base.trace, outcome);
       this.#answer(outcome);
       return;
     }
@@ -492,27 +493,27 @@
       this.#refuse('no-database', 'no such database');
       return;
     }
-    const refusal = await this.#refusalFor(found);
+    const refusal = await this.#checkAdmission(found);
     if (refusal !== undefined) {
-      this.#refuseBeforehand(message, found, refusal);
+      this.#refuseUntried(message, found, refusal);
       return;
     }
     const { route, service } = found;
     const base = this.#request(found);
     const outcome = await runner.run({ ...base, route, service, access, prepared, encode });
-    if (access === 'write') this.#noteWritten(outcome, service);
-    this.#tellEnd(message, found, base.trace, outcome);
+    if (access === 'write') this.#recordWritten(outcome, service);
+    this.#logEnd(message, found, base.trace, outcome);
     this.#answer(outcome);
   }
 
   /** Why an operation of this caller is not begun now; counts it against the account's quota otherwise. */
-  async #refusalFor({ refusal, account, route }: FoundRoute): Promise<Refusal | undefined> {
+  async #checkAdmission({ refusal, account, route }: ResolvedRoute): Promise<Refusal | undefined> {
     if (refusal !== undefined || account === undefined) return refusal;
     return this.options.routes.spend?.(account, route.priority);
   }
 
   /** Why an open transaction must not go on: its key was taken away or given to another, or that can't be known. */
-  #revokedFor({ account }: Transaction): Refusal | undefined {
+  #revocationOf({ account }: Transaction): Refusal | undefined {
     if (account === undefined) return undefined;
     const found = this.#route();
     // A route that is gone binds from the next transaction on.
@@ -523,16 +524,16 @@
   }
 
   /** Answers a request that is refused before anything is tried for it, and notes it. */
-  #refuseBeforehand(message: StatementMessage, found: FoundRoute, refusal: Refusal): void {
+  #refuseUntried(message: StatementMessage, found: ResolvedRoute, refusal: Refusal): void {
     const { trace } = this.#request(found);
-    this.#tellEnd(message, found, trace, { type: 'refused', refusal });
+    this.#logEnd(message, found, trace, { type: 'refused', refusal });
     this.options.counters.refused += 1;
     this.#refuse(refusal.code, refusal.text);
   }
 
-  #tellEnd(
+  #logEnd(
     { id }: StatementMessage,
-    { route, service }: FoundRoute,
+    { route, service }: ResolvedRoute,
     trace: RequestTrace,
     outcome: StatementOutcome,
   ): void {
@@ -546,17 +547,17 @@
     return this.#route()?.tenant.policy.maxSessionEntries ?? 0;
   }
 
-  #route(): FoundRoute | undefined {
+  #route(): ResolvedRoute | undefined {
     return this.#database === undefined
       ? undefined
       : this.options.routes.find(this.#database, this.#keyDigest);
   }
 
-  #request({ route, service, tenant, account }: FoundRoute): RequestBase {
+  #request({ route, service, tenant, account }: ResolvedRoute): RequestBase {
     const now = this.options.now();
     const lastWritten = this.#writtenService === service.name ? this.#lastWritten : undefined;
     return {
-      session: { values: this.#variables.values, lastWritten, underWay: this.#underWay },
+      session: { values: this.#variables.values, lastWritten, inFlight: this.#inFlight },
       tenant,
       account,
       beganAt: now,
@@ -565,7 +566,7 @@
     };
   }
 
-  #noteWritten(outcome: StatementOutcome, service: ServiceRuntime): void {
+  #recordWritten(outcome: StatementOutcome, service: ServiceRuntime): void {
     if (outcome.type !== 'answered' || outcome.answer.error !== undefined) return;
     this.#lastWritten = outcome.answer.position;
     this.#writtenService = service.name;
@@ -587,24 +588,25 @@
     const error = outcome.type === 'refused' ? outcome.refusal : outcome.answer.error;
     if (outcome.type === 'refused') counters.refused += 1;
     else counters.failed += 1;
-    const isShort = outcome.type === 'refused' && outcome.refusal.isForWantOfRoom === true;
-    const hint = error?.code === 'busy' ? `; ${this.#retryHint(isShort)}` : '';
+    const isForLackOfCapacity =
+      outcome.type === 'refused' && outcome.refusal.isForLackOfCapacity === true;
+    const hint = error?.code === 'busy' ? `; ${this.#retryHint(isForLackOfCapacity)}` : '';
     this.#refuse(error?.code ?? 'failed', `${error?.text ?? ''}${hint}`);
   }
 
   /** When it is worth asking again for what has not run. */
-  #retryHint(isForWantOfRoom = false): string {
-    const place = this.#transaction ?? this.#route();
+  #retryHint(isForLackOfCapacity = false): string {
+    const scope = this.#transaction ?? this.#route();
     const { view, random } = this.options.runner.options;
-    const isChanging = place !== undefined && view.isChanging(place.service.name);
-    if (isChanging) return `retry after ${RETRY_AFTER_CHANGE_MS} ms`;
-    if (!isForWantOfRoom) return `retry after ${RETRY_AFTER_MS} ms`;
-    return `retry after ${refusalRetryDelay(place?.tenant.policy.priority ?? 0, random())} ms`;
+    const isChanging = scope !== undefined && view.isChanging(scope.service.name);
+    if (isChanging) return `retry after ${RETRY_DURING_PRIMARY_CHANGE_MS} ms`;
+    if (!isForLackOfCapacity) return `retry after ${RETRY_AFTER_MS} ms`;
+    return `retry after ${refusalRetryDelay(scope?.tenant.policy.priority ?? 0, random())} ms`;
   }
 
   /** Nothing follows what ended the session. */
   #write(text: string): void {
-    if (!this.#ended) this.options.write(text);
+    if (!this.#hasEnded) this.options.write(text);
   }
 
   #complete(): void {
--- a/src/direct/cancellation.ts
+++ b/src/direct/cancellation.ts
@@ -28,9 +28,9 @@
   cancellations: readonly Cancellation[],
   listener: () => void,
 ): () => void {
-  const ends = cancellations.map((cancellation) => cancellation.listen(listener));
+  const removers = cancellations.map((cancellation) => cancellation.listen(listener));
   return () => {
-    for (const end of ends) end();
+    for (const end of removers) end();
   };
 }
 
--- a/src/direct/commit-trust.ts
+++ b/src/direct/commit-trust.ts
@@ -17,20 +17,20 @@
  * Where only positions can be asked for, all replicas are given so long to receive a commit: twice the 150 ms that the
  * slowest replicas of a known deployment are behind.
  */
-const REACH_PATIENCE_MS: Milliseconds = 300;
-const REACH_PAUSE_MS: Milliseconds = 20;
+const REPLICATION_TIMEOUT_MS: Milliseconds = 300;
+const REPLICATION_POLL_PERIOD_MS: Milliseconds = 20;
 
 /** Told where the members don't vouch for a write. */
-export const WITHHELD: Refusal = {
+export const WRITE_WITHHELD: Refusal = {
   code: 'busy',
   text: 'whether the primary is being replaced is not known',
 };
 
 /** Why what was acknowledged is told as in doubt, by what the members said. */
-const DOUBTS: Readonly<Record<Exclude<CommitVerdict, 'safe'>, string>> = {
+const IN_DOUBT_TEXTS: Readonly<Record<Exclude<CommitVerdict, 'safe'>, string>> = {
   deposed: 'the primary was replaced meanwhile',
   held: 'the primary is being replaced',
-  unknown: WITHHELD.text,
+  unknown: WRITE_WITHHELD.text,
 };
 
 export interface CommitTrustOptions {
@@ -56,7 +56,7 @@
     const judged = await view.judgeWrite(service.name, instance.id);
     const verdict = judged ?? (await this.#judgeByPositions(service));
     if (isSafe(verdict)) return true;
-    trace?.note({ step: 'write-withheld', instance: instance.id, verdict });
+    trace?.record({ step: 'write-withheld', instance: instance.id, verdict });
     return false;
   }
 
@@ -75,9 +75,9 @@
     if (view.mayTrustPrimary(service.name, now(), instance.id)) return outcome;
     const { position } = outcome.answer;
     const judged = await view.judgeCommits(service.name, instance.id, position);
-    const verdict = judged ?? (await this.#judgeByReach(service, instance, position));
-    trace?.note({ step: 'commit-confirmed', verdict });
-    return verdict === 'safe' ? outcome : refuse('in-doubt', DOUBTS[verdict]);
+    const verdict = judged ?? (await this.#judgeByReplication(service, instance, position));
+    trace?.record({ step: 'commit-confirmed', verdict });
+    return verdict === 'safe' ? outcome : refuse('in-doubt', IN_DOUBT_TEXTS[verdict]);
   }
 
   async #judgeByPositions(service: ServiceRuntime): Promise<CommitVerdict> {
@@ -86,31 +86,31 @@
   }
 
   /** Positions show no hold: a commit is safe once every other member has it. */
-  async #judgeByReach(
+  async #judgeByReplication(
     service: ServiceRuntime,
     instance: InstanceRuntime,
     position: Position | undefined,
   ): Promise<CommitVerdict> {
     const { prover, now } = this.options;
-    const endsAt = now() + REACH_PATIENCE_MS;
+    const endsAt = now() + REPLICATION_TIMEOUT_MS;
     while (position !== undefined) {
       const { verdict, answers } = await prover.round(service);
       if (verdict === 'deposed') return 'deposed';
-      if (haveReached(answers, instance.id, position)) return 'safe';
+      if (haveReceived(answers, instance.id, position)) return 'safe';
       if (now() >= endsAt) break;
-      await pause(REACH_PAUSE_MS);
+      await pause(REPLICATION_POLL_PERIOD_MS);
     }
     return 'unknown';
   }
 }
 
-function haveReached(
+function haveReceived(
   answers: readonly MemberAnswer[],
   primaryId: string,
   position: Position,
 ): boolean {
   const others = answers.filter(({ instanceId }) => instanceId !== primaryId);
-  const hasIt = (answer: MemberAnswer): boolean =>
+  const hasReceived = (answer: MemberAnswer): boolean =>
     answer.position !== undefined && comparePositions(answer.position, position) >= 0;
-  return others.length > 0 && others.every(hasIt);
+  return others.length > 0 && others.every(hasReceived);
 }
--- a/src/direct/gateway.ts
+++ b/src/direct/gateway.ts
@@ -13,7 +13,7 @@
 import { Admission, type AdmissionCounters } from './admission.js';
 import { BeliefLog } from './belief-log.js';
 import { CallerServer } from './caller-server.js';
-import type { RouteLookup, SessionCounters, Spending } from './caller-session.js';
+import type { QuotaDecision, RouteLookup, SessionCounters } from './caller-session.js';
 import type {
   DirectSettings,
   InstanceEntry,
@@ -32,7 +32,7 @@
 import type { ToldPosition, ZonePositions } from './readers/zone-positions.js';
 import type { RelayCounters } from './relay/contract.js';
 import { RelayHost } from './relay/relay-host.js';
-import { RequestLogger, tellAll } from './request-log.js';
+import { combineRequestLogs, RequestLogger } from './request-log.js';
 import { ServiceRuntime } from './service-runtime.js';
 import { StartLog, type StartStep } from './start-log.js';
 import { StatementRunner } from './statement-runner.js';
@@ -44,22 +44,22 @@
 const CONNECT_TIMEOUT_MS = 500;
 const RECONNECT_DELAY_MS = 200;
 /** How often shares, positions and surplus connections are looked at. */
-const CHECK_MS = 100;
+const CHECK_PERIOD_MS = 100;
 /** A node that is not seen any more counts for so long among those that share connections. */
-const NODE_MEMORY_MS = 30_000;
+const NODE_COUNT_DECREASE_DELAY_MS = 30_000;
 /** Nodes that share the instances' connections, before this one has seen how many there are. */
 const ASSUMED_NODE_COUNT = 8;
 /** Up to this size, a node that starts connects to every instance at once. */
-const LARGEST_SMALL_FLEET = 23;
+const MAX_SMALL_FLEET_NODES = 23;
 /** Until then a fleet that starts for the first time may not know yet how large it is. */
-const FIRST_START_SETTLED_MS = 2500;
+const FIRST_START_SETTLING_MS = 2500;
 
 export interface DirectGatewayOptions {
   readonly settings: DirectSettings;
   readonly wire: StatementWire;
   readonly view: PrimaryView;
   /** False while what the store last told of the instances may be out of date. */
-  readonly isStoreWell: () => boolean;
+  readonly isStoreHealthy: () => boolean;
   /** When the store surely had no newer configuration; absent where nothing depends on that. */
   readonly configurationProvenAt?: () => Milliseconds | undefined;
   /** Positions by way of readers; without it each node asks the primaries. */
@@ -127,7 +127,7 @@
   #configuration: PublishedConfiguration | undefined;
   #admissionRules: AdmissionRules | undefined;
   #instances: ReadonlyMap<string, InstanceEntry> = new Map();
-  #instancesTold: DirectorySource = 'store';
+  #instancesSource: DirectorySource = 'store';
   #nodeCount = ASSUMED_NODE_COUNT;
   #nodeCountSeenAt: Milliseconds | undefined;
   readonly #createdAt: Milliseconds;
@@ -141,17 +141,17 @@
   readonly #beliefs: BeliefLog | undefined;
   readonly #starts: StartLog | undefined;
   /** Pools whose first connection was asked for. */
-  readonly #firstOpened = new WeakSet<InstancePool>();
+  readonly #poolsWithFirstConnection = new WeakSet<InstancePool>();
   readonly #firstConfiguration: Promise<true>;
-  #tellFirstConfiguration: () => void = () => {};
+  #resolveFirstConfiguration: () => void = () => {};
 
   constructor(private readonly options: DirectGatewayOptions) {
-    const { wire, view, isStoreWell, logger, now, random } = options;
+    const { wire, view, isStoreHealthy, logger, now, random } = options;
     this.#createdAt = now();
     const { isFirstStart } = options.settings;
     this.#process = { startedAt: this.#createdAt, isFirstStart, jitter: random() };
     this.#firstConfiguration = new Promise((resolve) => {
-      this.#tellFirstConfiguration = () => resolve(true);
+      this.#resolveFirstConfiguration = () => resolve(true);
     });
     this.#admission = new Admission({
       revocationMs: options.settings.revocationMs,
@@ -194,14 +194,14 @@
       now,
     });
     view.onChange = (service) => {
-      this.#followFleet();
+      this.#updateOwners();
       this.#services.get(service)?.notePrimaryChange();
-      this.#starts?.look();
+      this.#starts?.refresh();
     };
     this.#relay.onChange = () => {
       for (const service of this.#services.values()) service.setOwners();
     };
-    this.#beliefs = logger && new BeliefLog({ logger, view, isStoreWell, now });
+    this.#beliefs = logger && new BeliefLog({ logger, view, isStoreHealthy, now });
     this.#starts = logger && new StartLog({ logger, now, reached: () => this.#stepsReached() });
     this.#server = new CallerServer({
       wire,
@@ -209,7 +209,7 @@
       routes: this,
       now,
       counters: this.counters,
-      requests: tellAll([
+      requests: combineRequestLogs([
         new RequestLatencies(this.latencies.statements, now),
         ...(logger === undefined ? [] : [new RequestLogger(logger, now)]),
         ...(this.#starts === undefined ? [] : [this.#starts]),
@@ -288,15 +288,15 @@
   async start(): Promise<void> {
     await this.#server.listen(this.options.settings.callers);
     this.#checks = setInterval(() => {
-      this.#followFleet();
-      this.#openFirst();
+      this.#updateOwners();
+      this.#openFirstConnections();
       this.#placement.look(this.#services.values());
       const toSample = this.#servicesToSample();
       this.#sampler.sample(toSample);
-      this.#beliefs?.look(this.#services.values(), toSample);
+      this.#beliefs?.refresh(this.#services.values(), toSample);
       for (const service of this.#services.values()) service.trim();
-      this.#starts?.look();
-    }, CHECK_MS);
+      this.#starts?.refresh();
+    }, CHECK_PERIOD_MS);
   }
 
   /** A tenant as it is declared now. */
@@ -305,7 +305,7 @@
   }
 
   /** Counts one operation against an account's quota; gives why not, if it is beyond that. */
-  spend(account: string, priority: number): Spending {
+  spend(account: string, priority: number): QuotaDecision {
     return this.options.quotas?.spend(account, priority);
   }
 
@@ -321,9 +321,9 @@
     return admittance.type === 'admitted' ? found : { ...found, refusal: admittance.refusal };
   }
 
-  async known(withinMs: Milliseconds): Promise<boolean> {
+  async waitForRoutes(timeoutMs: Milliseconds): Promise<boolean> {
     if (this.#configuration !== undefined) return true;
-    return (await firstWithin([this.#firstConfiguration], withinMs)) ?? false;
+    return (await firstWithin([this.#firstConfiguration], timeoutMs)) ?? false;
   }
 
   /** Takes a configuration; an older one than that in force is left out. */
@@ -339,14 +339,14 @@
     for (const description of configuration.services) {
       this.#service(description.name).setMaxConnections(description.maxConnections);
     }
-    this.#dropServices(new Set(configuration.services.map(({ name }) => name)));
-    this.setInstances(this.#instances, this.#instancesTold);
-    this.#tellFirstConfiguration();
-    this.#starts?.look();
+    this.#removeServices(new Set(configuration.services.map(({ name }) => name)));
+    this.setInstances(this.#instances, this.#instancesSource);
+    this.#resolveFirstConfiguration();
+    this.#starts?.refresh();
   }
 
   /** Sessions that still hold a service which has left the configuration end their work with it. */
-  #dropServices(kept: ReadonlySet<string>): void {
+  #removeServices(kept: ReadonlySet<string>): void {
     for (const [name, service] of this.#services) {
       if (kept.has(name)) continue;
       service.close();
@@ -357,16 +357,16 @@
   /** Takes the instances that are announced now. */
   setInstances(
     instances: ReadonlyMap<string, InstanceEntry>,
-    told: DirectorySource = 'store',
+    source: DirectorySource = 'store',
   ): void {
     this.#instances = instances;
-    this.#instancesTold = told;
+    this.#instancesSource = source;
     for (const [name, service] of this.#services) {
       const entries = [...instances.values()].filter((entry) => entry.service === name);
-      service.setInstances(entries, told);
+      service.setInstances(entries, source);
     }
-    this.#openFirst();
-    this.#starts?.look();
+    this.#openFirstConnections();
+    this.#starts?.refresh();
   }
 
   /**
@@ -375,17 +375,17 @@
    * instance takes, or be the owners' to open; and in a large one that starts at once, connections would take all slots, so that only
    * those instances are connected to that most statements go to.
    */
-  #openFirst(): void {
+  #openFirstConnections(): void {
     const { settings, now } = this.options;
     // A connection is of one tenant: none can be opened before one asks.
     if (this.#admission.asksForKeys) return;
-    const isSettled = now() - this.#createdAt > FIRST_START_SETTLED_MS;
+    const isSettled = now() - this.#createdAt > FIRST_START_SETTLING_MS;
     if (!isSettled && (settings.isFirstStart || this.#nodeCountSeenAt === undefined)) return;
     for (const service of this.#services.values()) {
       const instances = this.#isFleetSmall ? service.readable(now()) : service.firstUsed(now());
       for (const { pool } of instances) {
-        if (this.#firstOpened.has(pool)) continue;
-        this.#firstOpened.add(pool);
+        if (this.#poolsWithFirstConnection.has(pool)) continue;
+        this.#poolsWithFirstConnection.add(pool);
         if (pool.size > 0 || pool.lessor !== undefined) continue;
         const acquired = pool.acquire(ownRequest(now() + CONNECT_TIMEOUT_MS));
         void acquired.then((result) => result.isOk() && pool.release(result.value));
@@ -394,7 +394,7 @@
   }
 
   get #isFleetSmall(): boolean {
-    return this.#nodeCountSeenAt !== undefined && this.#nodeCount <= LARGEST_SMALL_FLEET;
+    return this.#nodeCountSeenAt !== undefined && this.#nodeCount <= MAX_SMALL_FLEET_NODES;
   }
 
   /** Members of the groups that are not announced any more and still count among them. */
@@ -406,7 +406,7 @@
   }
 
   /** Takes members that are not announced any more: they are asked for proofs, and get no work. */
-  noteDeparted(members: readonly InstanceEntry[]): void {
+  addDeparted(members: readonly InstanceEntry[]): void {
     for (const [name, service] of this.#services) {
       service.noteDeparted(members.filter((entry) => entry.service === name));
     }
@@ -420,7 +420,7 @@
   }
 
   /** Takes over such terms; one of a service that is not known is left out. */
-  notePrimaryTerms(terms: readonly ServiceTerm[]): void {
+  recordPrimaryTerms(terms: readonly ServiceTerm[]): void {
     for (const { service, instanceId, term } of terms) {
       this.#services.get(service)?.noteTerm({ instanceId, term });
     }
@@ -456,23 +456,23 @@
    * How many nodes there are, and who owns instances. Told with the primaries, it is followed before the statements that
    * waited for these: they would open connections that are the owners'.
    */
-  #followFleet(): void {
-    this.#shareConnections();
+  #updateOwners(): void {
+    this.#updateNodeCount();
     const { view, now } = this.options;
     const owners = view.ownerRoster();
-    const isInForce = owners !== undefined || isReturning(this.#process, now());
-    this.#relay.update(owners ?? view.returnRoster?.(), isInForce);
+    const isActive = owners !== undefined || isReturning(this.#process, now());
+    this.#relay.update(owners ?? view.returnRoster?.(), isActive);
   }
 
   /** Nodes that this one does not see any more may hold their connections still. */
-  #shareConnections(): void {
+  #updateNodeCount(): void {
     const now = this.options.now();
     const live = this.options.view.liveNodeCount();
     const wasKnown = this.#nodeCountSeenAt !== undefined;
     if (live >= this.#nodeCount) this.#nodeCountSeenAt = now;
     // Until others are seen, a count of one means only that nothing is known yet.
     const seenAt = this.#nodeCountSeenAt ?? (live > 1 ? Number.NEGATIVE_INFINITY : this.#createdAt);
-    const isSettled = now - seenAt > NODE_MEMORY_MS;
+    const isSettled = now - seenAt > NODE_COUNT_DECREASE_DELAY_MS;
     const isUnchanged = live === this.#nodeCount && wasKnown;
     if (isUnchanged || (live < this.#nodeCount && !isSettled)) return;
     this.#nodeCount = live;
@@ -499,7 +499,7 @@
   #service(name: string): ServiceRuntime {
     const known = this.#services.get(name);
     if (known !== undefined) return known;
-    const { settings, wire, view, isStoreWell, logger, now, random } = this.options;
+    const { settings, wire, view, isStoreHealthy, logger, now, random } = this.options;
     const service = new ServiceRuntime(name, {
       nodeCount: this.#nodeCount,
       isNodeCountKnown: this.#nodeCountSeenAt !== undefined,
@@ -510,7 +510,7 @@
       isByTenant: () => this.#admission.asksForKeys,
       drainTimeoutMs: settings.drainTimeoutMs,
       view,
-      isStoreWell,
+      isStoreHealthy,
       now,
       changes: this.latencies.primaryChanges,
       pool: {
@@ -538,11 +538,11 @@
 
   /** Only services whose routes allow reads of some age need fresh positions. */
   #servicesToSample(): Set<ServiceRuntime> {
-    const wanted = new Set<ServiceRuntime>();
+    const sampled = new Set<ServiceRuntime>();
     for (const route of this.#routes.values()) {
       const service = route.maxStalenessMs > 0 ? this.#services.get(route.service) : undefined;
-      if (service !== undefined) wanted.add(service);
+      if (service !== undefined) sampled.add(service);
     }
-    return wanted;
+    return sampled;
   }
 }
--- a/src/direct/statements-under-way.ts
+++ b/src/direct/in-flight-statements.ts
@@ -6,7 +6,7 @@
  * A read that was sent to two instances is answered by the first of them; the other one still runs it,
  * with the values that the session had. They must not change meanwhile.
  */
-export class StatementsUnderWay {
+export class InFlightStatements {
   readonly #exchanges = new Set<Promise<unknown>>();
 
   /** Counts an exchange until it settles. */
@@ -17,9 +17,9 @@
   }
 
   /** Resolves once nothing is under way any more: true, or false if something is after so long. */
-  async ended(withinMs: Milliseconds): Promise<boolean> {
+  async waitForEnd(timeoutMs: Milliseconds): Promise<boolean> {
     if (this.#exchanges.size === 0) return true;
     const all = Promise.allSettled([...this.#exchanges]).then(() => true);
-    return (await firstWithin([all], withinMs)) ?? false;
+    return (await firstWithin([all], timeoutMs)) ?? false;
   }
 }
--- a/src/direct/instance-connection.ts
+++ b/src/direct/instance-connection.ts
@@ -10,7 +10,7 @@
 import { InstanceConnectError, InstanceConnectionLostError } from './errors.js';
 import { LineSplitter, WIRE_ENCODING } from './line-splitter.js';
 import type { InstanceMessage, StatementWire } from './wire.js';
-import { afterReading } from './within.js';
+import { timeoutAfterInput } from './within.js';
 
 /** Probes of an idle connection begin after this, so that a dark machine is noticed. */
 const KEEP_ALIVE_DELAY_MS = 1000;
@@ -197,7 +197,7 @@
       socket.destroy();
       resolve(err(new InstanceConnectError(`${instance.id}: ${reason}`, answer, { cause })));
     };
-    const stopWaiting = afterReading(connectTimeoutMs, () => fail('no answer in time'));
+    const stopWaiting = timeoutAfterInput(connectTimeoutMs, () => fail('no answer in time'));
     const splitter = new LineSplitter(wire.maxMessageBytes);
     const receive = (chunk: Buffer): void => {
       for (const line of splitter.push(chunk)) {
--- a/src/direct/line-splitter.ts
+++ b/src/direct/line-splitter.ts
@@ -16,11 +16,11 @@
     const data = this.#rest.length === 0 ? chunk : Buffer.concat([this.#rest, chunk]);
     const lines: (string | undefined)[] = [];
     let start = 0;
-    let from = 0;
+    let searchFrom = 0;
     for (;;) {
-      const end = data.indexOf(LINE_FEED, from);
+      const end = data.indexOf(LINE_FEED, searchFrom);
       if (end < 0) break;
-      from = end + 1;
+      searchFrom = end + 1;
       if (end === start || data[end - 1] !== CARRIAGE_RETURN) continue;
       lines.push(
         end - start > this.maxBytes ? undefined : data.toString(WIRE_ENCODING, start, end - 1),
--- a/src/direct/metrics.ts
+++ b/src/direct/metrics.ts
@@ -76,7 +76,7 @@
 }
 
 /** What a store client tells of the store's returns from a copy. */
-export interface StoreFigures {
+export interface StoreMetrics {
   readonly era: number;
   /** Rises of the era heard of. */
   readonly returns: number;
@@ -87,19 +87,19 @@
 }
 
 /** Where the figures come from. */
-export interface FigureSources {
+export interface MetricSources {
   readonly gateway: DirectGateway;
   readonly snapshots?: PeerSnapshots | undefined;
   readonly readers?: ReaderStore | undefined;
   readonly digests?: DigestCounters | undefined;
-  readonly store?: StoreFigures | undefined;
+  readonly store?: StoreMetrics | undefined;
   readonly storeCalls?: StoreCallTally | undefined;
   /** Lines of the log that nobody read in time. */
   readonly logLinesDropped: number;
 }
 
 /** What the gateway has counted since it started, and what it holds now. */
-export async function exposeMetrics(sources: FigureSources): Promise<Exposition> {
+export async function exposeMetrics(sources: MetricSources): Promise<Exposition> {
   const { gateway, snapshots, readers, digests, store, storeCalls, logLinesDropped } = sources;
   const { Counter, Gauge, Registry } = await import('prom-client');
   const registry = new Registry();
--- a/src/direct/quota/quotas.ts
+++ b/src/direct/quota/quotas.ts
@@ -10,7 +10,7 @@
 import type { Milliseconds } from '../../core/units.js';
 import type { PeerTransport } from '../../peer/contract.js';
 import type { AdmissionCounters } from '../admission.js';
-import type { Spending } from '../caller-session.js';
+import type { QuotaDecision } from '../caller-session.js';
 import type { TenantQuota } from '../contract.js';
 import type { Refusal } from '../statement-request.js';
 import type { QuotaKeeper } from './keeper.js';
@@ -63,7 +63,7 @@
    * Counts one operation; gives why not, if it is beyond the quota.
    * @param priority 0 is the highest: where the tenant asks for more than its quota, these go first
    */
-  spend(tenant: string, priority = 0): Spending {
+  spend(tenant: string, priority = 0): QuotaDecision {
     const { now, quotaOf } = this.options;
     if (quotaOf(tenant)?.quota === undefined) return undefined;
     const state = this.#stateOf(tenant);
--- a/src/direct/relay/owner-lessor.ts
+++ b/src/direct/relay/owner-lessor.ts
@@ -21,7 +21,7 @@
 import type { InstanceConnection } from '../instance-connection.js';
 import type { AcquireError, ConnectionRequest } from '../instance-pool.js';
 import { parsePosition } from '../position-form.js';
-import { afterReading } from '../within.js';
+import { timeoutAfterInput } from '../within.js';
 import {
   CANCEL_READ,
   type ConnectionLender,
@@ -231,7 +231,7 @@
         stream.abort('given up');
         settle({ type: 'no-answer' });
       };
-      let stopWaiting = afterReading(Math.min(SILENCE_MS, waitMs), giveUp);
+      let stopWaiting = timeoutAfterInput(Math.min(SILENCE_MS, waitMs), giveUp);
       const stopListening = listenToAll(cancelledBy, () =>
         this.#cancellers[header.type](stream, giveUp),
       );
@@ -252,7 +252,7 @@
           return;
         }
         stopWaiting();
-        stopWaiting = afterReading(waitMs + SILENCE_MS, giveUp);
+        stopWaiting = timeoutAfterInput(waitMs + SILENCE_MS, giveUp);
       };
     });
   }
--- a/src/direct/request-log.ts
+++ b/src/direct/request-log.ts
@@ -11,9 +11,9 @@
 import type { RequestTrace } from './request-trace.js';
 
 /** Failed or late requests of each outcome whose decisions are written, in a second. */
-const TOLD_PER_SECOND = 20;
+const MAX_LOGGED_PER_SECOND = 20;
 /** One in so many requests that went well. */
-const SAMPLE_OF = 1024;
+const SUCCESSES_PER_SAMPLE = 1024;
 
 /** How a request ended for its caller. */
 export interface RequestEnd {
@@ -39,7 +39,7 @@
 }
 
 /** Tells each of these. */
-export function tellAll(logs: readonly RequestLog[]): RequestLog {
+export function combineRequestLogs(logs: readonly RequestLog[]): RequestLog {
   return {
     requestEnded: (end) => {
       for (const log of logs) log.requestEnded(end);
@@ -49,7 +49,7 @@
 
 /** Writes lines with a logger. */
 export class RequestLogger implements RequestLog {
-  readonly #limit = new EventLimit(TOLD_PER_SECOND);
+  readonly #limit = new EventLimit(MAX_LOGGED_PER_SECOND);
 
   constructor(
     private readonly logger: Logger,
@@ -62,21 +62,21 @@
     if (outcome === 'done' && !isSampled(end.id)) return;
     const { isAdmitted, leftOut } = this.#limit.admit(outcome, this.now());
     if (!isAdmitted) return;
-    if (outcome !== 'done') this.#tellSteps(end);
+    if (outcome !== 'done') this.#logSteps(end);
     const { id, database, service, text, trace } = end;
     this.logger.info('request ended', {
       ...{ request: id, database, service, outcome, text: text || undefined, tookMs },
-      stepsLeftOut: trace.leftOut || undefined,
+      stepsLeftOut: trace.omittedSteps || undefined,
       alikeLeftOut: leftOut || undefined,
     });
   }
 
-  #tellSteps({ id, trace }: RequestEnd): void {
+  #logSteps({ id, trace }: RequestEnd): void {
     for (const step of trace.steps) this.logger.info('request decided', { request: id, ...step });
   }
 }
 
 /** The ids are random text: the end of one decides as well as any hash. */
 function isSampled(id: string): boolean {
-  return Number.parseInt(id.slice(-6), 36) % SAMPLE_OF === 0;
+  return Number.parseInt(id.slice(-6), 36) % SUCCESSES_PER_SAMPLE === 0;
 }
--- a/src/direct/request-trace.ts
+++ b/src/direct/request-trace.ts
@@ -53,7 +53,7 @@
 /** Decisions about one request, in their order. */
 export class RequestTrace {
   readonly #steps: TimedStep[] = [];
-  #leftOut = 0;
+  #omittedSteps = 0;
 
   constructor(
     readonly beganAt: Milliseconds,
@@ -65,21 +65,21 @@
   }
 
   /** Steps beyond the bound. */
-  get leftOut(): number {
-    return this.#leftOut;
+  get omittedSteps(): number {
+    return this.#omittedSteps;
   }
 
-  note(step: TraceStep): void {
-    if (step.step === 'no-instance' && this.#isAsBefore(step)) return;
+  record(step: TraceStep): void {
+    if (step.step === 'no-instance' && this.#repeatsLastStep(step)) return;
     if (this.#steps.length >= MAX_STEPS) {
-      this.#leftOut += 1;
+      this.#omittedSteps += 1;
       return;
     }
     this.#steps.push({ ...step, atMs: Math.round(this.now() - this.beganAt) });
   }
 
   /** A request that waits for an instance looks again and again. */
-  #isAsBefore(step: Extract<TraceStep, { step: 'no-instance' }>): boolean {
+  #repeatsLastStep(step: Extract<TraceStep, { step: 'no-instance' }>): boolean {
     const before = this.#steps.at(-1);
     if (before?.step !== 'no-instance') return false;
     const isSameTrust = before.isTrusted === step.isTrusted;
--- a/src/direct/service-runtime.ts
+++ b/src/direct/service-runtime.ts
@@ -61,7 +61,7 @@
   /** Whether each connection is of one tenant; it is of none by default. */
   readonly isByTenant?: () => boolean;
   /** False while what the store last told of the instances may be out of date. */
-  readonly isStoreWell: () => boolean;
+  readonly isStoreHealthy: () => boolean;
   /** Counts how long changes of the primary take. */
   readonly changes?: LatencyHistogram;
   readonly now: () => Milliseconds;
@@ -95,7 +95,7 @@
     readonly id: string,
     readonly sameZone: boolean,
     readonly pool: InstancePool,
-    private readonly isStoreWell: () => boolean,
+    private readonly isStoreHealthy: () => boolean,
   ) {}
 
   get mayConnect(): boolean {
@@ -108,7 +108,7 @@
 
   /** An entry that vanished counts only while the store is there to bring it back. */
   isUsable(now: Milliseconds): boolean {
-    return now < this.usableUntil || (this.vanished && !this.isStoreWell());
+    return now < this.usableUntil || (this.vanished && !this.isStoreHealthy());
   }
 
   get outstanding(): number {
@@ -321,7 +321,7 @@
 
   /** The store is well, and has been for so long that entries which lapsed meanwhile are back. */
   #isStoreSettled(now: Milliseconds): boolean {
-    if (!this.options.isStoreWell()) this.#storeWellSince = undefined;
+    if (!this.options.isStoreHealthy()) this.#storeWellSince = undefined;
     else this.#storeWellSince ??= now;
     return this.#storeWellSince !== undefined && now - this.#storeWellSince >= ENTRIES_BACK_MS;
   }
@@ -442,7 +442,7 @@
     if (known === undefined) {
       const pool = new InstancePool(entry, MINIMUM_CONNECTIONS, this.options.pool);
       const sameZone = entry.zone === this.options.zone;
-      const state = new InstanceState(entry.id, sameZone, pool, this.options.isStoreWell);
+      const state = new InstanceState(entry.id, sameZone, pool, this.options.isStoreHealthy);
       if (entry.draining) {
         // For how long it has been leaving is unknown.
         state.leaving = true;
@@ -486,7 +486,7 @@
     for (const [id, state] of this.#instances) {
       if (present.has(id) || state.isUsable(now)) continue;
       // The store may have it still: without its answer no proof would be one.
-      if (!state.confirmed && !this.options.isStoreWell()) continue;
+      if (!state.confirmed && !this.options.isStoreHealthy()) continue;
       state.pool.close();
       this.#instances.delete(id);
     }
--- a/src/direct/session-leaving.ts
+++ b/src/direct/session-shutdown.ts
@@ -7,15 +7,15 @@
 import type { StatementWire } from './wire.js';
 
 /** Another node takes the caller at once. */
-const STOPPING_TEXT = `this node is stopping; retry after ${RETRY_AFTER_MS} ms`;
+const STOP_NOTICE_TEXT = `this node is stopping; retry after ${RETRY_AFTER_MS} ms`;
 
 /** What a caller is told when the grace period of the node is over: what was sent may have run. */
-export const GIVEN_UP: Refusal = {
+export const CUT_AT_STOP: Refusal = {
   code: 'timeout',
   text: 'this node ends; whether it ran is unknown',
 };
 
-export class SessionLeaving {
+export class SessionShutdown {
   /**
    * Once the caller was told to leave nothing is run any more: what it sent ahead belongs to an attempt of which it was
    * told that nothing is kept. `told` until a request takes that word for its refusal.
@@ -29,12 +29,12 @@
   ) {}
 
   /** The caller has been told. */
-  get isTold(): boolean {
+  get isNotified(): boolean {
     return this.#state !== 'no';
   }
 
   /** The word stands, and no request has taken it for its refusal yet. */
-  get isWordOpen(): boolean {
+  get isNoticeUnused(): boolean {
     return this.#state === 'told';
   }
 
@@ -47,20 +47,20 @@
     this.#refusesStart = true;
   }
 
-  tell(state: TransactionState): void {
+  sendNotice(state: TransactionState): void {
     this.#state = 'told';
     this.writeRefusal(state);
   }
 
   /** A statement that crossed the word takes that word for its refusal; those behind it get their own. */
-  refuseCrossing(state: TransactionState): void {
-    if (!this.isWordOpen) this.writeRefusal(state);
+  refuseAfterNotice(state: TransactionState): void {
+    if (!this.isNoticeUnused) this.writeRefusal(state);
     this.#state = 'refused';
   }
 
   /** What a caller is told while the node stops: nothing of its attempt is kept. */
   refusal(state: TransactionState): Refusal {
-    return { code: state === 'idle' ? 'busy' : 'aborted', text: STOPPING_TEXT };
+    return { code: state === 'idle' ? 'busy' : 'aborted', text: STOP_NOTICE_TEXT };
   }
 
   writeRefusal(state: TransactionState): void {
@@ -69,9 +69,9 @@
   }
 
   /** The last word to a statement that has no answer. */
-  writeGivenUp(state: TransactionState): void {
-    const { code, text } = GIVEN_UP;
-    const left = state === 'open' ? 'failed' : state;
-    this.write(this.wire.encodeError(code, text) + this.wire.encodeReady(left, undefined));
+  writeCutOff(state: TransactionState): void {
+    const { code, text } = CUT_AT_STOP;
+    const stateAfter = state === 'open' ? 'failed' : state;
+    this.write(this.wire.encodeError(code, text) + this.wire.encodeReady(stateAfter, undefined));
   }
 }
--- a/src/direct/snapshots/node-directory.ts
+++ b/src/direct/snapshots/node-directory.ts
@@ -20,7 +20,7 @@
   readonly primaries: ToldPrimaries;
   readonly logger: Logger;
   /** True while the store keeps the directory current. */
-  isStoreWell(): boolean;
+  isStoreHealthy(): boolean;
   /** Older proofs of the configuration are worth asking peers for younger ones; none is by default. */
   readonly maxProofAgeMs?: Milliseconds | undefined;
   /** Where the store says that other nodes answer. */
@@ -42,10 +42,15 @@
   constructor(private readonly options: NodeDirectoryOptions) {}
 
   isWanted(): boolean {
-    const { follower, isStoreWell, now, maxProofAgeMs = Number.POSITIVE_INFINITY } = this.options;
+    const {
+      follower,
+      isStoreHealthy,
+      now,
+      maxProofAgeMs = Number.POSITIVE_INFINITY,
+    } = this.options;
     const provenAt = follower.configurationProvenAt() ?? Number.NEGATIVE_INFINITY;
     if (maxProofAgeMs < now() - provenAt) return true;
-    return follower.lastConfirmedAt() === undefined || !isStoreWell();
+    return follower.lastConfirmedAt() === undefined || !isStoreHealthy();
   }
 
   peers(): readonly PeerAddress[] {
@@ -92,7 +97,7 @@
       this.#adoptedFrom = now() - snapshot.ageMs;
     }
     if (newer.primaries !== undefined) primaries.take(newer.primaries);
-    gateway.notePrimaryTerms(snapshot.terms);
+    gateway.recordPrimaryTerms(snapshot.terms);
     if (!isFirst || newer.configuration === undefined) return;
     logger.info('serving from a snapshot of a peer', { ageMs: Math.round(snapshot.ageMs) });
   }
@@ -134,7 +139,7 @@
   /** A proof without the lease asks every member: also those that the peer has not forgotten yet. */
   #adoptInstances(part: InstancesPart<InstanceEntry>, isWhole: boolean): void {
     const { follower, gateway, noteMembers } = this.options;
-    gateway.noteDeparted(part.departed);
+    gateway.addDeparted(part.departed);
     noteMembers([...part.departed, ...part.instances], isWhole);
     follower.adoptInstances(part);
   }
--- a/src/direct/start-log.ts
+++ b/src/direct/start-log.ts
@@ -26,7 +26,7 @@
 }
 
 /** Steps and kinds of routes; once all are told there is nothing to look for. */
-const STEPS = 7;
+const STEP_COUNT = 7;
 
 export class StartLog implements RequestLog {
   readonly #steps = new Set<StartStep>();
@@ -35,23 +35,23 @@
   constructor(private readonly options: StartLogOptions) {}
 
   /** Tells the steps that have been reached since the last look. */
-  look(): void {
-    if (this.#steps.size === STEPS) return;
+  refresh(): void {
+    if (this.#steps.size === STEP_COUNT) return;
     for (const step of this.options.reached()) {
       if (this.#steps.has(step)) continue;
       this.#steps.add(step);
-      this.#tell({ step });
+      this.#log({ step });
     }
   }
 
   requestEnded({ code, routeType }: RequestEnd): void {
     if (code !== undefined || this.#served.has(routeType)) return;
-    this.look();
+    this.refresh();
     this.#served.add(routeType);
-    this.#tell({ step: `served ${routeType}` });
+    this.#log({ step: `served ${routeType}` });
   }
 
-  #tell(fields: { readonly step: string }): void {
+  #log(fields: { readonly step: string }): void {
     this.options.logger.info('start step', { ...fields, atMs: Math.round(this.options.now()) });
   }
 }
--- a/src/direct/statement-attempts.ts
+++ b/src/direct/statement-attempts.ts
@@ -26,11 +26,11 @@
 import { firstWithin } from './within.js';
 
 /** An exchange that nobody waits for any more ends its connection after this. */
-const ABANDON_MS: Milliseconds = 200;
+const ABANDONED_EXCHANGE_TIMEOUT_MS: Milliseconds = 200;
 /** The most that a write is expected to need. */
-const MOST_TIME_NEEDED_MS: Milliseconds = 50;
+const MAX_WRITE_TIME_NEEDED_MS: Milliseconds = 50;
 /** An answer to a read that takes so many times what it may take is waited for no longer. */
-const READ_PATIENCE_FACTOR = 2;
+const READ_TIMEOUT_FACTOR = 2;
 
 export interface StatementAttemptsOptions {
   readonly wire: StatementWire;
@@ -49,7 +49,7 @@
     instance.pool.outstanding += 1;
     try {
       const attempt = await this.#tryAt(request, chosen, settled);
-      if (settled?.isCancelled !== true) noteAttempt(request.trace, attempt);
+      if (settled?.isCancelled !== true) recordAttempt(request.trace, attempt);
       return attempt;
     } finally {
       instance.pool.outstanding -= 1;
@@ -62,9 +62,9 @@
     settled: Cancellation | undefined,
   ): Promise<Attempt> {
     const { instance } = chosen;
-    const { lessor } = instance.pool;
-    if (lessor !== undefined && request.access === 'read') {
-      return this.#readThroughOwner(request, chosen, lessor, settled);
+    const { lessor: lender } = instance.pool;
+    if (lender !== undefined && request.access === 'read') {
+      return this.#readThroughOwner(request, chosen, lender, settled);
     }
     const cancelledBy = this.cancellationsOf(request.service, instance, settled);
     const acquired = await instance.pool.acquire(connectionRequestOf(request, cancelledBy));
@@ -93,12 +93,12 @@
     const sentAt = this.options.now();
     const read = { prepared: request.prepared, message: request.encode(after) };
     const cancelledBy = this.cancellationsOf(request.service, instance, settled);
-    request.trace?.note({ step: 'sent', instance: instance.id, through: 'owner' });
+    request.trace?.record({ step: 'sent', instance: instance.id, through: 'owner' });
     const exchange = lessor.read({ ...connectionRequestOf(request, cancelledBy), ...read });
-    request.session.underWay.add(exchange);
+    request.session.inFlight.add(exchange);
     const answer = await exchange;
     if (settled?.isCancelled === true) return notSent(instance, 'answered elsewhere');
-    if (answer.isOk()) return this.#judge(request, target, answer.value, sentAt);
+    if (answer.isOk()) return this.#toAttempt(request, target, answer.value, sentAt);
     if (answer.error instanceof InstanceConnectionLostError) {
       this.options.feedback.noteFailure(request, instance);
       return { type: 'unknown', instance, fault: answer.error.fault };
@@ -132,7 +132,7 @@
     const { wire, now } = this.options;
     const { instance } = chosen;
     const target = this.options.targets.recheck(request, chosen);
-    const isTooLate = now() + leastTimeFor(request.access, instance) >= request.deadline;
+    const isTooLate = now() + minTimeFor(request.access, instance) >= request.deadline;
     if (target === undefined || isTooLate) {
       instance.pool.release(connection);
       return notSent(instance, isTooLate ? 'no time is left' : 'the primary changed');
@@ -143,19 +143,19 @@
     const exchange = connection.exchange(request.encode(target.after));
     connection.uncork();
     const through = connection.giveBack === undefined ? 'own' : 'owner';
-    request.trace?.note({ step: 'sent', instance: instance.id, through });
-    request.session.underWay.add(exchange);
+    request.trace?.record({ step: 'sent', instance: instance.id, through });
+    request.session.inFlight.add(exchange);
     const endWatch = instance.pool.health.watchAnswer(request.access);
     // A lost answer must not keep its connection from others; a write's may come late, and counts.
-    const readDeadline = sentAt + instance.pool.health.patienceMs * READ_PATIENCE_FACTOR;
+    const readDeadline = sentAt + instance.pool.health.patienceMs * READ_TIMEOUT_FACTOR;
     const deadline =
       request.access === 'read' ? Math.min(request.deadline, readDeadline) : request.deadline;
     const answer = await this.awaitAnswer(exchange, connection, instance, deadline);
-    const silentWrite = answer === undefined && request.access === 'write';
-    const silentForMs = instance.pool.health.silentForMs(silentWrite ? 'write' : 'read');
+    const isSilentWrite = answer === undefined && request.access === 'write';
+    const silentForMs = instance.pool.health.silentForMs(isSilentWrite ? 'write' : 'read');
     endWatch(answer?.isOk() === true);
     if (answer === undefined || answer.isErr()) {
-      const use = silentWrite ? 'commit' : 'reach';
+      const use = isSilentWrite ? 'commit' : 'reach';
       this.options.feedback.noteNoAnswer(
         { request, instance, connection, answer, sentAt },
         use,
@@ -167,17 +167,17 @@
     if (answer.value.error?.code === 'unprepared') connection.preparedNames.clear();
     if (answer.value.state === 'idle') instance.pool.release(connection);
     else connection.close();
-    return this.#judge(request, target, answer.value, sentAt);
+    return this.#toAttempt(request, target, answer.value, sentAt);
   }
 
-  #judge(
+  #toAttempt(
     request: StatementRequest,
     { instance, after }: Target,
     answer: StatementAnswer,
     sentAt: Milliseconds,
   ): Attempt {
     const { now, targets } = this.options;
-    if (after !== undefined) targets.noteAnswer(instance.id, after, answer.error?.code);
+    if (after !== undefined) targets.recordAnswer(instance.id, after, answer.error?.code);
     instance.pool.health.noteOutcome(answer.error?.code, now() - sentAt, request.access);
     if (answer.error === undefined) {
       request.service.noteAnswer(instance, sentAt, answer.position);
@@ -215,9 +215,9 @@
     connection: InstanceConnection,
     instance: InstanceRuntime,
   ): Promise<void> {
-    const answer = await firstWithin([exchange], ABANDON_MS);
-    const atRest = answer?.isOk() === true && answer.value.state === 'idle';
-    if (atRest) instance.pool.release(connection);
+    const answer = await firstWithin([exchange], ABANDONED_EXCHANGE_TIMEOUT_MS);
+    const isIdle = answer?.isOk() === true && answer.value.state === 'idle';
+    if (isIdle) instance.pool.release(connection);
     else connection.close();
   }
 }
@@ -226,17 +226,17 @@
  * A write that is sent with less time left than its answer takes would only leave its caller in doubt.
  * Bounded: an instance that was slow must be tried to be seen quicker.
  */
-function leastTimeFor(access: Access, { pool }: InstanceRuntime): Milliseconds {
-  return access === 'write' ? Math.min(pool.health.answerMs, MOST_TIME_NEEDED_MS) : 0;
+function minTimeFor(access: Access, { pool }: InstanceRuntime): Milliseconds {
+  return access === 'write' ? Math.min(pool.health.answerMs, MAX_WRITE_TIME_NEEDED_MS) : 0;
 }
 
-function noteAttempt(trace: RequestTrace | undefined, attempt: Attempt): void {
+function recordAttempt(trace: RequestTrace | undefined, attempt: Attempt): void {
   const instance = attempt.instance.id;
   if (attempt.type === 'answered') {
-    trace?.note({ step: 'answered', instance, code: attempt.answer.error?.code });
+    trace?.record({ step: 'answered', instance, code: attempt.answer.error?.code });
   } else if (attempt.type === 'unknown') {
-    trace?.note({ step: 'unanswered', instance, fault: attempt.fault });
+    trace?.record({ step: 'unanswered', instance, fault: attempt.fault });
   } else {
-    trace?.note({ step: 'not-sent', instance, reason: attempt.refusal.text });
+    trace?.record({ step: 'not-sent', instance, reason: attempt.refusal.text });
   }
 }
--- a/src/direct/statement-request.ts
+++ b/src/direct/statement-request.ts
@@ -25,7 +25,7 @@
   readonly code: StatementErrorCode;
   readonly text: string;
   /** The instance has no room for it now. */
-  readonly isForWantOfRoom?: boolean;
+  readonly isForLackOfCapacity?: boolean;
 }
 
 export type StatementOutcome =
@@ -96,7 +96,7 @@
 /** What the caller is told if no connection was had. */
 export function refusalOf(error: AcquireError): Refusal {
   return error instanceof InstanceQueueFullError
-    ? { code: 'busy', text: 'too many statements wait', isForWantOfRoom: true }
+    ? { code: 'busy', text: 'too many statements wait', isForLackOfCapacity: true }
     : { code: 'busy', text: 'no connection' };
 }
 
--- a/src/direct/statement-runner.ts
+++ b/src/direct/statement-runner.ts
@@ -5,7 +5,7 @@
 import { statementRetryPause } from '../core/retry/statement-pause.js';
 import type { Milliseconds } from '../core/units.js';
 import { Cancellation } from './cancellation.js';
-import { CommitTrust, WITHHELD } from './commit-trust.js';
+import { CommitTrust, WRITE_WITHHELD } from './commit-trust.js';
 import type { FleetPlacement } from './fleet-placement.js';
 import { InstanceFeedback } from './instance-feedback.js';
 import type { PrimaryView } from './promotion/contract.js';
@@ -24,8 +24,8 @@
 import { firstWithin, pause } from './within.js';
 
 /** A read that waits longer than this, or this part of its aim, is sent elsewhere too. */
-const HEDGE_MINIMUM_MS: Milliseconds = 60;
-const HEDGE_TARGET_SHARE = 0.5;
+const MIN_HEDGE_DELAY_MS: Milliseconds = 60;
+const HEDGE_TARGET_FRACTION = 0.5;
 const MAX_READ_ATTEMPTS = 4;
 
 export interface RunnerOptions {
@@ -38,17 +38,17 @@
 }
 
 /** Attempts after the first are counted against the tenant's budget. */
-export function mayAttemptAgain(
+export function tryUseAttempt(
   { tenant, trace }: Pick<StatementRequest, 'tenant' | 'trace'>,
   attempts: number,
 ): boolean {
   if (attempts === 0) {
-    tenant.noteFirstAttempt();
+    tenant.recordFirstAttempt();
     return true;
   }
-  const mayRetry = tenant.mayRetry();
-  if (!mayRetry) trace?.note({ step: 'budget-spent', attempts });
-  return mayRetry;
+  const isRetryAllowed = tenant.tryTakeRetry();
+  if (!isRetryAllowed) trace?.record({ step: 'budget-spent', attempts });
+  return isRetryAllowed;
 }
 
 export class StatementRunner {
@@ -100,9 +100,9 @@
     while (now() < request.deadline) {
       const target = this.targets.choose(request, new Set());
       if (target !== undefined && !(await this.#maySend(request, target))) {
-        refusal = WITHHELD;
+        refusal = WRITE_WITHHELD;
       } else if (target !== undefined) {
-        if (!mayAttemptAgain(request, attempts)) break;
+        if (!tryUseAttempt(request, attempts)) break;
         attempts += 1;
         const endWrite = request.service.beginWrite();
         const attempt = await this.attempts.run(request, target);
@@ -144,9 +144,12 @@
     const excluded = new Set<string>();
     const overLimit = new Set<string>();
     const running = new Set<Promise<Attempt>>();
-    const hedgeMs = Math.max(HEDGE_MINIMUM_MS, request.route.targetLatencyMs * HEDGE_TARGET_SHARE);
+    const hedgeMs = Math.max(
+      MIN_HEDGE_DELAY_MS,
+      request.route.targetLatencyMs * HEDGE_TARGET_FRACTION,
+    );
     let refusal: Refusal = { code: 'busy', text: 'no instance' };
-    let sent = false;
+    let mayHaveRun = false;
     let isReached = true;
     let attempts = 0;
     let rounds = 0;
@@ -165,7 +168,7 @@
         continue;
       }
       if (target !== undefined && this.#mayAttempt(target, excluded, running.size, lastSentAt)) {
-        const mayAttempt = mayAttemptAgain(request, attempts);
+        const mayAttempt = tryUseAttempt(request, attempts);
         if (!mayAttempt && running.size === 0) break;
         if (mayAttempt) {
           attempts += 1;
@@ -185,14 +188,14 @@
       if (first === undefined) continue;
       if (first.type === 'answered') return first;
       isReached = first.type === 'unknown' || first.isReached;
-      if (first.type === 'unknown') sent = true;
+      if (first.type === 'unknown') mayHaveRun = true;
       else refusal = first.refusal;
       if (first.type === 'over-limit') {
         overLimit.add(first.instance.id);
         if (running.size === 0 && this.#isOverLimitEverywhere(request, overLimit)) break;
       }
     }
-    if (sent || running.size > 0) return refuse('timeout', 'no answer in time');
+    if (mayHaveRun || running.size > 0) return refuse('timeout', 'no answer in time');
     return { type: 'refused', refusal };
   }
 
--- a/src/direct/target-chooser.ts
+++ b/src/direct/target-chooser.ts
@@ -7,10 +7,10 @@
 import type { Milliseconds } from '../core/units.js';
 import type { RouteDescription } from './contract.js';
 import type { FleetPlacement } from './fleet-placement.js';
+import type { InFlightStatements } from './in-flight-statements.js';
 import type { PrimaryView } from './promotion/contract.js';
 import type { RequestTrace, TraceStep } from './request-trace.js';
 import type { InstanceRuntime, ServiceRuntime } from './service-runtime.js';
-import type { StatementsUnderWay } from './statements-under-way.js';
 import type { Tenant } from './tenant.js';
 import type { TrustProver } from './trust-prover.js';
 
@@ -27,7 +27,7 @@
   /** Last position that the session wrote, in the service's log. */
   readonly lastWritten: Position | undefined;
   /** What of the session may still run at an instance, also after it was answered or given up. */
-  readonly underWay: StatementsUnderWay;
+  readonly inFlight: InFlightStatements;
 }
 
 /** What decides where a statement or transaction may go. */
@@ -72,18 +72,18 @@
   /** The instance for a new statement or transaction, or none for now. */
   choose(placement: Placement, excluded: ReadonlySet<string>): Target | undefined {
     const target = this.#choose(placement, excluded);
-    this.#note(placement, target);
+    this.#recordChoice(placement, target);
     return target;
   }
 
-  #note({ service, trace }: Placement, target: Target | undefined): void {
+  #recordChoice({ service, trace }: Placement, target: Target | undefined): void {
     if (trace === undefined) return;
     const { view, now } = this.options;
     const isTrusted = view.mayTrustPrimary(service.name, now());
     const primary = view.primaryOf(service.name)?.id;
     if (target === undefined) {
       const isChanging = view.isChanging(service.name);
-      trace.note({ step: 'no-instance', primary, isTrusted, isChanging });
+      trace.record({ step: 'no-instance', primary, isTrusted, isChanging });
       return;
     }
     const sampledAt = service.samples.newestAt();
@@ -91,7 +91,7 @@
     const { instance, after, expected } = target;
     const isPrimary = instance.id === primary;
     const chosen = { step: 'chosen', instance: instance.id, isPrimary, isTrusted } as const;
-    trace.note({ ...chosen, after, sampleAgeMs, ...timesOf(instance.id, expected) });
+    trace.record({ ...chosen, after, sampleAgeMs, ...expectedTimesOf(instance.id, expected) });
   }
 
   #choose(placement: Placement, excluded: ReadonlySet<string>): Target | undefined {
@@ -104,23 +104,23 @@
     const open = candidates.filter(({ id }) => !excluded.has(id));
     // What an ill instance does to a single read is mended by another one; a transaction would stay there.
     const mayProbe = excluded.size === 0 && placement.isTransaction !== true;
-    const chosen = this.#first(placement, open.length > 0 ? open : candidates, mayProbe);
+    const chosen = this.#selectForRead(placement, open.length > 0 ? open : candidates, mayProbe);
     return chosen && { ...chosen, after: required };
   }
 
   /** The one of these that a read goes to. */
-  #first(
+  #selectForRead(
     { service }: Placement,
     candidates: readonly InstanceRuntime[],
     mayProbe: boolean,
   ): Pick<Target, 'instance' | 'expected'> | undefined {
-    const placed = this.options.placement?.rank(service.name, candidates, mayProbe);
-    if (placed === undefined) {
+    const ranked = this.options.placement?.rank(service.name, candidates, mayProbe);
+    if (ranked === undefined) {
       const instance = rankInstances(candidates, this.options.now())[0];
       return instance && { instance };
     }
-    const instance = placed[0]?.candidate;
-    const expected = new Map(placed.map((one) => [one.candidate.id, one.expectedMs]));
+    const instance = ranked[0]?.candidate;
+    const expected = new Map(ranked.map((ranking) => [ranking.candidate.id, ranking.expectedMs]));
     return instance && { instance, expected };
   }
 
@@ -135,7 +135,7 @@
   }
 
   /** Takes whether an instance had the position that was needed there. */
-  noteAnswer(instanceId: string, needed: Position, code: StatementErrorCode | undefined): void {
+  recordAnswer(instanceId: string, needed: Position, code: StatementErrorCode | undefined): void {
     if (code === 'lagging') this.lag.recordLagging(instanceId, needed, this.options.now());
     else if (code === undefined) this.lag.recordServed(instanceId);
   }
@@ -146,7 +146,7 @@
     const { service, access } = placement;
     const primary = service.primary(now());
     if (primary === undefined || primary.pool.health.answersNothing(access)) return false;
-    return reads(placement) && !view.mayTrustPrimary(service.name, now());
+    return includesReads(placement) && !view.mayTrustPrimary(service.name, now());
   }
 
   #primaryTarget(
@@ -160,13 +160,13 @@
     const isTrusted =
       this.options.view.mayTrustPrimary(service.name, now) ||
       this.options.prover.covers(service, instance.id, beganAt);
-    if (reads(placement) && !isTrusted) return undefined;
+    if (includesReads(placement) && !isTrusted) return undefined;
     return { instance, after: access === 'read' ? after : undefined };
   }
 }
 
 /** What an instance was chosen by, and those that were passed by. */
-function timesOf(
+function expectedTimesOf(
   chosenId: string,
   expected: ReadonlyMap<string, Milliseconds> | undefined,
 ): Pick<Extract<TraceStep, { step: 'chosen' }>, 'expectedMs' | 'passedBy'> {
@@ -176,7 +176,7 @@
   return { expectedMs: Math.round(expected.get(chosenId) ?? 0), passedBy };
 }
 
-function reads({ access, isTransaction }: Placement): boolean {
+function includesReads({ access, isTransaction }: Placement): boolean {
   return access === 'read' || isTransaction === true;
 }
 
--- a/src/direct/tenant.ts
+++ b/src/direct/tenant.ts
@@ -46,12 +46,12 @@
   }
 
   /** A statement is tried for the first time. */
-  noteFirstAttempt(): void {
+  recordFirstAttempt(): void {
     this.#retries.recordAttempt();
   }
 
   /** Whether a statement may be tried once more; counts it if so. */
-  mayRetry(): boolean {
+  tryTakeRetry(): boolean {
     return this.#retries.tryTake();
   }
 }
--- a/src/direct/transaction.ts
+++ b/src/direct/transaction.ts
@@ -7,7 +7,7 @@
 import { statementRetryPause } from '../core/retry/statement-pause.js';
 import { isNotExecuted, type StatementAnswer } from '../core/statements/statement.js';
 import type { Milliseconds } from '../core/units.js';
-import { WITHHELD } from './commit-trust.js';
+import { WRITE_WITHHELD } from './commit-trust.js';
 import type { RouteDescription } from './contract.js';
 import { InstanceQueueFullError } from './errors.js';
 import type { InstanceConnection } from './instance-connection.js';
@@ -21,7 +21,7 @@
   type StatementOutcome,
   type StatementRequest,
 } from './statement-request.js';
-import { mayAttemptAgain, type StatementRunner } from './statement-runner.js';
+import { type StatementRunner, tryUseAttempt } from './statement-runner.js';
 import { synchronise } from './synchronise.js';
 import type { Placement } from './target-chooser.js';
 import type { Tenant } from './tenant.js';
@@ -34,7 +34,7 @@
 export type TransactionRequest = Omit<StatementRequest, 'route' | 'service'>;
 
 /** Where a transaction runs, and for whom. */
-export type TransactionPlace = Pick<Placement, 'route' | 'service' | 'tenant' | 'account'>;
+export type TransactionScope = Pick<Placement, 'route' | 'service' | 'tenant' | 'account'>;
 
 /** Why a transaction could not be opened, and where that was tried. */
 interface OpenFailure {
@@ -46,7 +46,7 @@
   readonly isWithheld?: boolean;
 }
 
-function failureToOpen(instance: InstanceRuntime | undefined, text: string): OpenFailure {
+function openFailure(instance: InstanceRuntime | undefined, text: string): OpenFailure {
   return { refusal: { code: 'busy', text }, instanceId: instance?.id };
 }
 
@@ -65,7 +65,7 @@
 
   constructor(
     readonly readOnly: boolean,
-    { route, service, tenant, account }: TransactionPlace,
+    { route, service, tenant, account }: TransactionScope,
     private readonly runner: StatementRunner,
   ) {
     this.route = route;
@@ -78,7 +78,7 @@
   async run(request: TransactionRequest): Promise<StatementOutcome> {
     if (this.#connection === undefined) return this.#runFirst(request);
     const outcome = await this.#runNext(request);
-    if (succeeded(outcome)) this.#noteRun(request.access);
+    if (succeeded(outcome)) this.#recordStatement(request.access);
     else this.abandon();
     return outcome;
   }
@@ -114,11 +114,15 @@
     const { now } = this.runner.options;
     if (this.#wrote && !(await this.#maySend(request, instance))) {
       void rollBack(connection, instance, this.runner.options.wire.encodeRollback());
-      return refuse('aborted', `${WITHHELD.text}; rolled back`);
+      return refuse('aborted', `${WRITE_WITHHELD.text}; rolled back`);
     }
     const sentAt = now();
     const endWrite = this.service.beginWrite();
-    request.trace?.note({ step: 'sent', instance: instance.id, through: throughOf(connection) });
+    request.trace?.record({
+      step: 'sent',
+      instance: instance.id,
+      through: connectionSourceOf(connection),
+    });
     const exchange = connection.exchange(request.encode(undefined));
     // Whatever became of the commit of a transaction that wrote nothing, it may be repeated.
     const deadline = this.#wrote
@@ -126,15 +130,15 @@
       : Math.min(request.deadline, sentAt + instance.pool.health.patienceMs);
     const endWatch = instance.pool.health.watchAnswer(this.#wrote ? 'write' : 'read');
     const answer = await this.runner.attempts.awaitAnswer(exchange, connection, instance, deadline);
-    const silent = answer === undefined && this.#wrote;
-    const silentForMs = instance.pool.health.silentForMs(silent ? 'write' : 'read');
+    const isSilentCommit = answer === undefined && this.#wrote;
+    const silentForMs = instance.pool.health.silentForMs(isSilentCommit ? 'write' : 'read');
     endWatch(answer?.isOk() === true);
     endWrite();
     if (answer === undefined || answer.isErr()) {
       const lost = { request: this, instance, connection, answer, sentAt };
-      this.runner.feedback.noteNoAnswer(lost, silent ? 'commit' : 'reach', silentForMs);
+      this.runner.feedback.noteNoAnswer(lost, isSilentCommit ? 'commit' : 'reach', silentForMs);
       const fault = faultOf(answer);
-      request.trace?.note({ step: 'unanswered', instance: instance.id, fault });
+      request.trace?.record({ step: 'unanswered', instance: instance.id, fault });
       // Without a write, nothing is kept whatever became of the commit.
       return this.#wrote
         ? refuse('in-doubt', 'no answer to a commit')
@@ -150,7 +154,7 @@
     const { error } = answer.value;
     // How long it took to reach the replicas says nothing of the next statement.
     instance.pool.health.noteOutcome(error?.code);
-    request.trace?.note({ step: 'answered', instance: instance.id, code: error?.code });
+    request.trace?.record({ step: 'answered', instance: instance.id, code: error?.code });
     const outcome = { type: 'answered' as const, answer: answer.value };
     if (!this.#wrote) return outcome;
     return this.runner.commits.confirm(this.service, instance, outcome, request.trace);
@@ -174,12 +178,12 @@
       if (failure !== undefined) return { type: 'refused', refusal: failure };
       const outcome = await this.#runNext(request);
       if (succeeded(outcome)) {
-        this.#noteRun(request.access);
+        this.#recordStatement(request.access);
         return outcome;
       }
       if (this.#instance !== undefined) excluded.add(this.#instance.id);
       this.abandon();
-      const retry = this.#refusalToRetry(outcome);
+      const retry = this.#retryableRefusal(outcome);
       if (retry === undefined) return outcome;
       refusal = retry;
       refusals += 1;
@@ -193,7 +197,7 @@
    * statement must not run there while it may still run where it was sent before: the two would stand
    * in different transactions. The caller repeats it under another id.
    */
-  #refusalToRetry(outcome: StatementOutcome): Refusal | undefined {
+  #retryableRefusal(outcome: StatementOutcome): Refusal | undefined {
     if (this.#mayRunLate) return undefined;
     if (outcome.type === 'refused')
       return outcome.refusal.code === 'aborted' ? outcome.refusal : undefined;
@@ -220,7 +224,11 @@
       synchronise(connection, request.session.values, request.prepared, wire);
       const exchange = connection.exchange(request.encode(undefined));
       connection.uncork();
-      request.trace?.note({ step: 'sent', instance: instance.id, through: throughOf(connection) });
+      request.trace?.record({
+        step: 'sent',
+        instance: instance.id,
+        through: connectionSourceOf(connection),
+      });
       // Nothing of an open transaction is kept once its connection is closed: the caller may repeat it.
       const patienceMs = Math.min(request.deadline - now(), instance.pool.health.patienceMs);
       const endWatch = instance.pool.health.watchAnswer('read');
@@ -229,10 +237,10 @@
       endWatch(answer?.isOk() === true);
       if (answer?.isOk()) {
         const { error } = answer.value;
-        request.trace?.note({ step: 'answered', instance: instance.id, code: error?.code });
+        request.trace?.record({ step: 'answered', instance: instance.id, code: error?.code });
       } else {
         const fault = faultOf(answer);
-        request.trace?.note({ step: 'unanswered', instance: instance.id, fault });
+        request.trace?.record({ step: 'unanswered', instance: instance.id, fault });
       }
       if (answer === undefined) {
         this.#mayRunLate = connection.mayRunLate;
@@ -265,7 +273,7 @@
     let refusal: Refusal = { code: 'busy', text: 'no instance' };
     let attempts = 0;
     let rounds = 0;
-    while (now() < request.deadline && mayAttemptAgain(request, attempts)) {
+    while (now() < request.deadline && tryUseAttempt(request, attempts)) {
       const failure = await this.#openOnce(request, excluded);
       if (failure === undefined) return undefined;
       refusal = failure.refusal;
@@ -295,10 +303,10 @@
     const { now, wire } = this.runner.options;
     const placement = this.#placement(request);
     const chosen = this.runner.targets.choose(placement, excluded);
-    if (chosen === undefined) return failureToOpen(undefined, 'no primary');
+    if (chosen === undefined) return openFailure(undefined, 'no primary');
     const { instance } = chosen;
     if (!this.readOnly && !(await this.#maySend(request, instance))) {
-      return { refusal: WITHHELD, instanceId: undefined, isWithheld: true };
+      return { refusal: WRITE_WITHHELD, instanceId: undefined, isWithheld: true };
     }
     const { values } = request.session;
     const cancelledBy = this.runner.attempts.cancellationsOf(this.service, instance);
@@ -306,7 +314,7 @@
     if (acquired.isErr()) {
       this.runner.feedback.noteUnreachable(placement, instance, acquired.error);
       const reason = acquired.error.code;
-      request.trace?.note({ step: 'not-sent', instance: instance.id, reason });
+      request.trace?.record({ step: 'not-sent', instance: instance.id, reason });
       const isOverLimit = acquired.error instanceof InstanceQueueFullError;
       return { refusal: refusalOf(acquired.error), instanceId: instance.id, isOverLimit };
     }
@@ -315,8 +323,8 @@
     if (target === undefined) {
       instance.pool.release(connection);
       const reason = 'the primary changed';
-      request.trace?.note({ step: 'not-sent', instance: instance.id, reason });
-      return failureToOpen(undefined, reason);
+      request.trace?.record({ step: 'not-sent', instance: instance.id, reason });
+      return openFailure(undefined, reason);
     }
     const sentAt = now();
     connection.cork();
@@ -331,11 +339,11 @@
       connection.close();
       const lost = { request: placement, instance, connection, answer: begun, sentAt };
       this.runner.feedback.noteNoAnswer(lost);
-      request.trace?.note({ step: 'unanswered', instance: instance.id, fault: faultOf(begun) });
-      return failureToOpen(instance, 'no answer to BEGIN');
+      request.trace?.record({ step: 'unanswered', instance: instance.id, fault: faultOf(begun) });
+      return openFailure(instance, 'no answer to BEGIN');
     }
     if (target.after !== undefined) {
-      this.runner.targets.noteAnswer(instance.id, target.after, begun.value.error?.code);
+      this.runner.targets.recordAnswer(instance.id, target.after, begun.value.error?.code);
     }
     if (begun.value.error?.code === 'busy') instance.pool.health.noteBusy();
     if (begun.value.error !== undefined || begun.value.state !== 'open') {
@@ -366,12 +374,12 @@
     return this.readOnly ? after : undefined;
   }
 
-  #noteRun(access: Access): void {
+  #recordStatement(access: Access): void {
     if (access === 'write') this.#wrote = true;
   }
 }
 
-function throughOf(connection: InstanceConnection): 'own' | 'owner' {
+function connectionSourceOf(connection: InstanceConnection): 'own' | 'owner' {
   return connection.giveBack === undefined ? 'own' : 'owner';
 }
 
--- a/src/direct/trust-prover.ts
+++ b/src/direct/trust-prover.ts
@@ -50,7 +50,7 @@
   next: Promise<ProofRound> | undefined;
 }
 
-const NOTHING_ASKED = { verdict: 'unknown', answers: [] } as const;
+const NO_QUERY_SENT = { verdict: 'unknown', answers: [] } as const;
 
 export class TrustProver {
   readonly #proofs = new Map<string, ServiceProof>();
@@ -93,10 +93,10 @@
   }
 
   #start(service: ServiceRuntime, proof: ServiceProof): Promise<ProofRound> {
-    const round = this.#round(service, proof.evidence).then((shown) => {
+    const round = this.#round(service, proof.evidence).then((result) => {
       proof.running = undefined;
-      if (shown.verdict !== 'proven') this.options.counters.proofsFailed += 1;
-      return shown;
+      if (result.verdict !== 'proven') this.options.counters.proofsFailed += 1;
+      return result;
     });
     proof.running = round;
     return round;
@@ -106,15 +106,15 @@
     const { now, counters } = this.options;
     const sentAt = now();
     const primary = service.primary(sentAt);
-    if (primary === undefined) return NOTHING_ASKED;
+    if (primary === undefined) return NO_QUERY_SENT;
     counters.proofRounds += 1;
     const term = service.trustedTermOf(primary.id);
     // A node that has just started can't tell from positions alone whose term it is.
     if (term === undefined) {
       return { verdict: await this.#confirm(service, primary, sentAt, evidence), answers: [] };
     }
-    const questions = service.members().map((member) => this.#ask(member, sentAt));
-    const answers = await Promise.all(questions);
+    const queries = service.members().map((member) => this.#queryPosition(member, sentAt));
+    const answers = await Promise.all(queries);
     const known = { instanceId: primary.id, term };
     if (evidence.recordRound(known, sentAt, answers)) return { verdict: 'proven', answers };
     if (showsLaterTerm(known, answers)) return { verdict: 'deposed', answers };
@@ -134,7 +134,7 @@
     return 'proven';
   }
 
-  async #ask(member: InstanceRuntime, sentAt: Milliseconds): Promise<MemberAnswer> {
+  async #queryPosition(member: InstanceRuntime, sentAt: Milliseconds): Promise<MemberAnswer> {
     const { wire, now } = this.options;
     const deadline = sentAt + ROUND_TIMEOUT_MS;
     const position = await askPosition({ pool: member.pool, wire, now, deadline });
--- a/src/direct/within.ts
+++ b/src/direct/within.ts
@@ -12,7 +12,7 @@
  * Runs once what has arrived is read: a timer that is late would run before it. Of two turns of the event loop the
  * second has polled the sockets, wherever in its first the caller stands.
  */
-export function afterInput(run: () => void): void {
+export function afterPendingInput(run: () => void): void {
   setImmediate(() => setImmediate(run));
 }
 
@@ -20,12 +20,12 @@
  * Calls back after a time, unless the function that is given back was called: what came in time and waits unread, since
  * the process is late, must not be taken for silence. A statement that is answered would be told as in doubt.
  */
-export function afterReading(milliseconds: Milliseconds, run: () => void): () => void {
+export function timeoutAfterInput(milliseconds: Milliseconds, run: () => void): () => void {
   let isWaiting = true;
-  const giveUp = (): void => {
+  const expire = (): void => {
     if (isWaiting) run();
   };
-  const timer = setTimeout(() => afterInput(giveUp), Math.max(0, milliseconds));
+  const timer = setTimeout(() => afterPendingInput(expire), Math.max(0, milliseconds));
   return () => {
     isWaiting = false;
     clearTimeout(timer);
@@ -38,7 +38,7 @@
   milliseconds: Milliseconds,
 ): Promise<Value | undefined> {
   return new Promise((resolve, reject) => {
-    const stopWaiting = afterReading(milliseconds, () => resolve(undefined));
+    const stopWaiting = timeoutAfterInput(milliseconds, () => resolve(undefined));
     for (const promise of promises) {
       promise.then((value) => {
         stopWaiting();
--- a/test/support/caller-session-fixture.ts
+++ b/test/support/caller-session-fixture.ts
@@ -54,7 +54,7 @@
     drainTimeoutMs: 7000,
     ownership: { roster: undefined, ownershipOf: () => undefined },
     view,
-    isStoreWell: () => true,
+    isStoreHealthy: () => true,
     now,
     pool: {
       wire: lineWire,
@@ -76,7 +76,7 @@
     runner: new StatementRunner({ wire: lineWire, view, prover, now, random }),
     routes: {
       find: (database) => (database === 'orders' ? { route: ROUTE, service, tenant } : undefined),
-      known: async () => true,
+      waitForRoutes: async () => true,
       transactionIdleMs,
     },
     now,
--- a/test/unit/direct/caller-session.test.ts
+++ b/test/unit/direct/caller-session.test.ts
@@ -29,7 +29,7 @@
   /** Resolves once the session is at rest again. */
   const send = (line: string): Promise<void> =>
     new Promise((resolve) => {
-      session.onRest = resolve;
+      session.onIdle = resolve;
       session.receive(lineWire.decodeCallerMessage(line));
     });
   return { session, lines, ends, ended, send };
@@ -60,7 +60,7 @@
     [2, 450],
   ] as const) {
     const dependencies = sessionDependencies(tenantWith({ priority }));
-    const refusal = { code: 'busy', text: 'too many statements wait', isForWantOfRoom: true };
+    const refusal = { code: 'busy', text: 'too many statements wait', isForLackOfCapacity: true };
     const runner = Object.assign(Object.create(dependencies.runner), {
       run: async () => ({ type: 'refused', refusal }),
     });
@@ -70,11 +70,11 @@
       write: (text) => lines.push(...text.split('\r\n').filter((line) => line !== '')),
     });
     await new Promise<void>((resolve) => {
-      session.onRest = resolve;
+      session.onIdle = resolve;
       session.receive(lineWire.decodeCallerMessage('START orders u1'));
     });
     await new Promise<void>((resolve) => {
-      session.onRest = resolve;
+      session.onIdle = resolve;
       session.receive(lineWire.decodeCallerMessage('QUERY 1 READ key'));
     });
     assert.is(lines.at(-2), `ERROR BUSY too many statements wait; retry after ${told} ms`);
@@ -138,7 +138,7 @@
   const { session, lines, send } = startSession();
   await send('START orders u1');
   await send('QUERY 1 BEGIN');
-  session.tellToLeave();
+  session.notifyStop();
   assert.match(lines.at(-1) ?? '', /^ERROR ABORTED .*retry after \d+ ms$/);
 });
 
@@ -151,15 +151,15 @@
   await send('START orders u1');
   await send('QUERY 1 BEGIN');
   await pause(ROUTE.timeoutMs);
-  session.tellToLeave();
+  session.notifyStop();
   assert.match(lines.at(-1) ?? '', /^ERROR ABORTED .*retry after \d+ ms$/);
 });
 
 test('one that rests outside any transaction when the node stops is told once to go elsewhere', async () => {
   const { session, lines, send } = startSession();
   await send('START orders u1');
-  session.tellToLeave();
-  session.tellToLeave();
+  session.notifyStop();
+  session.notifyStop();
   assert.is(lines.length, 2);
   assert.match(lines[1] ?? '', /^ERROR BUSY .*retry after \d+ ms$/);
 });
@@ -167,10 +167,10 @@
 test('one that was told to leave, and asks all the same, is refused and told again', async () => {
   const { session, lines, send } = startSession();
   await send('START orders u1');
-  session.tellToLeave();
+  session.notifyStop();
   await send('QUERY 1 SET role clerk');
   assert.equal(lines.slice(2), ['READY I -']);
-  session.tellToLeave();
+  session.notifyStop();
   assert.match(lines.at(-1) ?? '', /^ERROR BUSY /);
 });
 
@@ -178,7 +178,7 @@
   const { session, lines, send } = startSession();
   await send('START orders u1');
   await send('QUERY 1 BEGIN');
-  session.tellToLeave();
+  session.notifyStop();
   await send('QUERY 2 ROLLBACK');
   assert.match(lines.at(-2) ?? '', /^ERROR ABORTED /);
   assert.is(lines.at(-1), 'READY I -');
@@ -186,7 +186,7 @@
 
 test('a caller that has not started when the node stops is refused and its connection ended', () => {
   const { session, lines, ended } = startSession();
-  session.tellToLeave();
+  session.notifyStop();
   assert.match(lines.join(), /^ERROR BUSY .*retry after \d+ ms$/);
   assert.equal(ended, [true]);
 });
@@ -198,7 +198,7 @@
   await new Promise((resolve) => setImmediate(resolve));
   receive('QUERY 1 READ key');
   receive('QUERY 2 READ key');
-  session.giveUp();
+  session.cutOff();
   const toldThen = [...lines];
   assert.match(toldThen[1] ?? '', /^ERROR TIMEOUT /);
   assert.is(toldThen[2], 'READY I -');
@@ -212,7 +212,7 @@
 test('a start that is owed when the node ends is refused', async () => {
   const { session, lines, ended } = startSession();
   session.receive(lineWire.decodeCallerMessage('START orders u1'));
-  session.giveUp();
+  session.cutOff();
   assert.match(lines[0] ?? '', /^ERROR BUSY /);
   await new Promise((resolve) => setImmediate(resolve));
   assert.is(lines.length, 1);
@@ -222,7 +222,7 @@
 test('a caller at rest when the node ends hears nothing', async () => {
   const { session, lines, ended, send } = startSession();
   await send('START orders u1');
-  session.giveUp();
+  session.cutOff();
   assert.equal(lines, ['READY I -']);
   assert.equal(ended, [true]);
 });
--- a/test/unit/direct/node-directory.test.ts
+++ b/test/unit/direct/node-directory.test.ts
@@ -35,9 +35,9 @@
   } as unknown as DirectoryFollower;
   const gateway = {
     departedMembers: () => [instance('used-once')],
-    noteDeparted: () => {},
+    addDeparted: () => {},
     primaryTerms: () => [],
-    notePrimaryTerms: () => {},
+    recordPrimaryTerms: () => {},
   } as unknown as DirectGateway;
   const primaries = {
     revision: 5,
@@ -46,7 +46,7 @@
   } as unknown as ToldPrimaries;
   const directory = new NodeDirectory({
     ...{ follower, gateway, primaries, logger: { info: () => {} } as unknown as Logger },
-    isStoreWell: () => true,
+    isStoreHealthy: () => true,
     peers: () => [],
     countedMembers: () => counted.map(instance),
     noteMembers: (members, isWhole) => told.push({ ids: members.map(({ id }) => id), isWhole }),
--- a/test/unit/direct/planned-stop.test.ts
+++ b/test/unit/direct/planned-stop.test.ts
@@ -5,7 +5,7 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { CallerServer } from '../../../src/direct/caller-server.js';
-import { endSessions, type StopParts } from '../../../src/direct/planned-stop.js';
+import { endSessions, type StopOptions } from '../../../src/direct/planned-stop.js';
 import { ROUTE, sessionDependencies } from '../../support/caller-session-fixture.js';
 import { LineClient } from '../../support/line-client.js';
 
@@ -26,7 +26,7 @@
   const waiting = new Promise<void>((resolve) => {
     tellWaiting = resolve;
   });
-  const relay: StopParts['relay'] = {
+  const relay: StopOptions['relay'] = {
     stopGranting: () => {},
     drained: () => {
       tellWaiting();
--- a/test/unit/direct/request-log.test.ts
+++ b/test/unit/direct/request-log.test.ts
@@ -21,7 +21,7 @@
   const log = new RequestLogger(logger, now);
   const end = (id: string, tookMs: number, code?: RequestEnd['code']): void => {
     const trace = new RequestTrace(time, now);
-    trace.note({ step: 'sent', instance: 'i-1', through: 'own' });
+    trace.record({ step: 'sent', instance: 'i-1', through: 'own' });
     time += tookMs;
     const place = { database: 'd', service: 's', routeType: 'primary' } as const;
     const route = { ...place, targetLatencyMs: TARGET_MS };
@@ -68,16 +68,17 @@
 
 test('a request with very many decisions keeps the first of them and says so', () => {
   const trace = new RequestTrace(0, () => 0);
-  for (let number = 0; number < 100; number += 1) trace.note({ step: 'budget-spent', attempts: 1 });
-  assert.is(trace.steps.length + trace.leftOut, 100);
-  assert.ok(trace.leftOut > 0);
+  for (let number = 0; number < 100; number += 1)
+    trace.record({ step: 'budget-spent', attempts: 1 });
+  assert.is(trace.steps.length + trace.omittedSteps, 100);
+  assert.ok(trace.omittedSteps > 0);
 });
 
 test('a request that looks again and again for an instance says so once for each reason', () => {
   const trace = new RequestTrace(0, () => 0);
   const looks = [true, true, true, false, false];
   for (const isChanging of looks) {
-    trace.note({ step: 'no-instance', primary: undefined, isTrusted: false, isChanging });
+    trace.record({ step: 'no-instance', primary: undefined, isTrusted: false, isChanging });
   }
   assert.is(trace.steps.length, 2);
 });
@@ -89,9 +90,9 @@
     ...{ watchesPrimaries: false, ownerRoster: () => undefined, isChanging: () => false },
     ...{ primaryOf: () => ({ id: primary }), mayTrustPrimary: () => true },
   } as unknown as PrimaryView;
-  const beliefs = new BeliefLog({ logger, view, isStoreWell: () => true, now });
+  const beliefs = new BeliefLog({ logger, view, isStoreHealthy: () => true, now });
   const service = { name: 's', samples: { newestAt: () => now() } };
-  const look = (): void => beliefs.look([service], new Set([service]));
+  const look = (): void => beliefs.refresh([service], new Set([service]));
   look();
   const first = lines.length;
   look();
--- a/test/unit/direct/sent-ahead-at-stop.test.ts
+++ b/test/unit/direct/sent-ahead-at-stop.test.ts
@@ -22,7 +22,7 @@
   const receive = (line: string) => session.receive(lineWire.decodeCallerMessage(line));
   receive('START orders u1');
   await new Promise((resolve) => setImmediate(resolve));
-  session.tellToLeave();
+  session.notifyStop();
   receive('QUERY 1 BEGIN');
   receive('QUERY 2 WRITE k v');
   receive('QUERY 3 COMMIT');
--- a/test/unit/direct/service-runtime.test.ts
+++ b/test/unit/direct/service-runtime.test.ts
@@ -32,7 +32,7 @@
     ownership,
     drainTimeoutMs: DRAIN_MS,
     view: new AnnouncedPrimaryView(),
-    isStoreWell: () => world.isWell,
+    isStoreHealthy: () => world.isWell,
     ...start,
     now: () => world.now,
     pool: {
--- a/test/unit/direct/start-log.test.ts
+++ b/test/unit/direct/start-log.test.ts
@@ -28,14 +28,14 @@
 
 test('a step is told when it is reached, and once', () => {
   const { world, told, log } = setUp();
-  log.look();
+  log.refresh();
   world.now = 12.4;
   world.reached = ['configuration'];
-  log.look();
+  log.refresh();
   world.now = 50;
   world.reached = ['configuration', 'ready'];
-  log.look();
-  log.look();
+  log.refresh();
+  log.refresh();
   assert.equal(told, ['start step: configuration 12', 'start step: ready 50']);
 });
 
--- a/test/unit/direct/statement-runner.test.ts
+++ b/test/unit/direct/statement-runner.test.ts
@@ -7,13 +7,13 @@
 import { Cancellation, listenToAll } from '../../../src/direct/cancellation.js';
 import type { RouteDescription } from '../../../src/direct/contract.js';
 import { InstanceConnectError, InstanceWaitTimeoutError } from '../../../src/direct/errors.js';
+import { InFlightStatements } from '../../../src/direct/in-flight-statements.js';
 import type { InstanceConnection } from '../../../src/direct/instance-connection.js';
 import type { InstancePool } from '../../../src/direct/instance-pool.js';
 import type { PrimaryView } from '../../../src/direct/promotion/contract.js';
 import type { InstanceRuntime, ServiceRuntime } from '../../../src/direct/service-runtime.js';
 import type { StatementOutcome, StatementRequest } from '../../../src/direct/statement-request.js';
 import { StatementRunner } from '../../../src/direct/statement-runner.js';
-import { StatementsUnderWay } from '../../../src/direct/statements-under-way.js';
 import type { Placement } from '../../../src/direct/target-chooser.js';
 import { Tenant } from '../../../src/direct/tenant.js';
 import { ROUTE_TEMPLATES } from '../../../src/direct/tenant-templates.generated.js';
@@ -87,7 +87,7 @@
     beganAt: 0,
     route: ROUTE,
     tenant: newTenant(),
-    session: { values: new Map(), lastWritten: undefined, underWay: new StatementsUnderWay() },
+    session: { values: new Map(), lastWritten: undefined, inFlight: new InFlightStatements() },
   } as unknown as Placement;
   return { runner, placement, proofs: () => proofs };
 }
@@ -138,7 +138,7 @@
     deadline: DEADLINE_MS,
     route: ROUTE,
     tenant: newTenant(),
-    session: { values: new Map(), lastWritten: undefined, underWay: new StatementsUnderWay() },
+    session: { values: new Map(), lastWritten: undefined, inFlight: new InFlightStatements() },
   } as unknown as StatementRequest);
   assert.is(outcome.type, 'refused');
   assert.ok(openings < TARGET_LATENCY_MS);
@@ -217,7 +217,7 @@
   const outcome = await runner.run({
     ...{ access: 'write', service, beganAt, deadline: beganAt + LONG_MS, tenant: newTenant() },
     ...{ route: ROUTE, prepared: undefined },
-    session: { values: new Map(), lastWritten: undefined, underWay: new StatementsUnderWay() },
+    session: { values: new Map(), lastWritten: undefined, inFlight: new InFlightStatements() },
     encode: () => lineWire.encodeStatement('s1', 'WRITE k v', undefined),
   });
   return { outcome, sent };
@@ -290,7 +290,7 @@
   const outcome = await runner.run({
     ...{ access: 'read', service, beganAt: 0, deadline: LONG_MS, tenant: newTenant(), route },
     prepared: undefined,
-    session: { values: new Map(), lastWritten: undefined, underWay: new StatementsUnderWay() },
+    session: { values: new Map(), lastWritten: undefined, inFlight: new InFlightStatements() },
     encode: () => lineWire.encodeStatement('s1', 'READ k', undefined),
   });
   assert.is(outcome.type, 'answered');
@@ -303,7 +303,7 @@
   /** Instances that were sent the read. */
   readonly sent: readonly string[];
   readonly released: () => number;
-  readonly underWay: StatementsUnderWay;
+  readonly inFlight: InFlightStatements;
 }
 
 /**
@@ -346,26 +346,26 @@
   const view = primaryView(true);
   const prover = {} as unknown as TrustProver;
   const runner = new StatementRunner({ wire: lineWire, view, prover, now, random: () => 0 });
-  const underWay = new StatementsUnderWay();
+  const inFlight = new InFlightStatements();
   const beganAt = now();
   const outcome = await runner.run({
     ...{ access: 'read', service, beganAt, deadline: beganAt + LONG_MS, tenant: newTenant() },
     route: { ...ROUTE, consistency: 'bounded-staleness', maxStalenessMs: 1500 },
-    session: { values: new Map(), lastWritten: undefined, underWay },
+    session: { values: new Map(), lastWritten: undefined, inFlight },
     prepared: undefined,
     encode: () => lineWire.encodeStatement('s1', 'READ k', undefined),
   });
   free?.();
   await pause(1);
-  return { outcome, sent, released: () => released, underWay };
+  return { outcome, sent, released: () => released, inFlight };
 }
 
 test('a read that has been answered elsewhere is not sent once a connection is free', async () => {
-  const { outcome, sent, released, underWay } = await readWithLateConnection();
+  const { outcome, sent, released, inFlight } = await readWithLateConnection();
   assert.is(outcome.type, 'answered');
   assert.equal(sent, ['replica-2']);
   assert.is(released(), 2);
-  assert.ok(await underWay.ended(0));
+  assert.ok(await inFlight.waitForEnd(0));
 });
 
 interface LateWrite {
@@ -407,7 +407,7 @@
   const outcome = await runner.run({
     ...{ access: 'write', service, beganAt: 0, deadline: DEADLINE_MS, tenant: newTenant() },
     ...{ route: ROUTE, prepared: undefined },
-    session: { values: new Map(), lastWritten: undefined, underWay: new StatementsUnderWay() },
+    session: { values: new Map(), lastWritten: undefined, inFlight: new InFlightStatements() },
     encode: () => lineWire.encodeStatement('s1', 'WRITE k v', undefined),
   });
   return { outcome, sent };
@@ -449,14 +449,14 @@
   const runner = new StatementRunner({ wire: lineWire, view, prover, now, random: () => 0 });
   const tenant = newTenant();
   let retries = 0;
-  tenant.mayRetry = () => {
+  tenant.tryTakeRetry = () => {
     retries += 1;
     return true;
   };
   const outcome = await runner.run({
     ...{ access: 'write', service, beganAt: 0, deadline: DEADLINE_MS, tenant },
     ...{ route: ROUTE, prepared: undefined },
-    session: { values: new Map(), lastWritten: undefined, underWay: new StatementsUnderWay() },
+    session: { values: new Map(), lastWritten: undefined, inFlight: new InFlightStatements() },
     encode: () => lineWire.encodeStatement('s1', 'WRITE k v', undefined),
   });
   assert.is(outcome.type === 'refused' && outcome.refusal.code, 'busy');
@@ -507,7 +507,7 @@
   await runner.run({
     ...{ access: 'write', service, beganAt, deadline: beganAt + SHORT_WAIT_MS },
     ...{ route: ROUTE, tenant: newTenant(), prepared: undefined, encode: () => '' },
-    session: { values: new Map(), lastWritten: undefined, underWay: new StatementsUnderWay() },
+    session: { values: new Map(), lastWritten: undefined, inFlight: new InFlightStatements() },
   } as unknown as StatementRequest);
   return reports;
 }
--- a/test/unit/direct/target-chooser.test.ts
+++ b/test/unit/direct/target-chooser.test.ts
@@ -111,7 +111,7 @@
   const { chooser, read, trace } = chooserWith(placement);
   assert.is(chooser.choose(read, new Set())?.instance.id, 'far');
   assert.is(chooser.choose(read, new Set(['far']))?.instance.id, 'primary');
-  chooser.noteAnswer('far', { timeline: 1, lsn: 4n }, 'lagging');
+  chooser.recordAnswer('far', { timeline: 1, lsn: 4n }, 'lagging');
   assert.is(chooser.choose(read, new Set())?.instance.id, 'primary');
   assert.equal(
     asked.map(({ ids }) => ids.join(' ')),
--- a/test/unit/direct/tenant.test.ts
+++ b/test/unit/direct/tenant.test.ts
@@ -5,10 +5,10 @@
 import { type RoutePolicy, resolveRoutePolicy } from '../../../src/core/tenancy/route-template.js';
 import { AnnouncedPrimaryView } from '../../../src/direct/announced-primary-view.js';
 import type { InstanceEntry, RouteDescription } from '../../../src/direct/contract.js';
+import { InFlightStatements } from '../../../src/direct/in-flight-statements.js';
 import { RequestTrace } from '../../../src/direct/request-trace.js';
 import { ServiceRuntime } from '../../../src/direct/service-runtime.js';
 import { StatementRunner } from '../../../src/direct/statement-runner.js';
-import { StatementsUnderWay } from '../../../src/direct/statements-under-way.js';
 import { Tenant } from '../../../src/direct/tenant.js';
 import { ROUTE_TEMPLATES } from '../../../src/direct/tenant-templates.generated.js';
 import { TrustProver } from '../../../src/direct/trust-prover.js';
@@ -49,7 +49,7 @@
   const now = () => performance.now();
   const random = () => 0.5;
   const view = new AnnouncedPrimaryView();
-  view.noteInstances(new Map([[PRIMARY.id, PRIMARY]]));
+  view.setInstances(new Map([[PRIMARY.id, PRIMARY]]));
   const counters = {
     ...{
       connectionsOpened: 0,
@@ -70,7 +70,15 @@
     counters,
   };
   const service = new ServiceRuntime('db-1', {
-    ...{ zone: 'a', nodeCount: 1, drainTimeoutMs: 7000, view, isStoreWell: () => true, now, pool },
+    ...{
+      zone: 'a',
+      nodeCount: 1,
+      drainTimeoutMs: 7000,
+      view,
+      isStoreHealthy: () => true,
+      now,
+      pool,
+    },
     ownership: { roster: undefined, ownershipOf: () => undefined },
   });
   service.setMaxConnections(10);
@@ -86,7 +94,7 @@
   const trace = new RequestTrace(beganAt, now);
   const outcome = await runner.run({
     ...{ access: 'write', route: ROUTE, service, tenant, prepared: undefined },
-    session: { values: new Map(), lastWritten: undefined, underWay: new StatementsUnderWay() },
+    session: { values: new Map(), lastWritten: undefined, inFlight: new InFlightStatements() },
     ...{ beganAt, trace },
     deadline: beganAt + ROUTE.timeoutMs,
     encode: () => '',
@@ -105,23 +113,23 @@
 
 test('first attempts earn retries, up to what may be saved', () => {
   const tenant = tenantWith({ ratio: 0.5, capacity: 1 });
-  assert.ok(tenant.mayRetry());
-  assert.not(tenant.mayRetry());
-  for (let count = 0; count < 10; count += 1) tenant.noteFirstAttempt();
-  assert.ok(tenant.mayRetry());
-  assert.not(tenant.mayRetry());
+  assert.ok(tenant.tryTakeRetry());
+  assert.not(tenant.tryTakeRetry());
+  for (let count = 0; count < 10; count += 1) tenant.recordFirstAttempt();
+  assert.ok(tenant.tryTakeRetry());
+  assert.not(tenant.tryTakeRetry());
 });
 
 test('a change of the policy keeps the sessions, and the budget if that has not changed', () => {
   const tenant = tenantWith({ ratio: 0, capacity: 1 });
   assert.ok(tenant.openSession());
-  assert.ok(tenant.mayRetry());
+  assert.ok(tenant.tryTakeRetry());
   tenant.setPolicy({ ...tenant.policy, maxSessions: 1 });
   assert.not(tenant.openSession());
-  assert.not(tenant.mayRetry());
+  assert.not(tenant.tryTakeRetry());
   tenant.setPolicy({ ...tenant.policy, maxSessions: 2, retries: { ratio: 0, capacity: 2 } });
   assert.ok(tenant.openSession());
-  assert.ok(tenant.mayRetry());
+  assert.ok(tenant.tryTakeRetry());
 });
 
 test.run();
--- a/test/unit/direct/transaction.test.ts
+++ b/test/unit/direct/transaction.test.ts
@@ -7,11 +7,11 @@
 import { resolveRoutePolicy } from '../../../src/core/tenancy/route-template.js';
 import type { RouteDescription } from '../../../src/direct/contract.js';
 import { InstanceConnectionLostError } from '../../../src/direct/errors.js';
+import { InFlightStatements } from '../../../src/direct/in-flight-statements.js';
 import type { AnswerResult, InstanceConnection } from '../../../src/direct/instance-connection.js';
 import type { PrimaryView } from '../../../src/direct/promotion/contract.js';
 import type { InstanceRuntime, ServiceRuntime } from '../../../src/direct/service-runtime.js';
 import { StatementRunner } from '../../../src/direct/statement-runner.js';
-import { StatementsUnderWay } from '../../../src/direct/statements-under-way.js';
 import { Tenant } from '../../../src/direct/tenant.js';
 import { ROUTE_TEMPLATES } from '../../../src/direct/tenant-templates.generated.js';
 import { Transaction, type TransactionRequest } from '../../../src/direct/transaction.js';
@@ -75,7 +75,7 @@
   const beganAt = now();
   const req: TransactionRequest = {
     ...{ access: 'read', tenant, prepared: undefined, beganAt, deadline: beganAt + DEADLINE_MS },
-    session: { values: new Map(), lastWritten: undefined, underWay: new StatementsUnderWay() },
+    session: { values: new Map(), lastWritten: undefined, inFlight: new InFlightStatements() },
     encode: () => lineWire.encodeStatement('s1', 'READ k', undefined),
   };
   return { run: () => transaction.run(req), asked };
