--- a/src/direct/announced-primary-view.ts
+++ b/src/direct/announced-primary-view.ts
@@ -1,12 +1,12 @@
 /**
- * Primaries as the instances announce themselves: enough where the platform replaces primaries by
- * itself and gives no promotion call.
+ * Takes each instance's own report of its role as the truth. Sufficient where the platform replaces
+ * primaries by itself and offers no promotion call.
  */
 import type { InstanceEntry } from './contract.js';
 import type { PrimaryView } from './promotion/contract.js';
 
 export class AnnouncedPrimaryView implements PrimaryView {
-  /** The announcements bind at once: nothing that a peer tells of primaries is newer. */
+  /** The reported roles apply immediately, so no primary record that a peer sends is newer. */
   readonly recordsRevision = Number.MAX_SAFE_INTEGER;
   readonly watchesPrimaries = false;
   onChange: (service: string) => void = () => {};
--- a/src/direct/belief-log.ts
+++ b/src/direct/belief-log.ts
@@ -1,15 +1,16 @@
 /**
- * Lines about what this node believes: each change is told once, with the age of what stands behind it.
- * Beliefs are looked at now and then, so that one that changes to and fro is told that often at most.
+ * Logs what this node believes about the store, the owners and the primaries: one line per change, with
+ * the duration of the previous belief. Beliefs are compared periodically, which limits the log lines of
+ * one that flaps.
  */
 import type { Milliseconds } from '../core/units.js';
 import type { Logger } from '../observability/logger.js';
 import type { PrimaryView } from './promotion/contract.js';
 
-/** Newest known positions that are older than this leave reads of some age to the primary. */
+/** With older positions, the primary must serve even reads that tolerate staleness. */
 const MAX_FRESH_SAMPLE_AGE_MS: Milliseconds = 1000;
 
-/** A service as far as beliefs about it are told. */
+/** The part of a service that its beliefs are derived from. */
 export interface ObservedService {
   readonly name: string;
   readonly samples: { newestAt(): Milliseconds | undefined };
@@ -22,19 +23,18 @@
   readonly now: () => Milliseconds;
 }
 
-/** What is believed of one thing, and since when. */
+/** A logged belief and the time it was first held. */
 interface Belief {
   readonly text: string;
   readonly since: Milliseconds;
 }
 
-/** Tells changes of belief. */
 export class BeliefLog {
   readonly #beliefs = new Map<string, Belief>();
 
   constructor(private readonly options: BeliefLogOptions) {}
 
-  /** Looks at everything; `sampled` are services whose positions are asked for. */
+  /** Compares all beliefs with the logged ones; `sampled`: services whose log positions are sampled. */
   refresh(services: Iterable<ObservedService>, sampled: ReadonlySet<ObservedService>): void {
     const { view, isStoreHealthy, now } = this.options;
     const at = now();
--- a/src/direct/caller-server.ts
+++ b/src/direct/caller-server.ts
@@ -1,4 +1,4 @@
-/** Accepts callers and ties each connection to a session. */
+/** Accepts callers' connections and creates a session for each. */
 import { createServer, type Server, type Socket } from 'node:net';
 import type { Milliseconds } from '../core/units.js';
 import { CallerSession, type CallerSessionOptions } from './caller-session.js';
@@ -6,14 +6,15 @@
 import { afterPendingInput, timeoutAfterInput } from './within.js';
 
 const KEEP_ALIVE_DELAY_MS = 10_000;
-/** A caller that does not read holds its own session up once so much waits for it. */
+/** With more unsent bytes than this, the session of a caller that does not read is paused. */
 const MAX_UNSENT_BYTES = 256 * 1024;
 /**
- * A caller that was told to leave has this long to do so before its connection is ended: the word and what the caller
- * says to it may each wait more than half a second on a full link of 10 Mbit/s (a request took 0.8 s to arrive).
+ * Time between the stop notice to a caller and the end of its connection. On a saturated link of
+ * 10 Mbit/s the notice and the caller's reaction may each be delayed by more than half a second (a
+ * request took 0.8 s to arrive).
  */
 const LEAVE_TIMEOUT_MS = 1500;
-/** The last word to a caller has this long to arrive before the connection is dropped. */
+/** Time for the last message to reach a caller before its connection is dropped. */
 const CLOSE_TIMEOUT_MS = 500;
 
 export type SessionDependencies = Omit<CallerSessionOptions, 'write' | 'end'>;
@@ -21,7 +22,7 @@
 interface OpenSession {
   readonly session: CallerSession;
   readonly socket: Socket;
-  /** Ends the time that the caller has to leave. */
+  /** Cancels the timeout that started with the stop notice. */
   cancelLeaveTimeout?: () => void;
 }
 
@@ -42,7 +43,7 @@
     return this.#sessions.size;
   }
 
-  /** Sessions that are owed an answer. */
+  /** Sessions with at least one unanswered request. */
   get busyCount(): number {
     return [...this.#sessions].filter(({ session }) => session.busy).length;
   }
@@ -61,20 +62,19 @@
     });
   }
 
-  /** Where it listens; useful if the port was chosen by the system. */
+  /** Port that the server listens on; useful if the system chose it. */
   get port(): number {
     const address = this.#server.address();
     return typeof address === 'object' && address !== null ? address.port : 0;
   }
 
-  /** Takes no more connections. */
   stopAccepting(): void {
     if (this.#server.listening) this.#server.close();
   }
 
   /**
-   * From now on each session ends between requests: outside any transaction, or with
-   * `inTransactions` inside one too.
+   * From now on each session ends as soon as no request is in progress and no transaction is open, or,
+   * with `inTransactions`, even inside a transaction.
    */
   drain(inTransactions: boolean): void {
     this.#drainMode = inTransactions ? 'any' : 'idle';
@@ -83,7 +83,7 @@
     });
   }
 
-  /** Ends whatever is left; callers that are owed answers are told that there are none. */
+  /** Ends the remaining sessions; callers with unanswered requests get an error for each. */
   close(): void {
     this.stopAccepting();
     for (const { session, socket } of [...this.#sessions]) {
@@ -107,7 +107,7 @@
     if (this.#drainMode !== 'none') session.refuseStart();
     const open: OpenSession = { session, socket };
     this.#sessions.add(open);
-    session.onIdle = () => {
+    session.onAllAnswered = () => {
       this.#notifyIfEndable(open);
     };
     socket.on('drain', () => {
@@ -134,8 +134,9 @@
   }
 
   /**
-   * Ending the connection at once would lose a request that arrived unread or is on its way, since a paused socket
-   * still reads: the caller is told, answered if it asks all the same, and leaves by itself.
+   * Sends the stop notice to a session that may end now. Closing the connection immediately would lose
+   * a request that is unread or on its way, since even a paused socket reads ahead. So the caller is
+   * notified, gets a response to a request that it sends nevertheless, and disconnects by itself.
    */
   #notifyIfEndable(open: OpenSession): void {
     if (!this.#mayEnd(open)) return;
@@ -155,7 +156,7 @@
     return this.#drainMode === 'idle' ? session.isIdle : !session.busy;
   }
 
-  /** The caller has heard and not left: it may be out of reach, unless an answer is still on its way to it. */
+  /** Closes a connection whose caller did not disconnect in time, unless a response is still being sent to it. */
   #closeIfStillOpen(open: OpenSession): void {
     const { socket } = open;
     if (socket.destroyed || !this.#mayEnd(open)) return;
@@ -165,8 +166,8 @@
 }
 
 /**
- * Closes a socket to which nothing is left to be sent, reading no more: one that is only ended or paused reads on, and
- * so does this one while something waits to be sent.
+ * Closes a socket without reading more from it; a socket that is only ended or paused continues to read.
+ * While bytes wait to be sent, this one reads too.
  */
 function closeWithoutReading(socket: Socket): void {
   socket.destroySoon();
--- a/src/direct/caller-session.ts
+++ b/src/direct/caller-session.ts
@@ -1,6 +1,7 @@
 /**
- * One caller's session: takes its messages in order and writes exactly one answer to each. Values and
- * prepared statements live here; connections to instances are borrowed for a statement or transaction.
+ * One caller's session: handles its messages in order and writes exactly one response to each. The
+ * session keeps the caller's values and prepared statements; it takes a connection to an instance only
+ * for the duration of a statement or transaction.
  */
 import { createHash } from 'node:crypto';
 import type { Position } from '../core/position.js';
@@ -33,32 +34,32 @@
 import { timeoutAfterInput } from './within.js';
 
 const SHARED_NAME_LENGTH = 16;
-/** When to ask again is told as later than usual while a primary is being replaced. */
+/** Retry delay suggested to callers while the primary is being replaced; longer than the usual one. */
 const RETRY_DURING_PRIMARY_CHANGE_MS = 500;
-/** Messages that a caller may send ahead of their answers. */
+/** Maximum number of pipelined messages of a caller. */
 const MAX_QUEUED_MESSAGES = 64;
-/** A caller that comes before this node knows its routes is answered after this at the latest. */
+/** Maximum wait of a caller that connects before this node has received its routes. */
 const CONFIGURATION_TIMEOUT_MS = 1500;
-/** A new value waits so long for what still runs with the old ones. */
+/** Maximum wait of a new session value for statements that still run with the old values. */
 const VALUE_CHANGE_TIMEOUT_MS = 1500;
 
-/** A route with what serves it, and its tenant's policy and use of this node. */
+/** A route, the service behind it, and the tenant whose policy applies. */
 export interface ResolvedRoute {
-  /** Who asks, by the caller's key; undefined where callers need none. */
+  /** The tenant that the caller's key belongs to; undefined where callers need no key. */
   readonly account?: string | undefined;
-  /** Why nothing is run for this caller now. */
+  /** Set if nothing may run for this caller now. */
   readonly refusal?: Refusal | undefined;
   readonly route: RouteDescription;
   readonly service: ServiceRuntime;
   readonly tenant: Tenant;
 }
 
-/** What a database name leads to now. */
+/** Looks up routes in the current configuration. */
 export interface RouteLookup {
   find(database: string, keyDigest: string): ResolvedRoute | undefined;
-  /** Counts one operation against an account's quota; gives why not if it is beyond that. */
+  /** Counts one operation against an account's quota, or refuses it if the quota is used up. */
   spend?(account: string, priority: number): QuotaDecision;
-  /** Resolves once routes are known: true, or false if they are still unknown after so long. */
+  /** Resolves with true once routes are known, or with false after the timeout. */
   waitForRoutes(timeoutMs: Milliseconds): Promise<boolean>;
   readonly transactionIdleMs: Milliseconds;
 }
@@ -74,22 +75,22 @@
   end(): void;
 }
 
-/** Counted over all sessions of the process. */
+/** Counters over all sessions of the process. */
 export interface SessionCounters {
   statements: number;
   refused: number;
   failed: number;
-  /** Requests that crossed the word of a stopping node, and were refused with it. */
+  /** Requests that arrived after their caller was sent the stop notice, and were refused. */
   refusedAtStop: number;
   transactionsIdled: number;
 }
 
-/** One operation counted, or why not; at once where that is known here. */
+/** Undefined if the operation is within its quota; a promise if another node must be queried. */
 export type QuotaDecision = Refusal | undefined | Promise<Refusal | undefined>;
 
 type StatementMessage = Extract<CallerMessage, { type: 'statement' }>;
 
-/** What is alike in all requests of a session. */
+/** The fields of a request that derive from the session and its route. */
 interface RequestBase
   extends Pick<StatementRequest, 'session' | 'beganAt' | 'deadline' | 'tenant' | 'account'> {
   readonly trace: RequestTrace;
@@ -97,9 +98,9 @@
 
 export class CallerSession {
   #database: string | undefined;
-  /** Stands for the caller's key. */
+  /** Digest of the caller's key. */
   #keyDigest = '';
-  /** The tenant that this session counts for, from its start to its end. */
+  /** The tenant whose session count includes this session until it ends. */
   #tenant: Tenant | undefined;
   readonly #variables = new SessionVariables(sharedNameOf, () => this.#maxEntries());
   #transaction: Transaction | undefined;
@@ -109,32 +110,32 @@
   readonly #inFlight = new InFlightStatements();
   readonly #queue: CallerMessage[] = [];
   #busy = false;
-  /** The message that is being answered. */
+  /** The message being handled. */
   #currentMessage: CallerMessage | undefined;
   #hasEnded = false;
-  /** Ends the watch of a transaction that rests. */
+  /** Cancels the timeout of an idle transaction. */
   #cancelIdleTimeout: (() => void) | undefined;
-  /** The transaction was ended for resting too long, and the caller has not heard of it yet. */
+  /** The transaction was aborted by the idle timeout, and the caller has not been told yet. */
   #hasIdleTimedOut = false;
   readonly #shutdown: SessionShutdown;
-  /** Called when a message has been answered. */
-  onIdle: (() => void) | undefined;
+  /** Called when all received messages have been answered. */
+  onAllAnswered: (() => void) | undefined;
 
   constructor(private readonly options: CallerSessionOptions) {
     this.#shutdown = new SessionShutdown(options.wire, (text) => this.#write(text));
   }
 
-  /** True between requests and outside any transaction. */
+  /** True if no request is unanswered and no transaction is open or failed. */
   get isIdle(): boolean {
     return !this.#busy && this.#queue.length === 0 && this.#state === 'idle';
   }
 
-  /** True while an answer is owed. */
+  /** True while at least one request is unanswered. */
   get busy(): boolean {
     return this.#busy || this.#queue.length > 0;
   }
 
-  /** Takes one message; answers come in the order of the messages. */
+  /** Handles one message; responses are written in the order of the messages. */
   receive(message: CallerMessage): void {
     if (this.#hasEnded) return;
     if (this.#queue.length >= MAX_QUEUED_MESSAGES) {
@@ -148,8 +149,9 @@
   }
 
   /**
-   * The node stops, and the caller rests: it is told so, and a transaction that it left open is rolled back. The session
-   * goes on until the caller leaves, so that a request which crosses this word on its way is answered too.
+   * Sends the stop notice to a caller without unanswered requests, and rolls back a transaction that it
+   * has open. The session continues until the caller disconnects, so that a request already on its way
+   * gets a response too.
    */
   notifyStop(): void {
     if (this.#hasEnded || this.#shutdown.isNoticeUnused) return;
@@ -163,14 +165,14 @@
     if (this.#database === undefined) this.#end();
   }
 
-  /** The caller came after the stop had begun: the node starts no session for it. */
+  /** For a caller that connected after the stop began: it will get an error instead of a session. */
   refuseStart(): void {
     this.#shutdown.refuseStart();
   }
 
   /**
-   * The node ends now: callers that are owed answers are told that there are none, and the session ends. What was sent
-   * to an instance may have run, so that nothing is promised.
+   * Ends the session because the process ends: every unanswered request gets an error. It leaves open
+   * whether a statement ran, since the instance may have received it.
    */
   cutOff(): void {
     if (this.#hasEnded) return;
@@ -189,7 +191,7 @@
     this.#shutdown.writeCutOff(this.#state);
   }
 
-  /** The caller has gone: what it began is rolled back. */
+  /** Handles the end of the caller's connection: rolls back its open transaction. */
   close(): void {
     this.#tenant?.closeSession();
     this.#tenant = undefined;
@@ -213,7 +215,7 @@
     if (this.#hasEnded) this.#dropTransaction();
     else {
       this.#startIdleTimeout();
-      this.onIdle?.();
+      this.onAllAnswered?.();
     }
   }
 
@@ -293,7 +295,7 @@
       this.#end();
       return;
     }
-    // The caller may have gone while the routes were waited for.
+    // The caller may have disconnected during the wait for routes.
     if (this.#hasEnded) return;
     if (!found.tenant.openSession()) {
       this.options.counters.refused += 1;
@@ -349,7 +351,7 @@
     }
   }
 
-  /** A statement that crossed the word to leave. */
+  /** Refuses a statement that arrived after the stop notice was sent. */
   #refuseAfterNotice(message: StatementMessage): void {
     this.#shutdown.refuseAfterNotice(this.#state);
     this.options.counters.refusedAtStop += 1;
@@ -414,14 +416,14 @@
     this.#answer(outcome);
   }
 
-  /** The transaction failed before; its own request told why. */
+  /** The transaction failed earlier, and the response to the failed request stated the reason. */
   #refuseEnded(message: StatementMessage): void {
     const refusal = { code: 'aborted', text: 'the transaction was rolled back' } as const;
     this.#logRefused(message, refusal);
     this.#refuse(refusal.code, refusal.text);
   }
 
-  /** Notes a request that was refused before anything was tried for it. */
+  /** Logs a request that was refused before any attempt. */
   #logRefused(message: StatementMessage, refusal: Refusal): void {
     const found = this.#route();
     if (found === undefined) return;
@@ -446,7 +448,7 @@
     } else this.#refuse('busy', `an earlier statement has not ended; ${this.#retryHint()}`);
   }
 
-  /** Completes what was kept in the session, or refuses it for want of room. */
+  /** Confirms a change that the session has stored, or refuses one for which it had no space. */
   #completeIf(kept: boolean): void {
     if (kept) this.#complete();
     else this.#refuse('too-large', 'the session holds too many values or prepared statements');
@@ -506,24 +508,27 @@
     this.#answer(outcome);
   }
 
-  /** Why an operation of this caller is not begun now; counts it against the account's quota otherwise. */
+  /** Returns why a new operation must be refused; if it is admitted, it counts against the quota. */
   async #checkAdmission({ refusal, account, route }: ResolvedRoute): Promise<Refusal | undefined> {
     if (refusal !== undefined || account === undefined) return refusal;
     return this.options.routes.spend?.(account, route.priority);
   }
 
-  /** Why an open transaction must not go on: its key was taken away or given to another, or that can't be known. */
+  /**
+   * Returns why an open transaction must not continue: the caller's key was revoked or now belongs to
+   * another tenant, or this node can't tell.
+   */
   #revocationOf({ account }: Transaction): Refusal | undefined {
     if (account === undefined) return undefined;
     const found = this.#route();
-    // A route that is gone binds from the next transaction on.
+    // The removal of a route takes effect with the next transaction.
     if (found === undefined || (found.refusal === undefined && found.account === account)) {
       return undefined;
     }
     return { code: 'aborted', text: found.refusal?.text ?? 'the key is held by another tenant' };
   }
 
-  /** Answers a request that is refused before anything is tried for it, and notes it. */
+  /** Refuses a request before any attempt, and logs it. */
   #refuseUntried(message: StatementMessage, found: ResolvedRoute, refusal: Refusal): void {
     const { trace } = this.#request(found);
     this.#logEnd(message, found, trace, { type: 'refused', refusal });
@@ -582,7 +587,7 @@
     this.#write(outcome.answer.payload + ready);
   }
 
-  /** Tells an error; a transaction that was open has failed with it. */
+  /** Writes an error response; an open transaction fails with it. */
   #fail(outcome: StatementOutcome): void {
     const { counters } = this.options;
     const error = outcome.type === 'refused' ? outcome.refusal : outcome.answer.error;
@@ -594,7 +599,7 @@
     this.#refuse(error?.code ?? 'failed', `${error?.text ?? ''}${hint}`);
   }
 
-  /** When it is worth asking again for what has not run. */
+  /** The retry delay suggested to the caller of a statement that has not run. */
   #retryHint(isForLackOfCapacity = false): string {
     const scope = this.#transaction ?? this.#route();
     const { view, random } = this.options.runner.options;
@@ -604,7 +609,7 @@
     return `retry after ${refusalRetryDelay(scope?.tenant.policy.priority ?? 0, random())} ms`;
   }
 
-  /** Nothing follows what ended the session. */
+  /** Writes to the caller unless the session has ended. */
   #write(text: string): void {
     if (!this.#hasEnded) this.options.write(text);
   }
@@ -624,7 +629,7 @@
   }
 }
 
-/** One name for equal content, whoever prepared it. */
+/** Derives the name from the content, so that equal statements of all sessions share one name. */
 function sharedNameOf(access: string, shape: string): string {
   const digest = createHash('sha256').update(`${access} ${shape}`, WIRE_ENCODING).digest('hex');
   return `p${digest.slice(0, SHARED_NAME_LENGTH)}`;
--- a/src/direct/cancellation.ts
+++ b/src/direct/cancellation.ts
@@ -1,6 +1,6 @@
-/** Tells those who wait for something that it is not wanted any more. */
+/** Cancellation of work whose result is no longer needed. */
 
-/** Cancelled once; lighter than an `AbortController`, of which each read would need one. */
+/** Can be cancelled once. Cheaper than an `AbortController`, of which every read would need one. */
 export class Cancellation {
   #isCancelled = false;
   readonly #listeners = new Set<() => void>();
@@ -16,14 +16,14 @@
     this.#listeners.clear();
   }
 
-  /** Returns a function that ends the listening. */
+  /** Returns a function that removes the listener. */
   listen(listener: () => void): () => void {
     this.#listeners.add(listener);
     return () => void this.#listeners.delete(listener);
   }
 }
 
-/** Listens to all of them; returns a function that ends the listening. */
+/** Adds the listener to all of them; returns a function that removes it. */
 export function listenToAll(
   cancellations: readonly Cancellation[],
   listener: () => void,
@@ -34,7 +34,6 @@
   };
 }
 
-/** Whether any of them is cancelled. */
 export function isAnyCancelled(cancellations: readonly Cancellation[]): boolean {
   return cancellations.some(({ isCancelled }) => isCancelled);
 }
--- a/src/direct/commit-trust.ts
+++ b/src/direct/commit-trust.ts
@@ -1,6 +1,7 @@
 /**
- * Writes at a primary that this node's lease does not vouch for: no change of primary waits for such a node. The members
- * are asked before a write is sent, and before what the primary has acknowledged is passed on.
+ * Guards writes at a primary that this node's lease does not confirm: a primary change does not wait for
+ * such a node. The group's members are queried before a write is sent, and again before the primary's
+ * acknowledgement is forwarded.
  */
 import { comparePositions, type Position } from '../core/position.js';
 import { type CommitVerdict, isSafe } from '../core/promotion/commit-verdict.js';
@@ -14,19 +15,19 @@
 import { pause } from './within.js';
 
 /**
- * Where only positions can be asked for, all replicas are given so long to receive a commit: twice the 150 ms that the
- * slowest replicas of a known deployment are behind.
+ * Where members report only positions, time within which all replicas must receive a commit: twice the
+ * 150 ms lag of the slowest replicas in a known deployment.
  */
 const REPLICATION_TIMEOUT_MS: Milliseconds = 300;
 const REPLICATION_POLL_PERIOD_MS: Milliseconds = 20;
 
-/** Told where the members don't vouch for a write. */
+/** The response if the members don't confirm the primary for a write. */
 export const WRITE_WITHHELD: Refusal = {
   code: 'busy',
   text: 'whether the primary is being replaced is not known',
 };
 
-/** Why what was acknowledged is told as in doubt, by what the members said. */
+/** Texts of the `in-doubt` error for an acknowledged write, by the members' verdict. */
 const IN_DOUBT_TEXTS: Readonly<Record<Exclude<CommitVerdict, 'safe'>, string>> = {
   deposed: 'the primary was replaced meanwhile',
   held: 'the primary is being replaced',
@@ -43,8 +44,9 @@
   constructor(private readonly options: CommitTrustOptions) {}
 
   /**
-   * False if the members don't vouch for a write there: its acknowledgement could not be passed on. The caller is
-   * told at once that it has not run, and may be served by a node that has a lease.
+   * False if the members don't confirm the instance for a write: its acknowledgement could not be
+   * forwarded. The caller learns immediately that the write has not run, and a node with a lease may serve
+   * it.
    */
   async maySend(
     service: ServiceRuntime,
@@ -61,8 +63,8 @@
   }
 
   /**
-   * What a primary acknowledged, as its caller is told it: as it is if the lease vouches for that primary or whichever
-   * member leads next has the commit, and in doubt otherwise.
+   * Returns the outcome to report for an acknowledged write: unchanged if the lease confirms the primary
+   * or every possible next primary has the commit, otherwise `in-doubt`.
    */
   async confirm(
     service: ServiceRuntime,
@@ -85,7 +87,7 @@
     return verdict === 'proven' ? 'safe' : verdict;
   }
 
-  /** Positions show no hold: a commit is safe once every other member has it. */
+  /** Positions don't show whether a replica is held: a commit is safe only once every other member has it. */
   async #judgeByReplication(
     service: ServiceRuntime,
     instance: InstanceRuntime,
--- a/src/direct/errors.ts
+++ b/src/direct/errors.ts
@@ -1,4 +1,4 @@
-/** Failures between the direct gateway and one instance. */
+/** Errors in the communication between the direct gateway and one instance. */
 import { MeadowstackError } from '../core/errors.js';
 import type { StatementErrorCode } from '../core/statements/statement.js';
 
@@ -8,7 +8,7 @@
 
   constructor(
     message: string,
-    /** What the instance answered, if it did. */
+    /** Error code of the instance's response, if it responded. */
     readonly answer: StatementErrorCode | undefined,
     options?: ErrorOptions,
   ) {
@@ -16,13 +16,13 @@
   }
 }
 
-/** The connection ended before the whole answer came; what was sent may have run. */
+/** The connection ended before the whole response arrived; the statement may have run. */
 export class InstanceConnectionLostError extends MeadowstackError {
   readonly code = 'MS-INSTANCE-CONNECTION-LOST';
 
   constructor(
     message: string,
-    /** Who failed: with `owner`, nothing is known of the instance itself. */
+    /** What failed; `owner` says nothing about the instance itself. */
     readonly fault: 'instance' | 'owner' = 'instance',
     options?: ErrorOptions,
   ) {
@@ -30,22 +30,22 @@
   }
 }
 
-/** No connection became free in the time that the statement could wait. Nothing was sent. */
+/** No connection became free within the statement's maximum wait. Nothing was sent. */
 export class InstanceWaitTimeoutError extends MeadowstackError {
   readonly code = 'MS-INSTANCE-WAIT-TIMEOUT';
 }
 
-/** None of the nodes that own the instance lends a connection. Nothing was sent. */
+/** None of the instance's owners lent a connection. Nothing was sent. */
 export class InstanceOwnersUnreachableError extends MeadowstackError {
   readonly code = 'MS-INSTANCE-OWNERS-UNREACHABLE';
 }
 
-/** The tenant has as many statements waiting for the instance as it may. Nothing was sent. */
+/** The tenant has reached its limit of statements waiting for the instance. Nothing was sent. */
 export class InstanceQueueFullError extends MeadowstackError {
   readonly code = 'MS-INSTANCE-QUEUE-FULL';
 }
 
-/** An instance did not answer a control call in time, or refused it. */
+/** An instance did not respond to a control call in time, or refused it. */
 export class InstanceControlError extends MeadowstackError {
   readonly code = 'MS-INSTANCE-CONTROL';
 
--- a/src/direct/gateway.ts
+++ b/src/direct/gateway.ts
@@ -1,8 +1,7 @@
 /**
- * The direct gateway put together: routes and instances come in, callers are served, and a planned
- * stop ends it without cutting what runs.
+ * The direct gateway: applies the configuration and the instance list, serves callers, and ends by a
+ * planned stop that lets running requests finish.
  */
-
 import { type AdmissionRules, admissionRules } from '../core/admission/instance-admission.js';
 import type { ServiceTerm } from '../core/directory/snapshot.js';
 import { StartReadiness } from '../core/directory/start-readiness.js';
@@ -43,32 +42,32 @@
 
 const CONNECT_TIMEOUT_MS = 500;
 const RECONNECT_DELAY_MS = 200;
-/** How often shares, positions and surplus connections are looked at. */
+/** Period of the checks of the node count, owners, positions, instance placement and surplus connections. */
 const CHECK_PERIOD_MS = 100;
-/** A node that is not seen any more counts for so long among those that share connections. */
+/** A lower node count is applied after this delay: a node that has disappeared may still hold connections. */
 const NODE_COUNT_DECREASE_DELAY_MS = 30_000;
-/** Nodes that share the instances' connections, before this one has seen how many there are. */
+/** Number of nodes among which connections are divided until the real number is known. */
 const ASSUMED_NODE_COUNT = 8;
-/** Up to this size, a node that starts connects to every instance at once. */
+/** In a fleet of at most this many nodes, a starting node connects to every instance immediately. */
 const MAX_SMALL_FLEET_NODES = 23;
-/** Until then a fleet that starts for the first time may not know yet how large it is. */
+/** During this time after its first start, a fleet may not know its size yet. */
 const FIRST_START_SETTLING_MS = 2500;
 
 export interface DirectGatewayOptions {
   readonly settings: DirectSettings;
   readonly wire: StatementWire;
   readonly view: PrimaryView;
-  /** False while what the store last told of the instances may be out of date. */
+  /** False while the instance list that the store last sent may be outdated. */
   readonly isStoreHealthy: () => boolean;
-  /** When the store surely had no newer configuration; absent where nothing depends on that. */
+  /** Latest time at which the store is proven to have had no newer configuration; absent where not needed. */
   readonly configurationProvenAt?: () => Milliseconds | undefined;
-  /** Positions by way of readers; without it each node asks the primaries. */
+  /** Log positions distributed by readers; without it each node queries the primaries itself. */
   readonly zone?: ZonePositions;
-  /** What nodes see of instances; this node's own sight alone by default. */
+  /** Digests of all nodes' observations of instances; by default only this node's own. */
   readonly digests?: FleetDigests;
-  /** Counts operations of tenants; without it, no quota binds. */
+  /** Enforces the tenants' quotas; without it there are none. */
   readonly quotas?: Pick<Quotas, 'spend'> | undefined;
-  /** Takes lines about requests and beliefs; nothing is told without one. */
+  /** Without a logger, nothing is logged. */
   readonly logger?: Logger;
   readonly now: () => Milliseconds;
   readonly random: () => number;
@@ -133,14 +132,14 @@
   readonly #createdAt: Milliseconds;
   readonly #process: ProcessStart;
   readonly #readiness = new StartReadiness();
-  /** Set once a stop was asked for; settles when it is over. */
+  /** Set once a stop was requested; resolves when the stop is complete. */
   #stopped: Promise<void> | undefined;
-  #checks: NodeJS.Timeout | undefined;
+  #checkTimer: NodeJS.Timeout | undefined;
   readonly #sampler: PositionSampler;
   readonly #placement: FleetPlacement;
   readonly #beliefs: BeliefLog | undefined;
   readonly #starts: StartLog | undefined;
-  /** Pools whose first connection was asked for. */
+  /** Pools whose first connection this node has already requested. */
   readonly #poolsWithFirstConnection = new WeakSet<InstancePool>();
   readonly #firstConfiguration: Promise<true>;
   #resolveFirstConfiguration: () => void = () => {};
@@ -225,14 +224,14 @@
     return this.#configuration?.version;
   }
 
-  /** True once requests can be served, until a stop is asked for. */
+  /** True once requests can be served, until a stop is requested. */
   get ready(): boolean {
     const hasDirectory = this.#configuration !== undefined && this.#instances.size > 0;
     const known = { hasDirectory, hasPrimaries: this.#hasPrimaries() };
     return this.#stopped === undefined && this.#readiness.isReady(this.options.now(), known);
   }
 
-  /** A service whose primary is being replaced will have one soon. */
+  /** A service whose primary is being replaced counts as having one, since a new one is expected soon. */
   #hasPrimaries(): boolean {
     const { view } = this.options;
     for (const name of this.#services.keys()) {
@@ -261,33 +260,33 @@
     return this.#server.sessionCount;
   }
 
-  /** Connections to instances, open or being opened. */
+  /** Number of connections to instances, open or being opened. */
   get connectionCount(): number {
     let count = 0;
     for (const service of this.#services.values()) count += service.connectionCount;
     return count;
   }
 
-  /** Connections that other nodes lend now. */
+  /** Number of connections borrowed from other nodes. */
   get leasedCount(): number {
     let count = 0;
     for (const service of this.#services.values()) count += service.leasedCount;
     return count;
   }
 
-  /** Leases of other nodes at this one. */
+  /** Number of connections lent to other nodes. */
   get lentCount(): number {
     return this.#relay.lentCount;
   }
 
-  /** Instances that get no reads but those of their probation. */
+  /** Number of instances that get no reads except in their probation. */
   get ejectedCount(): number {
     return this.#placement.ejectedCount;
   }
 
   async start(): Promise<void> {
     await this.#server.listen(this.options.settings.callers);
-    this.#checks = setInterval(() => {
+    this.#checkTimer = setInterval(() => {
       this.#updateOwners();
       this.#openFirstConnections();
       this.#placement.look(this.#services.values());
@@ -299,12 +298,12 @@
     }, CHECK_PERIOD_MS);
   }
 
-  /** A tenant as it is declared now. */
+  /** The tenant as currently declared. */
   tenant(name: string): TenantDescription | undefined {
     return this.#admission.tenant(name);
   }
 
-  /** Counts one operation against an account's quota; gives why not, if it is beyond that. */
+  /** Counts one operation against an account's quota, or refuses it if the quota is used up. */
   spend(account: string, priority: number): QuotaDecision {
     return this.options.quotas?.spend(account, priority);
   }
@@ -326,7 +325,7 @@
     return (await firstWithin([this.#firstConfiguration], timeoutMs)) ?? false;
   }
 
-  /** Takes a configuration; an older one than that in force is left out. */
+  /** Applies a configuration; one that is not newer than the current one is ignored. */
   setConfiguration(configuration: PublishedConfiguration): void {
     if (this.#configuration !== undefined && configuration.version <= this.#configuration.version) {
       return;
@@ -345,7 +344,7 @@
     this.#starts?.refresh();
   }
 
-  /** Sessions that still hold a service which has left the configuration end their work with it. */
+  /** Closes the services that left the configuration. Sessions that use one finish their requests with it. */
   #removeServices(kept: ReadonlySet<string>): void {
     for (const [name, service] of this.#services) {
       if (kept.has(name)) continue;
@@ -354,7 +353,7 @@
     }
   }
 
-  /** Takes the instances that are announced now. */
+  /** Applies the list of registered instances. */
   setInstances(
     instances: ReadonlyMap<string, InstanceEntry>,
     source: DirectorySource = 'store',
@@ -370,14 +369,15 @@
   }
 
   /**
-   * A connection to each new instance is opened at once: what a first statement would wait for happens
-   * while a starting node waits for its lease. In a fleet of unknown size that could be more than the
-   * instance takes, or be the owners' to open; and in a large one that starts at once, connections would take all slots, so that only
-   * those instances are connected to that most statements go to.
+   * Opens a first connection to each new instance, so that a starting node does this while it waits for
+   * its lease, and not while a statement waits. Nothing is opened while the fleet's size is unknown: the
+   * nodes together could exceed the instance's maximum, or only owners might be allowed to connect. In a
+   * large fleet that starts all at once, such connections would take all slots; there only the instances
+   * that get the most statements are connected to.
    */
   #openFirstConnections(): void {
     const { settings, now } = this.options;
-    // A connection is of one tenant: none can be opened before one asks.
+    // A connection belongs to one tenant, so none can be opened before a tenant's first request.
     if (this.#admission.asksForKeys) return;
     const isSettled = now() - this.#createdAt > FIRST_START_SETTLING_MS;
     if (!isSettled && (settings.isFirstStart || this.#nodeCountSeenAt === undefined)) return;
@@ -397,7 +397,7 @@
     return this.#nodeCountSeenAt !== undefined && this.#nodeCount <= MAX_SMALL_FLEET_NODES;
   }
 
-  /** Members of the groups that are not announced any more and still count among them. */
+  /** Departed members: they are no longer registered but still belong to their groups. */
   departedMembers(): InstanceEntry[] {
     return [...this.#services.values()]
       .flatMap((service) => service.members())
@@ -405,28 +405,28 @@
       .filter(({ id }) => !this.#instances.has(id));
   }
 
-  /** Takes members that are not announced any more: they are asked for proofs, and get no work. */
+  /** Adds members that are no longer registered: they take part in proofs of a primary, but get no statements. */
   addDeparted(members: readonly InstanceEntry[]): void {
     for (const [name, service] of this.#services) {
       service.noteDeparted(members.filter((entry) => entry.service === name));
     }
   }
 
-  /** Primaries, and terms in which they were found leading. */
+  /** The primaries that have been confirmed, each with the term of its confirmation. */
   primaryTerms(): ServiceTerm[] {
     return [...this.#services.values()].flatMap(({ name, trustedPrimary }) =>
       trustedPrimary === undefined ? [] : [{ service: name, ...trustedPrimary }],
     );
   }
 
-  /** Takes over such terms; one of a service that is not known is left out. */
+  /** Records primaries confirmed by another node; those of unknown services are ignored. */
   recordPrimaryTerms(terms: readonly ServiceTerm[]): void {
     for (const { service, instanceId, term } of terms) {
       this.#services.get(service)?.noteTerm({ instanceId, term });
     }
   }
 
-  /** The newest positions of these services that this node knows, for nodes of its zone. */
+  /** The newest known log positions of these services, for other nodes of this zone. */
   newestPositions(services: readonly string[]): ToldPosition[] {
     const now = this.options.now();
     return services.flatMap((name) => {
@@ -437,24 +437,24 @@
     });
   }
 
-  /** Connections of this node to an instance; none if it is not known. */
+  /** This node's connection pool for an instance; undefined if the instance is unknown. */
   poolOf({ service, id }: Pick<InstanceEntry, 'service' | 'id'>): InstancePool | undefined {
     return this.#services.get(service)?.lendable(id)?.pool;
   }
 
-  /** False while other nodes hold the connections to an instance. */
+  /** False while only other nodes may connect to the instance, as its owners. */
   mayConnect(service: string, instanceId: string): boolean {
     return this.#services.get(service)?.lendable(instanceId)?.mayConnect ?? true;
   }
 
-  /** Resolves once no write of this node is on its way to the service's instances. */
+  /** Resolves once this node has no write in flight to the service's instances. */
   async writesEnded(service: string): Promise<void> {
     await this.#services.get(service)?.writesEnded();
   }
 
   /**
-   * How many nodes there are, and who owns instances. Told with the primaries, it is followed before the statements that
-   * waited for these: they would open connections that are the owners'.
+   * Applies the node count and the owner roster. Both arrive together with the primaries and must be applied before
+   * statements that waited for a primary continue: these would open connections that only owners may hold.
    */
   #updateOwners(): void {
     this.#updateNodeCount();
@@ -464,13 +464,13 @@
     this.#relay.update(owners ?? view.returnRoster?.(), isActive);
   }
 
-  /** Nodes that this one does not see any more may hold their connections still. */
+  /** Applies the node count; a lower one only after a delay, since absent nodes may still hold connections. */
   #updateNodeCount(): void {
     const now = this.options.now();
     const live = this.options.view.liveNodeCount();
     const wasKnown = this.#nodeCountSeenAt !== undefined;
     if (live >= this.#nodeCount) this.#nodeCountSeenAt = now;
-    // Until others are seen, a count of one means only that nothing is known yet.
+    // A count of one before any other node has been seen means only that the fleet is not known yet.
     const seenAt = this.#nodeCountSeenAt ?? (live > 1 ? Number.NEGATIVE_INFINITY : this.#createdAt);
     const isSettled = now - seenAt > NODE_COUNT_DECREASE_DELAY_MS;
     const isUnchanged = live === this.#nodeCount && wasKnown;
@@ -480,7 +480,7 @@
     for (const service of this.#services.values()) service.setNodeCount(live);
   }
 
-  /** Planned stop: no request is cut; resolves when the process may end. */
+  /** Planned stop within the grace period; resolves when the process may end. */
   stop(): Promise<void> {
     this.#stopped ??= this.#stop();
     return this.#stopped;
@@ -491,7 +491,7 @@
     const { counters } = this;
     const parts = { server: this.#server, relay: this.#relay, counters, now, logger };
     await endSessions({ ...parts, gracePeriodMs: settings.gracePeriodMs });
-    clearInterval(this.#checks);
+    clearInterval(this.#checkTimer);
     for (const service of this.#services.values()) service.close();
     this.#relay.close();
   }
@@ -536,7 +536,7 @@
     return service;
   }
 
-  /** Only services whose routes allow reads of some age need fresh positions. */
+  /** Services with a route that tolerates staleness; only these need fresh log positions. */
   #servicesToSample(): Set<ServiceRuntime> {
     const sampled = new Set<ServiceRuntime>();
     for (const route of this.#routes.values()) {
--- a/src/direct/latencies.ts
+++ b/src/direct/latencies.ts
@@ -1,4 +1,4 @@
-/** Latency histograms of a direct gateway. Their labels have few values; tenants are no label. */
+/** Latency histograms of a direct gateway. Labels must have few values, so there is none for tenants. */
 import type { Milliseconds } from '../core/units.js';
 import { LatencyHistogram } from '../observability/latency-histogram.js';
 import { outcomeOf, type RequestEnd, type RequestLog } from './request-log.js';
@@ -13,48 +13,47 @@
   readonly admissionErrors: LatencyHistogram;
 }
 
-/** All of them, empty. */
 export function createLatencies(): GatewayLatencies {
   return {
     statements: new LatencyHistogram({
       name: 'statement_duration',
-      help: 'from the arrival of a statement of a caller to its answer',
+      help: "from the arrival of a caller's statement to its response",
       labelNames: ['route_type', 'outcome'],
     }),
     connectionWaits: new LatencyHistogram({
       name: 'connection_wait',
-      help: 'wait of a statement or transaction for a connection',
+      help: 'time that a statement or transaction waited for a connection',
       labelNames: ['way', 'outcome'],
     }),
     instanceAnswers: new LatencyHistogram({
       name: 'instance_answer',
-      help: 'from sending a statement to an instance to its good answer',
+      help: 'from sending a statement to an instance to its successful response',
       labelNames: [],
     }),
     storeCalls: new LatencyHistogram({
       name: 'store_call',
-      help: 'calls to the store, without the polls of watches',
+      help: 'duration of calls to the store, except polls of watches',
       labelNames: ['call', 'outcome'],
     }),
     primaryChanges: new LatencyHistogram({
       name: 'primary_change',
-      help: 'from hearing that a primary is being replaced to the next one',
+      help: 'from the report that a primary is being replaced to the new primary',
       labelNames: [],
     }),
     admissionRefusals: new LatencyHistogram({
       name: 'admission_refusal',
-      help: 'wait of statements that admission refused, until then',
+      help: 'time that statements waited before admission refused them',
       labelNames: ['cause', 'priority'],
     }),
     admissionErrors: new LatencyHistogram({
       name: 'admission_error',
-      help: 'by how much the expected wait of a statement was wrong, either way',
+      help: 'absolute error of the expected wait of a statement',
       labelNames: ['priority'],
     }),
   };
 }
 
-/** Counts how long the requests of callers took. */
+/** Records the latencies of callers' requests. */
 export class RequestLatencies implements RequestLog {
   constructor(
     private readonly statements: LatencyHistogram,
--- a/src/direct/line-splitter.ts
+++ b/src/direct/line-splitter.ts
@@ -1,6 +1,6 @@
-/** Cuts a byte stream into messages that end with CR LF, with a bound on their length. */
+/** Splits a byte stream into messages that end with CR LF, up to a maximum length. */
 
-/** One character a byte: what is not text passes through unchanged. */
+/** Maps each byte to one character, so that bytes that are not text pass through unchanged. */
 export const WIRE_ENCODING = 'latin1';
 
 const CARRIAGE_RETURN = 0x0d;
@@ -11,7 +11,7 @@
 
   constructor(private readonly maxBytes: number) {}
 
-  /** Whole lines so far, without their ends; `undefined` in place of one that is too long. */
+  /** Returns the lines that this chunk completes, without CR LF; `undefined` in place of one that is too long. */
   push(chunk: Buffer): (string | undefined)[] {
     const data = this.#rest.length === 0 ? chunk : Buffer.concat([this.#rest, chunk]);
     const lines: (string | undefined)[] = [];
--- a/src/direct/metrics.ts
+++ b/src/direct/metrics.ts
@@ -1,6 +1,6 @@
 /**
- * The direct gateway's figures as text for Prometheus. The library is loaded with the first question,
- * since a start costs time while the machine serves nobody.
+ * The direct gateway's metrics in the Prometheus text format. The library is loaded at the first scrape to
+ * keep the start of the process short.
  */
 import type { LatencyHistogram } from '../observability/latency-histogram.js';
 import type { StoreCallTally } from '../observability/store-call-tally.js';
@@ -11,82 +11,82 @@
 import type { PeerSnapshots, SnapshotCounters } from './snapshots/service.js';
 
 const COUNTER_HELP: Readonly<Record<keyof DirectCounters, string>> = {
-  statements: 'statements of callers taken',
+  statements: 'statements received from callers',
   refused: 'statements refused by this node',
-  failed: 'statements that an instance answered with an error',
+  failed: 'statements to which an instance responded with an error',
   refusedAtStop:
-    'requests that came as a stopping node told their session to leave, refused by that',
-  transactionsIdled: 'transactions ended for resting too long',
+    'requests refused because they arrived after their session was told that the node is stopping',
+  transactionsIdled: 'transactions aborted by the idle timeout',
   connectionsOpened: 'connections opened to instances',
   connectFailures: 'connections to instances that could not be opened',
-  waitTimeouts: 'waits for a connection that ended without one',
-  queueRefusals: 'statements refused because too many of their tenant waited',
-  turnRefusals: 'statements refused at once since their turn at the instance would come too late',
+  waitTimeouts: 'waits for a connection that timed out',
+  queueRefusals: 'statements refused because too many statements of their tenant were waiting',
+  turnRefusals: 'statements refused immediately because their expected wait was too long',
   untriedRefusals:
-    'statements refused since they had waited half of their time without being tried',
-  samplesAsked: 'questions to primaries for their log position',
-  replicaRounds: 'rounds of questions to replicas for their positions, while a primary is away',
-  proofRounds: 'rounds of questions to all members of a group, to prove its primary',
-  proofsFailed: 'such rounds that proved nothing',
-  leasesAsked: 'connections asked for at the owners of instances',
-  leasesRefused: 'such requests that an owner refused or did not answer',
-  leasesLost: 'leased connections that ended with their owner or its link',
+    'statements refused because they had waited for half of their time without an attempt',
+  samplesAsked: 'queries to primaries for their log position',
+  replicaRounds: 'rounds of position queries to replicas while the primary was unavailable',
+  proofRounds: 'rounds of queries to all members of a group to prove its primary',
+  proofsFailed: 'rounds of queries to all members of a group that proved nothing',
+  leasesAsked: 'connections requested from the owners of instances',
+  leasesRefused: 'connection requests that an owner refused or did not respond to',
+  leasesLost: 'leased connections that ended because their owner or the link to it failed',
   leasesGiven: 'connections lent to other nodes',
-  readsAsked: 'reads that owners of instances were asked to run',
+  readsAsked: 'reads that the owners of instances were requested to run',
   readsRun: 'reads run for other nodes',
-  positionsTold: 'positions of instances told to other nodes',
-  keysUnknown: 'requests and sessions refused since no tenant holds their key',
+  positionsTold: 'log positions of instances sent to other nodes',
+  keysUnknown: 'requests and sessions refused because their key belongs to no tenant',
   keysUnproven:
-    'requests and sessions refused since the configuration may be older than the bound of revocation',
-  quotaRefusals: 'operations refused since their tenant has used up its quota',
-  quotaUnknown: 'operations refused since no node could be asked for the quota of their tenant',
-  quotaAsked: 'questions to other nodes for the quota of a tenant',
-  ejections: 'instances that this node took out of the choice for reads',
-  ejectionsEnded: 'instances that this node gives reads again after that',
+    'requests and sessions refused because the configuration may be older than the revocation time',
+  quotaRefusals: 'operations refused because their tenant has used up its quota',
+  quotaUnknown: "operations refused because no node could be asked for their tenant's quota",
+  quotaAsked: "requests to other nodes for a tenant's quota",
+  ejections: 'ejections of instances from the selection for reads',
+  ejectionsEnded: 'instances that this node gave reads again after an ejection',
 };
 
 const SNAPSHOT_HELP: Readonly<Record<keyof SnapshotCounters, string>> = {
-  asked: 'questions to other nodes for their directory',
-  answered: 'such questions of other nodes that were answered',
-  malformed: 'answers of other nodes that had not their form',
-  adopted: 'answers of other nodes that were looked at',
+  asked: 'requests to other nodes for a directory snapshot',
+  answered: 'snapshot requests of other nodes that this node answered',
+  malformed: 'malformed snapshots from other nodes',
+  adopted: 'well-formed snapshots from other nodes that were evaluated',
 };
 
 const READER_HELP: Readonly<Record<keyof ReaderCounters, string>> = {
-  eventsFromReaders: 'changes of the store that readers told this node',
-  fallbacks: 'times that this node went back to the store since its readers did not serve it',
-  eventsPassed: 'changes that the store told and that were taken for known',
-  eventsTold: 'changes of the store told to other nodes',
+  eventsFromReaders: 'store changes that readers relayed to this node',
+  fallbacks: 'switches back to the store because no reader served this node',
+  eventsPassed: 'store changes received from the store and treated as already known',
+  eventsTold: 'store changes relayed to other nodes',
 };
 
 const DIGEST_HELP: Readonly<Record<keyof DigestCounters, string>> = {
-  taken: 'digests of instances that other nodes told and that were taken',
-  malformed: 'messages with digests that had not their form',
-  unknownInstance: 'digests of instances that are not known, as of an earlier life',
+  taken: 'accepted instance digests from other nodes',
+  malformed: 'malformed messages with digests',
+  unknownInstance: 'digests of unknown instances, for example of an earlier incarnation',
   stale: 'digests that were too old',
-  implausible: 'digests with impossible figures',
+  implausible: 'digests with impossible values',
 };
 
 const PREFIX = 'meadowstack_direct_';
 
-/** Figures in the text form that Prometheus reads. */
+/** Metrics in the Prometheus text format. */
 export interface Exposition {
   readonly contentType: string;
   readonly text: string;
 }
 
-/** What a store client tells of the store's returns from a copy. */
+/** Counters of a store client about restores of the store from a backup. */
 export interface StoreMetrics {
   readonly era: number;
-  /** Rises of the era heard of. */
+  /** Observed increases of the store era. */
   readonly returns: number;
-  /** Watches refused since the store has not their history. */
+  /** Watches refused because the store no longer has the history that they need. */
   readonly historiesGone: number;
-  /** Answers that could not be placed in an era. */
+  /** Responses that name no store era, or an earlier one. */
   readonly unusable: number;
 }
 
-/** Where the figures come from. */
+/** The components that the metrics are read from. */
 export interface MetricSources {
   readonly gateway: DirectGateway;
   readonly snapshots?: PeerSnapshots | undefined;
@@ -94,11 +94,11 @@
   readonly digests?: DigestCounters | undefined;
   readonly store?: StoreMetrics | undefined;
   readonly storeCalls?: StoreCallTally | undefined;
-  /** Lines of the log that nobody read in time. */
+  /** Log lines that were not read in time. */
   readonly logLinesDropped: number;
 }
 
-/** What the gateway has counted since it started, and what it holds now. */
+/** Renders the counters since the start of the process, the current gauges and the histograms. */
 export async function exposeMetrics(sources: MetricSources): Promise<Exposition> {
   const { gateway, snapshots, readers, digests, store, storeCalls, logLinesDropped } = sources;
   const { Counter, Gauge, Registry } = await import('prom-client');
@@ -115,8 +115,8 @@
       count(`snapshots_${name}`, help, snapshots.counters[name as keyof SnapshotCounters]);
     }
     const { framesMalformed, handshakesRefused } = snapshots.transport.counters();
-    count('peer_frames_malformed', 'links of other nodes ended for a bad frame', framesMalformed);
-    count('peer_handshakes_refused', 'links of strangers that were refused', handshakesRefused);
+    count('peer_frames_malformed', 'peer links closed after a malformed frame', framesMalformed);
+    count('peer_handshakes_refused', 'refused handshakes of peer links', handshakesRefused);
   }
   if (readers !== undefined) {
     for (const [name, help] of Object.entries(READER_HELP)) {
@@ -129,36 +129,44 @@
     }
   }
   if (store !== undefined) {
-    count('store_returns', 'times that the store came back from a copy', store.returns);
-    count('store_histories_gone', 'watches whose history the store had not', store.historiesGone);
+    count('store_returns', 'restores of the store from a backup', store.returns);
+    count(
+      'store_histories_gone',
+      'watches refused because the store no longer has their history',
+      store.historiesGone,
+    );
     count(
       'store_answers_unusable',
-      'answers that name no era, or one that is over',
+      'store responses that name no era or an earlier one',
       store.unusable,
     );
   }
   if (storeCalls !== undefined) {
     const calls = new Counter({
       name: `${metricName('store_calls')}_total`,
-      help: 'calls to the store by what they are for, polls of watches included',
+      help: 'calls to the store by purpose, including polls of watches',
       labelNames: ['kind', 'outcome'],
       registers,
     });
     for (const { kind, outcome, count } of storeCalls.counts()) calls.inc({ kind, outcome }, count);
   }
-  count('log_lines_dropped', 'lines of the log that were not read in time', logLinesDropped);
+  count(
+    'log_lines_dropped',
+    'log lines dropped because they were not read in time',
+    logLinesDropped,
+  );
   const gauge = (name: string, help: string, value: number): void =>
     new Gauge({ name: PREFIX + name, help, registers }).set(value);
-  gauge('sessions', 'sessions of callers that are open', gateway.sessionCount);
+  gauge('sessions', 'open sessions of callers', gateway.sessionCount);
   gauge('instance_connections', 'connections to instances', gateway.connectionCount);
-  gauge('leased_connections', 'connections that other nodes lend', gateway.leasedCount);
-  gauge('lent_connections', 'leases of other nodes at this one', gateway.lentCount);
-  gauge('configuration_version', 'version in force, 0 before the first', gateway.version ?? 0);
-  gauge('peers_known', 'other nodes that may be asked', snapshots?.peersKnown ?? 0);
-  gauge('instances_ejected', 'instances that get no reads now', gateway.ejectedCount);
-  gauge('store_era', 'how often the store came back from a copy, by its own word', store?.era ?? 0);
-  gauge('store_watches', 'prefixes watched at the store itself', readers?.directWatches ?? 0);
-  gauge('ready', '1 if new connections are taken', gateway.ready ? 1 : 0);
+  gauge('leased_connections', 'connections borrowed from other nodes', gateway.leasedCount);
+  gauge('lent_connections', 'connections lent to other nodes', gateway.lentCount);
+  gauge('configuration_version', 'current version, 0 before the first', gateway.version ?? 0);
+  gauge('peers_known', 'other nodes that can be queried', snapshots?.peersKnown ?? 0);
+  gauge('instances_ejected', 'instances that currently get no reads', gateway.ejectedCount);
+  gauge('store_era', 'restores from a backup as counted by the store', store?.era ?? 0);
+  gauge('store_watches', 'prefixes watched at the store directly', readers?.directWatches ?? 0);
+  gauge('ready', '1 if new connections are accepted', gateway.ready ? 1 : 0);
   const histograms = Object.values<LatencyHistogram>({ ...gateway.latencies });
   const text = histograms.map((histogram) => histogram.expose(PREFIX));
   return {
--- a/src/direct/planned-stop.ts
+++ b/src/direct/planned-stop.ts
@@ -1,4 +1,4 @@
-/** The planned stop of a gateway, seen by its callers: sessions end between requests, and no request is cut. */
+/** The planned stop of a gateway: sessions end between requests, and running requests get most of the grace period. */
 import type { Milliseconds } from '../core/units.js';
 import type { Logger } from '../observability/logger.js';
 import type { CallerServer } from './caller-server.js';
@@ -6,14 +6,14 @@
 import type { RelayHost } from './relay/relay-host.js';
 import { afterPendingInput, pause } from './within.js';
 
-/** Sessions end this long after the stop was asked for, so that no new callers come meanwhile. */
+/** Delay between the request to stop and the stop notices; by then no new callers are directed to this node. */
 const DRAIN_DELAY_MS = 2200;
 const DRAIN_CHECK_PERIOD_MS = 50;
-/** Parts of the grace period that open transactions and running requests get. */
+/** Fractions of the grace period after which open transactions and running requests are ended. */
 const TRANSACTION_GRACE_FRACTION = 0.5;
 const REQUEST_GRACE_FRACTION = 0.9;
 
-/** What a stop ends, and how long it may take. */
+/** The components that a stop ends, and its time limit. */
 export interface StopOptions {
   readonly server: CallerServer;
   readonly relay: Pick<RelayHost, 'stopGranting' | 'drained'>;
@@ -23,7 +23,7 @@
   readonly logger: Logger | undefined;
 }
 
-/** Ends all sessions; resolves once none is left, or the time for it is over. */
+/** Ends all sessions; those left when the time is over are cut off. */
 export async function endSessions(parts: StopOptions): Promise<void> {
   const { server, relay, counters, gracePeriodMs, now, logger } = parts;
   const stoppedAt = now();
@@ -31,13 +31,13 @@
   relay.stopGranting();
   const delayMs = Math.min(DRAIN_DELAY_MS, gracePeriodMs * TRANSACTION_GRACE_FRACTION);
   await pause(delayMs);
-  // A process that is late here has left requests unread for as long.
+  // If the process is late here, requests have been unread for that time.
   const lateMs = Math.round(now() - stoppedAt - delayMs);
   logger?.info('sessions told to leave', { sessions: server.sessionCount, lateMs });
   server.drain(false);
   await waitForSessions(parts, stoppedAt + gracePeriodMs * TRANSACTION_GRACE_FRACTION);
   server.drain(true);
-  // Whoever came now, while nodes give back the connections that were lent to them, would be cut at the end of that.
+  // A caller that connected from now on, while other nodes return borrowed connections, would be cut off afterwards.
   server.stopAccepting();
   await waitForSessions(parts, endsAt);
   await relay.drained(endsAt);
--- a/src/direct/request-log.ts
+++ b/src/direct/request-log.ts
@@ -1,7 +1,7 @@
 /**
- * Lines about requests: one for each decision about a request that failed or came late, and one line in
- * all for a sample of the others. The sample follows from the request's id, so that all nodes keep the
- * lines of the same requests.
+ * Logs requests: for a failed or late one its outcome and each decision about it, for a sample of the
+ * others only the outcome. The sample is derived from the request id, so that all nodes log the same
+ * requests.
  */
 import type { StatementErrorCode } from '../core/statements/statement.js';
 import type { Milliseconds } from '../core/units.js';
@@ -10,12 +10,12 @@
 import type { RouteConsistency } from './contract.js';
 import type { RequestTrace } from './request-trace.js';
 
-/** Failed or late requests of each outcome whose decisions are written, in a second. */
+/** Maximum number of logged requests of each outcome per second. */
 const MAX_LOGGED_PER_SECOND = 20;
-/** One in so many requests that went well. */
+/** One in this many successful requests is logged. */
 const SUCCESSES_PER_SAMPLE = 1024;
 
-/** How a request ended for its caller. */
+/** The outcome of a request for its caller. */
 export interface RequestEnd {
   readonly id: string;
   readonly database: string;
@@ -28,17 +28,17 @@
   readonly trace: RequestTrace;
 }
 
-/** Takes the end of each request. */
+/** Is notified of the end of each request. */
 export interface RequestLog {
   requestEnded(end: RequestEnd): void;
 }
 
-/** What became of a request, in one word: the code of its error, or whether it came in its aim. */
+/** The error code of a failed request; for a successful one, whether it met its latency target. */
 export function outcomeOf({ code, trace, targetLatencyMs }: RequestEnd, now: Milliseconds): string {
   return code ?? (now - trace.beganAt > targetLatencyMs ? 'late' : 'done');
 }
 
-/** Tells each of these. */
+/** A request log that notifies all of these. */
 export function combineRequestLogs(logs: readonly RequestLog[]): RequestLog {
   return {
     requestEnded: (end) => {
@@ -47,7 +47,6 @@
   };
 }
 
-/** Writes lines with a logger. */
 export class RequestLogger implements RequestLog {
   readonly #limit = new EventLimit(MAX_LOGGED_PER_SECOND);
 
@@ -76,7 +75,7 @@
   }
 }
 
-/** The ids are random text: the end of one decides as well as any hash. */
+/** Request ids are random, so the end of an id serves as its hash. */
 function isSampled(id: string): boolean {
   return Number.parseInt(id.slice(-6), 36) % SUCCESSES_PER_SAMPLE === 0;
 }
--- a/src/direct/request-trace.ts
+++ b/src/direct/request-trace.ts
@@ -1,12 +1,12 @@
 /**
- * What was decided about one request, with what decided it. Kept while the request lasts; written only
- * for requests that end badly or late, and for a sample of the others.
+ * Records the decisions about one request and the facts they were based on. Kept in memory until the
+ * request ends; logged only for requests that fail or are late.
  */
 import type { Position } from '../core/position.js';
 import type { StatementErrorCode } from '../core/statements/statement.js';
 import type { Milliseconds } from '../core/units.js';
 
-/** One decision, or what came of it. */
+/** A decision, or the result of one. */
 export type TraceStep =
   /** An instance was chosen; `sampleAgeMs`: age of the newest known position of the primary. */
   | {
@@ -16,18 +16,18 @@
       readonly isTrusted: boolean;
       readonly after: Position | undefined;
       readonly sampleAgeMs: Milliseconds | undefined;
-      /** Expected time of its answer, and of those that were passed by; where placement is by the fleet's view. */
+      /** Expected response times of this instance and of those not chosen; absent without the fleet's observations. */
       readonly expectedMs?: Milliseconds | undefined;
       readonly passedBy?: Readonly<Record<string, Milliseconds>> | undefined;
     }
-  /** No instance may get it now. */
+  /** No instance may serve the request now. */
   | {
       readonly step: 'no-instance';
       readonly primary: string | undefined;
       readonly isTrusted: boolean;
       readonly isChanging: boolean;
     }
-  /** It was not handed over; nothing of it ran. */
+  /** The statement was not sent to the instance; it has not run. */
   | { readonly step: 'not-sent'; readonly instance: string; readonly reason: string }
   | { readonly step: 'sent'; readonly instance: string; readonly through: 'own' | 'owner' }
   | {
@@ -35,22 +35,21 @@
       readonly instance: string;
       readonly code: StatementErrorCode | undefined;
     }
-  /** No answer came: it may have run. */
+  /** No response arrived; the statement may have run. */
   | { readonly step: 'unanswered'; readonly instance: string; readonly fault: string }
-  /** The members were asked since the primary was not trusted, and did not vouch for a write there. */
+  /** The primary was not trusted, and the queried members did not confirm it for a write. */
   | { readonly step: 'write-withheld'; readonly instance: string; readonly verdict: string }
-  /** Acknowledged by an instance that was not trusted then; the members were asked. */
+  /** A commit was acknowledged by an instance that was not trusted; the members were queried for a verdict. */
   | { readonly step: 'commit-confirmed'; readonly verdict: string }
-  /** Another attempt is beyond the tenant's budget. */
+  /** The tenant's retry budget allows no further attempt. */
   | { readonly step: 'budget-spent'; readonly attempts: number };
 
-/** A step and when it was taken, counted from the request's arrival. */
+/** A step and its time since the request's arrival. */
 export type TimedStep = TraceStep & { readonly atMs: Milliseconds };
 
-/** More steps than this say nothing new. */
+/** Further steps would add nothing new. */
 const MAX_STEPS = 24;
 
-/** Decisions about one request, in their order. */
 export class RequestTrace {
   readonly #steps: TimedStep[] = [];
   #omittedSteps = 0;
@@ -64,7 +63,7 @@
     return this.#steps;
   }
 
-  /** Steps beyond the bound. */
+  /** Number of steps that were not recorded because there were too many. */
   get omittedSteps(): number {
     return this.#omittedSteps;
   }
@@ -78,7 +77,7 @@
     this.#steps.push({ ...step, atMs: Math.round(this.now() - this.beganAt) });
   }
 
-  /** A request that waits for an instance looks again and again. */
+  /** A request that waits for an instance would otherwise record the same step at every retry. */
   #repeatsLastStep(step: Extract<TraceStep, { step: 'no-instance' }>): boolean {
     const before = this.#steps.at(-1);
     if (before?.step !== 'no-instance') return false;
--- a/src/direct/session-shutdown.ts
+++ b/src/direct/session-shutdown.ts
@@ -1,15 +1,15 @@
 /**
- * One session's part in the planned stop of its node: the word to leave, the refusal of what crosses it, and the last
- * word to callers that are still owed answers.
+ * One session's part in the planned stop of its node: the stop notice to the caller, the refusal of
+ * requests that arrive after it, and the last response to requests that are still unanswered.
  */
 import type { TransactionState } from '../core/statements/statement.js';
 import { RETRY_AFTER_MS, type Refusal } from './statement-request.js';
 import type { StatementWire } from './wire.js';
 
-/** Another node takes the caller at once. */
+/** Text of the stop notice. The retry delay is short, since another node can serve the caller immediately. */
 const STOP_NOTICE_TEXT = `this node is stopping; retry after ${RETRY_AFTER_MS} ms`;
 
-/** What a caller is told when the grace period of the node is over: what was sent may have run. */
+/** The response to an unanswered request when the node's grace period ends: the statement may have run. */
 export const CUT_AT_STOP: Refusal = {
   code: 'timeout',
   text: 'this node ends; whether it ran is unknown',
@@ -17,8 +17,9 @@
 
 export class SessionShutdown {
   /**
-   * Once the caller was told to leave nothing is run any more: what it sent ahead belongs to an attempt of which it was
-   * told that nothing is kept. `told` until a request takes that word for its refusal.
+   * Nothing runs after the stop notice: statements that the caller had already sent belong to an attempt
+   * that the notice declared void. The notice is an error message, so the caller takes it as the response
+   * to the first such statement: `told` until one arrives, then `refused`.
    */
   #state: 'no' | 'told' | 'refused' = 'no';
   #refusesStart = false;
@@ -28,17 +29,17 @@
     private readonly write: (text: string) => void,
   ) {}
 
-  /** The caller has been told. */
+  /** True once the stop notice was sent. */
   get isNotified(): boolean {
     return this.#state !== 'no';
   }
 
-  /** The word stands, and no request has taken it for its refusal yet. */
+  /** True if the notice was sent and no request has been refused by it yet. */
   get isNoticeUnused(): boolean {
     return this.#state === 'told';
   }
 
-  /** The caller came when the node was stopping already: it is refused when it asks for a session. */
+  /** The caller connected after the stop began: its request for a session is refused. */
   get refusesStart(): boolean {
     return this.#refusesStart;
   }
@@ -52,13 +53,13 @@
     this.writeRefusal(state);
   }
 
-  /** A statement that crossed the word takes that word for its refusal; those behind it get their own. */
+  /** Refuses a statement that arrived after the notice. The notice is the error of the first; others get their own. */
   refuseAfterNotice(state: TransactionState): void {
     if (!this.isNoticeUnused) this.writeRefusal(state);
     this.#state = 'refused';
   }
 
-  /** What a caller is told while the node stops: nothing of its attempt is kept. */
+  /** The error while the node stops; nothing of the caller's attempt is kept. */
   refusal(state: TransactionState): Refusal {
     return { code: state === 'idle' ? 'busy' : 'aborted', text: STOP_NOTICE_TEXT };
   }
@@ -68,7 +69,7 @@
     this.write(this.wire.encodeError(code, text));
   }
 
-  /** The last word to a statement that has no answer. */
+  /** Writes the response to a statement that is cut off by the end of the process. */
   writeCutOff(state: TransactionState): void {
     const { code, text } = CUT_AT_STOP;
     const stateAfter = state === 'open' ? 'failed' : state;
--- a/src/direct/start-log.ts
+++ b/src/direct/start-log.ts
@@ -1,31 +1,31 @@
-/** One line for each step of a process's start, when it is reached for the first time. */
+/** Logs each step of a process's start when it is reached for the first time. */
 import type { Milliseconds } from '../core/units.js';
 import type { Logger } from '../observability/logger.js';
 import type { RouteConsistency } from './contract.js';
 import type { RequestEnd, RequestLog } from './request-log.js';
 
-/** What a node has, or has done, on its way to serving. */
+/** A step of a node's start. */
 export type StartStep =
   | 'configuration'
   | 'instances'
-  /** How many nodes there are, and who owns instances. */
+  /** The number of nodes is known. */
   | 'fleet'
-  /** A primary of each service. */
+  /** Each service has a known primary or expects a new one soon. */
   | 'primaries'
-  /** This node may rely on each of them. */
+  /** This node may trust each primary. */
   | 'trust'
   | 'connection'
   | 'ready';
 
 export interface StartLogOptions {
   readonly logger: Logger;
-  /** From the start of the process. */
+  /** Time since the start of the process. */
   readonly now: () => Milliseconds;
-  /** The steps that are reached now. */
+  /** The steps that are currently met. */
   readonly reached: () => readonly StartStep[];
 }
 
-/** Steps and kinds of routes; once all are told there is nothing to look for. */
+/** Number of values of `StartStep`; once all are logged, there is nothing left to check. */
 const STEP_COUNT = 7;
 
 export class StartLog implements RequestLog {
@@ -34,7 +34,7 @@
 
   constructor(private readonly options: StartLogOptions) {}
 
-  /** Tells the steps that have been reached since the last look. */
+  /** Logs the steps reached since the last call. */
   refresh(): void {
     if (this.#steps.size === STEP_COUNT) return;
     for (const step of this.options.reached()) {
--- a/src/direct/statement-attempts.ts
+++ b/src/direct/statement-attempts.ts
@@ -1,4 +1,4 @@
-/** One attempt of a statement at one instance, over a connection of this node's own or through an owner. */
+/** Attempts of statements: each at one instance, over this node's own connection or through an owner. */
 import type { Access } from '../core/request.js';
 import { isNotExecuted, type StatementAnswer } from '../core/statements/statement.js';
 import type { Milliseconds } from '../core/units.js';
@@ -25,11 +25,11 @@
 import type { StatementWire } from './wire.js';
 import { firstWithin } from './within.js';
 
-/** An exchange that nobody waits for any more ends its connection after this. */
+/** An abandoned exchange that gets no response within this time ends its connection. */
 const ABANDONED_EXCHANGE_TIMEOUT_MS: Milliseconds = 200;
-/** The most that a write is expected to need. */
+/** Upper bound for the expected time of a write. */
 const MAX_WRITE_TIME_NEEDED_MS: Milliseconds = 50;
-/** An answer to a read that takes so many times what it may take is waited for no longer. */
+/** A read waits for its response up to this multiple of the instance's `patienceMs`. */
 const READ_TIMEOUT_FACTOR = 2;
 
 export interface StatementAttemptsOptions {
@@ -43,7 +43,7 @@
 export class StatementAttempts {
   constructor(private readonly options: StatementAttemptsOptions) {}
 
-  /** @param settled cancelled once the request has its outcome from another attempt */
+  /** @param settled cancelled once another attempt has given the request its outcome */
   async run(request: StatementRequest, chosen: Target, settled?: Cancellation): Promise<Attempt> {
     const { instance } = chosen;
     instance.pool.outstanding += 1;
@@ -80,8 +80,9 @@
   }
 
   /**
-   * The owner sends the read as it is: the position that it needs, and that the primary leads, were
-   * checked after its first byte had come, and hold for it however long it waits there.
+   * The owner sends the read unchanged. The required position and the trust in the primary were checked
+   * after the request's first byte had arrived, so both remain valid for it however long it waits at the
+   * owner.
    */
   async #readThroughOwner(
     request: StatementRequest,
@@ -107,7 +108,7 @@
     return this.#notReached(instance, answer.error);
   }
 
-  /** What makes a connection to this instance useless for a request that waits for it. */
+  /** The cancellations that make a connection to this instance useless for a waiting request. */
   cancellationsOf(
     service: ServiceRuntime,
     instance: InstanceRuntime,
@@ -146,7 +147,8 @@
     request.trace?.record({ step: 'sent', instance: instance.id, through });
     request.session.inFlight.add(exchange);
     const endWatch = instance.pool.health.watchAnswer(request.access);
-    // A lost answer must not keep its connection from others; a write's may come late, and counts.
+    // A read whose response is lost must not occupy its connection. A write waits until its deadline, since even
+    // a late response tells its outcome.
     const readDeadline = sentAt + instance.pool.health.patienceMs * READ_TIMEOUT_FACTOR;
     const deadline =
       request.access === 'read' ? Math.min(request.deadline, readDeadline) : request.deadline;
@@ -163,7 +165,7 @@
       );
       return { type: 'unknown', instance, fault: faultOf(answer) };
     }
-    // Before it is given back: a leased connection tells its owner then what stands on it.
+    // Before the release: a leased connection then reports to its owner which statements are prepared on it.
     if (answer.value.error?.code === 'unprepared') connection.preparedNames.clear();
     if (answer.value.state === 'idle') instance.pool.release(connection);
     else connection.close();
@@ -195,8 +197,8 @@
   }
 
   /**
-   * Waits for an answer until the deadline. If none has come, the exchange goes on alone: its
-   * connection returns to the pool once it is answered, or ends.
+   * Waits for a response until the deadline. After that, the exchange is abandoned: its connection
+   * returns to the pool if a response arrives soon, and is closed otherwise.
    */
   async awaitAnswer(
     exchange: Promise<ExchangeResult>,
@@ -223,8 +225,9 @@
 }
 
 /**
- * A write that is sent with less time left than its answer takes would only leave its caller in doubt.
- * Bounded: an instance that was slow must be tried to be seen quicker.
+ * The minimum time left to send a statement. A write with less time than its response takes would only
+ * end as in doubt. The minimum is bounded: an instance that was slow must be tried again to show that it
+ * has become faster.
  */
 function minTimeFor(access: Access, { pool }: InstanceRuntime): Milliseconds {
   return access === 'write' ? Math.min(pool.health.answerMs, MAX_WRITE_TIME_NEEDED_MS) : 0;
--- a/src/direct/statement-request.ts
+++ b/src/direct/statement-request.ts
@@ -1,4 +1,4 @@
-/** What a statement outside any transaction asks for, what one attempt gives, and what its caller is told. */
+/** Types of a statement outside any transaction: its request, the result of an attempt, its outcome for the caller. */
 import type { Result } from 'neverthrow';
 import type { Position } from '../core/position.js';
 import type { PreparedStatement } from '../core/statements/session-values.js';
@@ -14,17 +14,17 @@
 export interface StatementRequest extends Placement {
   readonly prepared: PreparedStatement | undefined;
   readonly deadline: Milliseconds;
-  /** The message for an instance, with the position it must have. */
+  /** Encodes the message for an instance; `after`: log position that the instance must have reached. */
   encode(after: Position | undefined): string;
 }
 
-/** Told to callers whose statement has not run: when to ask again. */
+/** Retry delay suggested to the caller of a statement that has not run. */
 export const RETRY_AFTER_MS: Milliseconds = 100;
 
 export interface Refusal {
   readonly code: StatementErrorCode;
   readonly text: string;
-  /** The instance has no room for it now. */
+  /** The instance has no capacity for the statement now. */
   readonly isForLackOfCapacity?: boolean;
 }
 
@@ -32,39 +32,39 @@
   | { readonly type: 'answered'; readonly answer: StatementAnswer }
   | { readonly type: 'refused'; readonly refusal: Refusal };
 
-/** An answer, or how the connection ended before it came. */
+/** A response, or the error of a connection that ended before it arrived. */
 export type ExchangeResult = Result<StatementAnswer, InstanceConnectionLostError>;
 
-/** How one attempt at one instance ended. */
+/** The result of one attempt at one instance. */
 export type Attempt =
   | {
       readonly type: 'answered';
       readonly answer: StatementAnswer;
       readonly instance: InstanceRuntime;
     }
-  /** Nothing of it ran; whether it got as far as the instance. */
+  /** The statement has not run; `isReached`: the instance itself refused it. */
   | {
       readonly type: 'not-run';
       readonly refusal: Refusal;
       readonly instance: InstanceRuntime;
       readonly isReached: boolean;
     }
-  /** Nothing of it ran: its tenant has too much waiting there, and asking again is of no use now. */
+  /** The statement has not run: too many of its tenant wait for the instance, and a retry there is useless now. */
   | {
       readonly type: 'over-limit';
       readonly refusal: Refusal;
       readonly instance: InstanceRuntime;
       readonly isReached: false;
     }
-  /** It may have run. */
+  /** The statement may have run. */
   | { readonly type: 'unknown'; readonly instance: InstanceRuntime; readonly fault: string };
 
-/** An exchange that had no answer. */
+/** An exchange without a response. */
 export interface LostAnswer {
   readonly request: Pick<StatementRequest, 'service'>;
   readonly instance: InstanceRuntime;
   readonly connection: InstanceConnection;
-  /** Undefined if none came in time. */
+  /** Undefined after a timeout. */
   readonly answer: ExchangeResult | undefined;
   readonly sentAt: Milliseconds;
 }
@@ -73,7 +73,7 @@
   return { type: 'refused', refusal: { code, text } };
 }
 
-/** Asks for a connection for this statement, within its tenant's policy. */
+/** The request for a connection for this statement, within its tenant's policy. */
 export function connectionRequestOf(
   request: Pick<StatementRequest, 'tenant' | 'account' | 'session' | 'deadline' | 'beganAt'>,
   cancelledBy: readonly Cancellation[],
@@ -93,19 +93,19 @@
   };
 }
 
-/** What the caller is told if no connection was had. */
+/** The refusal for a caller whose statement got no connection. */
 export function refusalOf(error: AcquireError): Refusal {
   return error instanceof InstanceQueueFullError
     ? { code: 'busy', text: 'too many statements wait', isForLackOfCapacity: true }
     : { code: 'busy', text: 'no connection' };
 }
 
-/** An attempt that did not get as far as the instance. */
+/** An attempt that did not reach the instance. */
 export function notSent(instance: InstanceRuntime, text: string): Attempt {
   return { type: 'not-run', refusal: { code: 'busy', text }, instance, isReached: false };
 }
 
-/** Why there was no answer: none in time, or whose connection ended. */
+/** Why there was no response: a timeout (`silence`), or which side ended the connection. */
 export function faultOf(answer: ExchangeResult | undefined): string {
   return answer?.isErr() ? answer.error.fault : 'silence';
 }
--- a/src/direct/statement-runner.ts
+++ b/src/direct/statement-runner.ts
@@ -1,6 +1,6 @@
 /**
- * Runs one statement outside any transaction: picks an instance, sends it, and tries again elsewhere
- * for as long as the statement surely has not run, or only reads.
+ * Runs statements outside any transaction: chooses an instance, sends the statement, and retries at
+ * another instance if the statement is a read or has certainly not run.
  */
 import { statementRetryPause } from '../core/retry/statement-pause.js';
 import type { Milliseconds } from '../core/units.js';
@@ -23,7 +23,7 @@
 import type { StatementWire } from './wire.js';
 import { firstWithin, pause } from './within.js';
 
-/** A read that waits longer than this, or this part of its aim, is sent elsewhere too. */
+/** A read that waits longer than both this and this fraction of its latency target is also sent to another instance. */
 const MIN_HEDGE_DELAY_MS: Milliseconds = 60;
 const HEDGE_TARGET_FRACTION = 0.5;
 const MAX_READ_ATTEMPTS = 4;
@@ -37,7 +37,7 @@
   readonly random: () => number;
 }
 
-/** Attempts after the first are counted against the tenant's budget. */
+/** Counts one more attempt; false if the tenant's retry budget does not allow it. The first is always allowed. */
 export function tryUseAttempt(
   { tenant, trace }: Pick<StatementRequest, 'tenant' | 'trace'>,
   attempts: number,
@@ -70,9 +70,9 @@
   }
 
   /**
-   * Waits until it makes sense to choose a target again. False if nothing is to be expected soon:
-   * the caller is better told at once, so that it asks another node.
-   * @param refusals how often instances have refused it
+   * Waits before a target is chosen again. False if none can be expected soon: the caller should get its
+   * refusal immediately, so that it can try another node.
+   * @param refusals how often instances have refused the statement
    */
   async awaitTarget(request: Placement, refusals = 0): Promise<boolean> {
     const { service } = request;
@@ -81,11 +81,11 @@
     return this.awaitChange(request, refusals);
   }
 
-  /** The same where a proof of the present primary would help nothing. */
+  /** Like `awaitTarget`, for cases in which a proof of the current primary would not help. */
   async awaitChange(request: Placement, refusals = 0): Promise<boolean> {
     const { view, now } = this.options;
     const { service } = request;
-    // One that has just ended is worth another look too.
+    // A primary change that ended during the pause is a reason for another attempt too.
     const wasChanging = view.isChanging(service.name);
     await this.#pauseBeforeRetry(request, refusals);
     if (wasChanging || view.isChanging(service.name)) return true;
@@ -125,13 +125,13 @@
     return this.commits.maySend(service, instance, trace);
   }
 
-  /** Another primary leads than the one that was tried: it is tried at once, however long that took. */
+  /** True if the primary is no longer the instance that was tried: the new one is tried without a pause. */
   isReplaced({ service }: Pick<Placement, 'service'>, tried: InstanceRuntime): boolean {
     const primary = this.options.view.primaryOf(service.name);
     return primary !== undefined && primary.id !== tried.id;
   }
 
-  /** Attempts that still wait for a connection when one has been answered are not sent any more. */
+  /** Once one attempt has a response, those that still wait for a connection are cancelled. */
   async #runRead(request: StatementRequest): Promise<StatementOutcome> {
     const settled = new Cancellation();
     const outcome = await this.#tryRead(request, settled);
@@ -160,7 +160,7 @@
           ? this.targets.choose(request, excluded)
           : undefined;
       if (target !== undefined && running.size === 0 && excluded.has(target.instance.id)) {
-        // Nothing else is left to be tried, and what fails at once would be tried for ever.
+        // Every instance was tried. Without a pause, instances that fail immediately would be retried endlessly.
         excluded.clear();
         rounds += 1;
         if (isReached) await this.#pauseBeforeRetry(request, rounds);
@@ -199,7 +199,7 @@
     return { type: 'refused', refusal };
   }
 
-  /** The same instance gets a read again only after it failed, or once its answer is taken for lost. */
+  /** The same instance gets a read again only after it failed, or once its response is considered lost. */
   #mayAttempt(
     target: Target,
     tried: ReadonlySet<string>,
@@ -211,7 +211,7 @@
     return this.options.now() - lastSentAt >= pool.health.patienceMs;
   }
 
-  /** Whether its tenant has too much waiting wherever the read may go. */
+  /** True if the tenant has reached its limit of waiting statements at every instance that may serve the read. */
   #isOverLimitEverywhere(request: StatementRequest, overLimit: ReadonlySet<string>): boolean {
     const next = this.targets.choose(request, overLimit);
     return next === undefined || overLimit.has(next.instance.id);
--- a/src/direct/synchronise.ts
+++ b/src/direct/synchronise.ts
@@ -1,11 +1,12 @@
-/** Sends what a connection lacks before a session's next statement may run on it. */
+/** Sends a session's values and prepared statement to a connection that lacks them. */
 import { type PreparedStatement, planSynchronisation } from '../core/statements/session-values.js';
 import type { InstanceConnection } from './instance-connection.js';
 import type { StatementWire } from './wire.js';
 
 /**
- * Written ahead of the statement in one piece, so that it costs no round trip. Answers other than
- * success can only come from a connection that ends.
+ * Call it directly before the statement is sent, with the connection corked, so that it costs no round
+ * trip. A response other than success is only possible on a connection that is ending, so that the
+ * connection is closed.
  */
 export function synchronise(
   connection: InstanceConnection,
--- a/src/direct/target-chooser.ts
+++ b/src/direct/target-chooser.ts
@@ -1,4 +1,4 @@
-/** Chooses the instance of a statement or transaction, and the log position that it needs there. */
+/** Chooses the instance for a statement or transaction, and the log position that it requires there. */
 import { laterPosition, type Position } from '../core/position.js';
 import type { Access } from '../core/request.js';
 import { rankInstances } from '../core/statements/instance-choice.js';
@@ -15,61 +15,61 @@
 import type { TrustProver } from './trust-prover.js';
 
 /**
- * A read must reach its instance within this, or its staleness bound may be missed; one message takes a few
- * milliseconds. Each 100 ms more keep reads from replicas that lag by nearly their bound: with 400 ms, two lagging
- * replicas left a primary 80 % busy, and days with such lag had 0.02 to 0.03 less worth (simulated days, one play each).
+ * A read must reach its instance within this time to keep its staleness bound; one message takes a few
+ * milliseconds. A larger margin excludes replicas that lag by nearly the bound and moves their reads to
+ * the primary: with 400 ms, two lagging replicas left a primary 80 % busy.
  */
 const STALENESS_MARGIN_MS = 100;
 
-/** What one session brings along to every statement. */
+/** The state of a session that its statements depend on. */
 export interface SessionContext {
   readonly values: ReadonlyMap<string, string>;
-  /** Last position that the session wrote, in the service's log. */
+  /** Position of the session's last write in the service's log. */
   readonly lastWritten: Position | undefined;
-  /** What of the session may still run at an instance, also after it was answered or given up. */
+  /** Statements of the session that an instance may still run, even after their caller got a response or a timeout. */
   readonly inFlight: InFlightStatements;
 }
 
-/** What decides where a statement or transaction may go. */
+/** The facts that determine which instances may serve a statement or transaction. */
 export interface Placement {
   readonly access: Access;
   readonly route: RouteDescription;
   readonly tenant: Tenant;
-  /** Who asks, by the caller's key; undefined where callers need none. */
+  /** The tenant that the caller's key belongs to; undefined where callers need no key. */
   readonly account?: string | undefined;
   readonly service: ServiceRuntime;
   readonly session: SessionContext;
-  /** When the statement came. */
+  /** Arrival of the statement. */
   readonly beganAt: Milliseconds;
-  /** A transaction that may write also reads, so that it must not begin at a deposed primary. */
+  /** A transaction that may write can also read, so it must not begin at a replaced primary. */
   readonly isTransaction?: boolean;
-  /** Takes what is decided about it. */
+  /** Records the decisions about the request. */
   readonly trace?: RequestTrace;
 }
 
-/** Where a statement goes and what position it needs there. */
+/** The instance that a statement is sent to, and the log position that it requires there. */
 export interface Target {
   readonly instance: InstanceRuntime;
   readonly after: Position | undefined;
-  /** Expected times of the instances it was chosen from, by their ids. */
+  /** Expected response times of all candidates, by instance id. */
   readonly expected?: ReadonlyMap<string, Milliseconds> | undefined;
 }
 
 export interface TargetChooserOptions {
   readonly view: PrimaryView;
   readonly prover: TrustProver;
-  /** Orders the instances that may serve a read; without it each node ranks them by its own sight. */
+  /** Ranks the instances for a read by all nodes' observations; without it only this node's own count. */
   readonly placement?: FleetPlacement | undefined;
   readonly now: () => Milliseconds;
 }
 
 export class TargetChooser {
-  /** Replicas that lately lacked what a read needed. */
+  /** Replicas that recently lacked a position that a read required. */
   readonly lag = new LaggingReplicas();
 
   constructor(private readonly options: TargetChooserOptions) {}
 
-  /** The instance for a new statement or transaction, or none for now. */
+  /** The instance for a new statement or transaction; undefined if none may serve it now. */
   choose(placement: Placement, excluded: ReadonlySet<string>): Target | undefined {
     const target = this.#choose(placement, excluded);
     this.#recordChoice(placement, target);
@@ -102,13 +102,13 @@
     const current = readable.filter(({ id }) => !this.lag.isLikelyBehind(id, required, now));
     const candidates = current.length > 0 ? current : readable;
     const open = candidates.filter(({ id }) => !excluded.has(id));
-    // What an ill instance does to a single read is mended by another one; a transaction would stay there.
+    // A single read that probes a faulty instance can still be served by another one; a transaction would stay there.
     const mayProbe = excluded.size === 0 && placement.isTransaction !== true;
     const chosen = this.#selectForRead(placement, open.length > 0 ? open : candidates, mayProbe);
     return chosen && { ...chosen, after: required };
   }
 
-  /** The one of these that a read goes to. */
+  /** Selects one of the candidates for a read. */
   #selectForRead(
     { service }: Placement,
     candidates: readonly InstanceRuntime[],
@@ -124,7 +124,7 @@
     return instance && { instance, expected };
   }
 
-  /** Whether a target chosen some time ago may still be used, and the position it needs now. */
+  /** Checks a target chosen earlier: returns it with the position required now, or undefined if it became invalid. */
   recheck(placement: Placement, target: Target): Target | undefined {
     const now = this.options.now();
     if (!target.instance.isUsable(now)) return undefined;
@@ -134,13 +134,13 @@
     return primary?.instance.id === target.instance.id ? primary : undefined;
   }
 
-  /** Takes whether an instance had the position that was needed there. */
+  /** Records whether an instance had reached the position that a statement required. */
   recordAnswer(instanceId: string, needed: Position, code: StatementErrorCode | undefined): void {
     if (code === 'lagging') this.lag.recordLagging(instanceId, needed, this.options.now());
     else if (code === undefined) this.lag.recordServed(instanceId);
   }
 
-  /** True if the primary is there and answers, and only the proof that it still leads is missing. */
+  /** True if the primary is known and responds, and only the proof that it has not been replaced is missing. */
   lacksTrust(placement: Placement): boolean {
     const { view, now } = this.options;
     const { service, access } = placement;
@@ -165,7 +165,7 @@
   }
 }
 
-/** What an instance was chosen by, and those that were passed by. */
+/** The expected response times of the chosen instance and of the others, for the trace. */
 function expectedTimesOf(
   chosenId: string,
   expected: ReadonlyMap<string, Milliseconds> | undefined,
@@ -180,7 +180,7 @@
   return access === 'read' || isTransaction === true;
 }
 
-/** Without a position to ask for, only the primary is sure to have what the read must see. */
+/** Without a required position, only the primary is certain to have all commits that the read must see. */
 function needsPrimary({ access, route }: Placement, required: Position | undefined): boolean {
   return access === 'write' || route.consistency === 'primary' || required === undefined;
 }
--- a/src/direct/tenant-table.ts
+++ b/src/direct/tenant-table.ts
@@ -1,10 +1,10 @@
-/** The tenants of this node: one for each account on each route that it has asked for. */
+/** The tenants at this node: one for each account on each route that it has used. */
 import { type RoutePolicy, resolveRoutePolicy } from '../core/tenancy/route-template.js';
 import type { RouteDescription } from './contract.js';
 import { Tenant } from './tenant.js';
 import { ROUTE_TEMPLATES } from './tenant-templates.generated.js';
 
-/** Where callers give no keys, a route is its own tenant. */
+/** Undefined where callers send no keys: there each route is one tenant. */
 type Account = string | undefined;
 
 interface RouteTenants {
@@ -16,7 +16,7 @@
   /** By route name. */
   #routes = new Map<string, RouteTenants>();
 
-  /** A tenant keeps its sessions and its retry budget over changes of its route. */
+  /** Applies the configured routes. A tenant keeps its session count and retry budget when its route changes. */
   setRoutes(routes: readonly RouteDescription[]): void {
     const before = this.#routes;
     this.#routes = new Map();
@@ -28,7 +28,7 @@
     }
   }
 
-  /** The tenant of an account on a route that was set. */
+  /** The tenant of an account on a configured route. */
   get(route: RouteDescription, account: Account): Tenant {
     const known = this.#routes.get(route.name);
     const tenant = known?.tenants.get(account);
--- a/src/direct/tenant.ts
+++ b/src/direct/tenant.ts
@@ -1,4 +1,4 @@
-/** One tenant of this node: its policy in force, and what it uses of what all its sessions share. */
+/** One tenant at this node: its current policy, its number of sessions and its retry budget. */
 import { RetryBudget } from '../core/retry/budget.js';
 import type { RoutePolicy } from '../core/tenancy/route-template.js';
 
@@ -8,7 +8,7 @@
   #sessions = 0;
 
   constructor(
-    /** Its route's name. */
+    /** Name of the account, or of the route where callers send no keys. */
     readonly name: string,
     policy: RoutePolicy,
   ) {
@@ -24,7 +24,7 @@
     return this.#sessions;
   }
 
-  /** Takes a changed policy. A budget that has not changed keeps what is left of it. */
+  /** Applies a changed policy. A retry budget whose limits are unchanged keeps its remaining tokens. */
   setPolicy(policy: RoutePolicy): void {
     const before = this.#policy.retries;
     const { ratio, capacity } = policy.retries;
@@ -34,7 +34,7 @@
     this.#policy = policy;
   }
 
-  /** False if it has as many sessions here as it may. */
+  /** Counts one more session; false if the tenant has reached its maximum here. */
   openSession(): boolean {
     if (this.#sessions >= this.#policy.maxSessions) return false;
     this.#sessions += 1;
@@ -45,12 +45,12 @@
     this.#sessions -= 1;
   }
 
-  /** A statement is tried for the first time. */
+  /** Records the first attempt of a statement, which adds to the retry budget. */
   recordFirstAttempt(): void {
     this.#retries.recordAttempt();
   }
 
-  /** Whether a statement may be tried once more; counts it if so. */
+  /** Takes one retry from the budget; false if none is left. */
   tryTakeRetry(): boolean {
     return this.#retries.tryTake();
   }
--- a/src/direct/transaction.ts
+++ b/src/direct/transaction.ts
@@ -1,6 +1,6 @@
 /**
- * One transaction of a session: nothing is opened before its first statement, which chooses the
- * instance; from then on it owns one connection until its end.
+ * One transaction of a session. It is opened with its first statement, which determines the instance;
+ * from then on the transaction holds one connection until its end.
  */
 import type { Position } from '../core/position.js';
 import type { Access } from '../core/request.js';
@@ -27,22 +27,22 @@
 import type { Tenant } from './tenant.js';
 import { firstWithin, pause } from './within.js';
 
-/** A rollback that is not answered in this time ends the connection instead. */
+/** If a rollback gets no response within this time, the connection is closed instead. */
 const ROLLBACK_TIMEOUT_MS = 2000;
 
-/** A statement inside a transaction; it must have the log position that the transaction needs. */
+/** A statement inside a transaction; the log position that the transaction requires is sent with BEGIN. */
 export type TransactionRequest = Omit<StatementRequest, 'route' | 'service'>;
 
-/** Where a transaction runs, and for whom. */
+/** The route, service and tenant of a transaction. */
 export type TransactionScope = Pick<Placement, 'route' | 'service' | 'tenant' | 'account'>;
 
-/** Why a transaction could not be opened, and where that was tried. */
+/** Why a transaction could not be opened, and the instance of the attempt if one was chosen. */
 interface OpenFailure {
   readonly refusal: Refusal;
   readonly instanceId: string | undefined;
-  /** The tenant has too much waiting there. */
+  /** Too many statements of the tenant wait for the instance. */
   readonly isOverLimit?: boolean;
-  /** The members don't vouch for what it would write. */
+  /** The members don't confirm the primary for a write. */
   readonly isWithheld?: boolean;
 }
 
@@ -54,13 +54,13 @@
   #connection: InstanceConnection | undefined;
   #instance: InstanceRuntime | undefined;
   #wrote = false;
-  /** A statement without an answer may still be handed to its instance. */
+  /** A statement without a response may still be delivered to its instance by the owner. */
   #mayRunLate = false;
 
   readonly route: RouteDescription;
   readonly service: ServiceRuntime;
   readonly tenant: Tenant;
-  /** Whose it is from its beginning to its end; undefined where callers give no keys. */
+  /** The tenant that the transaction belongs to until its end; undefined where callers send no keys. */
   readonly account: string | undefined;
 
   constructor(
@@ -74,7 +74,7 @@
     this.account = account;
   }
 
-  /** Runs one statement. An outcome with an error means that the transaction has failed. */
+  /** Runs one statement. If the outcome is an error, the transaction has failed. */
   async run(request: TransactionRequest): Promise<StatementOutcome> {
     if (this.#connection === undefined) return this.#runFirst(request);
     const outcome = await this.#runNext(request);
@@ -83,7 +83,7 @@
     return outcome;
   }
 
-  /** Commits. `request.encode` gives the commit's message. */
+  /** Commits the transaction; `request.encode` returns the commit message. */
   async commit(request: TransactionRequest): Promise<StatementOutcome> {
     if (this.#connection === undefined) {
       const refusal = await this.#open(request);
@@ -97,7 +97,7 @@
     return this.#sendCommit(request, connection, instance);
   }
 
-  /** Gives the connection back after a rollback; nothing of the transaction is kept. */
+  /** Rolls the transaction back and releases its connection. */
   abandon(): void {
     const connection = this.#connection;
     const instance = this.#instance;
@@ -124,7 +124,7 @@
       through: connectionSourceOf(connection),
     });
     const exchange = connection.exchange(request.encode(undefined));
-    // Whatever became of the commit of a transaction that wrote nothing, it may be repeated.
+    // A transaction that wrote nothing may be repeated whether or not its commit took effect, so it need not wait long.
     const deadline = this.#wrote
       ? request.deadline
       : Math.min(request.deadline, sentAt + instance.pool.health.patienceMs);
@@ -139,7 +139,7 @@
       this.runner.feedback.noteNoAnswer(lost, isSilentCommit ? 'commit' : 'reach', silentForMs);
       const fault = faultOf(answer);
       request.trace?.record({ step: 'unanswered', instance: instance.id, fault });
-      // Without a write, nothing is kept whatever became of the commit.
+      // Without a write, the commit changed nothing, whether or not it took effect.
       return this.#wrote
         ? refuse('in-doubt', 'no answer to a commit')
         : refuse('aborted', 'no answer to the commit of a transaction that wrote nothing');
@@ -152,7 +152,7 @@
         this.runner.feedback.noteSuccess(this.service, this.#wrote ? 'write' : 'read');
     }
     const { error } = answer.value;
-    // How long it took to reach the replicas says nothing of the next statement.
+    // The duration is left out: it includes replication and says nothing about the next statement.
     instance.pool.health.noteOutcome(error?.code);
     request.trace?.record({ step: 'answered', instance: instance.id, code: error?.code });
     const outcome = { type: 'answered' as const, answer: answer.value };
@@ -193,9 +193,9 @@
   }
 
   /**
-   * The refusal, if the whole transaction so far may be begun again at another instance. Its first
-   * statement must not run there while it may still run where it was sent before: the two would stand
-   * in different transactions. The caller repeats it under another id.
+   * The refusal, if the transaction may be restarted at another instance after its first statement failed.
+   * The statement must not be sent there while it may still run at the first instance: it would be part of
+   * two different transactions. In that case the caller repeats it under another id.
    */
   #retryableRefusal(outcome: StatementOutcome): Refusal | undefined {
     if (this.#mayRunLate) return undefined;
@@ -229,7 +229,7 @@
         instance: instance.id,
         through: connectionSourceOf(connection),
       });
-      // Nothing of an open transaction is kept once its connection is closed: the caller may repeat it.
+      // Closing the connection rolls the open transaction back, so after a timeout the caller may repeat it.
       const patienceMs = Math.min(request.deadline - now(), instance.pool.health.patienceMs);
       const endWatch = instance.pool.health.watchAnswer('read');
       const answer = await firstWithin([exchange], patienceMs);
@@ -264,7 +264,7 @@
     }
   }
 
-  /** Opens the transaction at an instance; gives why not, if it can't. */
+  /** Opens the transaction at an instance; returns a refusal if it can't. */
   async #open(
     request: TransactionRequest,
     excluded = new Set<string>(),
@@ -286,7 +286,7 @@
       if (instanceId !== undefined) attempts += 1;
       const isFresh = instanceId !== undefined && !excluded.has(instanceId);
       if (isFresh) excluded.add(instanceId);
-      // Another instance is tried at once; only a round without success is worth a pause.
+      // Another instance is tried immediately; only after all have failed is there a pause.
       if (isFresh && excluded.size < this.service.readable(now()).length) continue;
       if (failure.isOverLimit === true) break;
       excluded.clear();
@@ -387,7 +387,7 @@
   return outcome.type === 'answered' && outcome.answer.error === undefined;
 }
 
-/** The instance did not run the statement, and the transaction is as it was. */
+/** True if the instance has not run the statement and the transaction is still open. */
 function mayRepeat(answer: StatementAnswer): boolean {
   if (answer.error === undefined || answer.state !== 'open') return false;
   return answer.error.code === 'busy' || answer.error.code === 'unprepared';
--- a/src/direct/trust-prover.ts
+++ b/src/direct/trust-prover.ts
@@ -1,6 +1,7 @@
 /**
- * Asks all members of a group for their log positions when the store can't vouch for its primary.
- * One round at a time serves everyone who waits for it when it is sent.
+ * Proves that a primary has not been replaced, for use while this node's lease in the store does not
+ * confirm it: queries all members of the group for their log positions. Rounds of one service run one at a
+ * time, and concurrent callers share the next round.
  */
 import {
   type MemberAnswer,
@@ -13,7 +14,7 @@
 import type { StatementWire } from './wire.js';
 
 const ROUND_TIMEOUT_MS = 150;
-/** With more members silent, asking them for more than their positions can't prove anything either. */
+/** With more unresponsive members than this, a query for more than their positions can't prove anything either. */
 const MAX_SILENT_MEMBERS = 1;
 
 export interface TrustProverOptions {
@@ -21,8 +22,8 @@
   readonly now: () => Milliseconds;
   readonly counters: ProverCounters;
   /**
-   * Asks the members for more than their positions, at the cost of a slot at each; it may do with
-   * fewer answers. True if the instance led when it was called.
+   * Queries the members for more than their positions, at the cost of a slot at each; fewer responses may
+   * suffice. True if the instance was the primary at the time of the call.
    */
   confirmPrimary(service: string, instanceId: string): Promise<boolean>;
 }
@@ -33,12 +34,13 @@
 }
 
 /**
- * What a round has shown: `proven`, that the primary led when it was sent; `deposed`, that another
- * has led since; `unknown`, neither, as when a member did not answer.
+ * Result of a round. `proven`: the primary had not been replaced when the round was sent. `deposed`:
+ * another primary has replaced it. `unknown`: neither is shown, for example because a member did not
+ * respond.
  */
 export type Verdict = 'proven' | 'deposed' | 'unknown';
 
-/** What one round has shown, and the positions that it is shown by; none where it went by other words. */
+/** The result of one round and the reported positions; without positions if they were not what decided it. */
 export interface ProofRound {
   readonly verdict: Verdict;
   readonly answers: readonly MemberAnswer[];
@@ -57,22 +59,22 @@
 
   constructor(private readonly options: TrustProverOptions) {}
 
-  /** True if an earlier round covers a read that began then. */
+  /** True if an earlier proof is valid for a read that began at `beganAt`. */
   covers(service: ServiceRuntime, primaryId: string, beganAt: Milliseconds): boolean {
     return this.#proofs.get(service.name)?.evidence.covers(primaryId, beganAt) ?? false;
   }
 
-  /** Resolves after a round that was sent after this call: true if it was a proof. */
+  /** Resolves after a round sent after this call; true if it was a proof. */
   async prove(service: ServiceRuntime): Promise<boolean> {
     return (await this.examine(service)) === 'proven';
   }
 
-  /** Resolves with what a round has shown that was sent after this call. */
+  /** Resolves with the verdict of a round sent after this call. */
   async examine(service: ServiceRuntime): Promise<Verdict> {
     return (await this.round(service)).verdict;
   }
 
-  /** The same with what the members told. */
+  /** Like `examine`, with the members' responses. */
   round(service: ServiceRuntime): Promise<ProofRound> {
     const proof = this.#proofOf(service.name);
     if (proof.running === undefined) return this.#start(service, proof);
@@ -109,7 +111,7 @@
     if (primary === undefined) return NO_QUERY_SENT;
     counters.proofRounds += 1;
     const term = service.trustedTermOf(primary.id);
-    // A node that has just started can't tell from positions alone whose term it is.
+    // A node that has just started can't tell from positions alone which primary a term belongs to.
     if (term === undefined) {
       return { verdict: await this.#confirm(service, primary, sentAt, evidence), answers: [] };
     }
--- a/src/direct/within.ts
+++ b/src/direct/within.ts
@@ -1,7 +1,7 @@
-/** Waiting with a bound. */
+/** Pauses and timeouts that don't mistake a delayed process for a missing response. */
 import type { Milliseconds } from '../core/units.js';
 
-/** Resolves after a time; never keeps the process alive by itself. */
+/** Resolves after the given time; does not keep the process alive. */
 export function pause(milliseconds: Milliseconds): Promise<void> {
   return new Promise((resolve) => {
     setTimeout(resolve, milliseconds).unref();
@@ -9,16 +9,17 @@
 }
 
 /**
- * Runs once what has arrived is read: a timer that is late would run before it. Of two turns of the event loop the
- * second has polled the sockets, wherever in its first the caller stands.
+ * Calls back once the input that has already arrived was read; an overdue timer would run before that. Two turns of the
+ * event loop are needed: whatever phase the caller is in, the sockets are polled before the second callback.
  */
 export function afterPendingInput(run: () => void): void {
   setImmediate(() => setImmediate(run));
 }
 
 /**
- * Calls back after a time, unless the function that is given back was called: what came in time and waits unread, since
- * the process is late, must not be taken for silence. A statement that is answered would be told as in doubt.
+ * A timeout that expires only after pending input was read; the returned function cancels it. A response that arrived
+ * in time but is still unread, because the process is delayed, must not count as missing: a statement that has a
+ * response would be reported as in doubt.
  */
 export function timeoutAfterInput(milliseconds: Milliseconds, run: () => void): () => void {
   let isWaiting = true;
@@ -32,7 +33,7 @@
   };
 }
 
-/** The first of the promises' values, or `undefined` if none comes in time. */
+/** Resolves with the first value of the promises, or with `undefined` after the timeout. */
 export function firstWithin<Value>(
   promises: Iterable<Promise<Value>>,
   milliseconds: Milliseconds,
--- a/test/unit/direct/caller-session.test.ts
+++ b/test/unit/direct/caller-session.test.ts
@@ -29,7 +29,7 @@
   /** Resolves once the session is at rest again. */
   const send = (line: string): Promise<void> =>
     new Promise((resolve) => {
-      session.onIdle = resolve;
+      session.onAllAnswered = resolve;
       session.receive(lineWire.decodeCallerMessage(line));
     });
   return { session, lines, ends, ended, send };
@@ -70,11 +70,11 @@
       write: (text) => lines.push(...text.split('\r\n').filter((line) => line !== '')),
     });
     await new Promise<void>((resolve) => {
-      session.onIdle = resolve;
+      session.onAllAnswered = resolve;
       session.receive(lineWire.decodeCallerMessage('START orders u1'));
     });
     await new Promise<void>((resolve) => {
-      session.onIdle = resolve;
+      session.onAllAnswered = resolve;
       session.receive(lineWire.decodeCallerMessage('QUERY 1 READ key'));
     });
     assert.is(lines.at(-2), `ERROR BUSY too many statements wait; retry after ${told} ms`);
