--- a/test/support/caller-session-fixture.ts
+++ b/test/support/caller-session-fixture.ts
@@ -1,4 +1,4 @@
-/** What a caller's session depends on, with a service that has no instance at all. */
+/** The dependencies of a caller session, with a service that has no instance. */
 import { lineWire } from '../../platform/line-wire.js';
 import { type RoutePolicy, resolveRoutePolicy } from '../../src/core/tenancy/route-template.js';
 import { AnnouncedPrimaryView } from '../../src/direct/announced-primary-view.js';
@@ -11,7 +11,7 @@
 import { ROUTE_TEMPLATES } from '../../src/direct/tenant-templates.generated.js';
 import { TrustProver } from '../../src/direct/trust-prover.js';
 
-/** The only route that is known. */
+/** The only configured route. */
 export const ROUTE: RouteDescription = {
   name: 'route-1',
   database: 'orders',
@@ -26,12 +26,12 @@
 const TRANSACTION_IDLE_MS = 3000;
 const POLICY = resolveRoutePolicy(ROUTE_TEMPLATES, ROUTE.consistency, ROUTE);
 
-/** The tenant of the route, with some of its policy replaced. */
+/** The tenant of the route, with parts of its policy replaced. */
 export function tenantWith(changes: Partial<RoutePolicy> = {}): Tenant {
   return new Tenant(ROUTE.name, { ...POLICY, ...changes });
 }
 
-/** The database `orders` is known; requests that end are added to `ends`. */
+/** Dependencies with the one database `orders`; ended requests are added to `ends`. */
 export function sessionDependencies(
   tenant = tenantWith(),
   ends: RequestEnd[] = [],
@@ -85,7 +85,7 @@
   };
 }
 
-/** A runner that answers every statement with these rows, and notes that it ran. */
+/** A runner that answers every statement with this payload and records it in `ran`. */
 export function runnerWith(payload: string, ran: string[]): StatementRunner {
   const real = sessionDependencies().runner;
   return Object.assign(Object.create(real), {
--- a/test/unit/direct/caller-server.test.ts
+++ b/test/unit/direct/caller-server.test.ts
@@ -1,10 +1,7 @@
 /**
- * Sessions at a planned stop. On small machines callers lost requests: a node that stopped had read them, and the
- * connection ended without an answer. Order of events: a request arrives while the process is late (it computes, or its
- * share of a core is spent); the timer of the stop is due meanwhile and runs before what has arrived is read; it takes the
- * session for resting and ends its connection; then the request is read, since a paused socket still reads, and nobody
- * answers it. Evidence: with 400 ms of computing before the timer's work, 27 requests of a day of planned stops ended
- * that way, and none once they were read first.
+ * Guards against requests that are lost at a planned stop. A request arrives while the process is delayed (it computes,
+ * or its CPU quota is used up). The overdue timer of the stop runs before the request is read, considers the session
+ * idle and ends its connection; the request is then read, since even a paused socket reads, and never answered.
  */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -27,7 +24,7 @@
   return client;
 }
 
-/** A caller whose read waits for an instance, of which there is none, and was taken. */
+/** A caller whose read has been received and waits for an instance; there is none. */
 async function waitingForInstance(first?: string) {
   const client = await open();
   if (first !== undefined) await client.query('1', first);
@@ -36,13 +33,13 @@
   return { client, answer };
 }
 
-/** What runs after this has seen the server end its sessions, and the client has read nothing since. */
+/** Resolves after the server has notified its sessions and before the client has read the notice. */
 async function sessionsToldToEnd(): Promise<void> {
   await turn();
   await turn();
 }
 
-/** A promise's own turn comes before the next poll of the sockets. */
+/** Resolves in the next turn of the event loop; a plain promise resolves before the sockets are polled again. */
 function turn(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
 }
--- a/test/unit/direct/caller-session.test.ts
+++ b/test/unit/direct/caller-session.test.ts
@@ -1,4 +1,4 @@
-/** A session's own rules: what it answers by itself, and in which order. */
+/** Responses that a caller session gives without an instance, and their order. */
 import { setTimeout as pause } from 'node:timers/promises';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -7,7 +7,7 @@
 import type { RequestEnd } from '../../../src/direct/request-log.js';
 import { ROUTE, sessionDependencies, tenantWith } from '../../support/caller-session-fixture.js';
 
-/** The session's own pauses do not keep a process alive. */
+/** The session's timers do not keep the process alive. */
 const KEEP_ALIVE_MS = 1000;
 let keepAlive: NodeJS.Timeout | undefined;
 
@@ -26,7 +26,7 @@
     write: (text) => lines.push(...text.split('\r\n').filter((line) => line !== '')),
     end: () => ended.push(true),
   });
-  /** Resolves once the session is at rest again. */
+  /** Resolves once the message has been answered. */
   const send = (line: string): Promise<void> =>
     new Promise((resolve) => {
       session.onAllAnswered = resolve;
@@ -143,8 +143,8 @@
 });
 
 /**
- * Its transaction was ended for resting too long, of which it hears with its next statement. The node stopped first,
- * and its connection ended without a word, as if the transaction were open still.
+ * The idle timeout aborts a transaction, which the caller learns with its next statement. If the node stops before that,
+ * the stop notice must report it: the connection used to end without one, as if the transaction were still open.
  */
 test('a caller whose transaction was ended before the node stops is told so too', async () => {
   const { session, lines, send } = startSession(tenantWith(), 1);
--- a/test/unit/direct/commit-trust.test.ts
+++ b/test/unit/direct/commit-trust.test.ts
@@ -1,4 +1,4 @@
-/** What callers get of writes at a node whose lease does not vouch for the primary. */
+/** Outcomes of writes at a node whose lease does not confirm the primary. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { CommitVerdict } from '../../../src/core/promotion/commit-verdict.js';
@@ -17,12 +17,12 @@
   answer: { payload: '', state: 'idle', position: POSITION, error: undefined },
 } as unknown as StatementOutcome;
 
-/** Keeps the process alive while a bounded wait runs out. */
+/** Keeps the process alive until a timeout expires. */
 const keepAlive = setInterval(() => {}, 1000);
 test.after(() => clearInterval(keepAlive));
 
 interface Said {
-  /** The instance that the lease vouches for. */
+  /** The instance that the lease confirms as primary. */
   readonly trusted?: string;
   readonly ahead?: CommitVerdict;
   readonly commits?: CommitVerdict;
@@ -46,7 +46,7 @@
     examine: () => Promise.resolve(positions),
     round: () => Promise.resolve({ verdict: positions, answers: nextAnswers() }),
   };
-  // Each look at the clock finds some time gone.
+  // Every reading of the clock advances it.
   const now = (): number => {
     time += 50;
     return time;
@@ -93,7 +93,7 @@
   assert.is(codeOf(await commits.confirm(SERVICE, PRIMARY, DONE)), 'in-doubt');
 });
 
-/** Positions of the others, round after round; the last one stays. */
+/** Positions that the other members report in each round; the last round repeats. */
 function told(...rounds: readonly (readonly (bigint | undefined)[])[]) {
   return rounds.map((others) => [
     { instanceId: PRIMARY.id, position: POSITION },
--- a/test/unit/direct/in-flight-statements.test.ts
+++ b/test/unit/direct/in-flight-statements.test.ts
@@ -1,4 +1,4 @@
-/** What a session waits for before its values change. */
+/** Statements that a session waits for before its values change. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { InFlightStatements } from '../../../src/direct/in-flight-statements.js';
--- a/test/unit/direct/large-answer-at-stop.test.ts
+++ b/test/unit/direct/large-answer-at-stop.test.ts
@@ -1,4 +1,4 @@
-/** A large answer on its way, at a planned stop. */
+/** A large response that is being sent during a planned stop. */
 import { connect, type Socket } from 'node:net';
 import { setTimeout as pause } from 'node:timers/promises';
 import { test } from 'uvu';
@@ -7,7 +7,7 @@
 import { runnerWith, sessionDependencies } from '../../support/caller-session-fixture.js';
 
 const HOST = '127.0.0.1';
-/** Short, so that it is over several times while the caller does not read. */
+/** Short, so that it expires several times while the caller does not read. */
 const LEAVE_MS = 50;
 const NOT_READING_MS = 800;
 const PAYLOAD = `${`ROW ${'x'.repeat(1000)}\r\n`.repeat(16_000)}COMPLETE sig\r\n`;
@@ -22,8 +22,8 @@
 });
 
 /**
- * The answer to a large read is handed to the socket, and the session counts as resting while most of it waits in this
- * process for a slow link. When the time to leave and that to linger were over, the rest of it was thrown away.
+ * Once the response to a large read is written to the socket, the session is idle, while most of the bytes still wait in
+ * this process for a slow link. They must not be discarded when the leave timeout and the close timeout expire.
  */
 test('an answer that is still being sent when its caller is told to leave arrives whole', async () => {
   caller = connect(server.port, HOST);
--- a/test/unit/direct/late-idle-transaction.test.ts
+++ b/test/unit/direct/late-idle-transaction.test.ts
@@ -1,4 +1,4 @@
-/** A transaction that rests in a process that is late. */
+/** The idle timeout of a transaction in a delayed process. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { CallerServer } from '../../../src/direct/caller-server.js';
@@ -14,7 +14,7 @@
 test.before(() => server.listen({ host: HOST, port: 0 }));
 test.after(() => server.close());
 
-/** The timer of a resting transaction judges before what has come is read. */
+/** Guards against an overdue idle timer that aborts the transaction before a received statement is read. */
 test('a statement that came before its transaction rested too long, unread by a late process, is taken', async () => {
   const client = await LineClient.connect(HOST, server.port);
   await client.start('orders', 'u1');
--- a/test/unit/direct/leave-time.test.ts
+++ b/test/unit/direct/leave-time.test.ts
@@ -1,4 +1,4 @@
-/** The time that a caller has to leave a stopping node. */
+/** The timeout between the stop notice to a caller and the end of its connection. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { CallerServer, type SessionDependencies } from '../../../src/direct/caller-server.js';
@@ -28,7 +28,10 @@
   server.close();
 });
 
-/** The leave timer has fired, what was read meanwhile was answered and the caller told anew: its time begins anew too. */
+/**
+ * The leave timeout is due when a request is read. The request is answered and the caller notified again, so the timeout
+ * must start again as well.
+ */
 test('a caller that asks as its time to leave runs out gets a new one', async () => {
   server.drain(false);
   await caller.hears(/ERROR BUSY/);
--- a/test/unit/direct/planned-stop.test.ts
+++ b/test/unit/direct/planned-stop.test.ts
@@ -1,6 +1,6 @@
 /**
- * The planned stop of a node that lends connections. Its own callers have left, and it waits for other nodes to give back
- * what they were lent. A caller that came meanwhile was taken, and cut in the middle of its request at the end of that wait.
+ * The planned stop of a node that lends connections. After its own callers have left, it waits for other nodes to return
+ * the connections. A caller accepted during this wait would be cut off in the middle of its request at the end of it.
  */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -16,7 +16,7 @@
 
 test.after.each(() => server.close());
 
-/** Its `waiting` resolves once the stop waits for what was lent; `giveBack` ends that. */
+/** `waiting` resolves once the stop waits for lent connections; `giveBack` ends that wait. */
 function lendingRelay() {
   let giveBack = (): void => {};
   const givenBack = new Promise<void>((resolve) => {
--- a/test/unit/direct/request-log.test.ts
+++ b/test/unit/direct/request-log.test.ts
@@ -1,4 +1,4 @@
-/** Which requests are told in the log, and what is told of them. */
+/** Which requests and beliefs are logged, and with which fields. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { BeliefLog } from '../../../src/direct/belief-log.js';
@@ -8,7 +8,7 @@
 import { createLogger } from '../../../src/observability/logger.js';
 
 const TARGET_MS = 100;
-/** Ends in zeros, so that it belongs to the sample. */
+/** Belongs to the sample, since it ends with zeros. */
 const SAMPLED = '5c0e7a21d9000000';
 const OTHER = '5c0e7a21d9000001';
 
--- a/test/unit/direct/sent-ahead-at-stop.test.ts
+++ b/test/unit/direct/sent-ahead-at-stop.test.ts
@@ -1,4 +1,4 @@
-/** A caller that sends ahead, at a planned stop. */
+/** A caller that pipelines statements during a planned stop. */
 import { setTimeout as pause } from 'node:timers/promises';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -7,8 +7,8 @@
 import { runnerWith, sessionDependencies } from '../../support/caller-session-fixture.js';
 
 /**
- * A caller that sends ahead: BEGIN, WRITE, COMMIT in one piece cross the word to leave. BEGIN takes the word for its refusal
- * (nothing of the attempt is kept), but the session then forgets it, and the WRITE runs outside any transaction.
+ * BEGIN, WRITE and COMMIT, sent in one piece, arrive after the stop notice was sent. The notice refuses BEGIN. If the
+ * session then handled the next statements normally, the WRITE would run outside any transaction.
  */
 test('a write sent ahead behind a BEGIN that was refused at the stop does not run', async () => {
   const ran: string[] = [];
--- a/test/unit/direct/start-log.test.ts
+++ b/test/unit/direct/start-log.test.ts
@@ -1,4 +1,4 @@
-/** Steps of a start are told once each, when they are reached. */
+/** Each step of a start is logged once, when it is reached. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { RouteConsistency } from '../../../src/direct/contract.js';
--- a/test/unit/direct/statement-runner.test.ts
+++ b/test/unit/direct/statement-runner.test.ts
@@ -1,4 +1,4 @@
-/** When a statement without a target waits, and for what. */
+/** Waits, retries and refusals of statements outside any transaction. */
 import { err, ok } from 'neverthrow';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -25,7 +25,7 @@
 const TARGET_LATENCY_MS = 100;
 const DEADLINE_MS = 1000;
 const SHORT_WAIT_MS = 20;
-/** A deadline that a busy machine does not reach. */
+/** A deadline that is not reached even on a busy machine. */
 const LONG_MS = 60_000;
 const ROUTE: RouteDescription = {
   ...{ name: 'orders', database: 'orders', service: 'ledger', consistency: 'primary' },
@@ -36,7 +36,7 @@
   return new Tenant(ROUTE.name, resolveRoutePolicy(ROUTE_TEMPLATES, ROUTE.consistency, ROUTE));
 }
 
-/** Pauses of the code under test don't keep the process alive by themselves. */
+/** The pauses of the code under test do not keep the process alive. */
 const keepAlive = setInterval(() => {}, 1000);
 test.after(() => clearInterval(keepAlive));
 
@@ -64,7 +64,7 @@
   };
 }
 
-/** A primary whose lease has lapsed and whose members all answer, so that every proof succeeds. */
+/** A node whose lease has expired while all members respond, so that every proof of the primary succeeds. */
 function withoutLease(answersNothing: boolean): Situation {
   let proofs = 0;
   const prover = {
@@ -155,7 +155,7 @@
   assert.is(await late.awaitTarget(placement), false);
 });
 
-/** What a write gets whose primary is replaced while it waits for a connection, and where it ran. */
+/** Outcome of a write whose primary is replaced while it waits for a connection, and the instances it was sent to. */
 async function writeDuringChange(
   change: { readonly isOverAtOnce: boolean },
   clock: () => number,
@@ -224,7 +224,7 @@
 }
 
 test('a write that waits for a connection to a primary goes to the next one when that is replaced', async () => {
-  // There is no primary for a moment.
+  // For a moment there is no primary.
   const { outcome, sent } = await writeDuringChange({ isOverAtOnce: false }, () =>
     performance.now(),
   );
@@ -235,7 +235,7 @@
 test('a write that hears of a change only when it is over goes to the next primary, however long it waited', async () => {
   let time = 0;
   const clock = (): number => {
-    // Each look at the clock finds more than the write's patience gone.
+    // Every reading of the clock advances it by more than the write's `untriedPatienceMs`.
     time += TARGET_LATENCY_MS;
     return time;
   };
@@ -279,7 +279,7 @@
   let time = 0;
   const runner = new StatementRunner({
     ...{ wire: lineWire, view: primaryView(true), prover: {} as unknown as TrustProver },
-    // Time stands still but for the pauses, each of which is a few looks.
+    // Each reading of the clock advances it only a little, so that the deadline is not reached.
     now: () => {
       time += 0.1;
       return time;
@@ -307,8 +307,8 @@
 }
 
 /**
- * A read whose first instance has no free connection until it was answered by the second one, which
- * is tried meanwhile.
+ * A read whose first instance has a free connection only after the second one, which is tried meanwhile, has
+ * responded.
  */
 async function readWithLateConnection(): Promise<Read> {
   const sent: string[] = [];
@@ -373,7 +373,7 @@
   readonly sent: number;
 }
 
-/** A write that gets a connection with so much time left, at an instance that lately took so long. */
+/** A write that gets its connection `leftMs` before its deadline, at an instance with the given response time. */
 async function writeWithTimeLeft(leftMs: number, answerMs: number): Promise<LateWrite> {
   let time = 0;
   let sent = 0;
@@ -470,7 +470,7 @@
   assert.is((await writeWithTimeLeft(20, 5000)).sent, 0);
 });
 
-/** Uses of the primary that a write without an answer reported as failed. */
+/** Number of primary failures reported by a write without a response. */
 async function reportedAfterSilence(patienceMs: number): Promise<number> {
   let reports = 0;
   const connection = {
--- a/test/unit/direct/target-chooser.test.ts
+++ b/test/unit/direct/target-chooser.test.ts
@@ -1,4 +1,4 @@
-/** Which log position a read of some age needs. */
+/** The log position that a read requires, and the instance chosen for it. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { PositionSamples } from '../../../src/core/statements/position-samples.js';
@@ -17,7 +17,7 @@
   ...{ maxStalenessMs: MAX_STALENESS_MS, timeoutMs: 1000, targetLatencyMs: 200, priority: 1 },
 };
 
-/** The position that a read needs whose bound is 2.5 s, of samples of these ages. */
+/** The position required by a read with a staleness bound of 2.5 s, given samples of these ages. */
 function requiredOf(agesMs: readonly number[]): bigint | undefined {
   const samples = new PositionSamples();
   for (const [index, ageMs] of agesMs.entries()) {
@@ -51,7 +51,7 @@
   assert.is(requiredOf([2600, 2450, 100]), 3n);
 });
 
-/** A service with a replica nearby, one elsewhere, and the primary; what a read of it or a transaction is sent to. */
+/** A chooser and a read for a service with a replica in this zone, a replica in another zone, and the primary. */
 function chooserWith(placement: FleetPlacement | undefined) {
   const samples = new PositionSamples();
   samples.add({ sentAt: NOW - 2450, position: { timeline: 1, lsn: 4n } });
@@ -83,7 +83,7 @@
   return { chooser, read, trace };
 }
 
-/** Passes the instances on in this order, and notes what it was asked. */
+/** A placement that ranks the instances in this order and records its calls. */
 function placementOf(order: readonly string[]) {
   const asked: { readonly ids: readonly string[]; readonly mayProbe: boolean }[] = [];
   const rank = (_service: string, instances: readonly InstanceRuntime[], mayProbe: boolean) => {
--- a/test/unit/direct/tenant-templates.test.ts
+++ b/test/unit/direct/tenant-templates.test.ts
@@ -1,4 +1,4 @@
-/** The templates of the direct gateway: what is deployed is what the file says, and is checked. */
+/** The route templates of the direct gateway: the generated module matches the file, and the file is validated. */
 import { readFileSync } from 'node:fs';
 import { dirname, join } from 'node:path';
 import { fileURLToPath } from 'node:url';
@@ -16,11 +16,11 @@
 import { compileRouteTemplates } from '../../../src/core/configuration/route-templates.js';
 import { declared, tenantYaml } from '../../support/declarations.js';
 
-/** From dist/test/unit/direct. */
+/** Relative to dist/test/unit/direct. */
 const ROOT = join(dirname(fileURLToPath(import.meta.url)), '..', '..', '..', '..');
 const TEXT = readFileSync(join(ROOT, TEMPLATES_FILE), 'utf8');
 
-/** What is wrong with the file once `from` is replaced by `to` in its first template. */
+/** The problems reported for the file after `from` is replaced by `to` in its first template. */
 function problemsWith(from: string, to: string): string {
   assert.ok(TEXT.includes(from));
   const parsed = parseDeclarations([{ source: 'F', text: TEXT.replace(from, to) }]);
--- a/test/unit/direct/tenant.test.ts
+++ b/test/unit/direct/tenant.test.ts
@@ -1,4 +1,4 @@
-/** A tenant's retry budget: what it bounds, and what becomes of it when the policy changes. */
+/** A tenant's retry budget: its limit, and the effect of a changed policy. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { lineWire } from '../../../platform/line-wire.js';
@@ -23,14 +23,14 @@
   targetLatencyMs: 100,
   priority: 1,
 };
-/** Nobody listens there. */
+/** No process listens on this port. */
 const UNREACHABLE_PORT = 1;
 const PRIMARY: InstanceEntry = {
   ...{ id: 'i-1', service: 'db-1', host: '127.0.0.1', port: UNREACHABLE_PORT, zone: 'a' },
   ...{ slots: 3, draining: false, role: 'primary' },
 };
 
-/** Pauses between attempts do not keep a process alive. */
+/** The pauses between attempts do not keep the process alive. */
 const KEEP_ALIVE_MS = 1000;
 let keepAlive: NodeJS.Timeout | undefined;
 
@@ -44,7 +44,7 @@
   return new Tenant(ROUTE.name, { ...policy, untriedPatienceMs: ROUTE.timeoutMs, retries });
 }
 
-/** How often one write for this tenant is tried at its instance, and how it ends. */
+/** Runs one write for this tenant at an unreachable instance; returns its outcome and its number of attempts. */
 async function tryWrite(tenant: Tenant) {
   const now = () => performance.now();
   const random = () => 0.5;
--- a/test/unit/direct/transaction.test.ts
+++ b/test/unit/direct/transaction.test.ts
@@ -1,4 +1,4 @@
-/** What becomes of a transaction whose first statement gets no answer. */
+/** Whether a transaction is restarted at another instance when its first statement gets no response. */
 import { err, ok } from 'neverthrow';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -18,7 +18,7 @@
 import type { TrustProver } from '../../../src/direct/trust-prover.js';
 import { steadyHealth } from '../../support/steady-health.js';
 
-/** A busy machine does not reach it. */
+/** Not reached even on a busy machine. */
 const DEADLINE_MS = 60_000;
 const PATIENCE_MS = 10;
 const ROUTE: RouteDescription = {
@@ -36,7 +36,7 @@
 const keepAlive = setInterval(() => {}, 1000);
 test.after(() => clearInterval(keepAlive));
 
-/** Two replicas; the first one that is asked answers a statement, after BEGIN, as the test says. */
+/** Two replicas. The first statement after BEGIN gets `firstAnswer`; later ones succeed. */
 function situation(mayRunLate: boolean, firstAnswer: Promise<AnswerResult>) {
   const asked: string[] = [];
   const replica = (id: string): InstanceRuntime => {
--- a/test/unit/direct/trust-prover.test.ts
+++ b/test/unit/direct/trust-prover.test.ts
@@ -1,4 +1,4 @@
-/** Proofs that a primary leads, by a node that does not know in which term it does. */
+/** Proofs of a primary by a node that does not know the primary's term. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { InstanceRuntime, ServiceRuntime } from '../../../src/direct/service-runtime.js';
@@ -8,7 +8,7 @@
 const PRIMARY_ID = 'i-1';
 const NOW = 1000;
 
-/** A service whose primary is known by its record only, as after a start without a registration. */
+/** A service whose primary is known only from its record, as after a start without a registration. */
 function serviceOfUnknownTerm(): ServiceRuntime {
   const primary = { id: PRIMARY_ID } as InstanceRuntime;
   const members = (): InstanceRuntime[] => {
--- a/test/unit/direct/within.test.ts
+++ b/test/unit/direct/within.test.ts
@@ -1,4 +1,4 @@
-/** Waiting with a bound in a process that is late. */
+/** Timeouts in a delayed process. */
 import { once } from 'node:events';
 import { connect, createServer, type Socket } from 'node:net';
 import { test } from 'uvu';
