--- a/src/direct/gateway.ts
+++ b/src/direct/gateway.ts
@@ -448,7 +448,7 @@
   }
 
   /** Resolves once this node has no write in flight to the service's instances. */
-  async writesEnded(service: string): Promise<void> {
+  async waitForWrites(service: string): Promise<void> {
     await this.#services.get(service)?.writesEnded();
   }
 
--- a/src/direct/statement-attempts.ts
+++ b/src/direct/statement-attempts.ts
@@ -29,7 +29,7 @@
 const ABANDONED_EXCHANGE_TIMEOUT_MS: Milliseconds = 200;
 /** Upper bound for the expected time of a write. */
 const MAX_WRITE_TIME_NEEDED_MS: Milliseconds = 50;
-/** A read waits for its response up to this multiple of the instance's `patienceMs`. */
+/** A read waits this multiple of the time after which a response of the instance is considered lost. */
 const READ_TIMEOUT_FACTOR = 2;
 
 export interface StatementAttemptsOptions {
