--- a/src/direct/caller-session.ts
+++ b/src/direct/caller-session.ts
@@ -1,6 +1,7 @@
 /**
- * One caller's session: takes its messages in order and writes exactly one answer to each. Values and
- * prepared statements live here; connections to instances are borrowed for a statement or transaction.
+ * One caller's session: handles its messages in order and writes exactly one response to each. The
+ * session keeps the caller's values and prepared statements; it takes a connection to an instance only
+ * for the duration of a statement or transaction.
  */
 import { createHash } from 'node:crypto';
 import type { Position } from '../core/position.js';
@@ -14,11 +15,12 @@
 } from '../core/statements/statement.js';
 import type { Milliseconds } from '../core/units.js';
 import type { RouteDescription } from './contract.js';
+import { InFlightStatements } from './in-flight-statements.js';
 import { WIRE_ENCODING } from './line-splitter.js';
 import type { RequestLog } from './request-log.js';
 import { RequestTrace } from './request-trace.js';
 import type { ServiceRuntime } from './service-runtime.js';
-import { GIVEN_UP, SessionLeaving } from './session-leaving.js';
+import { CUT_AT_STOP, SessionShutdown } from './session-shutdown.js';
 import {
   RETRY_AFTER_MS,
   type Refusal,
@@ -26,40 +28,39 @@
   type StatementRequest,
 } from './statement-request.js';
 import type { StatementRunner } from './statement-runner.js';
-import { StatementsUnderWay } from './statements-under-way.js';
 import type { Tenant } from './tenant.js';
 import { Transaction } from './transaction.js';
 import type { CallerMessage, StatementWire } from './wire.js';
-import { afterReading } from './within.js';
+import { timeoutAfterInput } from './within.js';
 
 const SHARED_NAME_LENGTH = 16;
-/** When to ask again is told as later than usual while a primary is being replaced. */
-const RETRY_AFTER_CHANGE_MS = 500;
-/** Messages that a caller may send ahead of their answers. */
+/** Retry delay suggested to callers while the primary is being replaced; longer than the usual one. */
+const RETRY_DURING_PRIMARY_CHANGE_MS = 500;
+/** Maximum number of pipelined messages of a caller. */
 const MAX_QUEUED_MESSAGES = 64;
-/** A caller that comes before this node knows its routes is answered after this at the latest. */
-const START_WAIT_MS = 1500;
-/** A new value waits so long for what still runs with the old ones. */
-const VALUE_WAIT_MS = 1500;
-
-/** A route with what serves it, and its tenant's policy and use of this node. */
-export interface FoundRoute {
-  /** Who asks, by the caller's key; undefined where callers need none. */
+/** Maximum wait of a caller that connects before this node has received its routes. */
+const CONFIGURATION_TIMEOUT_MS = 1500;
+/** Maximum wait of a new session value for statements that still run with the old values. */
+const VALUE_CHANGE_TIMEOUT_MS = 1500;
+
+/** A route, the service behind it, and the tenant whose policy applies. */
+export interface ResolvedRoute {
+  /** The tenant that the caller's key belongs to; undefined where callers need no key. */
   readonly account?: string | undefined;
-  /** Why nothing is run for this caller now. */
+  /** Set if nothing may run for this caller now. */
   readonly refusal?: Refusal | undefined;
   readonly route: RouteDescription;
   readonly service: ServiceRuntime;
   readonly tenant: Tenant;
 }
 
-/** What a database name leads to now. */
+/** Looks up routes in the current configuration. */
 export interface RouteLookup {
-  find(database: string, keyDigest: string): FoundRoute | undefined;
-  /** Counts one operation against an account's quota; gives why not if it is beyond that. */
-  spend?(account: string, priority: number): Spending;
-  /** Resolves once routes are known: true, or false if they are still unknown after so long. */
-  known(withinMs: Milliseconds): Promise<boolean>;
+  find(database: string, keyDigest: string): ResolvedRoute | undefined;
+  /** Counts one operation against an account's quota, or refuses it if the quota is used up. */
+  spend?(account: string, priority: number): QuotaDecision;
+  /** Resolves with true once routes are known, or with false after the timeout. */
+  waitForRoutes(timeoutMs: Milliseconds): Promise<boolean>;
   readonly transactionIdleMs: Milliseconds;
 }
 
@@ -74,22 +75,22 @@
   end(): void;
 }
 
-/** Counted over all sessions of the process. */
+/** Counters over all sessions of the process. */
 export interface SessionCounters {
   statements: number;
   refused: number;
   failed: number;
-  /** Requests that crossed the word of a stopping node, and were refused with it. */
+  /** Requests that arrived after their caller was sent the stop notice, and were refused. */
   refusedAtStop: number;
   transactionsIdled: number;
 }
 
-/** One operation counted, or why not; at once where that is known here. */
-export type Spending = Refusal | undefined | Promise<Refusal | undefined>;
+/** Undefined if the operation is within its quota; a promise if another node must be queried. */
+export type QuotaDecision = Refusal | undefined | Promise<Refusal | undefined>;
 
 type StatementMessage = Extract<CallerMessage, { type: 'statement' }>;
 
-/** What is alike in all requests of a session. */
+/** The fields of a request that derive from the session and its route. */
 interface RequestBase
   extends Pick<StatementRequest, 'session' | 'beganAt' | 'deadline' | 'tenant' | 'account'> {
   readonly trace: RequestTrace;
@@ -97,46 +98,46 @@
 
 export class CallerSession {
   #database: string | undefined;
-  /** Stands for the caller's key. */
+  /** Digest of the caller's key. */
   #keyDigest = '';
-  /** The tenant that this session counts for, from its start to its end. */
+  /** The tenant whose session count includes this session until it ends. */
   #tenant: Tenant | undefined;
   readonly #variables = new SessionVariables(sharedNameOf, () => this.#maxEntries());
   #transaction: Transaction | undefined;
   #state: TransactionState = 'idle';
   #lastWritten: Position | undefined;
   #writtenService: string | undefined;
-  readonly #underWay = new StatementsUnderWay();
+  readonly #inFlight = new InFlightStatements();
   readonly #queue: CallerMessage[] = [];
   #busy = false;
-  /** The message that is being answered. */
-  #inHand: CallerMessage | undefined;
-  #ended = false;
-  /** Ends the watch of a transaction that rests. */
-  #stopIdleWatch: (() => void) | undefined;
-  /** The transaction was ended for resting too long, and the caller has not heard of it yet. */
-  #idledOut = false;
-  readonly #leaving: SessionLeaving;
-  /** Called when a message has been answered. */
-  onRest: (() => void) | undefined;
+  /** The message being handled. */
+  #currentMessage: CallerMessage | undefined;
+  #hasEnded = false;
+  /** Cancels the timeout of an idle transaction. */
+  #cancelIdleTimeout: (() => void) | undefined;
+  /** The transaction was aborted by the idle timeout, and the caller has not been told yet. */
+  #hasIdleTimedOut = false;
+  readonly #shutdown: SessionShutdown;
+  /** Called when all received messages have been answered. */
+  onAllAnswered: (() => void) | undefined;
 
   constructor(private readonly options: CallerSessionOptions) {
-    this.#leaving = new SessionLeaving(options.wire, (text) => this.#write(text));
+    this.#shutdown = new SessionShutdown(options.wire, (text) => this.#write(text));
   }
 
-  /** True between requests and outside any transaction. */
-  get atRest(): boolean {
+  /** True if no request is unanswered and no transaction is open or failed. */
+  get isIdle(): boolean {
     return !this.#busy && this.#queue.length === 0 && this.#state === 'idle';
   }
 
-  /** True while an answer is owed. */
+  /** True while at least one request is unanswered. */
   get busy(): boolean {
     return this.#busy || this.#queue.length > 0;
   }
 
-  /** Takes one message; answers come in the order of the messages. */
+  /** Handles one message; responses are written in the order of the messages. */
   receive(message: CallerMessage): void {
-    if (this.#ended) return;
+    if (this.#hasEnded) return;
     if (this.#queue.length >= MAX_QUEUED_MESSAGES) {
       this.#write(this.options.wire.encodeError('too-large', 'too many messages at once'));
       this.#queue.length = 0;
@@ -144,75 +145,77 @@
       return;
     }
     this.#queue.push(message);
-    if (!this.#busy) void this.#work();
+    if (!this.#busy) void this.#processQueue();
   }
 
   /**
-   * The node stops, and the caller rests: it is told so, and a transaction that it left open is rolled back. The session
-   * goes on until the caller leaves, so that a request which crosses this word on its way is answered too.
+   * Sends the stop notice to a caller without unanswered requests, and rolls back a transaction that it
+   * has open. The session continues until the caller disconnects, so that a request already on its way
+   * gets a response too.
    */
-  tellToLeave(): void {
-    if (this.#ended || this.#leaving.isWordOpen) return;
-    this.#stopIdleWatch?.();
+  notifyStop(): void {
+    if (this.#hasEnded || this.#shutdown.isNoticeUnused) return;
+    this.#cancelIdleTimeout?.();
     if (this.#state === 'open') {
       this.#dropTransaction();
       this.#state = 'failed';
       this.options.counters.refused += 1;
     }
-    this.#leaving.tell(this.#state);
+    this.#shutdown.sendNotice(this.#state);
     if (this.#database === undefined) this.#end();
   }
 
-  /** The caller came after the stop had begun: the node starts no session for it. */
+  /** For a caller that connected after the stop began: it will get an error instead of a session. */
   refuseStart(): void {
-    this.#leaving.refuseStart();
+    this.#shutdown.refuseStart();
   }
 
   /**
-   * The node ends now: callers that are owed answers are told that there are none, and the session ends. What was sent
-   * to an instance may have run, so that nothing is promised.
+   * Ends the session because the process ends: every unanswered request gets an error. It leaves open
+   * whether a statement ran, since the instance may have received it.
    */
-  giveUp(): void {
-    if (this.#ended) return;
-    const owed = this.#inHand === undefined ? this.#queue : [this.#inHand, ...this.#queue];
-    for (const message of owed) this.#giveUpOn(message);
+  cutOff(): void {
+    if (this.#hasEnded) return;
+    const owed =
+      this.#currentMessage === undefined ? this.#queue : [this.#currentMessage, ...this.#queue];
+    for (const message of owed) this.#cutOffRequest(message);
     this.#queue.length = 0;
     this.#end();
   }
 
-  #giveUpOn(message: CallerMessage): void {
-    if (message.type === 'start') this.#leaving.writeRefusal('idle');
+  #cutOffRequest(message: CallerMessage): void {
+    if (message.type === 'start') this.#shutdown.writeRefusal('idle');
     if (message.type !== 'statement') return;
     this.options.counters.failed += 1;
-    this.#tellRefused(message, GIVEN_UP);
-    this.#leaving.writeGivenUp(this.#state);
+    this.#logRefused(message, CUT_AT_STOP);
+    this.#shutdown.writeCutOff(this.#state);
   }
 
-  /** The caller has gone: what it began is rolled back. */
+  /** Handles the end of the caller's connection: rolls back its open transaction. */
   close(): void {
     this.#tenant?.closeSession();
     this.#tenant = undefined;
-    if (this.#ended) return;
-    this.#ended = true;
+    if (this.#hasEnded) return;
+    this.#hasEnded = true;
     this.#queue.length = 0;
-    this.#stopIdleWatch?.();
+    this.#cancelIdleTimeout?.();
     if (!this.#busy) this.#dropTransaction();
   }
 
-  async #work(): Promise<void> {
+  async #processQueue(): Promise<void> {
     this.#busy = true;
     for (let message = this.#queue.shift(); message !== undefined; message = this.#queue.shift()) {
-      this.#stopIdleWatch?.();
-      this.#inHand = message;
+      this.#cancelIdleTimeout?.();
+      this.#currentMessage = message;
       await this.#handle(message);
-      if (this.#ended) break;
+      if (this.#hasEnded) break;
     }
     this.#busy = false;
-    this.#inHand = undefined;
-    if (this.#ended) this.#dropTransaction();
+    this.#currentMessage = undefined;
+    if (this.#hasEnded) this.#dropTransaction();
     else {
-      this.#watchIdleTransaction();
-      this.onRest?.();
+      this.#startIdleTimeout();
+      this.onAllAnswered?.();
     }
   }
 
@@ -221,14 +224,14 @@
     this.#transaction = undefined;
   }
 
-  #watchIdleTransaction(): void {
+  #startIdleTimeout(): void {
     if (this.#transaction === undefined) return;
     const idleMs = this.options.routes.transactionIdleMs;
-    this.#stopIdleWatch = afterReading(idleMs, () => {
+    this.#cancelIdleTimeout = timeoutAfterInput(idleMs, () => {
       this.options.counters.transactionsIdled += 1;
       this.#dropTransaction();
       this.#state = 'failed';
-      this.#idledOut = true;
+      this.#hasIdleTimedOut = true;
     });
   }
 
@@ -251,14 +254,14 @@
           return;
         }
         this.options.counters.statements += 1;
-        if (!this.#leaving.isTold) await this.#statement(message, message.statement);
-        else this.#endRefusal(message);
+        if (!this.#shutdown.isNotified) await this.#statement(message, message.statement);
+        else this.#refuseAfterNotice(message);
     }
   }
 
   #end(): void {
-    if (this.#ended) return;
-    this.#ended = true;
+    if (this.#hasEnded) return;
+    this.#hasEnded = true;
     this.options.end();
   }
 
@@ -269,13 +272,13 @@
       this.#end();
       return;
     }
-    if (this.#leaving.refusesStart) {
+    if (this.#shutdown.refusesStart) {
       this.options.counters.refused += 1;
-      this.#leaving.writeRefusal('idle');
+      this.#shutdown.writeRefusal('idle');
       this.#end();
       return;
     }
-    if (!(await routes.known(START_WAIT_MS))) {
+    if (!(await routes.waitForRoutes(CONFIGURATION_TIMEOUT_MS))) {
       this.#write(wire.encodeError('busy', 'no configuration yet'));
       this.#end();
       return;
@@ -292,8 +295,8 @@
       this.#end();
       return;
     }
-    // The caller may have gone while the routes were waited for.
-    if (this.#ended) return;
+    // The caller may have disconnected during the wait for routes.
+    if (this.#hasEnded) return;
     if (!found.tenant.openSession()) {
       this.options.counters.refused += 1;
       const text = `too many sessions; retry after ${RETRY_AFTER_MS} ms`;
@@ -309,9 +312,9 @@
 
   async #statement(message: StatementMessage, statement: Statement): Promise<void> {
     if (this.#state === 'failed' && statement.type !== 'commit' && statement.type !== 'rollback') {
-      const idled = this.#idledOut;
-      this.#idledOut = false;
-      if (idled) this.#refuse('aborted', 'the transaction rested too long');
+      const hasIdleTimedOut = this.#hasIdleTimedOut;
+      this.#hasIdleTimedOut = false;
+      if (hasIdleTimedOut) this.#refuse('aborted', 'the transaction rested too long');
       else this.#refuse('malformed', 'the transaction has failed; only its end is possible');
       return;
     }
@@ -348,11 +351,11 @@
     }
   }
 
-  /** A statement that crossed the word to leave. */
-  #endRefusal(message: StatementMessage): void {
-    this.#leaving.refuseCrossing(this.#state);
+  /** Refuses a statement that arrived after the stop notice was sent. */
+  #refuseAfterNotice(message: StatementMessage): void {
+    this.#shutdown.refuseAfterNotice(this.#state);
     this.options.counters.refusedAtStop += 1;
-    this.#tellRefused(message, this.#leaving.refusal(this.#state));
+    this.#logRefused(message, this.#shutdown.refusal(this.#state));
     const { type } = message.statement;
     if (type === 'commit' || type === 'rollback') this.#state = 'idle';
     this.#write(this.options.wire.encodeReady(this.#state, undefined));
@@ -368,9 +371,9 @@
       this.#refuse('no-database', 'no such database');
       return;
     }
-    const refusal = await this.#refusalFor(found);
+    const refusal = await this.#checkAdmission(found);
     if (refusal !== undefined) {
-      this.#refuseBeforehand(message, found, refusal);
+      this.#refuseUntried(message, found, refusal);
       return;
     }
     const { route, service, tenant, account } = found;
@@ -389,15 +392,15 @@
     this.#transaction = undefined;
     const failed = this.#state === 'failed';
     this.#state = 'idle';
-    this.#idledOut = false;
+    this.#hasIdleTimedOut = false;
     if (failed || transaction === undefined) {
       this.#refuseEnded(message);
       return;
     }
-    const revoked = this.#revokedFor(transaction);
+    const revoked = this.#revocationOf(transaction);
     if (revoked !== undefined) {
       transaction.abandon();
-      this.#refuseBeforehand(message, transaction, revoked);
+      this.#refuseUntried(message, transaction, revoked);
       return;
     }
     const { wire } = this.options;
@@ -408,24 +411,24 @@
       prepared: undefined,
       encode: () => wire.encodeStatement(message.id, message.text, undefined),
     });
-    if (transaction.wrote) this.#noteWritten(outcome, transaction.service);
-    this.#tellEnd(message, transaction, base.trace, outcome);
+    if (transaction.wrote) this.#recordWritten(outcome, transaction.service);
+    this.#logEnd(message, transaction, base.trace, outcome);
     this.#answer(outcome);
   }
 
-  /** The transaction failed before; its own request told why. */
+  /** The transaction failed earlier, and the response to the failed request stated the reason. */
   #refuseEnded(message: StatementMessage): void {
     const refusal = { code: 'aborted', text: 'the transaction was rolled back' } as const;
-    this.#tellRefused(message, refusal);
+    this.#logRefused(message, refusal);
     this.#refuse(refusal.code, refusal.text);
   }
 
-  /** Notes a request that was refused before anything was tried for it. */
-  #tellRefused(message: StatementMessage, refusal: Refusal): void {
+  /** Logs a request that was refused before any attempt. */
+  #logRefused(message: StatementMessage, refusal: Refusal): void {
     const found = this.#route();
     if (found === undefined) return;
     const { trace } = this.#request(found);
-    this.#tellEnd(message, found, trace, { type: 'refused', refusal });
+    this.#logEnd(message, found, trace, { type: 'refused', refusal });
   }
 
   #rollback(): void {
@@ -435,17 +438,17 @@
     }
     this.#dropTransaction();
     this.#state = 'idle';
-    this.#idledOut = false;
+    this.#hasIdleTimedOut = false;
     this.#complete();
   }
 
   async #set(name: string, value: string): Promise<void> {
-    if (await this.#underWay.ended(VALUE_WAIT_MS)) {
+    if (await this.#inFlight.waitForEnd(VALUE_CHANGE_TIMEOUT_MS)) {
       this.#completeIf(this.#variables.set(name, value));
     } else this.#refuse('busy', `an earlier statement has not ended; ${this.#retryHint()}`);
   }
 
-  /** Completes what was kept in the session, or refuses it for want of room. */
+  /** Confirms a change that the session has stored, or refuses one for which it had no space. */
   #completeIf(kept: boolean): void {
     if (kept) this.#complete();
     else this.#refuse('too-large', 'the session holds too many values or prepared statements');
@@ -476,14 +479,14 @@
         : wire.encodeExecute(message.id, prepared.sharedName, argumentText, after);
     const transaction = this.#transaction;
     if (transaction !== undefined) {
-      const revoked = this.#revokedFor(transaction);
+      const revoked = this.#revocationOf(transaction);
       if (revoked !== undefined) {
-        this.#refuseBeforehand(message, transaction, revoked);
+        this.#refuseUntried(message, transaction, revoked);
         return;
       }
       const base = this.#request(transaction);
       const outcome = await transaction.run({ ...base, access, prepared, encode });
-      this.#tellEnd(message, transaction, base.trace, outcome);
+      this.#logEnd(message, transaction, base.trace, outcome);
       this.#answer(outcome);
       return;
     }
@@ -492,47 +495,50 @@
       this.#refuse('no-database', 'no such database');
       return;
     }
-    const refusal = await this.#refusalFor(found);
+    const refusal = await this.#checkAdmission(found);
     if (refusal !== undefined) {
-      this.#refuseBeforehand(message, found, refusal);
+      this.#refuseUntried(message, found, refusal);
       return;
     }
     const { route, service } = found;
     const base = this.#request(found);
     const outcome = await runner.run({ ...base, route, service, access, prepared, encode });
-    if (access === 'write') this.#noteWritten(outcome, service);
-    this.#tellEnd(message, found, base.trace, outcome);
+    if (access === 'write') this.#recordWritten(outcome, service);
+    this.#logEnd(message, found, base.trace, outcome);
     this.#answer(outcome);
   }
 
-  /** Why an operation of this caller is not begun now; counts it against the account's quota otherwise. */
-  async #refusalFor({ refusal, account, route }: FoundRoute): Promise<Refusal | undefined> {
+  /** Returns why a new operation must be refused; if it is admitted, it counts against the quota. */
+  async #checkAdmission({ refusal, account, route }: ResolvedRoute): Promise<Refusal | undefined> {
     if (refusal !== undefined || account === undefined) return refusal;
     return this.options.routes.spend?.(account, route.priority);
   }
 
-  /** Why an open transaction must not go on: its key was taken away or given to another, or that can't be known. */
-  #revokedFor({ account }: Transaction): Refusal | undefined {
+  /**
+   * Returns why an open transaction must not continue: the caller's key was revoked or now belongs to
+   * another tenant, or this node can't tell.
+   */
+  #revocationOf({ account }: Transaction): Refusal | undefined {
     if (account === undefined) return undefined;
     const found = this.#route();
-    // A route that is gone binds from the next transaction on.
+    // The removal of a route takes effect with the next transaction.
     if (found === undefined || (found.refusal === undefined && found.account === account)) {
       return undefined;
     }
     return { code: 'aborted', text: found.refusal?.text ?? 'the key is held by another tenant' };
   }
 
-  /** Answers a request that is refused before anything is tried for it, and notes it. */
-  #refuseBeforehand(message: StatementMessage, found: FoundRoute, refusal: Refusal): void {
+  /** Refuses a request before any attempt, and logs it. */
+  #refuseUntried(message: StatementMessage, found: ResolvedRoute, refusal: Refusal): void {
     const { trace } = this.#request(found);
-    this.#tellEnd(message, found, trace, { type: 'refused', refusal });
+    this.#logEnd(message, found, trace, { type: 'refused', refusal });
     this.options.counters.refused += 1;
     this.#refuse(refusal.code, refusal.text);
   }
 
-  #tellEnd(
+  #logEnd(
     { id }: StatementMessage,
-    { route, service }: FoundRoute,
+    { route, service }: ResolvedRoute,
     trace: RequestTrace,
     outcome: StatementOutcome,
   ): void {
@@ -546,17 +552,17 @@
     return this.#route()?.tenant.policy.maxSessionEntries ?? 0;
   }
 
-  #route(): FoundRoute | undefined {
+  #route(): ResolvedRoute | undefined {
     return this.#database === undefined
       ? undefined
       : this.options.routes.find(this.#database, this.#keyDigest);
   }
 
-  #request({ route, service, tenant, account }: FoundRoute): RequestBase {
+  #request({ route, service, tenant, account }: ResolvedRoute): RequestBase {
     const now = this.options.now();
     const lastWritten = this.#writtenService === service.name ? this.#lastWritten : undefined;
     return {
-      session: { values: this.#variables.values, lastWritten, underWay: this.#underWay },
+      session: { values: this.#variables.values, lastWritten, inFlight: this.#inFlight },
       tenant,
       account,
       beganAt: now,
@@ -565,7 +571,7 @@
     };
   }
 
-  #noteWritten(outcome: StatementOutcome, service: ServiceRuntime): void {
+  #recordWritten(outcome: StatementOutcome, service: ServiceRuntime): void {
     if (outcome.type !== 'answered' || outcome.answer.error !== undefined) return;
     this.#lastWritten = outcome.answer.position;
     this.#writtenService = service.name;
@@ -581,30 +587,31 @@
     this.#write(outcome.answer.payload + ready);
   }
 
-  /** Tells an error; a transaction that was open has failed with it. */
+  /** Writes an error response; an open transaction fails with it. */
   #fail(outcome: StatementOutcome): void {
     const { counters } = this.options;
     const error = outcome.type === 'refused' ? outcome.refusal : outcome.answer.error;
     if (outcome.type === 'refused') counters.refused += 1;
     else counters.failed += 1;
-    const isShort = outcome.type === 'refused' && outcome.refusal.isForWantOfRoom === true;
-    const hint = error?.code === 'busy' ? `; ${this.#retryHint(isShort)}` : '';
+    const isForLackOfCapacity =
+      outcome.type === 'refused' && outcome.refusal.isForLackOfCapacity === true;
+    const hint = error?.code === 'busy' ? `; ${this.#retryHint(isForLackOfCapacity)}` : '';
     this.#refuse(error?.code ?? 'failed', `${error?.text ?? ''}${hint}`);
   }
 
-  /** When it is worth asking again for what has not run. */
-  #retryHint(isForWantOfRoom = false): string {
-    const place = this.#transaction ?? this.#route();
+  /** The retry delay suggested to the caller of a statement that has not run. */
+  #retryHint(isForLackOfCapacity = false): string {
+    const scope = this.#transaction ?? this.#route();
     const { view, random } = this.options.runner.options;
-    const isChanging = place !== undefined && view.isChanging(place.service.name);
-    if (isChanging) return `retry after ${RETRY_AFTER_CHANGE_MS} ms`;
-    if (!isForWantOfRoom) return `retry after ${RETRY_AFTER_MS} ms`;
-    return `retry after ${refusalRetryDelay(place?.tenant.policy.priority ?? 0, random())} ms`;
+    const isChanging = scope !== undefined && view.isChanging(scope.service.name);
+    if (isChanging) return `retry after ${RETRY_DURING_PRIMARY_CHANGE_MS} ms`;
+    if (!isForLackOfCapacity) return `retry after ${RETRY_AFTER_MS} ms`;
+    return `retry after ${refusalRetryDelay(scope?.tenant.policy.priority ?? 0, random())} ms`;
   }
 
-  /** Nothing follows what ended the session. */
+  /** Writes to the caller unless the session has ended. */
   #write(text: string): void {
-    if (!this.#ended) this.options.write(text);
+    if (!this.#hasEnded) this.options.write(text);
   }
 
   #complete(): void {
@@ -622,7 +629,7 @@
   }
 }
 
-/** One name for equal content, whoever prepared it. */
+/** Derives the name from the content, so that equal statements of all sessions share one name. */
 function sharedNameOf(access: string, shape: string): string {
   const digest = createHash('sha256').update(`${access} ${shape}`, WIRE_ENCODING).digest('hex');
   return `p${digest.slice(0, SHARED_NAME_LENGTH)}`;
--- a/src/direct/statement-attempts.ts
+++ b/src/direct/statement-attempts.ts
@@ -1,4 +1,4 @@
-/** One attempt of a statement at one instance, over a connection of this node's own or through an owner. */
+/** Attempts of statements: each at one instance, over this node's own connection or through an owner. */
 import type { Access } from '../core/request.js';
 import { isNotExecuted, type StatementAnswer } from '../core/statements/statement.js';
 import type { Milliseconds } from '../core/units.js';
@@ -25,12 +25,12 @@
 import type { StatementWire } from './wire.js';
 import { firstWithin } from './within.js';
 
-/** An exchange that nobody waits for any more ends its connection after this. */
-const ABANDON_MS: Milliseconds = 200;
-/** The most that a write is expected to need. */
-const MOST_TIME_NEEDED_MS: Milliseconds = 50;
-/** An answer to a read that takes so many times what it may take is waited for no longer. */
-const READ_PATIENCE_FACTOR = 2;
+/** An abandoned exchange that gets no response within this time ends its connection. */
+const ABANDONED_EXCHANGE_TIMEOUT_MS: Milliseconds = 200;
+/** Upper bound for the expected time of a write. */
+const MAX_WRITE_TIME_NEEDED_MS: Milliseconds = 50;
+/** A read waits this multiple of the time after which a response of the instance is considered lost. */
+const READ_TIMEOUT_FACTOR = 2;
 
 export interface StatementAttemptsOptions {
   readonly wire: StatementWire;
@@ -43,13 +43,13 @@
 export class StatementAttempts {
   constructor(private readonly options: StatementAttemptsOptions) {}
 
-  /** @param settled cancelled once the request has its outcome from another attempt */
+  /** @param settled cancelled once another attempt has given the request its outcome */
   async run(request: StatementRequest, chosen: Target, settled?: Cancellation): Promise<Attempt> {
     const { instance } = chosen;
     instance.pool.outstanding += 1;
     try {
       const attempt = await this.#tryAt(request, chosen, settled);
-      if (settled?.isCancelled !== true) noteAttempt(request.trace, attempt);
+      if (settled?.isCancelled !== true) recordAttempt(request.trace, attempt);
       return attempt;
     } finally {
       instance.pool.outstanding -= 1;
@@ -62,9 +62,9 @@
     settled: Cancellation | undefined,
   ): Promise<Attempt> {
     const { instance } = chosen;
-    const { lessor } = instance.pool;
-    if (lessor !== undefined && request.access === 'read') {
-      return this.#readThroughOwner(request, chosen, lessor, settled);
+    const { lessor: lender } = instance.pool;
+    if (lender !== undefined && request.access === 'read') {
+      return this.#readThroughOwner(request, chosen, lender, settled);
     }
     const cancelledBy = this.cancellationsOf(request.service, instance, settled);
     const acquired = await instance.pool.acquire(connectionRequestOf(request, cancelledBy));
@@ -80,8 +80,9 @@
   }
 
   /**
-   * The owner sends the read as it is: the position that it needs, and that the primary leads, were
-   * checked after its first byte had come, and hold for it however long it waits there.
+   * The owner sends the read unchanged. The required position and the trust in the primary were checked
+   * after the request's first byte had arrived, so both remain valid for it however long it waits at the
+   * owner.
    */
   async #readThroughOwner(
     request: StatementRequest,
@@ -93,12 +94,12 @@
     const sentAt = this.options.now();
     const read = { prepared: request.prepared, message: request.encode(after) };
     const cancelledBy = this.cancellationsOf(request.service, instance, settled);
-    request.trace?.note({ step: 'sent', instance: instance.id, through: 'owner' });
+    request.trace?.record({ step: 'sent', instance: instance.id, through: 'owner' });
     const exchange = lessor.read({ ...connectionRequestOf(request, cancelledBy), ...read });
-    request.session.underWay.add(exchange);
+    request.session.inFlight.add(exchange);
     const answer = await exchange;
     if (settled?.isCancelled === true) return notSent(instance, 'answered elsewhere');
-    if (answer.isOk()) return this.#judge(request, target, answer.value, sentAt);
+    if (answer.isOk()) return this.#toAttempt(request, target, answer.value, sentAt);
     if (answer.error instanceof InstanceConnectionLostError) {
       this.options.feedback.noteFailure(request, instance);
       return { type: 'unknown', instance, fault: answer.error.fault };
@@ -107,7 +108,7 @@
     return this.#notReached(instance, answer.error);
   }
 
-  /** What makes a connection to this instance useless for a request that waits for it. */
+  /** The cancellations that make a connection to this instance useless for a waiting request. */
   cancellationsOf(
     service: ServiceRuntime,
     instance: InstanceRuntime,
@@ -132,7 +133,7 @@
     const { wire, now } = this.options;
     const { instance } = chosen;
     const target = this.options.targets.recheck(request, chosen);
-    const isTooLate = now() + leastTimeFor(request.access, instance) >= request.deadline;
+    const isTooLate = now() + minTimeFor(request.access, instance) >= request.deadline;
     if (target === undefined || isTooLate) {
       instance.pool.release(connection);
       return notSent(instance, isTooLate ? 'no time is left' : 'the primary changed');
@@ -143,19 +144,20 @@
     const exchange = connection.exchange(request.encode(target.after));
     connection.uncork();
     const through = connection.giveBack === undefined ? 'own' : 'owner';
-    request.trace?.note({ step: 'sent', instance: instance.id, through });
-    request.session.underWay.add(exchange);
+    request.trace?.record({ step: 'sent', instance: instance.id, through });
+    request.session.inFlight.add(exchange);
     const endWatch = instance.pool.health.watchAnswer(request.access);
-    // A lost answer must not keep its connection from others; a write's may come late, and counts.
-    const readDeadline = sentAt + instance.pool.health.patienceMs * READ_PATIENCE_FACTOR;
+    // A read whose response is lost must not occupy its connection. A write waits until its deadline, since even
+    // a late response tells its outcome.
+    const readDeadline = sentAt + instance.pool.health.patienceMs * READ_TIMEOUT_FACTOR;
     const deadline =
       request.access === 'read' ? Math.min(request.deadline, readDeadline) : request.deadline;
     const answer = await this.awaitAnswer(exchange, connection, instance, deadline);
-    const silentWrite = answer === undefined && request.access === 'write';
-    const silentForMs = instance.pool.health.silentForMs(silentWrite ? 'write' : 'read');
+    const isSilentWrite = answer === undefined && request.access === 'write';
+    const silentForMs = instance.pool.health.silentForMs(isSilentWrite ? 'write' : 'read');
     endWatch(answer?.isOk() === true);
     if (answer === undefined || answer.isErr()) {
-      const use = silentWrite ? 'commit' : 'reach';
+      const use = isSilentWrite ? 'commit' : 'reach';
       this.options.feedback.noteNoAnswer(
         { request, instance, connection, answer, sentAt },
         use,
@@ -163,21 +165,21 @@
       );
       return { type: 'unknown', instance, fault: faultOf(answer) };
     }
-    // Before it is given back: a leased connection tells its owner then what stands on it.
+    // Before the release: a leased connection then reports to its owner which statements are prepared on it.
     if (answer.value.error?.code === 'unprepared') connection.preparedNames.clear();
     if (answer.value.state === 'idle') instance.pool.release(connection);
     else connection.close();
-    return this.#judge(request, target, answer.value, sentAt);
+    return this.#toAttempt(request, target, answer.value, sentAt);
   }
 
-  #judge(
+  #toAttempt(
     request: StatementRequest,
     { instance, after }: Target,
     answer: StatementAnswer,
     sentAt: Milliseconds,
   ): Attempt {
     const { now, targets } = this.options;
-    if (after !== undefined) targets.noteAnswer(instance.id, after, answer.error?.code);
+    if (after !== undefined) targets.recordAnswer(instance.id, after, answer.error?.code);
     instance.pool.health.noteOutcome(answer.error?.code, now() - sentAt, request.access);
     if (answer.error === undefined) {
       request.service.noteAnswer(instance, sentAt, answer.position);
@@ -195,8 +197,8 @@
   }
 
   /**
-   * Waits for an answer until the deadline. If none has come, the exchange goes on alone: its
-   * connection returns to the pool once it is answered, or ends.
+   * Waits for a response until the deadline. After that, the exchange is abandoned: its connection
+   * returns to the pool if a response arrives soon, and is closed otherwise.
    */
   async awaitAnswer(
     exchange: Promise<ExchangeResult>,
@@ -215,28 +217,29 @@
     connection: InstanceConnection,
     instance: InstanceRuntime,
   ): Promise<void> {
-    const answer = await firstWithin([exchange], ABANDON_MS);
-    const atRest = answer?.isOk() === true && answer.value.state === 'idle';
-    if (atRest) instance.pool.release(connection);
+    const answer = await firstWithin([exchange], ABANDONED_EXCHANGE_TIMEOUT_MS);
+    const isIdle = answer?.isOk() === true && answer.value.state === 'idle';
+    if (isIdle) instance.pool.release(connection);
     else connection.close();
   }
 }
 
 /**
- * A write that is sent with less time left than its answer takes would only leave its caller in doubt.
- * Bounded: an instance that was slow must be tried to be seen quicker.
+ * The minimum time left to send a statement. A write with less time than its response takes would only
+ * end as in doubt. The minimum is bounded: an instance that was slow must be tried again to show that it
+ * has become faster.
  */
-function leastTimeFor(access: Access, { pool }: InstanceRuntime): Milliseconds {
-  return access === 'write' ? Math.min(pool.health.answerMs, MOST_TIME_NEEDED_MS) : 0;
+function minTimeFor(access: Access, { pool }: InstanceRuntime): Milliseconds {
+  return access === 'write' ? Math.min(pool.health.answerMs, MAX_WRITE_TIME_NEEDED_MS) : 0;
 }
 
-function noteAttempt(trace: RequestTrace | undefined, attempt: Attempt): void {
+function recordAttempt(trace: RequestTrace | undefined, attempt: Attempt): void {
   const instance = attempt.instance.id;
   if (attempt.type === 'answered') {
-    trace?.note({ step: 'answered', instance, code: attempt.answer.error?.code });
+    trace?.record({ step: 'answered', instance, code: attempt.answer.error?.code });
   } else if (attempt.type === 'unknown') {
-    trace?.note({ step: 'unanswered', instance, fault: attempt.fault });
+    trace?.record({ step: 'unanswered', instance, fault: attempt.fault });
   } else {
-    trace?.note({ step: 'not-sent', instance, reason: attempt.refusal.text });
+    trace?.record({ step: 'not-sent', instance, reason: attempt.refusal.text });
   }
 }
--- a/src/direct/target-chooser.ts
+++ b/src/direct/target-chooser.ts
@@ -1,4 +1,4 @@
-/** Chooses the instance of a statement or transaction, and the log position that it needs there. */
+/** Chooses the instance for a statement or transaction, and the log position that it requires there. */
 import { laterPosition, type Position } from '../core/position.js';
 import type { Access } from '../core/request.js';
 import { rankInstances } from '../core/statements/instance-choice.js';
@@ -7,83 +7,83 @@
 import type { Milliseconds } from '../core/units.js';
 import type { RouteDescription } from './contract.js';
 import type { FleetPlacement } from './fleet-placement.js';
+import type { InFlightStatements } from './in-flight-statements.js';
 import type { PrimaryView } from './promotion/contract.js';
 import type { RequestTrace, TraceStep } from './request-trace.js';
 import type { InstanceRuntime, ServiceRuntime } from './service-runtime.js';
-import type { StatementsUnderWay } from './statements-under-way.js';
 import type { Tenant } from './tenant.js';
 import type { TrustProver } from './trust-prover.js';
 
 /**
- * A read must reach its instance within this, or its staleness bound may be missed; one message takes a few
- * milliseconds. Each 100 ms more keep reads from replicas that lag by nearly their bound: with 400 ms, two lagging
- * replicas left a primary 80 % busy, and days with such lag had 0.02 to 0.03 less worth (simulated days, one play each).
+ * A read must reach its instance within this time to keep its staleness bound; one message takes a few
+ * milliseconds. A larger margin excludes replicas that lag by nearly the bound and moves their reads to
+ * the primary: with 400 ms, two lagging replicas left a primary 80 % busy.
  */
 const STALENESS_MARGIN_MS = 100;
 
-/** What one session brings along to every statement. */
+/** The state of a session that its statements depend on. */
 export interface SessionContext {
   readonly values: ReadonlyMap<string, string>;
-  /** Last position that the session wrote, in the service's log. */
+  /** Position of the session's last write in the service's log. */
   readonly lastWritten: Position | undefined;
-  /** What of the session may still run at an instance, also after it was answered or given up. */
-  readonly underWay: StatementsUnderWay;
+  /** Statements of the session that an instance may still run, even after their caller got a response or a timeout. */
+  readonly inFlight: InFlightStatements;
 }
 
-/** What decides where a statement or transaction may go. */
+/** The facts that determine which instances may serve a statement or transaction. */
 export interface Placement {
   readonly access: Access;
   readonly route: RouteDescription;
   readonly tenant: Tenant;
-  /** Who asks, by the caller's key; undefined where callers need none. */
+  /** The tenant that the caller's key belongs to; undefined where callers need no key. */
   readonly account?: string | undefined;
   readonly service: ServiceRuntime;
   readonly session: SessionContext;
-  /** When the statement came. */
+  /** Arrival of the statement. */
   readonly beganAt: Milliseconds;
-  /** A transaction that may write also reads, so that it must not begin at a deposed primary. */
+  /** A transaction that may write can also read, so it must not begin at a replaced primary. */
   readonly isTransaction?: boolean;
-  /** Takes what is decided about it. */
+  /** Records the decisions about the request. */
   readonly trace?: RequestTrace;
 }
 
-/** Where a statement goes and what position it needs there. */
+/** The instance that a statement is sent to, and the log position that it requires there. */
 export interface Target {
   readonly instance: InstanceRuntime;
   readonly after: Position | undefined;
-  /** Expected times of the instances it was chosen from, by their ids. */
+  /** Expected response times of all candidates, by instance id. */
   readonly expected?: ReadonlyMap<string, Milliseconds> | undefined;
 }
 
 export interface TargetChooserOptions {
   readonly view: PrimaryView;
   readonly prover: TrustProver;
-  /** Orders the instances that may serve a read; without it each node ranks them by its own sight. */
+  /** Ranks the instances for a read by all nodes' observations; without it only this node's own count. */
   readonly placement?: FleetPlacement | undefined;
   readonly now: () => Milliseconds;
 }
 
 export class TargetChooser {
-  /** Replicas that lately lacked what a read needed. */
+  /** Replicas that recently lacked a position that a read required. */
   readonly lag = new LaggingReplicas();
 
   constructor(private readonly options: TargetChooserOptions) {}
 
-  /** The instance for a new statement or transaction, or none for now. */
+  /** The instance for a new statement or transaction; undefined if none may serve it now. */
   choose(placement: Placement, excluded: ReadonlySet<string>): Target | undefined {
     const target = this.#choose(placement, excluded);
-    this.#note(placement, target);
+    this.#recordChoice(placement, target);
     return target;
   }
 
-  #note({ service, trace }: Placement, target: Target | undefined): void {
+  #recordChoice({ service, trace }: Placement, target: Target | undefined): void {
     if (trace === undefined) return;
     const { view, now } = this.options;
     const isTrusted = view.mayTrustPrimary(service.name, now());
     const primary = view.primaryOf(service.name)?.id;
     if (target === undefined) {
       const isChanging = view.isChanging(service.name);
-      trace.note({ step: 'no-instance', primary, isTrusted, isChanging });
+      trace.record({ step: 'no-instance', primary, isTrusted, isChanging });
       return;
     }
     const sampledAt = service.samples.newestAt();
@@ -91,7 +91,7 @@
     const { instance, after, expected } = target;
     const isPrimary = instance.id === primary;
     const chosen = { step: 'chosen', instance: instance.id, isPrimary, isTrusted } as const;
-    trace.note({ ...chosen, after, sampleAgeMs, ...timesOf(instance.id, expected) });
+    trace.record({ ...chosen, after, sampleAgeMs, ...expectedTimesOf(instance.id, expected) });
   }
 
   #choose(placement: Placement, excluded: ReadonlySet<string>): Target | undefined {
@@ -102,29 +102,29 @@
     const current = readable.filter(({ id }) => !this.lag.isLikelyBehind(id, required, now));
     const candidates = current.length > 0 ? current : readable;
     const open = candidates.filter(({ id }) => !excluded.has(id));
-    // What an ill instance does to a single read is mended by another one; a transaction would stay there.
+    // A single read that probes a faulty instance can still be served by another one; a transaction would stay there.
     const mayProbe = excluded.size === 0 && placement.isTransaction !== true;
-    const chosen = this.#first(placement, open.length > 0 ? open : candidates, mayProbe);
+    const chosen = this.#selectForRead(placement, open.length > 0 ? open : candidates, mayProbe);
     return chosen && { ...chosen, after: required };
   }
 
-  /** The one of these that a read goes to. */
-  #first(
+  /** Selects one of the candidates for a read. */
+  #selectForRead(
     { service }: Placement,
     candidates: readonly InstanceRuntime[],
     mayProbe: boolean,
   ): Pick<Target, 'instance' | 'expected'> | undefined {
-    const placed = this.options.placement?.rank(service.name, candidates, mayProbe);
-    if (placed === undefined) {
+    const ranked = this.options.placement?.rank(service.name, candidates, mayProbe);
+    if (ranked === undefined) {
       const instance = rankInstances(candidates, this.options.now())[0];
       return instance && { instance };
     }
-    const instance = placed[0]?.candidate;
-    const expected = new Map(placed.map((one) => [one.candidate.id, one.expectedMs]));
+    const instance = ranked[0]?.candidate;
+    const expected = new Map(ranked.map((ranking) => [ranking.candidate.id, ranking.expectedMs]));
     return instance && { instance, expected };
   }
 
-  /** Whether a target chosen some time ago may still be used, and the position it needs now. */
+  /** Checks a target chosen earlier: returns it with the position required now, or undefined if it became invalid. */
   recheck(placement: Placement, target: Target): Target | undefined {
     const now = this.options.now();
     if (!target.instance.isUsable(now)) return undefined;
@@ -134,19 +134,19 @@
     return primary?.instance.id === target.instance.id ? primary : undefined;
   }
 
-  /** Takes whether an instance had the position that was needed there. */
-  noteAnswer(instanceId: string, needed: Position, code: StatementErrorCode | undefined): void {
+  /** Records whether an instance had reached the position that a statement required. */
+  recordAnswer(instanceId: string, needed: Position, code: StatementErrorCode | undefined): void {
     if (code === 'lagging') this.lag.recordLagging(instanceId, needed, this.options.now());
     else if (code === undefined) this.lag.recordServed(instanceId);
   }
 
-  /** True if the primary is there and answers, and only the proof that it still leads is missing. */
+  /** True if the primary is known and responds, and only the proof that it has not been replaced is missing. */
   lacksTrust(placement: Placement): boolean {
     const { view, now } = this.options;
     const { service, access } = placement;
     const primary = service.primary(now());
     if (primary === undefined || primary.pool.health.answersNothing(access)) return false;
-    return reads(placement) && !view.mayTrustPrimary(service.name, now());
+    return includesReads(placement) && !view.mayTrustPrimary(service.name, now());
   }
 
   #primaryTarget(
@@ -160,13 +160,13 @@
     const isTrusted =
       this.options.view.mayTrustPrimary(service.name, now) ||
       this.options.prover.covers(service, instance.id, beganAt);
-    if (reads(placement) && !isTrusted) return undefined;
+    if (includesReads(placement) && !isTrusted) return undefined;
     return { instance, after: access === 'read' ? after : undefined };
   }
 }
 
-/** What an instance was chosen by, and those that were passed by. */
-function timesOf(
+/** The expected response times of the chosen instance and of the others, for the trace. */
+function expectedTimesOf(
   chosenId: string,
   expected: ReadonlyMap<string, Milliseconds> | undefined,
 ): Pick<Extract<TraceStep, { step: 'chosen' }>, 'expectedMs' | 'passedBy'> {
@@ -176,11 +176,11 @@
   return { expectedMs: Math.round(expected.get(chosenId) ?? 0), passedBy };
 }
 
-function reads({ access, isTransaction }: Placement): boolean {
+function includesReads({ access, isTransaction }: Placement): boolean {
   return access === 'read' || isTransaction === true;
 }
 
-/** Without a position to ask for, only the primary is sure to have what the read must see. */
+/** Without a required position, only the primary is certain to have all commits that the read must see. */
 function needsPrimary({ access, route }: Placement, required: Position | undefined): boolean {
   return access === 'write' || route.consistency === 'primary' || required === undefined;
 }
--- a/src/direct/transaction.ts
+++ b/src/direct/transaction.ts
@@ -1,13 +1,13 @@
 /**
- * One transaction of a session: nothing is opened before its first statement, which chooses the
- * instance; from then on it owns one connection until its end.
+ * One transaction of a session. It is opened with its first statement, which determines the instance;
+ * from then on the transaction holds one connection until its end.
  */
 import type { Position } from '../core/position.js';
 import type { Access } from '../core/request.js';
 import { statementRetryPause } from '../core/retry/statement-pause.js';
 import { isNotExecuted, type StatementAnswer } from '../core/statements/statement.js';
 import type { Milliseconds } from '../core/units.js';
-import { WITHHELD } from './commit-trust.js';
+import { WRITE_WITHHELD } from './commit-trust.js';
 import type { RouteDescription } from './contract.js';
 import { InstanceQueueFullError } from './errors.js';
 import type { InstanceConnection } from './instance-connection.js';
@@ -21,32 +21,32 @@
   type StatementOutcome,
   type StatementRequest,
 } from './statement-request.js';
-import { mayAttemptAgain, type StatementRunner } from './statement-runner.js';
+import { type StatementRunner, tryUseAttempt } from './statement-runner.js';
 import { synchronise } from './synchronise.js';
 import type { Placement } from './target-chooser.js';
 import type { Tenant } from './tenant.js';
 import { firstWithin, pause } from './within.js';
 
-/** A rollback that is not answered in this time ends the connection instead. */
+/** If a rollback gets no response within this time, the connection is closed instead. */
 const ROLLBACK_TIMEOUT_MS = 2000;
 
-/** A statement inside a transaction; it must have the log position that the transaction needs. */
+/** A statement inside a transaction; the log position that the transaction requires is sent with BEGIN. */
 export type TransactionRequest = Omit<StatementRequest, 'route' | 'service'>;
 
-/** Where a transaction runs, and for whom. */
-export type TransactionPlace = Pick<Placement, 'route' | 'service' | 'tenant' | 'account'>;
+/** The route, service and tenant of a transaction. */
+export type TransactionScope = Pick<Placement, 'route' | 'service' | 'tenant' | 'account'>;
 
-/** Why a transaction could not be opened, and where that was tried. */
+/** Why a transaction could not be opened, and the instance of the attempt if one was chosen. */
 interface OpenFailure {
   readonly refusal: Refusal;
   readonly instanceId: string | undefined;
-  /** The tenant has too much waiting there. */
+  /** Too many statements of the tenant wait for the instance. */
   readonly isOverLimit?: boolean;
-  /** The members don't vouch for what it would write. */
+  /** The members don't confirm the primary for a write. */
   readonly isWithheld?: boolean;
 }
 
-function failureToOpen(instance: InstanceRuntime | undefined, text: string): OpenFailure {
+function openFailure(instance: InstanceRuntime | undefined, text: string): OpenFailure {
   return { refusal: { code: 'busy', text }, instanceId: instance?.id };
 }
 
@@ -54,18 +54,18 @@
   #connection: InstanceConnection | undefined;
   #instance: InstanceRuntime | undefined;
   #wrote = false;
-  /** A statement without an answer may still be handed to its instance. */
+  /** A statement without a response may still be delivered to its instance by the owner. */
   #mayRunLate = false;
 
   readonly route: RouteDescription;
   readonly service: ServiceRuntime;
   readonly tenant: Tenant;
-  /** Whose it is from its beginning to its end; undefined where callers give no keys. */
+  /** The tenant that the transaction belongs to until its end; undefined where callers send no keys. */
   readonly account: string | undefined;
 
   constructor(
     readonly readOnly: boolean,
-    { route, service, tenant, account }: TransactionPlace,
+    { route, service, tenant, account }: TransactionScope,
     private readonly runner: StatementRunner,
   ) {
     this.route = route;
@@ -74,16 +74,16 @@
     this.account = account;
   }
 
-  /** Runs one statement. An outcome with an error means that the transaction has failed. */
+  /** Runs one statement. If the outcome is an error, the transaction has failed. */
   async run(request: TransactionRequest): Promise<StatementOutcome> {
     if (this.#connection === undefined) return this.#runFirst(request);
     const outcome = await this.#runNext(request);
-    if (succeeded(outcome)) this.#noteRun(request.access);
+    if (succeeded(outcome)) this.#recordStatement(request.access);
     else this.abandon();
     return outcome;
   }
 
-  /** Commits. `request.encode` gives the commit's message. */
+  /** Commits the transaction; `request.encode` returns the commit message. */
   async commit(request: TransactionRequest): Promise<StatementOutcome> {
     if (this.#connection === undefined) {
       const refusal = await this.#open(request);
@@ -97,7 +97,7 @@
     return this.#sendCommit(request, connection, instance);
   }
 
-  /** Gives the connection back after a rollback; nothing of the transaction is kept. */
+  /** Rolls the transaction back and releases its connection. */
   abandon(): void {
     const connection = this.#connection;
     const instance = this.#instance;
@@ -114,28 +114,32 @@
     const { now } = this.runner.options;
     if (this.#wrote && !(await this.#maySend(request, instance))) {
       void rollBack(connection, instance, this.runner.options.wire.encodeRollback());
-      return refuse('aborted', `${WITHHELD.text}; rolled back`);
+      return refuse('aborted', `${WRITE_WITHHELD.text}; rolled back`);
     }
     const sentAt = now();
     const endWrite = this.service.beginWrite();
-    request.trace?.note({ step: 'sent', instance: instance.id, through: throughOf(connection) });
+    request.trace?.record({
+      step: 'sent',
+      instance: instance.id,
+      through: connectionSourceOf(connection),
+    });
     const exchange = connection.exchange(request.encode(undefined));
-    // Whatever became of the commit of a transaction that wrote nothing, it may be repeated.
+    // A transaction that wrote nothing may be repeated whether or not its commit took effect, so it need not wait long.
     const deadline = this.#wrote
       ? request.deadline
       : Math.min(request.deadline, sentAt + instance.pool.health.patienceMs);
     const endWatch = instance.pool.health.watchAnswer(this.#wrote ? 'write' : 'read');
     const answer = await this.runner.attempts.awaitAnswer(exchange, connection, instance, deadline);
-    const silent = answer === undefined && this.#wrote;
-    const silentForMs = instance.pool.health.silentForMs(silent ? 'write' : 'read');
+    const isSilentCommit = answer === undefined && this.#wrote;
+    const silentForMs = instance.pool.health.silentForMs(isSilentCommit ? 'write' : 'read');
     endWatch(answer?.isOk() === true);
     endWrite();
     if (answer === undefined || answer.isErr()) {
       const lost = { request: this, instance, connection, answer, sentAt };
-      this.runner.feedback.noteNoAnswer(lost, silent ? 'commit' : 'reach', silentForMs);
+      this.runner.feedback.noteNoAnswer(lost, isSilentCommit ? 'commit' : 'reach', silentForMs);
       const fault = faultOf(answer);
-      request.trace?.note({ step: 'unanswered', instance: instance.id, fault });
-      // Without a write, nothing is kept whatever became of the commit.
+      request.trace?.record({ step: 'unanswered', instance: instance.id, fault });
+      // Without a write, the commit changed nothing, whether or not it took effect.
       return this.#wrote
         ? refuse('in-doubt', 'no answer to a commit')
         : refuse('aborted', 'no answer to the commit of a transaction that wrote nothing');
@@ -148,9 +152,9 @@
         this.runner.feedback.noteSuccess(this.service, this.#wrote ? 'write' : 'read');
     }
     const { error } = answer.value;
-    // How long it took to reach the replicas says nothing of the next statement.
+    // The duration is left out: it includes replication and says nothing about the next statement.
     instance.pool.health.noteOutcome(error?.code);
-    request.trace?.note({ step: 'answered', instance: instance.id, code: error?.code });
+    request.trace?.record({ step: 'answered', instance: instance.id, code: error?.code });
     const outcome = { type: 'answered' as const, answer: answer.value };
     if (!this.#wrote) return outcome;
     return this.runner.commits.confirm(this.service, instance, outcome, request.trace);
@@ -174,12 +178,12 @@
       if (failure !== undefined) return { type: 'refused', refusal: failure };
       const outcome = await this.#runNext(request);
       if (succeeded(outcome)) {
-        this.#noteRun(request.access);
+        this.#recordStatement(request.access);
         return outcome;
       }
       if (this.#instance !== undefined) excluded.add(this.#instance.id);
       this.abandon();
-      const retry = this.#refusalToRetry(outcome);
+      const retry = this.#retryableRefusal(outcome);
       if (retry === undefined) return outcome;
       refusal = retry;
       refusals += 1;
@@ -189,11 +193,11 @@
   }
 
   /**
-   * The refusal, if the whole transaction so far may be begun again at another instance. Its first
-   * statement must not run there while it may still run where it was sent before: the two would stand
-   * in different transactions. The caller repeats it under another id.
+   * The refusal, if the transaction may be restarted at another instance after its first statement failed.
+   * The statement must not be sent there while it may still run at the first instance: it would be part of
+   * two different transactions. In that case the caller repeats it under another id.
    */
-  #refusalToRetry(outcome: StatementOutcome): Refusal | undefined {
+  #retryableRefusal(outcome: StatementOutcome): Refusal | undefined {
     if (this.#mayRunLate) return undefined;
     if (outcome.type === 'refused')
       return outcome.refusal.code === 'aborted' ? outcome.refusal : undefined;
@@ -220,8 +224,12 @@
       synchronise(connection, request.session.values, request.prepared, wire);
       const exchange = connection.exchange(request.encode(undefined));
       connection.uncork();
-      request.trace?.note({ step: 'sent', instance: instance.id, through: throughOf(connection) });
-      // Nothing of an open transaction is kept once its connection is closed: the caller may repeat it.
+      request.trace?.record({
+        step: 'sent',
+        instance: instance.id,
+        through: connectionSourceOf(connection),
+      });
+      // Closing the connection rolls the open transaction back, so after a timeout the caller may repeat it.
       const patienceMs = Math.min(request.deadline - now(), instance.pool.health.patienceMs);
       const endWatch = instance.pool.health.watchAnswer('read');
       const answer = await firstWithin([exchange], patienceMs);
@@ -229,10 +237,10 @@
       endWatch(answer?.isOk() === true);
       if (answer?.isOk()) {
         const { error } = answer.value;
-        request.trace?.note({ step: 'answered', instance: instance.id, code: error?.code });
+        request.trace?.record({ step: 'answered', instance: instance.id, code: error?.code });
       } else {
         const fault = faultOf(answer);
-        request.trace?.note({ step: 'unanswered', instance: instance.id, fault });
+        request.trace?.record({ step: 'unanswered', instance: instance.id, fault });
       }
       if (answer === undefined) {
         this.#mayRunLate = connection.mayRunLate;
@@ -256,7 +264,7 @@
     }
   }
 
-  /** Opens the transaction at an instance; gives why not, if it can't. */
+  /** Opens the transaction at an instance; returns a refusal if it can't. */
   async #open(
     request: TransactionRequest,
     excluded = new Set<string>(),
@@ -265,7 +273,7 @@
     let refusal: Refusal = { code: 'busy', text: 'no instance' };
     let attempts = 0;
     let rounds = 0;
-    while (now() < request.deadline && mayAttemptAgain(request, attempts)) {
+    while (now() < request.deadline && tryUseAttempt(request, attempts)) {
       const failure = await this.#openOnce(request, excluded);
       if (failure === undefined) return undefined;
       refusal = failure.refusal;
@@ -278,7 +286,7 @@
       if (instanceId !== undefined) attempts += 1;
       const isFresh = instanceId !== undefined && !excluded.has(instanceId);
       if (isFresh) excluded.add(instanceId);
-      // Another instance is tried at once; only a round without success is worth a pause.
+      // Another instance is tried immediately; only after all have failed is there a pause.
       if (isFresh && excluded.size < this.service.readable(now()).length) continue;
       if (failure.isOverLimit === true) break;
       excluded.clear();
@@ -295,10 +303,10 @@
     const { now, wire } = this.runner.options;
     const placement = this.#placement(request);
     const chosen = this.runner.targets.choose(placement, excluded);
-    if (chosen === undefined) return failureToOpen(undefined, 'no primary');
+    if (chosen === undefined) return openFailure(undefined, 'no primary');
     const { instance } = chosen;
     if (!this.readOnly && !(await this.#maySend(request, instance))) {
-      return { refusal: WITHHELD, instanceId: undefined, isWithheld: true };
+      return { refusal: WRITE_WITHHELD, instanceId: undefined, isWithheld: true };
     }
     const { values } = request.session;
     const cancelledBy = this.runner.attempts.cancellationsOf(this.service, instance);
@@ -306,7 +314,7 @@
     if (acquired.isErr()) {
       this.runner.feedback.noteUnreachable(placement, instance, acquired.error);
       const reason = acquired.error.code;
-      request.trace?.note({ step: 'not-sent', instance: instance.id, reason });
+      request.trace?.record({ step: 'not-sent', instance: instance.id, reason });
       const isOverLimit = acquired.error instanceof InstanceQueueFullError;
       return { refusal: refusalOf(acquired.error), instanceId: instance.id, isOverLimit };
     }
@@ -315,8 +323,8 @@
     if (target === undefined) {
       instance.pool.release(connection);
       const reason = 'the primary changed';
-      request.trace?.note({ step: 'not-sent', instance: instance.id, reason });
-      return failureToOpen(undefined, reason);
+      request.trace?.record({ step: 'not-sent', instance: instance.id, reason });
+      return openFailure(undefined, reason);
     }
     const sentAt = now();
     connection.cork();
@@ -331,11 +339,11 @@
       connection.close();
       const lost = { request: placement, instance, connection, answer: begun, sentAt };
       this.runner.feedback.noteNoAnswer(lost);
-      request.trace?.note({ step: 'unanswered', instance: instance.id, fault: faultOf(begun) });
-      return failureToOpen(instance, 'no answer to BEGIN');
+      request.trace?.record({ step: 'unanswered', instance: instance.id, fault: faultOf(begun) });
+      return openFailure(instance, 'no answer to BEGIN');
     }
     if (target.after !== undefined) {
-      this.runner.targets.noteAnswer(instance.id, target.after, begun.value.error?.code);
+      this.runner.targets.recordAnswer(instance.id, target.after, begun.value.error?.code);
     }
     if (begun.value.error?.code === 'busy') instance.pool.health.noteBusy();
     if (begun.value.error !== undefined || begun.value.state !== 'open') {
@@ -366,12 +374,12 @@
     return this.readOnly ? after : undefined;
   }
 
-  #noteRun(access: Access): void {
+  #recordStatement(access: Access): void {
     if (access === 'write') this.#wrote = true;
   }
 }
 
-function throughOf(connection: InstanceConnection): 'own' | 'owner' {
+function connectionSourceOf(connection: InstanceConnection): 'own' | 'owner' {
   return connection.giveBack === undefined ? 'own' : 'owner';
 }
 
@@ -379,7 +387,7 @@
   return outcome.type === 'answered' && outcome.answer.error === undefined;
 }
 
-/** The instance did not run the statement, and the transaction is as it was. */
+/** True if the instance has not run the statement and the transaction is still open. */
 function mayRepeat(answer: StatementAnswer): boolean {
   if (answer.error === undefined || answer.state !== 'open') return false;
   return answer.error.code === 'busy' || answer.error.code === 'unprepared';
--- a/test/unit/direct/caller-session.test.ts
+++ b/test/unit/direct/caller-session.test.ts
@@ -1,4 +1,4 @@
-/** A session's own rules: what it answers by itself, and in which order. */
+/** Responses that a caller session gives without an instance, and their order. */
 import { setTimeout as pause } from 'node:timers/promises';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -7,7 +7,7 @@
 import type { RequestEnd } from '../../../src/direct/request-log.js';
 import { ROUTE, sessionDependencies, tenantWith } from '../../support/caller-session-fixture.js';
 
-/** The session's own pauses do not keep a process alive. */
+/** The session's timers do not keep the process alive. */
 const KEEP_ALIVE_MS = 1000;
 let keepAlive: NodeJS.Timeout | undefined;
 
@@ -26,10 +26,10 @@
     write: (text) => lines.push(...text.split('\r\n').filter((line) => line !== '')),
     end: () => ended.push(true),
   });
-  /** Resolves once the session is at rest again. */
+  /** Resolves once the message has been answered. */
   const send = (line: string): Promise<void> =>
     new Promise((resolve) => {
-      session.onRest = resolve;
+      session.onAllAnswered = resolve;
       session.receive(lineWire.decodeCallerMessage(line));
     });
   return { session, lines, ends, ended, send };
@@ -60,7 +60,7 @@
     [2, 450],
   ] as const) {
     const dependencies = sessionDependencies(tenantWith({ priority }));
-    const refusal = { code: 'busy', text: 'too many statements wait', isForWantOfRoom: true };
+    const refusal = { code: 'busy', text: 'too many statements wait', isForLackOfCapacity: true };
     const runner = Object.assign(Object.create(dependencies.runner), {
       run: async () => ({ type: 'refused', refusal }),
     });
@@ -70,11 +70,11 @@
       write: (text) => lines.push(...text.split('\r\n').filter((line) => line !== '')),
     });
     await new Promise<void>((resolve) => {
-      session.onRest = resolve;
+      session.onAllAnswered = resolve;
       session.receive(lineWire.decodeCallerMessage('START orders u1'));
     });
     await new Promise<void>((resolve) => {
-      session.onRest = resolve;
+      session.onAllAnswered = resolve;
       session.receive(lineWire.decodeCallerMessage('QUERY 1 READ key'));
     });
     assert.is(lines.at(-2), `ERROR BUSY too many statements wait; retry after ${told} ms`);
@@ -138,28 +138,28 @@
   const { session, lines, send } = startSession();
   await send('START orders u1');
   await send('QUERY 1 BEGIN');
-  session.tellToLeave();
+  session.notifyStop();
   assert.match(lines.at(-1) ?? '', /^ERROR ABORTED .*retry after \d+ ms$/);
 });
 
 /**
- * Its transaction was ended for resting too long, of which it hears with its next statement. The node stopped first,
- * and its connection ended without a word, as if the transaction were open still.
+ * The idle timeout aborts a transaction, which the caller learns with its next statement. If the node stops before that,
+ * the stop notice must report it: the connection used to end without one, as if the transaction were still open.
  */
 test('a caller whose transaction was ended before the node stops is told so too', async () => {
   const { session, lines, send } = startSession(tenantWith(), 1);
   await send('START orders u1');
   await send('QUERY 1 BEGIN');
   await pause(ROUTE.timeoutMs);
-  session.tellToLeave();
+  session.notifyStop();
   assert.match(lines.at(-1) ?? '', /^ERROR ABORTED .*retry after \d+ ms$/);
 });
 
 test('one that rests outside any transaction when the node stops is told once to go elsewhere', async () => {
   const { session, lines, send } = startSession();
   await send('START orders u1');
-  session.tellToLeave();
-  session.tellToLeave();
+  session.notifyStop();
+  session.notifyStop();
   assert.is(lines.length, 2);
   assert.match(lines[1] ?? '', /^ERROR BUSY .*retry after \d+ ms$/);
 });
@@ -167,10 +167,10 @@
 test('one that was told to leave, and asks all the same, is refused and told again', async () => {
   const { session, lines, send } = startSession();
   await send('START orders u1');
-  session.tellToLeave();
+  session.notifyStop();
   await send('QUERY 1 SET role clerk');
   assert.equal(lines.slice(2), ['READY I -']);
-  session.tellToLeave();
+  session.notifyStop();
   assert.match(lines.at(-1) ?? '', /^ERROR BUSY /);
 });
 
@@ -178,7 +178,7 @@
   const { session, lines, send } = startSession();
   await send('START orders u1');
   await send('QUERY 1 BEGIN');
-  session.tellToLeave();
+  session.notifyStop();
   await send('QUERY 2 ROLLBACK');
   assert.match(lines.at(-2) ?? '', /^ERROR ABORTED /);
   assert.is(lines.at(-1), 'READY I -');
@@ -186,7 +186,7 @@
 
 test('a caller that has not started when the node stops is refused and its connection ended', () => {
   const { session, lines, ended } = startSession();
-  session.tellToLeave();
+  session.notifyStop();
   assert.match(lines.join(), /^ERROR BUSY .*retry after \d+ ms$/);
   assert.equal(ended, [true]);
 });
@@ -198,7 +198,7 @@
   await new Promise((resolve) => setImmediate(resolve));
   receive('QUERY 1 READ key');
   receive('QUERY 2 READ key');
-  session.giveUp();
+  session.cutOff();
   const toldThen = [...lines];
   assert.match(toldThen[1] ?? '', /^ERROR TIMEOUT /);
   assert.is(toldThen[2], 'READY I -');
@@ -212,7 +212,7 @@
 test('a start that is owed when the node ends is refused', async () => {
   const { session, lines, ended } = startSession();
   session.receive(lineWire.decodeCallerMessage('START orders u1'));
-  session.giveUp();
+  session.cutOff();
   assert.match(lines[0] ?? '', /^ERROR BUSY /);
   await new Promise((resolve) => setImmediate(resolve));
   assert.is(lines.length, 1);
@@ -222,7 +222,7 @@
 test('a caller at rest when the node ends hears nothing', async () => {
   const { session, lines, ended, send } = startSession();
   await send('START orders u1');
-  session.giveUp();
+  session.cutOff();
   assert.equal(lines, ['READY I -']);
   assert.equal(ended, [true]);
 });
--- a/test/unit/direct/planned-stop.test.ts
+++ b/test/unit/direct/planned-stop.test.ts
@@ -1,11 +1,11 @@
 /**
- * The planned stop of a node that lends connections. Its own callers have left, and it waits for other nodes to give back
- * what they were lent. A caller that came meanwhile was taken, and cut in the middle of its request at the end of that wait.
+ * The planned stop of a node that lends connections. After its own callers have left, it waits for other nodes to return
+ * the connections. A caller accepted during this wait would be cut off in the middle of its request at the end of it.
  */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { CallerServer } from '../../../src/direct/caller-server.js';
-import { endSessions, type StopParts } from '../../../src/direct/planned-stop.js';
+import { endSessions, type StopOptions } from '../../../src/direct/planned-stop.js';
 import { ROUTE, sessionDependencies } from '../../support/caller-session-fixture.js';
 import { LineClient } from '../../support/line-client.js';
 
@@ -16,7 +16,7 @@
 
 test.after.each(() => server.close());
 
-/** Its `waiting` resolves once the stop waits for what was lent; `giveBack` ends that. */
+/** `waiting` resolves once the stop waits for lent connections; `giveBack` ends that wait. */
 function lendingRelay() {
   let giveBack = (): void => {};
   const givenBack = new Promise<void>((resolve) => {
@@ -26,7 +26,7 @@
   const waiting = new Promise<void>((resolve) => {
     tellWaiting = resolve;
   });
-  const relay: StopParts['relay'] = {
+  const relay: StopOptions['relay'] = {
     stopGranting: () => {},
     drained: () => {
       tellWaiting();
--- a/test/unit/direct/statement-runner.test.ts
+++ b/test/unit/direct/statement-runner.test.ts
@@ -1,4 +1,4 @@
-/** When a statement without a target waits, and for what. */
+/** Waits, retries and refusals of statements outside any transaction. */
 import { err, ok } from 'neverthrow';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -7,13 +7,13 @@
 import { Cancellation, listenToAll } from '../../../src/direct/cancellation.js';
 import type { RouteDescription } from '../../../src/direct/contract.js';
 import { InstanceConnectError, InstanceWaitTimeoutError } from '../../../src/direct/errors.js';
+import { InFlightStatements } from '../../../src/direct/in-flight-statements.js';
 import type { InstanceConnection } from '../../../src/direct/instance-connection.js';
 import type { InstancePool } from '../../../src/direct/instance-pool.js';
 import type { PrimaryView } from '../../../src/direct/promotion/contract.js';
 import type { InstanceRuntime, ServiceRuntime } from '../../../src/direct/service-runtime.js';
 import type { StatementOutcome, StatementRequest } from '../../../src/direct/statement-request.js';
 import { StatementRunner } from '../../../src/direct/statement-runner.js';
-import { StatementsUnderWay } from '../../../src/direct/statements-under-way.js';
 import type { Placement } from '../../../src/direct/target-chooser.js';
 import { Tenant } from '../../../src/direct/tenant.js';
 import { ROUTE_TEMPLATES } from '../../../src/direct/tenant-templates.generated.js';
@@ -25,7 +25,7 @@
 const TARGET_LATENCY_MS = 100;
 const DEADLINE_MS = 1000;
 const SHORT_WAIT_MS = 20;
-/** A deadline that a busy machine does not reach. */
+/** A deadline that is not reached even on a busy machine. */
 const LONG_MS = 60_000;
 const ROUTE: RouteDescription = {
   ...{ name: 'orders', database: 'orders', service: 'ledger', consistency: 'primary' },
@@ -36,7 +36,7 @@
   return new Tenant(ROUTE.name, resolveRoutePolicy(ROUTE_TEMPLATES, ROUTE.consistency, ROUTE));
 }
 
-/** Pauses of the code under test don't keep the process alive by themselves. */
+/** The pauses of the code under test do not keep the process alive. */
 const keepAlive = setInterval(() => {}, 1000);
 test.after(() => clearInterval(keepAlive));
 
@@ -64,7 +64,7 @@
   };
 }
 
-/** A primary whose lease has lapsed and whose members all answer, so that every proof succeeds. */
+/** A node whose lease has expired while all members respond, so that every proof of the primary succeeds. */
 function withoutLease(answersNothing: boolean): Situation {
   let proofs = 0;
   const prover = {
@@ -87,7 +87,7 @@
     beganAt: 0,
     route: ROUTE,
     tenant: newTenant(),
-    session: { values: new Map(), lastWritten: undefined, underWay: new StatementsUnderWay() },
+    session: { values: new Map(), lastWritten: undefined, inFlight: new InFlightStatements() },
   } as unknown as Placement;
   return { runner, placement, proofs: () => proofs };
 }
@@ -138,7 +138,7 @@
     deadline: DEADLINE_MS,
     route: ROUTE,
     tenant: newTenant(),
-    session: { values: new Map(), lastWritten: undefined, underWay: new StatementsUnderWay() },
+    session: { values: new Map(), lastWritten: undefined, inFlight: new InFlightStatements() },
   } as unknown as StatementRequest);
   assert.is(outcome.type, 'refused');
   assert.ok(openings < TARGET_LATENCY_MS);
@@ -155,7 +155,7 @@
   assert.is(await late.awaitTarget(placement), false);
 });
 
-/** What a write gets whose primary is replaced while it waits for a connection, and where it ran. */
+/** Outcome of a write whose primary is replaced while it waits for a connection, and the instances it was sent to. */
 async function writeDuringChange(
   change: { readonly isOverAtOnce: boolean },
   clock: () => number,
@@ -217,14 +217,14 @@
   const outcome = await runner.run({
     ...{ access: 'write', service, beganAt, deadline: beganAt + LONG_MS, tenant: newTenant() },
     ...{ route: ROUTE, prepared: undefined },
-    session: { values: new Map(), lastWritten: undefined, underWay: new StatementsUnderWay() },
+    session: { values: new Map(), lastWritten: undefined, inFlight: new InFlightStatements() },
     encode: () => lineWire.encodeStatement('s1', 'WRITE k v', undefined),
   });
   return { outcome, sent };
 }
 
 test('a write that waits for a connection to a primary goes to the next one when that is replaced', async () => {
-  // There is no primary for a moment.
+  // For a moment there is no primary.
   const { outcome, sent } = await writeDuringChange({ isOverAtOnce: false }, () =>
     performance.now(),
   );
@@ -235,7 +235,7 @@
 test('a write that hears of a change only when it is over goes to the next primary, however long it waited', async () => {
   let time = 0;
   const clock = (): number => {
-    // Each look at the clock finds more than the write's patience gone.
+    // Every reading of the clock advances it by more than the write's `untriedPatienceMs`.
     time += TARGET_LATENCY_MS;
     return time;
   };
@@ -279,7 +279,7 @@
   let time = 0;
   const runner = new StatementRunner({
     ...{ wire: lineWire, view: primaryView(true), prover: {} as unknown as TrustProver },
-    // Time stands still but for the pauses, each of which is a few looks.
+    // Each reading of the clock advances it only a little, so that the deadline is not reached.
     now: () => {
       time += 0.1;
       return time;
@@ -290,7 +290,7 @@
   const outcome = await runner.run({
     ...{ access: 'read', service, beganAt: 0, deadline: LONG_MS, tenant: newTenant(), route },
     prepared: undefined,
-    session: { values: new Map(), lastWritten: undefined, underWay: new StatementsUnderWay() },
+    session: { values: new Map(), lastWritten: undefined, inFlight: new InFlightStatements() },
     encode: () => lineWire.encodeStatement('s1', 'READ k', undefined),
   });
   assert.is(outcome.type, 'answered');
@@ -303,12 +303,12 @@
   /** Instances that were sent the read. */
   readonly sent: readonly string[];
   readonly released: () => number;
-  readonly underWay: StatementsUnderWay;
+  readonly inFlight: InFlightStatements;
 }
 
 /**
- * A read whose first instance has no free connection until it was answered by the second one, which
- * is tried meanwhile.
+ * A read whose first instance has a free connection only after the second one, which is tried meanwhile, has
+ * responded.
  */
 async function readWithLateConnection(): Promise<Read> {
   const sent: string[] = [];
@@ -346,26 +346,26 @@
   const view = primaryView(true);
   const prover = {} as unknown as TrustProver;
   const runner = new StatementRunner({ wire: lineWire, view, prover, now, random: () => 0 });
-  const underWay = new StatementsUnderWay();
+  const inFlight = new InFlightStatements();
   const beganAt = now();
   const outcome = await runner.run({
     ...{ access: 'read', service, beganAt, deadline: beganAt + LONG_MS, tenant: newTenant() },
     route: { ...ROUTE, consistency: 'bounded-staleness', maxStalenessMs: 1500 },
-    session: { values: new Map(), lastWritten: undefined, underWay },
+    session: { values: new Map(), lastWritten: undefined, inFlight },
     prepared: undefined,
     encode: () => lineWire.encodeStatement('s1', 'READ k', undefined),
   });
   free?.();
   await pause(1);
-  return { outcome, sent, released: () => released, underWay };
+  return { outcome, sent, released: () => released, inFlight };
 }
 
 test('a read that has been answered elsewhere is not sent once a connection is free', async () => {
-  const { outcome, sent, released, underWay } = await readWithLateConnection();
+  const { outcome, sent, released, inFlight } = await readWithLateConnection();
   assert.is(outcome.type, 'answered');
   assert.equal(sent, ['replica-2']);
   assert.is(released(), 2);
-  assert.ok(await underWay.ended(0));
+  assert.ok(await inFlight.waitForEnd(0));
 });
 
 interface LateWrite {
@@ -373,7 +373,7 @@
   readonly sent: number;
 }
 
-/** A write that gets a connection with so much time left, at an instance that lately took so long. */
+/** A write that gets its connection `leftMs` before its deadline, at an instance with the given response time. */
 async function writeWithTimeLeft(leftMs: number, answerMs: number): Promise<LateWrite> {
   let time = 0;
   let sent = 0;
@@ -407,7 +407,7 @@
   const outcome = await runner.run({
     ...{ access: 'write', service, beganAt: 0, deadline: DEADLINE_MS, tenant: newTenant() },
     ...{ route: ROUTE, prepared: undefined },
-    session: { values: new Map(), lastWritten: undefined, underWay: new StatementsUnderWay() },
+    session: { values: new Map(), lastWritten: undefined, inFlight: new InFlightStatements() },
     encode: () => lineWire.encodeStatement('s1', 'WRITE k v', undefined),
   });
   return { outcome, sent };
@@ -449,14 +449,14 @@
   const runner = new StatementRunner({ wire: lineWire, view, prover, now, random: () => 0 });
   const tenant = newTenant();
   let retries = 0;
-  tenant.mayRetry = () => {
+  tenant.tryTakeRetry = () => {
     retries += 1;
     return true;
   };
   const outcome = await runner.run({
     ...{ access: 'write', service, beganAt: 0, deadline: DEADLINE_MS, tenant },
     ...{ route: ROUTE, prepared: undefined },
-    session: { values: new Map(), lastWritten: undefined, underWay: new StatementsUnderWay() },
+    session: { values: new Map(), lastWritten: undefined, inFlight: new InFlightStatements() },
     encode: () => lineWire.encodeStatement('s1', 'WRITE k v', undefined),
   });
   assert.is(outcome.type === 'refused' && outcome.refusal.code, 'busy');
@@ -470,7 +470,7 @@
   assert.is((await writeWithTimeLeft(20, 5000)).sent, 0);
 });
 
-/** Uses of the primary that a write without an answer reported as failed. */
+/** Number of primary failures reported by a write without a response. */
 async function reportedAfterSilence(patienceMs: number): Promise<number> {
   let reports = 0;
   const connection = {
@@ -507,7 +507,7 @@
   await runner.run({
     ...{ access: 'write', service, beganAt, deadline: beganAt + SHORT_WAIT_MS },
     ...{ route: ROUTE, tenant: newTenant(), prepared: undefined, encode: () => '' },
-    session: { values: new Map(), lastWritten: undefined, underWay: new StatementsUnderWay() },
+    session: { values: new Map(), lastWritten: undefined, inFlight: new InFlightStatements() },
   } as unknown as StatementRequest);
   return reports;
 }
--- a/test/unit/direct/transaction.test.ts
+++ b/test/unit/direct/transaction.test.ts
@@ -1,4 +1,4 @@
-/** What becomes of a transaction whose first statement gets no answer. */
+/** Whether a transaction is restarted at another instance when its first statement gets no response. */
 import { err, ok } from 'neverthrow';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -7,18 +7,18 @@
 import { resolveRoutePolicy } from '../../../src/core/tenancy/route-template.js';
 import type { RouteDescription } from '../../../src/direct/contract.js';
 import { InstanceConnectionLostError } from '../../../src/direct/errors.js';
+import { InFlightStatements } from '../../../src/direct/in-flight-statements.js';
 import type { AnswerResult, InstanceConnection } from '../../../src/direct/instance-connection.js';
 import type { PrimaryView } from '../../../src/direct/promotion/contract.js';
 import type { InstanceRuntime, ServiceRuntime } from '../../../src/direct/service-runtime.js';
 import { StatementRunner } from '../../../src/direct/statement-runner.js';
-import { StatementsUnderWay } from '../../../src/direct/statements-under-way.js';
 import { Tenant } from '../../../src/direct/tenant.js';
 import { ROUTE_TEMPLATES } from '../../../src/direct/tenant-templates.generated.js';
 import { Transaction, type TransactionRequest } from '../../../src/direct/transaction.js';
 import type { TrustProver } from '../../../src/direct/trust-prover.js';
 import { steadyHealth } from '../../support/steady-health.js';
 
-/** A busy machine does not reach it. */
+/** Not reached even on a busy machine. */
 const DEADLINE_MS = 60_000;
 const PATIENCE_MS = 10;
 const ROUTE: RouteDescription = {
@@ -36,7 +36,7 @@
 const keepAlive = setInterval(() => {}, 1000);
 test.after(() => clearInterval(keepAlive));
 
-/** Two replicas; the first one that is asked answers a statement, after BEGIN, as the test says. */
+/** Two replicas. The first statement after BEGIN gets `firstAnswer`; later ones succeed. */
 function situation(mayRunLate: boolean, firstAnswer: Promise<AnswerResult>) {
   const asked: string[] = [];
   const replica = (id: string): InstanceRuntime => {
@@ -75,7 +75,7 @@
   const beganAt = now();
   const req: TransactionRequest = {
     ...{ access: 'read', tenant, prepared: undefined, beganAt, deadline: beganAt + DEADLINE_MS },
-    session: { values: new Map(), lastWritten: undefined, underWay: new StatementsUnderWay() },
+    session: { values: new Map(), lastWritten: undefined, inFlight: new InFlightStatements() },
     encode: () => lineWire.encodeStatement('s1', 'READ k', undefined),
   };
   return { run: () => transaction.run(req), asked };
