--- a/src/direct/instance-pool.ts
+++ b/src/direct/instance-pool.ts
@@ -40,7 +40,7 @@
 export interface InstancePoolOptions {
   readonly wire: StatementWire;
   readonly connectTimeoutMs: Milliseconds;
-  /** Delay before the next attempt after a connection failed to open. */
+  /** Maximum delay before the next attempt after a connection failed to open; at least half of it is waited. */
   readonly reconnectDelayMs: Milliseconds;
   readonly now: () => Milliseconds;
   readonly random: () => number;
@@ -109,7 +109,7 @@
   return { ...own, deadline, cancelledBy: [] };
 }
 
-/** The delay doubles with each failure: with a first delay of 200 ms it reaches 0.4 s. */
+/** Cap on consecutive failures that count: the maximum delay doubles once, from 200 ms to 0.4 s. */
 const MAX_BACKOFF_STEPS = 2;
 /** A connection above the soft limit is closed when it has been idle for this time. */
 const SURPLUS_IDLE_TIMEOUT_MS = 3000;
