--- a/src/direct/admission.ts
+++ b/src/direct/admission.ts
@@ -1,6 +1,6 @@
 /**
- * Whether a caller may have anything run now: its key is held by a tenant, this node can show that it still was lately,
- * and the tenant is within its quota.
+ * Decides whether a caller may run statements: a tenant must hold the caller's key, and this node's configuration must
+ * be proven recent enough to rule out that the key was revoked. A tenant's quota is checked elsewhere and counted here.
  */
 import { KeyRing } from '../core/tenancy/key-ring.js';
 import { RevocationBound } from '../core/tenancy/revocation.js';
@@ -8,54 +8,55 @@
 import type { PublishedConfiguration, RouteDescription, TenantDescription } from './contract.js';
 import type { Refusal } from './statement-request.js';
 
-/** A node out of touch may be in touch again soon; another node may be in touch now. */
-const UNPROVEN_RETRY_MS: Milliseconds = 500;
+/** This node may reach the store again soon, and another node may reach it now. */
+const UNCONFIRMED_KEY_RETRY_MS: Milliseconds = 500;
 
-/** Counted since the start. */
+/** Counts since the process started. */
 export interface AdmissionCounters {
-  /** Refused since no tenant holds the key. */
+  /** Refused because no tenant holds the key. */
   keysUnknown: number;
-  /** Refused since the configuration may be older than the operator's bound allows. */
+  /** Refused because the configuration may be older than the operator's bound allows. */
   keysUnproven: number;
-  /** Refused since the tenant has used up its quota. */
+  /** Refused because the tenant has used up its quota. */
   quotaRefusals: number;
-  /** Refused since no node could be asked for the tenant's quota. */
+  /** Refused because no node that grants the tenant's permits could be reached. */
   quotaUnknown: number;
-  /** Questions to other nodes for quotas. */
+  /** Requests to other nodes for quota permits. */
   quotaAsked: number;
 }
 
-/** Who asks, or why nothing is run for it. */
-export type Admittance =
-  /** The tenant's name; undefined where callers need no key. */
+/** The tenant that the caller belongs to, or the reason for a refusal. */
+export type AdmissionDecision =
+  /** `account` is the tenant's name; undefined where callers need no key. */
   | { readonly type: 'admitted'; readonly account: string | undefined }
   | { readonly type: 'refused'; readonly refusal: Refusal };
 
 export interface AdmissionOptions {
-  /** Absent where only nodes in touch with the store are bound by what the operator takes away. */
+  /** Time after which a revocation binds every node; undefined if it binds only nodes that reach the store. */
   readonly revocationMs: Milliseconds | undefined;
-  /** When the store surely had no newer configuration than this node; undefined if it never was asked. */
+  /** Last time at which the store provably had no newer configuration than this node; undefined if that is unknown. */
   readonly configurationProvenAt: () => Milliseconds | undefined;
   readonly counters: AdmissionCounters;
   readonly now: () => Milliseconds;
 }
 
-const NO_ACCOUNT: Admittance = { type: 'admitted', account: undefined };
+const NO_ACCOUNT: AdmissionDecision = { type: 'admitted', account: undefined };
 const UNKNOWN_KEY: Refusal = { code: 'unknown-key', text: 'no tenant holds this key' };
 
 export class Admission {
-  readonly #bound: RevocationBound | undefined;
-  /** Undefined where callers give no keys. */
+  readonly #revocationBound: RevocationBound | undefined;
+  /** Undefined where callers send no keys. */
   #keys: KeyRing | undefined;
   #tenants: ReadonlyMap<string, TenantDescription> = new Map();
 
   constructor(private readonly options: AdmissionOptions) {
     const { revocationMs } = options;
-    this.#bound = revocationMs === undefined ? undefined : new RevocationBound(revocationMs);
+    this.#revocationBound =
+      revocationMs === undefined ? undefined : new RevocationBound(revocationMs);
   }
 
-  /** True where callers are known by keys. */
-  get asksForKeys(): boolean {
+  /** True if callers are identified by keys. */
+  get requiresKeys(): boolean {
     return this.#keys !== undefined;
   }
 
@@ -64,19 +65,19 @@
     this.#tenants = new Map(tenants?.map((tenant) => [tenant.name, tenant]));
   }
 
-  /** A tenant as it is declared now; undefined if there is none of this name. */
+  /** The tenant of this name in the current configuration, if there is one. */
   tenant(name: string): TenantDescription | undefined {
     return this.#tenants.get(name);
   }
 
-  /** Who a key gives on a route now. */
-  admit(route: Pick<RouteDescription, 'isPublic'>, keyDigest: string): Admittance {
+  /** Decides with the current configuration whether a caller with this key may use the route. */
+  admit(route: Pick<RouteDescription, 'isPublic'>, keyDigest: string): AdmissionDecision {
     const { counters } = this.options;
     if (this.#keys === undefined || route.isPublic === true) return NO_ACCOUNT;
-    const unproven = this.#unproven();
-    if (unproven !== undefined) {
+    const unconfirmed = this.#refusalIfUnconfirmed();
+    if (unconfirmed !== undefined) {
       counters.keysUnproven += 1;
-      return { type: 'refused', refusal: unproven };
+      return { type: 'refused', refusal: unconfirmed };
     }
     const account = this.#keys.tenantOf(keyDigest);
     if (account !== undefined) return { type: 'admitted', account };
@@ -84,13 +85,13 @@
     return { type: 'refused', refusal: UNKNOWN_KEY };
   }
 
-  #unproven(): Refusal | undefined {
+  #refusalIfUnconfirmed(): Refusal | undefined {
     const { now, configurationProvenAt } = this.options;
-    if (this.#bound === undefined) return undefined;
+    if (this.#revocationBound === undefined) return undefined;
     const provenAt = configurationProvenAt();
-    if (provenAt !== undefined) this.#bound.recordProof(provenAt);
-    if (this.#bound.mayRun(now())) return undefined;
-    const text = `keys can't be confirmed by the store; retry after ${UNPROVEN_RETRY_MS} ms`;
+    if (provenAt !== undefined) this.#revocationBound.recordProof(provenAt);
+    if (this.#revocationBound.mayRun(now())) return undefined;
+    const text = `keys can't be confirmed by the store; retry after ${UNCONFIRMED_KEY_RETRY_MS} ms`;
     return { code: 'busy', text };
   }
 }
--- a/src/direct/pooled-status.ts
+++ b/src/direct/pooled-status.ts
@@ -1,7 +1,7 @@
 /**
- * Asks instances for their status over connections that this node has anyway. A connection of its own for each
- * question takes room: when a fleet starts after a loss of power, with the connections that it left behind still
- * counted at the instances, statements of whole nodes found none.
+ * Queries the status of instances over the connections of this node's pools. Separate connections for these queries
+ * count towards an instance's limit: when a fleet restarted after a power loss, while instances still counted its
+ * earlier connections, some nodes got no connection for statements at all.
  */
 import { errAsync, okAsync, ResultAsync } from 'neverthrow';
 import type { MeadowstackError } from '../core/errors.js';
@@ -9,49 +9,50 @@
 import type { InstanceControl, InstanceEntry, InstanceStatus } from './contract.js';
 import { InstanceConnectError, InstanceControlError } from './errors.js';
 import { SocketConnection } from './instance-connection.js';
-import { type StatusRowParser, statusIn } from './instance-control.js';
-import { type InstancePool, ownRequest, type QuestionWay } from './instance-pool.js';
+import { type StatusRowParser, toStatus } from './instance-control.js';
+import { type InstancePool, type OwnQueryPath, ownRequest } from './instance-pool.js';
 import type { StatementWire } from './wire.js';
 import { firstWithin } from './within.js';
 
 export interface PooledStatusOptions {
-  /** The pool of an instance; none of one that this node does not use. */
+  /** The pool of an instance; undefined if this node doesn't use the instance. */
   readonly poolOf: (instance: InstanceEntry) => InstancePool | undefined;
-  /** Asks where the pool's connections are all in use. */
+  /** Sends the query on a separate connection, for when all connections of the pool are in use. */
   readonly separate: Pick<InstanceControl, 'status'>;
   readonly wire: StatementWire;
   readonly parseStatusRow: StatusRowParser;
   readonly now: () => Milliseconds;
 }
 
-type StatusAnswer = ResultAsync<InstanceStatus, MeadowstackError>;
-type AskStatus = (
+type StatusResult = ResultAsync<InstanceStatus, MeadowstackError>;
+type StatusQuery = (
   instance: InstanceEntry,
   timeoutMs: Milliseconds,
   pool: InstancePool,
-) => StatusAnswer;
+) => StatusResult;
 
-/** Tells the status of instances, as {@link InstanceControl} does. */
+/** Queries the status of instances, as {@link InstanceControl} does. */
 export class PooledStatus implements Pick<InstanceControl, 'status'> {
-  readonly #ways: Readonly<Record<QuestionWay, AskStatus>> = {
+  readonly #queryByPath: Readonly<Record<OwnQueryPath, StatusQuery>> = {
     pooled: (instance, timeoutMs, pool) =>
-      ResultAsync.fromSafePromise(this.#askPool(instance, timeoutMs, pool)).andThen((outcome) =>
-        outcome instanceof InstanceControlError ? errAsync(outcome) : okAsync(outcome),
+      ResultAsync.fromSafePromise(this.#queryThroughPool(instance, timeoutMs, pool)).andThen(
+        (outcome) =>
+          outcome instanceof InstanceControlError ? errAsync(outcome) : okAsync(outcome),
       ),
     full: ({ id }) =>
-      errAsync(new InstanceControlError(`${id}: takes no more connections`, 'connection-limit')),
+      errAsync(new InstanceControlError(`${id}: accepts no more connections`, 'connection-limit')),
     separate: (instance, timeoutMs) => this.options.separate.status(instance, timeoutMs),
   };
 
   constructor(private readonly options: PooledStatusOptions) {}
 
-  status(instance: InstanceEntry, timeoutMs: Milliseconds): StatusAnswer {
+  status(instance: InstanceEntry, timeoutMs: Milliseconds): StatusResult {
     const pool = this.options.poolOf(instance);
     if (pool === undefined) return this.options.separate.status(instance, timeoutMs);
-    return this.#ways[pool.questionWay](instance, timeoutMs, pool);
+    return this.#queryByPath[pool.ownQueryPath](instance, timeoutMs, pool);
   }
 
-  async #askPool(
+  async #queryThroughPool(
     { id }: InstanceEntry,
     timeoutMs: Milliseconds,
     pool: InstancePool,
@@ -67,7 +68,10 @@
     const connection = acquired.value;
     if (!(connection instanceof SocketConnection)) {
       pool.release(connection);
-      return new InstanceControlError(`${id}: its connections are lent by others`, undefined);
+      return new InstanceControlError(
+        `${id}: its connections are leased from other nodes`,
+        undefined,
+      );
     }
     const exchange = connection.exchangeRows(wire.encodeControl({ type: 'status' }));
     const settled = await firstWithin([exchange], deadline - now());
@@ -77,6 +81,6 @@
       return new InstanceControlError(`${id}: no answer to status`, undefined);
     }
     pool.release(connection);
-    return statusIn(id, 'status', settled.answer.value, parseStatusRow(settled.rows[0] ?? ''));
+    return toStatus(id, 'status', settled.answer.value, parseStatusRow(settled.rows[0] ?? ''));
   }
 }
--- a/src/direct/prefix-reader.ts
+++ b/src/direct/prefix-reader.ts
@@ -1,4 +1,4 @@
-/** Runs what a `PrefixFollower` decides: reads and watches one prefix of the store. */
+/** Reads and watches one prefix of the store, as its `PrefixFollower` state machine decides. */
 import { type PrefixWatchEvent, PrefixWatchStateMachine } from '../core/directory/prefix-watch.js';
 import type { MeadowstackError } from '../core/errors.js';
 import type { BackoffPolicy } from '../core/retry/backoff.js';
@@ -20,11 +20,11 @@
 
 export class PrefixReader {
   readonly #follower: PrefixWatchStateMachine;
-  /** Ends the watch or the pause that is on. */
+  /** Ends the current watch or pause. */
   #cancel: (() => void) | undefined;
   #isPausing = false;
   #stopped = false;
-  /** When the call that is out was sent, or a little earlier. */
+  /** Lower bound of the time at which the current call was sent. */
   #sentAt: Milliseconds = 0;
   #confirmedAt: Milliseconds | undefined;
   #provenAt: Milliseconds | undefined;
@@ -34,17 +34,17 @@
   }
 
   start(): void {
-    this.#step({ type: 'start' });
+    this.#handle({ type: 'start' });
   }
 
-  /** No handler is called any more. */
+  /** After this no handler is called. */
   stop(): void {
     this.#stopped = true;
     this.#cancel?.();
     this.#cancel = undefined;
   }
 
-  /** The store answers again: a pause after a failure ends now. */
+  /** Ends a pause after a failure, for when the store answers again after an outage. */
   retryNow(): void {
     if (!this.#isPausing) return;
     this.#cancel?.();
@@ -56,17 +56,17 @@
     return this.#confirmedAt;
   }
 
-  /** Time at which the store surely had nothing that was not told here; undefined if it told nothing. */
+  /** Last time at which the store provably had nothing that wasn't received here; undefined if nothing is proven. */
   lastProvenAt(): Milliseconds | undefined {
     return this.#provenAt;
   }
 
-  /** Highest revision of the store up to which everything was told; 0 before the first read. */
+  /** Store revision up to which all changes were received; 0 before the first read. */
   get highestRevision(): number {
     return this.#follower.highestRevision;
   }
 
-  #step(event: PrefixWatchEvent): void {
+  #handle(event: PrefixWatchEvent): void {
     if (this.#stopped) return;
     const effect = this.#follower.handle(event);
     if (effect === undefined) return;
@@ -83,7 +83,7 @@
 
   #endPause(): void {
     this.#isPausing = false;
-    this.#step({ type: 'pause-over' });
+    this.#handle({ type: 'pause-over' });
   }
 
   #readRange(): void {
@@ -92,11 +92,12 @@
       (answer) => {
         if (this.#stopped) return;
         this.#confirmedAt = this.#sentAt;
-        this.#noteProven(this.#sentAt);
+        this.#recordProven(this.#sentAt);
         this.options.onRange(answer);
-        this.#step({ type: 'range-read', revision: answer.revision });
+        this.#handle({ type: 'range-read', revision: answer.revision });
       },
-      (error) => this.#fail(error, { type: 'range-failed', retryAfterMs: retryAfterOf(error) }),
+      (error) =>
+        this.#handleFailure(error, { type: 'range-failed', retryAfterMs: retryAfterOf(error) }),
     );
   }
 
@@ -105,29 +106,29 @@
     this.#cancel = this.options.store.watch(this.options.prefix, fromRevision, {
       onEvents: (events, revision, currentAt = this.#sentAt, provenAt = currentAt) => {
         if (this.#stopped) return;
-        this.#noteProven(provenAt);
+        this.#recordProven(provenAt);
         this.#confirmedAt = Math.max(this.#confirmedAt ?? currentAt, currentAt);
-        // The watch's next poll is sent after this returned, so that its time is not overstated.
+        // The watch sends its next poll after this handler returns, so this time is a lower bound.
         this.#sentAt = this.options.clock();
         this.options.onEvents(events);
-        this.#step({ type: 'watch-progress', revision });
+        this.#handle({ type: 'watch-progress', revision });
       },
       onEnd: (error, compacted) => {
         const lost = error instanceof StoreWatchEndedError;
         const retryAfterMs = retryAfterOf(error);
-        this.#fail(error, { type: 'watch-ended', compacted, lost, retryAfterMs });
+        this.#handleFailure(error, { type: 'watch-ended', compacted, lost, retryAfterMs });
       },
     });
   }
 
-  #noteProven(at: Milliseconds): void {
+  #recordProven(at: Milliseconds): void {
     this.#provenAt = Math.max(this.#provenAt ?? at, at);
   }
 
-  #fail(error: MeadowstackError, event: PrefixWatchEvent): void {
+  #handleFailure(error: MeadowstackError, event: PrefixWatchEvent): void {
     if (this.#stopped) return;
     this.options.onProblem(error);
-    this.#step(event);
+    this.#handle(event);
   }
 }
 
--- a/src/direct/replica-sampler.ts
+++ b/src/direct/replica-sampler.ts
@@ -1,14 +1,14 @@
 /**
- * Keeps a group's position known while its primary is away, so that reads which may be of some age go on at the
- * replicas: every commit that was acknowledged has been received by some of these.
+ * Keeps a group's log position known while its primary is unavailable, so that replicas can go on serving reads that
+ * tolerate staleness. The replicas suffice for that: some of them have received every acknowledged commit.
  */
 import { PrimaryAbsence } from '../core/statements/primary-absence.js';
 import type { Milliseconds } from '../core/units.js';
 import type { PrimaryView } from './promotion/contract.js';
 import type { ServiceRuntime } from './service-runtime.js';
 
-/** In larger fleets only those ask that tell the others: each question takes a slot, and its connection too. */
-const LARGEST_FLEET_ASKING = 23;
+/** In larger fleets only nodes that report to others send queries, since each takes a slot and a connection. */
+const MAX_FLEET_ALL_QUERYING = 23;
 
 export interface ReplicaSamplerCounters {
   replicaRounds: number;
@@ -26,14 +26,14 @@
   constructor(private readonly options: ReplicaSamplerOptions) {}
 
   /**
-   * Asks the replicas if the primary has been away for a while.
-   * @param tellsOthers whether other nodes take positions from this one
+   * Queries the replicas if the primary has been unavailable for a while.
+   * @param reportsToOthers whether other nodes take positions from this one
    */
-  look(service: ServiceRuntime, tellsOthers: boolean): void {
+  refresh(service: ServiceRuntime, reportsToOthers: boolean): void {
     const { view, now } = this.options;
     const isDue = this.#absenceOf(service).shouldQueryReplicas(now(), service.isPrimaryAway(now()));
-    if (!isDue || (!tellsOthers && view.liveNodeCount() > LARGEST_FLEET_ASKING)) return;
-    void this.#ask(service);
+    if (!isDue || (!reportsToOthers && view.liveNodeCount() > MAX_FLEET_ALL_QUERYING)) return;
+    void this.#query(service);
   }
 
   #absenceOf(service: ServiceRuntime): PrimaryAbsence {
@@ -44,11 +44,11 @@
     return absence;
   }
 
-  async #ask(service: ServiceRuntime): Promise<void> {
+  async #query(service: ServiceRuntime): Promise<void> {
     const { view, now, counters } = this.options;
     const sentAt = now();
     counters.replicaRounds += 1;
     const position = await view.acknowledgedPosition(service.name);
-    if (position !== undefined) service.noteAcknowledged(sentAt, position);
+    if (position !== undefined) service.recordAcknowledged(sentAt, position);
   }
 }
--- a/src/direct/statement-runner.ts
+++ b/src/direct/statement-runner.ts
@@ -208,7 +208,7 @@
   ): boolean {
     const { id, pool } = target.instance;
     if (running === 0 || !tried.has(id)) return true;
-    return this.options.now() - lastSentAt >= pool.health.patienceMs;
+    return this.options.now() - lastSentAt >= pool.health.lostAfterMs;
   }
 
   /** True if the tenant has reached its limit of waiting statements at every instance that may serve the read. */
--- a/test/support/steady-health.ts
+++ b/test/support/steady-health.ts
@@ -1,20 +1,20 @@
-/** The health of a fake instance: it answers as fast as it is said to, and never stalls. */
+/** Health of a fake instance that has the given response time and never stalls. */
 import type { InstanceHealth } from '../../src/direct/instance-health.js';
 
-/** What statements ask of it, and tell it. */
+/** The members of `InstanceHealth` that statements use. */
 export function steadyHealth({
   answerMs = 5,
-  patienceMs = 250,
-}: Partial<Pick<InstanceHealth, 'answerMs' | 'patienceMs'>> = {}) {
+  lostAfterMs = 250,
+}: Partial<Pick<InstanceHealth, 'answerMs' | 'lostAfterMs'>> = {}) {
   return {
-    ...{ answerMs, patienceMs, avoidUntil: 0 },
+    ...{ answerMs, lostAfterMs, avoidUntil: 0 },
     isStalled: () => false,
-    answersNothing: () => false,
-    silentForMs: () => 0,
-    watchAnswer: () => () => {},
-    noteOutcome: () => {},
-    noteBusy: () => {},
-    noteFailed: () => {},
-    noteWait: () => {},
+    isUnresponsive: () => false,
+    silenceMs: () => 0,
+    trackAnswer: () => () => {},
+    recordOutcome: () => {},
+    recordBusy: () => {},
+    recordFailed: () => {},
+    recordWait: () => {},
   };
 }
--- a/test/unit/direct/fleet-placement.test.ts
+++ b/test/unit/direct/fleet-placement.test.ts
@@ -1,4 +1,4 @@
-/** Placement at one node: when it is in effect, and what an operator sees of it. */
+/** Read placement at one node: when it is active, and what it logs and counts. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { FleetDigests } from '../../../src/core/fleet/fleet-digests.js';
@@ -11,7 +11,7 @@
 const LOOK_MS = 100;
 
 function world() {
-  const state = { now: 10_000, isFleetSeen: true };
+  const state = { now: 10_000, isFleetViewAvailable: true };
   const lines: { readonly event: string; readonly instance: unknown }[] = [];
   const counters = { ejections: 0, ejectionsEnded: 0 };
   const logger = {
@@ -19,7 +19,7 @@
   } as unknown as Logger;
   const placement = new FleetPlacement({
     digests: new FleetDigests(),
-    isFleetSeen: () => state.isFleetSeen,
+    isFleetViewAvailable: () => state.isFleetViewAvailable,
     nodeCount: () => 1,
     now: () => state.now,
     random: seededRandom(1),
@@ -35,7 +35,7 @@
   const service = {
     ...{ name: 'ledger', readable: () => instances, members: () => instances },
   } as unknown as ServiceRuntime;
-  /** Some looks while each instance is asked between them; the last one takes this long. */
+  /** Refreshes the placement some times with reads at each instance in between; instance i-2 takes `slowMs`. */
   const play = (looks: number, slowMs: number): void => {
     for (let count = 0; count < looks; count += 1) {
       for (const { id } of instances) {
@@ -46,7 +46,7 @@
         }
       }
       state.now += LOOK_MS;
-      placement.look([service]);
+      placement.refresh([service]);
     }
   };
   return { state, placement, instances, service, lines, counters, play };
@@ -70,8 +70,8 @@
 test('without the view of the fleet nothing is ranked, and ejections are dropped', () => {
   const { state, placement, instances, service, play } = world();
   play(10, 80);
-  state.isFleetSeen = false;
-  placement.look([service]);
+  state.isFleetViewAvailable = false;
+  placement.refresh([service]);
   assert.is(placement.rank('ledger', instances, true), undefined);
   assert.is(placement.ejectedCount, 0);
 });
