--- a/src/direct/statement-attempts.ts
+++ b/src/direct/statement-attempts.ts
@@ -62,7 +62,7 @@
     settled: Cancellation | undefined,
   ): Promise<Attempt> {
     const { instance } = chosen;
-    const { lender: lessor: lender } = instance.pool;
+    const { lender } = instance.pool;
     if (lender !== undefined && request.access === 'read') {
       return this.#readThroughOwner(request, chosen, lender, settled);
     }
