--- a/test/property/foreign-documents.test.ts
+++ b/test/property/foreign-documents.test.ts
@@ -6,9 +6,9 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { parseConfiguration, parseInstance } from '../../platform/documents.js';
-import { sealConfiguration } from '../../platform/key-digests.js';
+import { replaceKeysByDigests } from '../../platform/key-digests.js';
 import { lineWire } from '../../platform/line-wire.js';
-import { readItem, readPollAnswer, readRangePage } from '../../platform/store-messages.js';
+import { readItem, readPollResponse, readRangePage } from '../../platform/store-messages.js';
 import {
   decodeRecord,
   parseFleetRecord,
@@ -82,7 +82,7 @@
 test('no configuration makes the program throw, and its tenants are whole', () => {
   fc.assert(
     fc.property(texts, (text) => {
-      const parsed = parseConfiguration(sealConfiguration(text));
+      const parsed = parseConfiguration(replaceKeysByDigests(text));
       const tenants = parsed.isOk() ? (parsed.value.tenants ?? []) : [];
       for (const { name, keyDigests, quota } of tenants) {
         assert.match(name, /^[\x21-\x7e]+$/);
@@ -108,7 +108,13 @@
 
 /** Reads of what stores and peers tell; each gives undefined, an error or a value. */
 const READERS: Readonly<Record<string, (value: unknown) => unknown>> = {
-  ...{ readItem, readPollAnswer, readRangePage, parsePartRequest, parsePermitGrant },
+  ...{
+    readItem,
+    readPollAnswer: readPollResponse,
+    readRangePage,
+    parsePartRequest,
+    parsePermitGrant,
+  },
   ...{ parseToldStretch, parseWatchRequest, parseLeaseEvent, parseStreamRequest },
   ...{ parseQuestion, parseSnapshot, instanceForm: parseInstanceEntry },
 };
--- a/test/unit/platform/key-digests.test.ts
+++ b/test/unit/platform/key-digests.test.ts
@@ -1,9 +1,9 @@
 /** Keys of callers are known only in the folder that reads the platform's messages. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { digestOfKey, sealConfiguration } from '../../../platform/key-digests.js';
+import { digestOfKey, replaceKeysByDigests } from '../../../platform/key-digests.js';
 import { lineWire } from '../../../platform/line-wire.js';
-import { readItem, readPollAnswer, readRangePage } from '../../../platform/store-messages.js';
+import { readItem, readPollResponse, readRangePage } from '../../../platform/store-messages.js';
 
 const KEY = 'k3y-of-a-stranger';
 const CONFIGURATION = JSON.stringify({
@@ -17,7 +17,7 @@
 }
 
 test('a configuration is sealed: digests stand for keys, all else stays', () => {
-  const sealed = JSON.parse(sealConfiguration(CONFIGURATION));
+  const sealed = JSON.parse(replaceKeysByDigests(CONFIGURATION));
   assert.equal(sealed, {
     version: 3,
     tenants: [
@@ -29,13 +29,13 @@
 });
 
 test('what is no JSON may hold keys, and is left out whole', () => {
-  assert.is(sealConfiguration(CONFIGURATION.slice(0, -1)), '');
-  assert.is(sealConfiguration(`["${KEY}"]`), '');
+  assert.is(replaceKeysByDigests(CONFIGURATION.slice(0, -1)), '');
+  assert.is(replaceKeysByDigests(`["${KEY}"]`), '');
 });
 
 test('a configuration without tenants is passed on as it is', () => {
   const text = '{ "version": 3 }';
-  assert.is(sealConfiguration(text), text);
+  assert.is(replaceKeysByDigests(text), text);
 });
 
 test('no answer of the store brings a key with it, by whatever call', () => {
@@ -43,7 +43,7 @@
   const answers = [
     readItem(config),
     readRangePage({ items: [config], has_more: false, at_revision: 9 }),
-    readPollAnswer({ events: [config], at_revision: 9 }),
+    readPollResponse({ events: [config], at_revision: 9 }),
   ];
   for (const answer of answers) {
     assert.ok(answer);
