--- a/scale/hollow-machine-list.ts
+++ b/scale/hollow-machine-list.ts
@@ -213,7 +213,7 @@
     if (!this.#isReading || this.#isPolling || !this.#options.node.isRunning) return;
     this.#isPolling = true;
     const { context, service } = this.#options;
-    const { pollWaitMs, answerTimeoutMs } = DEFAULT_MACHINE_LIST_OPTIONS;
+    const { pollWaitMs, responseTimeoutMs: answerTimeoutMs } = DEFAULT_MACHINE_LIST_OPTIONS;
     const asked = this.#knownVersion;
     let isAnswered = false;
     const answer = (): void => {
@@ -255,7 +255,7 @@
     this.#knownVersion = version;
     if (this.#isReading)
       this.#handle({ type: 'read', reading: { knownVersion: asked, version, entries } });
-    context.clock.after(DEFAULT_MACHINE_LIST_OPTIONS.minimumIntervalMs, () => this.#pollAgain());
+    context.clock.after(DEFAULT_MACHINE_LIST_OPTIONS.minPollPeriodMs, () => this.#pollAgain());
   }
 
   #isCut(): boolean {
--- a/src/node/machine-list/service.ts
+++ b/src/node/machine-list/service.ts
@@ -13,7 +13,10 @@
 import type { Milliseconds } from '../../core/units.js';
 import type { NodeIdentity, PeerTransport, WireValue } from '../../peer/contract.js';
 import type { Machine } from '../../platform/contract.js';
-import type { MachineListClient, MachineListReading } from '../../platform/machine-list-client.js';
+import type {
+  MachineListClient,
+  MachineListPollResponse,
+} from '../../platform/machine-list-client.js';
 import { MachineListMessageError } from './errors.js';
 import {
   deltaFromWire,
@@ -71,7 +74,7 @@
     const { self, random, transport, hash, client } = options;
     this.#agent = new MachineListAgent({ self, random });
     this.#peers = new MachineListPeerClient(transport, hash);
-    client.onReading = (reading) => this.#onReading(reading);
+    client.onPollResponse = (reading) => this.#onReading(reading);
   }
 
   /** Begins to read, and to compare lists with peers. */
@@ -142,7 +145,7 @@
     return null;
   }
 
-  #onReading({ asked, version, machines }: MachineListReading): void {
+  #onReading({ knownVersion: asked, version, machines }: MachineListPollResponse): void {
     const { hash } = this.options;
     const entries = machines?.map((machine) => entryOf(machine, hash));
     this.#handle({ type: 'read', reading: { knownVersion: asked, version, entries } });
--- a/src/platform/errors.ts
+++ b/src/platform/errors.ts
@@ -72,7 +72,7 @@
     reason: string,
     override readonly outcomeUnknown: boolean,
   ) {
-    super(`the store's answer is of no known era: ${reason}`);
+    super(`the era of the store's response is unknown or not the expected one: ${reason}`);
   }
 }
 
--- a/src/platform/http-exchange.ts
+++ b/src/platform/http-exchange.ts
@@ -1,6 +1,6 @@
 /**
- * One HTTP request with one bounded JSON answer over a keep-alive agent. Tells whether a request that
- * failed can have reached the other side.
+ * Sends one HTTP request and reads the response, whose size is limited. A failure says whether the request may have
+ * reached the server.
  */
 import {
   type Agent,
@@ -13,51 +13,49 @@
 import { MeadowstackError } from '../core/errors.js';
 import type { Milliseconds } from '../core/units.js';
 
-/** Where a service of the platform listens. */
+/** Address of one of the platform's services. */
 export interface ServiceEndpoint {
   readonly host: string;
   readonly port: number;
 }
 
-/** One request. */
 export interface HttpExchange {
   readonly endpoint: ServiceEndpoint;
   readonly agent: Agent;
-  /** Sent as `user-agent`, by which the service tells its clients apart. */
+  /** Sent as `user-agent`, which identifies the client to the service. */
   readonly clientName: string;
   readonly method: 'GET' | 'POST' | 'DELETE';
   readonly path: string;
-  /** Headers beyond those that all our requests have. */
+  /** Headers in addition to those of every request. */
   readonly headers?: Readonly<Record<string, string>>;
   /** JSON text; absent for GET. */
   readonly body?: string;
-  /** From the call to the last byte of the answer. */
+  /** From the call to the last byte of the response. */
   readonly timeoutMs: Milliseconds;
-  /** Bound of opening a new connection; `timeoutMs` alone if absent. */
+  /** Time limit for opening a new connection; only `timeoutMs` applies if absent. */
   readonly connectTimeoutMs?: Milliseconds;
-  readonly maxAnswerBytes: number;
-  /** Asked right before the first byte leaves, once connected: false means that none may. */
+  readonly maxResponseBytes: number;
+  /** Called once connected, right before the first byte is sent; if it returns false, nothing is sent. */
   readonly maySend?: () => boolean;
   /** Aborting ends the exchange with an error. */
   readonly signal?: AbortSignal;
 }
 
-/** The answer to one request. */
-export interface HttpAnswer {
+export interface HttpResponse {
   readonly status: number;
   readonly retryAfterMs: Milliseconds | undefined;
-  /** By name in small letters. */
+  /** By lowercase name. */
   readonly headers: IncomingHttpHeaders;
   readonly body: string;
 }
 
-/** The exchange gave no whole answer. */
+/** No complete response was received. */
 export class HttpExchangeError extends MeadowstackError {
   readonly code = 'MS-HTTP-EXCHANGE';
 
   constructor(
     message: string,
-    /** False if no connection was made, so that no byte of the request can have been sent. */
+    /** False if it is certain that no byte of the request was sent, as there was no connection. */
     readonly maybeSent: boolean,
   ) {
     super(message);
@@ -66,17 +64,17 @@
 
 const MILLISECONDS_PER_SECOND = 1000;
 
-/** Sends the request and reads the whole answer, whatever its status. */
-export function exchange(options: HttpExchange): ResultAsync<HttpAnswer, HttpExchangeError> {
-  const answer = new Promise<HttpAnswer | HttpExchangeError>((resolve) => {
+/** Sends the request and reads the whole response, whatever its status. */
+export function exchange(options: HttpExchange): ResultAsync<HttpResponse, HttpExchangeError> {
+  const response = new Promise<HttpResponse | HttpExchangeError>((resolve) => {
     startExchange(options, resolve);
   });
-  return ResultAsync.fromSafePromise(answer).andThen((outcome) => {
+  return ResultAsync.fromSafePromise(response).andThen((outcome) => {
     return outcome instanceof HttpExchangeError ? errAsync(outcome) : okAsync(outcome);
   });
 }
 
-/** Opens a request with the headers that all our requests have. The caller writes the body. */
+/** Opens a request with the headers that all requests have. The caller writes the body. */
 export function openRequest(options: Omit<HttpExchange, 'timeoutMs'>): ClientRequest {
   const bodyHeaders =
     options.body === undefined
@@ -97,16 +95,16 @@
 
 function startExchange(
   options: HttpExchange,
-  settle: (outcome: HttpAnswer | HttpExchangeError) => void,
+  resolve: (outcome: HttpResponse | HttpExchangeError) => void,
 ): void {
   const outgoing = openRequest(options);
   let maybeSent = false;
   let connectTimer: NodeJS.Timeout | undefined;
-  const finish = (outcome: HttpAnswer | HttpExchangeError): void => {
+  const finish = (outcome: HttpResponse | HttpExchangeError): void => {
     clearTimeout(timer);
     clearTimeout(connectTimer);
     options.signal?.removeEventListener('abort', abort);
-    settle(outcome);
+    resolve(outcome);
   };
   const fail = (message: string): void => {
     finish(new HttpExchangeError(message, maybeSent));
@@ -121,7 +119,7 @@
     maybeSent = true;
     outgoing.end(options.body);
   };
-  const timer = setTimeout(() => fail(`no answer in ${options.timeoutMs} ms`), options.timeoutMs);
+  const timer = setTimeout(() => fail(`no response in ${options.timeoutMs} ms`), options.timeoutMs);
   outgoing.on('socket', (socket) => {
     if (!socket.connecting) {
       send();
@@ -141,7 +139,7 @@
   });
   outgoing.on('error', (error) => fail(error.message));
   outgoing.on('response', (incoming) => {
-    collectBody(incoming, options.maxAnswerBytes, fail, (body) => {
+    collectBody(incoming, options.maxResponseBytes, fail, (body) => {
       const { headers } = incoming;
       const retryAfterMs = parseRetryAfter(headers['retry-after']);
       finish({ status: incoming.statusCode ?? 0, retryAfterMs, headers, body });
@@ -161,7 +159,7 @@
   let bytes = 0;
   incoming.on('data', (chunk: Buffer) => {
     bytes += chunk.length;
-    if (bytes > maxBytes) fail(`answer longer than ${maxBytes} bytes`);
+    if (bytes > maxBytes) fail(`response longer than ${maxBytes} bytes`);
     else chunks.push(chunk);
   });
   incoming.on('error', (error) => fail(error.message));
--- a/src/platform/line-reader.ts
+++ b/src/platform/line-reader.ts
@@ -1,10 +1,9 @@
-/** Splits a stream of bytes into lines of UTF-8 text, with a bound on a line's length. */
+/** Splits a stream of bytes into lines of UTF-8 text of limited length. */
 import { err, ok, type Result } from 'neverthrow';
 import { MeadowstackError } from '../core/errors.js';
 
 const LINE_FEED = 0x0a;
 
-/** A line exceeds the bound. */
 export class LineTooLongError extends MeadowstackError {
   readonly code = 'MS-LINE-TOO-LONG';
 
@@ -13,14 +12,13 @@
   }
 }
 
-/** Puts lines together from chunks. */
 export class LineReader {
   #partial: Buffer[] = [];
   #partialBytes = 0;
 
   constructor(private readonly maxLineBytes: number) {}
 
-  /** Takes a chunk and gives the lines that it completes, without their line feeds or blank ones. */
+  /** Adds a chunk and returns the lines that it completes, without line feeds and without empty lines. */
   push(chunk: Buffer): Result<string[], LineTooLongError> {
     const lines: string[] = [];
     let start = 0;
--- a/src/platform/machine-list-client.ts
+++ b/src/platform/machine-list-client.ts
@@ -1,6 +1,6 @@
 /**
- * Follows the platform's machine list by long polls. An outage, a malformed answer or a malformed
- * entry never takes a machine off: what was read last stays until a well-formed answer replaces it.
+ * Watches the platform's machine list by long polls. An outage or a malformed response never removes a machine: the
+ * last list stays until a well-formed response replaces it. Malformed entries of a response are skipped and counted.
  */
 import { Agent } from 'node:http';
 import { setTimeout as pause } from 'node:timers/promises';
@@ -14,60 +14,58 @@
 import { exchange, type ServiceEndpoint } from './http-exchange.js';
 import { machineSchema } from './machine-schema.js';
 
-const MAX_ANSWER_BYTES = 32 * 1024 * 1024;
+const MAX_RESPONSE_BYTES = 32 * 1024 * 1024;
 const HTTP_OK = 200;
 
-/** What the client is made of. */
 export interface MachineListClientOptions {
   readonly endpoint: ServiceEndpoint;
   readonly clientName: string;
-  /** How long the service may hold a poll when nothing changed. */
+  /** How long the service may hold a poll while nothing changes. */
   readonly pollWaitMs: Milliseconds;
-  /** How long beyond that an answer may take. */
-  readonly answerTimeoutMs: Milliseconds;
-  /** Least time from the start of one poll to the start of the next. */
-  readonly minimumIntervalMs: Milliseconds;
+  /** How long a response may take beyond `pollWaitMs`. */
+  readonly responseTimeoutMs: Milliseconds;
+  /** Minimum time from the start of one poll to the start of the next. */
+  readonly minPollPeriodMs: Milliseconds;
   readonly backoff: BackoffPolicy;
-  /** Seeded source of numbers in [0, 1), for the jitter. */
+  /** Seeded source of numbers in [0, 1), for the backoff's jitter. */
   random(): number;
 }
 
-/** Timing unless a test asks otherwise. */
+/** Used everywhere except in tests. */
 export const DEFAULT_MACHINE_LIST_OPTIONS = {
   pollWaitMs: 10_000,
-  answerTimeoutMs: 2000,
-  minimumIntervalMs: 100,
+  responseTimeoutMs: 2000,
+  minPollPeriodMs: 100,
   backoff: { baseMs: 100, maximumMs: 5000 },
 } as const;
 
-/** One well-formed answer to a poll. */
-export interface MachineListReading {
-  /** Version that the poll named as known. */
-  readonly asked: number;
+/** A well-formed response to a poll. */
+export interface MachineListPollResponse {
+  /** Version that the poll sent as known to the client. */
+  readonly knownVersion: number;
   readonly version: number;
-  /** Undefined: nothing new since the version that was known when the answer came. */
+  /** Undefined if the client already has this version when the response arrives. */
   readonly machines: readonly Machine[] | undefined;
 }
 
-/** What the client has done since it was made. */
+/** Counters since the creation of the client. */
 export interface MachineListCounters {
   readonly polls: number;
   readonly failures: number;
-  /** Malformed entries seen, over all answers. */
+  /** Malformed entries in all responses. */
   readonly malformedEntries: number;
   readonly changes: number;
   readonly version: number;
 }
 
-const listAnswer = z.object({ version: z.int().min(0), machines: z.array(z.unknown()) });
-type ListAnswer = z.output<typeof listAnswer>;
+const listResponse = z.object({ version: z.int().min(0), machines: z.array(z.unknown()) });
+type ListResponse = z.output<typeof listResponse>;
 
-/** The machine list's client. */
 export class MachineListClient implements MachineListWatcher {
   onChange: ((machines: readonly Machine[]) => void) | undefined;
-  /** Called with every well-formed answer, before `onChange`. */
-  onReading: ((reading: MachineListReading) => void) | undefined;
-  /** Called when reading the list fails, and with `undefined` when it works again. */
+  /** Called with every well-formed response, before `onChange`. */
+  onPollResponse: ((response: MachineListPollResponse) => void) | undefined;
+  /** Called with the error when polls begin to fail, and with `undefined` when they succeed again. */
   onAvailability: ((error: MeadowstackError | undefined) => void) | undefined;
   #agent: Agent | undefined;
   #stopping: AbortController | undefined;
@@ -81,7 +79,7 @@
 
   constructor(private readonly options: MachineListClientOptions) {}
 
-  /** Starts polling; does nothing if it runs. */
+  /** Starts polling; does nothing if already started. */
   start(): void {
     if (this.#stopping !== undefined) return;
     const stopping = new AbortController();
@@ -90,7 +88,7 @@
     void this.#run(stopping.signal, this.#agent);
   }
 
-  /** Ends the poll that is open and closes the connection. The list stays as it is. */
+  /** Aborts the poll in flight and closes the connection. The list is kept. */
   stop(): void {
     this.#stopping?.abort();
     this.#stopping = undefined;
@@ -98,7 +96,7 @@
     this.#agent = undefined;
   }
 
-  /** Goes on from a list that was learned otherwise; the next poll asks for what comes after it. */
+  /** Replaces the list by one received from elsewhere; the next poll asks for later versions. */
   adopt(version: number, machines: readonly Machine[]): void {
     this.#version = version;
     this.#machines = machines;
@@ -121,61 +119,61 @@
   async #run(signal: AbortSignal, agent: Agent): Promise<void> {
     while (!signal.aborted) {
       const startedAt = performance.now();
-      const asked = this.#version;
-      const answer = await this.#poll(signal, agent);
+      const knownVersion = this.#version;
+      const response = await this.#poll(signal, agent);
       if (signal.aborted) return;
-      const pauseMs = answer.match(
-        (list) => this.#accept(list, asked, performance.now() - startedAt),
-        (error) => this.#fail(error),
+      const pauseMs = response.match(
+        (list) => this.#handleList(list, knownVersion, performance.now() - startedAt),
+        (error) => this.#handleFailure(error),
       );
       await pause(pauseMs, undefined, { signal }).catch(() => undefined);
     }
   }
 
-  async #poll(signal: AbortSignal, agent: Agent): Promise<Result<ListAnswer, MeadowstackError>> {
-    const { endpoint, clientName, pollWaitMs, answerTimeoutMs } = this.options;
+  async #poll(signal: AbortSignal, agent: Agent): Promise<Result<ListResponse, MeadowstackError>> {
+    const { endpoint, clientName, pollWaitMs, responseTimeoutMs } = this.options;
     this.#polls += 1;
-    const answer = await exchange({
+    const response = await exchange({
       endpoint,
       agent,
       clientName,
       method: 'GET',
       path: `/v1/machines?after=${this.#version}&wait=${pollWaitMs}`,
-      timeoutMs: pollWaitMs + answerTimeoutMs,
-      maxAnswerBytes: MAX_ANSWER_BYTES,
+      timeoutMs: pollWaitMs + responseTimeoutMs,
+      maxResponseBytes: MAX_RESPONSE_BYTES,
       signal,
     });
-    if (answer.isErr()) return err(new MachineListUnavailableError(answer.error.message));
-    if (answer.value.status !== HTTP_OK) {
-      return err(new MachineListUnavailableError(`HTTP status ${answer.value.status}`));
+    if (response.isErr()) return err(new MachineListUnavailableError(response.error.message));
+    if (response.value.status !== HTTP_OK) {
+      return err(new MachineListUnavailableError(`HTTP status ${response.value.status}`));
     }
-    return parseList(answer.value.body);
+    return parseList(response.value.body);
   }
 
-  /** Takes an answer over; gives the pause before the next poll. */
-  #accept(list: ListAnswer, asked: number, tookMs: Milliseconds): Milliseconds {
+  /** Returns the pause before the next poll. */
+  #handleList(list: ListResponse, knownVersion: number, tookMs: Milliseconds): Milliseconds {
     if (this.#consecutiveFailures > 0) this.onAvailability?.(undefined);
     this.#consecutiveFailures = 0;
     const { version } = list;
-    if (version !== this.#version) this.#takeOver(list, asked);
-    else this.onReading?.({ asked, version, machines: undefined });
-    return Math.max(0, this.options.minimumIntervalMs - tookMs);
+    if (version !== this.#version) this.#replaceList(list, knownVersion);
+    else this.onPollResponse?.({ knownVersion, version, machines: undefined });
+    return Math.max(0, this.options.minPollPeriodMs - tookMs);
   }
 
-  #takeOver(list: ListAnswer, asked: number): void {
-    const machines = this.#wellFormed(list.machines);
-    const wentBack = list.version < this.#version;
+  #replaceList(list: ListResponse, knownVersion: number): void {
+    const machines = this.#parseMachines(list.machines);
+    const isOlderVersion = list.version < this.#version;
     this.#version = list.version;
-    const emptied = machines.length === 0 && this.#machines.length > 0;
-    // A service that lost its memory (an earlier version) or sends only nonsense is no news.
-    if (emptied && (wentBack || list.machines.length > 0)) return;
+    const becomesEmpty = machines.length === 0 && this.#machines.length > 0;
+    // An empty list from a service that lost its data (version reset), or one with only malformed entries, is ignored.
+    if (becomesEmpty && (isOlderVersion || list.machines.length > 0)) return;
     this.#machines = machines;
     this.#changes += 1;
-    this.onReading?.({ asked, version: list.version, machines });
+    this.onPollResponse?.({ knownVersion, version: list.version, machines });
     this.onChange?.(machines);
   }
 
-  #wellFormed(entries: readonly unknown[]): Machine[] {
+  #parseMachines(entries: readonly unknown[]): Machine[] {
     const machines: Machine[] = [];
     for (const entry of entries) {
       const parsed = machineSchema.safeParse(entry);
@@ -185,8 +183,8 @@
     return machines;
   }
 
-  /** Counts a failure; gives the pause before the next poll. */
-  #fail(error: MeadowstackError): Milliseconds {
+  /** Returns the pause before the next poll. */
+  #handleFailure(error: MeadowstackError): Milliseconds {
     this.#failures += 1;
     this.#consecutiveFailures += 1;
     if (this.#consecutiveFailures === 1) this.onAvailability?.(error);
@@ -194,12 +192,12 @@
   }
 }
 
-function parseList(body: string): Result<ListAnswer, MachineListProtocolError> {
+function parseList(body: string): Result<ListResponse, MachineListProtocolError> {
   try {
-    const parsed = listAnswer.safeParse(JSON.parse(body));
+    const parsed = listResponse.safeParse(JSON.parse(body));
     if (parsed.success) return ok(parsed.data);
     return err(new MachineListProtocolError(z.prettifyError(parsed.error)));
   } catch {
-    return err(new MachineListProtocolError('the answer is not JSON'));
+    return err(new MachineListProtocolError('the response is not JSON'));
   }
 }
--- a/src/platform/machine-schema.ts
+++ b/src/platform/machine-schema.ts
@@ -1,4 +1,4 @@
-/** Shape of one entry of the platform's machine list, as it comes over HTTP. */
+/** Schema of an entry of the platform's machine list, as received over HTTP. */
 import { z } from 'zod';
 import type { Machine } from './contract.js';
 
@@ -28,7 +28,7 @@
   state,
 });
 
-/** One machine. Unknown fields are dropped, so that the platform may add some. */
+/** Unknown fields are dropped, so that the platform may add some. */
 export const machineSchema: z.ZodType<Machine> = z.discriminatedUnion('role', [
   proxyMachine,
   databaseMachine,
--- a/src/platform/shared-watch.ts
+++ b/src/platform/shared-watch.ts
@@ -1,6 +1,6 @@
 /**
- * One watch of the store for several prefixes that begin alike: each poll has its price, whatever it
- * covers. Everything else is the store's own.
+ * Wraps a store so that watches of prefixes with a common prefix share one watch, because each poll has a cost,
+ * however many keys it covers. All other calls go straight to the store.
  */
 import type { ResultAsync } from 'neverthrow';
 import { keyOf, revisionOf } from '../core/directory/watch-history.js';
@@ -20,24 +20,24 @@
 interface Subscriber {
   readonly prefix: string;
   readonly handlers: WatchHandlers;
-  /** Everything up to this revision was told, or is known from elsewhere. */
-  told: number;
+  /** Everything up to this revision was reported to the subscriber, or the subscriber knew it before. */
+  knownRevision: number;
 }
 
 export class SharedWatchStore implements Store {
   readonly #subscribers = new Set<Subscriber>();
   #close: (() => void) | undefined;
-  #isPlanned = false;
-  /** The watch that is open tells all changes after this revision. */
-  #toldTo = 0;
-  /** When the poll that is out was sent, or a little earlier. */
-  #sentAt: Milliseconds = 0;
+  #isOpeningScheduled = false;
+  /** The open watch has reported the changes up to this revision and will report all later ones. */
+  #reportedRevision = 0;
+  /** When the poll in flight was sent, or slightly earlier. */
+  #pollSentAt: Milliseconds = 0;
 
   constructor(
     private readonly store: Store,
-    /** Watches of prefixes that begin so share one. */
+    /** Watches of prefixes that start with this share one watch. */
     private readonly sharedPrefix: string,
-    /** Monotonic time. */
+    /** Monotonic clock. */
     private readonly now: () => Milliseconds,
   ) {}
 
@@ -45,9 +45,9 @@
     if (!prefix.startsWith(this.sharedPrefix)) {
       return this.store.watch(prefix, fromRevision, handlers);
     }
-    const subscriber = { prefix, handlers, told: fromRevision - 1 };
+    const subscriber = { prefix, handlers, knownRevision: fromRevision - 1 };
     this.#subscribers.add(subscriber);
-    this.#planOpening();
+    this.#scheduleOpening();
     return () => {
       this.#subscribers.delete(subscriber);
       if (this.#subscribers.size === 0) this.#closeWatch();
@@ -82,36 +82,39 @@
   }
 
   /**
-   * Those who join together share a new watch, from the earliest revision that anyone needs; one that is open already
-   * serves whoever knows all that it has told. What it answers may have been asked before they joined: the time of that
-   * is told with it.
+   * Subscribers that join in the same turn of the event loop share a new watch, which starts at the earliest revision
+   * that any of them needs. An open watch is kept if all subscribers know the changes that it has reported. The
+   * response to its poll in flight may reflect a state from before a subscriber joined, so it is reported with the
+   * time at which the poll was sent.
    */
-  #planOpening(): void {
-    if (this.#isPlanned) return;
-    this.#isPlanned = true;
+  #scheduleOpening(): void {
+    if (this.#isOpeningScheduled) return;
+    this.#isOpeningScheduled = true;
     queueMicrotask(() => {
-      this.#isPlanned = false;
-      if (this.#subscribers.size === 0 || this.#isServingAll()) return;
+      this.#isOpeningScheduled = false;
+      if (this.#subscribers.size === 0 || this.#canServeAll()) return;
       this.#closeWatch();
       this.#open();
     });
   }
 
-  #isServingAll(): boolean {
+  #canServeAll(): boolean {
     if (this.#close === undefined) return false;
-    return [...this.#subscribers].every(({ told }) => told >= this.#toldTo);
+    return [...this.#subscribers].every(
+      ({ knownRevision }) => knownRevision >= this.#reportedRevision,
+    );
   }
 
   #open(): void {
-    const told = [...this.#subscribers].map((subscriber) => subscriber.told);
-    this.#toldTo = Math.min(...told);
-    this.#sentAt = this.now();
-    this.#close = this.store.watch(this.sharedPrefix, this.#toldTo + 1, {
-      onEvents: (events, revision, currentAt = this.#sentAt) => {
-        this.#toldTo = Math.max(this.#toldTo, revision);
-        this.#tell(events, revision, currentAt);
-        // The next poll is sent after this returned.
-        this.#sentAt = this.now();
+    const knownRevisions = [...this.#subscribers].map((subscriber) => subscriber.knownRevision);
+    this.#reportedRevision = Math.min(...knownRevisions);
+    this.#pollSentAt = this.now();
+    this.#close = this.store.watch(this.sharedPrefix, this.#reportedRevision + 1, {
+      onEvents: (events, revision, currentAsOf = this.#pollSentAt) => {
+        this.#reportedRevision = Math.max(this.#reportedRevision, revision);
+        this.#notify(events, revision, currentAsOf);
+        // The next poll is sent after this handler returns.
+        this.#pollSentAt = this.now();
       },
       onEnd: (error, compacted) => this.#end(error, compacted),
     });
@@ -122,16 +125,16 @@
     this.#close = undefined;
   }
 
-  /** Also without events: the watch was current when its poll was sent. */
-  #tell(events: readonly WatchEvent[], revision: number, currentAt: Milliseconds): void {
+  /** Called also without events, to report that the watch was current when its poll was sent. */
+  #notify(events: readonly WatchEvent[], revision: number, currentAsOf: Milliseconds): void {
     for (const subscriber of [...this.#subscribers]) {
       if (!this.#subscribers.has(subscriber)) continue;
-      const { prefix, told, handlers } = subscriber;
-      const own = events.filter(
-        (event) => keyOf(event).startsWith(prefix) && revisionOf(event) > told,
+      const { prefix, knownRevision, handlers } = subscriber;
+      const matching = events.filter(
+        (event) => keyOf(event).startsWith(prefix) && revisionOf(event) > knownRevision,
       );
-      subscriber.told = Math.max(told, revision);
-      handlers.onEvents(own, subscriber.told, currentAt);
+      subscriber.knownRevision = Math.max(knownRevision, revision);
+      handlers.onEvents(matching, subscriber.knownRevision, currentAsOf);
     }
   }
 
--- a/src/platform/store-client.ts
+++ b/src/platform/store-client.ts
@@ -1,6 +1,6 @@
 /**
- * Client of the platform's key-value store, over etcd v3's JSON gateway. Each call is one request:
- * nothing is retried here, since only the caller knows whether a retry is safe.
+ * Client of the platform's key-value store, using etcd v3's JSON gateway. Each call sends one request. Nothing is
+ * retried here, since only the calling code knows whether a retry is safe.
  */
 import { setMaxListeners } from 'node:events';
 import { Agent } from 'node:http';
@@ -26,26 +26,26 @@
 } from './errors.js';
 import {
   exchange,
-  type HttpAnswer,
   type HttpExchangeError,
+  type HttpResponse,
   type ServiceEndpoint,
 } from './http-exchange.js';
 import {
-  errorAnswer,
-  leaseGrantAnswer,
+  errorResponse,
   leaseGrantRequest,
-  leaseKeepAliveAnswer,
+  leaseGrantResponse,
+  leaseKeepAliveResponse,
   leaseRequest,
-  leaseRevokeAnswer,
-  rangeAnswer,
+  leaseRevokeResponse,
   rangeRequest,
-  transactionAnswer,
+  rangeResponse,
   transactionRequest,
+  transactionResponse,
   watchRequest,
 } from './store-messages.js';
 import { StoreWatch } from './store-watch.js';
 
-const MAX_ANSWER_BYTES = 64 * 1024 * 1024;
+const MAX_RESPONSE_BYTES = 64 * 1024 * 1024;
 const HTTP_OK = 200;
 const HTTP_TOO_MANY_REQUESTS = 429;
 const HTTP_SERVER_ERROR = 500;
@@ -53,27 +53,26 @@
 const GRPC_NOT_FOUND = 5;
 const GRPC_RESOURCE_EXHAUSTED = 8;
 
-/** What the client is made of. */
 export interface StoreClientOptions {
   readonly endpoint: ServiceEndpoint;
-  /** Names this node to the store, for its counters. */
+  /** Identifies this node to the store, for the store's counters. */
   readonly clientName: string;
-  /** Longest wait for an answer. */
+  /** Maximum wait for a response. */
   readonly requestTimeoutMs: Milliseconds;
-  /** A watch that hears nothing for so long is ended; above the store's progress interval. */
+  /** A watch that receives nothing for this long is ended; must exceed the store's progress notification interval. */
   readonly watchSilenceMs: Milliseconds;
-  /** Connections kept for calls; watches have one each besides. */
+  /** Connections shared by all calls; each watch has another one. */
   readonly maxConnections: number;
 }
 
-/** Timing unless a test asks otherwise. */
+/** Used everywhere except in tests. */
 export const DEFAULT_STORE_CLIENT_OPTIONS = {
   requestTimeoutMs: 2000,
   watchSilenceMs: 5000,
   maxConnections: 4,
 } as const;
 
-/** What the client has done since it was made. */
+/** Counters since the creation of the client; `watchesOpen` is the present number. */
 export interface StoreClientCounters {
   readonly requests: number;
   readonly unavailable: number;
@@ -87,12 +86,11 @@
 interface StoreCall<Schema extends z.ZodType> {
   readonly path: string;
   readonly body: string;
-  /** True if the call changes something, so that a lost answer leaves its outcome unknown. */
-  readonly changes: boolean;
-  readonly answer: Schema;
+  /** Whether the call, if executed, changes the store, so that its outcome is unknown if the response is lost. */
+  readonly changesState: boolean;
+  readonly responseSchema: Schema;
 }
 
-/** The store's client. */
 export class StoreClient implements Store {
   readonly #agent: Agent;
   readonly #watches = new Set<StoreWatch>();
@@ -106,15 +104,18 @@
 
   constructor(private readonly options: StoreClientOptions) {
     this.#agent = new Agent({ keepAlive: true, maxSockets: options.maxConnections });
-    // Each call that is open listens to the one signal; any number of calls may be.
+    // Every call in flight listens to this signal, and their number is not limited.
     setMaxListeners(0, this.#closing.signal);
   }
 
   range(prefix: string): ResultAsync<RangeResponse, StoreFailure> {
     const body = rangeRequest(prefix);
-    return this.#call({ path: '/v3/kv/range', body, changes: false, answer: rangeAnswer }).map(
-      (answer) => ({ revision: answer.header.revision, entries: answer.kvs }),
-    );
+    return this.#call({
+      path: '/v3/kv/range',
+      body,
+      changesState: false,
+      responseSchema: rangeResponse,
+    }).map((response) => ({ revision: response.header.revision, entries: response.kvs }));
   }
 
   transaction(
@@ -125,25 +126,35 @@
     return this.#call({
       path: '/v3/kv/txn',
       body,
-      changes: operations.length > 0,
-      answer: transactionAnswer,
-    }).map((answer) => ({
-      succeeded: answer.succeeded,
-      revision: answer.header.revision,
-      current: answer.responses.flatMap((response) => response.response_range?.kvs ?? []),
+      changesState: operations.length > 0,
+      responseSchema: transactionResponse,
+    }).map((response) => ({
+      succeeded: response.succeeded,
+      revision: response.header.revision,
+      current: response.responses.flatMap((part) => part.response_range?.kvs ?? []),
     }));
   }
 
   grantLease(seconds: number): ResultAsync<string, StoreFailure> {
     const body = leaseGrantRequest(seconds);
-    const call = { path: '/v3/lease/grant', body, changes: true, answer: leaseGrantAnswer };
-    return this.#call(call).map((answer) => answer.ID);
+    const call = {
+      path: '/v3/lease/grant',
+      body,
+      changesState: true,
+      responseSchema: leaseGrantResponse,
+    };
+    return this.#call(call).map((response) => response.ID);
   }
 
-  /** Renews a lease and gives its time to live in seconds. */
+  /** Renews a lease; returns its time to live in seconds. */
   keepLeaseAlive(leaseId: string): ResultAsync<number, StoreFailure> {
     const body = leaseRequest(leaseId);
-    const call = { path: '/v3/lease/keepalive', body, changes: true, answer: leaseKeepAliveAnswer };
+    const call = {
+      path: '/v3/lease/keepalive',
+      body,
+      changesState: true,
+      responseSchema: leaseKeepAliveResponse,
+    };
     return this.#call(call).andThen(({ result }) => {
       if (result.TTL > 0) return okAsync(result.TTL);
       return errAsync(new StoreLeaseNotFoundError(leaseId));
@@ -152,7 +163,12 @@
 
   revokeLease(leaseId: string): ResultAsync<void, StoreFailure> {
     const body = leaseRequest(leaseId);
-    const call = { path: '/v3/lease/revoke', body, changes: true, answer: leaseRevokeAnswer };
+    const call = {
+      path: '/v3/lease/revoke',
+      body,
+      changesState: true,
+      responseSchema: leaseRevokeResponse,
+    };
     return this.#call(call)
       .map(() => undefined)
       .mapErr((error) => {
@@ -193,7 +209,7 @@
     };
   }
 
-  /** Ends all watches silently and all calls with an error, and closes every connection. */
+  /** Ends all watches without calling their handlers and all calls with an error, and closes every connection. */
   close(): void {
     for (const watch of [...this.#watches]) watch.close();
     this.#closing.abort();
@@ -212,11 +228,11 @@
       path: call.path,
       body: call.body,
       timeoutMs: this.options.requestTimeoutMs,
-      maxAnswerBytes: MAX_ANSWER_BYTES,
+      maxResponseBytes: MAX_RESPONSE_BYTES,
       signal: this.#closing.signal,
     })
-      .mapErr((error) => failureOfExchange(error, call.changes))
-      .andThen((answer) => readAnswer(answer, call))
+      .mapErr((error) => failureOfExchange(error, call.changesState))
+      .andThen((response) => parseResponse(response, call))
       .mapErr((failure) => this.#count(failure));
   }
 
@@ -230,34 +246,40 @@
   }
 }
 
-function failureOfExchange(error: HttpExchangeError, changes: boolean): StoreFailure {
-  if (changes && error.maybeSent) return new StoreAnswerLostError(error.message, { cause: error });
+function failureOfExchange(error: HttpExchangeError, changesState: boolean): StoreFailure {
+  if (changesState && error.maybeSent)
+    return new StoreAnswerLostError(error.message, { cause: error });
   return new StoreUnavailableError(error.message, { cause: error });
 }
 
-function readAnswer<Schema extends z.ZodType>(
-  answer: HttpAnswer,
+function parseResponse<Schema extends z.ZodType>(
+  response: HttpResponse,
   call: StoreCall<Schema>,
 ): ResultAsync<z.output<Schema>, StoreFailure> {
-  const json = parseJson(answer.body);
-  if (answer.status !== HTTP_OK) return errAsync(refusalOf(answer, json, call.changes));
-  const parsed = call.answer.safeParse(json);
+  const json = parseJson(response.body);
+  if (response.status !== HTTP_OK)
+    return errAsync(failureOfResponse(response, json, call.changesState));
+  const parsed = call.responseSchema.safeParse(json);
   if (parsed.success) return okAsync(parsed.data);
-  return errAsync(new StoreProtocolError(z.prettifyError(parsed.error), call.changes));
+  return errAsync(new StoreProtocolError(z.prettifyError(parsed.error), call.changesState));
 }
 
-function refusalOf(answer: HttpAnswer, json: unknown, changes: boolean): StoreFailure {
-  const refusal = errorAnswer.safeParse(json);
-  const grpcCode = refusal.success ? refusal.data.code : undefined;
-  const message = refusal.success ? refusal.data.message : `HTTP status ${answer.status}`;
-  if (answer.status === HTTP_TOO_MANY_REQUESTS || grpcCode === GRPC_RESOURCE_EXHAUSTED) {
-    return new StoreRateLimitedError(answer.retryAfterMs);
+function failureOfResponse(
+  response: HttpResponse,
+  json: unknown,
+  changesState: boolean,
+): StoreFailure {
+  const errorBody = errorResponse.safeParse(json);
+  const grpcCode = errorBody.success ? errorBody.data.code : undefined;
+  const message = errorBody.success ? errorBody.data.message : `HTTP status ${response.status}`;
+  if (response.status === HTTP_TOO_MANY_REQUESTS || grpcCode === GRPC_RESOURCE_EXHAUSTED) {
+    return new StoreRateLimitedError(response.retryAfterMs);
   }
-  if (answer.status >= HTTP_SERVER_ERROR) {
-    return changes ? new StoreAnswerLostError(message) : new StoreUnavailableError(message);
+  if (response.status >= HTTP_SERVER_ERROR) {
+    return changesState ? new StoreAnswerLostError(message) : new StoreUnavailableError(message);
   }
   if (grpcCode !== undefined) return new StoreRequestRejectedError(grpcCode, message);
-  return new StoreProtocolError(message, changes);
+  return new StoreProtocolError(message, changesState);
 }
 
 function parseJson(text: string): unknown {
--- a/src/platform/store-messages.ts
+++ b/src/platform/store-messages.ts
@@ -1,21 +1,21 @@
 /**
- * Messages of etcd v3's JSON gateway as the client writes and reads them. Source: etcd's API
- * reference, version 3.5. Zero fields are absent in answers.
+ * Requests and response schemas of etcd v3's JSON gateway. Source: etcd's API reference, version 3.5. Responses omit
+ * fields whose value is zero.
  */
 import { z } from 'zod';
 import type { KeyValue, RevisionCompare, TransactionOperation, WatchEvent } from './contract.js';
 
-/** An int64 that must be exact as a number: a revision, a count, a time to live. */
+/** An int64 that a double must represent exactly: a revision, a count, a time to live. */
 const int64 = z
   .union([z.string().regex(/^-?\d{1,19}$/), z.int()])
   .default('0')
   .transform(Number)
   .pipe(z.int());
 
-/** An id that may exceed the exact numbers; kept as text. */
-const idText = z.union([z.string().regex(/^\d{1,20}$/), z.int().min(0)]).transform(String);
+/** An id that a double may not represent exactly; kept as a string. */
+const idString = z.union([z.string().regex(/^\d{1,20}$/), z.int().min(0)]).transform(String);
 
-const base64Text = z
+const base64String = z
   .base64()
   .default('')
   .transform((text) => Buffer.from(text, 'base64').toString('utf8'));
@@ -23,7 +23,7 @@
 const header = z.object({ revision: int64 });
 
 const keyValue = z
-  .object({ key: base64Text, value: base64Text, create_revision: int64, mod_revision: int64 })
+  .object({ key: base64String, value: base64String, create_revision: int64, mod_revision: int64 })
   .transform(
     (entry): KeyValue => ({
       key: entry.key,
@@ -33,15 +33,13 @@
     }),
   );
 
-/** Answer to a read of a range. */
-export const rangeAnswer = z.object({
+export const rangeResponse = z.object({
   header,
   kvs: z.array(keyValue).default([]),
   more: z.boolean().default(false),
 });
 
-/** Answer to a transaction. */
-export const transactionAnswer = z.object({
+export const transactionResponse = z.object({
   header,
   succeeded: z.boolean().default(false),
   responses: z
@@ -51,17 +49,14 @@
     .default([]),
 });
 
-/** Answer to the grant of a lease. */
-export const leaseGrantAnswer = z.object({ ID: idText, TTL: int64 });
-/** Answer to the renewal of a lease. */
-export const leaseKeepAliveAnswer = z.object({
-  result: z.object({ ID: idText, TTL: int64 }),
+export const leaseGrantResponse = z.object({ ID: idString, TTL: int64 });
+export const leaseKeepAliveResponse = z.object({
+  result: z.object({ ID: idString, TTL: int64 }),
 });
-/** Answer to the end of a lease. */
-export const leaseRevokeAnswer = z.object({ header });
+export const leaseRevokeResponse = z.object({ header });
 
-/** The body of every refusal. */
-export const errorAnswer = z.object({
+/** Body of every error response. */
+export const errorResponse = z.object({
   code: z.int(),
   message: z.string().default('no message'),
 });
@@ -73,7 +68,7 @@
     return { type: 'delete', key: kv.key, modRevision: kv.modRevision };
   });
 
-/** One line of a watch's stream. */
+/** One line of the response stream of a watch. */
 export const watchLine = z.union([
   z.object({
     result: z.object({
@@ -87,16 +82,15 @@
   }),
   z.object({ error: z.object({ message: z.string().default('no message') }) }),
 ]);
-/** One line of a watch. */
 export type WatchLine = z.output<typeof watchLine>;
 
-function base64(text: string): string {
+function encodeBase64(text: string): string {
   return Buffer.from(text, 'utf8').toString('base64');
 }
 
 /**
- * The end of the range that covers every key with this prefix: the prefix with its last byte below
- * 0xff raised by one; `\0` (no end) if there is none.
+ * Exclusive end of the range of all keys with this prefix: the prefix up to its last byte below 0xff, with that byte
+ * incremented; `\0` (no end) if there is no such byte.
  */
 export function prefixRangeEnd(prefix: string): Buffer {
   const bytes = Buffer.from(prefix, 'utf8');
@@ -107,7 +101,7 @@
   return end;
 }
 
-/** A range of all keys with a prefix; the empty prefix means every key. */
+/** The range of all keys with a prefix; the empty prefix covers every key. */
 function prefixRange(prefix: string): { readonly key: string; readonly range_end: string } {
   const key = prefix === '' ? Buffer.from([0]) : Buffer.from(prefix, 'utf8');
   return { key: key.toString('base64'), range_end: prefixRangeEnd(prefix).toString('base64') };
@@ -129,31 +123,31 @@
   });
 }
 
-/** Body of /v3/kv/txn; if a compare fails, the compared keys are read. */
+/** Body of /v3/kv/txn; if a comparison fails, the transaction reads the compared keys. */
 export function transactionRequest(
   compares: readonly RevisionCompare[],
   operations: readonly TransactionOperation[],
 ): string {
   return JSON.stringify({
     compare: compares.map((compare) => ({
-      key: base64(compare.key),
+      key: encodeBase64(compare.key),
       target: 'MOD',
       result: 'EQUAL',
       mod_revision: String(compare.modRevision),
     })),
-    success: operations.map(operationMessage),
-    failure: compares.map((compare) => ({ request_range: { key: base64(compare.key) } })),
+    success: operations.map(encodeOperation),
+    failure: compares.map((compare) => ({ request_range: { key: encodeBase64(compare.key) } })),
   });
 }
 
-function operationMessage(operation: TransactionOperation): object {
-  const key = base64(operation.key);
+function encodeOperation(operation: TransactionOperation): object {
+  const key = encodeBase64(operation.key);
   if (operation.type === 'delete') return { request_delete_range: { key } };
   const lease = operation.leaseId === undefined ? {} : { lease: operation.leaseId };
-  return { request_put: { key, value: base64(operation.value), ...lease } };
+  return { request_put: { key, value: encodeBase64(operation.value), ...lease } };
 }
 
-/** Body of /v3/lease/grant. The store chooses the id. */
+/** Body of /v3/lease/grant. The store assigns the id. */
 export function leaseGrantRequest(seconds: number): string {
   return JSON.stringify({ TTL: String(seconds), ID: '0' });
 }
--- a/src/platform/store-watch.ts
+++ b/src/platform/store-watch.ts
@@ -1,4 +1,4 @@
-/** One watch of the store: a streamed answer of JSON lines on a connection of its own. */
+/** One watch of the store: a streamed response of JSON lines on a dedicated connection. */
 import { Agent, type ClientRequest, type IncomingMessage } from 'node:http';
 import { z } from 'zod';
 import type { Milliseconds } from '../core/units.js';
@@ -19,20 +19,18 @@
 const HTTP_OK = 200;
 const HTTP_TOO_MANY_REQUESTS = 429;
 
-/** What a watch is made of. */
 export interface StoreWatchOptions {
   readonly endpoint: ServiceEndpoint;
   readonly clientName: string;
-  /** The request's JSON text. */
+  /** Request body (JSON). */
   readonly body: string;
-  /** Ends the watch when nothing, not even progress, was heard for so long. */
+  /** The watch ends if nothing, not even a progress notification, is received for this long. */
   readonly silenceMs: Milliseconds;
   readonly handlers: WatchHandlers;
-  /** Called once, whichever way the watch ends. */
+  /** Called once, however the watch ends. */
   onClosed(): void;
 }
 
-/** One open watch. */
 export class StoreWatch {
   readonly #agent = new Agent({ keepAlive: false, maxSockets: 1 });
   #request: ClientRequest | undefined;
@@ -51,7 +49,7 @@
       method: 'POST',
       path: '/v3/watch',
       body,
-      maxAnswerBytes: MAX_LINE_BYTES,
+      maxResponseBytes: MAX_LINE_BYTES,
     });
     this.#request = request;
     this.#restartSilenceTimer();
@@ -80,7 +78,7 @@
     clearTimeout(this.#silenceTimer);
     const { silenceMs } = this.options;
     this.#silenceTimer = setTimeout(() => {
-      this.#end(new StoreWatchEndedError(`nothing heard for ${silenceMs} ms`));
+      this.#end(new StoreWatchEndedError(`nothing received for ${silenceMs} ms`));
     }, silenceMs);
   }
 
@@ -91,28 +89,29 @@
     }
     const lines = new LineReader(MAX_LINE_BYTES);
     response.on('data', (chunk: Buffer) => {
-      const taken = lines.push(chunk);
-      if (taken.isErr()) this.#end(new StoreProtocolError(taken.error.message, false));
-      else for (const line of taken.value) this.#take(line);
+      const completedLines = lines.push(chunk);
+      if (completedLines.isErr())
+        this.#end(new StoreProtocolError(completedLines.error.message, false));
+      else for (const line of completedLines.value) this.#handleLine(line);
     });
     response.on('error', (error) => this.#end(new StoreWatchEndedError(error.message)));
     response.on('close', () => this.#end(new StoreWatchEndedError('the store closed the stream')));
   }
 
-  #take(text: string): void {
+  #handleLine(text: string): void {
     if (this.#closed) return;
     this.#restartSilenceTimer();
     const line = parseLine(text);
     if (line === undefined) {
-      this.#end(new StoreProtocolError('a line of the watch is not in its form', false));
+      this.#end(new StoreProtocolError('malformed line in the watch stream', false));
     } else if ('error' in line) {
       this.#end(new StoreWatchEndedError(line.error.message));
     } else {
-      this.#handle(line.result);
+      this.#handleResult(line.result);
     }
   }
 
-  #handle(result: Extract<WatchLine, { result: unknown }>['result']): void {
+  #handleResult(result: Extract<WatchLine, { result: unknown }>['result']): void {
     if (result.compact_revision > 0) {
       this.#end(new StoreCompactedError(result.compact_revision));
     } else if (result.canceled) {
@@ -135,5 +134,5 @@
 function failureOfStatus(response: IncomingMessage): StoreFailure {
   response.resume();
   if (response.statusCode === HTTP_TOO_MANY_REQUESTS) return new StoreRateLimitedError(undefined);
-  return new StoreUnavailableError(`watch refused with HTTP status ${response.statusCode}`);
+  return new StoreUnavailableError(`watch request failed with HTTP status ${response.statusCode}`);
 }
--- a/test/integration/machine-list-client.test.ts
+++ b/test/integration/machine-list-client.test.ts
@@ -35,8 +35,8 @@
     endpoint: context.machines,
     clientName: 'test',
     pollWaitMs: 500,
-    answerTimeoutMs: 500,
-    minimumIntervalMs: 1,
+    responseTimeoutMs: 500,
+    minPollPeriodMs: 1,
     backoff: { baseMs: 10, maximumMs: 50 },
     random: () => 0.5,
   });
