--- a/src/observability/admin-server.ts
+++ b/src/observability/admin-server.ts
@@ -1,6 +1,6 @@
 /**
- * The operators' HTTP port: `/metrics`, `/health/live`, `/health/ready`, `GET /status` and
- * `POST /drain`. It reads no request bodies.
+ * HTTP server for operators: `/metrics`, `/health/live`, `/health/ready`, `GET /status` and `POST /drain`. Request
+ * bodies are ignored.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -8,29 +8,27 @@
 import type { Registry } from 'prom-client';
 import { MeadowstackError } from '../core/errors.js';
 
-/** Whether callers may be sent here, and if not, why. */
+/** Whether this node may receive callers and, if not, why. */
 export interface Readiness {
   readonly ready: boolean;
   /** Short stable codes, such as `no-configuration` or `draining`. */
   readonly reasons: readonly string[];
 }
 
-/** What the admin port shows. */
 export interface AdminServerOptions {
   readonly host: string;
-  /** 0 takes any free port. */
+  /** 0 selects any free port. */
   readonly port: number;
   readonly registry: Registry;
-  /** Called before each scrape, to bring gauges up to date. */
+  /** Called before each scrape, to update gauges. */
   readonly beforeScrape?: (() => void) | undefined;
   readonly readiness: () => Readiness;
-  /** Anything that JSON can carry; big integers are written as text. */
+  /** Any value that can be serialized as JSON; bigints are written as strings. */
   readonly status: () => object;
-  /** Starts the drain and returns at once; calling it again changes nothing. */
+  /** Starts the drain and returns at once; further calls have no effect. */
   readonly drain: () => void;
 }
 
-/** An open admin port. */
 export interface AdminServer {
   readonly host: string;
   readonly port: number;
@@ -55,18 +53,17 @@
 const HTTP_INTERNAL_ERROR = 500;
 const HTTP_UNAVAILABLE = 503;
 const REQUEST_TIMEOUT_MS = 5000;
-const MAXIMUM_CONNECTIONS = 64;
+const MAX_CONNECTIONS = 64;
 
-/** Opens the admin port. */
 export function startAdminServer(
   options: AdminServerOptions,
 ): ResultAsync<AdminServer, AdminListenError> {
   const server = createServer((request, response) => {
     request.resume();
-    void answer(options, request).then((reply) => send(response, reply));
+    void handleRequest(options, request).then((reply) => sendReply(response, reply));
   });
   server.requestTimeout = REQUEST_TIMEOUT_MS;
-  server.maxConnections = MAXIMUM_CONNECTIONS;
+  server.maxConnections = MAX_CONNECTIONS;
   return ResultAsync.fromPromise(listen(server, options), (cause) => {
     const where = `${options.host}:${options.port}`;
     return new AdminListenError(`the admin port ${where} could not be opened`, { cause });
@@ -91,67 +88,71 @@
   });
 }
 
-async function answer(options: AdminServerOptions, request: IncomingMessage): Promise<Reply> {
+async function handleRequest(
+  options: AdminServerOptions,
+  request: IncomingMessage,
+): Promise<Reply> {
   const path = (request.url ?? '/').split('?')[0] ?? '/';
-  const wanted = path === '/drain' ? 'POST' : 'GET';
+  const requiredMethod = path === '/drain' ? 'POST' : 'GET';
   try {
-    const reply = replyTo(options, path);
-    if (reply === undefined) return json(HTTP_NOT_FOUND, { error: 'no such path' });
-    if (request.method !== wanted) return json(HTTP_METHOD_NOT_ALLOWED, { error: `use ${wanted}` });
+    const reply = findHandler(options, path);
+    if (reply === undefined) return createJsonReply(HTTP_NOT_FOUND, { error: 'no such path' });
+    if (request.method !== requiredMethod)
+      return createJsonReply(HTTP_METHOD_NOT_ALLOWED, { error: `use ${requiredMethod}` });
     return await reply();
   } catch (error) {
     const reason = error instanceof Error ? error.message : 'unknown';
-    return json(HTTP_INTERNAL_ERROR, { error: reason });
+    return createJsonReply(HTTP_INTERNAL_ERROR, { error: reason });
   }
 }
 
-/** What to do for a path; undefined if there is no such path. */
-function replyTo(
+/** The handler of a path; undefined if there is no such path. */
+function findHandler(
   options: AdminServerOptions,
   path: string,
 ): (() => Reply | Promise<Reply>) | undefined {
   switch (path) {
     case '/metrics':
-      return () => metrics(options);
+      return () => createMetricsReply(options);
     case '/health/live':
-      return () => json(HTTP_OK, { live: true });
+      return () => createJsonReply(HTTP_OK, { live: true });
     case '/health/ready':
-      return () => ready(options.readiness());
+      return () => createReadinessReply(options.readiness());
     case '/status':
-      return () => json(HTTP_OK, options.status());
+      return () => createJsonReply(HTTP_OK, options.status());
     case '/drain':
       return () => {
         options.drain();
-        return json(HTTP_ACCEPTED, { draining: true });
+        return createJsonReply(HTTP_ACCEPTED, { draining: true });
       };
     default:
       return undefined;
   }
 }
 
-async function metrics({ registry, beforeScrape }: AdminServerOptions): Promise<Reply> {
+async function createMetricsReply({ registry, beforeScrape }: AdminServerOptions): Promise<Reply> {
   beforeScrape?.();
   const body = await registry.metrics();
   return { status: HTTP_OK, contentType: registry.contentType, body };
 }
 
-function ready({ ready: isReady, reasons }: Readiness): Reply {
-  return json(isReady ? HTTP_OK : HTTP_UNAVAILABLE, { ready: isReady, reasons });
+function createReadinessReply({ ready: isReady, reasons }: Readiness): Reply {
+  return createJsonReply(isReady ? HTTP_OK : HTTP_UNAVAILABLE, { ready: isReady, reasons });
 }
 
-function json(status: number, value: object): Reply {
+function createJsonReply(status: number, value: object): Reply {
   return {
     status,
     contentType: 'application/json',
-    body: `${JSON.stringify(value, bigintAsText)}\n`,
+    body: `${JSON.stringify(value, stringifyBigint)}\n`,
   };
 }
 
-function send(response: ServerResponse, reply: Reply): void {
+function sendReply(response: ServerResponse, reply: Reply): void {
   response.writeHead(reply.status, { 'content-type': reply.contentType });
   response.end(reply.body);
 }
 
-function bigintAsText(_key: string, value: unknown): unknown {
+function stringifyBigint(_key: string, value: unknown): unknown {
   return typeof value === 'bigint' ? String(value) : value;
 }
--- a/src/observability/event-limit.ts
+++ b/src/observability/event-limit.ts
@@ -1,7 +1,7 @@
-/** Bounds how many lines of each kind are written, and counts what was left out. */
+/** Limits how many log lines of each kind are written per second, and counts the omitted ones. */
 import type { Milliseconds } from '../core/units.js';
 
-const INTERVAL_MS: Milliseconds = 1000;
+const WINDOW_MS: Milliseconds = 1000;
 
 interface KindState {
   startedAt: Milliseconds;
@@ -9,22 +9,21 @@
   leftOut: number;
 }
 
-/** Whether a line may be written, and how many of its kind were left out before it. */
+/** Whether a line may be written, and how many of its kind were omitted since the last one written. */
 export interface Admission {
   readonly isAdmitted: boolean;
   readonly leftOut: number;
 }
 
-/** So many lines of each kind in a second. */
 export class EventLimit {
   readonly #kinds = new Map<string, KindState>();
 
-  constructor(private readonly perSecond: number) {}
+  constructor(private readonly maxPerSecond: number) {}
 
-  /** `kind` comes from a bounded set. */
+  /** `kind` must come from a limited set of values, as its state is kept for good. */
   admit(kind: string, now: Milliseconds): Admission {
     const state = this.#stateOf(kind, now);
-    if (state.admitted >= this.perSecond) {
+    if (state.admitted >= this.maxPerSecond) {
       state.leftOut += 1;
       return { isAdmitted: false, leftOut: state.leftOut };
     }
@@ -35,16 +34,16 @@
   }
 
   #stateOf(kind: string, now: Milliseconds): KindState {
-    const known = this.#kinds.get(kind);
-    if (known === undefined) {
+    const existing = this.#kinds.get(kind);
+    if (existing === undefined) {
       const state = { startedAt: now, admitted: 0, leftOut: 0 };
       this.#kinds.set(kind, state);
       return state;
     }
-    if (now - known.startedAt >= INTERVAL_MS) {
-      known.startedAt = now;
-      known.admitted = 0;
+    if (now - existing.startedAt >= WINDOW_MS) {
+      existing.startedAt = now;
+      existing.admitted = 0;
     }
-    return known;
+    return existing;
   }
 }
--- a/src/observability/latency-histogram.ts
+++ b/src/observability/latency-histogram.ts
@@ -1,21 +1,23 @@
 /**
- * Latencies counted in fixed buckets, cheap enough for every statement: the metrics library is loaded only
- * when somebody asks for figures. Told in the text form that Prometheus reads, in seconds.
+ * Histogram with fixed buckets, cheap enough to record every statement, and independent of the metrics library, which
+ * is loaded only when metrics are requested. Exposed in seconds in Prometheus' text format.
  */
 import { MILLISECONDS_PER_SECOND, type Milliseconds } from '../core/units.js';
 
 /** Upper bounds of the buckets. */
-const BOUNDS_MS: readonly Milliseconds[] = [1, 2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000];
+const BUCKET_BOUNDS_MS: readonly Milliseconds[] = [
+  1, 2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000,
+];
 
 interface Series {
   readonly labels: readonly string[];
-  /** One for each bound, and one for what is above them all. */
+  /** One count per bound, and one for latencies above all bounds. */
   readonly counts: number[];
   sumMs: Milliseconds;
 }
 
 export interface LatencyHistogramOptions {
-  /** Without the unit, which is added. */
+  /** Without the unit suffix, which is appended. */
   readonly name: string;
   readonly help: string;
   readonly labelNames: readonly string[];
@@ -26,39 +28,41 @@
 
   constructor(private readonly options: LatencyHistogramOptions) {}
 
-  /** Counts one latency; the values of the labels stand in the order of their names, and are few. */
+  /** `labels`: values in the order of `labelNames`; must come from a limited set, as each combination is kept. */
   observe(latencyMs: Milliseconds, ...labels: readonly string[]): void {
     const key = labels.join('\n');
     let series = this.#series.get(key);
     if (series === undefined) {
-      series = { labels, counts: new Array<number>(BOUNDS_MS.length + 1).fill(0), sumMs: 0 };
+      series = { labels, counts: new Array<number>(BUCKET_BOUNDS_MS.length + 1).fill(0), sumMs: 0 };
       this.#series.set(key, series);
     }
-    const bucket = BOUNDS_MS.findIndex((boundMs) => latencyMs <= boundMs);
-    const index = bucket < 0 ? BOUNDS_MS.length : bucket;
+    const bucket = BUCKET_BOUNDS_MS.findIndex((boundMs) => latencyMs <= boundMs);
+    const index = bucket < 0 ? BUCKET_BOUNDS_MS.length : bucket;
     series.counts[index] = (series.counts[index] ?? 0) + 1;
     series.sumMs += latencyMs;
   }
 
-  /** All series as text, each line ended; empty if nothing was counted. */
+  /** All series in Prometheus' text format, each line terminated; empty if nothing was recorded. */
   expose(prefix: string): string {
     if (this.#series.size === 0) return '';
     const name = `${prefix}${this.options.name}_seconds`;
     const head = [`# HELP ${name} ${this.options.help}`, `# TYPE ${name} histogram`];
-    const lines = [...this.#series.values()].flatMap((series) => this.#linesOf(name, series));
+    const lines = [...this.#series.values()].flatMap((series) => this.#formatSeries(name, series));
     return `${[...head, ...lines].join('\n')}\n`;
   }
 
-  #linesOf(name: string, { labels, counts, sumMs }: Series): string[] {
-    const own = this.options.labelNames.map((label, index) => `${label}="${labels[index] ?? ''}"`);
+  #formatSeries(name: string, { labels, counts, sumMs }: Series): string[] {
+    const ownLabels = this.options.labelNames.map(
+      (label, index) => `${label}="${labels[index] ?? ''}"`,
+    );
     const withLabels = (...more: string[]): string => {
-      const all = [...own, ...more];
+      const all = [...ownLabels, ...more];
       return all.length === 0 ? '' : `{${all.join(',')}}`;
     };
     let total = 0;
     const buckets = counts.map((count, index) => {
       total += count;
-      const boundMs = BOUNDS_MS[index];
+      const boundMs = BUCKET_BOUNDS_MS[index];
       const bound = boundMs === undefined ? '+Inf' : boundMs / MILLISECONDS_PER_SECOND;
       return `${name}_bucket${withLabels(`le="${bound}"`)} ${total}`;
     });
--- a/src/observability/line-writer.ts
+++ b/src/observability/line-writer.ts
@@ -1,48 +1,48 @@
 /**
- * Writes log lines to a stream that may not be read: what it has not taken is bounded, and lines beyond
- * the bound are dropped and counted, so that a reader that stands still holds nothing up.
+ * Writes log lines to a stream whose reader may stall. The bytes buffered for the reader are limited, and lines beyond
+ * the limit are dropped and counted, so that a stalled reader neither blocks the process nor fills its memory.
  */
 
-/** The part of a stream that is used; standard output fits. */
+/** The members of a writable stream that are used; `process.stdout` satisfies this. */
 export interface LineStream {
-  /** Bytes that were written and not taken yet. */
+  /** Bytes that were written and are still buffered. */
   readonly writableLength: number;
   write(text: string): unknown;
 }
 
-/** Bytes that may wait for the reader. */
-export const DEFAULT_MAX_WAITING_BYTES = 256 * 1024;
+/** Lines are dropped while more than this is buffered. */
+export const DEFAULT_MAX_BUFFERED_BYTES = 256 * 1024;
 
-/** A writer of whole lines; never blocks on a pipe. */
+/** Writes whole lines; never blocks on a pipe. */
 export class LineWriter {
   #dropped = 0;
-  #droppedSinceTold = 0;
+  #unreportedDropped = 0;
 
   constructor(
     private readonly stream: LineStream,
-    private readonly maxWaitingBytes: number = DEFAULT_MAX_WAITING_BYTES,
+    private readonly maxBufferedBytes: number = DEFAULT_MAX_BUFFERED_BYTES,
   ) {}
 
-  /** Lines that were dropped since the start. */
+  /** Total number of dropped lines. */
   get dropped(): number {
     return this.#dropped;
   }
 
-  /** Takes a line without its end. */
+  /** `line` has no line terminator. */
   write(line: string): void {
-    if (this.stream.writableLength > this.maxWaitingBytes) {
+    if (this.stream.writableLength > this.maxBufferedBytes) {
       this.#dropped += 1;
-      this.#droppedSinceTold += 1;
+      this.#unreportedDropped += 1;
       return;
     }
-    this.#tellDropped();
+    this.#reportDropped();
     this.stream.write(`${line}\n`);
   }
 
-  #tellDropped(): void {
-    if (this.#droppedSinceTold === 0) return;
-    const lines = this.#droppedSinceTold;
-    this.#droppedSinceTold = 0;
+  #reportDropped(): void {
+    if (this.#unreportedDropped === 0) return;
+    const lines = this.#unreportedDropped;
+    this.#unreportedDropped = 0;
     this.stream.write(`${JSON.stringify({ level: 'warn', event: 'log lines dropped', lines })}\n`);
   }
 }
--- a/src/observability/log-reader.ts
+++ b/src/observability/log-reader.ts
@@ -1,38 +1,36 @@
-/** Log lines of nodes as they were written: one JSON object in each line. */
+/** Parses the log lines of nodes: one JSON object per line. */
 
-/** One line. */
 export interface LogLine {
   /** Milliseconds since the Unix epoch, by the clock of the node that wrote it. */
   readonly timeMs: number;
   readonly node: string;
   readonly event: string;
-  /** Position among the lines of its file, which is the order in which the node wrote them. */
-  readonly place: number;
+  /** Index in its file; the file has the lines in the order in which the node wrote them. */
+  readonly lineIndex: number;
   readonly fields: Readonly<Record<string, unknown>>;
 }
 
-/** What a file holds. */
 export interface LogFile {
   readonly lines: readonly LogLine[];
-  /** Lines that are no log lines, as where a program failed or a file was cut off. */
+  /** Number of lines that are not log lines, such as the output of a crash or a truncated last line. */
   readonly unreadable: number;
 }
 
-/** Reads the text of one file. */
+/** `text`: the contents of one log file. */
 export function readLog(text: string): LogFile {
   const lines: LogLine[] = [];
   let unreadable = 0;
-  for (const [place, raw] of text.split('\n').entries()) {
-    if (raw.trim() === '') continue;
-    const line = readLine(raw, place);
+  for (const [lineIndex, rawLine] of text.split('\n').entries()) {
+    if (rawLine.trim() === '') continue;
+    const line = readLine(rawLine, lineIndex);
     if (line === undefined) unreadable += 1;
     else lines.push(line);
   }
   return { lines, unreadable };
 }
 
-/** What stands before the object, as a collector's own time and name, is left out. */
-function readLine(raw: string, place: number): LogLine | undefined {
+/** Text before the JSON object, such as a log collector's time and node name, is ignored. */
+function readLine(raw: string, lineIndex: number): LogLine | undefined {
   const start = raw.indexOf('{');
   if (start < 0) return undefined;
   const fields = parseObject(raw.slice(start));
@@ -40,7 +38,7 @@
   const { time, node, event } = fields;
   const timeMs = typeof time === 'string' ? Date.parse(time) : Number.NaN;
   if (Number.isNaN(timeMs) || typeof event !== 'string') return undefined;
-  return { timeMs, node: typeof node === 'string' ? node : '', event, place, fields };
+  return { timeMs, node: typeof node === 'string' ? node : '', event, lineIndex, fields };
 }
 
 function parseObject(text: string): Record<string, unknown> | undefined {
--- a/src/observability/logger.ts
+++ b/src/observability/logger.ts
@@ -1,32 +1,30 @@
 /**
- * Structured logs on loglevel: one line for each change of state, never one for each request
- * (those are counted, see `metrics.ts`). Loggers carry bound fields, such as the node's name.
+ * Structured logging based on loglevel. Lines report changes of state rather than every request; requests are
+ * counted (see `metrics.ts`). Loggers have bound fields, such as the node's name.
  */
 import loglevel, { type LogLevelDesc } from 'loglevel';
 import { MeadowstackError } from '../core/errors.js';
 
-/** Form of the lines. */
 export type LogFormat = 'json' | 'text';
-/** Least level that is written. */
+/** Lowest level that is written. */
 export type LogLevel = 'trace' | 'debug' | 'info' | 'warn' | 'error' | 'silent';
-/** Fields of one line; undefined ones are left out. */
+/** Fields of one line; undefined ones are omitted. */
 export type LogFields = Readonly<Record<string, unknown>>;
 
-/** What the logger is made of. */
 export interface LoggerOptions {
   readonly format: LogFormat;
   readonly level: LogLevel;
   /** Fields of every line. */
   readonly fields?: LogFields;
-  /** Takes a line without its end; standard error by default. */
+  /** Receives a line without its terminator; writes to standard error by default. */
   readonly write?: (line: string) => void;
-  /** Time of a line; the wall clock by default. */
+  /** Timestamp of a line; the wall clock by default. */
   readonly now?: () => Date;
 }
 
 /** A logger with bound fields. */
 export interface Logger {
-  /** `fields` is called only if the level is in force: these lines come with every request. */
+  /** `fields` is called only if the debug level is enabled, because debug lines come with every request. */
   debug(event: string, fields: () => LogFields): void;
   info(event: string, fields?: LogFields): void;
   warn(event: string, fields?: LogFields): void;
@@ -35,7 +33,7 @@
   child(fields: LogFields): Logger;
 }
 
-/** One line before it is given its form. */
+/** One line before formatting. */
 interface LogEntry {
   readonly time: string;
   readonly level: string;
@@ -46,13 +44,12 @@
 const NEEDS_QUOTES = /[\s"=]/;
 let loggersCreated = 0;
 
-/** A logger that writes lines to the standard error. */
 export function createLogger(options: LoggerOptions): Logger {
   const write = options.write ?? ((line) => process.stderr.write(`${line}\n`));
   const now = options.now ?? (() => new Date());
   const format = options.format === 'json' ? formatJson : formatText;
   loggersCreated += 1;
-  // A name of its own, so that two nodes in one process don't share a level.
+  // A unique name, so that two nodes in one process don't share a level.
   const underlying = loglevel.getLogger(`meadowstack-${loggersCreated}`);
   underlying.methodFactory =
     (level) =>
@@ -75,7 +72,7 @@
   };
 }
 
-/** Fields that describe an error, to be spread into a line's fields. */
+/** Log fields that describe an error. */
 export function errorFields(error: Error): LogFields {
   const code = error instanceof MeadowstackError ? error.code : undefined;
   return { error: error.name, code, reason: error.message };
@@ -85,23 +82,23 @@
   return JSON.stringify({ ...fields, time, level, event }, jsonValueOf);
 }
 
-/** JSON has no form for a bigint, such as an LSN. */
+/** Writes bigints, such as LSNs, as strings, since JSON.stringify rejects them. */
 function jsonValueOf(_name: string, value: unknown): unknown {
   return typeof value === 'bigint' ? value.toString() : value;
 }
 
 function formatText({ time, level, event, fields }: LogEntry): string {
-  const shown = Object.entries(fields)
+  const formattedFields = Object.entries(fields)
     .filter(([, value]) => value !== undefined)
     .map(([name, value]) => ` ${name}=${quoteIfNeeded(String(value))}`);
-  return `${time} ${level.toUpperCase().padEnd(5)} ${quoteLineBreaks(event)}${shown.join('')}`;
+  return `${time} ${level.toUpperCase().padEnd(5)} ${quoteLineBreaks(event)}${formattedFields.join('')}`;
 }
 
 function quoteIfNeeded(text: string): string {
   return text === '' || NEEDS_QUOTES.test(text) ? JSON.stringify(text) : text;
 }
 
-/** A line stays one line whatever is logged. */
+/** Keeps every entry on one line. */
 function quoteLineBreaks(text: string): string {
   return text.replaceAll('\n', '\\n').replaceAll('\r', '\\r');
 }
--- a/src/observability/metrics.ts
+++ b/src/observability/metrics.ts
@@ -1,26 +1,25 @@
-/** The counters, gauges and histograms of one node, in a prom-client registry of its own. */
+/** Counters, gauges and histograms of one node, in a separate prom-client registry. */
 import { Counter, collectDefaultMetrics, Gauge, Histogram, Registry } from 'prom-client';
 import type { NotRunReason, UnknownReason } from '../core/errors.js';
 
-/** How a request ended. */
+/** How a request ended; `not-run`: it was not executed. */
 export type RequestOutcome = 'done' | 'not-run' | 'unknown' | 'failed';
-/** Where a request ran; `none` if it ran nowhere. */
+/** Role of the instance that executed a request; `none` if no instance did. */
 export type RequestRoute = 'primary' | 'replica' | 'none';
-/** Who a connection is to. */
+/** Peer of a connection. */
 export type ConnectionSide = 'caller' | 'backend' | 'peer';
 
-/** The metrics of a node. */
 export interface NodeMetrics {
   readonly registry: Registry;
-  /** Requests that ended. Kinds are the tenants' markers: bounded by the configuration. */
+  /** Finished requests. `kind` is a marker that tenants set; the configuration limits its values. */
   readonly requests: Counter<'outcome' | 'kind' | 'route'>;
   readonly requestSeconds: Histogram<'kind' | 'route'>;
   readonly queueDepth: Gauge<'group'>;
   readonly running: Gauge<'group'>;
   readonly openConnections: Gauge<'side'>;
-  /** Back-end connections tried, probes' own included. */
+  /** Attempts to open back-end connections, including those of probes. */
   readonly connectionsOpened: Counter;
-  /** Refusals by the reason in the error. */
+  /** Requests refused without being executed, by the reason in the error. */
   readonly notRun: Counter<'reason'>;
   readonly unknown: Counter<'reason'>;
   readonly retries: Counter;
@@ -44,16 +43,16 @@
   readonly draining: Gauge;
 }
 
-/** Why a request was not run, or its outcome is unknown. */
+/** Why a request was not executed, or why its outcome is unknown. */
 export type RefusalReason = NotRunReason | UnknownReason;
 
 const PREFIX = 'meadowstack_';
-/** Seconds: from a tenth of a millisecond, a loopback statement, to a failover's length. */
+/** From a statement over loopback (0.1 ms) to the duration of a failover. */
 const LATENCY_BUCKETS_SECONDS = [
   0.0001, 0.00025, 0.0005, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5,
 ];
 
-/** Creates the set. `node` labels every sample; process metrics are included on request. */
+/** `node` labels every sample; `includeProcess` adds prom-client's default process metrics. */
 export function createMetrics(node: string, includeProcess = true): NodeMetrics {
   const registry = new Registry();
   registry.setDefaultLabels({ node });
@@ -123,7 +122,7 @@
   };
 }
 
-/** Raises a counter to a total that is kept elsewhere, such as a transport's own counters. */
+/** Returns a function that raises a counter to a total kept elsewhere, such as in a transport's counters. */
 export function syncCounter<Label extends string>(
   counter: Counter<Label>,
   labels: Record<Label, string>,
--- a/src/observability/request-id.ts
+++ b/src/observability/request-id.ts
@@ -1,16 +1,16 @@
 /**
- * Request ids that one can follow over both hops: given by the gateway, sent along to the owner,
- * and found in the lines and errors of both.
+ * Request ids for tracing a request through gateway and owner: assigned by the gateway, sent to the owner, and
+ * included in the log lines and errors of both.
  */
 
 const RADIX = 36;
-/** Milliseconds since the Unix epoch in base 36 have nine digits until 2059; the last seven do. */
+/** Milliseconds since the Unix epoch in base 36 have eight digits until 2059; the last seven suffice. */
 const INCARNATION_DIGITS = 7;
 
-/** Gives ids `<node>-<incarnation>-<number>`, unique for the life of a node. */
+/** Returns a generator of ids `<node>-<incarnation>-<number>`. */
 export function createRequestIds(nodeId: string, incarnation: number): () => string {
-  const digits = incarnation.toString(RADIX).slice(-INCARNATION_DIGITS);
-  const prefix = `${nodeId}-${digits}-`;
+  const incarnationSuffix = incarnation.toString(RADIX).slice(-INCARNATION_DIGITS);
+  const prefix = `${nodeId}-${incarnationSuffix}-`;
   let issued = 0;
   return () => {
     issued += 1;
--- a/src/observability/store-call-tally.ts
+++ b/src/observability/store-call-tally.ts
@@ -1,8 +1,8 @@
-/** Calls to the store, counted by what they are for and how they ended. */
+/** Counts calls to the store by purpose and outcome. */
 
 /**
- * `refused`: the store said that it did nothing. `lost`: no answer came, and it may have been done. `unsent`: no
- * connection was made. `left`: this node did not wait for the answer.
+ * `refused`: the store responded that it did nothing. `lost`: no response came, and the call may have taken effect.
+ * `unsent`: no connection was made. `left`: this node did not wait for the response.
  */
 export type StoreCallOutcome = 'done' | 'refused' | 'lost' | 'unsent' | 'left';
 
@@ -15,10 +15,10 @@
 export class StoreCallTally {
   readonly #counts = new Map<string, Map<StoreCallOutcome, number>>();
 
-  note(kind: string, outcome: StoreCallOutcome): void {
-    const ofKind = this.#counts.get(kind) ?? new Map<StoreCallOutcome, number>();
-    this.#counts.set(kind, ofKind);
-    ofKind.set(outcome, (ofKind.get(outcome) ?? 0) + 1);
+  record(kind: string, outcome: StoreCallOutcome): void {
+    const countsOfKind = this.#counts.get(kind) ?? new Map<StoreCallOutcome, number>();
+    this.#counts.set(kind, countsOfKind);
+    countsOfKind.set(outcome, (countsOfKind.get(outcome) ?? 0) + 1);
   }
 
   counts(): StoreCallCount[] {
@@ -27,7 +27,7 @@
     );
   }
 
-  /** For a line of the log: by kind, and by outcome where it is not the usual one. */
+  /** Counts for a log line: keys are KIND for calls that were done, else KIND:OUTCOME. */
   summary(): Readonly<Record<string, number>> {
     return Object.fromEntries(
       this.counts().map(({ kind, outcome, count }) => [
