--- a/test/integration/store-client.test.ts
+++ b/test/integration/store-client.test.ts
@@ -20,7 +20,7 @@
 
 const PATIENT_MS = 15_000;
 const IMPATIENT_MS = 300;
-/** Far longer than the impatient client waits. */
+/** Far longer than the impatient client's timeout. */
 const SLOW_ANSWER_MS = 60_000;
 
 interface Context {
@@ -41,7 +41,7 @@
 
 const put = (key: string, value = 'v'): TransactionOperation => ({ type: 'put', key, value });
 
-/** Collects what a watch tells. */
+/** Collects what a watch reports. */
 function recorder() {
   const events: WatchEvent[] = [];
   const ends: { error: MeadowstackError; compacted: boolean }[] = [];
--- a/test/property/foreign-documents.test.ts
+++ b/test/property/foreign-documents.test.ts
@@ -1,6 +1,6 @@
 /**
- * Documents and messages of other writers, of any form: nothing throws, nothing that is not in its form is taken, and
- * what was read is bounded by what was told.
+ * Arbitrary documents and messages from other processes: parsing never throws, nothing malformed is accepted, and
+ * accepted values are within their limits.
  */
 import fc from 'fast-check';
 import { test } from 'uvu';
@@ -26,7 +26,7 @@
 const RUNS = 1500;
 const SETTINGS = { seed: SEED, numRuns: RUNS };
 
-/** Names that stand in the platform's documents and in our own messages. */
+/** Field names of the platform's documents and of our own messages. */
 const NAMES = [
   ...['version', 'routes', 'services', 'tenants', 'limits', 'name', 'api_keys', 'key_digests'],
   ...['rate_per_s', 'burst', 'hostname', 'route_type', 'timeout_ms', 'service', 'address', 'zone'],
@@ -53,7 +53,7 @@
   fc.string({ unit: 'binary' }),
 );
 
-/** A whole entry with some fields replaced or left out. */
+/** A valid entry with some fields replaced or omitted. */
 const damagedEntries = fc
   .record({
     field: fc.constantFrom('service', 'address', 'zone', 'slots', 'state', 'database_role', 'born'),
@@ -106,11 +106,11 @@
   );
 });
 
-/** Reads of what stores and peers tell; each gives undefined, an error or a value. */
+/** Parsers of messages from stores and peers; each returns undefined, an error or a value. */
 const READERS: Readonly<Record<string, (value: unknown) => unknown>> = {
   ...{
     readItem,
-    readPollAnswer: readPollResponse,
+    readPollResponse,
     readRangePage,
     parsePartRequest,
     parsePermitGrant,
--- a/test/unit/observability/explanation.test.ts
+++ b/test/unit/observability/explanation.test.ts
@@ -1,4 +1,4 @@
-/** A request's story and cause from log lines. */
+/** Explains a request and the cause of its outcome from log lines. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { explain } from '../../../src/observability/explanation.js';
@@ -6,7 +6,7 @@
 
 const ARRIVAL_MS = Date.parse('2026-12-02T12:00:00.000Z');
 
-/** A line of a node, `atMs` after the request arrived. */
+/** A node's log line, `atMs` after the request's arrival. */
 function line(atMs: number, event: string, fields: object, node = 'node-1'): string {
   const time = new Date(ARRIVAL_MS + atMs).toISOString();
   return JSON.stringify({ node, ...fields, time, level: 'info', event });
--- a/test/unit/observability/latency-histogram.test.ts
+++ b/test/unit/observability/latency-histogram.test.ts
@@ -1,4 +1,4 @@
-/** Histograms of latencies in the text form that Prometheus reads. */
+/** Latency histograms in Prometheus' text format. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { LatencyHistogram } from '../../../src/observability/latency-histogram.js';
--- a/test/unit/observability/line-writer.test.ts
+++ b/test/unit/observability/line-writer.test.ts
@@ -1,10 +1,10 @@
-/** Logs that never hold anything up, and how many lines of a kind are written. */
+/** Log output never blocks the process, and the number of lines of a kind per second is limited. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { EventLimit } from '../../../src/observability/event-limit.js';
 import { LineWriter } from '../../../src/observability/line-writer.js';
 
-/** A pipe whose reader takes nothing until it is told to. */
+/** A pipe whose reader consumes nothing until `read` is called. */
 class StoppedPipe {
   written = '';
   taken = 0;
--- a/test/unit/observability/start-account.test.ts
+++ b/test/unit/observability/start-account.test.ts
@@ -1,4 +1,4 @@
-/** The account of a fleet's last start, from lines of its nodes. */
+/** Reconstructs a fleet's last start from its nodes' log lines. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { readLog } from '../../../src/observability/log-reader.js';
--- a/test/unit/platform/directory-follower.test.ts
+++ b/test/unit/platform/directory-follower.test.ts
@@ -29,7 +29,7 @@
   open: boolean;
 }
 
-/** Both prefixes of a store, answered by the test. */
+/** A store whose two prefixes the test answers. */
 class FakeStore implements Pick<Store, 'range' | 'watch'> {
   readonly ranges = new Map<string, RangeResponse | StoreError>();
   readonly reads: string[] = [];
@@ -63,7 +63,7 @@
 interface Setup {
   readonly store: FakeStore;
   readonly follower: DirectoryFollower;
-  /** What was told, in order. */
+  /** Notifications, in order. */
   readonly told: string[];
   readonly pauses: { readonly delayMs: number; run(): void }[];
   now: number;
@@ -116,7 +116,7 @@
   return { ...whole, database_role: 'replica', sequence: 1, ...change };
 }
 
-/** Lets the answers that are on their way arrive. */
+/** Lets pending responses arrive. */
 function settle(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
 }
@@ -227,7 +227,7 @@
   assert.is.not(second?.id, first?.id);
   assert.is(second?.lifeOf, first?.lifeOf);
   assert.is(told.length, 2);
-  // A late word of the first life changes nothing.
+  // A late registration of the first incarnation changes nothing.
   handlers.onEvents([put('servers/i-1', entry({ born: 100, sequence: 42 }), 13)], 14);
   assert.equal([...follower.instances().keys()], [second?.id]);
   handlers.onEvents([{ type: 'delete', key: 'servers/i-1', modRevision: 15 }], 15);
--- a/test/unit/platform/key-digests.test.ts
+++ b/test/unit/platform/key-digests.test.ts
@@ -1,4 +1,4 @@
-/** Keys of callers are known only in the folder that reads the platform's messages. */
+/** API keys of callers must not leave the folder that decodes the platform's messages. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { digestOfKey, replaceKeysByDigests } from '../../../platform/key-digests.js';
--- a/test/unit/platform/promotion-caller.test.ts
+++ b/test/unit/platform/promotion-caller.test.ts
@@ -3,9 +3,9 @@
 import { HttpPromotionCaller } from '../../../platform/promotion-caller.js';
 import { type ScriptedAnswer, startScriptedServer } from '../../support/scripted-http-server.js';
 
-/** For an answer that never comes. */
+/** Timeout where no response comes. */
 const SHORT_TIMEOUT_MS = 60;
-/** For answers that do come, however busy the machine is. */
+/** Timeout where a response comes, long enough for a busy machine. */
 const LONG_TIMEOUT_MS = 30_000;
 
 test('the call names holder and fencing token, and its answers are told apart', async () => {
--- a/test/unit/platform/shared-watch.test.ts
+++ b/test/unit/platform/shared-watch.test.ts
@@ -1,4 +1,4 @@
-/** Watches of prefixes that begin alike share one at the store, and each hears only its own. */
+/** Watches of prefixes with a common prefix share one watch of the store; each receives only its own events. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { DIRECTORY_PREFIX, INSTANCE_KEY_PREFIX } from '../../../platform/documents.js';
--- a/test/unit/platform/store-calls.test.ts
+++ b/test/unit/platform/store-calls.test.ts
@@ -1,4 +1,4 @@
-/** Calls to the store are counted by what they are for and how they end. */
+/** Calls to the store are counted by purpose and outcome. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { CONFIGURATION_KEY, DIRECTORY_PREFIX } from '../../../platform/documents.js';
@@ -23,7 +23,7 @@
 
 const LONG_TIMEOUT_MS = 30_000;
 
-/** The counts after a run against a store that answers as scripted. */
+/** The counts after a run against a store with scripted responses. */
 async function tallied(
   answer: (request: ScriptedRequest) => ScriptedAnswer,
   run: (store: KeyValueStore) => Promise<unknown>,
@@ -47,7 +47,7 @@
   return tally.summary();
 }
 
-/** Resolves at the first answer of a watch, which is closed then, or at its end. */
+/** Opens a watch; resolves after its first response, having closed it, or when it ends. */
 function firstAnswer(store: KeyValueStore, prefix: string): Promise<void> {
   return new Promise((resolve) => {
     const close = store.watch(prefix, 2, {
--- a/test/unit/platform/store-era.test.ts
+++ b/test/unit/platform/store-era.test.ts
@@ -1,4 +1,4 @@
-/** A store that came back from a copy, as its client sees it: what its answers are worth, and what is asked of it. */
+/** The client of a store that was restored from a backup: which responses it accepts, and which requests it sends. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { KeyValueStore } from '../../../platform/store.js';
@@ -14,7 +14,7 @@
 const WAIT_MS = 50;
 const PUT = [{ type: 'put', key: 'my/a', value: 'x' }] as const;
 
-/** An answer of the store in this era; undefined for one that names none. */
+/** A response of the store in this era; undefined for a store that reports none. */
 function inEra(era: string | undefined, json: unknown, status = 200): ScriptedAnswer {
   return { status, json, headers: era === undefined ? {} : { 'Store-Era': era } };
 }
@@ -44,7 +44,7 @@
   }
 }
 
-/** How a watch ends. */
+/** Resolves with the way in which a watch ends. */
 function endOf(store: KeyValueStore, fromRevision: number): Promise<[string, boolean]> {
   return new Promise((resolve) => {
     store.watch('my/', fromRevision, {
--- a/test/unit/platform/store.test.ts
+++ b/test/unit/platform/store.test.ts
@@ -11,13 +11,13 @@
   storeItem,
 } from '../../support/scripted-http-server.js';
 
-/** For answers that never come. */
+/** Timeout where no response comes. */
 const SHORT_TIMEOUT_MS = 60;
-/** For answers that do come, however busy the machine is. */
+/** Timeout where responses come, long enough for a busy machine. */
 const LONG_TIMEOUT_MS = 30_000;
 const WAIT_MS = 50;
 
-/** Runs a test against a store that answers as scripted. */
+/** Runs a test against a store with scripted responses. */
 async function withStore(
   answer: (request: ScriptedRequest, earlier: number) => ScriptedAnswer,
   run: (store: KeyValueStore, server: ScriptedServer) => Promise<void>,
@@ -40,7 +40,7 @@
   }
 }
 
-/** What a watch told until it ended or `enough` answers came. */
+/** What a watch reported until it ended or received `enough` responses. */
 async function watched(
   store: KeyValueStore,
   fromRevision: number,
--- a/test/unit/platform/watch-waits.test.ts
+++ b/test/unit/platform/watch-waits.test.ts
@@ -1,13 +1,13 @@
-/** A poll that the store or the path has swallowed is found before its bound has passed. */
+/** A poll lost by the store or the network is detected before the time limit that depends on it. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { CONFIGURATION_KEY, INSTANCE_KEY_PREFIX } from '../../../platform/documents.js';
 import { WATCH_SLACK_MS, type WatchBounds, watchWaitMs } from '../../../platform/watch-waits.js';
 
-/** From when on a machine counts again after a disturbance of its path or of the store. */
+/** Time after the end of a failure, of the store or the path to it, from which a machine must be up to date. */
 const CONTACT_MS = 4000;
 const DRAIN_MS = 7000;
-/** For a second poll that is lost too, at half the wait, and its answer. */
+/** Left for a second poll, at half the wait, that is lost too, and for the response to the next. */
 const SPARE_MS = 1500;
 const BOUNDS: WatchBounds = { contactTimeoutMs: CONTACT_MS, drainTimeoutMs: DRAIN_MS };
 
