--- a/src/direct/gateway.ts
+++ b/src/direct/gateway.ts
@@ -29,7 +29,7 @@
 import { PositionSampler, type SamplerCounters } from './position-sampler.js';
 import type { PrimaryView } from './promotion/contract.js';
 import type { Quotas } from './quota/quotas.js';
-import type { ToldPosition, ZonePositions } from './readers/zone-positions.js';
+import type { ReportedPosition, ZonePositions } from './readers/zone-positions.js';
 import type { RelayCounters } from './relay/contract.js';
 import { RelayHost } from './relay/relay-host.js';
 import { RequestLogger, tellAll } from './request-log.js';
@@ -427,7 +427,7 @@
   }
 
   /** The newest positions of these services that this node knows, for nodes of its zone. */
-  newestPositions(services: readonly string[]): ToldPosition[] {
+  newestPositions(services: readonly string[]): ReportedPosition[] {
     const now = this.options.now();
     return services.flatMap((name) => {
       const sample = this.#services.get(name)?.newestSample();
--- a/src/direct/position-sampler.ts
+++ b/src/direct/position-sampler.ts
@@ -67,7 +67,7 @@
       if (!isOften && this.#asksZone(service, ageMs)) byZone.push(service);
       else void this.#samplePosition(service);
     }
-    if (byZone.length > 0 || zone?.tellsDigests === true) void this.#askZone(byZone);
+    if (byZone.length > 0 || zone?.sendsDigests === true) void this.#askZone(byZone);
   }
 
   #ageOf({ samples }: ServiceRuntime): Milliseconds {
@@ -92,7 +92,7 @@
     const askedAt = now();
     if (askedAt < this.#zoneAskedAt + ZONE_INTERVAL_MS || zone === undefined) return;
     this.#zoneAskedAt = askedAt;
-    const told = await zone.ask(services.map(({ name }) => name));
+    const told = await zone.requestPositions(services.map(({ name }) => name));
     const byName = new Map(services.map((service) => [service.name, service]));
     for (const { service: name, instanceId, position, ageMs } of told) {
       const service = byName.get(name);
--- a/src/direct/readers/digest-exchange.ts
+++ b/src/direct/readers/digest-exchange.ts
@@ -1,6 +1,6 @@
 /**
- * Exchange of digests within a zone: each node tells one of its readers what it saw itself, and hears what the whole
- * zone saw. Nothing is lost with a reader but what it heard; a digest lives for seconds.
+ * Exchange of digests within a zone: each node sends its own digests to one of its readers and receives the merged
+ * digests of the whole zone. The loss of a reader loses only the digests it had received, which expire within seconds.
  */
 import type { FleetDigests } from '../../core/fleet/fleet-digests.js';
 import { instanceKey } from '../../core/fleet/instance-key.js';
@@ -9,13 +9,13 @@
 import type { InstanceEntry } from '../contract.js';
 import { encodeDigests, parseDigests } from './digest-messages.js';
 
-/** Counted since the start. */
+/** Counters since the process started. */
 export interface DigestCounters {
-  /** Digests of other nodes that were taken. */
+  /** Digests of other nodes that were accepted. */
   taken: number;
-  /** Messages that had not their form. */
+  /** Malformed messages. */
   malformed: number;
-  /** Of an instance that is not known here, as one of an earlier life. */
+  /** Digests of an instance unknown to this node, such as an earlier incarnation. */
   unknownInstance: number;
   stale: number;
   implausible: number;
@@ -38,18 +38,18 @@
 
   constructor(private readonly options: DigestExchangeOptions) {}
 
-  /** What this node saw itself, for a reader. */
-  own(): WireValue {
+  /** This node's own digests, for a reader. */
+  encodeOwn(): WireValue {
     return encodeDigests(this.options.digests.ownDigests(this.options.now()));
   }
 
-  /** What the zone saw, for a node of it. */
-  zone(): WireValue {
+  /** The merged digests of the zone, for a node in it. */
+  encodeZone(): WireValue {
     return encodeDigests(this.options.digests.mergedDigests(this.options.now()));
   }
 
-  /** Takes what another node told. */
-  take(value: WireValue, from: string): void {
+  /** Records the digests that another node sent. */
+  receive(value: WireValue, from: string): void {
     const rows = parseDigests(value);
     if (rows === undefined) {
       this.counters.malformed += 1;
--- a/src/direct/readers/digest-messages.ts
+++ b/src/direct/readers/digest-messages.ts
@@ -1,21 +1,21 @@
-/** How digests of instances travel: short rows of whole numbers, a bounded number of them in each message. */
+/** Wire format of instance digests: short rows of integers, a bounded number of them per message. */
 
 import { countObservations, type InstanceDigest } from '../../core/fleet/instance-digest.js';
 import { instanceKey } from '../../core/fleet/instance-key.js';
 import type { WireValue } from '../../peer/contract.js';
 
-/** Rows of one message, some 20 bytes each. */
+/** Maximum rows per message, about 20 bytes each. */
 const MAX_ROWS = 18;
-/** Times travel in tenths of a millisecond. */
+/** Times are sent in tenths of a millisecond. */
 const TIME_UNITS_PER_MS = 10;
 const ROW_LENGTH = 8;
 
-/** A digest whose instance is named by its key. */
+/** A digest that identifies its instance by `instanceKey`. */
 export interface DigestRow extends Omit<InstanceDigest, 'service' | 'instanceId'> {
   readonly key: number;
 }
 
-/** The digests with the most observations; with one bound of bytes whatever the number of instances is. */
+/** Encodes the digests with the most observations, so that the message size is bounded however many instances there are. */
 export function encodeDigests(digests: readonly InstanceDigest[]): WireValue {
   return [...digests]
     .sort((left, right) => countObservations(right) - countObservations(left))
@@ -32,7 +32,7 @@
     ]);
 }
 
-/** Undefined for what is not in its form. Rows may be longer: a later version may tell more. */
+/** Undefined if malformed. Rows may be longer: a later version may append fields. */
 export function parseDigests(value: WireValue): readonly DigestRow[] | undefined {
   if (!Array.isArray(value) || value.length > MAX_ROWS) return undefined;
   const rows = value.map(parseRow).filter((row) => row !== undefined);
--- a/src/direct/readers/followed-prefix.ts
+++ b/src/direct/readers/followed-prefix.ts
@@ -1,6 +1,6 @@
 /**
- * One prefix of the store as this node follows it: by the store's own watch if it reads the store for others, or if its
- * readers don't serve it, and through them otherwise. Whoever watches sees one watch without gaps.
+ * One watched prefix of the store. The node watches it at the store directly if it reads the store for other nodes or if
+ * its readers don't serve it, and through its readers otherwise. The watcher sees one watch without gaps.
  */
 import { ReaderEvidence } from '../../core/directory/reader-evidence.js';
 import { RelayedWord, type WordTimes } from '../../core/directory/relayed-word.js';
@@ -14,35 +14,35 @@
 import type { ReaderCounters, RelayedRange, SubscribeToReader } from './contract.js';
 import { ReaderSubscriptions, type Subscription } from './subscriptions.js';
 
-/** That nothing has changed is passed on so often at most. */
-const UNCHANGED_EVERY_MS: Milliseconds = 1000;
+/** The watcher is notified that nothing has changed no more often than this. */
+const MIN_UNCHANGED_PERIOD_MS: Milliseconds = 1000;
 /**
- * The first watch of a node begins right after a read of everything: readers that it knows by then, or learns of, have so
- * long to serve it before the store itself is polled. A fleet that starts anew changes its own records several times in its
- * first second, and each change cost a poll of every node.
+ * Time that readers have to serve a node's first watch before the node polls the store itself. The node has just read the
+ * whole prefix, so it can wait. Restarting all nodes changes the records several times within the first second, and each
+ * change would otherwise cost a poll by every node.
  */
 const FIRST_WATCH_GRACE_MS: Milliseconds = 500;
-/** So long after its first watch a node asks readers often: they may have begun with it. */
-const BEGINNING_MS: Milliseconds = 2000;
-/** Readers that are asked since the store's own watch has ended have so long to serve before the store is asked again. */
+/** Time after the first watch in which a node retries readers often, since they may have started with it. */
+const STARTUP_PERIOD_MS: Milliseconds = 2000;
+/** After the direct watch has ended, readers have this time to serve before the store is requested again. */
 const READER_GRACE_MS: Milliseconds = 400;
 
 export interface FollowedPrefixOptions {
   readonly prefix: string;
-  /** Who watches needs every word of the store, also that nothing has changed, and when that surely held. */
-  readonly isProof?: boolean | undefined;
-  /** What readers tell is relied on until the store's word for it is so old. */
+  /** The watcher needs every confirmation of the store, even without changes, with the time at which it provably held. */
+  readonly needsEveryConfirmation?: boolean | undefined;
+  /** Readers are relied on until the store's last confirmation of what they relay is this old. */
   readonly maxAgeMs: Milliseconds;
-  /** How often a relay passes on at once that nothing has changed. */
-  readonly passEveryMs: Milliseconds;
-  /** The first watch waits so long to hear of readers. */
-  readonly firstPollMs: Milliseconds;
-  /** True while this node may yet hear for the first time who reads the store. */
+  /** Minimum interval at which a relay forwards, ahead of the heartbeat, that nothing has changed. */
+  readonly minRelayIntervalMs: Milliseconds;
+  /** How long the first watch waits to learn of readers before it polls the store. */
+  readonly firstPollDelayMs: Milliseconds;
+  /** True while this node may still learn for the first time which nodes read the store. */
   readonly mayLearnReaders: () => boolean;
   /** Opens the store's own watch. */
   readonly openDirect: (fromRevision: number, handlers: WatchHandlers) => () => void;
   readonly subscribe: SubscribeToReader;
-  /** Takes the readers that are named now, which what was told may have changed. */
+  /** Applies the readers named now; the changes just received may have named others. */
   readonly refreshReaders: () => void;
   readonly counters: ReaderCounters;
   readonly now: () => Milliseconds;
@@ -51,54 +51,54 @@
 
 interface Watcher {
   readonly handlers: WatchHandlers;
-  /** Everything up to this revision was told. */
-  told: number;
-  toldAt: Milliseconds;
+  /** The watcher has been notified of all changes up to this revision. */
+  knownRevision: number;
+  notifiedAt: Milliseconds;
 }
 
 interface DirectWatch {
   close: () => void;
-  /** When the poll that is out was sent, or a little earlier. */
+  /** When the pending poll was sent, or a little earlier. */
   sentAt: Milliseconds;
-  /** When the last answer came; undefined before the first. */
-  answeredAt: Milliseconds | undefined;
-  /** When the poll was sent that was answered last, or a little earlier. */
-  provenAt: Milliseconds | undefined;
+  /** When the last response arrived; undefined before the first. */
+  respondedAt: Milliseconds | undefined;
+  /** When the last poll that got a response was sent, or a little earlier. */
+  provenCurrentAsOf: Milliseconds | undefined;
 }
 
 export class FollowedPrefix {
-  /** Called when the store has told something, also that nothing has changed. */
-  onAnswered: () => void = () => {};
-  /** Called when readers have told a relay what its own followers should hear at once. */
-  onRelayed: () => void = () => {};
-  /** Called when this node has nothing to tell followers any more. */
-  onTellingEnded: () => void = () => {};
+  /** Called when the store has responded, even without changes. */
+  onConfirmed: () => void = () => {};
+  /** Called when a relay has received from its readers what it should forward to its followers at once. */
+  onRelayDue: () => void = () => {};
+  /** Called when this node has nothing more to relay to followers. */
+  onRelayEnded: () => void = () => {};
   readonly history = new WatchHistory();
   readonly #evidence: ReaderEvidence;
   readonly #subscriptions: ReaderSubscriptions;
   #role: ReadersOfNode['type'] = 'others';
-  /** What readers told last; a node that is named tells it from then on. */
+  /** Latest confirmation received from readers; relayed from the time this node is named as a reader. */
   readonly #relayed: RelayedWord;
   #watcher: Watcher | undefined;
   /** When this node first watched; undefined before that. */
   #firstWatchAt: Milliseconds | undefined;
-  /** Readers have served this node: a watch of its own is a fallback from then on. */
+  /** Readers have served this node before, so that a direct watch counts as a fallback. */
   #wasServed = false;
   #direct: DirectWatch | undefined;
-  /** The store is not asked before. */
-  #directAgainAt: Milliseconds = Number.NEGATIVE_INFINITY;
+  /** No direct watch is opened before this time. */
+  #directRetryAt: Milliseconds = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly options: FollowedPrefixOptions) {
     this.#evidence = new ReaderEvidence(options.maxAgeMs);
-    this.#relayed = new RelayedWord(options.passEveryMs);
+    this.#relayed = new RelayedWord(options.minRelayIntervalMs);
     const { prefix, subscribe, now, random } = options;
     this.#subscriptions = new ReaderSubscriptions({
       ...{ prefix, subscribe, now, random },
-      isBeginning: () => now() - (this.#firstWatchAt ?? now()) < BEGINNING_MS,
-      onTold: (key, subscription, told) => this.#noteTold(key, subscription, told),
+      isStartup: () => now() - (this.#firstWatchAt ?? now()) < STARTUP_PERIOD_MS,
+      onRange: (key, subscription, range) => this.#handleRelayed(key, subscription, range),
       onLost: (key) => {
         this.#evidence.noteLost(key);
-        this.look();
+        this.refresh();
       },
       onDropped: (key) => this.#evidence.noteLost(key),
     });
@@ -113,98 +113,102 @@
     return this.#direct !== undefined;
   }
 
-  /** When the store last vouched for what followers may be told; undefined while there is nothing to tell. */
-  get answeredAt(): Milliseconds | undefined {
-    return latest(this.#direct?.answeredAt, this.#toldTimes?.currentAt);
+  /** When the store last confirmed what this node may relay; undefined while there is nothing to relay. */
+  get confirmedAt(): Milliseconds | undefined {
+    return latest(this.#direct?.respondedAt, this.#relayedTimes?.currentAt);
   }
 
-  /** No later than when the store had nothing newer than what is known; undefined as `answeredAt` is. */
-  get provenAt(): Milliseconds | undefined {
-    return latest(this.#direct?.provenAt, this.#toldTimes?.provenAt);
+  /** A time at which the store provably had nothing newer than what is known; undefined when `confirmedAt` is. */
+  get provenCurrentAsOf(): Milliseconds | undefined {
+    return latest(this.#direct?.provenCurrentAsOf, this.#relayedTimes?.provenAt);
   }
 
-  /** True if followers are told each word of the store. */
-  get isProof(): boolean {
-    return this.options.isProof === true;
+  /** True if each confirmation of the store is relayed to followers. */
+  get needsEveryConfirmation(): boolean {
+    return this.options.needsEveryConfirmation === true;
   }
 
-  /** Follows from a revision on; there is one such watch at a time. The returned function ends it. */
+  /** Watches from a revision on; a new watch replaces the previous one. The returned function ends it. */
   watch(fromRevision: number, handlers: WatchHandlers): () => void {
-    this.#endTelling();
-    const watcher = { handlers, told: fromRevision - 1, toldAt: Number.NEGATIVE_INFINITY };
+    this.#stopRelaying();
+    const watcher: Watcher = {
+      handlers,
+      knownRevision: fromRevision - 1,
+      notifiedAt: Number.NEGATIVE_INFINITY,
+    };
     this.#watcher = watcher;
     this.#firstWatchAt ??= this.options.now();
     this.#catchUp(watcher);
-    // Readers may have told something while nobody listened.
-    if (this.#subscriptions.forgetGaps(watcher.told)) this.#leaveToReaders();
-    this.look();
+    // Readers may have relayed changes while there was no watcher.
+    if (this.#subscriptions.resetGaps(watcher.knownRevision)) this.#postponeDirectWatch();
+    this.refresh();
     return () => {
       if (this.#watcher !== watcher) return;
       this.#watcher = undefined;
-      this.#endTelling();
+      this.#stopRelaying();
     };
   }
 
-  /** The store came back from a copy: what was told, also by readers, is read anew. */
-  noteReturn(): void {
+  /** The store was restored from a backup: ends the watch as compacted, so that everything is read again. */
+  handleStoreRestore(): void {
     const watcher = this.#watcher;
     if (watcher === undefined) return;
     this.#watcher = undefined;
-    this.#endTelling();
-    watcher.handlers.onEnd(new StoreCompactedError(watcher.told), true);
+    this.#stopRelaying();
+    watcher.handlers.onEnd(new StoreCompactedError(watcher.knownRevision), true);
   }
 
-  /** Takes the readers that the leader names now; `further` are those that serve others. */
+  /** Sets the readers that the leader names for this node; `further` are those that it names for others. */
   setReaders(readers: ReadersOfNode, further: readonly ReachableNode[] = []): void {
-    const wasTelling = this.answeredAt !== undefined;
+    const wasRelaying = this.confirmedAt !== undefined;
     this.#role = readers.type;
-    if (wasTelling && this.answeredAt === undefined) this.onTellingEnded();
+    if (wasRelaying && this.confirmedAt === undefined) this.onRelayEnded();
     this.#subscriptions.setReaders(readers.type === 'self' ? [] : readers.readers, further);
   }
 
-  /** Asks readers that are not asked, and the store if they don't serve. Called at least every second. */
-  look(): void {
+  /** Subscribes to readers that are due, and watches the store if they don't serve. Called at least every second. */
+  refresh(): void {
     if (this.#watcher === undefined) return;
-    this.#subscriptions.askDue(this.#watcher.told);
+    this.#subscriptions.subscribeDue(this.#watcher.knownRevision);
     if (this.#watcher === undefined || this.#direct !== undefined) return;
-    if (this.#wantsDirect(this.#watcher)) this.#openDirect(this.#watcher);
+    if (this.#needsDirectWatch(this.#watcher)) this.#openDirect(this.#watcher);
   }
 
-  /** Ends everything; the watcher is not told. */
+  /** Ends the watch and all subscriptions without notifying the watcher. */
   close(): void {
     this.#watcher = undefined;
-    this.#endTelling();
+    this.#stopRelaying();
     this.setReaders({ type: 'others', readers: [] });
   }
 
-  /** What readers told this node, if it is to tell others. */
-  get #toldTimes(): WordTimes | undefined {
+  /** Times of the latest confirmation from readers, if this node is a reader itself. */
+  get #relayedTimes(): WordTimes | undefined {
     return this.#role === 'others' ? undefined : this.#relayed.times;
   }
 
-  #wantsDirect({ told }: Watcher): boolean {
+  #needsDirectWatch({ knownRevision }: Watcher): boolean {
     const now = this.options.now();
-    const isServed = this.#evidence.isServed(now, told);
+    const isServed = this.#evidence.isServed(now, knownRevision);
     this.#wasServed ||= isServed;
-    if (now < this.#directAgainAt) return false;
+    if (now < this.#directRetryAt) return false;
     return this.#role === 'self' || !(isServed || this.#isFirstWatchWaiting(now));
   }
 
   #isFirstWatchWaiting(now: Milliseconds): boolean {
-    const { firstPollMs, mayLearnReaders } = this.options;
+    const { firstPollDelayMs, mayLearnReaders } = this.options;
     const waitedMs = now - (this.#firstWatchAt ?? now);
-    if (this.#subscriptions.size === 0) return waitedMs < firstPollMs && mayLearnReaders();
-    return waitedMs < Math.max(FIRST_WATCH_GRACE_MS, firstPollMs);
+    if (this.#subscriptions.size === 0) return waitedMs < firstPollDelayMs && mayLearnReaders();
+    return waitedMs < Math.max(FIRST_WATCH_GRACE_MS, firstPollDelayMs);
   }
 
-  /** What this node knows already is told later in this turn, as the store would. */
+  /** Notifies the watcher of changes already known; asynchronously, as the store would. */
   #catchUp(watcher: Watcher): void {
-    const known = this.history.since(watcher.told);
+    const known = this.history.since(watcher.knownRevision);
     if (known === undefined || known.events.length === 0) return;
     queueMicrotask(() => {
-      // Known from before: it says nothing of what the store has now.
+      // These changes were known before; they don't show what the store has now.
       if (this.#watcher !== watcher) return;
-      this.#tell(watcher, this.#advance(watcher, known), Number.NEGATIVE_INFINITY);
+      this.#notify(watcher, this.#advance(watcher, known), Number.NEGATIVE_INFINITY);
     });
   }
 
@@ -213,18 +217,18 @@
     const direct: DirectWatch = {
       close: () => {},
       sentAt: this.options.now(),
-      answeredAt: undefined,
-      provenAt: undefined,
+      respondedAt: undefined,
+      provenCurrentAsOf: undefined,
     };
     this.#direct = direct;
-    direct.close = this.options.openDirect(watcher.told + 1, {
-      onEvents: (events, revision) => this.#answered(direct, watcher, events, revision),
-      onEnd: (error, compacted) => this.#directEnded(direct, error, compacted),
+    direct.close = this.options.openDirect(watcher.knownRevision + 1, {
+      onEvents: (events, revision) => this.#handleResponse(direct, watcher, events, revision),
+      onEnd: (error, compacted) => this.#handleDirectEnd(direct, error, compacted),
     });
     if (this.#direct !== direct) direct.close();
   }
 
-  #answered(
+  #handleResponse(
     direct: DirectWatch,
     watcher: Watcher,
     events: readonly WatchEvent[],
@@ -232,42 +236,43 @@
   ): void {
     if (this.#direct !== direct) return;
     const { now } = this.options;
-    direct.answeredAt = now();
-    direct.provenAt = direct.sentAt;
-    const news = this.#advance(watcher, { after: watcher.told, revision, events });
-    this.options.counters.eventsPassed += events.length - news.length;
-    this.#tell(watcher, news, direct.sentAt);
+    direct.respondedAt = now();
+    direct.provenCurrentAsOf = direct.sentAt;
+    const newEvents = this.#advance(watcher, { after: watcher.knownRevision, revision, events });
+    this.options.counters.eventsPassed += events.length - newEvents.length;
+    this.#notify(watcher, newEvents, direct.sentAt);
     if (this.#direct !== direct) return;
     // The next poll is sent after this returned.
     direct.sentAt = now();
-    this.onAnswered();
+    this.onConfirmed();
     this.options.refreshReaders();
-    // What a reader tells after a gap begins where it told last, which this answer may not reach while both cross.
-    if (this.#watcher === watcher) this.#subscriptions.askAfterGaps(watcher.told);
-    if (!this.#wantsDirect(watcher)) this.#closeDirect();
+    // A reader goes on where it stopped, beyond the gap. If its message crosses the store's response, the response may not
+    // close the gap; a new subscription starts at the known revision.
+    if (this.#watcher === watcher) this.#subscriptions.resubscribeAfterGaps(watcher.knownRevision);
+    if (!this.#needsDirectWatch(watcher)) this.#closeDirect();
   }
 
-  /** Readers that serve make up for it; otherwise whoever watches decides what follows. */
-  #directEnded(direct: DirectWatch, error: MeadowstackError, compacted: boolean): void {
+  /** Does nothing more if readers serve; otherwise tries further readers, or ends the watch so that the watcher decides. */
+  #handleDirectEnd(direct: DirectWatch, error: MeadowstackError, compacted: boolean): void {
     if (this.#direct !== direct) return;
     this.#direct = undefined;
     const watcher = this.#watcher;
-    const isServed = watcher !== undefined && !compacted && !this.#wantsDirect(watcher);
+    const isServed = watcher !== undefined && !compacted && !this.#needsDirectWatch(watcher);
     if (!isServed) this.#relayed.forget();
-    if (this.answeredAt === undefined) this.onTellingEnded();
+    if (this.confirmedAt === undefined) this.onRelayEnded();
     if (watcher === undefined || isServed) return;
     if (!compacted && this.#subscriptions.addFurther()) {
-      this.#leaveToReaders();
-      this.look();
+      this.#postponeDirectWatch();
+      this.refresh();
       return;
     }
     this.#watcher = undefined;
     watcher.handlers.onEnd(error, compacted);
   }
 
-  /** The store is not asked for a moment. */
-  #leaveToReaders(): void {
-    this.#directAgainAt = this.options.now() + READER_GRACE_MS;
+  /** Opens no direct watch for `READER_GRACE_MS`. */
+  #postponeDirectWatch(): void {
+    this.#directRetryAt = this.options.now() + READER_GRACE_MS;
   }
 
   #closeDirect(): void {
@@ -275,68 +280,74 @@
     if (direct === undefined) return;
     this.#direct = undefined;
     direct.close();
-    if (this.answeredAt === undefined) this.onTellingEnded();
+    if (this.confirmedAt === undefined) this.onRelayEnded();
   }
 
-  #forgetRelayed(): void {
+  #clearRelayed(): void {
     if (this.#relayed.times === undefined) return;
     this.#relayed.forget();
-    if (this.answeredAt === undefined) this.onTellingEnded();
+    if (this.confirmedAt === undefined) this.onRelayEnded();
   }
 
-  /** What was told is read anew, or nobody here follows it any more. */
-  #endTelling(): void {
-    this.#forgetRelayed();
+  /** Called when the changes are read again from the start, or when this node no longer watches the prefix. */
+  #stopRelaying(): void {
+    this.#clearRelayed();
     this.#closeDirect();
   }
 
-  #noteTold(key: string, subscription: Subscription, told: RelayedRange): void {
+  #handleRelayed(key: string, subscription: Subscription, relayed: RelayedRange): void {
     const { clock } = subscription;
-    const { ageMs, clockMs, provenMs, ...stretch } = told;
+    const { ageMs, clockMs, provenMs, ...range } = relayed;
     clock.noteAnswer(clockMs);
     const now = this.options.now();
-    const currentAt = now - ageMs;
+    const currentAsOf = now - ageMs;
     const watcher = this.#watcher;
-    const isGap = watcher === undefined || stretch.after > watcher.told;
+    const isGap = watcher === undefined || range.after > watcher.knownRevision;
     if (isGap) subscription.hasGap = true;
-    this.#evidence.noteTold(key, now, currentAt, isGap ? stretch.revision : 0);
+    this.#evidence.noteTold(key, now, currentAsOf, isGap ? range.revision : 0);
     if (watcher === undefined) return;
-    const provenAt = clock.earliest(provenMs) ?? Number.NEGATIVE_INFINITY;
+    const provenCurrentAsOf = clock.earliest(provenMs) ?? Number.NEGATIVE_INFINITY;
     if (!isGap) {
-      // What is passed on must not grow younger with the hops that it takes.
-      const vouchedAt = clock.earliest(clockMs - ageMs) ?? Number.NEGATIVE_INFINITY;
-      if (this.#role !== 'self') this.#relayed.note({ currentAt: vouchedAt, provenAt });
+      // Lower bound, so that a confirmation does not appear younger with each hop.
+      const confirmedAt = clock.earliest(clockMs - ageMs) ?? Number.NEGATIVE_INFINITY;
+      if (this.#role !== 'self')
+        this.#relayed.note({ currentAt: confirmedAt, provenAt: provenCurrentAsOf });
       if (!subscription.isFurther) this.#subscriptions.dropFurther();
-      this.#tellFromReader(watcher, stretch, { currentAt, provenAt });
+      this.#notifyFromReader(watcher, range, {
+        currentAt: currentAsOf,
+        provenAt: provenCurrentAsOf,
+      });
     }
-    this.look();
+    this.refresh();
   }
 
-  #tellFromReader(watcher: Watcher, stretch: WatchStretch, at: WordTimes): void {
-    const told = this.#advance(watcher, stretch);
-    this.options.counters.eventsFromReaders += told.length;
-    const isDue = this.isProof || this.options.now() - watcher.toldAt >= UNCHANGED_EVERY_MS;
-    if (told.length > 0 || isDue) this.#tell(watcher, told, at.currentAt, at.provenAt);
-    if (this.#role === 'relay' && this.#relayed.takeNews(told.length > 0)) this.onRelayed();
+  #notifyFromReader(watcher: Watcher, range: WatchStretch, at: WordTimes): void {
+    const newEvents = this.#advance(watcher, range);
+    this.options.counters.eventsFromReaders += newEvents.length;
+    const isDue =
+      this.needsEveryConfirmation ||
+      this.options.now() - watcher.notifiedAt >= MIN_UNCHANGED_PERIOD_MS;
+    if (newEvents.length > 0 || isDue) this.#notify(watcher, newEvents, at.currentAt, at.provenAt);
+    if (this.#role === 'relay' && this.#relayed.takeNews(newEvents.length > 0)) this.onRelayDue();
   }
 
-  /** Takes a stretch that leaves no gap, and gives what of it is new. */
+  /** Applies a range that leaves no gap and returns its new events. */
   #advance(watcher: Watcher, { revision, events }: WatchStretch): readonly WatchEvent[] {
-    const after = watcher.told;
-    const news = events.filter((event) => revisionOf(event) > after);
-    watcher.told = Math.max(after, revision);
-    this.history.append({ after, revision: watcher.told, events: news });
-    return news;
+    const after = watcher.knownRevision;
+    const newEvents = events.filter((event) => revisionOf(event) > after);
+    watcher.knownRevision = Math.max(after, revision);
+    this.history.append({ after, revision: watcher.knownRevision, events: newEvents });
+    return newEvents;
   }
 
-  #tell(
+  #notify(
     watcher: Watcher,
-    news: readonly WatchEvent[],
-    currentAt: Milliseconds,
-    provenAt = currentAt,
+    newEvents: readonly WatchEvent[],
+    currentAsOf: Milliseconds,
+    provenCurrentAsOf = currentAsOf,
   ): void {
-    watcher.toldAt = this.options.now();
-    watcher.handlers.onEvents(news, watcher.told, currentAt, provenAt);
+    watcher.notifiedAt = this.options.now();
+    watcher.handlers.onEvents(newEvents, watcher.knownRevision, currentAsOf, provenCurrentAsOf);
   }
 }
 
--- a/src/direct/readers/messages.ts
+++ b/src/direct/readers/messages.ts
@@ -1,10 +1,10 @@
-/** Forms of what readers and their followers send; read by hand, since a start costs time. */
+/** Parses the messages between readers and their followers. Hand-written: a schema library slows down the start. */
 import { asObject, type UncheckedFields } from '../../core/fields.js';
 import type { WireValue } from '../../peer/contract.js';
 import type { KeyValue, WatchEvent } from '../../platform/contract.js';
 import type { RelayedRange, WatchRequest } from './contract.js';
 
-/** Undefined for what is not in its form. */
+/** Undefined if malformed. */
 export function parseWatchRequest(value: WireValue): WatchRequest | undefined {
   const fields = asObject(value);
   const { prefix, after } = fields ?? {};
@@ -13,8 +13,8 @@
   return { type: 'watch', prefix, after };
 }
 
-/** Undefined for what is not in its form. */
-export function parseToldStretch(value: WireValue): RelayedRange | undefined {
+/** Undefined if malformed. */
+export function parseRelayedRange(value: WireValue): RelayedRange | undefined {
   const { after, revision, ageMs, clockMs, provenMs, events } = asObject(value) ?? {};
   if (!isRevision(after) || !isRevision(revision) || revision < after) return undefined;
   if (!isTime(ageMs) || ageMs < 0 || !isTime(clockMs) || !isTime(provenMs)) return undefined;
@@ -25,7 +25,7 @@
   return { after, revision, ageMs, clockMs, provenMs, events: read };
 }
 
-/** By type of event. */
+/** Parsers by event type. */
 const EVENTS: Readonly<
   Record<WatchEvent['type'], (fields: UncheckedFields) => WatchEvent | undefined>
 > = {
--- a/src/direct/readers/reader-store.ts
+++ b/src/direct/readers/reader-store.ts
@@ -1,6 +1,6 @@
 /**
- * The store as a node of a large fleet sees it: some prefixes are followed through the readers of its zone,
- * or read for the others if it is a reader. Everything else goes to the store itself.
+ * The store for a node of a large cluster. Some prefixes are watched through the readers of the node's zone or, if the
+ * node is a reader, watched at the store and relayed to others. Every other call goes to the store itself.
  */
 import type { ResultAsync } from 'neverthrow';
 import type { ReachableNode } from '../../core/ownership/owner-roster.js';
@@ -22,43 +22,43 @@
 } from '../../platform/contract.js';
 import type { ReaderCounters, SubscribeToReader, WatchRequest } from './contract.js';
 import { FollowedPrefix } from './followed-prefix.js';
-import { parseToldStretch } from './messages.js';
+import { parseRelayedRange } from './messages.js';
 import { WatchServer } from './watch-server.js';
 
-/** How often readers and their silence are looked at. */
-const LOOK_EVERY_MS: Milliseconds = 300;
-/** The same in the first moments of this node. */
-const FIRST_LOOKS_EVERY_MS: Milliseconds = 30;
-const FIRST_MOMENTS_MS: Milliseconds = 2000;
-/** A node that has heard of no reader for so long since it began is not likely to. */
-const READERS_NAMED_WITHIN_MS: Milliseconds = 1000;
-/** The records of the fleet are read within this, or are not to be had soon. */
-const FIRST_READ_MS: Milliseconds = 300;
-/** Followers are told so often that this node is there. */
-const HEARTBEAT_MS: Milliseconds = 600;
-
-/** A prefix that may be followed through readers. */
+/** How often readers are checked and lost ones retried. */
+const REFRESH_PERIOD_MS: Milliseconds = 300;
+/** `REFRESH_PERIOD_MS` during `STARTUP_PERIOD_MS`. */
+const STARTUP_REFRESH_PERIOD_MS: Milliseconds = 30;
+const STARTUP_PERIOD_MS: Milliseconds = 2000;
+/** After this time since the start, a node that knows no reader is unlikely to learn of one. */
+const READERS_NAMED_TIMEOUT_MS: Milliseconds = 1000;
+/** If the records that name the readers are not read within this time, they won't be available soon. */
+const FIRST_READ_TIMEOUT_MS: Milliseconds = 300;
+/** How often followers are told that this node is alive. */
+const HEARTBEAT_PERIOD_MS: Milliseconds = 600;
+
+/** A prefix that may be watched through readers. */
 export interface RelayedPrefix {
   readonly prefix: string;
-  /** A poll of the store that is older than this has been lost. */
+  /** A poll of the store without a response for this long counts as lost. */
   readonly maxAgeMs: Milliseconds;
-  /** How often a relay passes on at once that nothing has changed. */
-  readonly passEveryMs: Milliseconds;
-  /** The first watch waits so long to hear of readers; if absent, until the records of the fleet are read. */
-  readonly firstPollMs?: Milliseconds;
-  /** Followers are told each word of the store. */
-  readonly isProof?: boolean;
+  /** Minimum interval at which a relay forwards, ahead of the heartbeat, that nothing has changed. */
+  readonly minRelayIntervalMs: Milliseconds;
+  /** How long the first watch waits to learn of readers; if absent, until the records that name them are read. */
+  readonly firstPollDelayMs?: Milliseconds;
+  /** Each confirmation of the store is relayed to followers, even without changes. */
+  readonly needsEveryConfirmation?: boolean;
 }
 
 export interface ReaderStoreOptions {
   readonly store: Store;
   readonly prefixes: readonly RelayedPrefix[];
   readonly node: Pick<ReachableNode, 'nodeId' | 'zone'>;
-  /** What this node's link carries, as far as it is known. */
+  /** Bandwidth of this node's network link, if known. */
   readonly linkMbps?: number | undefined;
   /** The readers that the leader names now. */
   readonly readers: () => readonly ReachableNode[];
-  /** True once the record that names them was read, or is known not to be. */
+  /** True once the record that names the readers has been read, or is known not to be coming. */
   readonly areReadersKnown: () => boolean;
   readonly now: () => Milliseconds;
   readonly random: () => number;
@@ -78,39 +78,39 @@
   #readers: readonly ReachableNode[] = [];
   #timer: NodeJS.Timeout | undefined;
   #startedAt: Milliseconds = Number.NEGATIVE_INFINITY;
-  #toldAt: Milliseconds = Number.NEGATIVE_INFINITY;
+  #heartbeatAt: Milliseconds = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly options: ReaderStoreOptions) {
     const { now, random, store, prefixes } = options;
-    const create = ({ prefix, firstPollMs, ...bounds }: RelayedPrefix): FollowedPrefix =>
+    const create = ({ prefix, firstPollDelayMs, ...bounds }: RelayedPrefix): FollowedPrefix =>
       new FollowedPrefix({
         ...{ prefix, ...bounds, now, random, counters: this.counters },
-        firstPollMs: firstPollMs ?? FIRST_READ_MS,
+        firstPollDelayMs: firstPollDelayMs ?? FIRST_READ_TIMEOUT_MS,
         mayLearnReaders: () =>
-          this.#mayLearnReaders() && (firstPollMs !== undefined || !options.areReadersKnown()),
+          this.#mayLearnReaders() && (firstPollDelayMs !== undefined || !options.areReadersKnown()),
         openDirect: (fromRevision, handlers) => store.watch(prefix, fromRevision, handlers),
-        refreshReaders: () => this.#followReaders(),
+        refreshReaders: () => this.#refreshReaders(),
         subscribe: (reader, request, listener) => this.#subscribe(reader, request, listener),
       });
     this.#prefixes = new Map(prefixes.map((relayed) => [relayed.prefix, create(relayed)]));
     this.#server = new WatchServer(this.#prefixes, this.counters, now, options.linkMbps ?? 0);
   }
 
-  /** Prefixes that may be followed through readers and are watched at the store. */
+  /** Number of the prefixes that may be watched through readers but are watched at the store. */
   get directWatches(): number {
     return [...this.#prefixes.values()].filter(({ isDirect }) => isDirect).length;
   }
 
-  /** Through whom this node follows the store. */
+  /** The readers through which this node watches the store. */
   get readersOfNode(): ReadersOfNode {
     return this.#readersOfNode;
   }
 
-  /** Begins to follow readers over these links. */
+  /** Starts to subscribe to readers over these links. */
   start(transport: PeerTransport): void {
     this.#transport = transport;
     this.#startedAt = this.options.now();
-    this.#lookLater();
+    this.#scheduleRefresh();
   }
 
   stop(): void {
@@ -118,12 +118,12 @@
     for (const followed of this.#prefixes.values()) followed.close();
   }
 
-  /** The store came back from a copy: every prefix is read anew. */
-  noteReturn(): void {
-    for (const followed of this.#prefixes.values()) followed.noteReturn();
+  /** The store was restored from a backup: every prefix is read again. */
+  handleStoreRestore(): void {
+    for (const followed of this.#prefixes.values()) followed.handleStoreRestore();
   }
 
-  /** A node wants to follow a prefix through this one. */
+  /** Another node subscribes to a prefix through this one. */
   onStream(header: WireValue, stream: PeerStream): void {
     this.#server.onStream(header, stream);
   }
@@ -131,7 +131,7 @@
   watch(prefix: string, fromRevision: number, handlers: WatchHandlers): () => void {
     const followed = this.#prefixes.get(prefix);
     if (followed === undefined) return this.options.store.watch(prefix, fromRevision, handlers);
-    this.#followReaders();
+    this.#refreshReaders();
     return followed.watch(fromRevision, handlers);
   }
 
@@ -162,7 +162,7 @@
     return this.options.store.requestCount();
   }
 
-  #followReaders(): void {
+  #refreshReaders(): void {
     const readers = this.options.readers();
     if (readers === this.#readers) return;
     this.#readers = readers;
@@ -173,29 +173,29 @@
     }
   }
 
-  /** True in the first moments of this node, while nobody is named to read the store. */
+  /** True shortly after the start, while no readers are named. */
   #mayLearnReaders(): boolean {
-    const isEarly = this.options.now() - this.#startedAt < READERS_NAMED_WITHIN_MS;
+    const isEarly = this.options.now() - this.#startedAt < READERS_NAMED_TIMEOUT_MS;
     return isEarly && this.options.readers().length === 0;
   }
 
-  #lookLater(): void {
-    const isEarly = this.options.now() - this.#startedAt < FIRST_MOMENTS_MS;
-    const everyMs = isEarly ? FIRST_LOOKS_EVERY_MS : LOOK_EVERY_MS;
+  #scheduleRefresh(): void {
+    const isEarly = this.options.now() - this.#startedAt < STARTUP_PERIOD_MS;
+    const periodMs = isEarly ? STARTUP_REFRESH_PERIOD_MS : REFRESH_PERIOD_MS;
     this.#timer = setTimeout(() => {
-      this.#look();
-      this.#lookLater();
-    }, everyMs);
+      this.#refresh();
+      this.#scheduleRefresh();
+    }, periodMs);
     this.#timer.unref();
   }
 
-  #look(): void {
-    this.#followReaders();
-    for (const followed of this.#prefixes.values()) followed.look();
+  #refresh(): void {
+    this.#refreshReaders();
+    for (const followed of this.#prefixes.values()) followed.refresh();
     const now = this.options.now();
-    if (now - this.#toldAt < HEARTBEAT_MS - LOOK_EVERY_MS / 2) return;
-    this.#toldAt = now;
-    this.#server.tellAll();
+    if (now - this.#heartbeatAt < HEARTBEAT_PERIOD_MS - REFRESH_PERIOD_MS / 2) return;
+    this.#heartbeatAt = now;
+    this.#server.sendHeartbeats();
   }
 
   #subscribe(...[reader, request, listener]: Parameters<SubscribeToReader>): () => void {
@@ -203,22 +203,22 @@
     if (transport === undefined) return () => {};
     const header: WatchRequest = { type: 'watch', ...request };
     const stream = transport.openStream({ host: reader.host, port: reader.port }, header);
-    let isOver = false;
+    let hasEnded = false;
     const end = (): void => {
-      if (isOver) return;
-      isOver = true;
+      if (hasEnded) return;
+      hasEnded = true;
       stream.end();
       listener.onLost();
     };
     stream.onMessage = (message) => {
-      const told = parseToldStretch(message);
-      if (isOver) return;
-      if (told === undefined) end();
-      else listener.onRelayed(told);
+      const range = parseRelayedRange(message);
+      if (hasEnded) return;
+      if (range === undefined) end();
+      else listener.onRelayed(range);
     };
     stream.onClose = () => end();
     return () => {
-      isOver = true;
+      hasEnded = true;
       stream.end();
     };
   }
--- a/src/direct/readers/subscriptions.ts
+++ b/src/direct/readers/subscriptions.ts
@@ -1,48 +1,48 @@
 /**
- * The readers that a node asks for one prefix: those that are named for it, and while neither they nor the store serve it,
- * some of the further ones.
+ * A node's subscriptions to readers for one prefix: to the readers named for this node and, while neither they nor the
+ * store serve it, to some further readers (those named for other nodes).
  */
 import { PeerClock } from '../../core/directory/peer-clock.js';
 import type { ReachableNode } from '../../core/ownership/owner-roster.js';
 import type { Milliseconds } from '../../core/units.js';
 import type { RelayedRange, SubscribeToReader } from './contract.js';
 
-/** A reader that was lost is asked again after half of this to all of it. */
-const ASK_AGAIN_MS: Milliseconds = 1200;
-/** The same right after this node's first watch. */
-const FIRST_ASK_AGAIN_MS: Milliseconds = 200;
-/** Further readers that are asked at once. */
-const FURTHER_ASKED = 2;
-/** Others in place of those that don't serve are asked no sooner. */
-const FURTHER_EVERY_MS: Milliseconds = 3000;
+/** A lost reader is retried after a random delay between half of this and all of it. */
+const MAX_RETRY_DELAY_MS: Milliseconds = 1200;
+/** `MAX_RETRY_DELAY_MS` right after this node's first watch. */
+const STARTUP_MAX_RETRY_DELAY_MS: Milliseconds = 200;
+/** Maximum further readers subscribed to at once. */
+const MAX_FURTHER_READERS = 2;
+/** Further readers that don't serve are replaced by others no more often than this. */
+const FURTHER_PERIOD_MS: Milliseconds = 3000;
 
-/** A reader that this node has asked, or will ask. */
+/** A reader that this node has subscribed to, or will subscribe to. */
 export interface Subscription {
   readonly reader: ReachableNode;
-  /** It is not named for this node: given up once one that is serves. */
+  /** The reader is not named for this node: dropped once a named reader serves. */
   isFurther: boolean;
-  /** The reader's clock; another with each question. */
+  /** The reader's clock; estimated anew with each subscription. */
   readonly clock: PeerClock;
-  /** It told of changes that it does not pass on, or that follow on others which are unknown here. */
+  /** The reader left out changes, or relayed changes that follow others unknown to this node. */
   hasGap: boolean;
 }
 
 interface Entry extends Subscription {
   clock: PeerClock;
-  /** Undefined while the reader is not asked. */
+  /** Undefined while there is no subscription to the reader. */
   close: (() => void) | undefined;
-  askAt: Milliseconds;
+  subscribeAt: Milliseconds;
 }
 
 export interface ReaderSubscriptionsOptions {
   readonly prefix: string;
   readonly subscribe: SubscribeToReader;
   /** True right after this node's first watch. */
-  readonly isBeginning: () => boolean;
-  readonly onTold: (key: string, subscription: Subscription, told: RelayedRange) => void;
-  /** A reader ended what it told. */
+  readonly isStartup: () => boolean;
+  readonly onRange: (key: string, subscription: Subscription, range: RelayedRange) => void;
+  /** A reader ended the subscription. */
   readonly onLost: (key: string) => void;
-  /** A reader is not asked any more. */
+  /** This node ended the subscription to a reader. */
   readonly onDropped: (key: string) => void;
   readonly now: () => Milliseconds;
   readonly random: () => number;
@@ -51,7 +51,7 @@
 export class ReaderSubscriptions {
   readonly #entries = new Map<string, Entry>();
   #further: readonly ReachableNode[] = [];
-  #furtherAskedAt: Milliseconds = Number.NEGATIVE_INFINITY;
+  #furtherAddedAt: Milliseconds = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly options: ReaderSubscriptionsOptions) {}
 
@@ -59,7 +59,7 @@
     return this.#entries.size;
   }
 
-  /** Takes the readers that are named now; those from before are kept until one of these serves. */
+  /** Sets the readers named for this node; earlier ones are kept until one of these serves. */
   setReaders(named: readonly ReachableNode[], further: readonly ReachableNode[]): void {
     this.#further = further;
     for (const entry of this.#entries.values()) entry.isFurther = true;
@@ -72,50 +72,51 @@
     if (named.length === 0) this.dropFurther();
   }
 
-  /** Asks those whose time has come for what follows a revision. */
-  askDue(after: number): void {
+  /** Subscribes to the readers that are due, for the changes after a revision. */
+  subscribeDue(after: number): void {
     const now = this.options.now();
     for (const [key, entry] of this.#entries) {
-      if (entry.close === undefined && entry.askAt <= now) this.#ask(key, entry, after);
+      if (entry.close === undefined && entry.subscribeAt <= now) this.#subscribe(key, entry, after);
     }
   }
 
-  /** Asks those anew that left a gap. */
-  askAfterGaps(after: number): void {
+  /** Subscribes anew to the readers that left a gap. */
+  resubscribeAfterGaps(after: number): void {
     for (const [key, entry] of this.#entries) {
       if (!entry.hasGap) continue;
       entry.hasGap = false;
       entry.close?.();
-      this.#ask(key, entry, after);
+      this.#subscribe(key, entry, after);
     }
   }
 
   /**
-   * The same, where nobody else tells what they left out: what they told is not relied on until they have answered. True if
-   * any is asked.
+   * As `resubscribeAfterGaps`, for when no other source has the missing changes: the readers' earlier reports don't count
+   * until they respond again. True if any reader had left a gap.
    */
-  forgetGaps(after: number): boolean {
+  resetGaps(after: number): boolean {
     const gaps = [...this.#entries].filter(([, { hasGap }]) => hasGap);
     for (const [key] of gaps) this.options.onDropped(key);
-    this.askAfterGaps(after);
+    this.resubscribeAfterGaps(after);
     return gaps.length > 0;
   }
 
-  /** Neither the named readers nor the store serve: true if further readers are to be asked. */
+  /** Adds further readers when neither the named ones nor the store serve; true if any was added. */
   addFurther(): boolean {
     const now = this.options.now();
-    if (now - this.#furtherAskedAt < FURTHER_EVERY_MS) return false;
+    if (now - this.#furtherAddedAt < FURTHER_PERIOD_MS) return false;
     this.dropFurther();
-    const left = this.#further.filter((reader) => !this.#entries.has(keyOfNode(reader)));
-    if (left.length === 0) return false;
-    this.#furtherAskedAt = now;
-    const first = Math.floor(this.options.random() * left.length);
-    const inTurn = [...left.slice(first), ...left.slice(0, first)];
-    for (const reader of inTurn.slice(0, FURTHER_ASKED)) this.#add(keyOfNode(reader), reader, true);
+    const remaining = this.#further.filter((reader) => !this.#entries.has(keyOfNode(reader)));
+    if (remaining.length === 0) return false;
+    this.#furtherAddedAt = now;
+    const first = Math.floor(this.options.random() * remaining.length);
+    const rotated = [...remaining.slice(first), ...remaining.slice(0, first)];
+    for (const reader of rotated.slice(0, MAX_FURTHER_READERS))
+      this.#add(keyOfNode(reader), reader, true);
     return true;
   }
 
-  /** Gives up those that are not named: one that is serves again, or others are to be asked. */
+  /** Drops the further readers: a named one serves again, or other further readers replace them. */
   dropFurther(): void {
     for (const [key, { isFurther }] of [...this.#entries]) if (isFurther) this.#drop(key);
   }
@@ -123,7 +124,14 @@
   #add(key: string, reader: ReachableNode, isFurther: boolean): void {
     const askAt = this.options.now();
     const clock = new PeerClock(askAt);
-    this.#entries.set(key, { reader, isFurther, close: undefined, askAt, clock, hasGap: false });
+    this.#entries.set(key, {
+      reader,
+      isFurther,
+      close: undefined,
+      subscribeAt: askAt,
+      clock,
+      hasGap: false,
+    });
   }
 
   #drop(key: string): void {
@@ -132,26 +140,26 @@
     this.options.onDropped(key);
   }
 
-  #ask(key: string, entry: Entry, after: number): void {
+  #subscribe(key: string, entry: Entry, after: number): void {
     const { subscribe, prefix, now } = this.options;
     entry.clock = new PeerClock(now());
     entry.close = subscribe(
       entry.reader,
       { prefix, after },
       {
-        onRelayed: (told) => this.options.onTold(key, entry, told),
+        onRelayed: (range) => this.options.onRange(key, entry, range),
         onLost: () => {
           entry.close = undefined;
-          entry.askAt = this.#nextAskAt();
+          entry.subscribeAt = this.#nextRetryAt();
           this.options.onLost(key);
         },
       },
     );
   }
 
-  #nextAskAt(): Milliseconds {
-    const atMostMs = this.options.isBeginning() ? FIRST_ASK_AGAIN_MS : ASK_AGAIN_MS;
-    return this.options.now() + atMostMs * (0.5 + this.options.random() / 2);
+  #nextRetryAt(): Milliseconds {
+    const maxDelayMs = this.options.isStartup() ? STARTUP_MAX_RETRY_DELAY_MS : MAX_RETRY_DELAY_MS;
+    return this.options.now() + maxDelayMs * (0.5 + this.options.random() / 2);
   }
 }
 
--- a/src/direct/readers/watch-server.ts
+++ b/src/direct/readers/watch-server.ts
@@ -1,4 +1,4 @@
-/** Tells other nodes the changes of the prefixes that this node reads from the store. */
+/** Relays to other nodes the changes of the prefixes that this node reads from the store. */
 import { sizeOfEvents } from '../../core/directory/watch-history.js';
 import type { Milliseconds } from '../../core/units.js';
 import type { PeerStream, WireValue } from '../../peer/contract.js';
@@ -7,19 +7,19 @@
 import { parseWatchRequest } from './messages.js';
 
 /**
- * Characters of changes that any reader passes on at once. Some twenty nodes may follow one whose link carries
- * 7 Mbit/s: what is larger each of them reads from the store.
+ * Characters of changes that any reader relays in one message. Some twenty nodes may follow a reader whose link carries
+ * 7 Mbit/s; they read larger changes from the store.
  */
-const LEAST_TOLD_CHARACTERS = 16 * 1024;
-/** A faster link passes on what takes no longer than this for all that follow, so that callers' answers wait no longer. */
-const LONGEST_TELLING_MS: Milliseconds = 100;
+const MIN_RELAYED_CHARACTERS = 16 * 1024;
+/** A faster link relays what takes no longer than this for all followers, which limits the delay of callers' responses. */
+const MAX_RELAY_MS: Milliseconds = 100;
 const BITS_PER_CHARACTER = 8;
 
 interface Follower {
   readonly stream: PeerStream;
   readonly followed: FollowedPrefix;
-  /** Revision up to which it was told, or told to ask the store. */
-  told: number;
+  /** Revision up to which the follower was sent the changes, or was told to read them from the store. */
+  sentRevision: number;
 }
 
 export class WatchServer {
@@ -29,17 +29,17 @@
     private readonly prefixes: ReadonlyMap<string, FollowedPrefix>,
     private readonly counters: ReaderCounters,
     private readonly now: () => Milliseconds,
-    /** What this node's link carries; 0 if it is not known. */
+    /** Bandwidth of this node's network link; 0 if unknown. */
     private readonly linkMbps: number,
   ) {
     for (const followed of prefixes.values()) {
-      followed.onAnswered = () => this.#tellNews(followed);
-      followed.onRelayed = () => this.#tellFollowers(followed);
-      followed.onTellingEnded = () => this.#endFollowers(followed);
+      followed.onConfirmed = () => this.#sendNewEvents(followed);
+      followed.onRelayDue = () => this.#sendToFollowers(followed);
+      followed.onRelayEnded = () => this.#endFollowers(followed);
     }
   }
 
-  /** A node wants to follow a prefix; refused by ending the stream, as when this node stops reading it. */
+  /** A node subscribes to a prefix. A refusal ends the stream, as does the end of this node's own reading. */
   onStream(header: WireValue, stream: PeerStream): void {
     const request = parseWatchRequest(header);
     const followed = request && this.prefixes.get(request.prefix);
@@ -47,8 +47,8 @@
       stream.abort('no request for a watch');
       return;
     }
-    const follower = { stream, followed, told: request.after };
-    if (!this.#tell(follower)) {
+    const follower = { stream, followed, sentRevision: request.after };
+    if (!this.#send(follower)) {
       stream.end();
       return;
     }
@@ -57,48 +57,48 @@
     stream.onMessage = () => stream.end();
   }
 
-  /** Tells all followers that this node is there, and how old the store's word is. */
-  tellAll(): void {
-    for (const follower of this.#followers) this.#tell(follower);
+  /** Tells all followers that this node is alive, and how old the store's last confirmation is. */
+  sendHeartbeats(): void {
+    for (const follower of this.#followers) this.#send(follower);
   }
 
-  #tellFollowers(followed: FollowedPrefix): void {
+  #sendToFollowers(followed: FollowedPrefix): void {
     for (const follower of this.#followers)
-      if (follower.followed === followed) this.#tell(follower);
+      if (follower.followed === followed) this.#send(follower);
   }
 
-  #tellNews(followed: FollowedPrefix): void {
+  #sendNewEvents(followed: FollowedPrefix): void {
     for (const follower of this.#followers) {
-      const isBehind = followed.isProof || follower.told < followed.history.revision;
-      if (follower.followed === followed && isBehind) this.#tell(follower);
+      const isBehind =
+        followed.needsEveryConfirmation || follower.sentRevision < followed.history.revision;
+      if (follower.followed === followed && isBehind) this.#send(follower);
     }
   }
 
-  /** False if this node has nothing to tell. */
-  #tell(follower: Follower): boolean {
-    const { answeredAt, provenAt, history } = follower.followed;
-    if (answeredAt === undefined || provenAt === undefined) return false;
-    const stretch = history.since(follower.told);
-    const isPassedOn =
-      stretch !== undefined &&
-      sizeOfEvents(stretch.events) <= this.#mostCharacters(follower.followed);
-    // A stretch that begins where it ends tells that there is more, at the store.
+  /** False if this node has nothing to relay. */
+  #send(follower: Follower): boolean {
+    const { confirmedAt, provenCurrentAsOf, history } = follower.followed;
+    if (confirmedAt === undefined || provenCurrentAsOf === undefined) return false;
+    const range = history.since(follower.sentRevision);
+    const isRelayed =
+      range !== undefined && sizeOfEvents(range.events) <= this.#maxCharacters(follower.followed);
+    // An empty range that starts beyond the follower's revision tells it to read the gap from the store.
     const { revision } = history;
-    const passed = isPassedOn ? stretch : { after: revision, revision, events: [] };
+    const relayed = isRelayed ? range : { after: revision, revision, events: [] };
     const clockMs = this.now();
-    const ageMs = Math.max(0, clockMs - answeredAt);
-    const told: RelayedRange = { ...passed, ageMs, clockMs, provenMs: provenAt };
-    follower.stream.send(told);
-    this.counters.eventsTold += passed.events.length;
-    follower.told = passed.revision;
+    const ageMs = Math.max(0, clockMs - confirmedAt);
+    const message: RelayedRange = { ...relayed, ageMs, clockMs, provenMs: provenCurrentAsOf };
+    follower.stream.send(message);
+    this.counters.eventsTold += relayed.events.length;
+    follower.sentRevision = relayed.revision;
     return true;
   }
 
-  #mostCharacters(told: FollowedPrefix): number {
-    const followers = [...this.#followers].filter(({ followed }) => followed === told).length;
+  #maxCharacters(prefix: FollowedPrefix): number {
+    const followers = [...this.#followers].filter(({ followed }) => followed === prefix).length;
     const bitsPerMs = this.linkMbps * 1000;
-    const bits = (bitsPerMs * LONGEST_TELLING_MS) / Math.max(1, followers);
-    return Math.max(LEAST_TOLD_CHARACTERS, Math.floor(bits / BITS_PER_CHARACTER));
+    const bits = (bitsPerMs * MAX_RELAY_MS) / Math.max(1, followers);
+    return Math.max(MIN_RELAYED_CHARACTERS, Math.floor(bits / BITS_PER_CHARACTER));
   }
 
   #endFollowers(followed: FollowedPrefix): void {
--- a/src/direct/readers/zone-positions.ts
+++ b/src/direct/readers/zone-positions.ts
@@ -1,9 +1,9 @@
 /**
- * Log positions of primaries by way of the zone's readers: one question for all services inside the zone in
- * place of one for each service, most of them to another zone.
+ * Requests the primaries' log positions from a reader of the zone: one request within the zone for all services, in
+ * place of one per service, most of them to another zone.
  *
- * A told position is as good as one that was asked for at the time of the question less its age: the reader
- * asked the primary no earlier than that, and took the answer while it trusted the primary.
+ * A reported position of age A, requested at time T, is as good as one requested from the primary at T - A: the reader
+ * sent its own request no earlier than that, and accepted the response while it trusted the primary.
  */
 
 import { asObject } from '../../core/fields.js';
@@ -15,44 +15,44 @@
 import { encodePosition, parsePosition } from '../position-form.js';
 import type { DigestExchange } from './digest-exchange.js';
 
-/** Asks for the newest positions of some services. */
+/** Peer method that returns the newest positions of some services. */
 const POSITIONS_METHOD = 'direct/positions';
 
-const QUESTION_TIMEOUT_MS: Milliseconds = 200;
-/** A reader that did not answer is not asked for so long. */
+const REQUEST_TIMEOUT_MS: Milliseconds = 200;
+/** A reader that did not respond gets no request for this time. */
 const AVOID_MS: Milliseconds = 1000;
-/** Without a reader's digests for so long, a node goes by its own sight. */
-const FLEET_SEEN_MS: Milliseconds = 2500;
-/** Services of one question. */
+/** Without digests from a reader for this time, a node relies on its own observations. */
+const FLEET_VIEW_MAX_AGE_MS: Milliseconds = 2500;
+/** Maximum services in one request. */
 const MAX_SERVICES = 64;
 
-/** The newest position of a service's primary that a node knows. */
-export interface ToldPosition {
+/** The newest log position of a service's primary that a node knows. */
+export interface ReportedPosition {
   readonly service: string;
   readonly instanceId: string;
   readonly position: Position;
-  /** Since the primary was asked. */
+  /** Time since the position was requested from the primary. */
   readonly ageMs: Milliseconds;
 }
 
 export interface ZonePositionsOptions {
-  /** Undefined while there are no links. */
+  /** Undefined while there are no peer links. */
   readonly transport: () => PeerTransport | undefined;
   readonly readers: () => ReadersOfNode;
   readonly now: () => Milliseconds;
   /** A number in [0, 1): spreads the nodes of a zone over its readers. */
   readonly random: () => number;
-  /** What nodes see of instances passes with the question and its answer. */
+  /** Exchanges digests of instances in the same request and response. */
   readonly exchange?: DigestExchange | undefined;
 }
 
 export class ZonePositions {
-  /** Until when a reader is not asked, by its name. */
+  /** Time before which a reader gets no request, by node id. */
   readonly #avoided = new Map<string, Milliseconds>();
   readonly #start: number;
-  /** Questions so far: with digests, each reader is asked in turn, so that both hear of the whole zone. */
-  #asked = 0;
-  #heardAt: Milliseconds = Number.NEGATIVE_INFINITY;
+  /** Requests so far. With digests, the readers take turns, so that both receive the digests of the whole zone. */
+  #requestCount = 0;
+  #digestsReceivedAt: Milliseconds = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly options: ZonePositionsOptions) {
     this.#start = options.random();
@@ -63,104 +63,110 @@
     return this.options.readers().type !== 'others';
   }
 
-  /** True if a reader can be asked. */
+  /** True if there is a reader to send a request to. */
   get isAvailable(): boolean {
     return this.options.transport() !== undefined && this.#reader() !== undefined;
   }
 
-  /** True while digests of other nodes come in: from a reader, or at one. */
+  /** True while this node receives the digests of other nodes: it is a reader, or a reader sends them. */
   isFleetSeen(): boolean {
     const { exchange, now } = this.options;
     if (exchange === undefined) return false;
-    return this.isReader || now() - this.#heardAt < FLEET_SEEN_MS;
+    return this.isReader || now() - this.#digestsReceivedAt < FLEET_VIEW_MAX_AGE_MS;
   }
 
-  /** Whether a reader is asked also where no position is needed. */
-  get tellsDigests(): boolean {
+  /** Whether to send requests even when no position is needed. */
+  get sendsDigests(): boolean {
     return this.options.exchange !== undefined && !this.isReader && this.isAvailable;
   }
 
-  /** What a reader knows of these services; nothing if it does not answer. */
-  async ask(services: readonly string[]): Promise<readonly ToldPosition[]> {
+  /** Positions that a reader knows of these services; none if it does not respond. */
+  async requestPositions(services: readonly string[]): Promise<readonly ReportedPosition[]> {
     const { exchange } = this.options;
     const reader = this.#reader();
     const transport = this.options.transport();
     if (reader === undefined || transport === undefined) return [];
     const { nodeId, host, port } = reader;
-    this.#asked += 1;
-    const asked = { services: services.slice(0, MAX_SERVICES) };
-    const question = exchange === undefined ? asked : { ...asked, digests: exchange.own() };
-    const answer = await transport.call(
+    this.#requestCount += 1;
+    const request = { services: services.slice(0, MAX_SERVICES) };
+    const requestBody =
+      exchange === undefined ? request : { ...request, digests: exchange.encodeOwn() };
+    const response = await transport.call(
       { host, port },
       POSITIONS_METHOD,
-      question,
-      QUESTION_TIMEOUT_MS,
+      requestBody,
+      REQUEST_TIMEOUT_MS,
     );
-    const told = answer.isOk() ? parseToldPositions(positionsOf(answer.value)) : undefined;
-    if (told === undefined) this.#avoided.set(nodeId, this.options.now() + AVOID_MS);
-    const digests = answer.isOk() ? asObject(answer.value)?.digests : undefined;
+    const positions = response.isOk()
+      ? parseReportedPositions(positionsOf(response.value))
+      : undefined;
+    if (positions === undefined) this.#avoided.set(nodeId, this.options.now() + AVOID_MS);
+    const digests = response.isOk() ? asObject(response.value)?.digests : undefined;
     if (exchange !== undefined && digests !== undefined) {
-      exchange.take(digests, nodeId);
-      this.#heardAt = this.options.now();
+      exchange.receive(digests, nodeId);
+      this.#digestsReceivedAt = this.options.now();
     }
-    return told ?? [];
+    return positions ?? [];
   }
 
   #reader(): ReachableNode | undefined {
     const own = this.options.readers();
     if (own.type !== 'others') return undefined;
     const now = this.options.now();
-    const turns = this.options.exchange === undefined ? 0 : this.#asked;
+    const turns = this.options.exchange === undefined ? 0 : this.#requestCount;
     const count = Math.max(1, own.readers.length);
     const first = (Math.floor(this.#start * count) + turns) % count;
-    const inTurn = [...own.readers.slice(first), ...own.readers.slice(0, first)];
-    return inTurn.find(({ nodeId }) => (this.#avoided.get(nodeId) ?? 0) <= now);
+    const rotated = [...own.readers.slice(first), ...own.readers.slice(0, first)];
+    return rotated.find(({ nodeId }) => (this.#avoided.get(nodeId) ?? 0) <= now);
   }
 }
 
-/** Answers a peer's question for positions; undefined for another method, and for a malformed question. */
+/** Responds to a peer's request for positions; undefined for another method or a malformed request. */
 export function answerPositions(
   method: string,
-  question: WireValue,
-  newestOf: (services: readonly string[]) => readonly ToldPosition[],
-  digests?: { readonly exchange: DigestExchange; readonly asker: string },
+  request: WireValue,
+  newestOf: (services: readonly string[]) => readonly ReportedPosition[],
+  digests?: { readonly exchange: DigestExchange; readonly requesterId: string },
 ): WireValue | undefined {
   if (method !== POSITIONS_METHOD) return undefined;
-  const services = parsePositionsQuestion(question);
+  const services = parsePositionsRequest(request);
   if (services === undefined) return undefined;
-  const positions = encodeToldPositions(newestOf(services));
-  const told = asObject(question)?.digests;
-  // Nodes of an earlier version tell none, and know only the shorter answer.
-  if (digests === undefined || told === undefined) return positions;
-  const { exchange, asker } = digests;
-  exchange.take(told, asker);
-  return { positions, digests: exchange.zone() };
+  const positions = encodeReportedPositions(newestOf(services));
+  const requesterDigests = asObject(request)?.digests;
+  // Nodes of an earlier version send no digests and understand only the response without them.
+  if (digests === undefined || requesterDigests === undefined) return positions;
+  const { exchange, requesterId } = digests;
+  exchange.receive(requesterDigests, requesterId);
+  return { positions, digests: exchange.encodeZone() };
 }
 
-function positionsOf(answer: WireValue): WireValue {
-  return asObject(answer)?.positions ?? answer;
+function positionsOf(response: WireValue): WireValue {
+  return asObject(response)?.positions ?? response;
 }
 
-/** The services that are asked for; undefined for what is not in its form. */
-export function parsePositionsQuestion(value: WireValue): readonly string[] | undefined {
+/** The requested services; undefined if malformed. */
+export function parsePositionsRequest(value: WireValue): readonly string[] | undefined {
   const services = asObject(value)?.services;
   if (!Array.isArray(services) || services.length > MAX_SERVICES) return undefined;
   return services.every((service) => typeof service === 'string') ? services : undefined;
 }
 
-/** The form that `parseToldPositions` takes. */
-export function encodeToldPositions(told: readonly ToldPosition[]): WireValue {
-  return told.map(({ position, ...rest }) => ({ ...rest, position: encodePosition(position) }));
+/** Encodes positions for `parseReportedPositions`. */
+export function encodeReportedPositions(positions: readonly ReportedPosition[]): WireValue {
+  return positions.map(({ position, ...rest }) => ({
+    ...rest,
+    position: encodePosition(position),
+  }));
 }
 
-/** Undefined for what is not in its form. */
-export function parseToldPositions(value: WireValue): readonly ToldPosition[] | undefined {
+/** Undefined if malformed. */
+export function parseReportedPositions(value: WireValue): readonly ReportedPosition[] | undefined {
   if (!Array.isArray(value) || value.length > MAX_SERVICES) return undefined;
-  const told = value.map(parseToldPosition).filter((one) => one !== undefined);
-  return told.length === value.length ? told : undefined;
+  const positions = value.map(parseReportedPosition).filter((one) => one !== undefined);
+  return positions.length === value.length ? positions : undefined;
 }
 
-function parseToldPosition(value: unknown): ToldPosition | undefined {
+function parseReportedPosition(value: unknown): ReportedPosition | undefined {
   const { service, instanceId, ageMs, position: text } = asObject(value) ?? {};
   const position = parsePosition(text);
   if (typeof service !== 'string' || typeof instanceId !== 'string') return undefined;
--- a/test/property/foreign-documents.test.ts
+++ b/test/property/foreign-documents.test.ts
@@ -18,7 +18,7 @@
   parsePrimaryRecord,
 } from '../../src/core/promotion/records.js';
 import { parsePartRequest, parsePermitGrant } from '../../src/direct/quota/messages.js';
-import { parseToldStretch, parseWatchRequest } from '../../src/direct/readers/messages.js';
+import { parseRelayedRange, parseWatchRequest } from '../../src/direct/readers/messages.js';
 import { parseLeaseEvent, parseStreamRequest } from '../../src/direct/relay/messages.js';
 import { parseQuestion, parseSnapshot } from '../../src/direct/snapshots/form.js';
 
@@ -109,7 +109,12 @@
 /** Reads of what stores and peers tell; each gives undefined, an error or a value. */
 const READERS: Readonly<Record<string, (value: unknown) => unknown>> = {
   ...{ readItem, readPollAnswer, readRangePage, parsePartRequest, parsePermitGrant },
-  ...{ parseToldStretch, parseWatchRequest, parseLeaseEvent, parseStreamRequest },
+  ...{
+    parseToldStretch: parseRelayedRange,
+    parseWatchRequest,
+    parseLeaseEvent,
+    parseStreamRequest,
+  },
   ...{ parseQuestion, parseSnapshot, instanceForm: parseInstanceEntry },
 };
 const FORMS = [parseFleetRecord, parseMembersRecord, parseNodeRecord, parsePrimaryRecord];
--- a/test/property/watch-readers.test.ts
+++ b/test/property/watch-readers.test.ts
@@ -310,7 +310,7 @@
   }
   await network.time.runUntil(6300);
   const newest = (): Milliseconds =>
-    Math.max(...network.nodes.slice(6, 8).map(({ followed }) => followed.answeredAt ?? 0));
+    Math.max(...network.nodes.slice(6, 8).map(({ followed }) => followed.confirmedAt ?? 0));
   const before = newest();
   assert.ok(before > 0);
   await network.time.runUntil(6000 + MAX_AGE_MS / 2);
--- a/test/support/reader-network.ts
+++ b/test/support/reader-network.ts
@@ -6,7 +6,7 @@
 import type { Milliseconds } from '../../src/core/units.js';
 import type { SubscribeToReader } from '../../src/direct/readers/contract.js';
 import { FollowedPrefix } from '../../src/direct/readers/followed-prefix.js';
-import { parseToldStretch } from '../../src/direct/readers/messages.js';
+import { parseRelayedRange } from '../../src/direct/readers/messages.js';
 import { WatchServer } from '../../src/direct/readers/watch-server.js';
 import type { PeerStream, WireValue } from '../../src/peer/contract.js';
 import type { WatchEvent, WatchHandlers } from '../../src/platform/contract.js';
@@ -176,10 +176,10 @@
     this.followed = new FollowedPrefix({
       prefix: PREFIX,
       maxAgeMs: MAX_AGE_MS,
-      passEveryMs: POLL_WAIT_MS / 2,
-      firstPollMs: FIRST_POLL_MS,
+      minRelayIntervalMs: POLL_WAIT_MS / 2,
+      firstPollDelayMs: FIRST_POLL_MS,
       mayLearnReaders: () => network.mayLearnReaders,
-      isProof: network.isProof,
+      needsEveryConfirmation: network.isProof,
       openDirect: (from, handlers) => store.watch(place.nodeId, from, handlers),
       refreshReaders: () => {},
       subscribe: (...asked) => network.subscribe(this, ...asked),
@@ -244,11 +244,11 @@
     const node = new VirtualNode(this, place);
     this.nodes.push(node);
     const look = (): void => {
-      if (node.isAlive) node.followed.look();
+      if (node.isAlive) node.followed.refresh();
       this.time.after(300, look);
     };
     const tell = (): void => {
-      if (node.isAlive) node.server.tellAll();
+      if (node.isAlive) node.server.sendHeartbeats();
       this.time.after(600, tell);
     };
     this.time.after(300 * this.random(), look);
@@ -271,7 +271,7 @@
     const far = scriptedStream((message) => {
       if (to?.isAlive !== true) return;
       carry(() => {
-        const told = parseToldStretch(message);
+        const told = parseRelayedRange(message);
         if (!isOver && told !== undefined) listener.onRelayed(told);
       });
     });
--- a/test/unit/direct/digest-exchange.test.ts
+++ b/test/unit/direct/digest-exchange.test.ts
@@ -60,17 +60,17 @@
 test('nonsense is counted and left out, and so is what is old or of an earlier life', () => {
   const { digests, exchange } = nodeOf(['i-1@2']);
   for (const nonsense of [17, 'x', {}, [3], [['a']], [[1, 2, 3]], [rowOf('i-1@2').map(String)]]) {
-    exchange.take(nonsense, 'n1');
+    exchange.receive(nonsense, 'n1');
   }
   assert.is(exchange.counters.malformed, 7);
-  exchange.take([rowOf('i-1@1')], 'n1');
+  exchange.receive([rowOf('i-1@1')], 'n1');
   assert.is(exchange.counters.unknownInstance, 1);
-  exchange.take([rowOf('i-1@2', { ageMs: 9000 })], 'n1');
+  exchange.receive([rowOf('i-1@2', { ageMs: 9000 })], 'n1');
   assert.is(exchange.counters.stale, 1);
-  exchange.take([rowOf('i-1@2', { answered: 99_000_000 })], 'n1');
+  exchange.receive([rowOf('i-1@2', { answered: 99_000_000 })], 'n1');
   assert.is(exchange.counters.implausible, 1);
   assert.is(digests.viewOf('i-1@2', NOW), undefined);
-  exchange.take([[...rowOf('i-1@2'), 7, 'of a later version']], 'n1');
+  exchange.receive([[...rowOf('i-1@2'), 7, 'of a later version']], 'n1');
   assert.is(exchange.counters.taken, 1);
   assert.is(Math.round(digests.viewOf('i-1@2', NOW)?.answerMs ?? 0), 12);
 });
@@ -103,14 +103,14 @@
   const answer = (question: WireValue) =>
     answerPositions('direct/positions', question, () => [], {
       exchange: other.exchange,
-      asker: 'n1',
+      requesterId: 'n1',
     });
   const { zone, digests, world } = zoneOf(answer);
   digests.recordOwn('ledger', 'i-1', { type: 'failed' }, NOW);
   assert.not(zone.isFleetSeen());
-  assert.ok(zone.tellsDigests);
-  await zone.ask([]);
-  await zone.ask([]);
+  assert.ok(zone.sendsDigests);
+  await zone.requestPositions([]);
+  await zone.requestPositions([]);
   assert.equal(world.asked, [1, 2]);
   assert.ok(zone.isFleetSeen());
   assert.is(digests.viewOf('i-2', NOW)?.answerMs, 80);
@@ -123,7 +123,7 @@
   const { zone } = zoneOf(() => [
     { service: 'ledger', instanceId: 'i-1', position: { timeline: 3, lsn: '17' }, ageMs: 20 },
   ]);
-  const told = await zone.ask(['ledger']);
+  const told = await zone.requestPositions(['ledger']);
   assert.is(told.length, 1);
   assert.not(zone.isFleetSeen());
 });
@@ -131,7 +131,7 @@
 test('a node of an earlier version gets the answer that it knows', () => {
   const { exchange } = nodeOf(['i-1']);
   const question = { services: ['ledger'] };
-  const digests = { exchange, asker: 'n1' };
+  const digests = { exchange, requesterId: 'n1' };
   assert.equal(
     answerPositions('direct/positions', question, () => [], digests),
     [],
--- a/test/unit/direct/zone-positions.test.ts
+++ b/test/unit/direct/zone-positions.test.ts
@@ -8,10 +8,10 @@
 import { PositionSampler } from '../../../src/direct/position-sampler.js';
 import type { PrimaryView } from '../../../src/direct/promotion/contract.js';
 import {
-  encodeToldPositions,
-  parsePositionsQuestion,
-  parseToldPositions,
-  type ToldPosition,
+  encodeReportedPositions,
+  parsePositionsRequest,
+  parseReportedPositions,
+  type ReportedPosition,
   ZonePositions,
 } from '../../../src/direct/readers/zone-positions.js';
 import { type ServiceRuntime, TOLD_BY_REPLICAS } from '../../../src/direct/service-runtime.js';
@@ -22,7 +22,7 @@
 import { PeerUnreachableError } from '../../../src/peer/errors.js';
 
 const position: Position = { timeline: 3, lsn: 17n };
-const told: ToldPosition = { service: 'orders', instanceId: 'i-1', position, ageMs: 300 };
+const told: ReportedPosition = { service: 'orders', instanceId: 'i-1', position, ageMs: 300 };
 const reader = (name: string): ReachableNode => ({
   ...{ nodeId: name, zone: 'a', host: '10.0.0.1', port: 1 },
 });
@@ -32,7 +32,7 @@
   const world = { now: 10_000, asked: [] as string[] };
   const transport = {
     call: ({ port }: ReachableNode, _method: string, body: WireValue) => {
-      const names = parsePositionsQuestion(body) ?? [];
+      const names = parsePositionsRequest(body) ?? [];
       world.asked.push(`${port}: ${names.join()}`);
       const answer = answers(names.join());
       return answer === undefined
@@ -99,26 +99,26 @@
 }
 
 test('a told position counts from the question less its age, and the primary is not asked', async () => {
-  const { taken, ownQuestions } = await sampleOnce(encodeToldPositions([told]));
+  const { taken, ownQuestions } = await sampleOnce(encodeReportedPositions([told]));
   assert.equal(taken, [{ sentAt: 10_000 - 300, position }]);
   assert.is(ownQuestions(), 0);
 });
 
 test('without a primary, what the replicas told a reader is taken, however old the last position is', async () => {
   const byReplicas = { ...told, instanceId: TOLD_BY_REPLICAS };
-  const answer = encodeToldPositions([byReplicas]);
+  const answer = encodeReportedPositions([byReplicas]);
   const { taken, ownQuestions } = await sampleOnce(answer, { isLeaderless: true, newestAt: 0 });
   assert.is(taken.length, 1);
   assert.is(ownQuestions(), 0);
 });
 
 test('a position of another instance than the primary is not taken', async () => {
-  const { taken } = await sampleOnce(encodeToldPositions([{ ...told, instanceId: 'i-2' }]));
+  const { taken } = await sampleOnce(encodeReportedPositions([{ ...told, instanceId: 'i-2' }]));
   assert.equal(taken, []);
 });
 
 test('the primary is asked by this node if readers do not help, it failed lately, or trust is missing', async () => {
-  const answer = encodeToldPositions([told]);
+  const answer = encodeReportedPositions([told]);
   const situations: readonly Situation[] = [
     { newestAt: 9000 },
     { avoidUntil: 8000 },
@@ -133,8 +133,8 @@
 test('a reader that does not answer is left alone for a while, and another one asked', async () => {
   const readers = [reader('r-1'), { ...reader('r-2'), port: 2 }];
   const { world, zone } = zoneOf({ type: 'others', readers }, () => undefined);
-  assert.equal(await zone.ask(['orders']), []);
-  await zone.ask(['orders']);
+  assert.equal(await zone.requestPositions(['orders']), []);
+  await zone.requestPositions(['orders']);
   assert.equal(world.asked, ['1: orders', '2: orders']);
   assert.not(zone.isAvailable);
   world.now += 1000;
@@ -143,17 +143,17 @@
 });
 
 test('what is not in its form is not taken', () => {
-  assert.equal(parseToldPositions(encodeToldPositions([told])), [told]);
+  assert.equal(parseReportedPositions(encodeReportedPositions([told])), [told]);
   const malformed: readonly WireValue[] = [
     ...[null, {}, [null], [{ ...told }], [{ ...told, position: { timeline: 1, lsn: '1x' } }]],
     [{ ...told, position: { timeline: 1, lsn: '1' }, ageMs: -1 }],
     [{ ...told, position: { timeline: 1, lsn: '1' }, service: 5 }],
   ];
-  for (const value of malformed) assert.is(parseToldPositions(value), undefined);
+  for (const value of malformed) assert.is(parseReportedPositions(value), undefined);
   for (const value of [null, {}, { services: 'x' }, { services: [1] }]) {
-    assert.is(parsePositionsQuestion(value), undefined);
+    assert.is(parsePositionsRequest(value), undefined);
   }
-  assert.equal(parsePositionsQuestion({ services: ['a'] }), ['a']);
+  assert.equal(parsePositionsRequest({ services: ['a'] }), ['a']);
 });
 
 test.run();
--- a/test/unit/watch-readers.test.ts
+++ b/test/unit/watch-readers.test.ts
@@ -10,7 +10,7 @@
   type ReaderCandidate,
   readersOf,
 } from '../../src/core/ownership/watch-readers.js';
-import { parseToldStretch, parseWatchRequest } from '../../src/direct/readers/messages.js';
+import { parseRelayedRange, parseWatchRequest } from '../../src/direct/readers/messages.js';
 import type { WatchEvent } from '../../src/platform/contract.js';
 
 const MAX_AGE_MS = 2900;
@@ -155,9 +155,9 @@
 test('what is not in its form is not taken', () => {
   const event = { type: 'put', entry: { key: 'k', value: 'v', createRevision: 1, modRevision: 2 } };
   const told = { after: 1, revision: 2, ageMs: 3, clockMs: 9, provenMs: 5, events: [event] };
-  assert.equal(parseToldStretch(told), told);
+  assert.equal(parseRelayedRange(told), told);
   const gone = { type: 'delete', key: 'k', modRevision: 2 };
-  assert.ok(parseToldStretch({ ...told, events: [gone] }));
+  assert.ok(parseRelayedRange({ ...told, events: [gone] }));
   const malformed = [
     ...[undefined, null, [], 'text', { ...told, after: -1 }, { ...told, revision: 0 }],
     ...[
@@ -172,7 +172,7 @@
     { ...told, events: [{ type: 'other' }] },
     { ...told, events: [{ type: 'delete', key: 1, modRevision: 2 }] },
   ];
-  for (const value of malformed) assert.is(parseToldStretch(value), undefined);
+  for (const value of malformed) assert.is(parseRelayedRange(value), undefined);
   assert.ok(parseWatchRequest({ type: 'watch', prefix: 'p', after: 0 }));
   for (const value of [undefined, {}, { type: 'watch', prefix: 1, after: 0 }]) {
     assert.is(parseWatchRequest(value), undefined);
