--- a/src/direct/relay/granted-lease.ts
+++ b/src/direct/relay/granted-lease.ts
@@ -1,6 +1,7 @@
 /**
- * One connection that this node lends. It goes back to the pool only if the other side gave it back
- * and it is at rest by this node's own count; else it ends, and the instance rolls back what was open.
+ * One connection that this node lends to a borrower. It is released to the pool only if the borrower returned
+ * it and it is idle according to this node too; otherwise it is closed, and the instance rolls back any open
+ * transaction.
  */
 import type { StatementAnswer, TransactionState } from '../../core/statements/statement.js';
 import type { Milliseconds } from '../../core/units.js';
@@ -18,7 +19,7 @@
   onEnd(): void;
 }
 
-const NOT_HANDED_OVER: StatementAnswer = {
+const INSTANCE_LEAVING_ANSWER: StatementAnswer = {
   payload: '',
   error: { code: 'busy', text: 'the instance is leaving' },
   state: 'idle',
@@ -26,57 +27,57 @@
 };
 
 export class GrantedLease {
-  #pending = 0;
+  #pendingRuns = 0;
   #state: TransactionState = 'idle';
   #ended = false;
 
   constructor(private readonly options: GrantedLeaseOptions) {
     const { stream, connection } = options;
-    stream.onMessage = (message) => this.#take(parseLeaseCommand(message));
+    stream.onMessage = (message) => this.#handleCommand(parseLeaseCommand(message));
     stream.onClose = () => this.#end(false);
     const { values, preparedNames } = connection;
     const granted = { values: [...values], preparedNames: [...preparedNames] };
     stream.send(encodeLeaseEvent({ type: 'granted', ...granted }));
   }
 
-  #take(command: LeaseCommand | undefined): void {
+  #handleCommand(command: LeaseCommand | undefined): void {
     if (this.#ended) return;
-    if (command?.type === 'run') this.#runSoon(command.messages);
-    else if (command?.type === 'return') this.#takeBack(command);
-    else this.#lose();
+    if (command?.type === 'run') this.#scheduleRun(command.messages);
+    else if (command?.type === 'return') this.#handleReturn(command);
+    else this.#reportLost();
   }
 
   /**
-   * A node that stood still finds messages together with the end of the lease that gave them up: they
-   * must not run beside what the other side has done elsewhere since.
+   * Deferred because a node that stalled may find messages together with the end of the lease by which the
+   * borrower abandoned them: they must not run next to what the borrower has since done elsewhere.
    */
-  #runSoon(messages: readonly string[]): void {
-    this.#pending += 1;
+  #scheduleRun(messages: readonly string[]): void {
+    this.#pendingRuns += 1;
     setImmediate(() => {
-      this.#pending -= 1;
+      this.#pendingRuns -= 1;
       if (!this.#ended) void this.#run(messages);
     });
   }
 
-  /** An open transaction may go on at an instance that is leaving; nothing new is handed over. */
+  /** An open transaction may continue at an instance that is shutting down; nothing new is sent to it. */
   async #run(messages: readonly string[]): Promise<void> {
     const { stream, instance, connection, now } = this.options;
-    if (this.#state === 'idle' && this.#pending === 0 && !instance.isUsable(now())) {
-      const answers = messages.map(() => NOT_HANDED_OVER);
+    if (this.#state === 'idle' && this.#pendingRuns === 0 && !instance.isUsable(now())) {
+      const answers = messages.map(() => INSTANCE_LEAVING_ANSWER);
       stream.send(encodeLeaseEvent({ type: 'answers', answers }));
       return;
     }
-    this.#pending += 1;
+    this.#pendingRuns += 1;
     connection.cork();
     const exchanges = messages.map((message) => connection.exchange(message));
     connection.uncork();
     const results = await Promise.all(exchanges);
-    this.#pending -= 1;
+    this.#pendingRuns -= 1;
     if (this.#ended) return;
     const answers: StatementAnswer[] = [];
     for (const result of results) if (result.isOk()) answers.push(result.value);
     if (answers.length < messages.length) {
-      this.#lose();
+      this.#reportLost();
       return;
     }
     this.#state = answers.at(-1)?.state ?? this.#state;
@@ -86,28 +87,28 @@
     stream.send(encodeLeaseEvent({ type: 'answers', answers }));
   }
 
-  #takeBack({ values, preparedNames }: Extract<LeaseCommand, { type: 'return' }>): void {
+  #handleReturn({ values, preparedNames }: Extract<LeaseCommand, { type: 'return' }>): void {
     const { connection } = this.options;
     connection.values.clear();
     for (const [name, value] of values) connection.values.set(name, value);
     connection.preparedNames.clear();
     for (const name of preparedNames) connection.preparedNames.add(name);
-    this.#end(this.#pending === 0 && this.#state === 'idle');
+    this.#end(this.#pendingRuns === 0 && this.#state === 'idle');
   }
 
-  #lose(): void {
+  #reportLost(): void {
     const { stream } = this.options;
     stream.send(encodeLeaseEvent({ type: 'lost' }));
     stream.end();
     this.#end(false);
   }
 
-  #end(isAtRest: boolean): void {
+  #end(isIdle: boolean): void {
     if (this.#ended) return;
     this.#ended = true;
     const { stream, instance, connection } = this.options;
     stream.onMessage = undefined;
-    if (!isAtRest) connection.close();
+    if (!isIdle) connection.close();
     instance.pool.release(connection);
     this.options.onEnd();
   }
--- a/src/direct/relay/lease-server.ts
+++ b/src/direct/relay/lease-server.ts
@@ -1,6 +1,6 @@
 /**
- * Lends this node's connections to other nodes, and runs single reads for them. Both wait in the queue
- * of their instance like a statement of this node's own callers.
+ * Lends this node's connections to other nodes, and runs single reads for them. Both wait in the instance's
+ * queue like a statement of this node's own callers.
  */
 import type { Milliseconds } from '../../core/units.js';
 import type { PeerHandlers, PeerStream, WireValue } from '../../peer/contract.js';
@@ -23,9 +23,9 @@
 import { OwnedRead } from './owned-read.js';
 import type { PositionReader } from './position-reader.js';
 
-/** A request that waits longer than this is told that it has come. */
-const QUEUED_AFTER_MS: Milliseconds = 80;
-const DRAIN_CHECK_MS: Milliseconds = 50;
+/** After this time, the sender of a waiting request is told that it has been received. */
+const QUEUED_NOTICE_DELAY_MS: Milliseconds = 80;
+const DRAIN_CHECK_PERIOD_MS: Milliseconds = 50;
 
 export interface LeaseServerOptions {
   readonly find: LendableLookup;
@@ -37,24 +37,24 @@
 
 export class LeaseServer implements PeerHandlers {
   readonly #leases = new Set<GrantedLease | OwnedRead>();
-  #waiting = 0;
-  #stopping = false;
+  #waitingCount = 0;
+  #isStopping = false;
 
   constructor(private readonly options: LeaseServerOptions) {}
 
-  /** Leases that are in use or waited for. */
+  /** Leases and reads that are active or waiting for a connection. */
   get size(): number {
-    return this.#leases.size + this.#waiting;
+    return this.#leases.size + this.#waitingCount;
   }
 
   /** Refuses new leases from now on. */
   stopGranting(): void {
-    this.#stopping = true;
+    this.#isStopping = true;
   }
 
-  /** Resolves when no lease is in use any more, at the deadline at the latest. */
+  /** Resolves when `size` is 0, at the deadline at the latest. */
   async drained(deadline: Milliseconds): Promise<void> {
-    while (this.size > 0 && this.options.now() < deadline) await pause(DRAIN_CHECK_MS);
+    while (this.size > 0 && this.options.now() < deadline) await pause(DRAIN_CHECK_PERIOD_MS);
   }
 
   onStream(header: WireValue, stream: PeerStream): void {
@@ -81,7 +81,7 @@
   }
 
   #refusalOf(instance: LendableInstance | undefined): LeaseRefusal | undefined {
-    if (this.#stopping) return { reason: 'stopping' };
+    if (this.#isStopping) return { reason: 'stopping' };
     if (instance === undefined) return { reason: 'unknown-instance' };
     if (!instance.isOwned) return { reason: 'not-owner' };
     return instance.isUsable(this.options.now()) ? undefined : { reason: 'unusable' };
@@ -92,14 +92,17 @@
     instance: LendableInstance,
     stream: PeerStream,
   ): Promise<void> {
-    const givenUp = new Cancellation();
-    stream.onClose = () => givenUp.cancel();
+    const cancellation = new Cancellation();
+    stream.onClose = () => cancellation.cancel();
     stream.onMessage = () => {
-      givenUp.cancel();
+      cancellation.cancel();
       stream.end();
     };
-    const tellQueued = setTimeout(() => stream.send({ type: 'queued' }), QUEUED_AFTER_MS);
-    this.#waiting += 1;
+    const queuedNoticeTimer = setTimeout(
+      () => stream.send({ type: 'queued' }),
+      QUEUED_NOTICE_DELAY_MS,
+    );
+    this.#waitingCount += 1;
     const { pool } = instance;
     const now = this.options.now();
     const { aimMs = request.waitMs, isTransaction } = request;
@@ -108,16 +111,16 @@
       ...{ priority: request.priority, policy: request.policy },
       values: new Map(request.values),
       ...{ deadline: now + request.waitMs, latencyTargetAt: now + aimMs, isTransaction },
-      cancelledBy: [givenUp],
+      cancelledBy: [cancellation],
     });
-    this.#waiting -= 1;
-    if (request.type === 'lease' || acquired.isErr()) clearTimeout(tellQueued);
+    this.#waitingCount -= 1;
+    if (request.type === 'lease' || acquired.isErr()) clearTimeout(queuedNoticeTimer);
     if (acquired.isErr()) {
       refuse(stream, refusalFor(acquired.error));
       return;
     }
-    if (givenUp.isCancelled) {
-      clearTimeout(tellQueued);
+    if (cancellation.isCancelled) {
+      clearTimeout(queuedNoticeTimer);
       pool.release(acquired.value);
       return;
     }
@@ -132,7 +135,7 @@
     }
     counters.readsRun += 1;
     const onEnd = (): void => {
-      clearTimeout(tellQueued);
+      clearTimeout(queuedNoticeTimer);
       this.#leases.delete(read);
     };
     const read = new OwnedRead({ ...granted, request, wire, onEnd });
--- a/src/direct/relay/leased-connection.ts
+++ b/src/direct/relay/leased-connection.ts
@@ -1,6 +1,6 @@
 /**
- * A connection to an instance that its owner lends: messages go over the lease's stream, and are
- * answered in their order. Once anything was sent, a stream that ends may have run it.
+ * A connection to an instance, lent by the instance's owner: messages go over the lease's stream, and the
+ * responses arrive in the same order. If the stream ends, the messages sent before may have run.
  */
 import { err, ok } from 'neverthrow';
 import type { Milliseconds } from '../../core/units.js';
@@ -15,25 +15,25 @@
   readonly stream: PeerStream;
   readonly values: ValueList;
   readonly preparedNames: readonly string[];
-  /** Closed by this side while answers were owed. */
-  onGivenUp(): void;
-  /** Whether nothing was heard of the owner since then. */
+  /** This node closed the connection while responses were pending. */
+  onAbandoned(): void;
+  /** Whether nothing has been received from the owner since `time`. */
   isOwnerSilentSince(time: Milliseconds): boolean;
-  /** The lease was lost with its link or owner. */
+  /** The lease was lost with the peer link or the owner. */
   onOwnerLost(): void;
   readonly now: () => Milliseconds;
 }
 
-/** Made by {@link OwnerLessor} when a lease was granted. */
+/** Created by {@link OwnerLender} when a lease has been granted. */
 export class LeasedConnection implements InstanceConnection {
   readonly mayRunLate = true;
   readonly values: Map<string, string>;
   readonly preparedNames: Set<string>;
-  /** Messages that are held back while corked, and who waits for their answers. */
-  #held: { message: string; settle: Settle }[] = [];
+  /** Messages held back while corked, with the callbacks for their responses. */
+  #unsent: { message: string; settle: Settle }[] = [];
   #corked = false;
-  /** Who waits, for each `run` that was sent. */
-  readonly #runs: Settle[][] = [];
+  /** For each `run` that was sent, the callbacks for its responses. */
+  readonly #pendingRuns: Settle[][] = [];
   #sentAt: Milliseconds = 0;
   #closed = false;
   onClose: (() => void) | undefined;
@@ -58,7 +58,7 @@
         settle(err(new InstanceConnectionLostError('closed before the statement was sent')));
         return;
       }
-      this.#held.push({ message, settle });
+      this.#unsent.push({ message, settle });
       if (!this.#corked) this.#send();
     });
   }
@@ -72,20 +72,20 @@
     this.#send();
   }
 
-  /** Ends the lease and with it the owner's connection, which rolls back what is open on it. */
+  /** Ends the lease and with it the owner's connection, so that the instance rolls back an open transaction. */
   close(): void {
     if (this.#closed) return;
-    const isOwed = this.#runs.length > 0;
+    const hasPendingRuns = this.#pendingRuns.length > 0;
     this.#end('instance');
     this.options.stream.abort('connection given up');
-    if (isOwed) this.options.onGivenUp();
+    if (hasPendingRuns) this.options.onAbandoned();
   }
 
-  /** Gives the connection back at rest. */
+  /** Returns the connection to the owner if it is idle; closes it otherwise. */
   giveBack(): void {
     if (this.#closed) return;
     const { stream } = this.options;
-    if (this.#runs.length > 0 || this.#held.length > 0) {
+    if (this.#pendingRuns.length > 0 || this.#unsent.length > 0) {
       this.close();
       return;
     }
@@ -96,26 +96,26 @@
     stream.end();
   }
 
-  /** Takes what the owner says after it has granted the lease. */
+  /** Handles a message of the owner after it has granted the lease. */
   receive(event: LeaseEvent | undefined): void {
     if (this.#closed) return;
-    const run = event?.type === 'answers' ? this.#runs.shift() : undefined;
+    const run = event?.type === 'answers' ? this.#pendingRuns.shift() : undefined;
     if (event?.type !== 'answers' || run?.length !== event.answers.length) {
       this.#end('instance');
       this.options.stream.abort('no answer to what was asked');
       return;
     }
-    // All in one go: an answer that ends the connection must not end what was answered with it.
+    // All at once: a response that makes the caller close the connection must not discard those that came with it.
     for (const [index, answer] of event.answers.entries()) run[index]?.(ok(answer));
   }
 
   #send(): void {
-    const held = this.#held;
-    if (held.length === 0 || this.#closed) return;
-    this.#held = [];
-    this.#runs.push(held.map(({ settle }) => settle));
+    const unsent = this.#unsent;
+    if (unsent.length === 0 || this.#closed) return;
+    this.#unsent = [];
+    this.#pendingRuns.push(unsent.map(({ settle }) => settle));
     this.#sentAt = this.options.now();
-    this.options.stream.send({ type: 'run', messages: held.map(({ message }) => message) });
+    this.options.stream.send({ type: 'run', messages: unsent.map(({ message }) => message) });
   }
 
   #end(fault: 'instance' | 'owner'): void {
@@ -123,7 +123,10 @@
     this.#closed = true;
     this.options.stream.onClose = undefined;
     const lost = new InstanceConnectionLostError('the leased connection ended', fault);
-    const waiting = [...this.#runs.splice(0).flat(), ...this.#held.splice(0).map((h) => h.settle)];
+    const waiting = [
+      ...this.#pendingRuns.splice(0).flat(),
+      ...this.#unsent.splice(0).map((h) => h.settle),
+    ];
     for (const settle of waiting) settle(err(lost));
     if (fault === 'owner') this.options.onOwnerLost();
     this.onClose?.();
--- a/src/direct/relay/owned-read.ts
+++ b/src/direct/relay/owned-read.ts
@@ -1,6 +1,6 @@
 /**
- * One read that this node runs for another one, outside any transaction. Its connection goes back to the
- * pool once the instance has answered; if it does not in time, the connection ends.
+ * One read that this node runs for another node, outside any transaction. The connection is released to the
+ * pool once the instance has responded; without a response in time it is closed.
  */
 import type { StatementAnswer } from '../../core/statements/statement.js';
 import type { Milliseconds } from '../../core/units.js';
@@ -12,8 +12,8 @@
 import type { LeaseEvent, LendableInstance, ReadRequest } from './contract.js';
 import { encodeLeaseEvent } from './messages.js';
 
-/** An answer that takes so many times what it may take is waited for no longer. */
-const PATIENCE_FACTOR = 2;
+/** A response is awaited for at most this multiple of the instance's response timeout (`patienceMs`). */
+const TIMEOUT_FACTOR = 2;
 
 export interface OwnedReadOptions {
   readonly stream: PeerStream;
@@ -28,26 +28,26 @@
 
 /** Runs from its construction on. */
 export class OwnedRead {
-  #isGivenUp = false;
+  #isAbandoned = false;
 
   constructor(private readonly options: OwnedReadOptions) {
-    // A cancellation comes too late now: its caller waits for the end.
+    // Too late for a cancellation: the borrower waits for the response.
     options.stream.onMessage = undefined;
     options.stream.onClose = () => {
-      this.#isGivenUp = true;
+      this.#isAbandoned = true;
     };
     void this.#run();
   }
 
   async #run(): Promise<void> {
     const { instance, connection, now, onEnd } = this.options;
-    if (instance.isUsable(now())) this.#tell(await this.#ask());
-    else this.#tell({ type: 'refused', reason: 'unusable' });
+    if (instance.isUsable(now())) this.#respond(await this.#execute());
+    else this.#respond({ type: 'refused', reason: 'unusable' });
     instance.pool.release(connection);
     onEnd();
   }
 
-  async #ask(): Promise<LeaseEvent> {
+  async #execute(): Promise<LeaseEvent> {
     const { request, instance, connection, wire, now } = this.options;
     const { pool } = instance;
     const sentAt = now();
@@ -56,23 +56,23 @@
     const exchange = connection.exchange(request.message);
     connection.uncork();
     const endWatch = pool.health.watchAnswer('read');
-    const answer = await firstWithin([exchange], pool.health.patienceMs * PATIENCE_FACTOR);
+    const answer = await firstWithin([exchange], pool.health.patienceMs * TIMEOUT_FACTOR);
     const isAnswered = answer?.isOk() === true;
     endWatch(isAnswered);
     if (!isAnswered || answer.value.state !== 'idle') connection.close();
     if (!isAnswered) return { type: 'lost' };
     pool.health.noteOutcome(answer.value.error?.code, now() - sentAt);
-    this.#noteUnprepared(answer.value);
+    this.#handleUnprepared(answer.value);
     return { type: 'answers', answers: [answer.value] };
   }
 
-  /** The instance knows none of the names that were believed to stand on the connection. */
-  #noteUnprepared({ error }: StatementAnswer): void {
+  /** If the instance does not know a prepared statement, none on this connection is assumed to exist any more. */
+  #handleUnprepared({ error }: StatementAnswer): void {
     if (error?.code === 'unprepared') this.options.connection.preparedNames.clear();
   }
 
-  #tell(event: LeaseEvent): void {
-    if (this.#isGivenUp) return;
+  #respond(event: LeaseEvent): void {
+    if (this.#isAbandoned) return;
     const { stream } = this.options;
     stream.onClose = undefined;
     stream.send(encodeLeaseEvent(event));
--- a/src/direct/relay/owner-health.ts
+++ b/src/direct/relay/owner-health.ts
@@ -1,12 +1,12 @@
-/** What a node knows of the owners that it asks: which of them to leave alone for a while. */
+/** Tracks which owners responded recently, and which to avoid for a while. */
 import type { Milliseconds } from '../../core/units.js';
 
-/** An owner that did not answer, or refused, is asked last for so long. */
-const AVOID_MS: Milliseconds = 2000;
+/** For this time, an owner that did not respond or refused is tried last. */
+const AVOIDANCE_PERIOD_MS: Milliseconds = 2000;
 
 interface OwnerState {
   avoidUntil: Milliseconds;
-  heardAt: Milliseconds;
+  receivedAt: Milliseconds;
 }
 
 export class OwnerHealth {
@@ -14,27 +14,27 @@
 
   constructor(private readonly now: () => Milliseconds) {}
 
-  /** It said something. */
-  noteHeard(nodeId: string): void {
-    this.#state(nodeId).heardAt = this.now();
+  /** The owner sent a message or a response. */
+  recordReceived(nodeId: string): void {
+    this.#state(nodeId).receivedAt = this.now();
   }
 
-  /** It can't be reached, is silent, or refuses. */
-  noteFailure(nodeId: string): void {
-    this.#state(nodeId).avoidUntil = this.now() + AVOID_MS;
+  /** The owner is unreachable, does not respond, or refused. */
+  recordFailure(nodeId: string): void {
+    this.#state(nodeId).avoidUntil = this.now() + AVOIDANCE_PERIOD_MS;
   }
 
   isAvoided(nodeId: string): boolean {
     return this.#state(nodeId).avoidUntil > this.now();
   }
 
-  /** Whether it has said anything since then. */
+  /** True if nothing has been received from the owner since `time`. */
   isSilentSince(nodeId: string, time: Milliseconds): boolean {
-    return this.#state(nodeId).heardAt < time;
+    return this.#state(nodeId).receivedAt < time;
   }
 
-  /** Forgets owners that are none any more. */
-  keepOnly(nodeIds: ReadonlySet<string>): void {
+  /** Removes all other nodes, which are no longer owners. */
+  retainOnly(nodeIds: ReadonlySet<string>): void {
     for (const nodeId of this.#owners.keys()) {
       if (!nodeIds.has(nodeId)) this.#owners.delete(nodeId);
     }
@@ -43,7 +43,7 @@
   #state(nodeId: string): OwnerState {
     let state = this.#owners.get(nodeId);
     if (state === undefined) {
-      state = { avoidUntil: Number.NEGATIVE_INFINITY, heardAt: Number.NEGATIVE_INFINITY };
+      state = { avoidUntil: Number.NEGATIVE_INFINITY, receivedAt: Number.NEGATIVE_INFINITY };
       this.#owners.set(nodeId, state);
     }
     return state;
--- a/src/direct/relay/owner-lessor.ts
+++ b/src/direct/relay/owner-lender.ts
@@ -1,7 +1,7 @@
 /**
- * Connections of one instance that its owners lend, and reads that they run. Owners are asked one after
- * the other until one serves: before a lease is granted nothing is sent to the instance, and a read may
- * be repeated, so that another may always be asked.
+ * Borrows connections to one instance from its owners, and has them run reads. Owners are tried one after
+ * the other until one serves. Trying another is always safe: nothing is sent to the instance before a lease
+ * is granted, and a read may be repeated.
  */
 import { err, ok, type Result } from 'neverthrow';
 import type { ReachableNode } from '../../core/ownership/owner-roster.js';
@@ -38,16 +38,16 @@
 import { parseLeaseEvent } from './messages.js';
 import type { OwnerHealth } from './owner-health.js';
 
-/** An owner that has said nothing, not even that the request came, is taken for lost after this. */
-const SILENCE_MS: Milliseconds = 250;
-/** Orders that are remembered; more tenants than this are worked out again. */
-const MOST_ACCOUNTS = 512;
+/** An owner that has sent nothing for this time, not even that it received the request, counts as lost. */
+const SILENCE_TIMEOUT_MS: Milliseconds = 250;
+/** Maximum cached owner orders, one per tenant; beyond it the cache is cleared. */
+const MAX_ACCOUNTS = 512;
 
-export interface OwnerLessorOptions {
+export interface OwnerLenderOptions {
   readonly instance: InstanceEntry;
-  /** In the order in which they are asked. */
+  /** In the order in which they are tried. */
   readonly owners: readonly ReachableNode[];
-  /** The same, in the order for one tenant where connections are of one tenant each. */
+  /** The owners in the order for one tenant, for use where each connection belongs to one tenant. */
   readonly ownersFor: (account: string) => readonly ReachableNode[];
   readonly transport: PeerTransport;
   readonly health: OwnerHealth;
@@ -55,21 +55,21 @@
   readonly now: () => Milliseconds;
 }
 
-/** Not granted, whatever was asked for: another owner may be asked. */
+/** The owner did not serve the request; another one may be tried. */
 type Unserved =
   | { readonly type: 'refused'; readonly refusal: LeaseRefusal }
-  /** Not reached, lost, or silent. */
+  /** The owner was unreachable, the link was lost, or no response came in time. */
   | { readonly type: 'no-answer' };
 
-/** What became of one stream. */
+/** Outcome of one stream. */
 type StreamOutcome =
   | { readonly type: 'granted'; readonly connection: LeasedConnection }
   | { readonly type: 'answered'; readonly answer: StatementAnswer }
-  /** The connection to the instance ended, or it did not answer in time. */
+  /** The connection to the instance ended, or the instance did not respond in time. */
   | { readonly type: 'lost' }
   | Unserved;
 
-/** What an event of the owner says of a stream that waits; nothing yet if undefined. */
+/** Handlers of an owner's events on a waiting stream; they return its outcome, or undefined if it goes on waiting. */
 type EventHandlers = {
   readonly [Type in LeaseEvent['type']]: (
     event: Extract<LeaseEvent, { type: Type }>,
@@ -78,13 +78,13 @@
   ) => StreamOutcome | undefined;
 };
 
-export class OwnerLessor implements ConnectionLender {
-  readonly #byAccount = new Map<string, readonly ReachableNode[]>();
+export class OwnerLender implements ConnectionLender {
+  readonly #ownersByAccount = new Map<string, readonly ReachableNode[]>();
   readonly #handlers: EventHandlers = {
     queued: () => undefined,
     granted: (event, owner, stream) => ({
       type: 'granted',
-      connection: this.#connection(owner, stream, event),
+      connection: this.#createConnection(owner, stream, event),
     }),
     refused: (refusal, _owner, stream) => {
       stream.end();
@@ -100,7 +100,7 @@
     },
   };
 
-  /** What the instance was sent already is waited for: it runs with the session's values. */
+  /** A cancelled read is still awaited: the instance may be running it already, with the session's values. */
   readonly #cancellers: Readonly<
     Record<StreamRequest['type'], (stream: PeerStream, giveUp: () => void) => void>
   > = {
@@ -108,49 +108,49 @@
     read: (stream) => stream.send(CANCEL_READ),
   };
 
-  constructor(private readonly options: OwnerLessorOptions) {}
+  constructor(private readonly options: OwnerLenderOptions) {}
 
   async acquire(request: ConnectionRequest): Promise<Result<InstanceConnection, AcquireError>> {
     const { counters } = this.options;
-    const asked = await this.#askInTurn(request, (owner, waitMs) => {
+    const outcome = await this.#requestInTurn(request, (owner, waitMs) => {
       counters.leasesAsked += 1;
       const header = this.#headerOf(request, waitMs);
-      return this.#open(owner, { type: 'lease', ...header }, request, waitMs);
+      return this.#openStream(owner, { type: 'lease', ...header }, request, waitMs);
     });
-    if (asked.isErr()) return err(asked.error);
-    if (asked.value.type === 'granted') return ok(asked.value.connection);
+    if (outcome.isErr()) return err(outcome.error);
+    if (outcome.value.type === 'granted') return ok(outcome.value.connection);
     return err(this.#unreachable('no owner lends a connection'));
   }
 
   async read(read: OwnerRead): Promise<Result<StatementAnswer, OwnerReadError>> {
     const { counters, instance } = this.options;
     const { prepared, message } = read;
-    const asked = await this.#askInTurn(read, (owner, waitMs) => {
+    const outcome = await this.#requestInTurn(read, (owner, waitMs) => {
       counters.readsAsked += 1;
       const header = this.#headerOf(read, waitMs);
-      return this.#open(owner, { type: 'read', ...header, prepared, message }, read, waitMs);
+      return this.#openStream(owner, { type: 'read', ...header, prepared, message }, read, waitMs);
     });
-    if (asked.isErr()) return err(asked.error);
-    if (asked.value.type === 'answered') return ok(asked.value.answer);
+    if (outcome.isErr()) return err(outcome.error);
+    if (outcome.value.type === 'answered') return ok(outcome.value.answer);
     return err(new InstanceConnectionLostError(`${instance.id}: no answer through its owner`));
   }
 
-  /** Asks owners one after the other until one serves; the error if none does. */
-  async #askInTurn(
+  /** Tries owners one after the other until one serves; an error if none does. */
+  async #requestInTurn(
     request: ConnectionRequest,
-    ask: (owner: ReachableNode, waitMs: Milliseconds) => Promise<StreamOutcome>,
+    openStream: (owner: ReachableNode, waitMs: Milliseconds) => Promise<StreamOutcome>,
   ): Promise<Result<Exclude<StreamOutcome, Unserved>, AcquireError>> {
     const { instance, health, counters, now } = this.options;
-    for (const owner of this.#inOrder(request.account)) {
+    for (const owner of this.#ownersInOrder(request.account)) {
       const waitMs = request.deadline - now();
       if (waitMs <= 0 || isAnyCancelled(request.cancelledBy)) break;
-      const outcome = await ask(owner, waitMs);
+      const outcome = await openStream(owner, waitMs);
       if (outcome.type !== 'refused' && outcome.type !== 'no-answer') return ok(outcome);
       if (isAnyCancelled(request.cancelledBy)) break;
       counters.leasesRefused += 1;
       const error = outcome.type === 'refused' && finalError(instance.id, outcome.refusal);
       if (error) return err(error);
-      health.noteFailure(owner.nodeId);
+      health.recordFailure(owner.nodeId);
     }
     return err(this.#unreachable('no owner lends a connection'));
   }
@@ -184,36 +184,36 @@
 
   async position(timeoutMs: Milliseconds): Promise<Position | undefined> {
     const { instance, transport, health } = this.options;
-    const owner = this.#inOrder()[0];
+    const owner = this.#ownersInOrder()[0];
     if (owner === undefined) return undefined;
     const body = { service: instance.service, instanceId: instance.id };
-    const answer = await transport.call(owner, POSITION_METHOD, body, timeoutMs);
-    if (answer.isErr()) {
-      health.noteFailure(owner.nodeId);
+    const response = await transport.call(owner, POSITION_METHOD, body, timeoutMs);
+    if (response.isErr()) {
+      health.recordFailure(owner.nodeId);
       return undefined;
     }
-    health.noteHeard(owner.nodeId);
-    return parsePosition(answer.value);
+    health.recordReceived(owner.nodeId);
+    return parsePosition(response.value);
   }
 
   #ownersFor(account: string): readonly ReachableNode[] {
-    const known = this.#byAccount.get(account);
+    const known = this.#ownersByAccount.get(account);
     if (known !== undefined) return known;
     const owners = this.options.ownersFor(account);
-    if (this.#byAccount.size >= MOST_ACCOUNTS) this.#byAccount.clear();
-    this.#byAccount.set(account, owners);
+    if (this.#ownersByAccount.size >= MAX_ACCOUNTS) this.#ownersByAccount.clear();
+    this.#ownersByAccount.set(account, owners);
     return owners;
   }
 
-  /** Those that failed lately come last; the order is kept among the others. */
-  #inOrder(account?: string): readonly ReachableNode[] {
+  /** The owners in their order, with those that failed recently last. */
+  #ownersInOrder(account?: string): readonly ReachableNode[] {
     const { health } = this.options;
     const owners = account === undefined ? this.options.owners : this.#ownersFor(account);
     const avoided = owners.filter(({ nodeId }) => health.isAvoided(nodeId));
     return [...owners.filter((owner) => !avoided.includes(owner)), ...avoided];
   }
 
-  #open(
+  #openStream(
     owner: ReachableNode,
     header: StreamRequest,
     { cancelledBy }: ConnectionRequest,
@@ -231,13 +231,13 @@
         stream.abort('given up');
         settle({ type: 'no-answer' });
       };
-      let stopWaiting = afterReading(Math.min(SILENCE_MS, waitMs), giveUp);
+      let stopWaiting = afterReading(Math.min(SILENCE_TIMEOUT_MS, waitMs), giveUp);
       const stopListening = listenToAll(cancelledBy, () =>
         this.#cancellers[header.type](stream, giveUp),
       );
       stream.onClose = () => settle({ type: 'no-answer' });
       stream.onMessage = (message) => {
-        health.noteHeard(owner.nodeId);
+        health.recordReceived(owner.nodeId);
         const event = parseLeaseEvent(message);
         if (event === undefined) {
           giveUp();
@@ -252,12 +252,12 @@
           return;
         }
         stopWaiting();
-        stopWaiting = afterReading(waitMs + SILENCE_MS, giveUp);
+        stopWaiting = afterReading(waitMs + SILENCE_TIMEOUT_MS, giveUp);
       };
     });
   }
 
-  #connection(
+  #createConnection(
     owner: ReachableNode,
     stream: PeerStream,
     { values, preparedNames }: Extract<LeaseEvent, { type: 'granted' }>,
@@ -266,23 +266,23 @@
     const connection = new LeasedConnection({
       ...{ stream, values, preparedNames, now },
       isOwnerSilentSince: (time) => health.isSilentSince(owner.nodeId, time),
-      onGivenUp: () => {
-        if (connection.isOwnerSilent) health.noteFailure(owner.nodeId);
+      onAbandoned: () => {
+        if (connection.isOwnerSilent) health.recordFailure(owner.nodeId);
       },
       onOwnerLost: () => {
         counters.leasesLost += 1;
-        health.noteFailure(owner.nodeId);
+        health.recordFailure(owner.nodeId);
       },
     });
     stream.onMessage = (message) => {
-      health.noteHeard(owner.nodeId);
+      health.recordReceived(owner.nodeId);
       connection.receive(parseLeaseEvent(message));
     };
     return connection;
   }
 }
 
-/** The error to end with, if another owner would say the same. */
+/** The error of a refusal that every other owner would repeat; undefined if another one may serve. */
 function finalError(instanceId: string, refusal: LeaseRefusal): AcquireError | undefined {
   switch (refusal.reason) {
     case 'unreachable':
--- a/src/direct/relay/position-reader.ts
+++ b/src/direct/relay/position-reader.ts
@@ -1,6 +1,6 @@
 /**
- * Log positions of owned instances for all nodes that ask: whoever asks while a question is planned
- * shares its answer, so that the instance hears few questions however many nodes there are.
+ * Reads the log positions of owned instances for other nodes. Requests that arrive while a read is planned
+ * share its result, so that an instance receives few queries however many nodes there are.
  */
 import type { Position } from '../../core/position.js';
 import type { Milliseconds } from '../../core/units.js';
@@ -9,9 +9,9 @@
 import type { StatementWire } from '../wire.js';
 import { pause } from '../within.js';
 
-/** Questions of other nodes are collected for so long; their own positions grow old by that. */
-const COLLECT_MS: Milliseconds = 40;
-const ANSWER_TIMEOUT_MS: Milliseconds = 300;
+/** Time for which requests are collected before one read; the requesters' positions age by as much. */
+const COLLECTION_PERIOD_MS: Milliseconds = 40;
+const RESPONSE_TIMEOUT_MS: Milliseconds = 300;
 
 export interface PositionReaderOptions {
   readonly wire: StatementWire;
@@ -19,24 +19,24 @@
 }
 
 export class PositionReader {
-  readonly #planned = new Map<InstancePool, Promise<Position | undefined>>();
+  readonly #plannedReads = new Map<InstancePool, Promise<Position | undefined>>();
 
   constructor(private readonly options: PositionReaderOptions) {}
 
-  /** The instance's position, asked for after this call. */
+  /** The instance's position, queried after this call. */
   read(pool: InstancePool): Promise<Position | undefined> {
-    const planned = this.#planned.get(pool);
+    const planned = this.#plannedReads.get(pool);
     if (planned !== undefined) return planned;
-    const reading = this.#readSoon(pool);
-    this.#planned.set(pool, reading);
+    const reading = this.#readAfterCollection(pool);
+    this.#plannedReads.set(pool, reading);
     return reading;
   }
 
-  async #readSoon(pool: InstancePool): Promise<Position | undefined> {
-    await pause(COLLECT_MS);
-    // Whoever comes from now on must not be given what was asked before.
-    this.#planned.delete(pool);
+  async #readAfterCollection(pool: InstancePool): Promise<Position | undefined> {
+    await pause(COLLECTION_PERIOD_MS);
+    // Later calls must not get a position that was queried before them.
+    this.#plannedReads.delete(pool);
     const { wire, now } = this.options;
-    return askPosition({ pool, wire, now, deadline: now() + ANSWER_TIMEOUT_MS });
+    return askPosition({ pool, wire, now, deadline: now() + RESPONSE_TIMEOUT_MS });
   }
 }
--- a/src/direct/relay/relay-host.ts
+++ b/src/direct/relay/relay-host.ts
@@ -1,4 +1,4 @@
-/** Starts the relay when the fleet gets owners, and tells who owns an instance. */
+/** Starts the relay once the cluster has owners, and reports which nodes own an instance. */
 import { type OwnerRoster, sameOwners } from '../../core/ownership/owner-roster.js';
 import type { Milliseconds } from '../../core/units.js';
 import type { InstanceEntry } from '../contract.js';
@@ -6,53 +6,53 @@
 import type { Relay, RelayOptions } from './relay.js';
 
 export class RelayHost {
-  /** Called when the roster in force is another. */
+  /** Called when the active roster has changed. */
   onChange: () => void = () => {};
-  #wanted: OwnerRoster | undefined;
-  #isInForce = true;
+  #publishedRoster: OwnerRoster | undefined;
+  #isActive = true;
   #roster: OwnerRoster | undefined;
   #relay: Relay | undefined;
-  #starting = false;
-  #stopping = false;
+  #isStarting = false;
+  #isStopping = false;
 
   constructor(private readonly options: RelayOptions) {}
 
-  /** The roster in force; undefined while every node connects to every instance. */
+  /** The active roster; undefined while every node connects to every instance. */
   get roster(): OwnerRoster | undefined {
     return this.#roster;
   }
 
-  /** Owners are named, and this node can't ask them yet. */
+  /** True while owners are named but this node's links to them are not ready. */
   get isPending(): boolean {
-    return this.#wanted !== undefined && this.#isInForce && this.#relay === undefined;
+    return this.#publishedRoster !== undefined && this.#isActive && this.#relay === undefined;
   }
 
   /**
-   * Takes the roster that is published now.
-   * @param isInForce false if this node connects by itself, and lends to those that come back
+   * Sets the roster that is published now.
+   * @param isActive false if this node connects to instances itself and lends only to returning nodes
    */
-  update(roster: OwnerRoster | undefined, isInForce = true): void {
-    if (sameOwners(roster, this.#wanted) && isInForce === this.#isInForce) return;
-    this.#wanted = roster;
-    this.#isInForce = isInForce;
+  update(roster: OwnerRoster | undefined, isActive = true): void {
+    if (sameOwners(roster, this.#publishedRoster) && isActive === this.#isActive) return;
+    this.#publishedRoster = roster;
+    this.#isActive = isActive;
     if (roster === undefined || this.#relay !== undefined) this.#apply();
-    else if (!this.#starting) void this.#start();
+    else if (!this.#isStarting) void this.#start();
     if (this.isPending) this.onChange();
   }
 
-  /** Who owns an instance; undefined if this node is to connect by itself. */
+  /** Ownership of an instance; undefined if this node connects to it itself. */
   ownershipOf(instance: InstanceEntry): InstanceOwnership | undefined {
     if (this.#roster === undefined || this.#relay === undefined) return undefined;
     return this.#relay.ownershipOf(instance, this.#roster);
   }
 
-  /** Leases of other nodes, in use or waited for. */
+  /** Leases and reads of other nodes, active or waiting. */
   get lentCount(): number {
     return this.#relay?.lentCount ?? 0;
   }
 
   stopGranting(): void {
-    this.#stopping = true;
+    this.#isStopping = true;
     this.#relay?.stopGranting();
   }
 
@@ -65,17 +65,17 @@
   }
 
   async #start(): Promise<void> {
-    this.#starting = true;
+    this.#isStarting = true;
     const { Relay } = await import('./relay.js');
     const relay = new Relay(this.options);
     await relay.start();
-    if (this.#stopping) relay.stopGranting();
+    if (this.#isStopping) relay.stopGranting();
     this.#relay = relay;
     this.#apply();
   }
 
   #apply(): void {
-    this.#roster = this.#isInForce ? this.#wanted : undefined;
+    this.#roster = this.#isActive ? this.#publishedRoster : undefined;
     this.onChange();
   }
 }
--- a/src/direct/relay/relay.ts
+++ b/src/direct/relay/relay.ts
@@ -1,6 +1,6 @@
 /**
- * The links of a node to the others: it lends connections of the instances that it owns, and leases
- * those of the others. Loaded only in fleets with owners, since a start costs time.
+ * A node's links to other nodes for sharing connections: lends connections to the instances that it owns, and
+ * borrows those to other instances. Loaded only in clusters with owners, since loading slows down the start.
  */
 import { createHash } from 'node:crypto';
 import { mayConnect, ownersOf, preferenceOf } from '../../core/ownership/instance-owners.js';
@@ -13,17 +13,17 @@
 import type { InstanceOwnership, LendableLookup, RelayCounters } from './contract.js';
 import { LeaseServer } from './lease-server.js';
 import { OwnerHealth } from './owner-health.js';
-import { OwnerLessor } from './owner-lessor.js';
+import { OwnerLender } from './owner-lender.js';
 import { PositionReader } from './position-reader.js';
 
-/** Only links in use are asked for a sign of life; one that misses three is lost. */
-const LINK_HEARTBEAT_MS: Milliseconds = 300;
-/** An answer may be as large as an instance makes it; the wire bounds each of its messages. */
+/** Only links in use are checked; a link that misses three heartbeats is lost. */
+const LINK_HEARTBEAT_PERIOD_MS: Milliseconds = 300;
+/** A response may be as large as the instance makes it; the statement protocol limits each of its messages. */
 const MAX_FRAME_BYTES = 8 * 1024 * 1024;
 
 export interface RelayOptions {
   readonly nodeName: string;
-  /** Where others reach this node; without it, it lends nothing. */
+  /** Address for other nodes; without it this node lends nothing. */
   readonly listen: { readonly host: string; readonly port: number } | undefined;
   readonly wire: StatementWire;
   readonly find: LendableLookup;
@@ -44,22 +44,22 @@
     this.#transport = new TcpPeerTransport({
       identity: { nodeId: nodeName, incarnation: Date.now() },
       handlers: this.#server,
-      limits: { heartbeatPeriodMs: LINK_HEARTBEAT_MS, maxMessageBytes: MAX_FRAME_BYTES },
+      limits: { heartbeatPeriodMs: LINK_HEARTBEAT_PERIOD_MS, maxMessageBytes: MAX_FRAME_BYTES },
     });
   }
 
-  /** Begins to lend. */
+  /** Starts to accept requests of other nodes. */
   async start(): Promise<void> {
     const { listen } = this.options;
     if (listen !== undefined) await this.#transport.listen(listen);
   }
 
-  /** Who owns an instance in this roster. */
+  /** Ownership of an instance according to the roster. */
   ownershipOf(instance: InstanceEntry, roster: OwnerRoster): InstanceOwnership {
     const { nodeName, counters, now } = this.options;
     const owners = ownersOf(instance, roster.nodes, roster.ownersPerInstance, hash64);
     if (mayConnect(owners, nodeName)) return { isOwned: true, lender: undefined };
-    const lender = new OwnerLessor({
+    const lender = new OwnerLender({
       ...{ instance, counters, now, transport: this.#transport, health: this.#health },
       owners: preferenceOf(owners, nodeName, hash64),
       ownersFor: (account) => preferenceOf(owners, account, hash64),
@@ -67,17 +67,17 @@
     return { isOwned: false, lender };
   }
 
-  /** Leases of other nodes, in use or waited for. */
+  /** Leases and reads of other nodes, active or waiting. */
   get lentCount(): number {
     return this.#server.size;
   }
 
-  /** Refuses new leases, so that others ask another owner. */
+  /** Refuses new leases, so that other nodes try another owner. */
   stopGranting(): void {
     this.#server.stopGranting();
   }
 
-  /** Resolves when no connection is lent any more, at the deadline at the latest. */
+  /** Resolves when `lentCount` is 0, at the deadline at the latest. */
   drained(deadline: Milliseconds): Promise<void> {
     return this.#server.drained(deadline);
   }
@@ -87,14 +87,14 @@
   }
 }
 
-const HASHES = new Map<string, bigint>();
-const MOST_HASHES = 4096;
+const HASH_CACHE = new Map<string, bigint>();
+const MAX_CACHED_HASHES = 4096;
 
 const hash64: Hash64 = (text) => {
-  const known = HASHES.get(text);
+  const known = HASH_CACHE.get(text);
   if (known !== undefined) return known;
   const hash = createHash('sha256').update(text).digest().readBigUInt64BE();
-  if (HASHES.size >= MOST_HASHES) HASHES.clear();
-  HASHES.set(text, hash);
+  if (HASH_CACHE.size >= MAX_CACHED_HASHES) HASH_CACHE.clear();
+  HASH_CACHE.set(text, hash);
   return hash;
 };
--- a/test/support/relay-fleet.ts
+++ b/test/support/relay-fleet.ts
@@ -8,7 +8,7 @@
 import type { LendableInstance, RelayCounters } from '../../src/direct/relay/contract.js';
 import { LeaseServer } from '../../src/direct/relay/lease-server.js';
 import { OwnerHealth } from '../../src/direct/relay/owner-health.js';
-import { OwnerLessor } from '../../src/direct/relay/owner-lessor.js';
+import { OwnerLender } from '../../src/direct/relay/owner-lender.js';
 import { PositionReader } from '../../src/direct/relay/position-reader.js';
 import { TcpPeerTransport } from '../../src/peer/transport.js';
 import { listen } from '../../standins/common/process.js';
@@ -143,7 +143,7 @@
       },
     });
     const { transport, health, counters } = this;
-    const lessor = new OwnerLessor({
+    const lessor = new OwnerLender({
       ...{ instance: instance.entry, owners, transport, health, counters, now },
       ownersFor: () => owners,
     });
