--- a/src/direct/snapshots/errors.ts
+++ b/src/direct/snapshots/errors.ts
@@ -1,12 +1,12 @@
 /** Failures of the exchange of snapshots between nodes. */
 import { MeadowstackError } from '../../core/errors.js';
 
-/** A question or an answer has not the form of this exchange. */
+/** A request or a response is malformed. */
 export class SnapshotFormError extends MeadowstackError {
   readonly code = 'MS-SNAPSHOT-FORM';
 }
 
-/** This node has answered as much as it does in a second; ask it again later. */
+/** This node has reached its limit of responses per second; retry later. */
 export class SnapshotBusyError extends MeadowstackError {
   readonly code = 'MS-SNAPSHOT-BUSY';
 }
--- a/src/direct/snapshots/node-directory.ts
+++ b/src/direct/snapshots/node-directory.ts
@@ -1,4 +1,4 @@
-/** A node's own directory as the exchange of snapshots sees it: what it can tell, and how it takes more. */
+/** Connects a node's own directory to the exchange of snapshots: describes it to peers and adopts newer parts. */
 import {
   type DirectoryVersions,
   type InstancesPart,
@@ -10,38 +10,38 @@
 import type { InstanceEntry } from '../contract.js';
 import type { DirectoryFollower } from '../directory-follower.js';
 import type { DirectGateway } from '../gateway.js';
-import type { InstanceSnapshot } from './form.js';
+import type { InstanceSnapshot } from './messages.js';
+import type { ReportedPrimaries } from './reported-primaries.js';
 import type { SnapshotNode } from './service.js';
-import type { ToldPrimaries } from './told-primaries.js';
 
 export interface NodeDirectoryOptions {
   readonly follower: DirectoryFollower;
   readonly gateway: DirectGateway;
-  readonly primaries: ToldPrimaries;
+  readonly primaries: ReportedPrimaries;
   readonly logger: Logger;
   /** True while the store keeps the directory current. */
   isStoreWell(): boolean;
-  /** Older proofs of the configuration are worth asking peers for younger ones; none is by default. */
+  /** If the proof of the configuration is older than this, peers are asked for a newer one; unlimited by default. */
   readonly maxProofAgeMs?: Milliseconds | undefined;
-  /** Where the store says that other nodes answer. */
+  /** Addresses of other nodes according to the store. */
   peers(): readonly PeerAddress[];
-  /** Members that count by the records, gone ones too. */
+  /** Members according to the records, including departed ones. */
   countedMembers(): readonly InstanceEntry[];
   /**
-   * Told of members that the store has no more and of those that it has, before the latter alone; `isWhole` if whoever
-   * tells has read the records, which name those that were gone before it began.
+   * Called with the departed and the registered members together, before the registered ones are adopted alone.
+   * `isComplete` if the peer has read the records, which list the members that had departed before it started.
    */
-  noteMembers(members: readonly InstanceEntry[], isWhole: boolean): void;
+  setReportedMembers(members: readonly InstanceEntry[], isComplete: boolean): void;
   now(): Milliseconds;
 }
 
 export class NodeDirectory implements SnapshotNode {
-  /** When the store confirmed what a peer told last, by this node's clock. */
-  #adoptedFrom: Milliseconds | undefined;
+  /** When the store confirmed the instances last adopted from a peer, by this node's clock. */
+  #adoptedConfirmedAt: Milliseconds | undefined;
 
   constructor(private readonly options: NodeDirectoryOptions) {}
 
-  isWanted(): boolean {
+  needsSnapshot(): boolean {
     const { follower, isStoreWell, now, maxProofAgeMs = Number.POSITIVE_INFINITY } = this.options;
     const provenAt = follower.configurationProvenAt() ?? Number.NEGATIVE_INFINITY;
     if (maxProofAgeMs < now() - provenAt) return true;
@@ -52,7 +52,7 @@
     return this.options.peers();
   }
 
-  known(): DirectoryVersions {
+  knownVersions(): DirectoryVersions {
     const { follower, primaries } = this.options;
     return {
       version: follower.configuration()?.version ?? 0,
@@ -63,7 +63,7 @@
 
   describe(known: DirectoryVersions): InstanceSnapshot | undefined {
     const { follower, primaries, now } = this.options;
-    const confirmedAt = follower.lastConfirmedAt() ?? this.#adoptedFrom;
+    const confirmedAt = follower.lastConfirmedAt() ?? this.#adoptedConfirmedAt;
     const configuration = follower.configurationPart();
     if (confirmedAt === undefined || configuration === undefined) return undefined;
     return selectNewerParts(known, {
@@ -71,54 +71,54 @@
       instances: {
         revision: follower.instancesRevision(),
         instances: [...follower.instances().values()],
-        departed: this.#departed(),
+        departed: this.#departedMembers(),
       },
       primaries: primaries.describe(this.#services()),
       terms: this.options.gateway.primaryTerms(),
       ageMs: Math.max(0, now() - confirmedAt),
-      ...this.#proof(),
+      ...this.#configurationAge(),
     });
   }
 
-  /** The configuration goes first: what follows is of its services. */
-  adopt(snapshot: InstanceSnapshot, askedAt: Milliseconds): void {
+  /** Applies the configuration first, since the other parts refer to its services. */
+  adopt(snapshot: InstanceSnapshot, requestedAt: Milliseconds): void {
     const { follower, gateway, primaries, logger, now } = this.options;
-    const newer = selectNewerParts(this.known(), snapshot);
+    const newer = selectNewerParts(this.knownVersions(), snapshot);
     const isFirst = follower.configuration() === undefined;
     if (newer.configuration !== undefined) follower.adoptConfiguration(newer.configuration);
-    this.#adoptProof(snapshot, askedAt);
+    this.#adoptProof(snapshot, requestedAt);
     if (newer.instances !== undefined) {
       this.#adoptInstances(newer.instances, snapshot.primaries !== undefined);
-      this.#adoptedFrom = now() - snapshot.ageMs;
+      this.#adoptedConfirmedAt = now() - snapshot.ageMs;
     }
-    if (newer.primaries !== undefined) primaries.take(newer.primaries);
+    if (newer.primaries !== undefined) primaries.update(newer.primaries);
     gateway.notePrimaryTerms(snapshot.terms);
     if (!isFirst || newer.configuration === undefined) return;
     logger.info('serving from a snapshot of a peer', { ageMs: Math.round(snapshot.ageMs) });
   }
 
-  #proof(): Pick<InstanceSnapshot, 'configurationAgeMs'> {
+  #configurationAge(): Pick<InstanceSnapshot, 'configurationAgeMs'> {
     const provenAt = this.options.follower.configurationProvenAt();
     if (provenAt === undefined) return {};
     return { configurationAgeMs: Math.max(0, this.options.now() - provenAt) };
   }
 
   /**
-   * The peer answered after it was asked: what it could show then held no earlier than its age before that. What this
-   * node has is no older than what the peer has, so that the proof is one of its own too.
+   * The peer responded after the request was sent, so its proof held no earlier than the reported age before that time.
+   * This node's configuration is no older than the peer's, so that the proof applies to it too.
    */
   #adoptProof(
     { configuration, configurationAgeMs }: InstanceSnapshot,
-    askedAt: Milliseconds,
+    requestedAt: Milliseconds,
   ): void {
     const { follower } = this.options;
-    const isTaken = (configuration?.version ?? 0) <= (follower.configuration()?.version ?? -1);
-    if (configurationAgeMs === undefined || !isTaken) return;
-    follower.adoptConfigurationProof(askedAt - configurationAgeMs);
+    const isApplied = (configuration?.version ?? 0) <= (follower.configuration()?.version ?? -1);
+    if (configurationAgeMs === undefined || !isApplied) return;
+    follower.adoptConfigurationProof(requestedAt - configurationAgeMs);
   }
 
-  /** Members that have no entry any more and count: used by this node, or named by the records. */
-  #departed(): InstanceEntry[] {
+  /** Members whose registration is gone but that still count: used by this node, or listed in the records. */
+  #departedMembers(): InstanceEntry[] {
     const { follower, gateway, countedMembers } = this.options;
     const present = follower.instances();
     const gone = [...countedMembers(), ...gateway.departedMembers()];
@@ -131,11 +131,11 @@
     return this.options.follower.configuration()?.services.map(({ name }) => name) ?? [];
   }
 
-  /** A proof without the lease asks every member: also those that the peer has not forgotten yet. */
-  #adoptInstances(part: InstancesPart<InstanceEntry>, isWhole: boolean): void {
-    const { follower, gateway, noteMembers } = this.options;
+  /** Keeps departed members too: without a lease, a proof must query every member that the peer still counts. */
+  #adoptInstances(part: InstancesPart<InstanceEntry>, isComplete: boolean): void {
+    const { follower, gateway, setReportedMembers } = this.options;
     gateway.noteDeparted(part.departed);
-    noteMembers([...part.departed, ...part.instances], isWhole);
+    setReportedMembers([...part.departed, ...part.instances], isComplete);
     follower.adoptInstances(part);
   }
 }
--- a/src/direct/snapshots/peer-list.ts
+++ b/src/direct/snapshots/peer-list.ts
@@ -1,14 +1,14 @@
 /**
- * Addresses that this node may ask for a snapshot: those that its settings name, those that the store
- * named while it could be heard, and those of nodes that have asked. No I/O.
+ * Addresses to which this node may send requests for a snapshot: those in its settings, those learned from
+ * the store while it was reachable, and those of nodes that sent requests. No I/O.
  */
 import type { PeerAddress } from '../../peer/contract.js';
 
-/** Nodes beyond the settings' own that are kept; the one that was heard of longest ago goes first. */
+/** Maximum addresses besides those in the settings; the least recently added is removed first. */
 const MAX_LEARNED = 64;
 
 export class PeerList {
-  /** In the order in which they were heard of last. */
+  /** In the order in which they were last added. */
   readonly #learned = new Map<string, PeerAddress>();
   readonly #seeds: ReadonlyMap<string, PeerAddress>;
 
@@ -24,8 +24,8 @@
     return this.#seeds.size + this.#learned.size;
   }
 
-  /** A node may be at this address. */
-  noteKnown(address: PeerAddress): void {
+  /** Adds an address at which a node may be. */
+  add(address: PeerAddress): void {
     const key = keyOf(address);
     if (key === keyOf(this.own) || this.#seeds.has(key)) return;
     this.#learned.delete(key);
@@ -34,11 +34,11 @@
     if (this.#learned.size > MAX_LEARNED && !oldest.done) this.#learned.delete(oldest.value);
   }
 
-  /** Whom to ask: at most so many, from a place in the list of all; `from` is in [0, 1). */
-  toAsk(atMost: number, from: number): PeerAddress[] {
+  /** Up to `maxCount` addresses, starting at the fraction `from` in [0, 1) of the list and wrapping around. */
+  select(maxCount: number, from: number): PeerAddress[] {
     const all = [...this.#seeds.values(), ...this.#learned.values()];
     const start = Math.floor(from * all.length);
-    return [...all.slice(start), ...all.slice(0, start)].slice(0, atMost);
+    return [...all.slice(start), ...all.slice(0, start)].slice(0, maxCount);
   }
 }
 
--- a/src/direct/snapshots/told-primaries.ts
+++ b/src/direct/snapshots/reported-primaries.ts
@@ -1,7 +1,7 @@
 /**
- * Primaries for a node that may not have heard the records: what a peer has told stands in while its
- * records are newer than those that are known here. It never makes an instance trusted: without a lease
- * a read at it needs the proof by its members' positions.
+ * Primaries for a node that may not have the current records: a peer's report is used while it is newer than
+ * the records known to this node. It never makes an instance trusted: without a lease, a read there needs
+ * the proof by the members' positions.
  */
 import type { PrimariesPart } from '../../core/directory/snapshot.js';
 import type { OwnerRoster } from '../../core/ownership/owner-roster.js';
@@ -11,18 +11,18 @@
 import type { InstanceEntry } from '../contract.js';
 import type { PrimaryUse, PrimaryView } from '../promotion/contract.js';
 
-/** What is known by this node itself. */
+/** Primaries according to the records that this node has read from the store. */
 export interface RecordedPrimaries extends PrimaryView {
   /** Revision of the records; 0 if none are known. */
   readonly recordsRevision: number;
 }
 
-export class ToldPrimaries implements PrimaryView {
-  #told: PrimariesPart | undefined;
+export class ReportedPrimaries implements PrimaryView {
+  #reported: PrimariesPart | undefined;
 
   constructor(
     private readonly recorded: RecordedPrimaries,
-    private readonly instance: (id: string) => InstanceEntry | undefined,
+    private readonly findInstance: (id: string) => InstanceEntry | undefined,
     private readonly now: () => Milliseconds,
   ) {}
 
@@ -38,21 +38,21 @@
     this.recorded.onChange = handler;
   }
 
-  /** Takes what a peer told; what is no newer than what is known is passed over. */
-  take(part: PrimariesPart): void {
-    if (part.revision > this.revision) this.#told = part;
+  /** Applies a peer's report, unless what is known is as new. */
+  update(part: PrimariesPart): void {
+    if (part.revision > this.revision) this.#reported = part;
   }
 
-  /** Revision up to which primaries are known, by whomever. */
+  /** Revision up to which primaries are known, from the records or from a peer. */
   get revision(): number {
-    return Math.max(this.recorded.recordsRevision, this.#told?.revision ?? 0);
+    return Math.max(this.recorded.recordsRevision, this.#reported?.revision ?? 0);
   }
 
-  /** What this node can tell others, with the revision that it is of; undefined if it knows nothing. */
+  /** The newest primaries known, for other nodes; undefined if none are known. */
   describe(services: readonly string[]): PrimariesPart | undefined {
     const { recorded } = this;
-    if (this.#told !== undefined && this.#told.revision > recorded.recordsRevision) {
-      return this.#told;
+    if (this.#reported !== undefined && this.#reported.revision > recorded.recordsRevision) {
+      return this.#reported;
     }
     if (recorded.recordsRevision === 0) return undefined;
     const primaries = services.flatMap((service) => {
@@ -63,16 +63,16 @@
   }
 
   primaryOf(service: string): InstanceEntry | undefined {
-    const told = this.#newerThanRecords(service);
-    if (told === undefined) return this.recorded.primaryOf(service);
-    const primary = told.primaries.find((one) => one.service === service);
-    return primary === undefined ? undefined : this.instance(primary.instanceId);
+    const reported = this.#reportedIfNewer(service);
+    if (reported === undefined) return this.recorded.primaryOf(service);
+    const primary = reported.primaries.find((one) => one.service === service);
+    return primary === undefined ? undefined : this.findInstance(primary.instanceId);
   }
 
-  /** Asked for the instance that `primaryOf` gives, which may be another than the recorded one. */
+  /** Defaults to the instance of `primaryOf` here, which may differ from the recorded one. */
   mayTrustPrimary(service: string, now: Milliseconds, instance?: string): boolean {
-    const asked = instance ?? this.primaryOf(service)?.id;
-    return asked !== undefined && this.recorded.mayTrustPrimary(service, now, asked);
+    const instanceId = instance ?? this.primaryOf(service)?.id;
+    return instanceId !== undefined && this.recorded.mayTrustPrimary(service, now, instanceId);
   }
 
   confirmPrimary(service: string, instance: string): Promise<boolean> {
@@ -116,7 +116,7 @@
     return this.recorded.liveNodeCount();
   }
 
-  /** Peers tell of no owners: only the records do. */
+  /** From the records only; peers do not report owners. */
   ownerRoster(): OwnerRoster | undefined {
     return this.recorded.ownerRoster();
   }
@@ -125,11 +125,11 @@
     return this.recorded.returnRoster?.();
   }
 
-  /** The records bind a node that no promotion can pass by. */
-  #newerThanRecords(service: string): PrimariesPart | undefined {
+  /** The peer's report, if newer; undefined while the recorded primary is trusted, since no promotion can bypass it. */
+  #reportedIfNewer(service: string): PrimariesPart | undefined {
     const { recorded } = this;
-    const told = this.#told;
-    if (told === undefined || told.revision <= recorded.recordsRevision) return undefined;
-    return recorded.mayTrustPrimary(service, this.now()) ? undefined : told;
+    const reported = this.#reported;
+    if (reported === undefined || reported.revision <= recorded.recordsRevision) return undefined;
+    return recorded.mayTrustPrimary(service, this.now()) ? undefined : reported;
   }
 }
--- a/src/direct/snapshots/service.ts
+++ b/src/direct/snapshots/service.ts
@@ -1,6 +1,6 @@
 /**
- * Exchanges the directory with other nodes over peer links: answers their questions from memory, and
- * asks them for what is newer for as long as the store does not tell it.
+ * Exchanges the directory with other nodes over peer links: responds to their requests from memory, and
+ * requests newer parts from them while the store does not provide them.
  */
 import type { DirectoryVersions } from '../../core/directory/snapshot.js';
 import type { MeadowstackError } from '../../core/errors.js';
@@ -10,80 +10,85 @@
 import { UnknownMethodError } from '../../peer/errors.js';
 import { TcpPeerTransport } from '../../peer/transport.js';
 import { SnapshotBusyError } from './errors.js';
-import { type InstanceSnapshot, parseQuestion, parseSnapshot, SNAPSHOT_METHOD } from './form.js';
+import {
+  type InstanceSnapshot,
+  parseSnapshot,
+  parseSnapshotRequest,
+  SNAPSHOT_METHOD,
+} from './messages.js';
 import { PeerList } from './peer-list.js';
 
-/** The store is given so long to answer first: peers are asked only where it has not. */
-const FIRST_QUESTION_MS = 60;
-/** Pause between questions while this node has no directory at all. */
+/** The store has this time to respond first; peers get requests only if it has not. */
+const FIRST_REQUEST_DELAY_MS = 60;
+/** Pause between requests while this node has no directory at all. */
 const EMPTY_PAUSE_MS = 150;
-/** The same, once it has one. */
+/** Pause between requests once this node has a directory. */
 const REFRESH_PAUSE_MS = 600;
 /**
- * Of the pauses at a node that the store keeps current, this share ends with a question to one other
- * node: one that has started anew and hears nothing of the store learns from it whom it can ask.
+ * Probability that a node kept current by the store sends a request to one other node after a pause. A node
+ * that has restarted and is cut off from the store learns from it an address for its own requests.
  */
-const GREETING_SHARE = 0.35;
-const QUESTION_TIMEOUT_MS = 800;
-/** Addresses that are asked at once while this node has no directory at all. */
-const MOST_ASKED = 8;
+const GREETING_PROBABILITY = 0.35;
+const REQUEST_TIMEOUT_MS = 800;
+/** Maximum concurrent requests while this node has no directory at all. */
+const MAX_PEERS_WHILE_EMPTY = 8;
 /**
- * The same once it has one: another answer follows soon. Eight opened links from each node that the store did not hear to
- * all others: 62 and 65 ms of processor time a second (cut off, and not) six seconds after a third of 24 gateways on one
- * machine was cut off, and 52 and 56 with two (one run each, 38 in calm).
+ * Maximum concurrent requests once this node has a directory; the next ones follow soon. With eight, each node that is cut
+ * off from the store opens links to all others. Six seconds after a third of 24 gateways on one machine was cut off, that
+ * took 62 (nodes cut off) and 65 (other nodes) ms of processor time per second, against 52 and 56 with two; 38 is normal.
  */
-const ASKED_AGAIN = 2;
-/** Answers of this node: so many at once, and so many a second. */
-const ANSWER_BUCKET = { capacity: 20, tokensPerSecond: 20 } as const;
-/** A configuration is at most 1 MiB at the store; entries of some hundred instances come with it. */
+const MAX_PEERS_ON_REFRESH = 2;
+/** Limit of this node's responses: burst and rate. */
+const RESPONSE_BUCKET = { capacity: 20, tokensPerSecond: 20 } as const;
+/** The store limits a configuration to 1 MiB; the entries of some hundred instances are added to it. */
 const MAX_MESSAGE_BYTES = 2 * 1024 * 1024;
-/** Questions for permits come with the callers' operations. */
+/** Requests for permits are as frequent as the callers' operations. */
 const MAX_CALLS_PER_LINK = 64;
 const MAX_PENDING_HANDSHAKES = 32;
-/** A machine without power answers nothing; it may be back before a longer wait is over. */
+/** A machine without power does not respond; it may be back before a longer timeout ends. */
 const HANDSHAKE_TIMEOUT_MS = 500;
-const BACK_OFF_MAX_MS = 300;
-/** A node follows a few prefixes through another. */
+const MAX_BACKOFF_MS = 300;
+/** A node watches a few prefixes through another node. */
 const MAX_STREAMS_PER_LINK = 8;
-/** Who follows notices a reader's silence by itself; this finds followers that are gone. */
-const LINK_HEARTBEAT_MS = 2000;
+/** A follower detects an unresponsive reader by itself; this detects followers that are gone. */
+const LINK_HEARTBEAT_PERIOD_MS = 2000;
 
-/** What the exchange needs of the node. */
+/** The node's own directory, as the exchange uses it. */
 export interface SnapshotNode {
-  /** True while the store does not keep this node's directory current. */
-  isWanted(): boolean;
-  /** Where the store says that other nodes answer; none while it says nothing. */
+  /** True while the store does not keep this node's directory current, so that peers' snapshots are needed. */
+  needsSnapshot(): boolean;
+  /** Addresses of other nodes according to the store; empty while it does not respond. */
   peers(): readonly PeerAddress[];
-  known(): DirectoryVersions;
-  /** What this node knows that is newer; undefined if it has no directory itself. */
+  knownVersions(): DirectoryVersions;
+  /** The parts of this node's directory that are newer; undefined if it has no directory itself. */
   describe(known: DirectoryVersions): InstanceSnapshot | undefined;
-  /** Takes an answer of a peer to what was asked at a time. */
-  adopt(snapshot: InstanceSnapshot, askedAt: Milliseconds): void;
+  /** Applies a peer's response to a request sent at `requestedAt`. */
+  adopt(snapshot: InstanceSnapshot, requestedAt: Milliseconds): void;
 }
 
 export interface PeerSnapshotsOptions {
   readonly nodeName: string;
-  /** Where this node answers. */
+  /** Address on which this node accepts links. */
   readonly own: PeerAddress;
   readonly seeds: readonly PeerAddress[];
-  /** The same on all nodes of a deployment; links from elsewhere are refused. No secret. */
+  /** Identifier common to all nodes of a deployment; links from other deployments are refused. Not a secret. */
   readonly deployment: string;
   readonly node: SnapshotNode;
-  /** A node wants to follow a prefix of the store through this one. */
+  /** Another node subscribes to a prefix of the store through this one. */
   onStream(header: WireValue, stream: PeerStream): void;
-  /** Answers a node's questions of other methods; undefined if it knows none of this name. */
-  onCall(method: string, body: WireValue, asker: string): WireValue | undefined;
+  /** Responds to another node's call of another method; undefined if the method is unknown. */
+  onCall(method: string, body: WireValue, requesterId: string): WireValue | undefined;
   now(): Milliseconds;
   /** A number in [0, 1). */
   random(): number;
 }
 
-/** Counted since the start, beside the links' own counters. */
+/** Counters since the process started, besides the links' own counters. */
 export interface SnapshotCounters {
   asked: number;
-  /** Questions of peers that were answered. */
+  /** Requests of peers that were answered. */
   answered: number;
-  /** Answers of peers that were malformed. */
+  /** Malformed responses of peers. */
   malformed: number;
   adopted: number;
 }
@@ -94,14 +99,14 @@
   readonly #peers: PeerList;
   #bucket: TokenBucket;
   #timer: NodeJS.Timeout | undefined;
-  /** Where in the list of peers the questions begin, in [0, 1). */
-  #place = 0;
+  /** Fraction of the peer list at which the selection for requests starts, in [0, 1). */
+  #startFraction = 0;
   #isStopped = false;
 
   constructor(private readonly options: PeerSnapshotsOptions) {
     this.#peers = new PeerList(options.own, options.seeds);
-    this.#bucket = fullBucket(ANSWER_BUCKET, options.now());
-    this.#place = options.random();
+    this.#bucket = fullBucket(RESPONSE_BUCKET, options.now());
+    this.#startFraction = options.random();
     this.transport = new TcpPeerTransport({
       identity: { nodeId: options.nodeName, incarnation: Date.now() },
       handlers: this.#handlers(),
@@ -111,22 +116,22 @@
         maxCallsPerLink: MAX_CALLS_PER_LINK,
         maxPendingHandshakes: MAX_PENDING_HANDSHAKES,
         handshakeTimeoutMs: HANDSHAKE_TIMEOUT_MS,
-        backoffMaxMs: BACK_OFF_MAX_MS,
+        backoffMaxMs: MAX_BACKOFF_MS,
         maxStreamsPerLink: MAX_STREAMS_PER_LINK,
-        heartbeatPeriodMs: LINK_HEARTBEAT_MS,
+        heartbeatPeriodMs: LINK_HEARTBEAT_PERIOD_MS,
       },
       random: () => options.random(),
     });
   }
 
-  /** Other nodes that may be asked. */
+  /** Number of other nodes that may get requests. */
   get peersKnown(): number {
     return this.#peers.size;
   }
 
-  /** Begins to answer, and to ask if the store keeps silent. */
+  /** Starts to respond to requests, and to send them if the store does not respond. */
   async start(): Promise<void> {
-    this.#askAfter(FIRST_QUESTION_MS);
+    this.#scheduleRequest(FIRST_REQUEST_DELAY_MS);
     const listening = await this.transport.listen(this.options.own);
     if (listening.isErr()) throw listening.error;
   }
@@ -137,42 +142,42 @@
     return this.transport.close();
   }
 
-  #askAfter(delayMs: Milliseconds): void {
+  #scheduleRequest(delayMs: Milliseconds): void {
     if (this.#isStopped) return;
-    this.#timer = setTimeout(() => void this.#askOthers(), delayMs);
+    this.#timer = setTimeout(() => void this.#requestFromPeers(), delayMs);
     this.#timer.unref();
   }
 
-  async #askOthers(): Promise<void> {
+  async #requestFromPeers(): Promise<void> {
     const { node, random } = this.options;
-    for (const peer of node.peers()) this.#peers.noteKnown(peer);
-    const isGreeting = !node.isWanted() && random() < GREETING_SHARE;
-    const isEmpty = node.known().instancesRevision === 0;
-    const wanted = isEmpty ? MOST_ASKED : ASKED_AGAIN;
-    const atMost = node.isWanted() ? wanted : Number(isGreeting);
-    if (isEmpty || isGreeting) this.#place = random();
-    const answers = await Promise.all(
-      this.#peers.toAsk(atMost, this.#place).map((peer) => this.#ask(peer)),
+    for (const peer of node.peers()) this.#peers.add(peer);
+    const isGreeting = !node.needsSnapshot() && random() < GREETING_PROBABILITY;
+    const isEmpty = node.knownVersions().instancesRevision === 0;
+    const maxPeers = isEmpty ? MAX_PEERS_WHILE_EMPTY : MAX_PEERS_ON_REFRESH;
+    const count = node.needsSnapshot() ? maxPeers : Number(isGreeting);
+    if (isEmpty || isGreeting) this.#startFraction = random();
+    const responses = await Promise.all(
+      this.#peers.select(count, this.#startFraction).map((peer) => this.#requestFrom(peer)),
     );
-    // Who answered is asked again, over the link that is there.
-    if (!answers.includes(true)) this.#place = random();
+    // Peers that responded get the next requests too, over the open links.
+    if (!responses.includes(true)) this.#startFraction = random();
     const pauseMs = isEmpty ? EMPTY_PAUSE_MS : REFRESH_PAUSE_MS;
-    this.#askAfter(pauseMs * (0.5 + random()));
+    this.#scheduleRequest(pauseMs * (0.5 + random()));
   }
 
-  /** Each answer is taken as it comes: the first one lets this node serve. True if there was one with a directory. */
-  async #ask(peer: PeerAddress): Promise<boolean> {
+  /** Adopts each response as it arrives, since the first one lets this node serve. True if the peer has a directory. */
+  async #requestFrom(peer: PeerAddress): Promise<boolean> {
     const { node, own } = this.options;
     this.counters.asked += 1;
-    const askedAt = this.options.now();
-    const question = { known: node.known(), from: own };
-    const answer = await this.transport.call(peer, SNAPSHOT_METHOD, question, QUESTION_TIMEOUT_MS);
-    if (this.#isStopped || answer.isErr() || answer.value === null) return false;
-    if (!node.isWanted()) return true;
-    parseSnapshot(answer.value).match(
+    const requestedAt = this.options.now();
+    const request = { known: node.knownVersions(), from: own };
+    const response = await this.transport.call(peer, SNAPSHOT_METHOD, request, REQUEST_TIMEOUT_MS);
+    if (this.#isStopped || response.isErr() || response.value === null) return false;
+    if (!node.needsSnapshot()) return true;
+    parseSnapshot(response.value).match(
       (snapshot) => {
         this.counters.adopted += 1;
-        node.adopt(snapshot, askedAt);
+        node.adopt(snapshot, requestedAt);
       },
       () => {
         this.counters.malformed += 1;
@@ -185,34 +190,35 @@
     return {
       onStream: (header, stream) => this.options.onStream(header, stream),
       onCall: async (method, body, { nodeId }) =>
-        this.options.onCall(method, body, nodeId) ?? this.#answer(method, body),
+        this.options.onCall(method, body, nodeId) ?? this.#respond(method, body),
     };
   }
 
-  /** Null if this node has no directory. Throws typed errors, which go back as the call's failure. */
-  #answer(method: string, body: WireValue): InstanceSnapshot | null {
+  /** Null if this node has no directory. Throws typed errors, which are returned as the call's failure. */
+  #respond(method: string, body: WireValue): InstanceSnapshot | null {
     if (method !== SNAPSHOT_METHOD) throw new UnknownMethodError(method);
-    const question = parseQuestion(body);
-    if (question.isErr()) throw question.error satisfies MeadowstackError;
-    this.#spendAnswer();
-    const { known, from } = question.value;
-    this.#peers.noteKnown(from);
+    const request = parseSnapshotRequest(body);
+    if (request.isErr()) throw request.error satisfies MeadowstackError;
+    this.#takeResponseToken();
+    const { known, from } = request.value;
+    this.#peers.add(from);
     this.counters.answered += 1;
-    this.#askIfAhead(from, known);
+    this.#requestIfAhead(from, known);
     return this.options.node.describe(known) ?? null;
   }
 
-  /** Who asks may know more, where none of the seeds does: it is asked back. */
-  #askIfAhead(peer: PeerAddress, its: DirectoryVersions): void {
+  /** The requester may have a newer directory when none of the seeds has: it gets a request in return. */
+  #requestIfAhead(peer: PeerAddress, theirs: DirectoryVersions): void {
     const { node } = this.options;
-    const own = node.known();
-    const isAhead = its.version > own.version || its.instancesRevision > own.instancesRevision;
-    if (isAhead && node.isWanted()) void this.#ask(peer);
+    const own = node.knownVersions();
+    const isAhead =
+      theirs.version > own.version || theirs.instancesRevision > own.instancesRevision;
+    if (isAhead && node.needsSnapshot()) void this.#requestFrom(peer);
   }
 
-  #spendAnswer(): void {
-    const left = takeToken(refill(this.#bucket, ANSWER_BUCKET, this.options.now()));
-    if (left === undefined) throw new SnapshotBusyError('too many questions for a snapshot');
-    this.#bucket = left;
+  #takeResponseToken(): void {
+    const remaining = takeToken(refill(this.#bucket, RESPONSE_BUCKET, this.options.now()));
+    if (remaining === undefined) throw new SnapshotBusyError('too many questions for a snapshot');
+    this.#bucket = remaining;
   }
 }
--- a/test/property/directory-snapshot.test.ts
+++ b/test/property/directory-snapshot.test.ts
@@ -10,9 +10,9 @@
 } from '../../src/core/directory/snapshot.js';
 import {
   type InstanceSnapshot,
-  parseQuestion,
   parseSnapshot,
-} from '../../src/direct/snapshots/form.js';
+  parseSnapshotRequest,
+} from '../../src/direct/snapshots/messages.js';
 import { PeerList } from '../../src/direct/snapshots/peer-list.js';
 import { decodeValue, encodeValue } from '../../src/peer/codec.js';
 
@@ -134,7 +134,7 @@
   fc.assert(
     fc.property(fc.anything(), (value) => {
       parseSnapshot(value);
-      parseQuestion(value);
+      parseSnapshotRequest(value);
     }),
     SETTINGS,
   );
@@ -142,26 +142,26 @@
 
 test('a question names a mark of each part and an address by number', () => {
   const from = { host: '10.0.0.1', port: 8782 };
-  assert.equal(parseQuestion({ known: NO_VERSIONS, from })._unsafeUnwrap(), {
+  assert.equal(parseSnapshotRequest({ known: NO_VERSIONS, from })._unsafeUnwrap(), {
     known: NO_VERSIONS,
     from,
   });
   for (const bad of [{ ...from, host: 'a.name' }, { ...from, port: 0 }, { host: from.host }]) {
-    assert.ok(parseQuestion({ known: NO_VERSIONS, from: bad }).isErr());
+    assert.ok(parseSnapshotRequest({ known: NO_VERSIONS, from: bad }).isErr());
   }
-  assert.ok(parseQuestion({ known: { ...NO_VERSIONS, version: '1' }, from }).isErr());
+  assert.ok(parseSnapshotRequest({ known: { ...NO_VERSIONS, version: '1' }, from }).isErr());
 });
 
 test('peers that were heard of are bounded, and a node never asks itself', () => {
   const own = { host: '10.0.0.1', port: 1 };
   const seed = { host: '10.0.0.2', port: 1 };
   const list = new PeerList(own, [own, seed]);
-  list.noteKnown(own);
-  list.noteKnown(seed);
-  assert.equal(list.toAsk(9, 0), [seed]);
-  for (let port = 2; port < 100; port += 1) list.noteKnown({ host: '10.0.0.3', port });
-  assert.is(list.toAsk(1000, 0).length, 65);
-  const asked = list.toAsk(3, 0.999).map(({ port }) => port);
+  list.add(own);
+  list.add(seed);
+  assert.equal(list.select(9, 0), [seed]);
+  for (let port = 2; port < 100; port += 1) list.add({ host: '10.0.0.3', port });
+  assert.is(list.select(1000, 0).length, 65);
+  const asked = list.select(3, 0.999).map(({ port }) => port);
   assert.equal(asked, [99, 1, 36]);
 });
 
--- a/test/property/foreign-documents.test.ts
+++ b/test/property/foreign-documents.test.ts
@@ -20,7 +20,7 @@
 import { parsePartRequest, parsePermitGrant } from '../../src/direct/quota/messages.js';
 import { parseRelayedRange, parseWatchRequest } from '../../src/direct/readers/messages.js';
 import { parseLeaseEvent, parseStreamRequest } from '../../src/direct/relay/messages.js';
-import { parseQuestion, parseSnapshot } from '../../src/direct/snapshots/form.js';
+import { parseSnapshot, parseSnapshotRequest } from '../../src/direct/snapshots/messages.js';
 
 const SEED = 20261203;
 const RUNS = 1500;
@@ -115,7 +115,7 @@
     parseLeaseEvent,
     parseStreamRequest,
   },
-  ...{ parseQuestion, parseSnapshot, instanceForm: parseInstanceEntry },
+  ...{ parseQuestion: parseSnapshotRequest, parseSnapshot, instanceForm: parseInstanceEntry },
 };
 const FORMS = [parseFleetRecord, parseMembersRecord, parseNodeRecord, parsePrimaryRecord];
 
--- a/test/unit/direct/node-directory.test.ts
+++ b/test/unit/direct/node-directory.test.ts
@@ -6,7 +6,7 @@
 import type { DirectoryFollower } from '../../../src/direct/directory-follower.js';
 import type { DirectGateway } from '../../../src/direct/gateway.js';
 import { NodeDirectory } from '../../../src/direct/snapshots/node-directory.js';
-import type { ToldPrimaries } from '../../../src/direct/snapshots/told-primaries.js';
+import type { ReportedPrimaries } from '../../../src/direct/snapshots/reported-primaries.js';
 import type { Logger } from '../../../src/observability/logger.js';
 
 const PRIMARIES = { revision: 7, primaries: [{ service: 'orders', instanceId: 'present' }] };
@@ -42,14 +42,15 @@
   const primaries = {
     revision: 5,
     describe: () => PRIMARIES,
-    take: () => {},
-  } as unknown as ToldPrimaries;
+    update: () => {},
+  } as unknown as ReportedPrimaries;
   const directory = new NodeDirectory({
     ...{ follower, gateway, primaries, logger: { info: () => {} } as unknown as Logger },
     isStoreWell: () => true,
     peers: () => [],
     countedMembers: () => counted.map(instance),
-    noteMembers: (members, isWhole) => told.push({ ids: members.map(({ id }) => id), isWhole }),
+    setReportedMembers: (members, isWhole) =>
+      told.push({ ids: members.map(({ id }) => id), isWhole }),
     now: () => 200,
   });
   return { directory, told };
--- a/test/unit/direct/told-primaries.test.ts
+++ b/test/unit/direct/reported-primaries.test.ts
@@ -4,8 +4,8 @@
 import type { InstanceEntry } from '../../../src/direct/contract.js';
 import {
   type RecordedPrimaries,
-  ToldPrimaries,
-} from '../../../src/direct/snapshots/told-primaries.js';
+  ReportedPrimaries,
+} from '../../../src/direct/snapshots/reported-primaries.js';
 
 const SERVICE = 'orders';
 
@@ -33,7 +33,7 @@
     liveNodeCount: () => 1,
     ownerRoster: () => undefined,
   };
-  return new ToldPrimaries(view, instance, () => 0);
+  return new ReportedPrimaries(view, instance, () => 0);
 }
 
 function part(revision: number, instanceId: string) {
@@ -46,7 +46,7 @@
     recordsRevision: 0,
     reportPrimaryFailure: (...report: unknown[]) => reported.push(report),
   } as unknown as RecordedPrimaries;
-  new ToldPrimaries(view, instance, () => 0).reportPrimaryFailure(SERVICE, 100, 'commit', 400);
+  new ReportedPrimaries(view, instance, () => 0).reportPrimaryFailure(SERVICE, 100, 'commit', 400);
   assert.equal(reported, [[SERVICE, 100, 'commit', 400]]);
 });
 
@@ -54,8 +54,8 @@
   const view = recorded(0, undefined, false);
   assert.is(view.primaryOf(SERVICE), undefined);
   assert.is(view.describe([SERVICE]), undefined);
-  view.take(part(7, 'i-1'));
-  view.take(part(6, 'i-2'));
+  view.update(part(7, 'i-1'));
+  view.update(part(6, 'i-2'));
   assert.is(view.primaryOf(SERVICE)?.id, 'i-1');
   assert.is(view.mayTrustPrimary(SERVICE, 0), false);
   assert.is(view.mayTrustPrimary(SERVICE, 0, 'i-1'), false);
@@ -64,14 +64,14 @@
 
 test('records that are as new bind', () => {
   const view = recorded(7, 'i-1', false);
-  view.take(part(7, 'i-2'));
+  view.update(part(7, 'i-2'));
   assert.is(view.primaryOf(SERVICE)?.id, 'i-1');
   assert.equal(view.describe([SERVICE]), part(7, 'i-1'));
 });
 
 test('records bind a node that no promotion can pass by, whatever is told', () => {
   const view = recorded(7, 'i-1', true);
-  view.take(part(9, 'i-2'));
+  view.update(part(9, 'i-2'));
   assert.is(view.primaryOf(SERVICE)?.id, 'i-1');
   assert.is(view.mayTrustPrimary(SERVICE, 0), true);
   assert.is(view.mayTrustPrimary(SERVICE, 0, 'i-2'), false);
@@ -79,7 +79,7 @@
 
 test('of a node that was cut off, what is told is newer than its records', () => {
   const view = recorded(7, 'i-1', false);
-  view.take(part(9, 'i-2'));
+  view.update(part(9, 'i-2'));
   assert.is(view.primaryOf(SERVICE)?.id, 'i-2');
   assert.equal(view.describe([SERVICE]), part(9, 'i-2'));
 });
