--- a/src/direct/quota/keeper.ts
+++ b/src/direct/quota/keeper.ts
@@ -1,4 +1,4 @@
-/** The parts of the tenants' quotas that this node keeps for the fleet. */
+/** The parts of the tenants' quotas for which this node is the keeper: it grants the permits of a part to all nodes. */
 import {
   isKeeperOfPart,
   PARTS_PER_TENANT,
@@ -10,14 +10,14 @@
 import type { TenantQuota } from '../contract.js';
 import type { PartRequest } from './messages.js';
 
-const UPDATE_MS: Milliseconds = 200;
+const UPDATE_PERIOD_MS: Milliseconds = 200;
 
 export interface QuotaKeeperOptions {
   readonly nodeName: string;
   readonly keepers: () => QuotaKeepers | undefined;
-  /** True while no other node can have been made the keeper of this one's parts. */
+  /** True while no other node can have become the keeper of this node's parts. */
   readonly mayKeep: () => boolean;
-  /** Operations beyond its limit that a tenant may run in a window. */
+  /** Operations by which a tenant may exceed its limit in one window. */
   readonly slack: number;
   /** The quota of a tenant now; undefined if there is no such tenant. */
   readonly quotaOf: (tenant: string) => { readonly quota: TenantQuota | undefined } | undefined;
@@ -25,29 +25,32 @@
 }
 
 export class QuotaKeeper {
-  /** By part; undefined for those that others keep. */
+  /** Ledgers by part; none for the parts of other keepers. */
   readonly #ledgers = new Map<number, QuotaLedger>();
 
   constructor(private readonly options: QuotaKeeperOptions) {}
 
-  /** From now on a part is taken up as soon as it is this node's: what it may give out grows from then. */
+  /** Starts the periodic update, so that a ledger starts to refill soon after its part is assigned to this node. */
   start(): void {
-    setInterval(() => this.update(), UPDATE_MS).unref();
+    setInterval(() => this.update(), UPDATE_PERIOD_MS).unref();
   }
 
-  /** Takes up the parts that are this node's now, and lets the others go. */
+  /** Creates ledgers for the parts newly assigned to this node, and removes those of parts that are not its own any more. */
   update(): void {
     const { keepers, nodeName, slack, now } = this.options;
-    const present = keepers();
+    const current = keepers();
     for (let part = 0; part < QUOTA_PARTS; part += 1) {
-      if (!isKeeperOfPart(present, part, nodeName)) this.#ledgers.delete(part);
+      if (!isKeeperOfPart(current, part, nodeName)) this.#ledgers.delete(part);
       else if (!this.#ledgers.has(part)) {
-        this.#ledgers.set(part, new QuotaLedger(1 / PARTS_PER_TENANT, now(), spareOf(slack)));
+        this.#ledgers.set(
+          part,
+          new QuotaLedger(1 / PARTS_PER_TENANT, now(), extraCapacityOf(slack)),
+        );
       }
     }
   }
 
-  /** Undefined if this node does not keep the part, or knows no such tenant. */
+  /** Grants permits; undefined if this node is not the keeper of the part, or does not know the tenant. */
   grant(request: PartRequest): PermitGrant | undefined {
     const { mayKeep, quotaOf, now } = this.options;
     if (!mayKeep()) return undefined;
@@ -58,7 +61,7 @@
   }
 }
 
-/** One operation for each part, where that is no more than a quarter of what is allowed beyond the limit. */
-function spareOf(slack: number): number {
+/** Extra capacity of a part: one operation, but all parts of a tenant together at most a quarter of `slack`. */
+function extraCapacityOf(slack: number): number {
   return Math.min(1, slack / 4 / PARTS_PER_TENANT);
 }
--- a/src/direct/quota/messages.ts
+++ b/src/direct/quota/messages.ts
@@ -1,17 +1,17 @@
-/** What nodes ask each other about quotas; read by hand, since a start costs time. */
+/** Parses the messages between nodes about quotas. Hand-written: a schema library slows down the start. */
 import { asObject } from '../../core/fields.js';
 import type { PermitGrant, PermitRequest } from '../../core/tenancy/quota-ledger.js';
 import type { WireValue } from '../../peer/contract.js';
 
-/** Asks the keeper of a part of a tenant's quota for permits. */
+/** Peer method that requests permits from the keeper of a part of a tenant's quota. */
 export const PERMITS_METHOD = 'direct/permits';
 
-/** A request of one part. */
+/** A request for permits of one part. */
 export interface PartRequest extends PermitRequest {
   readonly part: number;
 }
 
-/** Undefined for what is not in its form. */
+/** Undefined if malformed. */
 export function parsePartRequest(value: WireValue): PartRequest | undefined {
   const { part, tenant, node, needed, held, wanted, priority = 0 } = asObject(value) ?? {};
   if (typeof tenant !== 'string' || typeof node !== 'string' || !isCount(part)) return undefined;
@@ -20,7 +20,7 @@
   return { part, tenant, node, needed, held, wanted, priority };
 }
 
-/** Undefined for what is not in its form, as from a node that does not keep the part. */
+/** Undefined if malformed, which includes the response of a node that is not the part's keeper. */
 export function parsePermitGrant(value: WireValue): PermitGrant | undefined {
   const { granted, retryAfterMs } = asObject(value) ?? {};
   if (!isCount(granted)) return undefined;
--- a/src/direct/quota/quotas.ts
+++ b/src/direct/quota/quotas.ts
@@ -1,7 +1,7 @@
 /**
- * Counts operations against the quotas of their tenants, for this node's callers. Permits come from the nodes that keep
- * the tenant's quota; those that are held ahead are used at once, and a tenant that is beyond its quota is refused
- * without a question until there may be more.
+ * Counts the operations of this node's callers against their tenants' quotas. The keepers of a tenant's quota grant the
+ * permits; prefetched permits are used without a request. A tenant that has exhausted its quota is refused without a
+ * request until more permits may be available.
  */
 import { createHash } from 'node:crypto';
 import { PermitHolder } from '../../core/tenancy/permit-holder.js';
@@ -16,15 +16,15 @@
 import type { QuotaKeeper } from './keeper.js';
 import { type PartRequest, PERMITS_METHOD, parsePermitGrant } from './messages.js';
 
-/** A keeper answers within a few milliseconds; one that does not is asked by its next operation again. */
-const QUESTION_TIMEOUT_MS: Milliseconds = 250;
-/** A keeper that did not answer is asked after the other one for so long. */
-const AVOID_MS: Milliseconds = 600;
-/** When to come back where no keeper can be asked: another one is named within some seconds. */
+/** A keeper responds within a few milliseconds; after a timeout, the next operation sends a new request. */
+const REQUEST_TIMEOUT_MS: Milliseconds = 250;
+/** For this time, a keeper that did not respond is tried after the others. */
+const AVOIDANCE_PERIOD_MS: Milliseconds = 600;
+/** Retry delay for callers while no keeper responds: another one is named within some seconds. */
 const UNKNOWN_RETRY_MS: Milliseconds = 300;
-/** Callers are told to come back after this at least, and at most. */
-const LEAST_RETRY_MS: Milliseconds = 20;
-const MOST_RETRY_MS: Milliseconds = 2000;
+/** Bounds of the retry delay that refused callers are given. */
+const MIN_RETRY_MS: Milliseconds = 20;
+const MAX_RETRY_MS: Milliseconds = 2000;
 
 export interface QuotasOptions {
   readonly nodeName: string;
@@ -45,23 +45,23 @@
 interface TenantState {
   readonly holder: PermitHolder;
   readonly parts: readonly number[];
-  /** Nothing is left at any keeper for this priority until then. */
-  readonly emptyUntil: Map<number, Milliseconds>;
-  /** Operations that wait for the answer to a question. */
+  /** By priority: time until which no keeper has permits left for it. */
+  readonly exhaustedUntil: Map<number, Milliseconds>;
+  /** Operations that wait for the response to a request. */
   waiting: WaitingOperation[];
-  isAsking: boolean;
+  isRequesting: boolean;
 }
 
 export class Quotas {
   readonly #tenants = new Map<string, TenantState>();
-  /** Until when a keeper is asked last, by its name. */
+  /** Time until which a keeper is tried last, by node id. */
   readonly #avoided = new Map<string, Milliseconds>();
 
   constructor(private readonly options: QuotasOptions) {}
 
   /**
-   * Counts one operation; gives why not, if it is beyond the quota.
-   * @param priority 0 is the highest: where the tenant asks for more than its quota, these go first
+   * Counts one operation; returns a refusal if it exceeds the quota.
+   * @param priority 0 is the highest: if the tenant exceeds its quota, operations of higher priority are served first
    */
   spend(tenant: string, priority = 0): Spending {
     const { now, quotaOf } = this.options;
@@ -69,13 +69,13 @@
     const state = this.#stateOf(tenant);
     state.holder.recordDemand(now());
     if (state.waiting.length === 0 && state.holder.take(now())) return undefined;
-    const emptyUntil = emptyUntilFor(state, priority);
-    if (now() < emptyUntil) return this.#beyond(emptyUntil);
-    const answered = new Promise<Refusal | undefined>((settle) =>
+    const exhaustedUntil = exhaustedUntilFor(state, priority);
+    if (now() < exhaustedUntil) return this.#refuseBeyondQuota(exhaustedUntil);
+    const decision = new Promise<Refusal | undefined>((settle) =>
       state.waiting.push({ priority, settle }),
     );
-    if (!state.isAsking) void this.#ask(tenant, state);
-    return answered;
+    if (!state.isRequesting) void this.#requestPermits(tenant, state);
+    return decision;
   }
 
   #stateOf(tenant: string): TenantState {
@@ -85,113 +85,113 @@
     const state: TenantState = {
       holder: new PermitHolder(),
       parts: partsOf(hash),
-      emptyUntil: new Map(),
+      exhaustedUntil: new Map(),
       waiting: [],
-      isAsking: false,
+      isRequesting: false,
     };
     this.#tenants.set(tenant, state);
     return state;
   }
 
-  async #ask(tenant: string, state: TenantState): Promise<void> {
-    state.isAsking = true;
+  async #requestPermits(tenant: string, state: TenantState): Promise<void> {
+    state.isRequesting = true;
     while (state.waiting.length > 0) {
       const priority = Math.min(...state.waiting.map((one) => one.priority));
-      const asked = state.waiting.filter((one) => one.priority === priority);
+      const operations = state.waiting.filter((one) => one.priority === priority);
       state.waiting = state.waiting.filter((one) => one.priority !== priority);
-      const granted = await this.#askKeepers(tenant, state, asked.length, priority);
-      this.#settle(state, asked, granted);
+      const granted = await this.#requestFromKeepers(tenant, state, operations.length, priority);
+      this.#settle(state, operations, granted);
     }
-    state.isAsking = false;
+    state.isRequesting = false;
   }
 
-  /** Asks the keepers of the tenant in turn until all that is needed is granted. */
-  async #askKeepers(
+  /** Sends requests to the tenant's keepers one after the other until all permits needed are granted. */
+  async #requestFromKeepers(
     tenant: string,
     state: TenantState,
     needed: number,
     priority: number,
   ): Promise<PermitGrant | undefined> {
     const { now, nodeName } = this.options;
-    let missing = needed;
+    let stillNeeded = needed;
     let retryAfterMs = Number.POSITIVE_INFINITY;
-    let isAnswered = false;
-    for (const part of this.#inOrder(state.parts)) {
-      const askedAt = now();
-      const held = state.holder.heldCount(askedAt);
-      const wanted = Math.ceil(state.holder.targetCount(askedAt) / state.parts.length);
-      const request = { part, tenant, node: nodeName, needed: missing, held, wanted, priority };
-      const grant = await this.#askKeeper(request);
+    let anyResponded = false;
+    for (const part of this.#partsInOrder(state.parts)) {
+      const requestedAt = now();
+      const held = state.holder.heldCount(requestedAt);
+      const wanted = Math.ceil(state.holder.targetCount(requestedAt) / state.parts.length);
+      const request = { part, tenant, node: nodeName, needed: stillNeeded, held, wanted, priority };
+      const grant = await this.#requestFromKeeper(request);
       if (grant === undefined) continue;
-      isAnswered = true;
-      state.holder.add(grant.granted - Math.min(grant.granted, missing), askedAt);
-      missing = Math.max(0, missing - grant.granted);
-      if (missing === 0) return { granted: needed, retryAfterMs: 0 };
+      anyResponded = true;
+      state.holder.add(grant.granted - Math.min(grant.granted, stillNeeded), requestedAt);
+      stillNeeded = Math.max(0, stillNeeded - grant.granted);
+      if (stillNeeded === 0) return { granted: needed, retryAfterMs: 0 };
       retryAfterMs = Math.min(retryAfterMs, grant.retryAfterMs);
     }
-    return isAnswered ? { granted: needed - missing, retryAfterMs } : undefined;
+    return anyResponded ? { granted: needed - stillNeeded, retryAfterMs } : undefined;
   }
 
-  async #askKeeper(request: PartRequest): Promise<PermitGrant | undefined> {
+  async #requestFromKeeper(request: PartRequest): Promise<PermitGrant | undefined> {
     const { keepers, keeper, nodeName, transport, counters, now } = this.options;
-    const asked = keepers()?.[request.part];
-    if (asked === undefined) return undefined;
-    if (asked.nodeId === nodeName) return keeper.grant(request);
+    const keeperNode = keepers()?.[request.part];
+    if (keeperNode === undefined) return undefined;
+    if (keeperNode.nodeId === nodeName) return keeper.grant(request);
     counters().quotaAsked += 1;
-    const { host, port } = asked;
+    const { host, port } = keeperNode;
     const address = { host, port };
-    const answer = await transport()?.call(address, PERMITS_METHOD, request, QUESTION_TIMEOUT_MS);
-    const grant = answer?.isOk() === true ? parsePermitGrant(answer.value) : undefined;
-    if (grant === undefined) this.#avoided.set(asked.nodeId, now() + AVOID_MS);
+    const response = await transport()?.call(address, PERMITS_METHOD, request, REQUEST_TIMEOUT_MS);
+    const grant = response?.isOk() === true ? parsePermitGrant(response.value) : undefined;
+    if (grant === undefined) this.#avoided.set(keeperNode.nodeId, now() + AVOIDANCE_PERIOD_MS);
     return grant;
   }
 
-  /** Each node begins with another part, so that both are used; keepers that did not answer come last. */
-  #inOrder(parts: readonly number[]): readonly number[] {
+  /** Nodes start with different parts, so that all parts are used; keepers that did not respond come last. */
+  #partsInOrder(parts: readonly number[]): readonly number[] {
     const { keepers, nodeName, now } = this.options;
     const first = (nodeName.charCodeAt(nodeName.length - 1) || 0) % parts.length;
-    const inTurn = [...parts.slice(first), ...parts.slice(0, first)];
+    const rotated = [...parts.slice(first), ...parts.slice(0, first)];
     const isAvoided = (part: number): boolean => {
       const nodeId = keepers()?.[part]?.nodeId;
       return nodeId !== undefined && (this.#avoided.get(nodeId) ?? 0) > now();
     };
-    return [...inTurn.filter((part) => !isAvoided(part)), ...inTurn.filter(isAvoided)];
+    return [...rotated.filter((part) => !isAvoided(part)), ...rotated.filter(isAvoided)];
   }
 
   #settle(
     state: TenantState,
-    asked: readonly WaitingOperation[],
+    operations: readonly WaitingOperation[],
     grant: PermitGrant | undefined,
   ): void {
     const { now, counters } = this.options;
     if (grant === undefined) {
-      counters().quotaUnknown += asked.length;
+      counters().quotaUnknown += operations.length;
       const text = `the tenant's quota can't be asked for; retry after ${UNKNOWN_RETRY_MS} ms`;
-      for (const { settle } of asked) settle({ code: 'busy', text });
+      for (const { settle } of operations) settle({ code: 'busy', text });
       return;
     }
-    for (const { settle } of asked.slice(0, grant.granted)) settle(undefined);
-    const refused = asked.slice(grant.granted);
+    for (const { settle } of operations.slice(0, grant.granted)) settle(undefined);
+    const refused = operations.slice(grant.granted);
     const [first] = refused;
     if (first === undefined) return;
-    const emptyUntil = now() + Math.min(MOST_RETRY_MS, grant.retryAfterMs);
-    state.emptyUntil.set(first.priority, emptyUntil);
-    for (const { settle } of refused) settle(this.#beyond(emptyUntil));
+    const exhaustedUntil = now() + Math.min(MAX_RETRY_MS, grant.retryAfterMs);
+    state.exhaustedUntil.set(first.priority, exhaustedUntil);
+    for (const { settle } of refused) settle(this.#refuseBeyondQuota(exhaustedUntil));
   }
 
-  #beyond(emptyUntil: Milliseconds): Refusal {
+  #refuseBeyondQuota(exhaustedUntil: Milliseconds): Refusal {
     const { now, counters } = this.options;
     counters().quotaRefusals += 1;
-    const retryAfterMs = Math.max(LEAST_RETRY_MS, Math.ceil(emptyUntil - now()));
+    const retryAfterMs = Math.max(MIN_RETRY_MS, Math.ceil(exhaustedUntil - now()));
     const text = `beyond the tenant's quota; retry after ${retryAfterMs} ms`;
     return { code: 'busy', text };
   }
 }
 
-/** What a priority was refused, lower ones would be refused too. */
-function emptyUntilFor({ emptyUntil }: TenantState, priority: number): Milliseconds {
+/** Time until which this priority is refused: a refusal of one priority applies to all lower ones too. */
+function exhaustedUntilFor({ exhaustedUntil }: TenantState, priority: number): Milliseconds {
   let latest: Milliseconds = 0;
-  for (const [refused, until] of emptyUntil) {
+  for (const [refused, until] of exhaustedUntil) {
     if (refused <= priority) latest = Math.max(latest, until);
   }
   return latest;
