--- a/src/direct/promotion/control-failure.ts
+++ b/src/direct/promotion/control-failure.ts
@@ -1,19 +1,19 @@
-/** Tells from an error of a call to an instance what it says of the instance. */
+/** Classifies failed control calls by what they reveal about the instance. */
 
 import type { MeadowstackError } from '../../core/errors.js';
 import type { ControlFailure } from '../../core/promotion/contract.js';
 
-/** Tells what a failed call means; given by whoever speaks with the instances. */
+/** Classifies a failed call; provided by the component that implements the calls. */
 export type ClassifyControlFailure = (error: MeadowstackError) => ControlFailure;
 
 /** System call that fails where nothing listens. */
-const CONNECT_CALL = 'connect';
+const CONNECT_SYSCALL = 'connect';
 const REFUSALS: ReadonlySet<unknown> = new Set(['ECONNREFUSED', 'ECONNRESET']);
 
 /**
- * By the system call that failed, where the error or one of its causes has it. A connection that was opened and is
- * reset, before or after the first answer, tells of a lost link or a full instance and not of one that is gone: a
- * member that counts as dead by it would be left out of the proof of a candidate.
+ * Classifies by the failed system call, if the error or one of its causes names it. The reset of an established
+ * connection, before or after the first response, indicates a lost link or an instance without free slots, not one that
+ * is gone: counting that member as dead would leave it out of the proof of a candidate.
  */
 export function classifyBySystemCall(error: MeadowstackError): ControlFailure {
   let cause: unknown = error;
@@ -25,5 +25,5 @@
 }
 
 function isRefusal(error: NodeJS.ErrnoException): boolean {
-  return error.syscall === CONNECT_CALL && REFUSALS.has(error.code);
+  return error.syscall === CONNECT_SYSCALL && REFUSALS.has(error.code);
 }
--- a/src/direct/promotion/request-runner.ts
+++ b/src/direct/promotion/request-runner.ts
@@ -1,4 +1,4 @@
-/** Carries out what the promotion machine asks of the store, the instances and the platform. */
+/** Executes the promotion state machine's requests to the store, the instances and the platform. */
 import type { ResultAsync } from 'neverthrow';
 import type { MeadowstackError } from '../../core/errors.js';
 import type {
@@ -24,7 +24,7 @@
 export class RequestRunner {
   constructor(private readonly options: RequestRunnerOptions) {}
 
-  /** Never rejects: what fails is an answer too. */
+  /** Never rejects: a failure is also returned as a response. */
   async run(request: PromotionRequest): Promise<RequestAnswer> {
     switch (request.type) {
       case 'promote': {
@@ -40,7 +40,7 @@
           (error) => ({ type: 'control-failed', failure: this.options.classifyFailure(error) }),
         );
       default:
-        return this.#callStore(request).match((answer) => answer, answerOfStoreError);
+        return this.#callStore(request).match((answer) => answer, toStoreFailure);
     }
   }
 
@@ -71,20 +71,20 @@
       case 'grant-lease':
         return store.grantLease(request.seconds).map((leaseId) => ({ type: 'lease', leaseId }));
       case 'keep-lease':
-        return store.keepLeaseAlive(request.leaseId).map(answerOfKeep);
+        return store.keepLeaseAlive(request.leaseId).map(toRenewalAnswer);
       case 'revoke-lease':
         return store.revokeLease(request.leaseId).map(() => ({ type: 'done' }));
     }
   }
 }
 
-/** A renewal of a lease that has run out may be answered with no time to live. */
-function answerOfKeep(seconds: number): RequestAnswer {
+/** The renewal of an expired lease may succeed with a time to live of 0. */
+function toRenewalAnswer(seconds: number): RequestAnswer {
   if (seconds > 0) return { type: 'done' };
   return { type: 'store-failed', isLeaseGone: true, retryAfterMs: undefined };
 }
 
-function answerOfStoreError(error: StoreError): RequestAnswer {
+function toStoreFailure(error: StoreError): RequestAnswer {
   return {
     type: 'store-failed',
     isLeaseGone: error instanceof StoreLeaseNotFoundError,
--- a/src/direct/promotion/service.ts
+++ b/src/direct/promotion/service.ts
@@ -1,6 +1,6 @@
 /**
- * Runs the promotion machine of one node on the real store, instances and clock. Start, feed it the
- * instances and services as they change, release the lead ahead of a planned stop, then stop.
+ * Runs the promotion state machine of one node with the store, the instances and a timer. The owner starts it, passes on
+ * changes of the instances and services, releases leadership before a planned stop, and then stops it.
  */
 import type { OwnerRoster, ReachableNode } from '../../core/ownership/owner-roster.js';
 import type { Position } from '../../core/position.js';
@@ -25,39 +25,39 @@
 import { RequestRunner } from './request-runner.js';
 import { TermConfirmation } from './term-confirmation.js';
 
-const CONFIRMATION_GAP_MS = 60;
+const MIN_CONFIRMATION_INTERVAL_MS = 60;
 
 export interface PromotionServiceOptions {
   readonly nodeName: string;
-  /** Differs with every start of the process. */
+  /** Different for each start of the process. */
   readonly incarnation: string;
   readonly minimumLeaseMs: Milliseconds;
-  /** Where this node answers other nodes' questions for its directory. */
+  /** Address at which this node responds to requests for its directory. */
   readonly directoryAt?: PeerAddress | undefined;
-  /** Where other nodes reach this one; absent if they can't. */
+  /** Zone and address of this node for other nodes; absent if they can't reach it. */
   readonly peer?: PeerLocation | undefined;
-  /** What this node's link carries, as far as it is known. */
+  /** Bandwidth of this node's network link, if known. */
   readonly linkMbps?: number | undefined;
-  /** Larger fleets share connections through owners; by default the instances' limits decide. */
+  /** Larger clusters share connections through owners; by default the instances' connection limits decide. */
   readonly largestDirectFleet?: number | undefined;
-  /** From so many nodes on, a few read the store for the others. */
+  /** From this number of nodes on, a few nodes read the store for the others. */
   readonly smallestReaderFleet?: number | undefined;
-  /** Tenants have quotas, which some nodes keep. */
+  /** Tenants have quotas, for which the leader names keepers. */
   readonly hasQuotas?: boolean | undefined;
   readonly isFirstStart?: boolean | undefined;
-  /** Whether this node may open connections to an instance; by default it may. */
+  /** Whether this node may open connections to an instance; true by default. */
   readonly mayConnect?: (instance: InstanceEntry) => boolean;
   readonly store: Store;
   readonly control: InstanceControl;
-  /** Asks members whether any leads a later term; `control` by default. */
+  /** Queries members whether any is the primary of a later term; `control` by default. */
   readonly status?: Pick<InstanceControl, 'status'>;
   readonly promotion: BoundedPromotionCaller;
   readonly logger: Logger;
   readonly timings?: Partial<PromotionTimings>;
   readonly classifyFailure?: ClassifyControlFailure;
-  /** Without it, a node acknowledges a change without waiting for its writes. */
+  /** Without it, the node acknowledges a primary change without waiting for its writes in flight. */
   readonly endPrimaryUse?: EndPrimaryUse;
-  /** Monotonic clock; the process's own by default. */
+  /** Monotonic clock; `performance.now` by default. */
   readonly now?: () => Milliseconds;
   readonly random?: () => number;
 }
@@ -69,8 +69,8 @@
   readonly #confirmation: TermConfirmation;
   readonly #now: () => Milliseconds;
   readonly #watches = new Map<number, () => void>();
-  readonly #released: (() => void)[] = [];
-  readonly #stopped: (() => void)[] = [];
+  readonly #releaseWaiters: (() => void)[] = [];
+  readonly #stopWaiters: (() => void)[] = [];
   #syncReplicas: ReadonlyMap<string, number> = new Map();
   readonly #queue: PromotionEvent[] = [];
   #isHandling = false;
@@ -80,11 +80,11 @@
 
   constructor(private readonly options: PromotionServiceOptions) {
     const { nodeName, incarnation, store, promotion } = options;
-    const isOver = (instance: InstanceEntry): boolean => this.#machine.isBornAgain(instance);
-    const control = rejectReplacedIncarnations(options.control, isOver);
-    const asking =
+    const isReplaced = (instance: InstanceEntry): boolean => this.#machine.isBornAgain(instance);
+    const control = rejectReplacedIncarnations(options.control, isReplaced);
+    const statusControl =
       options.status &&
-      rejectReplacedIncarnations({ ...control, ...bound(options.status) }, isOver);
+      rejectReplacedIncarnations({ ...control, ...bindStatus(options.status) }, isReplaced);
     const timings = { ...DEFAULT_PROMOTION_TIMINGS, ...options.timings };
     const minimumSeconds = Math.ceil(options.minimumLeaseMs / MILLISECONDS_PER_SECOND);
     const leaseSeconds = Math.max(timings.leaseSeconds, minimumSeconds);
@@ -106,15 +106,15 @@
     const classifyFailure = options.classifyFailure ?? classifyBySystemCall;
     this.#runner = new RequestRunner({ store, control, promotion, classifyFailure, nodeName });
     this.#confirmation = new TermConfirmation({
-      control: asking ?? control,
+      control: statusControl ?? control,
       classifyFailure,
       onHeld: (primary, term) => this.#demote(control, primary, term, timings.controlTimeoutMs),
       membersOf: (service) => this.#machine.membersOf(service),
-      unseenMembersOf: (service) => this.#machine.unseenMembersOf(service),
+      membersWithoutAddressOf: (service) => this.#machine.unseenMembersOf(service),
       areMembersCurrent: (service) => this.#machine.areMembersCurrent(service, this.#now()),
       syncReplicasOf: (service) => this.#syncReplicas.get(service) ?? 0,
       now: this.#now,
-      minimumGapMs: CONFIRMATION_GAP_MS,
+      minRoundIntervalMs: MIN_CONFIRMATION_INTERVAL_MS,
       timeoutMs: timings.controlTimeoutMs,
     });
   }
@@ -123,51 +123,51 @@
     this.#handle({ type: 'start' });
   }
 
-  /** Hands on the duty of promotions, for a planned stop; the node goes on as before otherwise. */
+  /** Hands over leadership ahead of a planned stop; the node continues as before otherwise. */
   releaseLeadership(): Promise<void> {
     return new Promise((resolve) => {
-      this.#released.push(resolve);
+      this.#releaseWaiters.push(resolve);
       this.#handle({ type: 'release-leadership' });
     });
   }
 
-  /** Ends the permission to use primaries, and then the node's lease. */
+  /** Ends the right to use primaries, and then the node's lease. */
   stop(): Promise<void> {
     return new Promise((resolve) => {
       if (this.#isStopped) {
         resolve();
         return;
       }
-      this.#stopped.push(resolve);
+      this.#stopWaiters.push(resolve);
       this.#handle({ type: 'stop' });
     });
   }
 
-  /** The store answers again, after a while in which it answered nothing. */
-  noteStoreReturned(): void {
+  /** The store responds again after an outage. */
+  handleStoreReturned(): void {
     this.#handle({ type: 'store-returned' });
   }
 
-  /** The store has named its era for the first time, or one that is higher. */
-  noteStoreEra(era: number): void {
+  /** The store has reported its era for the first time, or a higher one. */
+  handleStoreEra(era: number): void {
     this.#handle({ type: 'store-era', era });
   }
 
-  noteInstances(entries: readonly InstanceEntry[]): void {
+  setInstances(entries: readonly InstanceEntry[]): void {
     this.#handle({ type: 'instances-changed', entries });
   }
 
-  /** Takes members as a peer knows them that has read the records. */
-  noteMembersTold(entries: readonly InstanceEntry[]): void {
+  /** Applies the members known to a peer that has read the records. */
+  setReportedMembers(entries: readonly InstanceEntry[]): void {
     this.#handle({ type: 'members-told', entries });
   }
 
-  /** Members of all services that count, whether or not the store has an entry of them. */
+  /** Members of all services, whether or not they are registered in the store. */
   countedMembers(): InstanceEntry[] {
     return [...this.#syncReplicas.keys()].flatMap((service) => this.#machine.membersOf(service));
   }
 
-  noteServices({ services }: PublishedConfiguration): void {
+  setServices({ services }: PublishedConfiguration): void {
     this.#syncReplicas = new Map(services.map(({ name, syncReplicas }) => [name, syncReplicas]));
     this.#handle({ type: 'services-changed', services });
   }
@@ -181,7 +181,7 @@
   }
 
   confirmPrimary(service: string, instance: string): Promise<boolean> {
-    if (!this.#mayAskMembers(service)) return Promise.resolve(false);
+    if (!this.#canQueryMembers(service)) return Promise.resolve(false);
     return this.#confirmation.confirm(service, instance, 'read');
   }
 
@@ -190,23 +190,23 @@
     instance: string,
     position?: Position,
   ): Promise<CommitVerdict | undefined> {
-    if (!this.#mayAskMembers(service)) return Promise.resolve(undefined);
+    if (!this.#canQueryMembers(service)) return Promise.resolve(undefined);
     return this.#confirmation.judge(service, instance, position);
   }
 
   judgeWrite(service: string, instance: string): Promise<CommitVerdict | undefined> {
-    if (!this.#mayAskMembers(service)) return Promise.resolve(undefined);
-    return this.#confirmation.judgeAhead(service, instance);
+    if (!this.#canQueryMembers(service)) return Promise.resolve(undefined);
+    return this.#confirmation.judgeWrite(service, instance);
   }
 
   acknowledgedPosition(service: string): Promise<Position | undefined> {
-    if (!this.#mayAskMembers(service)) return Promise.resolve(undefined);
+    if (!this.#canQueryMembers(service)) return Promise.resolve(undefined);
     return this.#confirmation.acknowledgedPosition(service);
   }
 
   /**
-   * The leader of the change may not reach the old primary, where commits that were sent before may be acknowledged yet
-   * by a replica that has just joined. Whoever learns of a hold demotes it.
+   * Any node that learns of a held replica demotes the old primary: the leader of the change may not reach it, and commits
+   * sent there before may still be acknowledged by a replica that has just joined.
    */
   #demote(
     control: InstanceControl,
@@ -224,8 +224,8 @@
     );
   }
 
-  /** Where owners hold the connections, an instance has none left for this node's questions. */
-  #mayAskMembers(service: string): boolean {
+  /** False if owners hold an instance's connections: it has none left for this node's queries. */
+  #canQueryMembers(service: string): boolean {
     const { mayConnect = () => true } = this.options;
     return this.#machine.membersOf(service).every((member) => mayConnect(member));
   }
@@ -252,27 +252,27 @@
     return this.#machine.liveNodeCount();
   }
 
-  /** The nodes that read the store for the others; the same list until another is named. */
+  /** The nodes that read the store for the others; the same array until the leader names others. */
   watchReaders(): readonly ReachableNode[] {
     return this.#machine.watchReaders();
   }
 
-  /** The nodes that keep the tenants' quotas. */
+  /** The keepers of the tenants' quotas. */
   quotaKeepers(): QuotaKeepers | undefined {
     return this.#machine.quotaKeepers();
   }
 
-  /** True while no other node can have been named for what this one keeps. */
+  /** True while no other node can have been named keeper of this node's quota parts. */
   mayKeepQuotas(): boolean {
     return this.#machine.mayKeepQuotas(this.#now());
   }
 
-  /** Where nodes answer questions for their directory. */
+  /** Addresses at which nodes respond to requests for their directory. */
   peerAddresses(): readonly PeerAddress[] {
     return this.#machine.peerAddresses();
   }
 
-  /** Revision up to which the records of primaries are known; 0 if they are not. */
+  /** Revision up to which the records of primaries are known; 0 if unknown. */
   get recordsRevision(): number {
     return this.#machine.recordsRevision;
   }
@@ -293,13 +293,13 @@
     return this.isLeader;
   }
 
-  /** What an effect brings about at once comes after the effects of the event at hand. */
+  /** Events raised by an effect are handled after the remaining effects of the current event. */
   #handle(event: PromotionEvent): void {
     this.#queue.push(event);
     if (this.#isHandling) return;
     this.#isHandling = true;
     for (let next = this.#queue.shift(); next !== undefined; next = this.#queue.shift()) {
-      for (const effect of this.#machine.handle(next, this.#now())) this.#carryOut(effect);
+      for (const effect of this.#machine.handle(next, this.#now())) this.#execute(effect);
     }
     this.#isHandling = false;
     if (!this.#isStopped) this.#setTimer();
@@ -311,17 +311,17 @@
     clearTimeout(this.#timer);
     this.#timerAt = at;
     if (at === Number.POSITIVE_INFINITY) return;
-    const onTime = (): void => {
+    const onTimeout = (): void => {
       this.#timerAt = Number.POSITIVE_INFINITY;
       this.#handle({ type: 'tick' });
     };
-    this.#timer = setTimeout(onTime, Math.max(0, Math.ceil(at - this.#now())));
+    this.#timer = setTimeout(onTimeout, Math.max(0, Math.ceil(at - this.#now())));
   }
 
-  #carryOut(effect: PromotionEffect): void {
+  #execute(effect: PromotionEffect): void {
     switch (effect.type) {
       case 'request':
-        void this.#run(effect.id, effect.request);
+        void this.#runRequest(effect.id, effect.request);
         return;
       case 'open-watch':
         this.#openWatch(effect.id, effect.prefix, effect.fromRevision);
@@ -337,19 +337,19 @@
         void this.#endUse(effect.service, effect.change);
         return;
       case 'leadership-released':
-        for (const resolve of this.#released.splice(0)) resolve();
+        for (const resolve of this.#releaseWaiters.splice(0)) resolve();
         return;
       case 'stopped':
-        this.#noteStopped();
+        this.#handleStopped();
         return;
       case 'log':
         this.options.logger[effect.level](effect.event, effect.fields);
     }
   }
 
-  async #run(request: number, asked: PromotionRequest): Promise<void> {
-    const answer = await this.#runner.run(asked);
-    this.#handle({ type: 'answer', request, answer });
+  async #runRequest(requestId: number, request: PromotionRequest): Promise<void> {
+    const answer = await this.#runner.run(request);
+    this.#handle({ type: 'answer', request: requestId, answer });
   }
 
   async #endUse(service: string, change: number): Promise<void> {
@@ -369,15 +369,16 @@
     this.#watches.set(id, close);
   }
 
-  #noteStopped(): void {
+  #handleStopped(): void {
     this.#isStopped = true;
     clearTimeout(this.#timer);
     for (const close of this.#watches.values()) close();
     this.#watches.clear();
-    for (const resolve of [...this.#stopped.splice(0), ...this.#released.splice(0)]) resolve();
+    for (const resolve of [...this.#stopWaiters.splice(0), ...this.#releaseWaiters.splice(0)])
+      resolve();
   }
 }
 
-function bound(status: Pick<InstanceControl, 'status'>): Pick<InstanceControl, 'status'> {
+function bindStatus(status: Pick<InstanceControl, 'status'>): Pick<InstanceControl, 'status'> {
   return { status: (instance, timeoutMs) => status.status(instance, timeoutMs) };
 }
--- a/src/direct/promotion/term-confirmation.ts
+++ b/src/direct/promotion/term-confirmation.ts
@@ -1,6 +1,7 @@
 /**
- * Asks the members of a group whether any leads a later term, or is held for one, for all who wait at once: whoever
- * asks while a round is on its way waits for the next, since a round proves nothing of what came after it.
+ * Queries the members of a group whether any is the primary of a later term, or is held (paused) for one. One round, that
+ * is one query sent to all members at once, serves all waiting calls. A call made while a round is in flight waits for the
+ * next one, since a round proves nothing about what came after it was sent.
  */
 
 import type { Position } from '../../core/position.js';
@@ -22,36 +23,36 @@
 import { pause } from '../within.js';
 import type { ClassifyControlFailure } from './control-failure.js';
 
-/** A member whose slots are all taken is asked again after this. */
-const BUSY_PAUSE_MS = 40;
+/** Delay before the next query to a member whose slots were all busy. */
+const BUSY_RETRY_DELAY_MS = 40;
 /**
- * A round speaks for writes that are sent within this time after it: each takes a slot at every member. What is
- * acknowledged is looked at once more, so that a longer time costs callers no commit, only answers in doubt.
+ * A round is also valid for writes sent within this time after it, since each round takes a slot at every member. The
+ * members judge each acknowledged commit again, so that a longer time loses no commit but leaves more of them in doubt.
  */
-const AHEAD_MAX_AGE_MS: Milliseconds = 100;
+const MAX_ROUND_AGE_MS: Milliseconds = 100;
 
 export interface TermConfirmationOptions {
   readonly control: Pick<InstanceControl, 'status'>;
   readonly classifyFailure: ClassifyControlFailure;
-  /** A replica is held for this term, which may be promoted in the primary's place. */
+  /** Called when a replica is held for `term`: it may be promoted in the primary's place. */
   readonly onHeld?: (primary: InstanceEntry, term: number) => void;
-  /** Every member of the service that is known, also if its entry is gone. */
+  /** Every known member of the service, even if its registration is gone. */
   readonly membersOf: (service: string) => readonly InstanceEntry[];
   /**
-   * Ids of members that there are and that this node can't ask: they count as silent. Undefined while this node can't
-   * tell who is a member: then nothing is proven.
+   * Ids of members that this node can't query: they count as unresponsive. Undefined while this node does not know the
+   * members: then nothing is proven.
    */
-  readonly unseenMembersOf: (service: string) => readonly string[] | undefined;
-  /** Whether whoever joined lately would be known; by default it would. */
+  readonly membersWithoutAddressOf: (service: string) => readonly string[] | undefined;
+  /** Whether this node would know of a member that joined recently; true by default. */
   readonly areMembersCurrent?: (service: string) => boolean;
   readonly syncReplicasOf: (service: string) => number;
   readonly now: () => Milliseconds;
-  /** Rounds of one service are at least so far apart: each takes a slot at every member. */
-  readonly minimumGapMs: Milliseconds;
+  /** Minimum interval between rounds of one service, since each takes a slot at every member. */
+  readonly minRoundIntervalMs: Milliseconds;
   readonly timeoutMs: Milliseconds;
 }
 
-/** What the members answered, all asked at once. */
+/** The members' responses to one query that was sent to all of them at once. */
 interface Round {
   readonly sentAt: Milliseconds;
   readonly endedAt: Milliseconds;
@@ -60,15 +61,15 @@
   readonly responses: MemberResponses;
 }
 
-/** Undefined: nobody could be asked. */
+/** Called with undefined if no member could be queried. */
 type Waiter = (round: Round | undefined) => void;
 
 export class TermConfirmation {
   readonly #lastSentAt = new Map<string, Milliseconds>();
   readonly #waiting = new Map<string, Waiter[]>();
   readonly #lastRounds = new Map<string, Round>();
-  readonly #toldOfHold = new WeakSet<Round>();
-  readonly #planned = new Set<string>();
+  readonly #roundsWithHoldReported = new WeakSet<Round>();
+  readonly #scheduled = new Set<string>();
 
   constructor(private readonly options: TermConfirmationOptions) {}
 
@@ -78,41 +79,41 @@
     return round !== undefined && provesPrimary({ service, primary, ...round }, use);
   }
 
-  /** What the members say of commits that the primary had acknowledged before this call; of one, by its position. */
+  /** The members' verdict on the commits that the primary acknowledged before this call, or on the one at `position`. */
   async judge(service: string, primary: string, position?: Position): Promise<CommitVerdict> {
     const round = await this.#nextRound(service);
     if (round === undefined) return 'unknown';
-    this.#tellOfHold(service, primary, round);
+    this.#reportHold(service, primary, round);
     return judgeCommits({ primary, ...round }, position);
   }
 
-  /** What they say of a write that is sent now, by a round that is hardly over if there is one. */
-  async judgeAhead(service: string, primary: string): Promise<CommitVerdict> {
+  /** The members' verdict on a write to be sent now; from the last round if it is recent enough. */
+  async judgeWrite(service: string, primary: string): Promise<CommitVerdict> {
     const now = this.options.now();
     const last = this.#lastRounds.get(service);
     if (last !== undefined) {
       const verdict = judgeCommits({ primary, ...last });
-      // A refusal does no harm by being old, and a round with a silent member takes long.
-      const from = isSafe(verdict) ? last.sentAt : last.endedAt;
-      if (now - from <= AHEAD_MAX_AGE_MS) return verdict;
+      // An old refusal does no harm, and a round with an unresponsive member takes long.
+      const validSince = isSafe(verdict) ? last.sentAt : last.endedAt;
+      if (now - validSince <= MAX_ROUND_AGE_MS) return verdict;
     }
     return this.judge(service, primary);
   }
 
-  /** Once a round, however many wait for it. */
-  #tellOfHold(service: string, primary: string, round: Round): void {
-    if (this.#toldOfHold.has(round)) return;
-    this.#toldOfHold.add(round);
+  /** Calls `onHeld` at most once per round, however many calls wait for it. */
+  #reportHold(service: string, primary: string, round: Round): void {
+    if (this.#roundsWithHoldReported.has(round)) return;
+    this.#roundsWithHoldReported.add(round);
     const term = termOfHeldReplica({ primary, ...round });
     const instance = this.options.membersOf(service).find(({ id }) => id === primary);
     if (term !== undefined && instance !== undefined) this.options.onHeld?.(instance, term);
   }
 
-  /** The position that every commit acknowledged before this call is at or before, if enough members tell theirs. */
+  /** A position at or after every commit acknowledged before this call; undefined if too few members respond. */
   async acknowledgedPosition(service: string): Promise<Position | undefined> {
     const syncReplicas = this.options.syncReplicasOf(service);
-    const answers = await this.#askAll(service);
-    return answers && acknowledgedPosition(answers, syncReplicas);
+    const responses = await this.#queryAll(service);
+    return responses && acknowledgedPosition(responses, syncReplicas);
   }
 
   #nextRound(service: string): Promise<Round | undefined> {
@@ -120,61 +121,61 @@
       const waiting = this.#waiting.get(service);
       if (waiting === undefined) this.#waiting.set(service, [resolve]);
       else waiting.push(resolve);
-      this.#plan(service);
+      this.#scheduleRound(service);
     });
   }
 
-  #plan(service: string): void {
-    if (this.#planned.has(service)) return;
-    this.#planned.add(service);
-    const { now, minimumGapMs } = this.options;
+  #scheduleRound(service: string): void {
+    if (this.#scheduled.has(service)) return;
+    this.#scheduled.add(service);
+    const { now, minRoundIntervalMs } = this.options;
     const lastSentAt = this.#lastSentAt.get(service) ?? Number.NEGATIVE_INFINITY;
-    const delayMs = lastSentAt + minimumGapMs - now();
-    if (delayMs <= 0) void this.#round(service);
-    else setTimeout(() => void this.#round(service), delayMs);
+    const delayMs = lastSentAt + minRoundIntervalMs - now();
+    if (delayMs <= 0) void this.#runRound(service);
+    else setTimeout(() => void this.#runRound(service), delayMs);
   }
 
-  async #round(service: string): Promise<void> {
+  async #runRound(service: string): Promise<void> {
     const waiters = this.#waiting.get(service) ?? [];
     this.#waiting.delete(service);
     const sentAt = this.options.now();
     this.#lastSentAt.set(service, sentAt);
     const syncReplicas = this.options.syncReplicasOf(service);
     const areMembersCurrent = this.#areMembersCurrent(service);
-    const responses = await this.#askAll(service);
-    this.#planned.delete(service);
+    const responses = await this.#queryAll(service);
+    this.#scheduled.delete(service);
     const endedAt = this.options.now();
     const round = responses && { sentAt, endedAt, syncReplicas, areMembersCurrent, responses };
     if (round !== undefined) this.#lastRounds.set(service, round);
     for (const resolve of waiters) resolve(round);
-    if (this.#waiting.has(service)) this.#plan(service);
+    if (this.#waiting.has(service)) this.#scheduleRound(service);
   }
 
   #areMembersCurrent(service: string): boolean {
     return this.options.areMembersCurrent?.(service) ?? true;
   }
 
-  async #askAll(service: string): Promise<MemberResponses | undefined> {
+  async #queryAll(service: string): Promise<MemberResponses | undefined> {
     const members = this.options.membersOf(service);
-    const unseen = this.options.unseenMembersOf(service);
-    if (unseen === undefined) return undefined;
-    const answers = await Promise.all(members.map((member) => this.#ask(member)));
+    const withoutAddress = this.options.membersWithoutAddressOf(service);
+    if (withoutAddress === undefined) return undefined;
+    const responses = await Promise.all(members.map((member) => this.#query(member)));
     return new Map([
-      ...members.map(({ id }, index) => [id, answers[index] ?? 'none'] as const),
-      ...unseen.map((id) => [id, 'none'] as const),
+      ...members.map(({ id }, index) => [id, responses[index] ?? 'none'] as const),
+      ...withoutAddress.map((id) => [id, 'none'] as const),
     ]);
   }
 
-  async #ask(member: InstanceEntry): Promise<MemberResponse> {
+  async #query(member: InstanceEntry): Promise<MemberResponse> {
     const { control, classifyFailure, timeoutMs, now } = this.options;
     const endsAt = now() + timeoutMs;
     for (;;) {
-      const answer = await control.status(member, Math.max(1, endsAt - now()));
-      if (answer.isOk()) return answer.value;
-      const failure = classifyFailure(answer.error);
+      const response = await control.status(member, Math.max(1, endsAt - now()));
+      if (response.isOk()) return response.value;
+      const failure = classifyFailure(response.error);
       if (failure === 'refused') return 'refused';
       if (failure !== 'busy' || now() >= endsAt) return 'none';
-      await pause(BUSY_PAUSE_MS);
+      await pause(BUSY_RETRY_DELAY_MS);
     }
   }
 }
--- a/test/unit/direct/term-confirmation.test.ts
+++ b/test/unit/direct/term-confirmation.test.ts
@@ -32,10 +32,10 @@
     },
     classifyFailure: classifyBySystemCall,
     membersOf: () => [member(PRIMARY), member('replica')],
-    unseenMembersOf: () => unseen,
+    membersWithoutAddressOf: () => unseen,
     syncReplicasOf: () => 1,
     now: () => performance.now(),
-    minimumGapMs: 0,
+    minRoundIntervalMs: 0,
     timeoutMs: 60_000,
   });
   return { rounds, asked: () => asked };
