--- a/src/direct/relay/owner-lender.ts
+++ b/src/direct/relay/owner-lender.ts
@@ -100,7 +100,7 @@
     },
   };
 
-  /** A cancelled read is still awaited: the instance may be running it already, with the session's values. */
+  /** Cancel a waiting request. A read is still awaited: the instance may be running it already, with the session's values. */
   readonly #cancellers: Readonly<
     Record<StreamRequest['type'], (stream: PeerStream, giveUp: () => void) => void>
   > = {
--- a/test/integration/direct/snapshots.test.ts
+++ b/test/integration/direct/snapshots.test.ts
@@ -1,4 +1,4 @@
-/** Gateways that start or restart without the store: they serve with what their peers know. */
+/** Gateways that start or restart without the store serve callers with snapshots from their peers. */
 import { once } from 'node:events';
 import { connect } from 'node:net';
 import { test } from 'uvu';
@@ -64,7 +64,7 @@
   await until('the new route', () => hasRoute('archive', 1));
   await cluster.setCutFromStore(1, true);
   await until('the new route, from the peer', () => hasRoute('archive', 0));
-  // The older one has asked and been asked by now.
+  // By now the gateway with the older directory has sent and received requests.
   assert.is(await hasRoute('archive', 1), true);
   await cluster.setCutFromStore(0, false);
   await cluster.setCutFromStore(1, false);
@@ -92,7 +92,7 @@
 
 test('a stranger and a malformed frame get nothing but the end of their own link', async () => {
   await start();
-  // From here on nobody else asks.
+  // From here on no other gateway sends requests.
   await cluster.kill(1);
   const answered = await cluster.figure(0, 'snapshots_answered_total');
   const { peerPort } = cluster.gateway(0);
--- a/test/property/directory-snapshot.test.ts
+++ b/test/property/directory-snapshot.test.ts
@@ -1,4 +1,4 @@
-/** Of any snapshots, in any order, the newest parts are taken, nothing goes back, and faults are refused. */
+/** Whatever the order of snapshots, the newest parts are applied, no version decreases, and malformed ones are rejected. */
 import fc from 'fast-check';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -19,7 +19,7 @@
 const SETTINGS = { seed: 20261202, numRuns: 500 };
 const MAX_BYTES = 1 << 20;
 
-/** Objects as the codec makes them. */
+/** Records with the ordinary prototype, like those that the codec decodes. */
 const PLAIN = { noNullPrototype: true } as const;
 
 const mark = fc.integer({ min: 0, max: 6 });
@@ -54,7 +54,7 @@
 );
 const marks = fc.record({ version: mark, instancesRevision: mark, primariesRevision: mark }, PLAIN);
 
-/** Takes all in this order, and checks that no mark ever falls. */
+/** Applies all snapshots in this order, and checks that no version ever decreases. */
 function takeAll(known: DirectoryVersions, offers: readonly InstanceSnapshot[]): DirectoryVersions {
   return offers.reduce((before, offer) => {
     const taken = selectNewerParts(before, offer);
--- a/test/property/watch-readers.test.ts
+++ b/test/property/watch-readers.test.ts
@@ -1,6 +1,6 @@
 /**
- * Nodes that follow the store through readers, in virtual time and under faults drawn by seed: each is told
- * every change once and in order, and knows it within the bound of a poll, whatever befalls readers.
+ * Nodes that watch the store through readers, in virtual time and with random faults drawn from a seed: each
+ * node is notified of every change once, in order and within the time of a poll, whatever happens to readers.
  */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -14,11 +14,11 @@
 const FIRST_SEED = 20261203;
 const NODES = 7;
 const DAY_MS: Milliseconds = 40_000;
-/** What readers may keep from a node, a look at them, and a poll of its own that finds what it missed. */
+/** Maximum age of what readers relay, a check of the readers, and a poll by the node that finds what it missed. */
 const BOUND_MS: Milliseconds = MAX_AGE_MS + 700;
-/** So long a fault strikes. */
+/** Maximum duration of a fault. */
 const LONGEST_FAULT_MS: Milliseconds = 5000;
-/** More than readers pass on. */
+/** Larger than what readers relay. */
 const LARGE_VALUE = 'x'.repeat(20_000);
 
 function nameReaders(network: ReaderNetwork, readers: readonly ReachableNode[]): void {
@@ -46,7 +46,7 @@
   await network.time.runUntil(6100);
   for (const { told } of network.nodes) assert.equal(told, [2]);
   await network.time.runUntil(16_100);
-  // Each reader has its poll answered every 2.5 s, and once more by the change.
+  // Each reader's poll ends every 2.5 s, and once more because of the change.
   assert.ok(network.store.polls - before <= 12, `${network.store.polls - before} polls`);
 });
 
@@ -116,7 +116,7 @@
       await network.time.runUntil(now);
       network.store.write('elsewhere');
     }
-    // Two readers and 20 s of polls of 2.5 s; each of the seven nodes made as many before.
+    // Two readers with polls of 2.5 s for 20 s. If readers never served again, all seven nodes would poll.
     assert.ok(network.store.polls - before <= 18, `${network.store.polls - before} polls`);
     for (const { told } of network.nodes) assert.equal(told, [2]);
   }
@@ -144,14 +144,14 @@
     if (isNamed) nameReaders(network, places(network, [0, 1]));
     await network.time.runUntil(1500);
     for (const { told } of network.nodes) assert.equal(told, [2]);
-    // Each poll is answered with the change, and followed by another one.
+    // Each first poll returns the change, and is followed by a second one.
     assert.is(network.store.polls, 2 * (isNamed ? 2 : NODES));
   }
 });
 
 const ZONES = ['a', 'b', 'c'] as const;
 const NODES_PER_ZONE = 3;
-/** Two of each zone; the first ones of zones a and b follow the store. */
+/** Two readers in each zone; the first ones of zones a and b watch the store. */
 const ZONE_READERS = [0, 1, 3, 4, 6, 7];
 const STORE_READERS = [0, 3];
 
@@ -163,7 +163,7 @@
   return network;
 }
 
-/** Nodes of this network, without those of these numbers. */
+/** The nodes of the network except those with these numbers. */
 function without(network: ReaderNetwork, numbers: readonly number[]): VirtualNode[] {
   return network.nodes.filter((_, number) => !numbers.includes(number));
 }
@@ -178,7 +178,7 @@
     await network.time.runUntil(6200);
     for (const { told } of network.nodes) assert.equal(told, [2]);
     await network.time.runUntil(26_200);
-    // Two nodes, 20 s of polls of 2.5 s, and one poll more each for the change.
+    // Two nodes with polls of 2.5 s for 20 s, and one more poll each for the change.
     assert.ok(network.store.polls - before <= 20, `${network.store.polls - before} polls`);
     for (const { counters } of network.nodes) assert.is(counters.fallbacks, 0);
   }
@@ -197,7 +197,7 @@
   network.store.write(`${PREFIX}/y`);
   await network.time.runUntil(8400);
   for (const { told } of without(network, STORE_READERS)) assert.equal(told, [2, 3]);
-  // Zone c still has both its readers: its other node has no need of the store.
+  // Zone c still has both its readers, so that its other node does not need the store.
   assert.is((network.nodes[8] as VirtualNode).counters.fallbacks, 0);
 });
 
@@ -252,7 +252,7 @@
   nameReaders(network, places(network, ZONE_READERS));
   await network.time.runUntil(6000);
   const [own, other] = places(network, [6, 7]) as [ReachableNode, ReachableNode];
-  // Its readers are away for a while in which the store turns it away, and then go on.
+  // The node's readers are unreachable while the store refuses its polls; then the links recover.
   network.store.refused.add('n8');
   for (const { nodeId } of [own, other]) network.cutLinks.add(`n8-${nodeId}`);
   (network.nodes[8] as VirtualNode).followed.setReaders({ type: 'others', readers: [own, other] });
@@ -281,7 +281,7 @@
   network.store.write(`${PREFIX}/x`);
   await network.time.runUntil(6800);
   for (const { told } of network.nodes) assert.equal(told, [2]);
-  // Two that begin, and the change: the former two end with the polls that were out.
+  // Two new readers poll, and once more after the change; the former two stop after their pending polls.
   assert.ok(network.store.polls - before <= 4, `${network.store.polls - before} polls`);
   for (const { counters } of network.nodes) assert.ok(counters.fallbacks <= 1);
 });
@@ -292,7 +292,7 @@
   await network.time.runUntil(6000);
   for (const node of network.nodes.slice(0, 2)) node.isAlive = false;
   nameReaders(network, places(network, [2, 3]));
-  // Shorter than a poll of the store, longer than the silence that readers may keep.
+  // Shorter than a poll of the store, longer than the timeout of an unresponsive reader.
   await network.time.runUntil(8300);
   for (const { counters } of network.nodes.slice(4)) assert.is(counters.fallbacks, 0);
 });
@@ -302,7 +302,7 @@
   nameReaders(network, places(network, ZONE_READERS));
   await network.time.runUntil(6000);
   for (const { place } of network.nodes) network.store.cutOff.add(place.nodeId);
-  // Each takes the other for a reader of the store.
+  // Each of the two is told that the other one reads the store.
   const pair = places(network, [6, 7]);
   for (const node of network.nodes.slice(6, 8)) {
     const others = pair.filter(({ nodeId }) => nodeId !== node.place.nodeId);
@@ -317,7 +317,7 @@
   assert.ok(newest() <= before, `${newest()} after ${before}`);
 });
 
-/** What strikes, by name; each gives what ends it. */
+/** Faults by name; each starts a fault and returns the function that ends it. */
 const FAULTS: Readonly<
   Record<string, (network: ReaderNetwork, random: () => number) => () => void>
 > = {
@@ -358,7 +358,7 @@
   return items[Math.floor(random() * items.length)] as Item;
 }
 
-/** Nodes that the store serves, and did for the bound before. */
+/** Finds the nodes that the store serves and has served for the last `BOUND_MS`. */
 class Served {
   readonly #badAt = new Map<string, Milliseconds>();
 
--- a/test/support/reader-network.ts
+++ b/test/support/reader-network.ts
@@ -1,6 +1,6 @@
 /**
- * Followers, readers and a store in virtual time: links that delay, reorder nothing and are cut, readers
- * that go silent, a store that is cut off from single nodes and forgets its history.
+ * Followers, readers and a store in virtual time. Links delay messages, keep their order and may be cut;
+ * readers may stop responding; the store may be cut off from single nodes and compact its history.
  */
 import type { ReachableNode } from '../../src/core/ownership/owner-roster.js';
 import type { Milliseconds } from '../../src/core/units.js';
@@ -20,7 +20,7 @@
 const STORE_DELAY_MS: Milliseconds = 4;
 const RECONNECT_MS: Milliseconds = 50;
 
-/** Runs what is scheduled, in the order of its time. */
+/** Runs scheduled tasks in the order of their times. */
 export class VirtualTime {
   now: Milliseconds = 0;
   #next = 0;
@@ -31,7 +31,7 @@
     this.#tasks.push({ at: this.now + delayMs, order: this.#next, run });
   }
 
-  /** Resolves when everything up to this time has run. */
+  /** Resolves when all tasks up to this time have run. */
   async runUntil(end: Milliseconds): Promise<void> {
     for (;;) {
       this.#tasks.sort((left, right) => left.at - right.at || left.order - right.order);
@@ -46,11 +46,11 @@
   }
 }
 
-/** The store: one counter of revisions, events, and long polls that each node may be cut off from. */
+/** The store: a revision counter, events, and long polls that can be cut off or refused for each node. */
 export class VirtualStore {
   revision = 1;
   polls = 0;
-  /** Nodes whose polls are swallowed. */
+  /** Nodes whose polls get no response. */
   readonly cutOff = new Set<string>();
   /** Nodes whose polls are refused. */
   readonly refused = new Set<string>();
@@ -60,7 +60,7 @@
 
   constructor(private readonly time: VirtualTime) {}
 
-  /** Writes a key of the prefix, or of another one that nobody here watches. */
+  /** Writes a key of the prefix, or of another prefix that no node watches. */
   write(key: string, value = ''): void {
     this.revision += 1;
     if (!key.startsWith(PREFIX)) return;
@@ -133,7 +133,7 @@
 
   readonly #pollsBy = new Map<string, number>();
 
-  /** Polls of one node. */
+  /** Number of polls by one node. */
   pollsOf(node: string): number {
     return this.#pollsBy.get(node) ?? 0;
   }
@@ -155,15 +155,15 @@
   }
 }
 
-/** One node: a followed prefix, and a server for those who follow it through this one. */
+/** One node: a followed prefix, and a server for the nodes that follow it through this one. */
 export class VirtualNode {
   readonly followed: FollowedPrefix;
   readonly server: WatchServer;
-  /** Revisions that the watcher was told, in order. */
+  /** Revisions of which the watcher was notified, in order. */
   readonly told: number[] = [];
   /** Everything up to this revision is known to the watcher. */
   known = 0;
-  /** When the store surely had nothing that the watcher was not told. */
+  /** Time at which the store provably had nothing of which the watcher had not been notified. */
   provenAt: Milliseconds = Number.NEGATIVE_INFINITY;
   isAlive = true;
   readonly counters = { eventsFromReaders: 0, fallbacks: 0, eventsPassed: 0, eventsTold: 0 };
@@ -191,7 +191,7 @@
     this.server = new WatchServer(prefixes, this.counters, () => time.now, network.linkMbps);
   }
 
-  /** Reads the whole range, and watches from there. */
+  /** Reads the whole range, and watches from its revision on. */
   follow(): void {
     const { store } = this.network;
     this.known = store.revision;
@@ -218,23 +218,23 @@
   }
 }
 
-/** All nodes, and their links. */
+/** All nodes and their links. */
 export class ReaderNetwork {
   readonly time = new VirtualTime();
   readonly store = new VirtualStore(this.time);
   readonly nodes: VirtualNode[] = [];
-  /** Links that carry nothing, by the names of both ends. */
+  /** Cut links, by the names of both ends. */
   readonly cutLinks = new Set<string>();
-  /** Who watches begins anew so long after its watch has ended. */
+  /** Delay after which a watcher opens a new watch when its watch has ended. */
   reconnectMs = RECONNECT_MS;
-  /** Nodes that begin may yet hear who reads the store. */
+  /** Nodes that start may still learn which nodes read the store. */
   mayLearnReaders = false;
 
   constructor(
     readonly random: () => number,
-    /** Followers are told each word of the store. */
+    /** Each confirmation of the store is relayed to followers. */
     readonly isProof = false,
-    /** What the link of each node carries. */
+    /** Bandwidth of each node's link. */
     readonly linkMbps = 0,
   ) {}
 
@@ -291,7 +291,7 @@
     };
   }
 
-  /** Messages of one link keep their order. */
+  /** Time of the last delivery by link, so that messages keep their order. */
   readonly #busyUntil = new Map<string, Milliseconds>();
 
   #delayOf(link: string): Milliseconds {
--- a/test/support/relay-fleet.ts
+++ b/test/support/relay-fleet.ts
@@ -1,4 +1,4 @@
-/** Owners of one scripted instance and a node that leases from them, in this process over real links. */
+/** Owners of one scripted instance and a node that borrows from them, in one process over real links. */
 import { createServer, type Server, type Socket } from 'node:net';
 import { lineWire } from '../../platform/line-wire.js';
 import type { AdmissionRules } from '../../src/core/admission/instance-admission.js';
@@ -29,8 +29,7 @@
   };
 }
 
-/** A node that owns the instance. */
-/** A tenant that its policy holds back from nothing. */
+/** A tenant whose policy limits nothing in practice. */
 export const TEST_TENANT = {
   tenant: 't',
   priority: 1,
@@ -42,7 +41,7 @@
   readonly mayConnect = true;
   usable = true;
   known = true;
-  /** In force at this owner. */
+  /** Admission rules of this owner. */
   rules: AdmissionRules | undefined;
   readonly pool: InstancePool;
   readonly server: LeaseServer;
@@ -96,7 +95,7 @@
   }
 }
 
-/** A node's address where connections are taken and nothing is ever said. */
+/** A node that accepts connections and never sends anything. */
 export class SilentNode {
   readonly #sockets: Socket[] = [];
 
@@ -119,7 +118,7 @@
   }
 }
 
-/** The node that owns nothing: its pool leases. */
+/** A node that owns no instance: its pool borrows connections. */
 export class TestBorrower {
   readonly counters = newCounters();
   readonly health = new OwnerHealth(now);
--- a/test/unit/direct/digest-exchange.test.ts
+++ b/test/unit/direct/digest-exchange.test.ts
@@ -1,4 +1,4 @@
-/** Digests between nodes: their form, their bound of bytes, and what is not understood. */
+/** Digests exchanged between nodes: format, size limit, and rejection of malformed, old or implausible ones. */
 import { okAsync } from 'neverthrow';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -29,7 +29,7 @@
   };
 }
 
-/** A node that knows these instances. */
+/** A node to which these instances are known. */
 function nodeOf(ids: readonly string[]) {
   const digests = new FleetDigests();
   const instances = () => ids.map(entryOf);
@@ -75,7 +75,7 @@
   assert.is(Math.round(digests.viewOf('i-1@2', NOW)?.answerMs ?? 0), 12);
 });
 
-/** A node and a reader of its zone that asks and answers as versions of this gateway do. */
+/** A node and a reader of its zone, which responds as one of the gateway's versions does. */
 function zoneOf(reader: (question: WireValue) => WireValue | undefined) {
   const node = nodeOf(['i-1', 'i-2']);
   const world = { now: NOW, asked: [] as number[] };
--- a/test/unit/direct/node-directory.test.ts
+++ b/test/unit/direct/node-directory.test.ts
@@ -1,4 +1,4 @@
-/** Members whose entries are gone, as nodes tell each other of them. */
+/** Members whose registrations are gone, in the snapshots that nodes exchange. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { NO_VERSIONS } from '../../../src/core/directory/snapshot.js';
@@ -21,7 +21,7 @@
   readonly isWhole: boolean;
 }
 
-/** A node that uses one member which has left, with others named by the records. */
+/** A node that has used one departed member; the records list the members in `counted`. */
 function nodeWith(counted: readonly string[]) {
   const told: Told[] = [];
   const follower = {
--- a/test/unit/direct/relay-host.test.ts
+++ b/test/unit/direct/relay-host.test.ts
@@ -1,4 +1,4 @@
-/** A node learns that its fleet has owners before it can ask them. */
+/** The time between the publication of an owner roster and the node's links to the owners being ready. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { lineWire } from '../../../platform/line-wire.js';
--- a/test/unit/direct/relay-messages.test.ts
+++ b/test/unit/direct/relay-messages.test.ts
@@ -1,4 +1,4 @@
-/** What nodes say over a lease's stream: every message survives the codec, and nothing malformed is taken. */
+/** Messages of a lease's stream: each survives encoding and decoding, and malformed ones are rejected. */
 import fc from 'fast-check';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -25,7 +25,7 @@
 const SETTINGS = { seed: 20261202, numRuns: 300 };
 const MAX_BYTES = 1_000_000;
 
-/** Objects as the code makes them. */
+/** Records with the ordinary prototype, like object literals. */
 function plain<Model>(model: { [Key in keyof Model]: fc.Arbitrary<Model[Key]> }) {
   return fc.record<Model>(model, { noNullPrototype: true });
 }
@@ -115,7 +115,7 @@
   );
 });
 
-/** Fields that may be absent. */
+/** Optional fields. */
 const OPTIONAL: ReadonlySet<string> = new Set([
   ...['prepared', 'error', 'position', 'answer', 'aimMs', 'isTransaction'],
 ]);
--- a/test/unit/direct/relay.test.ts
+++ b/test/unit/direct/relay.test.ts
@@ -1,4 +1,4 @@
-/** Leases of connections to an instance: what a lost owner, link or instance does to them. */
+/** Leases of connections to an instance, and their outcome when the owner, the link or the instance is lost. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { lineWire } from '../../../platform/line-wire.js';
@@ -94,7 +94,7 @@
   const [told, plain] = asked;
   assert.is(told?.priority, 2);
   assert.is(told?.isTransaction, true);
-  // Both were counted in the time that is left, so that clocks need not agree.
+  // Both are sent as remaining time, so that the nodes' clocks need not agree.
   const betweenMs = (told?.deadline ?? 0) - (told?.latencyTargetAt ?? 0);
   assert.ok(betweenMs >= 1999 && betweenMs <= 2001, String(betweenMs));
   assert.is(plain?.isTransaction, undefined);
@@ -156,7 +156,7 @@
 test('an owner that says nothing is passed over before anything was sent', async () => {
   silent = await SilentNode.start('silent');
   await start(1);
-  // Before the link's own handshake is given up.
+  // Shorter than the link's handshake timeout.
   const deadline = performance.now() + 2000;
   const connection = (await borrower.acquire({ deadline }))._unsafeUnwrap();
   await answerTo(connection, 'READ a');
@@ -245,7 +245,7 @@
   const now = (): number => performance.now();
   const request = { ...TEST_TENANT, values: new Map(), deadline: now() + 5000, cancelledBy: [] };
   const connection = (await pool.acquire(request))._unsafeUnwrap();
-  // Both ends deliver what is there in one go, as a link does after its node stood still.
+  // Both ends deliver all messages at once, as a link does after its node stalled.
   const { opener, acceptor } = createLocalStreamPair();
   const ended = new Promise<void>((onEnd) => {
     new GrantedLease({ stream: acceptor, instance: owner(0), connection, now, onEnd });
@@ -369,7 +369,7 @@
   readonly waitMs?: number;
 }
 
-/** Has an owner run a read; `text` as the instance gets it. */
+/** Has an owner run a read; `text` is the statement that the instance receives. */
 function read(text: string, options: ReadOptions = {}) {
   const { values = new Map(), prepared, cancelledBy = [], waitMs = 10_000 } = options;
   const request = { ...TEST_TENANT, values, deadline: performance.now() + waitMs, cancelledBy };
@@ -429,7 +429,7 @@
   settled.cancel();
   assert.ok((await answer).isErr());
   assert.not(borrower.health.isAvoided('owner-0'));
-  // Frames come in order: the owner has heard of it before this one's answer is there.
+  // Frames arrive in order: the owner receives the cancellation before the next request.
   const next = read('READ next');
   await until('the next one waits alone', () => pool.waiting === 1);
   for (const connection of held) pool.release(connection);
--- a/test/unit/direct/reported-primaries.test.ts
+++ b/test/unit/direct/reported-primaries.test.ts
@@ -1,4 +1,4 @@
-/** What a peer tells of primaries stands in for records that are older, and is never trust. */
+/** A peer's report of primaries replaces older records, but never makes a primary trusted. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { InstanceEntry } from '../../../src/direct/contract.js';
@@ -14,7 +14,7 @@
   return { id, ...place, draining: false, role: 'primary' };
 }
 
-/** Records of a node: their revision, the primary, and whether no promotion can pass the node by. */
+/** A node's records; with `isPermitted` it trusts the primary, since no promotion can bypass the node. */
 function recorded(revision: number, primary: string | undefined, isPermitted: boolean) {
   const view: RecordedPrimaries = {
     recordsRevision: revision,
--- a/test/unit/direct/term-confirmation.test.ts
+++ b/test/unit/direct/term-confirmation.test.ts
@@ -1,4 +1,4 @@
-/** What a round of questions to the members of a group proves where this node may not know all of them. */
+/** What a round of queries to the members of a group proves if this node may not know all of them. */
 import { okAsync } from 'neverthrow';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -20,7 +20,7 @@
   return { role, term: POSITION.timeline, received: POSITION, ...rest };
 }
 
-/** Every member that is known answers. */
+/** Every known member responds; `unseen` are ids of members without an address, undefined if members are unknown. */
 function confirmation(unseen: readonly string[] | undefined) {
   let asked = 0;
   const rounds = new TermConfirmation({
--- a/test/unit/direct/zone-positions.test.ts
+++ b/test/unit/direct/zone-positions.test.ts
@@ -1,4 +1,4 @@
-/** Positions of primaries by way of a zone's readers: how old they count, and when the primary is asked. */
+/** Positions of primaries from a zone's readers: which age they count with, and when the primary itself is queried. */
 import { errAsync, okAsync } from 'neverthrow';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -27,7 +27,7 @@
   ...{ nodeId: name, zone: 'a', host: '10.0.0.1', port: 1 },
 });
 
-/** A node whose zone's readers answer this; undefined for silence. */
+/** A node whose readers send these responses; undefined for no response. */
 function zoneOf(readers: ReadersOfNode, answers: (asked: string) => WireValue | undefined) {
   const world = { now: 10_000, asked: [] as string[] };
   const transport = {
@@ -57,7 +57,7 @@
   readonly isLeaderless?: boolean;
 }
 
-/** What one look of the sampler does: what it takes from the zone, and whom it asks by itself. */
+/** Runs the sampler once and returns the positions taken from the zone and the queries it sent itself. */
 async function sampleOnce(answer: WireValue | undefined, situation: Situation = {}) {
   const { world, zone } = zoneOf({ type: 'others', readers: [reader('r')] }, () => answer);
   const taken: { readonly sentAt: number; readonly position: Position | undefined }[] = [];
--- a/test/unit/watch-readers.test.ts
+++ b/test/unit/watch-readers.test.ts
@@ -1,4 +1,4 @@
-/** Who reads the store for the others, what a node keeps for them, and when it relies on its readers. */
+/** Which nodes read the store for the others, which changes a node keeps for them, and when it relies on its readers. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { READER_SILENCE_MS, ReaderEvidence } from '../../src/core/directory/reader-evidence.js';
