--- a/src/direct/gateway.ts
+++ b/src/direct/gateway.ts
@@ -28,7 +28,7 @@
 import { PositionSampler, type SamplerCounters } from './position-sampler.js';
 import type { PrimaryView } from './promotion/contract.js';
 import type { Quotas } from './quota/quotas.js';
-import type { ToldPosition, ZonePositions } from './readers/zone-positions.js';
+import type { ReportedPosition, ZonePositions } from './readers/zone-positions.js';
 import type { RelayCounters } from './relay/contract.js';
 import { RelayHost } from './relay/relay-host.js';
 import { combineRequestLogs, RequestLogger } from './request-log.js';
@@ -427,7 +427,7 @@
   }
 
   /** The newest known log positions of these services, for other nodes of this zone. */
-  newestPositions(services: readonly string[]): ToldPosition[] {
+  newestPositions(services: readonly string[]): ReportedPosition[] {
     const now = this.options.now();
     return services.flatMap((name) => {
       const sample = this.#services.get(name)?.newestSample();
--- a/src/direct/position-sampler.ts
+++ b/src/direct/position-sampler.ts
@@ -71,7 +71,7 @@
       if (!isShortPeriod && this.#mayQueryZone(service, ageMs)) throughZone.push(service);
       else void this.#samplePosition(service);
     }
-    if (throughZone.length > 0 || zone?.tellsDigests === true) void this.#queryZone(throughZone);
+    if (throughZone.length > 0 || zone?.sendsDigests === true) void this.#queryZone(throughZone);
   }
 
   #ageOf({ samples }: ServiceRuntime): Milliseconds {
@@ -96,7 +96,7 @@
     const queriedAt = now();
     if (queriedAt < this.#zoneQueriedAt + ZONE_QUERY_PERIOD_MS || zone === undefined) return;
     this.#zoneQueriedAt = queriedAt;
-    const reported = await zone.ask(services.map(({ name }) => name));
+    const reported = await zone.requestPositions(services.map(({ name }) => name));
     const byName = new Map(services.map((service) => [service.name, service]));
     for (const { service: name, instanceId, position, ageMs } of reported) {
       const service = byName.get(name);
--- a/test/property/foreign-documents.test.ts
+++ b/test/property/foreign-documents.test.ts
@@ -18,9 +18,9 @@
   parsePrimaryRecord,
 } from '../../src/core/promotion/records.js';
 import { parsePartRequest, parsePermitGrant } from '../../src/direct/quota/messages.js';
-import { parseToldStretch, parseWatchRequest } from '../../src/direct/readers/messages.js';
+import { parseRelayedRange, parseWatchRequest } from '../../src/direct/readers/messages.js';
 import { parseLeaseEvent, parseStreamRequest } from '../../src/direct/relay/messages.js';
-import { parseQuestion, parseSnapshot } from '../../src/direct/snapshots/form.js';
+import { parseSnapshot, parseSnapshotRequest } from '../../src/direct/snapshots/messages.js';
 
 const SEED = 20261203;
 const RUNS = 1500;
@@ -115,8 +115,13 @@
     parsePartRequest,
     parsePermitGrant,
   },
-  ...{ parseToldStretch, parseWatchRequest, parseLeaseEvent, parseStreamRequest },
-  ...{ parseQuestion, parseSnapshot, instanceForm: parseInstanceEntry },
+  ...{
+    parseToldStretch: parseRelayedRange,
+    parseWatchRequest,
+    parseLeaseEvent,
+    parseStreamRequest,
+  },
+  ...{ parseQuestion: parseSnapshotRequest, parseSnapshot, instanceForm: parseInstanceEntry },
 };
 const FORMS = [parseFleetRecord, parseMembersRecord, parseNodeRecord, parsePrimaryRecord];
 
--- a/test/unit/direct/node-directory.test.ts
+++ b/test/unit/direct/node-directory.test.ts
@@ -1,4 +1,4 @@
-/** Members whose entries are gone, as nodes tell each other of them. */
+/** Members whose registrations are gone, in the snapshots that nodes exchange. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { NO_VERSIONS } from '../../../src/core/directory/snapshot.js';
@@ -6,7 +6,7 @@
 import type { DirectoryFollower } from '../../../src/direct/directory-follower.js';
 import type { DirectGateway } from '../../../src/direct/gateway.js';
 import { NodeDirectory } from '../../../src/direct/snapshots/node-directory.js';
-import type { ToldPrimaries } from '../../../src/direct/snapshots/told-primaries.js';
+import type { ReportedPrimaries } from '../../../src/direct/snapshots/reported-primaries.js';
 import type { Logger } from '../../../src/observability/logger.js';
 
 const PRIMARIES = { revision: 7, primaries: [{ service: 'orders', instanceId: 'present' }] };
@@ -21,7 +21,7 @@
   readonly isWhole: boolean;
 }
 
-/** A node that uses one member which has left, with others named by the records. */
+/** A node that has used one departed member; the records list the members in `counted`. */
 function nodeWith(counted: readonly string[]) {
   const told: Told[] = [];
   const follower = {
@@ -42,14 +42,15 @@
   const primaries = {
     revision: 5,
     describe: () => PRIMARIES,
-    take: () => {},
-  } as unknown as ToldPrimaries;
+    update: () => {},
+  } as unknown as ReportedPrimaries;
   const directory = new NodeDirectory({
     ...{ follower, gateway, primaries, logger: { info: () => {} } as unknown as Logger },
     isStoreHealthy: () => true,
     peers: () => [],
     countedMembers: () => counted.map(instance),
-    noteMembers: (members, isWhole) => told.push({ ids: members.map(({ id }) => id), isWhole }),
+    setReportedMembers: (members, isWhole) =>
+      told.push({ ids: members.map(({ id }) => id), isWhole }),
     now: () => 200,
   });
   return { directory, told };
