--- a/src/direct/promotion/service.ts
+++ b/src/direct/promotion/service.ts
@@ -80,7 +80,8 @@
 
   constructor(private readonly options: PromotionServiceOptions) {
     const { nodeName, incarnation, store, promotion } = options;
-    const isReplaced = (instance: InstanceEntry): boolean => this.#machine.hasNewIncarnation(instance);
+    const isReplaced = (instance: InstanceEntry): boolean =>
+      this.#machine.hasNewIncarnation(instance);
     const control = rejectReplacedIncarnations(options.control, isReplaced);
     const statusControl =
       options.status &&
--- a/src/direct/readers/followed-prefix.ts
+++ b/src/direct/readers/followed-prefix.ts
@@ -327,8 +327,10 @@
     const isDue =
       this.needsEveryConfirmation ||
       this.options.now() - watcher.notifiedAt >= MIN_UNCHANGED_PERIOD_MS;
-    if (newEvents.length > 0 || isDue) this.#notify(watcher, newEvents, at.currentAsOf, at.provenCurrentAsOf);
-    if (this.#role === 'relay' && this.#relayed.takeRelayDue(newEvents.length > 0)) this.onRelayDue();
+    if (newEvents.length > 0 || isDue)
+      this.#notify(watcher, newEvents, at.currentAsOf, at.provenCurrentAsOf);
+    if (this.#role === 'relay' && this.#relayed.takeRelayDue(newEvents.length > 0))
+      this.onRelayDue();
   }
 
   /** Applies a range that leaves no gap and returns its new events. */
--- a/src/direct/readers/watch-server.ts
+++ b/src/direct/readers/watch-server.ts
@@ -81,7 +81,8 @@
     if (confirmedAt === undefined || provenCurrentAsOf === undefined) return false;
     const range = history.changesSince(follower.sentRevision);
     const isRelayed =
-      range !== undefined && countCharacters(range.events) <= this.#maxCharacters(follower.followed);
+      range !== undefined &&
+      countCharacters(range.events) <= this.#maxCharacters(follower.followed);
     // An empty range that starts beyond the follower's revision tells it to read the gap from the store.
     const { revision } = history;
     const relayed = isRelayed ? range : { after: revision, revision, events: [] };
