--- a/src/peer/back-off.ts
+++ b/src/peer/backoff.ts
@@ -1,10 +1,10 @@
-/** Exponential back-off with jitter between attempts to reach a peer. */
+/** Exponential backoff with jitter between attempts to connect to a peer. */
 import type { Milliseconds } from '../core/units.js';
 
 const GROWTH = 2;
 
-/** When an address may be dialled again. */
-export class BackOff {
+/** Determines when an address may be dialled again. */
+export class Backoff {
   readonly #initialMs: Milliseconds;
   readonly #maxMs: Milliseconds;
   readonly #random: () => number;
@@ -18,20 +18,19 @@
     this.#ceilingMs = initialMs;
   }
 
-  /** Time still to wait before the next attempt, 0 if it may be made. */
+  /** Remaining delay before the next attempt; 0 if it may be made now. */
   remainingMs(now: Milliseconds): Milliseconds {
     return Math.max(0, this.#notBefore - now);
   }
 
-  /** An attempt failed. At least half of the ceiling passes before the next one. */
-  failed(now: Milliseconds): void {
+  /** Delays the next attempt by a random time between half of the ceiling and all of it. */
+  recordFailure(now: Milliseconds): void {
     const half = this.#ceilingMs / 2;
     this.#notBefore = now + half + half * this.#random();
     this.#ceilingMs = Math.min(this.#maxMs, this.#ceilingMs * GROWTH);
   }
 
-  /** An attempt succeeded. */
-  succeeded(): void {
+  recordSuccess(): void {
     this.#ceilingMs = this.#initialMs;
     this.#notBefore = 0;
   }
--- a/src/peer/codec.ts
+++ b/src/peer/codec.ts
@@ -1,6 +1,6 @@
 /**
- * The cbor-x codec of the internal protocol. Records and shared structures are off: with them a
- * decoder keeps state that a hostile or faulty peer could fill or bend.
+ * The cbor-x codec of the internal protocol. Records and shared structures are disabled: they make
+ * the decoder keep state that a hostile or faulty peer could exhaust or corrupt.
  */
 import { Encoder } from 'cbor-x';
 import type { WireValue } from './contract.js';
--- a/src/peer/counters.ts
+++ b/src/peer/counters.ts
@@ -1,21 +1,20 @@
 /** Counters of the peer transport, for metrics. */
 import type { PeerCounters } from './contract.js';
 
-/** What the links of a node have done, bytes included. */
+/** Counters of all TCP links of a node since its start. */
 export interface TcpPeerCounters extends PeerCounters {
-  /** Links refused in the handshake: wrong secret, wrong version, or too many at once. */
+  /** Links refused in the handshake: wrong secret, wrong version, or too many pending handshakes. */
   readonly handshakesRefused: number;
   readonly streamsOpened: number;
   readonly callsSent: number;
   readonly callsAnswered: number;
-  /** Socket writes, each with all frames of one event-loop turn. */
+  /** Socket writes; each sends all frames of one event-loop turn. */
   readonly socketWrites: number;
 }
 
-/** The same, to be counted up. */
+/** `TcpPeerCounters` with writable fields. */
 export type MutableCounters = { -readonly [Name in keyof TcpPeerCounters]: number };
 
-/** Counters at the start. */
 export function zeroCounters(): MutableCounters {
   return {
     linksOpened: 0,
--- a/src/peer/errors.ts
+++ b/src/peer/errors.ts
@@ -116,7 +116,7 @@
   readonly code = 'MS-PEER-IDLE';
 
   constructor() {
-    super('link closed after a time without use');
+    super('link closed because it was idle');
   }
 }
 
--- a/src/peer/frame-batch.ts
+++ b/src/peer/frame-batch.ts
@@ -1,28 +1,28 @@
 /**
  * Collects the frames of one event-loop turn for a single socket write. Small payloads are copied
- * behind their headers into a slab, large ones are handed on as they are.
+ * behind their headers into a slab; large ones are passed on by reference.
  */
 import { type FrameTypeCode, HEADER_BYTES, writeHeader } from './frame.js';
 
-/** The first slab after a rest: most links of a large fleet send a few frames and rest again. */
-const FIRST_SLAB_BYTES = 1024;
-/** Slabs double up to this while a link stays busy. */
-const LARGEST_SLAB_BYTES = 64 * 1024;
+/** First slab after an idle period: most links of a large fleet send a few frames and are idle again. */
+const INITIAL_SLAB_BYTES = 1024;
+/** Slabs double in size up to this while a link stays busy. */
+const MAX_SLAB_BYTES = 64 * 1024;
 const NO_SLAB = Buffer.alloc(0);
-/** Payloads from this size on are not copied: an extra write vector is cheaper than the copy. */
-const COPY_LIMIT_BYTES = 4 * 1024;
+/** Payloads of at least this size are not copied: an extra write vector is cheaper than the copy. */
+const NO_COPY_MIN_BYTES = 4 * 1024;
 
-/** Frames on their way to the socket. */
+/** Frames collected for the next socket write. */
 export class FrameBatch {
-  /** Memory that was not yet handed out; never written to again once handed out. */
+  /** Buffer for copied frames. The part that `take` has returned is never written to again. */
   #slab = NO_SLAB;
-  #nextSlabBytes = FIRST_SLAB_BYTES;
+  #nextSlabBytes = INITIAL_SLAB_BYTES;
   #sliceStart = 0;
   #sliceEnd = 0;
   #parts: Buffer[] = [];
   #bytes = 0;
 
-  /** Bytes collected and not yet taken. */
+  /** Bytes collected since the last `take`. */
   get bytes(): number {
     return this.#bytes;
   }
@@ -41,10 +41,10 @@
     this.#bytes += HEADER_BYTES;
   }
 
-  /** Adds a piece of payload. Large pieces are kept by reference and must not change any more. */
+  /** Adds a piece of payload. Large pieces are kept by reference and must not be modified afterwards. */
   addBytes(piece: Buffer): void {
     this.#bytes += piece.length;
-    if (piece.length >= COPY_LIMIT_BYTES) {
+    if (piece.length >= NO_COPY_MIN_BYTES) {
       this.#closeSlice();
       this.#parts.push(piece);
       return;
@@ -54,7 +54,7 @@
     this.#sliceEnd += piece.length;
   }
 
-  /** Hands over all parts in order and starts anew. */
+  /** Returns all parts in order and empties the batch. */
   take(): Buffer[] {
     this.#closeSlice();
     const parts = this.#parts;
@@ -63,16 +63,16 @@
     return parts;
   }
 
-  /** Gives the slab back while nothing is collected, so that an idle link holds no memory. */
+  /** Drops the slab if nothing is collected, so that an idle link holds no memory. */
   release(): void {
     if (this.#bytes > 0) return;
     this.#slab = NO_SLAB;
-    this.#nextSlabBytes = FIRST_SLAB_BYTES;
+    this.#nextSlabBytes = INITIAL_SLAB_BYTES;
     this.#sliceStart = 0;
     this.#sliceEnd = 0;
   }
 
-  /** Bytes of memory held for frames to come. */
+  /** Bytes of memory allocated for later frames. */
   get heldBytes(): number {
     return this.#slab.length;
   }
@@ -81,7 +81,7 @@
     if (this.#slab.length - this.#sliceEnd >= bytes) return;
     this.#closeSlice();
     this.#slab = Buffer.allocUnsafe(Math.max(this.#nextSlabBytes, bytes));
-    this.#nextSlabBytes = Math.min(this.#nextSlabBytes * 2, LARGEST_SLAB_BYTES);
+    this.#nextSlabBytes = Math.min(this.#nextSlabBytes * 2, MAX_SLAB_BYTES);
     this.#sliceStart = 0;
     this.#sliceEnd = 0;
   }
--- a/src/peer/frame.ts
+++ b/src/peer/frame.ts
@@ -10,11 +10,11 @@
  */
 import { PeerProtocolError } from './errors.js';
 
-/** What a frame holds. */
+/** Content of a frame. */
 export const FrameType = {
   /** Identity, version and nonce; the first frame each way. */
   HELLO: 1,
-  /** The dialler's answer to the acceptor's challenge. */
+  /** The dialler's response to the acceptor's challenge. */
   PROOF: 2,
   PING: 3,
   PONG: 4,
@@ -24,36 +24,36 @@
   DATA: 6,
   /** One cbor value of a stream, in order with its data. */
   MESSAGE: 7,
-  /** Returns credit: payload u32, bytes. */
+  /** Returns credit; the payload is the number of bytes as u32. */
   CREDIT: 8,
   /** Orderly end of a stream, both directions. */
   END: 9,
   /** Abrupt end of a stream; the payload is the reason. */
   ABORT: 10,
-  /** A question: `[method, body]`. */
+  /** A call: `[method, body]`. */
   CALL: 11,
-  /** Its answer. */
+  /** Response to a call. */
   RESULT: 12,
-  /** Its failure: `[code, reason]`. */
+  /** Error response to a call: `[code, reason]`. */
   CALL_ERROR: 13,
-  /** The accepting side stops: it takes no stream beyond the number in the header. */
+  /** The accepting side is stopping: it accepts no stream beyond the number in the header. */
   GOAWAY: 14,
 } as const;
 
-/** One byte of a frame that tells what it holds. */
+/** The type byte of a frame. */
 export type FrameTypeCode = (typeof FrameType)[keyof typeof FrameType];
 
-/** Length of the header of a frame. */
+/** Length of a frame header. */
 export const HEADER_BYTES = 11;
 const LENGTH_FIELD_BYTES = 4;
 const TYPE_OFFSET = 4;
 const STREAM_HIGH_OFFSET = 5;
 const STREAM_LOW_OFFSET = 7;
-const LOW_32_BITS = 0x1_0000_0000;
+const TWO_POW_32 = 0x1_0000_0000;
 
-/** Greatest payload of a DATA frame: what one stream may put between two turns of the others. */
+/** Maximum payload of a DATA frame: how much one stream may send before the other streams' turns. */
 export const MAX_DATA_PAYLOAD_BYTES = 32 * 1024;
-/** Greatest payload of the frames of the handshake, sent before anything is proven. */
+/** Maximum payload of handshake frames, which come from a peer that is not authenticated yet. */
 export const MAX_HANDSHAKE_PAYLOAD_BYTES = 1024;
 const CREDIT_PAYLOAD_BYTES = 4;
 
@@ -69,11 +69,11 @@
 ): void {
   target.writeUInt32BE(HEADER_BYTES - LENGTH_FIELD_BYTES + payloadBytes, offset);
   target[offset + TYPE_OFFSET] = type;
-  target.writeUInt16BE(Math.floor(stream / LOW_32_BITS), offset + STREAM_HIGH_OFFSET);
-  target.writeUInt32BE(stream % LOW_32_BITS, offset + STREAM_LOW_OFFSET);
+  target.writeUInt16BE(Math.floor(stream / TWO_POW_32), offset + STREAM_HIGH_OFFSET);
+  target.writeUInt32BE(stream % TWO_POW_32, offset + STREAM_LOW_OFFSET);
 }
 
-/** One whole frame, for the few that are not written through a batch, and for tests. */
+/** Encodes one whole frame: for handshake frames, which bypass the batch, and for tests. */
 export function encodeFrame(type: FrameTypeCode, stream: number, payload: Buffer): Buffer {
   const frame = Buffer.allocUnsafe(HEADER_BYTES + payload.length);
   writeHeader(frame, 0, type, stream, payload.length);
@@ -81,18 +81,18 @@
   return frame;
 }
 
-/** Receives each whole frame. The payload may share memory with the chunk that it arrived in. */
+/** Called with each whole frame. The payload may share memory with the chunk that it arrived in. */
 export type FrameHandler = (type: FrameTypeCode, stream: number, payload: Buffer) => void;
 
 /**
- * Cuts a byte stream into frames, whatever the chunks. Frames that lie whole in a chunk are handed
- * on without copying; a frame that spans chunks is copied once.
+ * Splits a byte stream, received in chunks of any size, into frames. A frame that lies whole in a
+ * chunk is passed on without copying; a frame that spans chunks is copied once.
  */
 export class FrameDecoder {
   readonly #onFrame: FrameHandler;
   #maxPayloadBytes: number;
   readonly #header = Buffer.alloc(HEADER_BYTES);
-  /** The frame being put together from several chunks; undefined between frames. */
+  /** The frame being assembled from several chunks; undefined between frames. */
   #partial: Buffer | undefined;
   #filledBytes = 0;
 
@@ -101,21 +101,21 @@
     this.#maxPayloadBytes = maxPayloadBytes;
   }
 
-  /** Raises the limit once the handshake is over. Takes effect from the next frame on. */
+  /** Sets the limit that applies after the handshake. Takes effect with the next frame. */
   setMaxPayloadBytes(maxPayloadBytes: number): void {
     this.#maxPayloadBytes = maxPayloadBytes;
   }
 
-  /** True if the bytes so far end inside a frame: the stream was truncated if it ends here. */
-  get insideFrame(): boolean {
+  /** True if the bytes received so far end inside a frame: if the connection ends here, it was truncated. */
+  get isInsideFrame(): boolean {
     return this.#partial !== undefined;
   }
 
-  /** Takes the next bytes. Throws PeerProtocolError if they can't be frames. */
+  /** Processes the next bytes. Throws PeerProtocolError if they can't be frames. */
   push(chunk: Buffer): void {
     let offset = 0;
     while (this.#partial !== undefined && offset < chunk.length) {
-      offset = this.#fill(this.#partial, chunk, offset);
+      offset = this.#fillPartial(this.#partial, chunk, offset);
     }
     while (chunk.length - offset >= HEADER_BYTES) {
       const frameBytes = this.#frameBytesAt(chunk, offset);
@@ -123,40 +123,40 @@
       this.#emit(chunk.subarray(offset, offset + frameBytes));
       offset += frameBytes;
     }
-    if (offset < chunk.length) this.#begin(chunk, offset);
+    if (offset < chunk.length) this.#startPartialFrame(chunk, offset);
   }
 
-  /** Keeps the first bytes of a frame that is not whole yet. */
-  #begin(chunk: Buffer, offset: number): void {
+  /** Stores the first bytes of an incomplete frame. */
+  #startPartialFrame(chunk: Buffer, offset: number): void {
     this.#partial = this.#header;
     this.#filledBytes = 0;
     let position = offset;
-    while (position < chunk.length) position = this.#fill(this.#partial, chunk, position);
+    while (position < chunk.length) position = this.#fillPartial(this.#partial, chunk, position);
   }
 
-  /** Copies what is missing and handles the header or the frame when it is whole. */
-  #fill(partial: Buffer, chunk: Buffer, offset: number): number {
+  /** Copies the missing bytes, and handles the header or the frame once it is complete. */
+  #fillPartial(partial: Buffer, chunk: Buffer, offset: number): number {
     const copied = chunk.copy(partial, this.#filledBytes, offset);
     this.#filledBytes += copied;
-    if (this.#filledBytes === partial.length) this.#advance(partial);
+    if (this.#filledBytes === partial.length) this.#handleFilled(partial);
     return offset + copied;
   }
 
-  #advance(partial: Buffer): void {
+  #handleFilled(partial: Buffer): void {
     if (partial !== this.#header) {
-      this.#finish(partial);
+      this.#finishFrame(partial);
       return;
     }
     const frameBytes = this.#frameBytesAt(partial, 0);
     if (frameBytes === HEADER_BYTES) {
-      this.#finish(Buffer.from(partial));
+      this.#finishFrame(Buffer.from(partial));
       return;
     }
     this.#partial = Buffer.allocUnsafe(frameBytes);
     partial.copy(this.#partial);
   }
 
-  #finish(frame: Buffer): void {
+  #finishFrame(frame: Buffer): void {
     this.#partial = undefined;
     this.#filledBytes = 0;
     this.#emit(frame);
@@ -165,7 +165,7 @@
   #emit(frame: Buffer): void {
     const type = (frame[TYPE_OFFSET] ?? 0) as FrameTypeCode;
     const high = frame.readUInt16BE(STREAM_HIGH_OFFSET);
-    const stream = high * LOW_32_BITS + frame.readUInt32BE(STREAM_LOW_OFFSET);
+    const stream = high * TWO_POW_32 + frame.readUInt32BE(STREAM_LOW_OFFSET);
     this.#onFrame(type, stream, frame.subarray(HEADER_BYTES));
   }
 
@@ -175,13 +175,13 @@
     const type = source[offset + TYPE_OFFSET] ?? 0;
     if (payloadBytes < 0) throw new PeerProtocolError('frame shorter than its header');
     if (!KNOWN_TYPES.has(type)) throw new PeerProtocolError(`unknown frame type ${type}`);
-    if (payloadBytes > this.#limitOf(type)) {
+    if (payloadBytes > this.#maxPayloadOf(type)) {
       throw new PeerProtocolError(`frame of type ${type} too large: ${payloadBytes} bytes`);
     }
     return HEADER_BYTES + payloadBytes;
   }
 
-  #limitOf(type: number): number {
+  #maxPayloadOf(type: number): number {
     if (type === FrameType.DATA) return Math.min(MAX_DATA_PAYLOAD_BYTES, this.#maxPayloadBytes);
     if (type === FrameType.CREDIT) return CREDIT_PAYLOAD_BYTES;
     return this.#maxPayloadBytes;
--- a/src/peer/handshake.ts
+++ b/src/peer/handshake.ts
@@ -1,14 +1,14 @@
 /**
- * Handshake of a peer link: both sides tell who they are, and prove that they know the cluster
- * secret by a MAC over both nonces and both identities. The roles are part of the MAC, so that a
- * proof can't be reflected. Without a secret the proofs are empty.
+ * Handshake of a peer link: both sides send their identity and prove that they know the cluster
+ * secret by a MAC over both nonces and both identities. The role is part of the MAC, so that a
+ * proof can't be reflected to its sender. Without a secret the proofs are empty.
  *
  *     dialler              acceptor
  *     HELLO nonce      ->
  *                      <-  HELLO nonce, proof
  *     PROOF            ->
  *
- * The dialler may send its first frames right behind PROOF.
+ * The dialler may send its first frames directly after PROOF.
  */
 import { createHmac, randomBytes, timingSafeEqual } from 'node:crypto';
 import { decodeValue, encodeValue } from './codec.js';
@@ -20,19 +20,21 @@
   type FrameTypeCode,
   MAX_HANDSHAKE_PAYLOAD_BYTES,
 } from './frame.js';
-import { type Hello, helloForm, NONCE_BYTES } from './message-forms.js';
+import { type Hello, NONCE_BYTES, parseHello } from './link-messages.js';
 
 const PROTOCOL_NAME = 'meadowstack-peer';
-/** Version of the frames and of the handshake; both sides must have the same. */
+/** Version of the frames and the handshake; both sides must use the same one. */
 export const PROTOCOL_VERSION = 1;
 const NO_PROOF = Buffer.alloc(0);
 
-/** Who opened the connection. */
+/** Whether this side opened the connection or accepted it. */
 export type HandshakeRole = 'dialler' | 'acceptor';
 
-/** What to do after a frame of the handshake: send this, and go on if the identity is proven. */
+/** What to do after a received handshake frame. */
 export interface HandshakeStep {
+  /** Frame to send. */
   readonly send: Buffer | undefined;
+  /** Identity of the other side once it is proven: the handshake is complete. */
   readonly identity: NodeIdentity | undefined;
 }
 
@@ -50,37 +52,40 @@
     this.#secret = secret;
   }
 
-  /** The frame that the dialler begins with. */
+  /** Returns the dialler's first frame. */
   start(): Buffer {
-    return this.#hello(NO_PROOF);
+    return this.#encodeHello(NO_PROOF);
   }
 
-  /** Takes the next frame; throws PeerProtocolError or PeerHandshakeError. */
+  /** Processes the next frame; throws PeerProtocolError or PeerHandshakeError. */
   receive(type: FrameTypeCode, payload: Buffer): HandshakeStep {
     if (type === FrameType.HELLO && this.#remote === undefined) return this.#onHello(payload);
-    const awaitsProof = this.#role === 'acceptor' && this.#remote !== undefined;
-    if (type === FrameType.PROOF && awaitsProof) return this.#onProof(payload);
-    throw new PeerProtocolError(`frame of type ${type} within the handshake`);
+    const isAwaitingProof = this.#role === 'acceptor' && this.#remote !== undefined;
+    if (type === FrameType.PROOF && isAwaitingProof) return this.#onProof(payload);
+    throw new PeerProtocolError(`unexpected frame of type ${type} during the handshake`);
   }
 
   #onHello(payload: Buffer): HandshakeStep {
-    const remote = parseHello(payload);
+    const remote = decodeHello(payload);
     this.#remote = remote;
     if (this.#role === 'acceptor') {
-      return { send: this.#hello(this.#proofOf('acceptor', remote)), identity: undefined };
+      return {
+        send: this.#encodeHello(this.#computeProof('acceptor', remote)),
+        identity: undefined,
+      };
     }
-    this.#check(remote.proof, this.#proofOf('acceptor', remote));
-    const proof = this.#proofOf('dialler', remote);
+    this.#verifyProof(remote.proof, this.#computeProof('acceptor', remote));
+    const proof = this.#computeProof('dialler', remote);
     return { send: encodeFrame(FrameType.PROOF, 0, proof), identity: identityOf(remote) };
   }
 
   #onProof(proof: Buffer): HandshakeStep {
     const remote = this.#remote as Hello;
-    this.#check(proof, this.#proofOf('dialler', remote));
+    this.#verifyProof(proof, this.#computeProof('dialler', remote));
     return { send: undefined, identity: identityOf(remote) };
   }
 
-  #hello(proof: Buffer): Buffer {
+  #encodeHello(proof: Buffer): Buffer {
     const hello: Hello = {
       protocol: PROTOCOL_NAME,
       version: PROTOCOL_VERSION,
@@ -92,8 +97,8 @@
     return encodeFrame(FrameType.HELLO, 0, encodeValue(hello, MAX_HANDSHAKE_PAYLOAD_BYTES));
   }
 
-  /** MAC of the side in `role` over what both sides said. */
-  #proofOf(role: HandshakeRole, remote: Hello): Buffer {
+  /** MAC of the side in `role` over the nonces and identities of both sides. */
+  #computeProof(role: HandshakeRole, remote: Hello): Buffer {
     if (this.#secret === undefined) return NO_PROOF;
     const local = { identity: this.#identity, nonce: this.#nonce };
     const other = { identity: identityOf(remote), nonce: remote.nonce };
@@ -102,18 +107,18 @@
     mac.update(`${PROTOCOL_NAME} ${PROTOCOL_VERSION} ${role} `);
     mac.update(dialler.nonce);
     mac.update(acceptor.nonce);
-    mac.update(JSON.stringify([describe(dialler.identity), describe(acceptor.identity)]));
+    mac.update(JSON.stringify([toMacFields(dialler.identity), toMacFields(acceptor.identity)]));
     return mac.digest();
   }
 
-  #check(received: Uint8Array, expected: Buffer): void {
+  #verifyProof(received: Uint8Array, expected: Buffer): void {
     if (received.length === expected.length && timingSafeEqual(received, expected)) return;
     throw new PeerHandshakeError('the other side did not prove the cluster secret');
   }
 }
 
-function parseHello(payload: Buffer): Hello {
-  const hello = helloForm(decodeValue(payload));
+function decodeHello(payload: Buffer): Hello {
+  const hello = parseHello(decodeValue(payload));
   if (hello?.protocol !== PROTOCOL_NAME) throw new PeerProtocolError('malformed hello');
   if (hello.version !== PROTOCOL_VERSION) {
     throw new PeerHandshakeError(`protocol version ${hello.version} is not supported`);
@@ -125,6 +130,6 @@
   return { nodeId: hello.nodeId, incarnation: hello.incarnation };
 }
 
-function describe(identity: NodeIdentity): [string, number] {
+function toMacFields(identity: NodeIdentity): [string, number] {
   return [identity.nodeId, identity.incarnation];
 }
--- a/src/peer/link-calls.ts
+++ b/src/peer/link-calls.ts
@@ -1,4 +1,4 @@
-/** Calls under way on one link: questions asked by this side, and those of the other side. */
+/** Pending calls on one link: those sent by this side, and those received from the other side. */
 import { err, ok, type Result, ResultAsync } from 'neverthrow';
 import { MeadowstackError } from '../core/errors.js';
 import { decodeValue, encodeValue } from './codec.js';
@@ -12,7 +12,7 @@
   PeerProtocolError,
 } from './errors.js';
 import { FrameType, type FrameTypeCode } from './frame.js';
-import { callErrorForm, callForm } from './message-forms.js';
+import { parseCall, parseCallError } from './link-messages.js';
 import type { PeerLinkLimits } from './options.js';
 
 const MAX_REASON_LENGTH = 200;
@@ -25,10 +25,10 @@
   readonly method: string;
   readonly settle: (result: CallResult) => void;
   readonly timer: NodeJS.Timeout;
-  written: boolean;
+  anyBytesWritten: boolean;
 }
 
-/** Adds a frame to what the link sends in this event-loop turn. */
+/** Adds a frame to those that the link sends in this event-loop turn. */
 export type AddFrame = (type: FrameTypeCode, stream: number, payload: Buffer) => void;
 
 /** The calls of one link. */
@@ -39,7 +39,7 @@
   readonly #counters: MutableCounters;
   readonly #pending = new Map<number, PendingCall>();
   #unflushed: PendingCall[] = [];
-  #answering = 0;
+  #inProgress = 0;
   #closed = false;
 
   constructor(
@@ -54,12 +54,12 @@
     this.#counters = counters;
   }
 
-  /** Calls under way in either direction. */
+  /** Number of pending calls in both directions. */
   get size(): number {
-    return this.#pending.size + this.#answering;
+    return this.#pending.size + this.#inProgress;
   }
 
-  /** Asks the other side; `number` must be fresh on this link. */
+  /** Calls a method of the other side; `number` must not have been used on this link before. */
   call(
     number: number,
     method: string,
@@ -74,40 +74,41 @@
     return new ResultAsync(settled);
   }
 
-  /** What was added before has been handed to the socket. */
-  flushed(): void {
+  /** Records that all frames added so far were written to the socket. */
+  markFlushed(): void {
     if (this.#unflushed.length === 0) return;
-    for (const call of this.#unflushed) call.written = true;
+    for (const call of this.#unflushed) call.anyBytesWritten = true;
     this.#unflushed = [];
   }
 
-  /** Handles an answer; false if no call waits for it. */
-  receiveAnswer(type: FrameTypeCode, number: number, payload: Buffer): boolean {
+  /** Handles a response; returns false if no call waits for it. */
+  receiveResponse(type: FrameTypeCode, number: number, payload: Buffer): boolean {
     const call = this.#pending.get(number);
     if (call === undefined) return false;
-    const result = type === FrameType.RESULT ? ok(decodeValue(payload)) : failure(call, payload);
+    const result =
+      type === FrameType.RESULT ? ok(decodeValue(payload)) : toCallFailure(call, payload);
     this.#settle(number, call, result);
     return true;
   }
 
-  /** Handles a question of the other side. */
+  /** Handles a call from the other side. */
   receiveCall(number: number, payload: Buffer, from: NodeIdentity): void {
-    const asked = callForm(decodeValue(payload));
-    if (asked === undefined) throw new PeerProtocolError('malformed call');
-    const { method, body } = asked;
-    if (this.#answering >= this.#limits.maxCallsPerLink) {
-      this.#answerError(number, BUSY_ERROR_CODE, 'too many calls at once');
+    const call = parseCall(decodeValue(payload));
+    if (call === undefined) throw new PeerProtocolError('malformed call');
+    const { method, body } = call;
+    if (this.#inProgress >= this.#limits.maxCallsPerLink) {
+      this.#respondWithError(number, BUSY_ERROR_CODE, 'too many calls at once');
       return;
     }
-    this.#answering += 1;
-    void this.#answer(number, method, body, from);
+    this.#inProgress += 1;
+    void this.#handleCall(number, method, body, from);
   }
 
-  /** The link is gone: every call ends. */
+  /** Ends every pending call with an error, since the link was closed. */
   close(peer: string, reason: string): void {
     this.#closed = true;
     for (const [number, call] of [...this.#pending]) {
-      this.#settle(number, call, err(new PeerLinkLostError(peer, call.written, reason)));
+      this.#settle(number, call, err(new PeerLinkLostError(peer, call.anyBytesWritten, reason)));
     }
   }
 
@@ -119,7 +120,7 @@
     settle: (result: CallResult) => void,
   ): void {
     const timer = setTimeout(() => this.#timeOut(number, timeoutMs), timeoutMs);
-    const call: PendingCall = { method, settle, timer, written: false };
+    const call: PendingCall = { method, settle, timer, anyBytesWritten: false };
     this.#pending.set(number, call);
     this.#unflushed.push(call);
     this.#counters.callsSent += 1;
@@ -129,7 +130,11 @@
   #timeOut(number: number, timeoutMs: number): void {
     const call = this.#pending.get(number);
     if (call === undefined) return;
-    this.#settle(number, call, err(new PeerCallTimeoutError(call.method, timeoutMs, call.written)));
+    this.#settle(
+      number,
+      call,
+      err(new PeerCallTimeoutError(call.method, timeoutMs, call.anyBytesWritten)),
+    );
   }
 
   #settle(number: number, call: PendingCall, result: CallResult): void {
@@ -138,7 +143,7 @@
     call.settle(result);
   }
 
-  async #answer(
+  async #handleCall(
     number: number,
     method: string,
     body: WireValue,
@@ -147,23 +152,24 @@
     try {
       const value = await this.#handlers.onCall(method, body, from);
       const payload = this.#encode(value);
-      if (payload.isErr()) this.#answerError(number, payload.error.code, payload.error.message);
-      else this.#answerWith(FrameType.RESULT, number, payload.value);
+      if (payload.isErr())
+        this.#respondWithError(number, payload.error.code, payload.error.message);
+      else this.#respond(FrameType.RESULT, number, payload.value);
     } catch (error) {
       const code = error instanceof MeadowstackError ? error.code : INTERNAL_ERROR_CODE;
-      this.#answerError(number, code, error instanceof Error ? error.message : '');
+      this.#respondWithError(number, code, error instanceof Error ? error.message : '');
     } finally {
-      this.#answering -= 1;
+      this.#inProgress -= 1;
     }
   }
 
-  #answerError(number: number, code: string, reason: string): void {
+  #respondWithError(number: number, code: string, reason: string): void {
     const shortened = reason.slice(0, MAX_REASON_LENGTH);
     const payload = encodeValue([code, shortened], this.#limits.maxMessageBytes);
-    this.#answerWith(FrameType.CALL_ERROR, number, payload);
+    this.#respond(FrameType.CALL_ERROR, number, payload);
   }
 
-  #answerWith(type: FrameTypeCode, number: number, payload: Buffer): void {
+  #respond(type: FrameTypeCode, number: number, payload: Buffer): void {
     if (this.#closed) return;
     this.#counters.callsAnswered += 1;
     this.#addFrame(type, number, payload);
@@ -179,8 +185,8 @@
   }
 }
 
-function failure(call: PendingCall, payload: Buffer): CallResult {
-  const failed = callErrorForm(decodeValue(payload));
+function toCallFailure(call: PendingCall, payload: Buffer): CallResult {
+  const failed = parseCallError(decodeValue(payload));
   if (failed === undefined) throw new PeerProtocolError('malformed call error');
   return err(new PeerCallFailedError(call.method, failed.code, failed.reason));
 }
--- a/src/peer/link-heartbeat.ts
+++ b/src/peer/link-heartbeat.ts
@@ -1,6 +1,7 @@
 /**
- * Counts a link's intervals without a word and without use. Intervals are counted, not milliseconds,
- * so that a process that was paused does not take its own silence for the peer's.
+ * Counts the heartbeat intervals in which a link received nothing, and those in which it was idle.
+ * It counts intervals, not milliseconds, so that a process that was paused doesn't mistake its own
+ * pause for silence of the peer.
  */
 import type { PeerLinkLimits } from './options.js';
 
@@ -19,24 +20,24 @@
     >,
   ) {}
 
-  /** Something came from the other side. */
-  heard(): void {
+  /** Records that bytes arrived from the other side. */
+  recordReceived(): void {
     this.#silentIntervals = 0;
   }
 
-  /** An interval is over; `inUse` if streams or calls are open on the link. */
-  intervalOver(inUse: boolean): HeartbeatAction {
-    return inUse ? this.#usedInterval() : this.#idleInterval();
+  /** Ends an interval and returns what to do. `inUse`: streams or calls are open on the link. */
+  endInterval(inUse: boolean): HeartbeatAction {
+    return inUse ? this.#endUsedInterval() : this.#endIdleInterval();
   }
 
-  #usedInterval(): HeartbeatAction {
+  #endUsedInterval(): HeartbeatAction {
     this.#idleIntervals = 0;
     if (this.#silentIntervals >= this.limits.maxMissedHeartbeats) return 'close-silent';
     this.#silentIntervals += 1;
     return 'send-ping';
   }
 
-  #idleInterval(): HeartbeatAction {
+  #endIdleInterval(): HeartbeatAction {
     this.#silentIntervals = 0;
     this.#idleIntervals += 1;
     const idleMs = this.#idleIntervals * this.limits.heartbeatPeriodMs;
--- a/src/peer/link-writer.ts
+++ b/src/peer/link-writer.ts
@@ -1,7 +1,7 @@
 /**
- * The sending half of a link: collects the frames of one event-loop turn, gives each stream with
- * pending data its turn, and writes them to the socket at once. While the socket's buffer is full
- * streams wait; the small frames of the link itself do not.
+ * The sending half of a link: collects the frames of one event-loop turn, lets the streams with
+ * pending data add theirs in turn, and writes all of them to the socket together. While the socket's
+ * buffer is full, streams wait; the small frames of the link itself don't.
  */
 import type { Socket } from 'node:net';
 import type { MutableCounters } from './counters.js';
@@ -11,17 +11,17 @@
 
 const CREDIT_BYTES = 4;
 
-/** Writes what a link sends. */
+/** Writes the frames of one link. */
 export class LinkWriter {
   readonly #socket: Socket;
   readonly #counters: MutableCounters;
   readonly #socketBufferBytes: number;
   readonly #batch = new FrameBatch();
-  /** Streams with something to send, in the order of their turns. */
+  /** Streams with pending data, in the order of their turns. */
   readonly #scheduled = new Set<LinkStream>();
   #flushScheduled = false;
   #started = false;
-  /** Called after a flush, so that calls know that they have left. */
+  /** Called after a flush, so that pending calls are marked as written. */
   onFlushed: (() => void) | undefined;
 
   constructor(socket: Socket, counters: MutableCounters, socketBufferBytes: number) {
@@ -31,13 +31,13 @@
     socket.on('drain', () => this.#flush());
   }
 
-  /** The handshake is over: what was collected may leave. */
+  /** Starts writing the collected frames; to be called once the handshake is complete. */
   start(): void {
     this.#started = true;
     this.#scheduleFlush();
   }
 
-  /** Writes a frame of the handshake at once. */
+  /** Writes a handshake frame at once, bypassing the batch. */
   writeNow(frame: Buffer): void {
     this.#counters.bytesSent += frame.length;
     this.#socket.write(frame);
@@ -48,7 +48,7 @@
     this.#scheduleFlush();
   }
 
-  addNumberFrame(type: FrameTypeCode, stream: number, value: number): void {
+  addUint32Frame(type: FrameTypeCode, stream: number, value: number): void {
     const payload = Buffer.allocUnsafe(CREDIT_BYTES);
     payload.writeUInt32BE(value);
     this.addFrame(type, stream, payload);
@@ -63,7 +63,7 @@
     this.#scheduled.delete(stream);
   }
 
-  /** Gives up memory that an idle link doesn't need. */
+  /** Releases memory that an idle link doesn't need. */
   releaseMemory(): void {
     this.#batch.release();
   }
@@ -85,18 +85,18 @@
 
   #flush(): void {
     if (!this.#started) return;
-    this.#giveTurns();
+    this.#runTurns();
     const parts = this.#batch.take();
     if (parts.length > 0) this.#writeParts(parts);
     const waitsForDrain = this.#socket.writableNeedDrain;
     if (this.#scheduled.size > 0 && !waitsForDrain) this.#scheduleFlush();
   }
 
-  /** Round robin: a stream that wants another turn goes to the end of the set. */
-  #giveTurns(): void {
-    const room = this.#socketBufferBytes - this.#socket.writableLength;
+  /** Round robin: a stream that needs another turn goes to the end of the set. */
+  #runTurns(): void {
+    const freeBytes = this.#socketBufferBytes - this.#socket.writableLength;
     for (const stream of this.#scheduled) {
-      if (this.#batch.bytes >= room) return;
+      if (this.#batch.bytes >= freeBytes) return;
       this.#scheduled.delete(stream);
       if (stream.takeTurn(this.#batch)) this.#scheduled.add(stream);
     }
--- a/src/peer/link.ts
+++ b/src/peer/link.ts
@@ -1,6 +1,7 @@
 /**
- * One link: a TCP connection, its handshake, and what runs over it. Only the dialling side opens
- * streams and calls; the accepting side answers. Anything malformed closes this link and no other.
+ * One link: a TCP connection, its handshake, and its streams and calls. Only the dialling side opens
+ * streams and sends calls; the accepting side responds. A malformed frame closes only the link that
+ * it arrived on.
  */
 import type { Socket } from 'node:net';
 import type { ResultAsync } from 'neverthrow';
@@ -32,7 +33,7 @@
 const MAX_ABORT_REASON_LENGTH = 200;
 const CREDIT_PAYLOAD_BYTES = 4;
 
-/** Everything a link is made of. */
+/** Dependencies and callbacks of a link. */
 export interface PeerLinkParts {
   readonly linkNumber: number;
   readonly role: HandshakeRole;
@@ -45,15 +46,14 @@
   readonly counters: MutableCounters;
   /** The handshake succeeded. */
   onReady(link: PeerLink, remote: NodeIdentity): void;
-  /** The other side takes no new streams; those that it has accepted go on. */
-  onLeaving(link: PeerLink): void;
+  /** The other side accepts no new streams; those that it has accepted continue. */
+  onGoAway(link: PeerLink): void;
   /** Called once, whether or not the link was ever ready. */
   onClosed(link: PeerLink, error: MeadowstackError): void;
 }
 
 type LinkState = 'handshake' | 'ready' | 'closed';
 
-/** One link. */
 export class PeerLink implements StreamLink {
   readonly linkNumber: number;
   readonly role: HandshakeRole;
@@ -71,11 +71,11 @@
   readonly #handshakeTimer: NodeJS.Timeout;
   #state: LinkState = 'handshake';
   #remote: NodeIdentity | undefined;
-  /** The accepting side is stopping: no stream is opened any more. */
-  #leaving = false;
+  /** The accepting side is stopping: no more streams are opened. */
+  #isGoingAway = false;
   /**
-   * Streams and calls are numbered apart, each only upwards: calls leave ahead of streams that were
-   * opened before them.
+   * Streams and calls have separate, rising numbers, because a call may be sent before a stream that
+   * was opened earlier.
    */
   #lastStreamNumber = 0;
   #lastCallNumber = 0;
@@ -98,7 +98,7 @@
       this.#writer.addFrame(type, stream, payload);
     this.#calls = new LinkCalls(addFrame, parts.handlers, parts.limits, parts.counters);
     this.#heartbeat = new LinkHeartbeat(parts.limits);
-    this.#writer.onFlushed = () => this.#calls.flushed();
+    this.#writer.onFlushed = () => this.#calls.markFlushed();
     this.#handshakeTimer = setTimeout(
       () => this.close(new PeerHandshakeError('handshake timed out')),
       parts.limits.handshakeTimeoutMs,
@@ -114,7 +114,7 @@
     return this.#state === 'closed';
   }
 
-  /** Opens a stream; only on a dialled link. May be used before the handshake is over. */
+  /** Opens a stream; only on a dialled link. May be called before the handshake is complete. */
   openStream(header: Buffer): LinkStream {
     const stream = new LinkStream(this, this.#nextStreamNumber(), false);
     this.#streams.set(stream.number, stream);
@@ -123,7 +123,7 @@
     return stream;
   }
 
-  /** Asks the other side; only on a dialled link. */
+  /** Calls a method of the other side; only on a dialled link. */
   call(
     method: string,
     body: WireValue,
@@ -133,15 +133,16 @@
   }
 
   /**
-   * Planned stop of the accepting side: tells which streams it has accepted. Those that are on their
-   * way are thereby proven not to have been acted on. The other side closes the link.
+   * Starts the graceful shutdown of the accepting side: sends the number of the last stream that it
+   * accepted. Streams still in transit are thereby proven not to have been acted on. The other side
+   * closes the link.
    */
-  leave(): void {
-    this.#leaving = true;
+  sendGoAway(): void {
+    this.#isGoingAway = true;
     this.#writer.addFrame(FrameType.GOAWAY, this.#lastStreamNumber, EMPTY);
   }
 
-  /** Closes the link at once; its streams and calls end with an error. */
+  /** Closes the link immediately; its streams and calls end with an error. */
   close(error: MeadowstackError): void {
     if (this.#state === 'closed') return;
     const wasReady = this.#state === 'ready';
@@ -154,7 +155,7 @@
     const streams = [...this.#streams.values()];
     this.#streams.clear();
     for (const stream of streams) {
-      if (wasReady) stream.linkLost(error.message);
+      if (wasReady) stream.handleLinkLost(error.message);
       else stream.fail(new PeerUnreachableError(this.peerName, error.message, { cause: error }));
     }
   }
@@ -163,7 +164,7 @@
   onHeartbeat(): void {
     if (this.#state !== 'ready') return;
     const inUse = this.#streams.size + this.#calls.size > 0;
-    const action = this.#heartbeat.intervalOver(inUse);
+    const action = this.#heartbeat.endInterval(inUse);
     if (!inUse) this.#writer.releaseMemory();
     if (action === 'send-ping') this.#writer.addFrame(FrameType.PING, 0, EMPTY);
     else if (action === 'close-silent') this.close(new PeerProtocolError('no heartbeat'));
@@ -177,7 +178,7 @@
   }
 
   sendCredit(stream: number, bytes: number): void {
-    this.#writer.addNumberFrame(FrameType.CREDIT, stream, bytes);
+    this.#writer.addUint32Frame(FrameType.CREDIT, stream, bytes);
   }
 
   sendAbort(stream: number, reason: string): void {
@@ -186,10 +187,10 @@
     this.#writer.addFrame(FrameType.ABORT, stream, payload);
   }
 
-  forgetStream(stream: LinkStream): void {
+  removeStream(stream: LinkStream): void {
     this.#streams.delete(stream.number);
     this.#writer.unschedule(stream);
-    this.#closeIfLeft();
+    this.#closeIfDrained();
   }
 
   #nextStreamNumber(): number {
@@ -215,13 +216,13 @@
 
   #onSocketClosed(): void {
     if (this.#state === 'closed') return;
-    if (this.#decoder.insideFrame) this.#counters.framesMalformed += 1;
+    if (this.#decoder.isInsideFrame) this.#counters.framesMalformed += 1;
     this.close(connectionError('connection closed by the other side'));
   }
 
   #onChunk(chunk: Buffer): void {
     this.#counters.bytesReceived += chunk.length;
-    this.#heartbeat.heard();
+    this.#heartbeat.recordReceived();
     try {
       this.#decoder.push(chunk);
     } catch (error) {
@@ -229,7 +230,7 @@
     }
   }
 
-  /** Only what the other side did wrong closes the link quietly; our own faults are not hidden. */
+  /** Only violations by the other side close the link; errors of this program are thrown on. */
   #onReceiveError(error: unknown): void {
     if (error instanceof PeerProtocolError) this.#counters.framesMalformed += 1;
     else if (error instanceof PeerHandshakeError) this.#counters.handshakesRefused += 1;
@@ -270,25 +271,25 @@
         return;
       case FrameType.RESULT:
       case FrameType.CALL_ERROR:
-        this.#countDropped(this.#calls.receiveAnswer(type, number, payload));
-        this.#closeIfLeft();
+        this.#countDropped(this.#calls.receiveResponse(type, number, payload));
+        this.#closeIfDrained();
         return;
       case FrameType.GOAWAY:
         this.#onGoAway(number);
         return;
       case FrameType.HELLO:
       case FrameType.PROOF:
-        throw new PeerProtocolError('frame of the handshake after its end');
+        throw new PeerProtocolError('handshake frame after the handshake');
       default:
         this.#onStreamFrame(type, number, payload);
     }
   }
 
-  /** A number may only grow: one that was seen before is a fault of the other side. */
+  /** Numbers must rise: one that was used before is a protocol violation by the other side. */
   #onOpening(type: FrameTypeCode, number: number, payload: Buffer): void {
     const from = this.#remote;
     if (this.role === 'dialler' || from === undefined) {
-      throw new PeerProtocolError('the accepting side opens nothing');
+      throw new PeerProtocolError('only the dialling side opens streams and calls');
     }
     if (type === FrameType.CALL) {
       if (number <= this.#lastCallNumber) throw new PeerProtocolError('call number used twice');
@@ -296,7 +297,7 @@
       this.#calls.receiveCall(number, payload, from);
       return;
     }
-    if (this.#leaving) {
+    if (this.#isGoingAway) {
       this.#counters.framesDropped += 1;
       return;
     }
@@ -305,22 +306,24 @@
     this.#acceptStream(number, decodeValue(payload), from);
   }
 
-  /** Streams that the other side has not accepted were not acted on, though they were written. */
+  /** Streams that the other side has not accepted were not acted on, although bytes were written. */
   #onGoAway(lastAccepted: number): void {
-    if (this.role === 'acceptor') throw new PeerProtocolError('only the accepting side leaves');
-    this.#leaving = true;
-    this.#parts.onLeaving(this);
+    if (this.role === 'acceptor')
+      throw new PeerProtocolError('only the accepting side sends GOAWAY');
+    this.#isGoingAway = true;
+    this.#parts.onGoAway(this);
     for (const stream of [...this.#streams.values()]) {
       if (stream.number <= lastAccepted) continue;
       stream.fail(new PeerUnreachableError(this.peerName, 'the other side is stopping'));
     }
-    this.#closeIfLeft();
+    this.#closeIfDrained();
   }
 
-  /** The dialling side closes a link that the other side leaves, once nothing runs over it. */
-  #closeIfLeft(): void {
-    const isOver = this.#streams.size + this.#calls.size === 0;
-    if (this.#leaving && this.role === 'dialler' && isOver) this.close(new PeerLinkIdleError());
+  /** On the dialling side: closes a link that got GOAWAY once no stream or call is open on it. */
+  #closeIfDrained(): void {
+    const isUnused = this.#streams.size + this.#calls.size === 0;
+    if (this.#isGoingAway && this.role === 'dialler' && isUnused)
+      this.close(new PeerLinkIdleError());
   }
 
   #acceptStream(number: number, header: WireValue, from: NodeIdentity): void {
--- a/src/peer/local-stream.ts
+++ b/src/peer/local-stream.ts
@@ -1,14 +1,14 @@
 /**
- * A stream whose two ends are in the same process: what a gateway uses when this node owns the group.
- * Delivery is deferred to a microtask, so that neither end is re-entered.
+ * A stream whose two ends are in the same process: used by a gateway if its own node owns the group.
+ * Delivery is deferred to a microtask, so that neither end is called re-entrantly.
  */
 import { MeadowstackError } from '../core/errors.js';
 import type { PeerStream, WireValue } from './contract.js';
 
-/** Bytes in flight towards a paused reader before `write` asks for a pause. */
+/** Undelivered bytes from which on `write` returns false. */
 const LOCAL_WINDOW_BYTES = 256 * 1024;
 
-/** The other end of a local stream gave up. */
+/** One end aborted the local stream. */
 export class LocalStreamAbortedError extends MeadowstackError {
   readonly code = 'MS-LOCAL-STREAM-ABORTED';
 }
@@ -54,21 +54,21 @@
   }
 
   end(): void {
-    this.#finish(undefined);
+    this.#closeBoth(undefined);
   }
 
   abort(reason: string): void {
-    this.#finish(new LocalStreamAbortedError(reason));
+    this.#closeBoth(new LocalStreamAbortedError(reason));
   }
 
-  #finish(error: MeadowstackError | undefined): void {
+  #closeBoth(error: MeadowstackError | undefined): void {
     if (this.#ended) return;
     this.#ended = true;
     this.other?.receive({ type: 'close', error });
     this.receive({ type: 'close', error });
   }
 
-  /** Called by the other end. */
+  /** Queues a delivery; called by the other end. */
   receive(delivery: Delivery): void {
     if (this.#closed) return;
     this.#inbox.push(delivery);
@@ -96,7 +96,7 @@
   #deliverOne(delivery: Delivery): void {
     switch (delivery.type) {
       case 'data':
-        this.#consumed(delivery.data.length);
+        this.#recordConsumed(delivery.data.length);
         this.onData?.(delivery.data);
         return;
       case 'message':
@@ -110,7 +110,7 @@
     }
   }
 
-  #consumed(bytes: number): void {
+  #recordConsumed(bytes: number): void {
     const wasFull = this.#inboxBytes >= LOCAL_WINDOW_BYTES;
     this.#inboxBytes -= bytes;
     if (wasFull && this.#inboxBytes < LOCAL_WINDOW_BYTES) {
@@ -127,7 +127,7 @@
 
 let localStreamsOpened = 0;
 
-/** Two ends of a stream within this process. */
+/** Creates a stream within this process. */
 export function createLocalStreamPair(): LocalStreamPair {
   localStreamsOpened += 1;
   const id = `local-${localStreamsOpened}`;
--- a/src/peer/outgoing-queue.ts
+++ b/src/peer/outgoing-queue.ts
@@ -1,6 +1,6 @@
 /**
- * What one stream has still to send, in order: data, and control frames between it. Neighbouring
- * pieces of data leave in one frame.
+ * Ordered queue of what one stream still has to send: data and control frames. Adjacent pieces of
+ * data are sent in one frame.
  */
 import { FrameType, type FrameTypeCode, MAX_DATA_PAYLOAD_BYTES } from './frame.js';
 import type { FrameBatch } from './frame-batch.js';
@@ -14,13 +14,14 @@
 
 type OutgoingItem = Buffer | ControlFrame;
 
-/** Result of one turn: the frames that were written, and whether more could go at once. */
+/** Result of one turn of a stream. */
 export interface TurnResult {
+  /** Bytes of data written. */
   readonly dataBytes: number;
+  /** True if the END frame was written. */
   readonly ended: boolean;
 }
 
-/** What a stream has to send. */
 export class OutgoingQueue {
   #items: OutgoingItem[] = [];
   #head = 0;
@@ -58,7 +59,7 @@
   /** Writes the control frames at the head and at most one data frame, within the credit. */
   takeTurn(batch: FrameBatch, stream: number, credit: number): TurnResult {
     let ended = this.#takeControls(batch, stream);
-    const dataBytes = Math.min(credit, MAX_DATA_PAYLOAD_BYTES, this.#leadingDataBytes());
+    const dataBytes = Math.min(credit, MAX_DATA_PAYLOAD_BYTES, this.#countLeadingDataBytes());
     if (dataBytes > 0) {
       batch.addHeader(FrameType.DATA, stream, dataBytes);
       this.#takeData(batch, dataBytes);
@@ -79,7 +80,7 @@
     return ended;
   }
 
-  #leadingDataBytes(): number {
+  #countLeadingDataBytes(): number {
     let bytes = 0;
     for (let index = this.#head; bytes < MAX_DATA_PAYLOAD_BYTES; index += 1) {
       const item = this.#items[index];
--- a/src/peer/stream.ts
+++ b/src/peer/stream.ts
@@ -1,8 +1,9 @@
 /**
- * One stream of a link: order, credit both ways, and exactly one close. The link does the I/O.
+ * One stream of a link: keeps the order, the credit in both directions, and calls `onClose` exactly
+ * once. The link does the I/O.
  *
- * Credit: each side may have `windowBytes` of data under way or unread. The reader returns credit
- * in halves of the window as its `onData` takes the data, and none while paused.
+ * Credit: each side may have up to `windowBytes` of data in flight or unread. The reader returns
+ * credit in steps of at least half the window as its `onData` takes the data, and none while paused.
  */
 import type { MeadowstackError } from '../core/errors.js';
 import { encodeValue } from './codec.js';
@@ -18,48 +19,47 @@
 import type { PeerLinkLimits } from './options.js';
 import { OutgoingQueue } from './outgoing-queue.js';
 
-/** What a stream needs of its link. */
+/** The link as its streams use it. */
 export interface StreamLink {
   /** Number of the link within this process. */
   readonly linkNumber: number;
-  /** Address or node id of the other side, for messages. */
+  /** Address or node id of the other side, for error messages. */
   readonly peerName: string;
   readonly limits: PeerLinkLimits;
-  /** The stream has something to send; the link calls `takeTurn` in this event-loop turn. */
+  /** Schedules a call of `takeTurn`, for a stream that has something to send. */
   scheduleStream(stream: LinkStream): void;
   sendCredit(stream: number, bytes: number): void;
   sendAbort(stream: number, reason: string): void;
-  /** The stream is over: frames that still arrive for it are dropped. */
-  forgetStream(stream: LinkStream): void;
+  /** Removes an ended stream: frames that still arrive for it are dropped. */
+  removeStream(stream: LinkStream): void;
 }
 
 type StreamState = 'open' | 'ending' | 'closed';
 type IncomingItem = { readonly data: Buffer } | { readonly message: WireValue };
 
 const EMPTY = Buffer.alloc(0);
-/** Messages that a paused stream holds; one more aborts it, since messages are not subject to credit. */
-const MAX_HELD_MESSAGES = 1024;
+/** Messages that a paused stream buffers; one more aborts it, since messages need no credit. */
+const MAX_BUFFERED_MESSAGES = 1024;
 
-/** One stream of a link. */
 export class LinkStream implements PeerStream {
   readonly id: string;
   readonly number: number;
   readonly #link: StreamLink;
   #state: StreamState = 'open';
   #anyBytesWritten = false;
-  #knownToPeer: boolean;
+  #isKnownToPeer: boolean;
 
   readonly #outgoing = new OutgoingQueue();
   #sendCredit: number;
   #wantsDrain = false;
 
   #paused = false;
-  #delivering = false;
+  #isDelivering = false;
   #incoming: IncomingItem[] = [];
-  #heldMessages = 0;
+  #bufferedMessages = 0;
   /** Bytes received for which no credit was returned yet. */
   #unreturnedBytes = 0;
-  /** Of these, the bytes that `onData` has taken. */
+  /** Those of `#unreturnedBytes` that `onData` has taken. */
   #consumedBytes = 0;
   #remoteEnded = false;
 
@@ -68,21 +68,21 @@
   onDrain: (() => void) | undefined;
   onClose: ((error: MeadowstackError | undefined) => void) | undefined;
 
-  /** `knownToPeer`: the other side opened it, so it must be told of an abort. */
-  constructor(link: StreamLink, number: number, knownToPeer: boolean) {
+  /** `isKnownToPeer`: the other side opened the stream, so an abort must be sent to it. */
+  constructor(link: StreamLink, number: number, isKnownToPeer: boolean) {
     this.#link = link;
-    this.#knownToPeer = knownToPeer;
+    this.#isKnownToPeer = isKnownToPeer;
     this.number = number;
     this.id = `${link.linkNumber}.${number}`;
     this.#sendCredit = link.limits.windowBytes;
   }
 
-  /** True if any byte of this stream was handed to the socket. */
+  /** True if any byte of this stream was passed to the socket's batch. */
   get anyBytesWritten(): boolean {
     return this.#anyBytesWritten;
   }
 
-  /** The first frame of a stream that this side opens. */
+  /** Queues the first frame of a stream that this side opens. */
   open(header: Buffer): void {
     this.#pushControl(FrameType.OPEN, header);
   }
@@ -123,43 +123,43 @@
   end(): void {
     if (this.#state !== 'open') return;
     this.#state = 'ending';
-    if (this.#remoteEnded) this.#closeLater();
+    if (this.#remoteEnded) this.#closeAndNotifyLater();
     else this.#pushControl(FrameType.END, EMPTY);
   }
 
   abort(reason: string): void {
     if (this.#state === 'closed') return;
-    if (this.#knownToPeer && !this.#remoteEnded) this.#link.sendAbort(this.number, reason);
-    this.#closeLater(new PeerStreamAbortedError(reason, 'local', this.#anyBytesWritten));
+    if (this.#isKnownToPeer && !this.#remoteEnded) this.#link.sendAbort(this.number, reason);
+    this.#closeAndNotifyLater(new PeerStreamAbortedError(reason, 'local', this.#anyBytesWritten));
   }
 
-  /** Writes what fairness and credit allow; true if the stream wants another turn at once. */
+  /** Writes as much as fairness and credit allow; true if the stream needs another turn at once. */
   takeTurn(batch: FrameBatch): boolean {
     if (this.#state === 'closed') return false;
     this.#anyBytesWritten = true;
-    this.#knownToPeer = true;
+    this.#isKnownToPeer = true;
     const turn = this.#outgoing.takeTurn(batch, this.number, this.#sendCredit);
     this.#sendCredit -= turn.dataBytes;
     if (turn.ended) {
-      this.#closeAndTell(undefined);
+      this.#closeAndNotify(undefined);
       return false;
     }
-    this.#tellDrain();
+    this.#notifyDrain();
     if (this.#outgoing.isEmpty) return false;
     return this.#sendCredit > 0 || !this.#outgoing.beginsWithData;
   }
 
-  /** The other side returned credit. */
+  /** Adds the credit that the other side returned. */
   receiveCredit(bytes: number): void {
     this.#sendCredit += bytes;
     if (this.#sendCredit > this.#link.limits.windowBytes) {
       throw new PeerProtocolError('credit beyond the window');
     }
     if (!this.#outgoing.isEmpty) this.#link.scheduleStream(this);
-    else this.#tellDrain();
+    else this.#notifyDrain();
   }
 
-  /** False if the data is not wanted any more and was dropped. */
+  /** Returns false if the data was dropped because the stream is ending. */
   receiveData(data: Buffer): boolean {
     this.#unreturnedBytes += data.length;
     if (this.#unreturnedBytes > this.#link.limits.windowBytes) {
@@ -169,47 +169,47 @@
     if (this.#canDeliver() && this.onData !== undefined) {
       this.#deliverData(data);
     } else {
-      // A small frame must not keep the whole chunk alive that it arrived in.
+      // Copied, so that a small frame doesn't keep the whole chunk alive that it arrived in.
       this.#incoming.push({ data: Buffer.from(data) });
     }
     return true;
   }
 
-  /** False if the message is not wanted any more and was dropped. */
+  /** Returns false if the message was dropped because the stream is ending. */
   receiveMessage(message: WireValue): boolean {
     if (this.#state !== 'open') return false;
     if (this.#canDeliver()) {
       this.onMessage?.(message);
       return true;
     }
-    this.#heldMessages += 1;
+    this.#bufferedMessages += 1;
     this.#incoming.push({ message });
-    if (this.#heldMessages > MAX_HELD_MESSAGES) this.abort('too many messages unread');
+    if (this.#bufferedMessages > MAX_BUFFERED_MESSAGES) this.abort('too many messages unread');
     return true;
   }
 
-  /** Orderly end by the other side; what is held is delivered first. */
+  /** Handles the orderly end by the other side; buffered items are delivered first. */
   receiveEnd(): void {
     this.#remoteEnded = true;
     this.#outgoing.clear();
-    this.#link.forgetStream(this);
-    if (this.#state === 'ending') this.#closeAndTell(undefined);
+    this.#link.removeStream(this);
+    if (this.#state === 'ending') this.#closeAndNotify(undefined);
     else this.#deliver();
   }
 
   receiveAbort(reason: string): void {
-    this.#closeAndTell(new PeerStreamAbortedError(reason, 'remote', this.#anyBytesWritten));
+    this.#closeAndNotify(new PeerStreamAbortedError(reason, 'remote', this.#anyBytesWritten));
   }
 
-  /** The link is gone. A stream that the other side had ended before is not affected. */
-  linkLost(reason: string): void {
+  /** The link was lost. A stream that the other side had ended before is not affected. */
+  handleLinkLost(reason: string): void {
     if (this.#remoteEnded) return;
     this.fail(new PeerLinkLostError(this.#link.peerName, this.#anyBytesWritten, reason));
   }
 
   /** Ends the stream with this error. */
   fail(error: MeadowstackError): void {
-    this.#closeAndTell(error);
+    this.#closeAndNotify(error);
   }
 
   #canSend(): boolean {
@@ -221,25 +221,25 @@
     this.#link.scheduleStream(this);
   }
 
-  /** False while paused or while held items are being delivered, so that the order is kept. */
+  /** False while paused or while buffered items are being delivered, so that the order is kept. */
   #canDeliver(): boolean {
-    return !this.#paused && !this.#delivering;
+    return !this.#paused && !this.#isDelivering;
   }
 
-  /** Delivers what is held, until it is used up or the reader pauses again. */
+  /** Delivers the buffered items until none is left or the reader pauses again. */
   #deliver(): void {
-    if (this.#delivering || this.#state === 'closed') return;
-    this.#delivering = true;
-    const held = this.#incoming;
+    if (this.#isDelivering || this.#state === 'closed') return;
+    this.#isDelivering = true;
+    const buffered = this.#incoming;
     let delivered = 0;
-    for (const item of held) {
+    for (const item of buffered) {
       if (this.#paused || this.#state !== 'open') break;
       delivered += 1;
       this.#deliverItem(item);
     }
-    this.#delivering = false;
-    held.splice(0, delivered);
-    if (held.length === 0 && this.#remoteEnded) this.#closeAndTell(undefined);
+    this.#isDelivering = false;
+    buffered.splice(0, delivered);
+    if (buffered.length === 0 && this.#remoteEnded) this.#closeAndNotify(undefined);
     else if (!this.#paused) this.#returnCredit();
   }
 
@@ -248,7 +248,7 @@
       this.#deliverData(item.data);
       return;
     }
-    this.#heldMessages -= 1;
+    this.#bufferedMessages -= 1;
     this.onMessage?.(item.message);
   }
 
@@ -267,7 +267,7 @@
     this.#link.sendCredit(this.number, bytes);
   }
 
-  #tellDrain(): void {
+  #notifyDrain(): void {
     if (!this.#wantsDrain || this.#state !== 'open') return;
     if (!this.#outgoing.isEmpty || this.#sendCredit === 0) return;
     this.#wantsDrain = false;
@@ -278,22 +278,22 @@
     this.#state = 'closed';
     this.#outgoing.clear();
     this.#incoming = [];
-    this.#link.forgetStream(this);
+    this.#link.removeStream(this);
   }
 
-  #closeAndTell(error: MeadowstackError | undefined): void {
+  #closeAndNotify(error: MeadowstackError | undefined): void {
     if (this.#state === 'closed') return;
     this.#close();
-    this.#tellClosed(error);
+    this.#notifyClosed(error);
   }
 
-  /** Closes now and tells after the caller's own code has run. */
-  #closeLater(error?: MeadowstackError): void {
+  /** Closes now, and calls `onClose` after the current code has run. */
+  #closeAndNotifyLater(error?: MeadowstackError): void {
     this.#close();
-    queueMicrotask(() => this.#tellClosed(error));
+    queueMicrotask(() => this.#notifyClosed(error));
   }
 
-  #tellClosed(error: MeadowstackError | undefined): void {
+  #notifyClosed(error: MeadowstackError | undefined): void {
     const onClose = this.onClose;
     this.onClose = undefined;
     this.onData = undefined;
--- a/src/peer/transport.ts
+++ b/src/peer/transport.ts
@@ -1,11 +1,11 @@
 /**
- * All peer links of a node over TCP. There is at most one dialled link per peer address, made when
+ * All peer links of a node over TCP. There is at most one dialled link per peer address, opened when
  * it is first needed, and any number of accepted ones.
  */
 import { connect, createServer, type Server, type Socket } from 'node:net';
 import { errAsync, ResultAsync } from 'neverthrow';
 import type { MeadowstackError } from '../core/errors.js';
-import { BackOff } from './back-off.js';
+import { Backoff } from './backoff.js';
 import { encodeValue } from './codec.js';
 import type {
   NodeIdentity,
@@ -31,26 +31,26 @@
 } from './options.js';
 import { LinkStream, type StreamLink } from './stream.js';
 
-/** Longest wait of a stopping node for the others to close the links that they dialled, in ms. */
-const LEAVE_LIMIT_MS = 500;
+/** How long a stopping node waits for other nodes to close the links that they dialled. */
+const SHUTDOWN_TIMEOUT_MS = 500;
 
-/** What is known of one address that this node dials. */
+/** State of one address that this node dials. */
 interface DialledPeer {
   readonly address: PeerAddress;
-  readonly backOff: BackOff;
+  readonly backoff: Backoff;
   link: PeerLink | undefined;
   identity: NodeIdentity | undefined;
 }
 
-/** A node's links. */
+/** All peer links of a node. */
 export class TcpPeerTransport implements PeerTransport {
   readonly #options: PeerTransportOptions;
   readonly #limits: PeerLinkLimits;
   readonly #counters: MutableCounters = zeroCounters();
   readonly #dialled = new Map<string, DialledPeer>();
   readonly #accepted = new Set<PeerLink>();
-  /** Dialled links whose other side is stopping; another link is dialled beside them if need be. */
-  readonly #left = new Set<PeerLink>();
+  /** Dialled links whose other side is stopping; a new link to the same address may be dialled meanwhile. */
+  readonly #drainingLinks = new Set<PeerLink>();
   readonly #heartbeat: NodeJS.Timeout;
   #pendingHandshakes = 0;
   #lastLinkNumber = 0;
@@ -70,7 +70,7 @@
     this.#server = server;
     const bound = new Promise<PeerAddress>((resolve, reject) => {
       server.once('error', reject);
-      server.listen(address.port, address.host, () => resolve(boundAddress(server, address)));
+      server.listen(address.port, address.host, () => resolve(toBoundAddress(server, address)));
     });
     const name = addressKey(address);
     return ResultAsync.fromPromise(
@@ -81,11 +81,11 @@
 
   openStream(peer: PeerAddress, header: WireValue): PeerStream {
     const link = this.#linkTo(peer);
-    if (!(link instanceof PeerLink)) return this.#deadStream(peer, link);
+    if (!(link instanceof PeerLink)) return this.#createFailedStream(peer, link);
     try {
       return link.openStream(encodeValue(header, this.#limits.maxMessageBytes));
     } catch (error) {
-      if (error instanceof PeerMessageRefusedError) return this.#deadStream(peer, error);
+      if (error instanceof PeerMessageRefusedError) return this.#createFailedStream(peer, error);
       throw error;
     }
   }
@@ -102,8 +102,8 @@
   }
 
   /**
-   * Closes all links. Nodes that dialled here are told first, so that what they have sent and this
-   * node has not read is known to them as not accepted.
+   * Closes all links. Nodes that dialled this one first get GOAWAY, so that they know which of their
+   * streams were not accepted.
    */
   async close(): Promise<void> {
     if (this.#closed) return;
@@ -116,23 +116,23 @@
     });
     const reason = new PeerConnectionError('this node is stopping');
     for (const link of this.#dialledLinks()) link.close(reason);
-    await this.#leaveAccepted();
+    await this.#shutDownAccepted();
     for (const link of [...this.#accepted]) link.close(reason);
     await serverClosed;
   }
 
-  /** Resolves once the other sides have closed their links, within a limit. */
-  #leaveAccepted(): Promise<void> {
+  /** Sends GOAWAY on accepted links; resolves once the other sides have closed them, or on timeout. */
+  #shutDownAccepted(): Promise<void> {
     const ready = [...this.#accepted].filter((link) => link.isReady);
     if (ready.length === 0) return Promise.resolve();
     return new Promise((resolve) => {
-      const limit = setTimeout(resolve, LEAVE_LIMIT_MS);
+      const limit = setTimeout(resolve, SHUTDOWN_TIMEOUT_MS);
       this.#onAcceptedClosed = () => {
         if (ready.some((link) => !link.isClosed)) return;
         clearTimeout(limit);
         resolve();
       };
-      for (const link of ready) link.leave();
+      for (const link of ready) link.sendGoAway();
     });
   }
 
@@ -140,25 +140,25 @@
     return { ...this.#counters };
   }
 
-  /** Who answered at this address last, if a link was ever made. */
+  /** Identity of the node that last completed a handshake at this address. */
   identityOf(peer: PeerAddress): NodeIdentity | undefined {
     return this.#dialled.get(addressKey(peer))?.identity;
   }
 
-  /** Forgets an address that is no longer a member's; its link is closed. */
-  forget(peer: PeerAddress): void {
+  /** Removes an address that no longer belongs to a member, and closes its link. */
+  removePeer(peer: PeerAddress): void {
     const dialled = this.#dialled.get(addressKey(peer));
     this.#dialled.delete(addressKey(peer));
     dialled?.link?.close(new PeerConnectionError('peer is no longer a member'));
   }
 
-  /** The link to use, dialling if there is none, or the reason why there can't be one now. */
+  /** Returns the link to use, dialling if there is none, or the error why there can't be one now. */
   #linkTo(address: PeerAddress): PeerLink | PeerUnreachableError {
     const name = addressKey(address);
     if (this.#closed) return new PeerUnreachableError(name, 'this node is stopping');
     const peer = this.#dialledPeer(address);
     if (peer.link !== undefined) return peer.link;
-    const waitMs = peer.backOff.remainingMs(performance.now());
+    const waitMs = peer.backoff.remainingMs(performance.now());
     if (waitMs > 0)
       return new PeerUnreachableError(name, `next attempt in ${Math.ceil(waitMs)} ms`);
     const socket = connect({ host: address.host, port: address.port, noDelay: true });
@@ -171,12 +171,12 @@
     const known = this.#dialled.get(name);
     if (known !== undefined) return known;
     const { backoffInitialMs, backoffMaxMs } = this.#limits;
-    const backOff = new BackOff(
+    const backOff = new Backoff(
       backoffInitialMs,
       backoffMaxMs,
       this.#options.random ?? Math.random,
     );
-    const peer: DialledPeer = { address, backOff, link: undefined, identity: undefined };
+    const peer: DialledPeer = { address, backoff: backOff, link: undefined, identity: undefined };
     this.#dialled.set(name, peer);
     return peer;
   }
@@ -216,10 +216,10 @@
         if (peer === undefined) this.#pendingHandshakes -= 1;
         else this.#onDialled(peer, remote);
       },
-      onLeaving: (link) => this.#onLeaving(link, peer),
+      onGoAway: (link) => this.#onGoAway(link, peer),
       onClosed: (link, error) => {
         if (ready && !(error instanceof PeerLinkIdleError)) this.#counters.linksLost += 1;
-        if (this.#left.delete(link)) return;
+        if (this.#drainingLinks.delete(link)) return;
         if (peer !== undefined) this.#onDialledLinkClosed(peer, ready, error);
         else if (!ready) this.#pendingHandshakes -= 1;
         if (this.#accepted.delete(link)) this.#onAcceptedClosed?.();
@@ -230,15 +230,15 @@
   #onDialled(peer: DialledPeer, remote: NodeIdentity): void {
     const previous = peer.identity;
     peer.identity = remote;
-    peer.backOff.succeeded();
+    peer.backoff.recordSuccess();
     this.#options.events?.onLinkUp?.(peer.address, remote);
     const same = previous?.nodeId === remote.nodeId && previous.incarnation === remote.incarnation;
     if (previous === undefined || same) return;
     this.#options.events?.onIdentityChanged?.(peer.address, previous, remote);
   }
 
-  #onLeaving(link: PeerLink, peer: DialledPeer | undefined): void {
-    this.#left.add(link);
+  #onGoAway(link: PeerLink, peer: DialledPeer | undefined): void {
+    this.#drainingLinks.add(link);
     if (peer?.link !== link) return;
     peer.link = undefined;
     const error = new PeerConnectionError('the other side is stopping');
@@ -248,13 +248,13 @@
   #onDialledLinkClosed(peer: DialledPeer, wasReady: boolean, error: MeadowstackError): void {
     peer.link = undefined;
     if (error instanceof PeerLinkIdleError) return;
-    if (!wasReady) peer.backOff.failed(performance.now());
+    if (!wasReady) peer.backoff.recordFailure(performance.now());
     if (wasReady) this.#options.events?.onLinkDown?.(peer.address, error);
   }
 
-  /** A stream that never had a link; its `onClose` is called after the caller has set it. */
-  #deadStream(peer: PeerAddress, error: MeadowstackError): PeerStream {
-    const stream = new LinkStream(detachedLink(addressKey(peer), this.#limits), 0, false);
+  /** Creates a stream without a link; it fails after the caller has set its `onClose`. */
+  #createFailedStream(peer: PeerAddress, error: MeadowstackError): PeerStream {
+    const stream = new LinkStream(createDetachedLink(addressKey(peer), this.#limits), 0, false);
     queueMicrotask(() => stream.fail(error));
     return stream;
   }
@@ -268,7 +268,7 @@
   }
 
   #dialledLinks(): PeerLink[] {
-    const links = [...this.#left];
+    const links = [...this.#drainingLinks];
     for (const peer of this.#dialled.values()) {
       if (peer.link !== undefined) links.push(peer.link);
     }
@@ -280,14 +280,14 @@
   return `${address.host}:${address.port}`;
 }
 
-function boundAddress(server: Server, wanted: PeerAddress): PeerAddress {
+function toBoundAddress(server: Server, wanted: PeerAddress): PeerAddress {
   const address = server.address();
   if (address === null || typeof address === 'string') return wanted;
   return { host: address.address, port: address.port };
 }
 
-/** Stands in for the link of a stream that has none: nothing is ever sent. */
-function detachedLink(peerName: string, limits: PeerLinkLimits): StreamLink {
+/** Creates the link of a stream that has none: it sends nothing. */
+function createDetachedLink(peerName: string, limits: PeerLinkLimits): StreamLink {
   return {
     linkNumber: 0,
     peerName,
@@ -295,6 +295,6 @@
     scheduleStream: () => undefined,
     sendCredit: () => undefined,
     sendAbort: () => undefined,
-    forgetStream: () => undefined,
+    removeStream: () => undefined,
   };
 }
--- a/test/property/peer-frames.test.ts
+++ b/test/property/peer-frames.test.ts
@@ -98,7 +98,7 @@
       }, MAX_PAYLOAD_BYTES);
       decoder.push(bytes.subarray(0, cut % bytes.length));
       assert.is(frames, 0);
-      assert.is(decoder.insideFrame, cut % bytes.length > 0);
+      assert.is(decoder.isInsideFrame, cut % bytes.length > 0);
     }),
     { seed: SEED },
   );
--- a/test/property/peer-stream.test.ts
+++ b/test/property/peer-stream.test.ts
@@ -38,7 +38,7 @@
       },
       sendAbort: (_stream, reason) =>
         this.wire.push({ type: FrameType.ABORT, payload: encodeValue(reason, 1000) }),
-      forgetStream: () => {
+      removeStream: () => {
         this.#forgotten = true;
       },
     };
@@ -222,7 +222,7 @@
     (side) => side.stream.abort('x'),
     (side) => side.stream.receiveEnd(),
     (side) => side.stream.receiveAbort('y'),
-    (side) => side.stream.linkLost('z'),
+    (side) => side.stream.handleLinkLost('z'),
     (side) => side.flush(),
   ];
   for (const first of endings) {
@@ -231,7 +231,7 @@
       first(side);
       second(side);
       side.flush();
-      side.stream.linkLost('at last');
+      side.stream.handleLinkLost('at last');
       await Promise.resolve();
       assert.is(side.closes.length, 1);
     }
--- a/test/unit/peer-message-forms.test.ts
+++ b/test/unit/peer-link-messages.test.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { callErrorForm, callForm, helloForm } from '../../src/peer/message-forms.js';
+import { parseCall, parseCallError, parseHello } from '../../src/peer/link-messages.js';
 
 const SETTINGS = { seed: 20261202, numRuns: 500 };
 const HELLO = {
@@ -11,7 +11,7 @@
 };
 
 test('a hello has all its fields in their form', () => {
-  assert.equal(helloForm({ ...HELLO, more: true }), HELLO);
+  assert.equal(parseHello({ ...HELLO, more: true }), HELLO);
   const faults = [
     { protocol: undefined },
     { version: 1.5 },
@@ -24,26 +24,26 @@
     { nonce: 'x'.repeat(32) },
     { proof: null },
   ];
-  for (const fault of faults) assert.is(helloForm({ ...HELLO, ...fault }), undefined);
+  for (const fault of faults) assert.is(parseHello({ ...HELLO, ...fault }), undefined);
 });
 
 test('a call is a method and a body, its error a code and a reason', () => {
-  assert.equal(callForm(['m', { a: 1 }]), { method: 'm', body: { a: 1 } });
+  assert.equal(parseCall(['m', { a: 1 }]), { method: 'm', body: { a: 1 } });
   for (const fault of [['m'], ['m', 1, 2], [1, 2], ['m'.repeat(65), 1], { 0: 'm', 1: 2 }]) {
-    assert.is(callForm(fault), undefined);
+    assert.is(parseCall(fault), undefined);
   }
-  assert.equal(callErrorForm(['MS-X', 'why']), { code: 'MS-X', reason: 'why' });
+  assert.equal(parseCallError(['MS-X', 'why']), { code: 'MS-X', reason: 'why' });
   for (const fault of [['MS-X'], ['MS-X', 1], [1, 'why'], 'MS-X']) {
-    assert.is(callErrorForm(fault), undefined);
+    assert.is(parseCallError(fault), undefined);
   }
 });
 
 test('no value is taken for one that lacks a field, and none throws', () => {
   fc.assert(
     fc.property(fc.anything(), (value) => {
-      helloForm(value);
-      callForm(value);
-      callErrorForm(value);
+      parseHello(value);
+      parseCall(value);
+      parseCallError(value);
     }),
     SETTINGS,
   );
