--- a/scale/hollow-membership.ts
+++ b/scale/hollow-membership.ts
@@ -11,12 +11,12 @@
 import {
   decodeDatagram,
   encodeDatagram,
-  syncAnswerFromWire,
-  syncAnswerToWire,
   syncPushFromWire,
   syncPushToWire,
   syncRequestFromWire,
   syncRequestToWire,
+  syncResponseFromWire,
+  syncResponseToWire,
 } from '../src/node/membership/wire.js';
 import type { WireValue } from '../src/peer/contract.js';
 import { DeadlineTimer } from './deadline-timer.js';
@@ -93,7 +93,7 @@
     this.handle({ type: 'sync-requested', requestId: 0, request });
     const reply: SyncResponse | undefined = this.#reply;
     if (reply === undefined) throw new ScaleRunError('a running node did not answer a sync');
-    return this.#timed(() => syncAnswerToWire(reply));
+    return this.#timed(() => syncResponseToWire(reply));
   }
 
   handle(event: MembershipEvent): void {
@@ -127,7 +127,7 @@
     const body = this.#timed(() => syncRequestToWire(request));
     const { cursor } = request;
     this.#call(to, SYNC_METHOD, body, (value) => {
-      const answer = this.#timed(() => syncAnswerFromWire(value));
+      const answer = this.#timed(() => syncResponseFromWire(value));
       this.handle({ type: 'sync-answered', from: to, cursor, answer });
     });
   }
--- a/src/node/membership/service.ts
+++ b/src/node/membership/service.ts
@@ -1,6 +1,6 @@
 /**
- * Membership of one node: carries the state machine's datagrams over UDP and its anti-entropy over
- * calls of the peer links, and gives it the time.
+ * Membership of one node: runs the membership state machine. Sends its datagrams over UDP and its
+ * anti-entropy syncs as calls over the peer links, and passes it the time.
  */
 import { createSocket, type Socket } from 'node:dgram';
 import { err, ok, type Result, ResultAsync } from 'neverthrow';
@@ -25,37 +25,37 @@
   decodeDatagram,
   encodeDatagram,
   MAX_DATAGRAM_BYTES,
-  syncAnswerFromWire,
-  syncAnswerToWire,
   syncPushFromWire,
   syncPushToWire,
   syncRequestFromWire,
   syncRequestToWire,
+  syncResponseFromWire,
+  syncResponseToWire,
 } from './wire.js';
 
-/** Compares tables; the answer holds what the asker lacked. */
+/** Compares member tables; the response contains the members in which the requester's table differs. */
 export const SYNC_METHOD = 'membership.sync';
-/** Gives what the answering side of a sync lacked. */
+/** Second step of a sync: sends the requester's members of the differing buckets to the responder. */
 export const SYNC_PUSH_METHOD = 'membership.push';
 const SYNC_TIMEOUT_MS = 2000;
 
-/** What the service is made of. */
+/** Options and dependencies of the membership service. */
 export interface MembershipServiceOptions {
-  /** This node. `peerPort` is the port of its links, and of its datagrams. */
+  /** This node. `peerPort` is the port of both its links and its datagrams. */
   readonly self: OwnMember;
   readonly transport: Pick<PeerTransport, 'call'>;
   readonly options?: Partial<MembershipOptions>;
-  /** Datagrams carry a MAC with this key; the same on all nodes. */
+  /** Key of the MAC in each datagram; the same on all nodes. */
   readonly clusterSecret?: Buffer | undefined;
   readonly random?: () => number;
 }
 
-/** What the service has done since it was made. */
+/** Counters of the membership service since it was created. */
 export interface MembershipCounters {
   readonly datagramsSent: number;
   readonly datagramsReceived: number;
   readonly datagramsMalformed: number;
-  /** Messages that were too large to be sent; a fault of this program. */
+  /** Messages not sent because they were too large, which is a bug of this program. */
   readonly datagramsOversized: number;
   /** Payload bytes of datagrams, without IP and UDP headers. */
   readonly bytesSent: number;
@@ -64,13 +64,13 @@
   readonly syncsFailed: number;
 }
 
-/** One node's membership. */
+/** Membership of one node. */
 export class MembershipService {
   /** Called for every change of a member. */
   onMemberChanged: ((event: MemberEvent) => void) | undefined;
   /** Called once if the machine list marks this node as leaving. */
-  onToldToLeave: (() => void) | undefined;
-  /** Another life of this node id with a later start was seen; see the core. */
+  onMarkedLeaving: (() => void) | undefined;
+  /** Called when a higher incarnation of this node id was seen and this node's was raised above it. */
   onIncarnationRaised: ((incarnation: number) => void) | undefined;
 
   readonly #machine: MembershipStateMachine;
@@ -78,7 +78,7 @@
   readonly #address: NodeAddress;
   readonly #secret: Buffer | undefined;
   readonly #counters = zeroCounters();
-  /** The answer to the sync request that is being handled. */
+  /** Response to the sync request that is being handled. */
   #syncReply: SyncResponse | undefined;
   #socket: Socket | undefined;
   #timer: NodeJS.Timeout | undefined;
@@ -92,7 +92,7 @@
     this.#secret = options.clusterSecret;
   }
 
-  /** Opens the datagram socket and joins by the nodes of the machine list. */
+  /** Opens the datagram socket and joins through the nodes of the machine list. */
   start(nodes: readonly ListedNode[]): ResultAsync<void, MeadowstackError> {
     const { host, peerPort } = this.#address;
     const socket = createSocket('udp4');
@@ -107,17 +107,17 @@
     ).map(() => this.#onBound(socket, nodes));
   }
 
-  /** Takes a new machine list. */
+  /** Passes a new machine list to the state machine. */
   setListedNodes(nodes: readonly ListedNode[]): void {
     this.#handle({ type: 'list-changed', nodes });
   }
 
-  /** Tells the members that this node begins its planned stop. */
-  leave(): void {
+  /** Tells the other members that this node starts its graceful shutdown. */
+  announceLeaving(): void {
     this.#handle({ type: 'leave' });
   }
 
-  /** A link to this node was lost or refused: it is probed at once. */
+  /** Reports that a link to this node was lost or refused, so that the node is probed at once. */
   reportLinkLost(nodeId: string): void {
     this.#handle({ type: 'link-lost', nodeId });
   }
@@ -126,14 +126,14 @@
     this.#handle({ type: 'revision-changed', configurationRevision });
   }
 
-  /** Tells some members that this node is gone, and closes the socket. */
+  /** Tells some members that this node has stopped, and closes the socket. */
   async stop(): Promise<void> {
     this.#handle({ type: 'stop' });
     clearTimeout(this.#timer);
     await this.closeSocket();
   }
 
-  /** Closes the socket without a word, as a crash would. */
+  /** Closes the socket without notifying other members, as a crash would. */
   async closeSocket(): Promise<void> {
     const socket = this.#socket;
     this.#socket = undefined;
@@ -145,7 +145,7 @@
     return this.#machine.self();
   }
 
-  /** All other members known, dead ones included. */
+  /** All other known members, including dead ones. */
   members(): Member[] {
     return this.#machine.members();
   }
@@ -162,12 +162,12 @@
     return { ...this.#counters };
   }
 
-  /** True if `handleCall` wants calls of this method. */
+  /** True for the methods that `handleCall` handles. */
   handlesCall(method: string): boolean {
     return method === SYNC_METHOD || method === SYNC_PUSH_METHOD;
   }
 
-  /** Answers a call of a peer; throws PeerProtocolError if the body is malformed. */
+  /** Handles a peer's call; throws PeerProtocolError if the body is malformed. */
   handleCall(method: string, body: WireValue): WireValue {
     if (method === SYNC_PUSH_METHOD) {
       this.#handle({ type: 'sync-pushed', push: syncPushFromWire(body) });
@@ -177,11 +177,11 @@
     this.#handle({ type: 'sync-requested', requestId: 0, request: syncRequestFromWire(body) });
     const reply: SyncResponse | undefined = this.#syncReply;
     if (reply === undefined) throw new PeerProtocolError('not a member now');
-    return syncAnswerToWire(reply);
+    return syncResponseToWire(reply);
   }
 
   #onBound(socket: Socket, nodes: readonly ListedNode[]): void {
-    // A datagram that can't be sent is like one lost on the way.
+    // A datagram that can't be sent is treated like one lost in transit.
     socket.on('error', () => undefined);
     socket.on('message', (datagram) => this.#onDatagram(datagram));
     this.#handle({ type: 'start', nodes });
@@ -189,7 +189,7 @@
 
   #handle(event: MembershipEvent): void {
     const effects = this.#machine.handle(event, monotonicNow());
-    for (const effect of effects) this.#carryOut(effect);
+    for (const effect of effects) this.#executeEffect(effect);
     this.#armTimer();
   }
 
@@ -201,7 +201,7 @@
     this.#timer = setTimeout(() => this.#handle({ type: 'tick' }), Math.ceil(delay));
   }
 
-  #carryOut(effect: MembershipEffect): void {
+  #executeEffect(effect: MembershipEffect): void {
     switch (effect.type) {
       case 'send':
         this.#send(effect.to, effect.message);
@@ -219,7 +219,7 @@
         this.onMemberChanged?.(effect.event);
         return;
       case 'told-to-leave':
-        this.onToldToLeave?.();
+        this.onMarkedLeaving?.();
         return;
       case 'incarnation-raised':
         this.onIncarnationRaised?.(effect.incarnation);
@@ -256,14 +256,14 @@
 
   async #sync(effect: Extract<MembershipEffect, { type: 'sync' }>): Promise<void> {
     const { to, request } = effect;
-    const called = await this.#call(to, SYNC_METHOD, syncRequestToWire(request));
-    const answer = called.andThen(parseAnswer);
-    if (answer.isErr()) {
+    const result = await this.#call(to, SYNC_METHOD, syncRequestToWire(request));
+    const response = result.andThen(parseSyncResponse);
+    if (response.isErr()) {
       this.#counters.syncsFailed += 1;
       return;
     }
     const { cursor } = request;
-    this.#handle({ type: 'sync-answered', from: to, cursor, answer: answer.value });
+    this.#handle({ type: 'sync-answered', from: to, cursor, answer: response.value });
   }
 
   #call(
@@ -277,9 +277,9 @@
   }
 }
 
-function parseAnswer(value: WireValue): Result<SyncResponse, MeadowstackError> {
+function parseSyncResponse(value: WireValue): Result<SyncResponse, MeadowstackError> {
   try {
-    return ok(syncAnswerFromWire(value));
+    return ok(syncResponseFromWire(value));
   } catch (error) {
     if (error instanceof PeerProtocolError) return err(error);
     throw error;
--- a/src/node/membership/wire.ts
+++ b/src/node/membership/wire.ts
@@ -1,6 +1,6 @@
 /**
- * Datagrams and calls of the membership protocol on the wire: cbor arrays in place of objects, an
- * optional MAC in front, zod on what is received.
+ * Wire format of the membership protocol's datagrams and calls: cbor arrays instead of objects,
+ * datagrams with an optional MAC in front. Received messages are validated with zod.
  */
 import { createHmac, timingSafeEqual } from 'node:crypto';
 import { z } from 'zod';
@@ -16,9 +16,9 @@
 import type { WireValue } from '../../peer/contract.js';
 import { PeerProtocolError } from '../../peer/errors.js';
 
-/** Fits the smallest usual path without fragments. */
+/** Small enough not to be fragmented on any usual network path. */
 export const MAX_DATAGRAM_BYTES = 1200;
-/** HMAC-SHA-256, truncated. */
+/** Length of the truncated HMAC-SHA-256. */
 const MAC_BYTES = 16;
 const MAX_NAME_LENGTH = 128;
 const DIGEST_BYTES = 4;
@@ -26,13 +26,22 @@
 const LEAVING_FLAG = 4;
 const MAX_STATE_CODE = LEAVING_FLAG + LIVENESS_BY_CODE.length - 1;
 
-const name = z.string().min(1).max(MAX_NAME_LENGTH);
-const count = z.number().int().nonnegative();
-const port = z.number().int().min(1).max(65_535);
+const nameSchema = z.string().min(1).max(MAX_NAME_LENGTH);
+const countSchema = z.number().int().nonnegative();
+const portSchema = z.number().int().min(1).max(65_535);
 
-/** nodeId, incarnation, version, state code, zone, host, peer port, configuration revision. */
+/** Tuple: nodeId, incarnation, version, state code, zone, host, peer port, configuration revision. */
 const updateSchema = z
-  .tuple([name, count, count, count.max(MAX_STATE_CODE), name, name, port, count])
+  .tuple([
+    nameSchema,
+    countSchema,
+    countSchema,
+    countSchema.max(MAX_STATE_CODE),
+    nameSchema,
+    nameSchema,
+    portSchema,
+    countSchema,
+  ])
   .transform(([nodeId, incarnation, version, state, zone, host, peerPort, revision], context) => {
     const liveness = LIVENESS_BY_CODE[state % LEAVING_FLAG];
     if (liveness === undefined) {
@@ -57,7 +66,7 @@
 const MessageCode = { PING: 1, ACK: 2, PING_REQUEST: 3, GOSSIP: 4 } as const;
 
 const pingSchema = z
-  .tuple([z.literal(MessageCode.PING), count, updateSchema, updatesSchema])
+  .tuple([z.literal(MessageCode.PING), countSchema, updateSchema, updatesSchema])
   .transform(([, sequence, sender, updates]) => ({
     type: 'ping' as const,
     sequence,
@@ -65,7 +74,7 @@
     updates,
   }));
 const ackSchema = z
-  .tuple([z.literal(MessageCode.ACK), count, updateSchema, updatesSchema, updateSchema])
+  .tuple([z.literal(MessageCode.ACK), countSchema, updateSchema, updatesSchema, updateSchema])
   .transform(([, sequence, sender, updates, subject]) => ({
     type: 'ack' as const,
     sequence,
@@ -74,7 +83,14 @@
     updates,
   }));
 const pingRequestSchema = z
-  .tuple([z.literal(MessageCode.PING_REQUEST), count, updateSchema, updatesSchema, name, port])
+  .tuple([
+    z.literal(MessageCode.PING_REQUEST),
+    countSchema,
+    updateSchema,
+    updatesSchema,
+    nameSchema,
+    portSchema,
+  ])
   .transform(([, sequence, sender, updates, host, peerPort]) => ({
     type: 'ping-request' as const,
     sequence,
@@ -92,57 +108,57 @@
   gossipSchema,
 ]);
 
-const syncRequestSchema = z.tuple([updateSchema, z.instanceof(Uint8Array), count]);
-const syncAnswerSchema = z.tuple([
+const syncRequestSchema = z.tuple([updateSchema, z.instanceof(Uint8Array), countSchema]);
+const syncResponseSchema = z.tuple([
   updateSchema,
   z.instanceof(Uint8Array),
   updatesSchema,
-  count.nullable(),
+  countSchema.nullable(),
 ]);
 const syncPushSchema = z.tuple([updateSchema, updatesSchema]);
 
-/** The encoded datagram, which may be too large to send; the caller checks. */
+/** Encodes a datagram. The caller checks that it is not larger than MAX_DATAGRAM_BYTES. */
 export function encodeDatagram(message: MembershipMessage, secret: Buffer | undefined): Buffer {
   const payload = encodeValue(messageToWire(message), Number.POSITIVE_INFINITY);
-  return secret === undefined ? payload : Buffer.concat([macOf(payload, secret), payload]);
+  return secret === undefined ? payload : Buffer.concat([computeMac(payload, secret), payload]);
 }
 
-/** Throws PeerProtocolError if the datagram is not a message with the right MAC. */
+/** Decodes a datagram; throws PeerProtocolError if its MAC is wrong or the message is malformed. */
 export function decodeDatagram(datagram: Buffer, secret: Buffer | undefined): MembershipMessage {
-  const payload = secret === undefined ? datagram : checkedPayload(datagram, secret);
+  const payload = secret === undefined ? datagram : verifyMac(datagram, secret);
   return parse(messageSchema, decodeValue(payload));
 }
 
-/** Wire form of a request. */
+/** Converts a sync request to its wire format. */
 export function syncRequestToWire(request: SyncRequest): WireValue {
   return [updateToWire(request.sender), packDigests(request.digests), request.cursor];
 }
 
-/** Reads a request; throws PeerProtocolError if it is malformed. */
+/** Parses a sync request; throws PeerProtocolError if it is malformed. */
 export function syncRequestFromWire(value: WireValue): SyncRequest {
   const [sender, digests, cursor] = parse(syncRequestSchema, value);
   return { sender, digests: unpackDigests(digests), cursor };
 }
 
-/** Wire form of an answer. */
-export function syncAnswerToWire(answer: SyncResponse): WireValue {
-  const { sender, digests, updates, nextCursor } = answer;
+/** Converts a sync response to its wire format. */
+export function syncResponseToWire(response: SyncResponse): WireValue {
+  const { sender, digests, updates, nextCursor } = response;
   const wireUpdates = updates.map(updateToWire);
   return [updateToWire(sender), packDigests(digests), wireUpdates, nextCursor ?? null];
 }
 
-/** Reads an answer; throws PeerProtocolError if it is malformed. */
-export function syncAnswerFromWire(value: WireValue): SyncResponse {
-  const [sender, digests, updates, nextCursor] = parse(syncAnswerSchema, value);
+/** Parses a sync response; throws PeerProtocolError if it is malformed. */
+export function syncResponseFromWire(value: WireValue): SyncResponse {
+  const [sender, digests, updates, nextCursor] = parse(syncResponseSchema, value);
   return { sender, digests: unpackDigests(digests), updates, nextCursor: nextCursor ?? undefined };
 }
 
-/** Wire form of a push. */
+/** Converts a sync push to its wire format. */
 export function syncPushToWire(push: SyncPush): WireValue {
   return [updateToWire(push.sender), push.updates.map(updateToWire)];
 }
 
-/** Reads a push; throws PeerProtocolError if it is malformed. */
+/** Parses a sync push; throws PeerProtocolError if it is malformed. */
 export function syncPushFromWire(value: WireValue): SyncPush {
   const [sender, updates] = parse(syncPushSchema, value);
   return { sender, updates };
@@ -195,14 +211,15 @@
   throw new PeerProtocolError('malformed membership message', { cause: parsed.error });
 }
 
-function macOf(payload: Buffer, secret: Buffer): Buffer {
+function computeMac(payload: Buffer, secret: Buffer): Buffer {
   return createHmac('sha256', secret).update(payload).digest().subarray(0, MAC_BYTES);
 }
 
-function checkedPayload(datagram: Buffer, secret: Buffer): Buffer {
+/** Returns the payload of a datagram; throws PeerProtocolError if its MAC is wrong. */
+function verifyMac(datagram: Buffer, secret: Buffer): Buffer {
   const mac = datagram.subarray(0, MAC_BYTES);
   const payload = datagram.subarray(MAC_BYTES);
-  const isRight = mac.length === MAC_BYTES && timingSafeEqual(mac, macOf(payload, secret));
-  if (!isRight) throw new PeerProtocolError('datagram without the right MAC');
+  const isValid = mac.length === MAC_BYTES && timingSafeEqual(mac, computeMac(payload, secret));
+  if (!isValid) throw new PeerProtocolError('datagram without the right MAC');
   return payload;
 }
--- a/src/node/proxy-node.ts
+++ b/src/node/proxy-node.ts
@@ -183,7 +183,7 @@
     const joined = await this.#membership.start([]);
     if (joined.isErr()) return err(startError(joined.error));
     this.#membership.onMemberChanged = (event) => this.#onMemberChanged(event);
-    this.#membership.onToldToLeave = () => void this.drain();
+    this.#membership.onMarkedLeaving = () => void this.drain();
     this.#sweepTimer = setInterval(() => this.#sweep(), SWEEP_MS);
     this.#machineList.onChange = (machines) => this.#onMachines(machines);
     this.#machineList.start();
@@ -200,7 +200,7 @@
 
   async #drain(): Promise<void> {
     this.#logger.info('leaving', { callers: this.#gateway.callerCount });
-    this.#membership.leave();
+    this.#membership.announceLeaving();
     this.#fleet.setSelfLeaving();
     this.#onFleetChanged();
     this.#gateway.stopAccepting(new ServerStoppingError());
--- a/test/integration/membership-service.test.ts
+++ b/test/integration/membership-service.test.ts
@@ -73,7 +73,7 @@
     ),
   );
   await until(() => nodes.every((node) => node.service.isJoined));
-  leaver.service.leave();
+  leaver.service.announceLeaving();
   await until(() => stayers.every((node) => sees(node, 'n3', 'leaving')));
   await stopAll([leaver]);
   await until(() => stayers.every((node) => sees(node, 'n3', 'dead')));
