--- a/scale/components/machine-list.ts
+++ b/scale/components/machine-list.ts
@@ -4,9 +4,9 @@
 import type { Hash64 } from '../../src/core/ownership/rendezvous.js';
 import {
   deltaFromWire,
-  entryOf,
   pushSchema,
   pushToWire,
+  toListEntry,
 } from '../../src/node/machine-list/messages.js';
 import { decodeValue, encodeValue } from '../../src/peer/codec.js';
 import type { Machine } from '../../src/platform/contract.js';
@@ -55,7 +55,7 @@
 }
 
 function exchangeCost(text: string, hash: Hash64) {
-  const entries = (readMachines(text, true) ?? []).map((machine) => entryOf(machine, hash));
+  const entries = (readMachines(text, true) ?? []).map((machine) => toListEntry(machine, hash));
   const { built: reader, bytes: replicaBytes } = kept(() => {
     const replica = new MachineListReplica<Machine>();
     replica.replace({ epoch: 0, version: 1 }, entries);
@@ -69,21 +69,21 @@
   const readerMs = meanMs(READS, () => {
     version += 1;
     const read = readMachines(text, true) ?? [];
-    const [first, ...rest] = read.map((machine) => entryOf(machine, hash));
+    const [first, ...rest] = read.map((machine) => toListEntry(machine, hash));
     if (first === undefined) return;
     const state = version % 2 === 0 ? 'leaving' : 'live';
-    const changed = entryOf({ ...first.item, state }, hash);
+    const changed = toListEntry({ ...first.item, state }, hash);
     reader.replace({ epoch: 0, version }, [changed, ...rest]);
   });
   for (const state of ['live', 'leaving', 'live'] as const) {
     const [first] = entries;
     if (first === undefined) break;
     version += 1;
-    const before = reader.items().map((machine) => entryOf(machine, hash));
+    const before = reader.items().map((machine) => toListEntry(machine, hash));
     follower.replace({ epoch: 0, version: version - 1 }, before);
     reader.replace({ epoch: 0, version: version - 1 }, before);
     const after = before.map((entry) =>
-      entry.id === first.id ? entryOf({ ...entry.item, state }, hash) : entry,
+      entry.id === first.id ? toListEntry({ ...entry.item, state }, hash) : entry,
     );
     const delta = reader.replace({ epoch: 0, version }, after);
     const wire = encodeValue(pushToWire('root', delta), Number.POSITIVE_INFINITY);
--- a/scale/hollow-machine-list.ts
+++ b/scale/hollow-machine-list.ts
@@ -5,21 +5,21 @@
 import type { ListDigest, ListEntry } from '../src/core/machine-list/replica.js';
 import type { Hash64 } from '../src/core/ownership/rendezvous.js';
 import {
+  buildPage,
   deltaFromWire,
-  entryOf,
   FETCH_METHOD,
-  fetchAnswerSchema,
   fetchRequestSchema,
+  fetchResponseSchema,
   hashesFromWire,
   hashesToWire,
   PUSH_METHOD,
-  pageOf,
   pushSchema,
   pushToWire,
   REPORT_METHOD,
   reportFromWire,
   reportSchema,
   reportToWire,
+  toListEntry,
 } from '../src/node/machine-list/messages.js';
 import type { NodeIdentity, WireValue } from '../src/peer/contract.js';
 import type { Machine } from '../src/platform/contract.js';
@@ -108,7 +108,7 @@
     }
     return this.#timed(() => {
       const { hashes, afterBucket } = fetchRequestSchema.parse(body);
-      return pageOf(this.agent.replica.differingBuckets(hashesFromWire(hashes)), afterBucket);
+      return buildPage(this.agent.replica.differingBuckets(hashesFromWire(hashes)), afterBucket);
     });
   }
 
@@ -172,14 +172,16 @@
   #onPage(progress: FetchProgress, value: WireValue): void {
     const { peer, buckets } = progress;
     const { nodeId } = peer;
-    const { digest, buckets: page, more } = this.#timed(() => fetchAnswerSchema.parse(value));
+    const { digest, buckets: page, more } = this.#timed(() => fetchResponseSchema.parse(value));
     if (progress.digest !== undefined && progress.digest.hash !== digest.hash) {
       this.#handle({ type: 'peer-failed', nodeId });
       return;
     }
     let last = -1;
     for (const [index, machines] of page) {
-      const entries = this.#timed(() => machines.map((one) => entryOf(one, this.#options.hash)));
+      const entries = this.#timed(() =>
+        machines.map((one) => toListEntry(one, this.#options.hash)),
+      );
       buckets.set(index, entries);
       last = index;
     }
@@ -251,7 +253,9 @@
       return;
     }
     const isNew = version !== this.#knownVersion;
-    const entries = this.#timed(() => readMachines(text, isNew)?.map((one) => entryOf(one, hash)));
+    const entries = this.#timed(() =>
+      readMachines(text, isNew)?.map((one) => toListEntry(one, hash)),
+    );
     this.#knownVersion = version;
     if (this.#isReading)
       this.#handle({ type: 'read', reading: { knownVersion: asked, version, entries } });
--- a/src/node/machine-list/errors.ts
+++ b/src/node/machine-list/errors.ts
@@ -1,7 +1,7 @@
 /** Errors of the exchange of machine lists between nodes. */
 import { type ErrorLabel, MeadowstackError } from '../../core/errors.js';
 
-/** A peer's message about the machine list is not in its form. */
+/** A peer's message about the machine list is malformed. */
 export class MachineListMessageError extends MeadowstackError {
   readonly code = 'MS-MACHINES-MESSAGE';
   override readonly labels: ReadonlySet<ErrorLabel> = new Set(['protocol-violation']);
@@ -11,7 +11,7 @@
   }
 }
 
-/** A peer's list changed again and again while it was fetched. */
+/** A peer's list changed while its pages were fetched, or had too many pages. */
 export class MachineListFetchError extends MeadowstackError {
   readonly code = 'MS-MACHINES-FETCH';
   override readonly labels: ReadonlySet<ErrorLabel> = new Set(['retryable']);
--- a/src/node/machine-list/messages.ts
+++ b/src/node/machine-list/messages.ts
@@ -1,4 +1,4 @@
-/** The messages that nodes exchange about the machine list, checked where they are received. */
+/** Messages that nodes exchange about the machine list, with the schemas that validate them. */
 import { z } from 'zod';
 import type { MachineListReport } from '../../core/machine-list/contract.js';
 import type {
@@ -11,18 +11,18 @@
 import type { Machine } from '../../platform/contract.js';
 import { machineSchema } from '../../platform/machine-schema.js';
 
-/** Tells the caller's report and asks for the other's. */
+/** Sends the caller's report; the response is the other node's report. */
 export const REPORT_METHOD = 'machine-list.report';
-/** Asks for the buckets that differ, a page at a time. */
+/** Requests the buckets that differ, one page at a time. */
 export const FETCH_METHOD = 'machine-list.fetch';
-/** Passes a change on along the tree of its root. */
+/** Forwards a change along the push tree of its root. */
 export const PUSH_METHOD = 'machine-list.push';
 
 const MAX_ENTRIES = 200_000;
 const MAX_NAME_LENGTH = 300;
 const HEX_RADIX = 16;
-/** Entries of one page, about; one bucket is sent even if it holds more. */
-const PAGE_ENTRIES = 500;
+/** Maximum number of entries in a page; a page has at least one bucket, even if that is larger. */
+const MAX_PAGE_ENTRIES = 500;
 
 const hashSchema = z
   .string()
@@ -33,25 +33,25 @@
 const machinesSchema = z.array(machineSchema).max(MAX_ENTRIES);
 const bytesSchema = z.custom<Uint8Array>((value) => value instanceof Uint8Array);
 
-/** A node's report. */
+/** Wire format of a node's report. */
 export const reportSchema = z.object({
   digest: digestSchema,
   heartbeatAgeMs: z.number().min(0).nullable(),
 });
-/** The asker's hashes by bucket, 8 bytes each; buckets up to `afterBucket` are known already. */
+/** The requester's hashes by bucket, 8 bytes each; it already has the buckets up to `afterBucket`. */
 export const fetchRequestSchema = z.object({
   hashes: bytesSchema,
   afterBucket: z.int().min(-1),
 });
-/** Whole buckets of one list. `more`: ask again after the last of them. */
-export const fetchAnswerSchema = z.object({
+/** Whole buckets of one list. `more`: more pages follow; request the next after the last bucket. */
+export const fetchResponseSchema = z.object({
   digest: digestSchema,
   buckets: z.array(z.tuple([z.int().min(0), machinesSchema])),
   more: z.boolean(),
 });
 /** One page of a fetch. */
-export type FetchAnswer = z.output<typeof fetchAnswerSchema>;
-/** A change on its way. */
+export type FetchResponse = z.output<typeof fetchResponseSchema>;
+/** Wire format of a change. */
 export const pushSchema = z.object({
   root: z.string().max(MAX_NAME_LENGTH),
   from: stampSchema,
@@ -60,8 +60,11 @@
   removed: z.array(z.string().max(MAX_NAME_LENGTH)).max(MAX_ENTRIES),
 });
 
-/** A machine with its id and hash. Nodes that read different fields differ in their hashes. */
-export function entryOf(machine: Machine, hash: Hash64): ListEntry<Machine> {
+/**
+ * Converts a machine to a list entry. The hash covers all fields, so nodes that read different
+ * fields have different hashes.
+ */
+export function toListEntry(machine: Machine, hash: Hash64): ListEntry<Machine> {
   const fields = Object.entries(machine).sort(([left], [right]) => (left < right ? -1 : 1));
   return {
     id: `${machine.role}/${machine.name}`,
@@ -70,17 +73,17 @@
   };
 }
 
-/** Wire form of a report. */
+/** Converts a report to its wire format. */
 export function reportToWire({ digest, heartbeatAgeMs }: MachineListReport): unknown {
   return { digest: digestToWire(digest), heartbeatAgeMs: heartbeatAgeMs ?? null };
 }
 
-/** A report as it was checked. */
+/** Converts a validated report from its wire format. */
 export function reportFromWire(report: z.output<typeof reportSchema>): MachineListReport {
   return { digest: report.digest, heartbeatAgeMs: report.heartbeatAgeMs ?? undefined };
 }
 
-/** Wire form of a change. */
+/** Converts a change to its wire format. */
 export function pushToWire(root: string, delta: ListDelta<Machine>): unknown {
   return {
     root,
@@ -91,38 +94,38 @@
   };
 }
 
-/** A change as it was checked. */
+/** Converts a validated change from its wire format. */
 export function deltaFromWire(
   { from, to, changed, removed }: z.output<typeof pushSchema>,
   hash: Hash64,
 ): ListDelta<Machine> {
-  return { from, to, changed: changed.map((machine) => entryOf(machine, hash)), removed };
+  return { from, to, changed: changed.map((machine) => toListEntry(machine, hash)), removed };
 }
 
-/** Wire form of hashes by bucket. */
+/** Converts hashes by bucket to their wire format. */
 export function hashesToWire(hashes: BigUint64Array): Uint8Array {
   return new Uint8Array(hashes.buffer, hashes.byteOffset, hashes.byteLength);
 }
 
-/** Hashes by bucket as they came. */
+/** Converts hashes by bucket from their wire format; an incomplete last hash is dropped. */
 export function hashesFromWire(bytes: Uint8Array): BigUint64Array {
-  // Copied, since the bytes may lie anywhere in a larger buffer.
+  // Copied, since the bytes may start at an unaligned offset of a larger buffer.
   const whole = bytes.byteLength - (bytes.byteLength % BigUint64Array.BYTES_PER_ELEMENT);
   return new BigUint64Array(Uint8Array.from(bytes.subarray(0, whole)).buffer);
 }
 
-/** The page of buckets that follows one. */
-export function pageOf({ digest, buckets }: ListBuckets<Machine>, afterBucket: number): unknown {
-  const rest = [...buckets].filter(([index]) => index > afterBucket);
+/** Builds the page of buckets that follows `afterBucket`. */
+export function buildPage({ digest, buckets }: ListBuckets<Machine>, afterBucket: number): unknown {
+  const remaining = [...buckets].filter(([index]) => index > afterBucket);
   let entries = 0;
-  const page = rest.filter(([, bucket], index) => {
+  const page = remaining.filter(([, bucket], index) => {
     entries += bucket.length;
-    return index === 0 || entries <= PAGE_ENTRIES;
+    return index === 0 || entries <= MAX_PAGE_ENTRIES;
   });
   return {
     digest: digestToWire(digest),
     buckets: page.map(([index, bucket]) => [index, bucket.map(({ item }) => item)]),
-    more: page.length < rest.length,
+    more: page.length < remaining.length,
   };
 }
 
--- a/src/node/machine-list/peer-client.ts
+++ b/src/node/machine-list/peer-client.ts
@@ -1,4 +1,4 @@
-/** Asks other nodes about their machine list and pushes changes to them. */
+/** Client of other nodes' machine list services. */
 import { err, ok, type Result, ResultAsync } from 'neverthrow';
 import type { z } from 'zod';
 import type { ConfigurationMember } from '../../core/configuration/relays.js';
@@ -15,9 +15,8 @@
 import type { Machine } from '../../platform/contract.js';
 import { MachineListFetchError, MachineListMessageError } from './errors.js';
 import {
-  entryOf,
   FETCH_METHOD,
-  fetchAnswerSchema,
+  fetchResponseSchema,
   hashesToWire,
   PUSH_METHOD,
   pushToWire,
@@ -25,35 +24,36 @@
   reportFromWire,
   reportSchema,
   reportToWire,
+  toListEntry,
 } from './messages.js';
 
 const CALL_TIMEOUT_MS = 1000;
 const MAX_PAGES = 1000;
 
-/** The calling side of the messages in messages.ts. */
+/** Sends the calls of messages.ts to other nodes. */
 export class MachineListPeerClient {
   constructor(
     private readonly transport: Pick<PeerTransport, 'call'>,
     private readonly hash: Hash64,
   ) {}
 
-  /** Tells a peer our report and asks for its own. */
-  askReport(
+  /** Sends this node's report to a peer; resolves to the peer's. */
+  exchangeReports(
     peer: ConfigurationMember,
     report: MachineListReport,
   ): ResultAsync<MachineListReport, MeadowstackError> {
     return this.#call(peer, REPORT_METHOD, reportToWire(report), reportSchema).map(reportFromWire);
   }
 
-  /** The buckets of a peer that differ from ours; pages are put together. */
-  fetch(
+  /** Fetches all pages of the peer's buckets whose hashes differ from this node's. */
+  fetchBuckets(
     peer: ConfigurationMember,
     hashes: BigUint64Array,
   ): ResultAsync<ListBuckets<Machine>, MeadowstackError> {
     return new ResultAsync(this.#fetchPages(peer, hashesToWire(hashes)));
   }
 
-  /** Passes a change on. */
+  /** Forwards a change to a peer. */
   push(
     peer: ConfigurationMember,
     root: string,
@@ -72,24 +72,24 @@
     let digest: ListDigest | undefined;
     let afterBucket = -1;
     for (let page = 0; page < MAX_PAGES; page += 1) {
-      const answer = await this.#call(
+      const response = await this.#call(
         peer,
         FETCH_METHOD,
         { hashes, afterBucket },
-        fetchAnswerSchema,
+        fetchResponseSchema,
       );
-      if (answer.isErr()) return err(answer.error);
-      // Pages of two lists together are neither.
-      if (digest !== undefined && digest.hash !== answer.value.digest.hash) break;
-      digest = answer.value.digest;
-      for (const [index, machines] of answer.value.buckets) {
+      if (response.isErr()) return err(response.error);
+      // The list changed between two pages: pages of different lists can't be combined.
+      if (digest !== undefined && digest.hash !== response.value.digest.hash) break;
+      digest = response.value.digest;
+      for (const [index, machines] of response.value.buckets) {
         buckets.set(
           index,
-          machines.map((machine) => entryOf(machine, this.hash)),
+          machines.map((machine) => toListEntry(machine, this.hash)),
         );
         afterBucket = index;
       }
-      if (!answer.value.more) return ok({ digest, buckets });
+      if (!response.value.more) return ok({ digest, buckets });
     }
     return err(new MachineListFetchError());
   }
@@ -100,8 +100,8 @@
     body: unknown,
     schema: z.ZodType<Output>,
   ): ResultAsync<Output, MeadowstackError> {
-    return this.transport.call(peer, method, body, CALL_TIMEOUT_MS).andThen((answer) => {
-      const parsed = schema.safeParse(answer);
+    return this.transport.call(peer, method, body, CALL_TIMEOUT_MS).andThen((response) => {
+      const parsed = schema.safeParse(response);
       return parsed.success ? ok(parsed.data) : err(new MachineListMessageError(method));
     });
   }
--- a/src/node/machine-list/service.ts
+++ b/src/node/machine-list/service.ts
@@ -1,6 +1,6 @@
 /**
- * The machine list of one node: reads the service while the agent asks for it, exchanges differences
- * with other nodes, and tells of changes.
+ * The machine list of one node: polls the list service while its agent requires it, exchanges
+ * differences with other nodes, and reports changes.
  */
 import { areSameMembers, type ConfigurationMember } from '../../core/configuration/relays.js';
 import { MachineListAgent } from '../../core/machine-list/agent.js';
@@ -16,28 +16,28 @@
 import type { MachineListClient, MachineListReading } from '../../platform/machine-list-client.js';
 import { MachineListMessageError } from './errors.js';
 import {
+  buildPage,
   deltaFromWire,
-  entryOf,
   FETCH_METHOD,
   fetchRequestSchema,
   hashesFromWire,
   PUSH_METHOD,
-  pageOf,
   pushSchema,
   REPORT_METHOD,
   reportFromWire,
   reportSchema,
   reportToWire,
+  toListEntry,
 } from './messages.js';
 import { MachineListPeerClient } from './peer-client.js';
 
-/** What the service is made of. */
+/** Options and dependencies of the machine list service. */
 export interface MachineListServiceOptions {
   readonly self: ConfigurationMember;
-  /** Not started; the service starts and stops it. */
+  /** Not started yet: this service starts and stops it. */
   readonly client: MachineListClient;
   readonly transport: Pick<PeerTransport, 'call'>;
-  /** Live members; the same array until they change. */
+  /** Returns the live members; the same array until they change. */
   readonly members: () => readonly ConfigurationMember[];
   readonly hash: Hash64;
   readonly random: () => number;
@@ -45,7 +45,7 @@
   readonly now: () => Milliseconds;
 }
 
-/** What operators see of the list on one node. */
+/** Status of the machine list on one node, for operators. */
 export interface MachineListServiceStatus extends MachineListStatus {
   readonly machines: number;
   /** Polls of the list service since start. */
@@ -56,9 +56,9 @@
 
 const METHODS: readonly string[] = [REPORT_METHOD, FETCH_METHOD, PUSH_METHOD];
 
-/** One node's machine list. */
+/** Machine list of one node. */
 export class MachineListService {
-  /** Called with the whole list whenever it changed. */
+  /** Called with the whole list after each change. */
   onChange: ((machines: readonly Machine[]) => void) | undefined;
   readonly #agent: MachineListAgent<Machine>;
   readonly #peers: MachineListPeerClient;
@@ -71,25 +71,25 @@
     const { self, random, transport, hash, client } = options;
     this.#agent = new MachineListAgent({ self, random });
     this.#peers = new MachineListPeerClient(transport, hash);
-    client.onReading = (reading) => this.#onReading(reading);
+    client.onReading = (reading) => this.#onPollResult(reading);
   }
 
-  /** Begins to read, and to compare lists with peers. */
+  /** Starts polling and comparing lists with peers. */
   start(): void {
     this.#isRunning = true;
     this.#handle({ type: 'started' });
-    this.membersChanged();
+    this.handleMembersChanged();
   }
 
-  /** Ends polls and timers. The list stays as it is. */
+  /** Stops polls and timers. The list is kept. */
   stop(): void {
     this.#isRunning = false;
     clearTimeout(this.#timer);
     this.options.client.stop();
   }
 
-  /** To be called when the membership changed. */
-  membersChanged(): void {
+  /** To be called when the members may have changed. */
+  handleMembersChanged(): void {
     const members = this.options.members();
     if (areSameMembers(members, this.#members)) return;
     this.#members = members;
@@ -107,12 +107,12 @@
     };
   }
 
-  /** True for the methods that `onCall` answers. */
+  /** True for the methods that `onCall` handles. */
   handles(method: string): boolean {
     return METHODS.includes(method);
   }
 
-  /** Answers a peer's call; throws `MachineListMessageError` if it is malformed. */
+  /** Handles a peer's call; throws `MachineListMessageError` if the body is malformed. */
   onCall(method: string, body: WireValue, from: NodeIdentity): WireValue {
     if (method === REPORT_METHOD) return this.#onReport(body, from.nodeId);
     if (method === FETCH_METHOD) return this.#onFetch(body);
@@ -122,16 +122,16 @@
   #onReport(body: WireValue, nodeId: string): WireValue {
     const parsed = reportSchema.safeParse(body);
     if (!parsed.success) throw new MachineListMessageError(REPORT_METHOD);
-    const answer = reportToWire(this.#agent.report(this.options.now()));
+    const response = reportToWire(this.#agent.report(this.options.now()));
     this.#handle({ type: 'report-received', nodeId, report: reportFromWire(parsed.data) });
-    return answer;
+    return response;
   }
 
   #onFetch(body: WireValue): WireValue {
     const parsed = fetchRequestSchema.safeParse(body);
     if (!parsed.success) throw new MachineListMessageError(FETCH_METHOD);
     const hashes = hashesFromWire(parsed.data.hashes);
-    return pageOf(this.#agent.replica.differingBuckets(hashes), parsed.data.afterBucket);
+    return buildPage(this.#agent.replica.differingBuckets(hashes), parsed.data.afterBucket);
   }
 
   #onPush(body: WireValue, nodeId: string): WireValue {
@@ -142,26 +142,26 @@
     return null;
   }
 
-  #onReading({ asked, version, machines }: MachineListReading): void {
+  #onPollResult({ asked, version, machines }: MachineListReading): void {
     const { hash } = this.options;
-    const entries = machines?.map((machine) => entryOf(machine, hash));
+    const entries = machines?.map((machine) => toListEntry(machine, hash));
     this.#handle({ type: 'read', reading: { knownVersion: asked, version, entries } });
   }
 
   #handle(event: MachineListEvent<Machine>): void {
     if (!this.#isRunning) return;
-    for (const effect of this.#agent.handle(event, this.options.now())) this.#carryOut(effect);
-    this.#schedule();
+    for (const effect of this.#agent.handle(event, this.options.now())) this.#executeEffect(effect);
+    this.#armTimer();
   }
 
-  #schedule(): void {
+  #armTimer(): void {
     clearTimeout(this.#timer);
     if (!this.#isRunning) return;
     const delay = Math.max(0, this.#agent.nextDeadline() - this.options.now());
     this.#timer = setTimeout(() => this.#handle({ type: 'tick' }), Math.ceil(delay));
   }
 
-  #carryOut(effect: MachineListEffect<Machine>): void {
+  #executeEffect(effect: MachineListEffect<Machine>): void {
     switch (effect.type) {
       case 'set-reading':
         if (effect.isPolling) this.options.client.start();
@@ -171,7 +171,7 @@
         this.#apply(effect.stamp.version);
         return;
       case 'ask-report':
-        this.#askReport(effect.peer);
+        this.#exchangeReports(effect.peer);
         return;
       case 'fetch':
         this.#fetch(effect.peer);
@@ -189,23 +189,23 @@
     this.onChange?.(machines);
   }
 
-  #askReport(peer: ConfigurationMember): void {
+  #exchangeReports(peer: ConfigurationMember): void {
     const { nodeId } = peer;
-    this.#peers.askReport(peer, this.#agent.report(this.options.now())).match(
+    this.#peers.exchangeReports(peer, this.#agent.report(this.options.now())).match(
       (report) => this.#handle({ type: 'report-received', nodeId, report }),
-      () => this.#peerFailed(nodeId),
+      () => this.#handlePeerFailure(nodeId),
     );
   }
 
   #fetch(peer: ConfigurationMember): void {
     const { nodeId } = peer;
-    this.#peers.fetch(peer, this.#agent.replica.bucketHashes()).match(
+    this.#peers.fetchBuckets(peer, this.#agent.replica.bucketHashes()).match(
       (buckets) => this.#handle({ type: 'fetched', nodeId, buckets }),
-      () => this.#peerFailed(nodeId),
+      () => this.#handlePeerFailure(nodeId),
     );
   }
 
-  #peerFailed(nodeId: string): void {
+  #handlePeerFailure(nodeId: string): void {
     this.#peerErrors += 1;
     this.#handle({ type: 'peer-failed', nodeId });
   }
--- a/src/node/proxy-node.ts
+++ b/src/node/proxy-node.ts
@@ -332,7 +332,7 @@
     this.#owners.setNodes(this.#fleet.liveNodes());
     this.#owner.reconcile();
     this.#configuration.membersChanged();
-    this.#machineList.membersChanged();
+    this.#machineList.handleMembersChanged();
     this.#gateway.limits.setFleet(
       this.#fleet.liveNodes(),
       this.#fleet.knownNodes(),
