--- a/src/node/gateway/gateway-service.ts
+++ b/src/node/gateway/gateway-service.ts
@@ -92,7 +92,7 @@
     this.#sessions.applyPolicies((tenant) => this.#policyOf(tenant));
     for (const [tenant, policy] of snapshot.tenantsByName) {
       const before = previous?.tenantsByName.get(tenant);
-      if (before?.maxConnections !== policy.maxConnections) this.limits.limitChanged(tenant);
+      if (before?.maxConnections !== policy.maxConnections) this.limits.handleLimitChanged(tenant);
     }
   }
 
--- a/src/node/limits/allocator-service.ts
+++ b/src/node/limits/allocator-service.ts
@@ -1,6 +1,7 @@
 /**
- * This node's part in allocating tenants' limits: it votes, and allocates the limits of the tenants
- * that it is the first node for and that somebody asks about.
+ * This node's part in allocating tenants' connection limits. It votes in elections of allocators,
+ * and allocates the limits of the tenants for which it is the designated node and for which it
+ * receives requests.
  */
 import { Voter } from '../../core/limits/election.js';
 import {
@@ -18,18 +19,18 @@
 import type { LimitNodes } from './nodes.js';
 import type { LimitsPeerClient } from './peer-client.js';
 
-/** Votes are remembered for this many times as long as any share can last. */
-const REMEMBER_FACTOR = 2;
+/** Votes are retained for this multiple of the maximum lifetime of a share. */
+const RETENTION_FACTOR = 2;
 
-/** What the allocator service is made of. */
+/** Options and dependencies of the allocator service. */
 export interface AllocatorServiceOptions {
   readonly nodeId: string;
-  /** Names this life of this node. */
-  readonly life: string;
+  /** Identifies this incarnation of this node. */
+  readonly incarnationId: string;
   readonly hash: Hash64;
   readonly nodes: LimitNodes;
   readonly peers: LimitsPeerClient;
-  /** The tenant's limit, 0 if it has no access. */
+  /** Returns the tenant's limit; 0 if the tenant has no access. */
   readonly limitOf: (tenant: TenantName) => number;
   readonly now: () => Milliseconds;
   readonly lease: TenantLeaseOptions;
@@ -47,7 +48,7 @@
   readonly allocator: TenantAllocator;
 }
 
-/** Runs the allocators of the tenants that this node was elected for. */
+/** Votes, and runs the allocators of the tenants for which this node is a candidate or elected. */
 export class AllocatorService {
   readonly #options: AllocatorServiceOptions;
   readonly #voter: Voter;
@@ -57,31 +58,34 @@
 
   constructor(options: AllocatorServiceOptions) {
     this.#options = options;
-    const { lease, life, hash } = options;
-    const rememberMs = REMEMBER_FACTOR * maxShareLifetimeMs(lease);
+    const { lease, incarnationId, hash } = options;
+    const retentionMs = RETENTION_FACTOR * maxShareLifetimeMs(lease);
     const voteMs = voteDurationMs(lease);
     this.#voter = new Voter({
-      incarnationId: life,
+      incarnationId,
       startedAt: options.now(),
       voteMs,
-      retentionMs: rememberMs,
+      retentionMs,
     });
     this.#voterSets = new VoterSets(hash, {
       maxMachineListLagMs: lease.maxMachineListLagMs,
-      retentionMs: rememberMs,
+      retentionMs,
     });
   }
 
-  /** Voters come from the machine list alone: it is the same for all nodes but for its lag. */
-  setList(nodes: readonly OwnerCandidate[]): void {
+  /**
+   * Sets the nodes that may vote. They come from the machine list alone, since it is the same on all
+   * nodes except for its lag.
+   */
+  setListedNodes(nodes: readonly OwnerCandidate[]): void {
     this.#voterSets.setNodes(nodes, this.#options.now());
   }
 
-  /** Tenants whose limits this node allocates now. */
-  get allocating(): readonly TenantName[] {
+  /** Tenants whose limits this node has authority to allocate now. */
+  get allocatedTenants(): readonly TenantName[] {
     const now = this.#options.now();
     const running = [...this.#running.values()].map(({ allocator }) => allocator);
-    return running.filter((one) => one.hasAuthority(now)).map(({ tenant }) => tenant);
+    return running.filter((allocator) => allocator.hasAuthority(now)).map(({ tenant }) => tenant);
   }
 
   vote(
@@ -94,31 +98,32 @@
     });
   }
 
-  answer({ tenant, request }: TenantShareRequest): ShareResponse {
+  handleShareRequest({ tenant, request }: TenantShareRequest): ShareResponse {
     const now = this.#options.now();
-    const isFirst = this.#options.nodes.allocatorOf(tenant) === this.#options.nodeId;
-    const running = this.#running.get(tenant) ?? (isFirst ? this.#start(tenant, now) : undefined);
+    const isDesignated = this.#options.nodes.allocatorOf(tenant) === this.#options.nodeId;
+    const running =
+      this.#running.get(tenant) ?? (isDesignated ? this.#start(tenant, now) : undefined);
     if (running !== undefined) {
-      // A limit raised since the last tick must not end callers that are within it.
+      // A limit that was raised since the last tick must not disconnect callers who are within it.
       running.allocator.setLimit(this.#options.limitOf(tenant), now);
       return running.allocator.answer(request, now);
     }
     return { type: 'refused', number: request.number, reason: 'no-authority', term: undefined };
   }
 
-  /** Stands for elections and looks after what is running. */
+  /** Runs elections, and updates or stops the running allocators. */
   tick(): void {
     const now = this.#options.now();
     this.#voter.removeExpired(now);
     const elections = new Map<string, Election[]>();
     for (const [tenant, running] of this.#running) {
-      if (this.#stopUnwanted(tenant, running, now)) continue;
+      if (this.#stopIfUnneeded(tenant, running, now)) continue;
       this.#tickOne(running, elections, now);
     }
-    for (const [voter, asked] of elections) void this.#askVotes(voter, asked);
+    for (const [voter, voterElections] of elections) void this.#requestVotes(voter, voterElections);
   }
 
-  /** Planned stop: others may be elected as soon as the votes have lapsed. */
+  /** Resigns for a graceful shutdown: other nodes can be elected once the votes have expired. */
   stop(): void {
     const now = this.#options.now();
     for (const { allocator } of this.#running.values()) allocator.resign(now);
@@ -126,18 +131,18 @@
   }
 
   #start(tenant: TenantName, now: Milliseconds): RunningAllocator {
-    const { life, lease, limitOf } = this.#options;
+    const { incarnationId, lease, limitOf } = this.#options;
     this.#candidacies += 1;
-    const candidate = `${life}/${this.#candidacies}`;
+    const candidate = `${incarnationId}/${this.#candidacies}`;
     const allocator = new TenantAllocator(tenant, candidate, limitOf(tenant), lease, now);
     const running = { candidate, allocator };
     this.#running.set(tenant, running);
     return running;
   }
 
-  #stopUnwanted(tenant: TenantName, { allocator }: RunningAllocator, now: Milliseconds): boolean {
-    const isFirst = this.#options.nodes.allocatorOf(tenant) === this.#options.nodeId;
-    if (isFirst && !allocator.isIdle(now)) return false;
+  #stopIfUnneeded(tenant: TenantName, { allocator }: RunningAllocator, now: Milliseconds): boolean {
+    const isDesignated = this.#options.nodes.allocatorOf(tenant) === this.#options.nodeId;
+    if (isDesignated && !allocator.isIdle(now)) return false;
     allocator.resign(now);
     this.#running.delete(tenant);
     return true;
@@ -154,32 +159,32 @@
     const view = { ...this.#voterSets.votersOf(tenant, now), knownNodes: nodes.knownIds };
     for (const effect of allocator.tick(view, now)) {
       if (effect.type === 'ask-report') {
-        void this.#askReport(allocator, effect);
+        void this.#requestReport(allocator, effect);
         continue;
       }
-      const asked = elections.get(effect.voter) ?? [];
-      asked.push({ tenant, candidate, sentAt: effect.sentAt, allocator });
-      elections.set(effect.voter, asked);
+      const voterElections = elections.get(effect.voter) ?? [];
+      voterElections.push({ tenant, candidate, sentAt: effect.sentAt, allocator });
+      elections.set(effect.voter, voterElections);
     }
   }
 
-  async #askVotes(voter: string, elections: readonly Election[]): Promise<void> {
-    const asked = elections.map(({ tenant, candidate }) => ({ tenant, candidate }));
-    const answer = await this.#options.peers.askVotes(voter, asked);
-    if (answer.isErr()) return;
+  async #requestVotes(voter: string, elections: readonly Election[]): Promise<void> {
+    const candidates = elections.map(({ tenant, candidate }) => ({ tenant, candidate }));
+    const votes = await this.#options.peers.requestVotes(voter, candidates);
+    if (votes.isErr()) return;
     const now = this.#options.now();
     elections.forEach(({ allocator, sentAt }, index) => {
-      const vote = answer.value[index];
+      const vote = votes.value[index];
       if (vote !== undefined) allocator.receiveVote(voter, sentAt, vote, now);
     });
   }
 
-  async #askReport(
+  async #requestReport(
     allocator: TenantAllocator,
     { nodeId, term }: Extract<AllocatorEffect, { type: 'ask-report' }>,
   ): Promise<void> {
     const { peers, nodes, now } = this.#options;
-    const report = await peers.askReport(nodeId, allocator.tenant, term);
+    const report = await peers.requestReport(nodeId, allocator.tenant, term);
     if (report.isErr()) return;
     allocator.receiveReport(nodeId, report.value, nodes.knownIds, now());
   }
--- a/src/node/limits/messages.ts
+++ b/src/node/limits/messages.ts
@@ -1,74 +1,76 @@
-/** The calls by which nodes share tenants' limits, checked where they are received. */
+/** Calls by which nodes divide tenants' limits among them, with the schemas that validate them. */
 import { z } from 'zod';
 import { MeadowstackError } from '../../core/errors.js';
 import type { Vote } from '../../core/limits/election.js';
 import type { ShareRequest, ShareResponse } from '../../core/ownership/budget-lease.js';
 
-/** Asks a voter for its vote. */
+/** Requests a voter's votes. */
 export const VOTE_METHOD = 'limits.vote';
-/** Asks an allocator for a share. */
+/** Requests shares from an allocator. */
 export const SHARE_METHOD = 'limits.share';
-/** Asks a holder what it holds. */
+/** Requests a report of the share that a node holds. */
 export const REPORT_METHOD = 'limits.report';
 
-/** Longest list in one call: tenants of one pair of nodes. */
+/** Maximum length of a list in one call; its entries are tenants that concern the two nodes. */
 const MAX_ENTRIES = 10_000;
 const MAX_VOTER_SETS = 32;
 const MAX_VOTERS = 16;
 
-const name = z.string().min(1).max(200);
-const count = z.int().min(0);
+const nameSchema = z.string().min(1).max(200);
+const countSchema = z.int().min(0);
 
-const shareRequest: z.ZodType<ShareRequest> = z.object({
-  holder: name,
-  number: count,
-  wanted: count,
-  needed: count,
-  holding: count,
-  inUse: count,
-  term: z.union([name, z.undefined()]),
+const shareRequestSchema: z.ZodType<ShareRequest> = z.object({
+  holder: nameSchema,
+  number: countSchema,
+  wanted: countSchema,
+  needed: countSchema,
+  holding: countSchema,
+  inUse: countSchema,
+  term: z.union([nameSchema, z.undefined()]),
 });
 
-const shareAnswer: z.ZodType<ShareResponse> = z.discriminatedUnion('type', [
+const shareResponseSchema: z.ZodType<ShareResponse> = z.discriminatedUnion('type', [
   z.object({
     type: z.literal('granted'),
-    number: count,
-    connections: count,
+    number: countSchema,
+    connections: countSchema,
     mayGrowSoon: z.boolean(),
   }),
   z.object({
     type: z.literal('refused'),
-    number: count,
+    number: countSchema,
     reason: z.enum(['no-authority', 'term-unknown', 'waiting', 'stale']),
-    term: z.union([name, z.undefined()]),
+    term: z.union([nameSchema, z.undefined()]),
   }),
 ]);
 
-const vote: z.ZodType<Vote> = z.object({
+const voteSchema: z.ZodType<Vote> = z.object({
   granted: z.boolean(),
-  sequence: name,
+  sequence: nameSchema,
   quietMs: z.number().min(0),
-  voterSets: z.array(z.array(name).max(MAX_VOTERS)).max(MAX_VOTER_SETS),
+  voterSets: z.array(z.array(nameSchema).max(MAX_VOTERS)).max(MAX_VOTER_SETS),
 });
 
-/** Asks a voter for its votes in several tenants' elections. */
+/** Requests a voter's votes in several tenants' elections. */
 export const voteRequestSchema = z.object({
-  elections: z.array(z.object({ tenant: name, candidate: name })).max(MAX_ENTRIES),
+  elections: z.array(z.object({ tenant: nameSchema, candidate: nameSchema })).max(MAX_ENTRIES),
 });
-/** In the order of the request. */
-export const voteAnswerSchema = z.object({ votes: z.array(vote).max(MAX_ENTRIES) });
+/** The votes, in the order of the request. */
+export const voteResponseSchema = z.object({ votes: z.array(voteSchema).max(MAX_ENTRIES) });
 
-/** Asks an allocator for shares of several tenants' limits. */
+/** Requests shares of several tenants' limits from an allocator. */
 export const shareRequestsSchema = z.object({
-  requests: z.array(z.object({ tenant: name, request: shareRequest })).max(MAX_ENTRIES),
+  requests: z.array(z.object({ tenant: nameSchema, request: shareRequestSchema })).max(MAX_ENTRIES),
+});
+/** The responses, in the order of the request. */
+export const shareResponsesSchema = z.object({
+  answers: z.array(shareResponseSchema).max(MAX_ENTRIES),
 });
-/** In the order of the request. */
-export const shareAnswersSchema = z.object({ answers: z.array(shareAnswer).max(MAX_ENTRIES) });
 
-/** A new allocator asks what a node holds. */
-export const reportRequestSchema = z.object({ tenant: name, term: name });
-/** What a holder tells of its share. */
-export const reportAnswerSchema = z.object({ report: shareRequest });
+/** Sent by a new allocator to learn what a node holds; `term` is the allocator's. */
+export const reportRequestSchema = z.object({ tenant: nameSchema, term: nameSchema });
+/** A holder's report of its share. */
+export const reportResponseSchema = z.object({ report: shareRequestSchema });
 
 /** A call about limits was malformed. */
 export class LimitsCallError extends MeadowstackError {
--- a/src/node/limits/nodes.ts
+++ b/src/node/limits/nodes.ts
@@ -1,27 +1,27 @@
-/** The nodes that take part in sharing limits, by this node's view of the fleet. */
+/** The nodes that take part in dividing limits, according to this node's view of the cluster. */
 import { NodeHashCache, type NodeSelector } from '../../core/limits/tenant-nodes.js';
 import type { Hash64 } from '../../core/ownership/rendezvous.js';
 import type { TenantName } from '../../core/request.js';
 import type { PeerAddress } from '../../peer/contract.js';
 import type { FleetNode } from '../fleet-view.js';
 
-/** The nodes that the limits talk to. */
+/** Nodes that may allocate limits or hold shares of them. */
 export class LimitNodes {
   readonly #hashes: NodeHashCache;
   #live: readonly FleetNode[] = [];
   #known: ReadonlyMap<string, FleetNode> = new Map();
-  /** Made when it is first asked for: members change more often than that. */
-  #choice: NodeSelector | undefined;
+  /** Created at first use, because the members change more often than it is used. */
+  #selector: NodeSelector | undefined;
 
   constructor(hash: Hash64) {
     this.#hashes = new NodeHashCache(hash);
   }
 
-  /** `live` may become allocators; `known` may hold shares, too. */
+  /** `live` nodes may become allocators; `known` nodes may hold shares, as live ones may. */
   set(live: readonly FleetNode[], known: readonly FleetNode[]): void {
     this.#live = live;
     this.#known = new Map([...known, ...live].map((node) => [node.nodeId, node]));
-    this.#choice = undefined;
+    this.#selector = undefined;
   }
 
   get liveCount(): number {
@@ -32,10 +32,10 @@
     return [...this.#known.keys()];
   }
 
-  /** The node that should allocate the tenant's limit; others may believe in another one. */
+  /** The designated allocator of the tenant's limit; nodes with other views may designate another. */
   allocatorOf(tenant: TenantName): string | undefined {
-    this.#choice ??= this.#hashes.selectorFor(this.#live);
-    return this.#choice.select(`tenant-allocator:${tenant}`, 1)[0];
+    this.#selector ??= this.#hashes.selectorFor(this.#live);
+    return this.#selector.select(`tenant-allocator:${tenant}`, 1)[0];
   }
 
   addressOf(nodeId: string): PeerAddress | undefined {
--- a/src/node/limits/peer-client.ts
+++ b/src/node/limits/peer-client.ts
@@ -1,4 +1,4 @@
-/** Asks other nodes, and this one, about tenants' limits. */
+/** Client of the limit services of other nodes and of this one. */
 import { errAsync, ok, Result, ResultAsync } from 'neverthrow';
 import type { z } from 'zod';
 import type { MeadowstackError } from '../../core/errors.js';
@@ -11,65 +11,65 @@
   LimitsCallError,
   parseCall,
   REPORT_METHOD,
-  reportAnswerSchema,
+  reportResponseSchema,
   SHARE_METHOD,
-  shareAnswersSchema,
+  shareResponsesSchema,
   VOTE_METHOD,
-  voteAnswerSchema,
+  voteResponseSchema,
 } from './messages.js';
 import type { LimitNodes } from './nodes.js';
 
 const CALL_TIMEOUT_MS = 1000;
 
-/** What the client is made of. */
+/** Options and dependencies of the client. */
 export interface LimitsPeerClientOptions {
   readonly nodeId: string;
   readonly transport: Pick<PeerTransport, 'call'>;
   readonly nodes: LimitNodes;
-  /** Answers the calls that this node makes to itself. */
-  readonly answerLocally: (method: string, body: WireValue) => WireValue;
+  /** Handles the calls that this node sends to itself. */
+  readonly handleLocally: (method: string, body: WireValue) => WireValue;
 }
 
-/** The calling side of the limits' messages. */
+/** Sends the calls of messages.ts. */
 export class LimitsPeerClient {
   constructor(private readonly options: LimitsPeerClientOptions) {}
 
-  /** Votes in the order of the elections. */
-  askVotes(
+  /** Resolves to the votes in the order of the elections. */
+  requestVotes(
     nodeId: string,
     elections: readonly { readonly tenant: TenantName; readonly candidate: string }[],
   ): ResultAsync<readonly Vote[], MeadowstackError> {
-    return this.#call(nodeId, VOTE_METHOD, { elections }, voteAnswerSchema).map(
+    return this.#call(nodeId, VOTE_METHOD, { elections }, voteResponseSchema).map(
       ({ votes }) => votes,
     );
   }
 
-  /** Answers in the order of the requests. */
-  askShares(
+  /** Resolves to the responses in the order of the requests. */
+  requestShares(
     nodeId: string,
     requests: readonly TenantShareRequest[],
   ): ResultAsync<readonly ShareResponse[], MeadowstackError> {
-    return this.#call(nodeId, SHARE_METHOD, { requests }, shareAnswersSchema).map(
+    return this.#call(nodeId, SHARE_METHOD, { requests }, shareResponsesSchema).map(
       ({ answers }) => answers,
     );
   }
 
-  askReport(
+  requestReport(
     nodeId: string,
     tenant: TenantName,
     term: string,
   ): ResultAsync<ShareRequest, MeadowstackError> {
-    return this.#call(nodeId, REPORT_METHOD, { tenant, term }, reportAnswerSchema).map(
+    return this.#call(nodeId, REPORT_METHOD, { tenant, term }, reportResponseSchema).map(
       ({ report }) => report,
     );
   }
 
-  #call<Answer>(
+  #call<Output>(
     nodeId: string,
     method: string,
     body: WireValue,
-    schema: z.ZodType<Answer>,
-  ): ResultAsync<Answer, MeadowstackError> {
+    schema: z.ZodType<Output>,
+  ): ResultAsync<Output, MeadowstackError> {
     return this.#send(nodeId, method, body).andThen(
       Result.fromThrowable(
         (value) => parseCall(schema, value),
@@ -79,8 +79,8 @@
   }
 
   #send(nodeId: string, method: string, body: WireValue): ResultAsync<WireValue, MeadowstackError> {
-    const { nodeId: ownId, transport, nodes, answerLocally } = this.options;
-    if (nodeId === ownId) return new ResultAsync(Promise.resolve(ok(answerLocally(method, body))));
+    const { nodeId: ownId, transport, nodes, handleLocally } = this.options;
+    if (nodeId === ownId) return new ResultAsync(Promise.resolve(ok(handleLocally(method, body))));
     const address = nodes.addressOf(nodeId);
     if (address === undefined) return errAsync(new LimitsCallError(`no node ${nodeId}`));
     return transport.call(address, method, body, CALL_TIMEOUT_MS);
--- a/src/node/limits/service.ts
+++ b/src/node/limits/service.ts
@@ -1,6 +1,7 @@
 /**
- * Limits of tenants over the whole fleet on this node: holds shares for its callers, allocates the
- * limits of some tenants, and votes on who allocates. See docs/design/fleet-wide-limits.md.
+ * Cluster-wide connection limits of tenants, as enforced on this node: holds shares for its callers,
+ * allocates the limits of some tenants, and votes for allocators. See
+ * docs/design/fleet-wide-limits.md.
  */
 import type { ResultAsync } from 'neverthrow';
 import type { TenantPolicy } from '../../core/configuration/model.js';
@@ -30,14 +31,14 @@
 import { LimitsPeerClient } from './peer-client.js';
 import { type Release, ShareService, type ShareStatus } from './share-service.js';
 
-const TICK_MS: Milliseconds = 50;
+const TICK_PERIOD_MS: Milliseconds = 50;
 
-/** What the limit service is made of. */
+/** Options and dependencies of the limit service. */
 export interface TenantLimitServiceOptions {
   readonly identity: NodeIdentity;
   readonly transport: Pick<PeerTransport, 'call'>;
   readonly hash: Hash64;
-  /** Connections of the tenant over the whole fleet, 0 if it has no access. */
+  /** Returns the tenant's connection limit in the whole cluster; 0 if the tenant has no access. */
   readonly limitOf: (tenant: TenantName) => number;
   readonly now: () => Milliseconds;
   readonly graceMs: Milliseconds;
@@ -45,14 +46,14 @@
   readonly lease?: Partial<TenantLeaseOptions>;
 }
 
-/** What operators see. */
+/** Status for operators. */
 export interface TenantLimitStatus {
   readonly shares: readonly ShareStatus[];
   /** Tenants whose limits this node allocates. */
   readonly allocating: readonly TenantName[];
 }
 
-/** Tenants' limits on this node: its shares, and the allocators that it runs. */
+/** Tenants' limits on this node: the shares that it holds and the allocators that it runs. */
 export class TenantLimitService implements CallService {
   readonly #nodes: LimitNodes;
   readonly #allocators: AllocatorService;
@@ -64,16 +65,16 @@
     const { identity, transport, hash, limitOf, now, graceMs, onShareLowered } = options;
     const { nodeId } = identity;
     const lease = { ...DEFAULT_TENANT_LEASE_OPTIONS, ...options.lease };
-    const life = `${nodeId}#${identity.incarnation}`;
+    const incarnationId = `${nodeId}#${identity.incarnation}`;
     const nodes = new LimitNodes(hash);
-    const answerLocally = (method: string, body: WireValue) => this.onCall(method, body);
-    const peers = new LimitsPeerClient({ nodeId, transport, nodes, answerLocally });
+    const handleLocally = (method: string, body: WireValue) => this.onCall(method, body);
+    const peers = new LimitsPeerClient({ nodeId, transport, nodes, handleLocally });
     this.#nodes = nodes;
     this.#allocators = new AllocatorService({
-      ...{ nodeId, life, hash, nodes, peers, limitOf, now, lease },
+      ...{ nodeId, incarnationId, hash, nodes, peers, limitOf, now, lease },
     });
     this.#shares = new ShareService({
-      ...{ life, nodes, peers, limitOf, now, lease, graceMs, onShareLowered },
+      ...{ incarnationId, nodes, peers, limitOf, now, lease, graceMs, onShareLowered },
     });
     this.#methods = this.#createMethods();
   }
@@ -82,37 +83,37 @@
     this.#timer ??= setInterval(() => {
       this.#shares.tick();
       this.#allocators.tick();
-    }, TICK_MS);
+    }, TICK_PERIOD_MS);
   }
 
-  /** Gives the shares back: nobody is admitted any more, and others may allocate. */
+  /** Stops admitting callers, returns the shares, and lets other nodes become allocators. */
   async stop(error: RequestError): Promise<void> {
     clearInterval(this.#timer);
     this.#allocators.stop();
     await this.#shares.stop(error);
   }
 
-  /** `listed`: proxies that the machine list names and doesn't mark as leaving. */
+  /** `listed`: proxies on the machine list that are not marked as leaving. */
   setFleet(
     live: readonly FleetNode[],
     known: readonly FleetNode[],
     listed: readonly FleetNode[],
   ): void {
     this.#nodes.set(live, known);
-    this.#allocators.setList(listed);
+    this.#allocators.setListedNodes(listed);
   }
 
-  /** Resolves once there is a place, or with why there is none. */
+  /** Resolves once the caller is admitted, or to the error for which it is refused. */
   admit(policy: TenantPolicy): ResultAsync<Release, RequestError> {
     return this.#shares.admit(policy);
   }
 
-  limitChanged(tenant: TenantName): void {
-    this.#shares.limitChanged(tenant);
+  handleLimitChanged(tenant: TenantName): void {
+    this.#shares.handleLimitChanged(tenant);
   }
 
   status(): TenantLimitStatus {
-    return { shares: this.#shares.status(), allocating: this.#allocators.allocating };
+    return { shares: this.#shares.status(), allocating: this.#allocators.allocatedTenants };
   }
 
   handles(method: string): boolean {
@@ -121,9 +122,9 @@
 
   /** @throws LimitsCallError, UnknownMethodError */
   onCall(method: string, body: WireValue): WireValue {
-    const answer = this.#methods.get(method);
-    if (answer === undefined) throw new UnknownMethodError(method);
-    return answer(body);
+    const handler = this.#methods.get(method);
+    if (handler === undefined) throw new UnknownMethodError(method);
+    return handler(body);
   }
 
   #createMethods(): ReadonlyMap<string, (body: WireValue) => WireValue> {
@@ -141,7 +142,7 @@
 
   #share(body: WireValue): WireValue {
     const { requests } = parseCall(shareRequestsSchema, body);
-    return { answers: requests.map((request) => this.#allocators.answer(request)) };
+    return { answers: requests.map((request) => this.#allocators.handleShareRequest(request)) };
   }
 
   #report(body: WireValue): WireValue {
--- a/src/node/limits/share-service.ts
+++ b/src/node/limits/share-service.ts
@@ -1,6 +1,6 @@
 /**
- * Admits callers within this node's leased shares of their tenants' connection limits. A caller for
- * whom there is no place waits while the tenant's allocator is asked for more.
+ * Admits callers within this node's leased shares of their tenants' connection limits. If a share is
+ * used up, its tenant's callers wait while the node requests more from the tenant's allocator.
  */
 import { err, ok, type Result, ResultAsync } from 'neverthrow';
 import type { TenantPolicy } from '../../core/configuration/model.js';
@@ -13,28 +13,28 @@
 import type { LimitNodes } from './nodes.js';
 import type { LimitsPeerClient } from './peer-client.js';
 
-/** How long a caller waits for a place at most, in ms: longer than a renewal of everybody's share. */
+/** Maximum wait of a caller for admission; longer than it takes to renew the shares of all nodes. */
 const ADMISSION_TIMEOUT_MS: Milliseconds = 2500;
-/** Callers of one tenant that wait at once; more are refused. */
-const MAX_WAITING = 256;
-/** How soon a refused caller may ask again, in ms. */
+/** Maximum number of waiting callers of one tenant; further ones are refused. */
+const MAX_WAITING_PER_TENANT = 256;
+/** Delay after which a refused caller may retry. */
 const RETRY_AFTER_MS: Milliseconds = 500;
 
-/** What the share service is made of. */
+/** Options and dependencies of the share service. */
 export interface ShareServiceOptions {
-  readonly life: string;
+  readonly incarnationId: string;
   readonly nodes: LimitNodes;
   readonly peers: LimitsPeerClient;
   readonly limitOf: (tenant: TenantName) => number;
   readonly now: () => Milliseconds;
   readonly lease: TenantLeaseOptions;
-  /** How long callers that must go are given to end what they are doing. */
+  /** Time that callers in excess of the share have to finish their work. */
   readonly graceMs: Milliseconds;
-  /** So many callers of the tenant may stay; the others must be gone within `graceMs`. */
+  /** Called if only `allowed` callers of the tenant may stay; the others must go within `graceMs`. */
   readonly onShareLowered: (tenant: TenantName, allowed: number) => void;
 }
 
-/** Gives a place back. */
+/** Returns an admitted caller's connection to the share. */
 export type Release = () => void;
 type Admission = Result<Release, RequestError>;
 
@@ -43,7 +43,7 @@
   readonly timer: NodeJS.Timeout;
 }
 
-/** What operators see of one tenant's share on this node. */
+/** Status of one tenant's share on this node, for operators. */
 export interface ShareStatus {
   readonly tenant: TenantName;
   readonly open: number;
@@ -59,35 +59,35 @@
 
   constructor(options: ShareServiceOptions) {
     this.#options = options;
-    this.#shares = new TenantShares(options.life, options.lease);
+    this.#shares = new TenantShares(options.incarnationId, options.lease);
   }
 
-  /** Resolves once there is a place, or with why there is none. */
+  /** Resolves once the caller is admitted, or to the error for which it is refused. */
   admit({ tenant }: TenantPolicy): ResultAsync<Release, RequestError> {
-    const isFirstInLine = !this.#waiting.has(tenant);
-    if (isFirstInLine && this.#shares.tryAcquire(tenant, this.#options.now())) {
-      return new ResultAsync(Promise.resolve(ok(this.#releaseOf(tenant))));
+    const hasNoQueue = !this.#waiting.has(tenant);
+    if (hasNoQueue && this.#shares.tryAcquire(tenant, this.#options.now())) {
+      return new ResultAsync(Promise.resolve(ok(this.#createRelease(tenant))));
     }
-    if (this.#waitingOf(tenant) >= MAX_WAITING) {
-      return new ResultAsync(Promise.resolve(err(noConnectionLeft(tenant))));
+    if (this.#waitingCount(tenant) >= MAX_WAITING_PER_TENANT) {
+      return new ResultAsync(Promise.resolve(err(createLimitError(tenant))));
     }
-    return new ResultAsync(new Promise((resolve) => this.#wait(tenant, resolve)));
+    return new ResultAsync(new Promise((resolve) => this.#enqueue(tenant, resolve)));
   }
 
-  /** Asks for shares that are due and applies those that have lapsed. */
+  /** Requests the shares that are due for renewal, and applies the expiry of shares. */
   tick(): void {
     const { now, limitOf, nodes } = this.#options;
     this.#shares.setNodeCount(nodes.liveCount);
-    void this.#send(this.#shares.dueRequests(limitOf, now()));
+    void this.#sendRequests(this.#shares.dueRequests(limitOf, now()));
     for (const tenant of this.#shares.tenants()) this.#applyShare(tenant);
   }
 
-  /** The tenant's limit has changed: its share is asked for anew. */
-  limitChanged(tenant: TenantName): void {
+  /** Renews the tenant's share, since its limit has changed. */
+  handleLimitChanged(tenant: TenantName): void {
     this.#shares.scheduleRenewal(tenant);
   }
 
-  /** What this node holds, for an allocator that asks under its term. */
+  /** Reports what this node holds to the allocator of `term`. */
   report(tenant: TenantName, term: string): ShareRequest {
     const { limitOf, now } = this.#options;
     return this.#shares.report(tenant, term, limitOf(tenant), now());
@@ -99,43 +99,43 @@
       tenant,
       open: this.#shares.openConnections(tenant),
       held: this.#shares.heldConnections(tenant, now),
-      waiting: this.#waitingOf(tenant),
+      waiting: this.#waitingCount(tenant),
     }));
   }
 
-  /** Refuses everybody who waits and gives all shares back; the callers have gone before. */
+  /** Refuses waiting callers and returns all shares; admitted callers must be gone before. */
   async stop(error: RequestError): Promise<void> {
     for (const [tenant, waiting] of this.#waiting) {
       for (const caller of [...waiting]) this.#settle(tenant, caller, err(error));
     }
-    await this.#send(this.#shares.returnAll(this.#options.now()));
+    await this.#sendRequests(this.#shares.returnAll(this.#options.now()));
   }
 
-  /** One call for each allocator. */
-  async #send(requests: readonly TenantShareRequest[]): Promise<void> {
+  /** Sends the requests, in one call to each allocator. */
+  async #sendRequests(requests: readonly TenantShareRequest[]): Promise<void> {
     const byAllocator = new Map<string, TenantShareRequest[]>();
-    for (const entry of requests) {
-      const allocator = this.#options.nodes.allocatorOf(entry.tenant);
+    for (const tenantRequest of requests) {
+      const allocator = this.#options.nodes.allocatorOf(tenantRequest.tenant);
       if (allocator === undefined) continue;
-      byAllocator.set(allocator, [...(byAllocator.get(allocator) ?? []), entry]);
+      byAllocator.set(allocator, [...(byAllocator.get(allocator) ?? []), tenantRequest]);
     }
     await Promise.all(
-      [...byAllocator].map(([allocator, entries]) => this.#ask(allocator, entries)),
+      [...byAllocator].map(([allocator, entries]) => this.#requestShares(allocator, entries)),
     );
   }
 
-  async #ask(allocator: string, requests: readonly TenantShareRequest[]): Promise<void> {
-    const answers = await this.#options.peers.askShares(allocator, requests);
-    if (answers.isErr()) return;
+  async #requestShares(allocator: string, requests: readonly TenantShareRequest[]): Promise<void> {
+    const responses = await this.#options.peers.requestShares(allocator, requests);
+    if (responses.isErr()) return;
     requests.forEach((entry, index) => {
-      const answer = answers.value[index];
-      if (answer === undefined) return;
-      this.#shares.receiveResponse(entry, answer, this.#options.now());
+      const response = responses.value[index];
+      if (response === undefined) return;
+      this.#shares.receiveResponse(entry, response, this.#options.now());
       this.#applyShare(entry.tenant);
     });
   }
 
-  /** Callers in, as far as the share goes; callers out, if it is smaller now. */
+  /** Admits waiting callers as far as the share allows, or reports an excess if it has become smaller. */
   #applyShare(tenant: TenantName): void {
     const { now, graceMs, onShareLowered } = this.#options;
     const excess = this.#shares.excessConnections(tenant, graceMs, now());
@@ -145,20 +145,20 @@
     }
     for (const caller of this.#waiting.get(tenant) ?? []) {
       if (this.#shares.tryAcquire(tenant, now())) {
-        this.#settle(tenant, caller, ok(this.#releaseOf(tenant)));
+        this.#settle(tenant, caller, ok(this.#createRelease(tenant)));
       } else if (this.#shares.isExhausted(tenant)) {
-        this.#settle(tenant, caller, err(noConnectionLeft(tenant)));
+        this.#settle(tenant, caller, err(createLimitError(tenant)));
       } else return;
     }
   }
 
-  #wait(tenant: TenantName, settle: (admission: Admission) => void): void {
+  #enqueue(tenant: TenantName, settle: (admission: Admission) => void): void {
     const waiting = this.#waiting.get(tenant) ?? new Set();
     this.#waiting.set(tenant, waiting);
     const caller: WaitingCaller = {
       settle,
       timer: setTimeout(() => {
-        this.#settle(tenant, caller, err(noConnectionLeft(tenant)));
+        this.#settle(tenant, caller, err(createLimitError(tenant)));
       }, ADMISSION_TIMEOUT_MS),
     };
     waiting.add(caller);
@@ -171,15 +171,15 @@
     const waiting = this.#waiting.get(tenant);
     waiting?.delete(caller);
     if (waiting?.size === 0) this.#waiting.delete(tenant);
-    this.#shares.setWaiting(tenant, this.#waitingOf(tenant), this.#options.now());
+    this.#shares.setWaiting(tenant, this.#waitingCount(tenant), this.#options.now());
     caller.settle(admission);
   }
 
-  #waitingOf(tenant: TenantName): number {
+  #waitingCount(tenant: TenantName): number {
     return this.#waiting.get(tenant)?.size ?? 0;
   }
 
-  #releaseOf(tenant: TenantName): Release {
+  #createRelease(tenant: TenantName): Release {
     return () => {
       this.#shares.release(tenant, this.#options.now());
       this.#applyShare(tenant);
@@ -187,7 +187,7 @@
   }
 }
 
-function noConnectionLeft(tenant: TenantName): RequestError {
+function createLimitError(tenant: TenantName): RequestError {
   const message = `tenant ${tenant} has no connection left`;
   return new NotRunError('connection-limit', message, RETRY_AFTER_MS);
 }
--- a/src/peer/frame-batch.ts
+++ b/src/peer/frame-batch.ts
@@ -4,7 +4,7 @@
  */
 import { type FrameTypeCode, HEADER_BYTES, writeHeader } from './frame.js';
 
-/** First slab after an idle period: most links of a large fleet send a few frames and are idle again. */
+/** First slab after an idle period: most links of a large cluster then send only a few frames. */
 const INITIAL_SLAB_BYTES = 1024;
 /** Slabs double in size up to this while a link stays busy. */
 const MAX_SLAB_BYTES = 64 * 1024;
@@ -41,7 +41,7 @@
     this.#bytes += HEADER_BYTES;
   }
 
-  /** Adds a piece of payload. Large pieces are kept by reference and must not be modified afterwards. */
+  /** Adds a piece of payload. Large pieces are kept by reference and must not change afterwards. */
   addBytes(piece: Buffer): void {
     this.#bytes += piece.length;
     if (piece.length >= NO_COPY_MIN_BYTES) {
--- a/src/peer/frame.ts
+++ b/src/peer/frame.ts
@@ -106,7 +106,7 @@
     this.#maxPayloadBytes = maxPayloadBytes;
   }
 
-  /** True if the bytes received so far end inside a frame: if the connection ends here, it was truncated. */
+  /** True if the bytes received so far end inside a frame: a connection that ends here was truncated. */
   get isInsideFrame(): boolean {
     return this.#partial !== undefined;
   }
--- a/src/peer/transport.ts
+++ b/src/peer/transport.ts
@@ -49,7 +49,7 @@
   readonly #counters: MutableCounters = zeroCounters();
   readonly #dialled = new Map<string, DialledPeer>();
   readonly #accepted = new Set<PeerLink>();
-  /** Dialled links whose other side is stopping; a new link to the same address may be dialled meanwhile. */
+  /** Dialled links whose other side is stopping; a new link to its address may be dialled meanwhile. */
   readonly #drainingLinks = new Set<PeerLink>();
   readonly #heartbeat: NodeJS.Timeout;
   #pendingHandshakes = 0;
--- a/test/unit/allocator-service.test.ts
+++ b/test/unit/allocator-service.test.ts
@@ -37,14 +37,14 @@
       nodeId: NODE.nodeId,
       transport: { call: () => errAsync(new UnknownMethodError('there is no other node')) },
       nodes,
-      answerLocally: (method, body) => {
+      handleLocally: (method, body) => {
         assert.is(method, VOTE_METHOD);
         return { votes: this.#service.vote(parseCall(voteRequestSchema, body).elections) };
       },
     });
     this.#service = new AllocatorService({
       nodeId: NODE.nodeId,
-      life: 'proxy-1#1',
+      incarnationId: 'proxy-1#1',
       hash,
       nodes,
       peers,
@@ -53,7 +53,7 @@
       // Reports of holders are not what is tested here.
       lease: { ...DEFAULT_TENANT_LEASE_OPTIONS, maxReportingNodes: 0 },
     });
-    this.#service.setList([NODE]);
+    this.#service.setListedNodes([NODE]);
   }
 
   async elect(): Promise<void> {
@@ -79,7 +79,10 @@
   #ask(use: { holding: number; inUse: number }, term: string | undefined): ShareResponse {
     this.#requests += 1;
     const request = { holder: 'proxy-2#1/1', number: this.#requests, wanted: USED, needed: USED };
-    return this.#service.answer({ tenant: TENANT, request: { ...request, ...use, term } });
+    return this.#service.handleShareRequest({
+      tenant: TENANT,
+      request: { ...request, ...use, term },
+    });
   }
 }
 
