--- a/test/integration/cluster/machine-list.test.ts
+++ b/test/integration/cluster/machine-list.test.ts
@@ -1,6 +1,6 @@
 /**
- * The machine list with real processes: two proxies of a zone read the service, the others learn from
- * them; readers that stand still or are killed are replaced.
+ * The machine list with real processes: two proxies of a zone (the readers) poll the list service and
+ * distribute changes to the others; readers that are paused or killed are replaced.
  */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -28,7 +28,7 @@
   );
 }
 
-/** The two readers, once it is just these. */
+/** Waits until exactly two proxies poll the list service, and returns them. */
 async function twoReaders(cluster: Cluster, nodeIds: readonly string[]): Promise<string[]> {
   let readers: string[] = [];
   await until(`${READERS} readers among ${nodeIds.join()}`, async () => {
@@ -38,7 +38,7 @@
   return readers;
 }
 
-/** Publishes a change of the list; resolves once these nodes have it. */
+/** Publishes a change of the list; resolves once the given nodes have it. */
 async function publishTo(cluster: Cluster, nodeIds: readonly string[], name: string) {
   const place = { zone: ZONE, host: '127.0.0.1', port: 1, slots: 1, maxConnections: 5 };
   const state = 'leaving';
--- a/test/integration/cluster/tenant-limits.test.ts
+++ b/test/integration/cluster/tenant-limits.test.ts
@@ -1,4 +1,4 @@
-/** A tenant's connection limit over real proxies: all of it on one, never more over all. */
+/** A tenant's connection limit across real proxies: one may use all of it, all together never more. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { Cluster } from '../../../bench/harness/cluster.js';
@@ -30,7 +30,7 @@
   return { ...TENANT, databases: [GROUP], template: 'standard', parameters };
 }
 
-/** The connection, or the SQLSTATE with which it was refused. */
+/** Resolves to the connection, or to the SQLSTATE with which it was refused. */
 function tryConnect(cluster: Cluster, nodeId: string): Promise<TestCaller | string> {
   return connectCaller(cluster, nodeId).catch((error: { code: string }) => error.code);
 }
--- a/test/integration/commands.test.ts
+++ b/test/integration/commands.test.ts
@@ -35,7 +35,7 @@
   return path;
 }
 
-/** Runs a command that asks the store. */
+/** Runs a command against the test's store. */
 function ask(...args: string[]): Promise<CommandResult> {
   return runCommand([...args, '--store', `http://${store.host}:${store.port}`]);
 }
--- a/test/integration/membership-service.test.ts
+++ b/test/integration/membership-service.test.ts
@@ -9,7 +9,7 @@
 
 const SECRET = Buffer.from('a secret of the cluster, 32 byte');
 const HOST = '127.0.0.1';
-/** Fast enough for a test; waits are on events, so a slow machine only takes longer. */
+/** Short periods for tests. The tests wait for events, so on a slow machine they only take longer. */
 const OPTIONS = {
   probePeriodMs: 100,
   probeTimeoutMs: 30,
--- a/test/integration/peer-transport.test.ts
+++ b/test/integration/peer-transport.test.ts
@@ -28,7 +28,7 @@
 const SECRET = Buffer.from('a secret of the cluster, 32 byte');
 const CALL_TIMEOUT_MS = 20_000;
 
-/** Echoes data and messages until the opener ends. */
+/** Echoes data and messages until the opener ends the stream. */
 function echo(_header: unknown, stream: PeerStream): void {
   stream.onData = (data) => {
     if (!stream.write(data)) stream.pause();
@@ -197,7 +197,7 @@
         answerNow = () => resolve('late');
       }),
   });
-  // The second call keeps the link in use and shows that it works on.
+  // The second call keeps the link in use and shows that it still works.
   const late = a.transport.call(b.address, 'slow', null, 50);
   assert.instance((await late)._unsafeUnwrapErr(), PeerCallTimeoutError);
   answerNow();
@@ -247,7 +247,7 @@
   await nextMessage(first);
   const second = a.transport.openStream(b.address, 'on its way');
   const lost = Promise.all([closed(first), closed(second)]);
-  // Handed to the socket in this turn; the other node stops before it can read.
+  // Written to the socket in this turn; the other node stops before it can read.
   await new Promise((resolve) => process.nextTick(resolve));
   const stopped = b.transport.close();
   const [firstError, secondError] = await lost;
--- a/test/property/peer-frames.test.ts
+++ b/test/property/peer-frames.test.ts
@@ -1,4 +1,4 @@
-/** Frames and streams of a peer link, whatever the chunks and the schedule. */
+/** Encoding and decoding of frames, for any division of the bytes into chunks. */
 import fc from 'fast-check';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -31,7 +31,7 @@
     .map((length) => Buffer.alloc(length, length)),
 });
 
-/** Cuts the bytes at the given places, in any order and maybe twice. */
+/** Splits the bytes at the given positions, which may be unsorted and contain duplicates. */
 function chunksOf(bytes: Buffer, cuts: readonly number[]): Buffer[] {
   const places = [...cuts.map((cut) => cut % (bytes.length + 1)), bytes.length];
   places.sort((left, right) => left - right);
--- a/test/property/peer-stream.test.ts
+++ b/test/property/peer-stream.test.ts
@@ -1,4 +1,7 @@
-/** Two streams joined without sockets, under arbitrary schedules: order, credit, one close. */
+/**
+ * Two streams connected without sockets, under arbitrary schedules: order, credit, and exactly one
+ * close.
+ */
 import fc from 'fast-check';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -13,7 +16,7 @@
 const WINDOW_BYTES = 1000;
 const LIMITS = { ...DEFAULT_PEER_LINK_LIMITS, windowBytes: WINDOW_BYTES };
 
-/** One side: a stream, and the frames that it has sent and that have not arrived. */
+/** One side: a stream, and the frames that it has sent and the other side has not yet received. */
 class Side {
   readonly stream: LinkStream;
   readonly wire: { type: FrameTypeCode; payload: Buffer }[] = [];
@@ -48,7 +51,7 @@
     this.stream.onClose = (error) => this.closes.push(error);
   }
 
-  /** What the link's writer does in one event-loop turn. */
+  /** Does what the link's writer does in one event-loop turn. */
   flush(): void {
     if (!this.#scheduled) return;
     this.#scheduled = false;
@@ -60,7 +63,7 @@
     for (const part of batch.take()) decoder.push(part);
   }
 
-  /** One frame of the other side arrives. */
+  /** Receives one frame from the other side. */
   receiveFrom(other: Side): void {
     const frame = other.wire.shift();
     if (frame === undefined || this.#forgotten) return;
@@ -102,7 +105,7 @@
   }),
 );
 
-/** Writes letters in turn, so that order and loss show. */
+/** Writes letters in alphabetical turn, so that loss and reordering are visible. */
 class Writer {
   readonly expected: string[] = [];
   #count = 0;
--- a/test/support/command-line.ts
+++ b/test/support/command-line.ts
@@ -1,19 +1,19 @@
-/** Runs the command line as a process. */
+/** Runs the command line in a child process. */
 import { execFile } from 'node:child_process';
 import { fileURLToPath } from 'node:url';
 
 const PROGRAM = fileURLToPath(new URL('../../../bin/run.js', import.meta.url));
 
-/** What a run came to. */
+/** Result of a run. */
 export interface CommandResult {
   readonly exitCode: number;
   readonly stdout: string;
   readonly stderr: string;
-  /** The answer of `--json`; undefined if there is none. */
+  /** Output of `--json`; undefined if there is none. */
   readonly json: unknown;
 }
 
-/** Runs `meadowstack <args>` to its end. */
+/** Runs `meadowstack <args>` until it exits. */
 export function runCommand(
   args: readonly string[],
   env: Readonly<Record<string, string>> = {},
--- a/test/support/peer.ts
+++ b/test/support/peer.ts
@@ -1,4 +1,4 @@
-/** Helpers for tests of the peer transport: pairs of transports on loopback, and promises of events. */
+/** Helpers for tests of the peer transport: transports on loopback, and promises of events. */
 import { connect, type Socket } from 'node:net';
 import type { MeadowstackError } from '../../src/core/errors.js';
 import type {
@@ -13,7 +13,7 @@
 
 const LOOPBACK: PeerAddress = { host: '127.0.0.1', port: 0 };
 
-/** A transport that listens on loopback, and where. */
+/** A transport that listens on loopback, and its address. */
 export interface ListeningTransport {
   readonly transport: TcpPeerTransport;
   readonly address: PeerAddress;
@@ -53,19 +53,19 @@
   });
 }
 
-/** Resolves once the condition holds; looked at in every event-loop turn. */
+/** Resolves once the condition holds; checks it every millisecond. */
 export async function until(condition: () => boolean): Promise<void> {
   while (!condition()) await new Promise((resolve) => setTimeout(resolve, 1));
 }
 
-/** A raw TCP connection, for what no transport would send. */
+/** Opens a raw TCP connection, to send what no transport would. */
 export async function rawConnection(address: PeerAddress): Promise<Socket> {
   const socket = connect(address.port, address.host);
   await new Promise<void>((resolve) => socket.once('connect', () => resolve()));
   return socket;
 }
 
-/** Resolves when the socket is closed by the other side, error or not. */
+/** Resolves when the socket is closed, with or without an error. */
 export function socketClosed(socket: Socket): Promise<void> {
   return new Promise((resolve) => {
     socket.on('error', () => undefined);
--- a/test/unit/allocator-service.test.ts
+++ b/test/unit/allocator-service.test.ts
@@ -1,4 +1,4 @@
-/** An allocator of one tenant's limit on a node that votes for itself, on a clock of the test's. */
+/** An allocator of one tenant's limit on a node that is its own only voter, with a simulated clock. */
 import { setImmediate as nextTurn } from 'node:timers/promises';
 import { errAsync } from 'neverthrow';
 import { suite } from 'uvu';
@@ -18,7 +18,7 @@
 const RAISED_LIMIT = 10;
 const USED = 2;
 const STEP_MS = 500;
-/** Longer than any share that an earlier allocator could have granted. */
+/** Enough steps to outlast any share that an earlier allocator could have granted. */
 const ELECTED_AFTER_STEPS = 100;
 
 const test = suite('allocator service');
@@ -50,7 +50,7 @@
       peers,
       limitOf: () => this.limit,
       now: () => this.#now,
-      // Reports of holders are not what is tested here.
+      // Without reports of holders, which this test doesn't cover.
       lease: { ...DEFAULT_TENANT_LEASE_OPTIONS, maxReportingNodes: 0 },
     });
     this.#service.setListedNodes([NODE]);
@@ -69,7 +69,7 @@
     await nextTurn();
   }
 
-  /** Asks as the only holder; a first refusal tells the term. */
+  /** Requests a share as the only holder; if refused, repeats with the term from the refusal. */
   ask(use: { holding: number; inUse: number }): ShareResponse {
     const refused = this.#ask(use, undefined);
     if (refused.type === 'granted') return refused;
--- a/test/unit/peer-link-messages.test.ts
+++ b/test/unit/peer-link-messages.test.ts
@@ -1,4 +1,4 @@
-/** The values that a link reads itself: anything but their form is refused. */
+/** Parsers of the messages that a link reads itself: they refuse everything malformed. */
 import fc from 'fast-check';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
