--- a/src/node/proxy-node.ts
+++ b/src/node/proxy-node.ts
@@ -183,7 +183,7 @@
     const joined = await this.#membership.start([]);
     if (joined.isErr()) return err(startError(joined.error));
     this.#membership.onMemberChanged = (event) => this.#onMemberChanged(event);
-    this.#membership.onToldToLeave = () => void this.drain();
+    this.#membership.onMarkedLeaving = () => void this.drain();
     this.#sweepTimer = setInterval(() => this.#sweep(), SWEEP_MS);
     this.#machineList.onChange = (machines) => this.#onMachines(machines);
     this.#machineList.start();
@@ -200,7 +200,7 @@
 
   async #drain(): Promise<void> {
     this.#logger.info('leaving', { callers: this.#gateway.callerCount });
-    this.#membership.leave();
+    this.#membership.announceLeaving();
     this.#fleet.setSelfLeaving();
     this.#onFleetChanged();
     this.#gateway.stopAccepting(new ServerStoppingError());
@@ -332,7 +332,7 @@
     this.#owners.setNodes(this.#fleet.liveNodes());
     this.#owner.reconcile();
     this.#configuration.membersChanged();
-    this.#machineList.membersChanged();
+    this.#machineList.handleMembersChanged();
     this.#gateway.limits.setFleet(
       this.#fleet.liveNodes(),
       this.#fleet.knownNodes(),
--- a/test/integration/membership-service.test.ts
+++ b/test/integration/membership-service.test.ts
@@ -9,7 +9,7 @@
 
 const SECRET = Buffer.from('a secret of the cluster, 32 byte');
 const HOST = '127.0.0.1';
-/** Fast enough for a test; waits are on events, so a slow machine only takes longer. */
+/** Short periods for tests. The tests wait for events, so on a slow machine they only take longer. */
 const OPTIONS = {
   probePeriodMs: 100,
   probeTimeoutMs: 30,
@@ -73,7 +73,7 @@
     ),
   );
   await until(() => nodes.every((node) => node.service.isJoined));
-  leaver.service.leave();
+  leaver.service.announceLeaving();
   await until(() => stayers.every((node) => sees(node, 'n3', 'leaving')));
   await stopAll([leaver]);
   await until(() => stayers.every((node) => sees(node, 'n3', 'dead')));
--- a/test/unit/allocator-service.test.ts
+++ b/test/unit/allocator-service.test.ts
@@ -1,4 +1,4 @@
-/** An allocator of one tenant's limit on a node that votes for itself, on a clock of the test's. */
+/** An allocator of one tenant's limit on a node that is its own only voter, with a simulated clock. */
 import { setImmediate as nextTurn } from 'node:timers/promises';
 import { errAsync } from 'neverthrow';
 import { suite } from 'uvu';
@@ -18,7 +18,7 @@
 const RAISED_LIMIT = 10;
 const USED = 2;
 const STEP_MS = 500;
-/** Longer than any share that an earlier allocator could have granted. */
+/** Enough steps to outlast any share that an earlier allocator could have granted. */
 const ELECTED_AFTER_STEPS = 100;
 
 const test = suite('allocator service');
@@ -37,23 +37,23 @@
       nodeId: NODE.nodeId,
       transport: { call: () => errAsync(new UnknownMethodError('there is no other node')) },
       nodes,
-      answerLocally: (method, body) => {
+      handleLocally: (method, body) => {
         assert.is(method, VOTE_METHOD);
         return { votes: this.#service.vote(parseCall(voteRequestSchema, body).elections) };
       },
     });
     this.#service = new AllocatorService({
       nodeId: NODE.nodeId,
-      life: 'proxy-1#1',
+      incarnationId: 'proxy-1#1',
       hash,
       nodes,
       peers,
       limitOf: () => this.limit,
       now: () => this.#now,
-      // Reports of holders are not what is tested here.
+      // Without reports of holders, which this test doesn't cover.
       lease: { ...DEFAULT_TENANT_LEASE_OPTIONS, maxReportingNodes: 0 },
     });
-    this.#service.setList([NODE]);
+    this.#service.setListedNodes([NODE]);
   }
 
   async elect(): Promise<void> {
@@ -69,7 +69,7 @@
     await nextTurn();
   }
 
-  /** Asks as the only holder; a first refusal tells the term. */
+  /** Requests a share as the only holder; if refused, repeats with the term from the refusal. */
   ask(use: { holding: number; inUse: number }): ShareResponse {
     const refused = this.#ask(use, undefined);
     if (refused.type === 'granted') return refused;
@@ -79,7 +79,10 @@
   #ask(use: { holding: number; inUse: number }, term: string | undefined): ShareResponse {
     this.#requests += 1;
     const request = { holder: 'proxy-2#1/1', number: this.#requests, wanted: USED, needed: USED };
-    return this.#service.answer({ tenant: TENANT, request: { ...request, ...use, term } });
+    return this.#service.handleShareRequest({
+      tenant: TENANT,
+      request: { ...request, ...use, term },
+    });
   }
 }
 
