--- a/src/node/gateway/batch-message.ts
+++ b/src/node/gateway/batch-message.ts
@@ -1,4 +1,4 @@
-/** The form in which a caller's batch travels to the owner. */
+/** Converts a caller's batch to the message that the gateway sends to the owner. */
 import type {
   CallerBatch,
   StatementClassification,
@@ -6,8 +6,8 @@
 } from '../../postgres/contract.js';
 import type { BatchMessage } from '../owner/messages.js';
 
-/** The owner's form of a batch. */
-export function batchMessage(
+/** Converts a batch and its classification to a message. */
+export function toBatchMessage(
   batch: CallerBatch,
   statementClass: StatementClassification,
   markers: StatementMarkers,
--- a/src/node/gateway/gateway-service.ts
+++ b/src/node/gateway/gateway-service.ts
@@ -1,6 +1,6 @@
 /**
- * The gateway job of a node: takes callers, holds their sessions, and keeps them to what the
- * configuration in force allows.
+ * The gateway role of a node: accepts callers' connections, runs their sessions, and enforces the
+ * limits and access rules of the current configuration.
  */
 import { err, ok, type Result, type ResultAsync } from 'neverthrow';
 import type { ConfigurationSnapshot, TenantPolicy } from '../../core/configuration/model.js';
@@ -28,30 +28,30 @@
 
 const RETRY_BUDGET = { ratio: 0.1, capacity: 100 };
 
-/** What the gateway is made of. */
+/** Dependencies of the gateway. */
 export interface GatewayServiceOptions {
   readonly settings: Settings;
   readonly links: NodeLinks;
   readonly metrics: RequestMetrics;
   readonly owners: OwnerDirectory;
-  /** This node's own owner job. */
+  /** The owner role of this node. */
   readonly owner: OwnerService;
   readonly fleet: FleetView;
 }
 
-/** The gateway's part of a node: its callers, their sessions and limits. */
+/** The gateway role of a node: its callers, their sessions and limits. */
 export class GatewayService {
   readonly #options: GatewayServiceOptions;
   readonly #sessions = new SessionRegistry();
   readonly #sessionKeys: SessionKeys;
   readonly #client: GroupClient;
   readonly #callers: CallerServer;
-  /** Connections of tenants over the whole fleet. */
+  /** Enforces the tenants' connection limits across the fleet. */
   readonly limits: TenantLimitService;
-  /** Positions of sessions that have an id. */
+  /** Stores the positions of sessions that have an id. */
   readonly directory: HomeNodeDirectory;
   #snapshot: ConfigurationSnapshot | undefined;
-  #requestsNumbered = 0;
+  #requestCount = 0;
 
   constructor(options: GatewayServiceOptions) {
     this.#options = options;
@@ -62,7 +62,7 @@
     this.#callers = this.#createCallerServer();
   }
 
-  /** Begins to take callers. */
+  /** Starts accepting callers. */
   listen(): ResultAsync<CallerAddress, ListenError> {
     this.limits.start();
     return this.#callers.listen();
@@ -72,27 +72,28 @@
     return this.#callers.openConnections().length;
   }
 
-  /** Takes no new callers, and ends each session as soon as no request or transaction is open. */
+  /** Accepts no new callers, and ends each session once it has no open request or transaction. */
   stopAccepting(error: RequestError): void {
     this.#callers.stopAccepting();
-    for (const session of this.#sessions.all()) session.stop(error);
+    for (const session of this.#sessions.all()) session.endWhenIdle(error);
   }
 
-  /** Ends whatever is still open. */
+  /** Ends all sessions that are still open and closes the server. */
   async close(error: RequestError): Promise<void> {
-    for (const session of this.#sessions.all()) session.cut(error);
+    for (const session of this.#sessions.all()) session.endNow(error);
     await this.limits.stop(error);
     await this.#callers.close();
   }
 
-  /** The configuration in force: what it takes away bites on open sessions too. */
+  /** Applies a new configuration. Revoked access and lowered limits also end open sessions. */
   setConfiguration(snapshot: ConfigurationSnapshot): void {
     const previous = this.#snapshot;
     this.#snapshot = snapshot;
     this.#sessions.applyPolicies((tenant) => this.#policyOf(tenant));
     for (const [tenant, policy] of snapshot.tenantsByName) {
-      const before = previous?.tenantsByName.get(tenant);
-      if (before?.maxConnections !== policy.maxConnections) this.limits.limitChanged(tenant);
+      const previousPolicy = previous?.tenantsByName.get(tenant);
+      if (previousPolicy?.maxConnections !== policy.maxConnections)
+        this.limits.limitChanged(tenant);
     }
   }
 
@@ -100,7 +101,7 @@
     return this.#snapshot?.tenantsByName.get(tenant);
   }
 
-  #policyFor(user: string): Result<TenantPolicy, RequestError> {
+  #policyOfUser(user: string): Result<TenantPolicy, RequestError> {
     const policy = this.#snapshot?.tenantsByUser.get(user);
     if (policy?.enabled === true) return ok(policy);
     return err(new NotRunError('tenant-revoked', 'no such tenant, or its access was revoked'));
@@ -118,12 +119,12 @@
       onClosed: () => this.#sessions.remove(session),
     });
     this.#sessions.add(session);
-    void session.begin();
+    void session.start();
   }
 
   #nextRequestId(): string {
-    this.#requestsNumbered += 1;
-    return `${this.#options.links.identity.nodeId}-${this.#options.links.identity.incarnation.toString(36)}-${this.#requestsNumbered}`;
+    this.#requestCount += 1;
+    return `${this.#options.links.identity.nodeId}-${this.#options.links.identity.incarnation.toString(36)}-${this.#requestCount}`;
   }
 
   #connectionLimit(tenant: TenantName): number {
@@ -139,7 +140,7 @@
       port: callers.port,
       ...(tls === undefined ? {} : { tls }),
       mockSecret: mockSecretOf(this.#sessionKeys),
-      policyFor: (user) => this.#policyFor(user),
+      policyFor: (user) => this.#policyOfUser(user),
       admit: (policy) => this.limits.admit(policy),
       handler: (connection) => this.#onCaller(connection),
     });
@@ -153,7 +154,7 @@
       limitOf: (tenant) => this.#connectionLimit(tenant),
       now: monotonicNow,
       graceMs: SESSION_GRACE_MS,
-      onShareLowered: (tenant, allowed) => this.#sessions.endBeyond(tenant, allowed),
+      onShareLowered: (tenant, allowed) => this.#sessions.endNewestBeyond(tenant, allowed),
     });
   }
 
--- a/src/node/gateway/gateway-session.ts
+++ b/src/node/gateway/gateway-session.ts
@@ -1,6 +1,6 @@
 /**
- * One caller's session on this node: decides what each batch is, sends it to the group's owner, and
- * relays the answer. Holds the session's positions and the open transaction.
+ * One caller's session on this node: classifies each batch, sends it to the group's owner, and
+ * relays the response. Holds the session's positions and the state of its open transaction.
  */
 import type { TenantPolicy } from '../../core/configuration/model.js';
 import {
@@ -21,34 +21,34 @@
   StatementMarkers,
   TransactionStatus,
 } from '../../postgres/contract.js';
-import { batchMessage } from './batch-message.js';
-import type { GroupAnswerEnd, GroupCall, GroupClient } from './group-client.js';
-import { openMessage, type SessionRoute } from './open-message.js';
+import { toBatchMessage } from './batch-message.js';
+import type { GroupCall, GroupClient, GroupResponseEnd } from './group-client.js';
+import { createOpenMessage, type SessionRoute } from './open-message.js';
 import type { RequestMetrics } from './request-metrics.js';
 import { RequestObserver, type SentRequest } from './request-observer.js';
-import { combineClasses, firstMarkers, requestTerms } from './request-policy.js';
+import { combineClasses, resolveRequestTerms, selectMarkers } from './request-policy.js';
 import type { SessionDirectory } from './session-directory.js';
 import { SessionPositions } from './session-positions.js';
 import { factsOf } from './statement-facts.js';
 import { TransactionBlock } from './transaction-block.js';
 
-/** Parameter that carries the session token both ways. */
+/** Parameter that carries the session token in both directions. */
 export const SESSION_TOKEN_PARAMETER = 'meadowstack.session';
-/** Parameter that names a session which moves with nothing but its name. */
+/** Parameter with the id of a session that moves between nodes by its id alone, without a token. */
 export const SESSION_ID_PARAMETER = 'meadowstack.session_id';
 
-/** What a session is made of beside its caller's connection. */
+/** Dependencies of a session other than its caller's connection. */
 export interface GatewaySessionOptions {
   readonly client: GroupClient;
   readonly sessionKeys: SessionKeys;
-  /** Positions of sessions that move with nothing but their id. */
+  /** Positions of sessions that move between nodes by their id alone. */
   readonly directory: SessionDirectory;
-  /** The tenant's policy in force now; undefined once it is gone. */
+  /** The tenant's current policy; undefined once it has been removed. */
   readonly policyOf: (tenant: TenantName) => TenantPolicy | undefined;
   readonly zone: ZoneName;
   readonly nextRequestId: () => string;
   readonly metrics: RequestMetrics;
-  /** The caller's connection has closed. */
+  /** Called when the caller's connection has closed. */
   readonly onClosed: () => void;
 }
 
@@ -58,13 +58,13 @@
   readonly #options: GatewaySessionOptions;
   readonly #route: SessionRoute;
   readonly #positions: SessionPositions;
-  /** False while the session's past is being looked up; the first batch waits for it. */
-  #begun = false;
-  #waiting: CallerBatch | undefined;
+  /** False while the session's positions are being looked up; the first batch waits for them. */
+  #isStarted = false;
+  #queuedBatch: CallerBatch | undefined;
   #call: GroupCall | undefined;
   readonly #block = new TransactionBlock();
   readonly #observer: RequestObserver;
-  #stopping: RequestError | undefined;
+  #endReason: RequestError | undefined;
 
   constructor(connection: CallerConnection, options: GatewaySessionOptions) {
     this.#connection = connection;
@@ -94,38 +94,38 @@
     connection.onDrain = () => this.#call?.resume();
   }
 
-  /** Takes in the token or looks up the session id that came with the start-up message. */
-  async begin(): Promise<void> {
+  /** Restores the session's positions from the token or session id in the start-up message. */
+  async start(): Promise<void> {
     const token = this.#connection.parameters.get(SESSION_TOKEN_PARAMETER);
     if (token !== undefined && token !== '') {
-      const adopted = this.#positions.adopt(token);
-      if (adopted.isErr()) this.#connection.terminate(adopted.error);
+      const merged = this.#positions.mergeToken(token);
+      if (merged.isErr()) this.#connection.terminate(merged.error);
     }
     await this.#positions.lookUp();
-    this.#begun = true;
-    const waiting = this.#waiting;
-    this.#waiting = undefined;
-    if (waiting !== undefined) this.#handleBatch(waiting);
+    this.#isStarted = true;
+    const queuedBatch = this.#queuedBatch;
+    this.#queuedBatch = undefined;
+    if (queuedBatch !== undefined) this.#handleBatch(queuedBatch);
   }
 
-  /** Planned stop or revoked access: ends the session as soon as no request or transaction is open. */
-  stop(error: RequestError): void {
-    this.#stopping = error;
+  /** Graceful shutdown or revoked access: ends the session once no request or transaction is open. */
+  endWhenIdle(error: RequestError): void {
+    this.#endReason = error;
     if (!this.#connection.busy && !this.#block.isOpen) this.#connection.terminate(error);
   }
 
-  /** Ends the session whatever it is doing. */
-  cut(error: RequestError): void {
+  /** Ends the session at once, also during a request or transaction. */
+  endNow(error: RequestError): void {
     const running = this.#connection.busy;
     this.#call?.abandon();
-    this.#connection.terminate(running ? endedWhileRunning(error) : error);
+    this.#connection.terminate(running ? endedWhileRunningError(error) : error);
   }
 
   get tenant(): TenantName {
     return this.#tenant;
   }
 
-  /** True if the policy still lets this session reach its database's group. */
+  /** True if the policy still allows this session to use its database in the same group. */
   isAllowedBy(policy: TenantPolicy): boolean {
     return policy.databases.some(
       (access) =>
@@ -138,19 +138,21 @@
   }
 
   #onBatch(batch: CallerBatch): void {
-    if (!this.#begun) this.#waiting = batch;
+    if (!this.#isStarted) this.#queuedBatch = batch;
     else this.#handleBatch(batch);
   }
 
   #handleBatch(batch: CallerBatch): void {
     const facts = batch.statements.map(factsOf);
     const statementClass = combineClasses(
-      facts.map((fact) => (this.#block.isOpen ? fact.insideBlock : fact.outsideBlock)),
+      facts.map((statement) =>
+        this.#block.isOpen ? statement.insideBlock : statement.outsideBlock,
+      ),
     );
-    const { loss } = this.#block;
+    const { unreportedLoss: loss } = this.#block;
     if (loss !== undefined) {
       this.#connection.writeError(loss);
-      this.#finish(this.#block.lossTold(statementClass));
+      this.#finish(this.#block.recordReportedLoss(statementClass));
       return;
     }
     if (statementClass.unsupportedFeature !== undefined) {
@@ -168,25 +170,25 @@
   #continueTransaction(batch: CallerBatch, statementClass: StatementClassification): void {
     const markers = this.#markersOf(batch);
     if (markers === undefined) return;
-    this.#block.batchSent(statementClass);
-    this.#call?.send(batchMessage(batch, statementClass, markers));
+    this.#block.recordBatchSent(statementClass);
+    this.#call?.send(toBatchMessage(batch, statementClass, markers));
   }
 
   #openRequest(batch: CallerBatch, statementClass: StatementClassification): void {
     const policy = this.#options.policyOf(this.#tenant);
     if (policy?.enabled !== true) {
-      this.#refuse(new NotRunError('tenant-revoked', 'the tenant has no access any more'));
+      this.#refuse(new NotRunError('tenant-revoked', 'the tenant no longer has access'));
       return;
     }
     const markers = this.#markersOf(batch);
     if (markers === undefined) return;
-    this.#block.requestOpened(statementClass.transactionControl === 'begin');
+    this.#block.recordRequestSent(statementClass.transactionControl === 'begin');
     const { access } = statementClass;
-    const terms = requestTerms(policy, markers, access);
+    const terms = resolveRequestTerms(policy, markers, access);
     const request: SentRequest = { requestId: this.#options.nextRequestId(), terms, access };
-    this.#observer.started(request);
+    this.#observer.recordStart(request);
     this.#call = this.#options.client.open(
-      openMessage(
+      createOpenMessage(
         request,
         { batch, statementClass, markers },
         policy,
@@ -210,7 +212,7 @@
       this.#refuse(failure.error);
       return undefined;
     }
-    return firstMarkers(parsed.flatMap((result) => (result.isOk() ? [result.value] : [])));
+    return selectMarkers(parsed.flatMap((result) => (result.isOk() ? [result.value] : [])));
   }
 
   #onData(data: Buffer): void {
@@ -218,22 +220,22 @@
   }
 
   #onBatchEnd(status: TransactionStatus, heldBack: Buffer): void {
-    this.#block.batchEnded();
+    this.#block.recordBatchReported();
     this.#connection.write(heldBack);
     this.#connection.finish(status);
   }
 
   #onBatchError(status: TransactionStatus, error: RequestError): void {
-    this.#block.batchEnded();
+    this.#block.recordBatchReported();
     this.#connection.writeError(error);
     this.#connection.finish(status);
   }
 
-  #onEnd(end: GroupAnswerEnd): void {
+  #onEnd(end: GroupResponseEnd): void {
     const { access } = this.#observer;
     this.#call = undefined;
-    this.#block.requestEnded();
-    this.#observer.done(end.fromReplica);
+    this.#block.recordRequestDone();
+    this.#observer.recordDone(end.fromReplica);
     const { position } = end;
     if (position === undefined) {
       this.#deliverEnd(end);
@@ -245,29 +247,32 @@
     else this.#deliverEnd(end);
   }
 
-  #deliverEnd(end: GroupAnswerEnd): void {
+  #deliverEnd(end: GroupResponseEnd): void {
     this.#connection.write(end.heldBack);
     this.#finish(end.status);
   }
 
   #onError(error: RequestError, position: Position | undefined): void {
-    const wasTransaction = this.#block.requestFailed();
+    const wasInTransaction = this.#block.recordRequestFailed();
     this.#call = undefined;
-    this.#observer.failed(error);
+    this.#observer.recordFailure(error);
     if (error.outcome === 'done' && position !== undefined) {
       void this.#reportDoneEarlier(error, position);
       return;
     }
-    if (this.#positions.failed(error)) this.#reportToken();
-    if (wasTransaction && !this.#connection.busy) {
-      this.#block.lostWhileIdle(error);
+    if (this.#positions.recordFailure(error)) this.#reportToken();
+    if (wasInTransaction && !this.#connection.busy) {
+      this.#block.recordIdleLoss(error);
       return;
     }
     this.#connection.writeError(error);
-    this.#finish(this.#block.failureTold(error, wasTransaction));
+    this.#finish(this.#block.recordReportedFailure(error, wasInTransaction));
   }
 
-  /** The session must see what an earlier request with the same key did, wherever it moves. */
+  /**
+   * Reports that an earlier request with the same idempotency key has already been applied. The
+   * position is recorded first: the session must see that write on every node that it moves to.
+   */
   async #reportDoneEarlier(error: RequestError, position: Position): Promise<void> {
     if (this.#positions.observe(position, false)) this.#reportToken();
     const recorded = await this.#positions.record(position, this.#observer.remainingMs);
@@ -279,7 +284,7 @@
     this.#finish('I');
   }
 
-  async #recordThenDeliver(position: Position, end: GroupAnswerEnd): Promise<void> {
+  async #recordThenDeliver(position: Position, end: GroupResponseEnd): Promise<void> {
     if (await this.#positions.record(position, this.#observer.remainingMs)) this.#deliverEnd(end);
     else this.#reportNotRecorded();
   }
@@ -296,17 +301,17 @@
 
   #onSessionSetting(batch: CallerBatch, setting: SessionSetting): void {
     if (setting.name === SESSION_TOKEN_PARAMETER && setting.action === 'set') {
-      const adopted = this.#positions.adopt(setting.value ?? '');
-      if (adopted.isErr()) {
-        this.#refuse(adopted.error);
+      const merged = this.#positions.mergeToken(setting.value ?? '');
+      if (merged.isErr()) {
+        this.#refuse(merged.error);
         return;
       }
     }
-    const shown =
+    const shownValue =
       setting.name === SESSION_TOKEN_PARAMETER
         ? this.#positions.token()
         : (this.#connection.parameters.get(setting.name) ?? '');
-    this.#connection.write(localAnswer(batch, () => settingResult(setting, shown)));
+    this.#connection.write(localAnswer(batch, () => settingResult(setting, shownValue)));
     this.#finish(this.#block.status);
   }
 
@@ -317,20 +322,23 @@
 
   #finish(status: TransactionStatus): void {
     this.#connection.finish(status);
-    if (this.#stopping !== undefined && !this.#block.isOpen && !this.#connection.busy) {
-      this.#connection.terminate(this.#stopping);
+    if (this.#endReason !== undefined && !this.#block.isOpen && !this.#connection.busy) {
+      this.#connection.terminate(this.#endReason);
     }
   }
 }
 
-/** What runs may last: the reason for the end must not be told as `not run`. */
-function endedWhileRunning(reason: RequestError): RequestError {
+/**
+ * The error for a session that is ended during a request. The running request may still commit, so
+ * the reason for the end, which is a `not-run` error, must not be reported for it.
+ */
+function endedWhileRunningError(reason: RequestError): RequestError {
   const message = `the session was ended while its request ran: ${reason.message}`;
   return new UnknownOutcomeError('session-ended', message);
 }
 
-function settingResult(setting: SessionSetting, shown: string): LocalResult {
+function settingResult(setting: SessionSetting, shownValue: string): LocalResult {
   const tag = setting.action.toUpperCase();
   if (setting.action !== 'show') return { tag, columns: [], rows: [] };
-  return { tag, columns: [setting.name], rows: [[shown]] };
+  return { tag, columns: [setting.name], rows: [[shownValue]] };
 }
--- a/src/node/gateway/group-client.ts
+++ b/src/node/gateway/group-client.ts
@@ -1,6 +1,6 @@
 /**
- * Reaches the owners of a group on behalf of callers: opens a stream to the first owner, moves on to
- * the next one when a request provably did not run, and tells what is known when an owner is lost.
+ * Sends callers' requests to the owners of a group: opens a stream to the first owner, tries the
+ * next one if the request provably did not run, and reports the known outcome if an owner is lost.
  */
 
 import type { RequestError } from '../../core/errors.js';
@@ -19,7 +19,7 @@
 import { PeerError } from '../../peer/errors.js';
 import { createLocalStreamPair } from '../../peer/local-stream.js';
 import type { TransactionStatus } from '../../postgres/contract.js';
-import { BatchSender, batchHeader } from '../owner/batch-transfer.js';
+import { BatchSender, toBatchHeader } from '../owner/batch-transfer.js';
 import { asBuffer } from '../owner/buffers.js';
 import {
   type BatchMessage,
@@ -30,53 +30,59 @@
 } from '../owner/messages.js';
 import { openToWire, ownerMessageFromWire } from '../owner/wire-form.js';
 
-/** Pause before another owner is asked, in ms; grows with each attempt. */
-const RETRY_STEP_MS = 5;
-const MAX_RETRY_PAUSE_MS = 100;
+/** Delay before the next owner is tried; grows by this with each attempt. */
+const RETRY_DELAY_STEP_MS = 5;
+const MAX_RETRY_DELAY_MS = 100;
 
-/** An owner as this node reaches it. */
+/** How this node reaches an owner. */
 export type OwnerReference =
   | { readonly type: 'local' }
   | { readonly type: 'remote'; readonly address: PeerAddress };
 
-/** How a statement or transaction ended with a database answer. */
-export interface GroupAnswerEnd {
+/** End of a statement or transaction that the database answered. */
+export interface GroupResponseEnd {
   readonly status: TransactionStatus;
   readonly heldBack: Buffer;
-  /** What the session must see from now on; undefined if unchanged. */
+  /** Position that the session's later reads must have reached; undefined if unchanged. */
   readonly position: Position | undefined;
   readonly fromReplica: boolean;
 }
 
-/** Hears of one statement or transaction. `onEnd` or `onError` is called exactly once, last. */
+/** Callbacks of one statement or transaction. `onEnd` or `onError` is called exactly once, last. */
 export interface GroupCallHandlers {
   onData(data: Buffer): void;
   /** A batch inside the open transaction ended. */
   onBatchEnd(status: TransactionStatus, heldBack: Buffer): void;
-  /** A batch inside the open transaction was refused by the proxy; the block is failed. */
+  /** The proxy refused a batch inside the open transaction; the transaction block is now failed. */
   onBatchError(status: TransactionStatus, error: RequestError): void;
-  onEnd(end: GroupAnswerEnd): void;
-  /** `position`: what the session must see from now on, if something lasts and it is known. */
+  onEnd(end: GroupResponseEnd): void;
+  /**
+   * `position`: position that the session's later reads must have reached, if something was
+   * committed and its position is known.
+   */
   onError(error: RequestError, position?: Position): void;
 }
 
-/** What the client is made of. */
+/** Dependencies of the client. */
 export interface GroupClientOptions {
-  /** Owners in order of preference, by this node's view of the members. */
+  /** Owners in order of preference, according to this node's view of the members. */
   readonly ownersOf: (group: GroupName) => readonly OwnerReference[];
-  /** An owner refused because it no longer owns the group. */
+  /** Called when an owner refused a request, for example because it no longer owns the group. */
   readonly onOwnerRefused: (group: GroupName) => void;
   readonly transport: PeerTransport;
-  /** Serves a stream on this node's own owner job. */
+  /** Serves a stream in the owner role of this node. */
   readonly acceptLocal: (message: OpenMessage, stream: PeerStream) => void;
   readonly retryBudget: RetryBudget;
   readonly now: () => Milliseconds;
 }
 
-/** Refusals after which another owner, or the same one a little later, may well accept. */
-const OWNER_REASONS: ReadonlySet<NotRunReason> = new Set(['owner-unreachable', 'owner-stopping']);
+/** Refusals after which another owner, or the same owner a little later, may accept the request. */
+const RETRYABLE_OWNER_REASONS: ReadonlySet<NotRunReason> = new Set([
+  'owner-unreachable',
+  'owner-stopping',
+]);
 
-/** Sends requests to their groups' owners. */
+/** Sends requests to the owners of their groups. */
 export class GroupClient {
   constructor(readonly options: GroupClientOptions) {}
 
@@ -98,8 +104,8 @@
   #stream: PeerStream | undefined;
   #sender: BatchSender | undefined;
   #attempts = 0;
-  #answered = false;
-  #commitSent = false;
+  #anyResponseReceived = false;
+  #mayHaveCommitted = false;
   #finished = false;
   #retryTimer: NodeJS.Timeout | undefined;
 
@@ -108,7 +114,7 @@
     this.#message = message;
     this.#handlers = handlers;
     this.#deadline = options.now() + message.remainingMs;
-    this.#commitSent = message.batch.mayCommit || message.hold === 'statement';
+    this.#mayHaveCommitted = message.batch.mayCommit || message.hold === 'statement';
   }
 
   start(): void {
@@ -117,26 +123,26 @@
     this.#attempts += 1;
     if (owner === undefined) {
       this.#retryOrFail(
-        new NotRunError('owner-unreachable', 'the group has no owner yet', RETRY_STEP_MS),
+        new NotRunError('owner-unreachable', 'the group has no owner yet', RETRY_DELAY_STEP_MS),
       );
       return;
     }
     this.#openStream(owner);
   }
 
-  /** The next batch of the open transaction. */
+  /** Sends the next batch of the open transaction. */
   send(batch: BatchMessage): void {
-    if (batch.mayCommit) this.#commitSent = true;
-    this.#stream?.send(batchHeader(batch));
-    this.#sender?.follow(batch);
+    if (batch.mayCommit) this.#mayHaveCommitted = true;
+    this.#stream?.send(toBatchHeader(batch));
+    this.#sender?.sendRemainder(batch);
   }
 
-  /** The caller asked to cancel what is running. */
+  /** Cancels the running batch at the caller's request. */
   cancel(): void {
     this.#stream?.send({ type: 'cancel' });
   }
 
-  /** The caller has gone; nothing more is reported. */
+  /** The caller has disconnected; no more callbacks are made. */
   abandon(): void {
     if (this.#finished) return;
     this.#finished = true;
@@ -155,7 +161,7 @@
   #openStream(owner: OwnerReference): void {
     const header: OpenMessage = {
       ...this.#message,
-      batch: batchHeader(this.#message.batch),
+      batch: toBatchHeader(this.#message.batch),
       remainingMs: Math.max(0, this.#deadline - this.#options.now()),
     };
     const stream = this.#streamTo(owner, header);
@@ -164,7 +170,7 @@
     stream.onData = (data) => this.#onData(data);
     stream.onMessage = (message) => this.#onMessage(message, stream);
     stream.onClose = (error) => this.#onClose(error, stream);
-    this.#sender.follow(this.#message.batch);
+    this.#sender.sendRemainder(this.#message.batch);
   }
 
   #streamTo(owner: OwnerReference, header: OpenMessage): PeerStream {
@@ -177,7 +183,7 @@
 
   #onData(data: Buffer): void {
     if (this.#finished) return;
-    this.#answered = true;
+    this.#anyResponseReceived = true;
     this.#handlers.onData(data);
   }
 
@@ -194,13 +200,13 @@
   #onOwnerMessage(message: OwnerMessage): void {
     switch (message.type) {
       case 'batch-end':
-        this.#answered = true;
-        this.#commitSent = false;
+        this.#anyResponseReceived = true;
+        this.#mayHaveCommitted = false;
         this.#handlers.onBatchEnd(message.status, asBuffer(message.heldBack));
         return;
       case 'batch-error':
-        this.#answered = true;
-        this.#commitSent = false;
+        this.#anyResponseReceived = true;
+        this.#mayHaveCommitted = false;
         this.#handlers.onBatchError(message.status, decodeRequestError(message.error));
         return;
       case 'end':
@@ -219,29 +225,34 @@
   }
 
   #onRequestError(error: RequestError, position: Position | undefined): void {
-    const ownerRefused = error instanceof NotRunError && OWNER_REASONS.has(error.reason);
-    if (ownerRefused) this.#options.onOwnerRefused(this.#message.group);
-    if (ownerRefused && !this.#answered) this.#retryOrFail(error);
+    const isOwnerRefusal =
+      error instanceof NotRunError && RETRYABLE_OWNER_REASONS.has(error.reason);
+    if (isOwnerRefusal) this.#options.onOwnerRefused(this.#message.group);
+    if (isOwnerRefusal && !this.#anyResponseReceived) this.#retryOrFail(error);
     else this.#fail(error, position);
   }
 
-  /** The stream closed before its end was told: the link or the owner is lost. */
+  /** The stream closed before the owner reported the outcome: the link or the owner is lost. */
   #onClose(error: MeadowstackError | undefined, stream: PeerStream): void {
     if (this.#finished || stream !== this.#stream) return;
-    const neverLeft = error instanceof PeerError && !error.anyBytesWritten;
-    if (neverLeft && !this.#answered) {
+    const wasNeverSent = error instanceof PeerError && !error.anyBytesWritten;
+    if (wasNeverSent && !this.#anyResponseReceived) {
       this.#retryOrFail(
-        new NotRunError('owner-unreachable', 'the owner could not be reached', RETRY_STEP_MS),
+        new NotRunError('owner-unreachable', 'the owner could not be reached', RETRY_DELAY_STEP_MS),
       );
       return;
     }
-    if (this.#message.hold === 'statement' && this.#message.access === 'read' && !this.#answered) {
+    if (
+      this.#message.hold === 'statement' &&
+      this.#message.access === 'read' &&
+      !this.#anyResponseReceived
+    ) {
       this.#retryOrFail(new UnknownOutcomeError('owner-lost', 'the owner was lost during a read'));
       return;
     }
-    if (this.#commitSent) {
+    if (this.#mayHaveCommitted) {
       this.#fail(
-        new UnknownOutcomeError('owner-lost', 'the owner was lost before it told the outcome'),
+        new UnknownOutcomeError('owner-lost', 'the owner was lost before it reported the outcome'),
       );
       return;
     }
@@ -250,10 +261,10 @@
 
   #retryOrFail(error: RequestError): void {
     const now = this.#options.now();
-    const pause = Math.min(MAX_RETRY_PAUSE_MS, RETRY_STEP_MS * this.#attempts);
-    const firstLap = this.#attempts <= this.#options.ownersOf(this.#message.group).length;
-    const affordable = firstLap || this.#options.retryBudget.tryTake();
-    if (now + pause >= this.#deadline || !affordable) {
+    const pause = Math.min(MAX_RETRY_DELAY_MS, RETRY_DELAY_STEP_MS * this.#attempts);
+    const isFirstRound = this.#attempts <= this.#options.ownersOf(this.#message.group).length;
+    const mayRetry = isFirstRound || this.#options.retryBudget.tryTake();
+    if (now + pause >= this.#deadline || !mayRetry) {
       this.#fail(error);
       return;
     }
--- a/src/node/gateway/home-node-directory.ts
+++ b/src/node/gateway/home-node-directory.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps positions of sessions by id on their home nodes, over peer calls. The rules (who is home,
- * how many must answer) are the core's; see docs/design/sessions.md.
+ * Stores the positions of sessions with an id on their home nodes, over peer calls. The core defines
+ * which nodes are home nodes and how many must respond; see docs/design/sessions.md.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import { z } from 'zod';
@@ -26,16 +26,16 @@
 /** Looks a session's positions up at a home node. */
 export const SESSION_LOOK_UP_METHOD = 'session.look-up';
 
-/** Sessions whose home nodes are kept: more than a node has callers at the size that is aimed at. */
-const MAX_KEPT_HOMES = 32_768;
-/** Longest wait for one home node in a look-up, in ms. */
+/** More than the number of callers of a node at the target fleet size. */
+const MAX_CACHED_HOMES = 32_768;
+/** Time limit of a look-up at one home node. */
 const LOOK_UP_TIMEOUT_MS = 250;
-/** Shortest time for a record, also if the request's own time is up: its write is done. */
-const RECORD_MIN_MS = 250;
-/** Longest time for a record: after it the caller is told that the outcome is unknown. */
-const RECORD_MAX_MS = 2_000;
-/** A home node that could not be told is told again after this. */
-const RECORD_RETRY_MS = 50;
+/** Minimum time limit of a record, also past the request's deadline: its write is already done. */
+const MIN_RECORD_TIMEOUT_MS = 250;
+/** Maximum time limit of a record; the outcome is then reported to the caller as unknown. */
+const MAX_RECORD_TIMEOUT_MS = 2_000;
+/** Delay before a failed record at a home node is retried. */
+const RECORD_RETRY_DELAY_MS = 50;
 
 const keySchema = z.object({ tenant: z.string(), sessionId: z.string() });
 const entrySchema = z.object({
@@ -44,29 +44,29 @@
 });
 const recordSchema = z.object({ session: keySchema, positions: z.array(entrySchema) });
 const lookUpSchema = z.object({ session: keySchema });
-const answerSchema = z.object({ positions: z.array(entrySchema), complete: z.boolean() });
+const lookUpResponseSchema = z.object({ positions: z.array(entrySchema), complete: z.boolean() });
 
-/** A peer asked for something that is no session call, or in a malformed way. */
+/** A peer called an unknown session method, or sent a malformed message. */
 export class SessionCallError extends MeadowstackError {
   readonly code = 'MS-SESSION-CALL';
 }
 
-/** A node that can be home to sessions. */
+/** A node that can be the home node of sessions. */
 export interface HomeNode {
   readonly nodeId: string;
   readonly address: PeerAddress;
 }
 
-/** A record on its way to the home nodes. */
+/** A record that is being sent to the home nodes. */
 interface PendingRecord {
   readonly session: SessionIdentity;
   readonly entry: GroupPositionEntry;
-  readonly deadlineAt: Milliseconds;
-  /** Aborted once enough home nodes have recorded. */
+  readonly deadline: Milliseconds;
+  /** Aborted once enough home nodes have stored the record. */
   readonly enough: AbortSignal;
 }
 
-/** What the directory is made of. */
+/** Dependencies of the directory. */
 export interface HomeNodeDirectoryOptions {
   readonly nodeId: string;
   readonly transport: PeerTransport;
@@ -76,13 +76,13 @@
   readonly now: () => Milliseconds;
 }
 
-/** Positions of sessions by id, kept by three home nodes each. */
+/** Positions of sessions by id; three home nodes store each session. */
 export class HomeNodeDirectory implements SessionDirectory {
   readonly #options: HomeNodeDirectoryOptions;
   readonly #table: SessionPositionTable;
-  /** Home nodes of sessions in use: choosing them looks at every node of the fleet. */
-  readonly #homes = new Map<string, readonly HomeNode[]>();
-  #homesOfNodes: readonly HomeNode[] = [];
+  /** Home nodes by session; cached because choosing them goes through all nodes of the fleet. */
+  readonly #cachedHomes = new Map<string, readonly HomeNode[]>();
+  #currentNodes: readonly HomeNode[] = [];
   #nodeIds: readonly string[] = [];
 
   constructor(options: HomeNodeDirectoryOptions) {
@@ -97,9 +97,9 @@
   async lookUp(tenant: TenantName, sessionId: string): Promise<SessionState> {
     const session = { tenant, sessionId };
     const homes = this.#homesOf(session);
-    const asked = homes.map((home) => this.#ask(home, session));
-    const answers = (await Promise.all(asked)).filter((answer) => answer !== undefined);
-    return combineAnswers(answers, homes.length);
+    const queries = homes.map((home) => this.#queryHome(home, session));
+    const responses = (await Promise.all(queries)).filter((answer) => answer !== undefined);
+    return combineAnswers(responses, homes.length);
   }
 
   record(
@@ -110,13 +110,13 @@
   ): Promise<boolean> {
     const session = { tenant, sessionId };
     const homes = this.#homesOf(session);
-    const limitMs = Math.min(RECORD_MAX_MS, Math.max(RECORD_MIN_MS, remainingMs));
-    const deadlineAt = this.#options.now() + limitMs;
+    const timeoutMs = Math.min(MAX_RECORD_TIMEOUT_MS, Math.max(MIN_RECORD_TIMEOUT_MS, remainingMs));
+    const deadlineAt = this.#options.now() + timeoutMs;
     const enough = new AbortController();
     return new Promise((resolve) => {
       let acknowledged = 0;
       let outstanding = homes.length;
-      const settle = (recorded: boolean): void => {
+      const handleResult = (recorded: boolean): void => {
         outstanding -= 1;
         if (recorded) acknowledged += 1;
         if (!isRecorded(acknowledged, homes.length) && outstanding > 0) return;
@@ -125,32 +125,37 @@
       };
       if (homes.length === 0) resolve(false);
       for (const { nodeId } of homes) {
-        void this.#tellUntil(nodeId, { session, entry, deadlineAt, enough: enough.signal }).then(
-          settle,
-        );
+        void this.#recordWithRetries(nodeId, {
+          session,
+          entry,
+          deadline: deadlineAt,
+          enough: enough.signal,
+        }).then(handleResult);
       }
     });
   }
 
   /**
-   * Tells a home node until it has recorded, others were enough, or the time is up. A link that is
-   * lost or a node that was restarted elsewhere is found again at the next try.
+   * Retries until the home node has stored the record, enough others have, or the deadline has
+   * passed. Each attempt reads the node's address again, since the node may have been restarted at
+   * another address, and reopens a lost link.
    */
-  async #tellUntil(nodeId: string, record: PendingRecord): Promise<boolean> {
-    const { session, entry, deadlineAt, enough } = record;
+  async #recordWithRetries(nodeId: string, record: PendingRecord): Promise<boolean> {
+    const { session, entry, deadline: deadlineAt, enough } = record;
     for (;;) {
       const home = this.#homesOf(session).find((node) => node.nodeId === nodeId);
       const remainingMs = deadlineAt - this.#options.now();
-      const told = home !== undefined && (await this.#tell(home, session, entry, remainingMs));
-      if (told) return true;
-      const timeIsUp = this.#options.now() + RECORD_RETRY_MS >= deadlineAt;
-      if (timeIsUp || enough.aborted) return false;
-      await pause(RECORD_RETRY_MS);
+      const recorded =
+        home !== undefined && (await this.#recordAt(home, session, entry, remainingMs));
+      if (recorded) return true;
+      const isDeadlineReached = this.#options.now() + RECORD_RETRY_DELAY_MS >= deadlineAt;
+      if (isDeadlineReached || enough.aborted) return false;
+      await pause(RECORD_RETRY_DELAY_MS);
       if (enough.aborted) return false;
     }
   }
 
-  /** True for the methods that `onCall` answers. */
+  /** True for the methods that `onCall` implements. */
   handles(method: string): boolean {
     return method === SESSION_RECORD_METHOD || method === SESSION_LOOK_UP_METHOD;
   }
@@ -172,30 +177,30 @@
   #onLookUp(body: WireValue): WireValue {
     const parsed = lookUpSchema.safeParse(body);
     if (!parsed.success) throw new SessionCallError('malformed session look-up');
-    const answer = this.#lookUpHere(parsed.data.session);
+    const answer = this.#lookUpLocally(parsed.data.session);
     const positions = [...answer.positions].map(([group, position]) => ({ group, position }));
     return { positions, complete: answer.complete };
   }
 
-  #lookUpHere(session: SessionIdentity): HomeNodeAnswer {
+  #lookUpLocally(session: SessionIdentity): HomeNodeAnswer {
     const answer = this.#table.handle({ type: 'look-up', session }, this.#options.now());
     return answer.type === 'found' ? answer.answer : { positions: new Map(), complete: false };
   }
 
   #homesOf(session: SessionIdentity): readonly HomeNode[] {
     const nodes = this.#options.nodes();
-    if (nodes !== this.#homesOfNodes) this.#setNodes(nodes);
-    if (this.#homes.size >= MAX_KEPT_HOMES) this.#homes.clear();
+    if (nodes !== this.#currentNodes) this.#setNodes(nodes);
+    if (this.#cachedHomes.size >= MAX_CACHED_HOMES) this.#cachedHomes.clear();
     const key = homeKey(session);
-    const homes = this.#homes.get(key) ?? this.#chooseHomes(session, nodes);
-    this.#homes.set(key, homes);
+    const homes = this.#cachedHomes.get(key) ?? this.#chooseHomes(session, nodes);
+    this.#cachedHomes.set(key, homes);
     return homes;
   }
 
   #setNodes(nodes: readonly HomeNode[]): void {
-    this.#homesOfNodes = nodes;
+    this.#currentNodes = nodes;
     this.#nodeIds = nodes.map((node) => node.nodeId);
-    this.#homes.clear();
+    this.#cachedHomes.clear();
   }
 
   #chooseHomes(session: SessionIdentity, nodes: readonly HomeNode[]): readonly HomeNode[] {
@@ -203,8 +208,8 @@
     return nodes.filter((node) => homes.has(node.nodeId));
   }
 
-  async #ask(home: HomeNode, session: SessionIdentity): Promise<HomeNodeAnswer | undefined> {
-    if (home.nodeId === this.#options.nodeId) return this.#lookUpHere(session);
+  async #queryHome(home: HomeNode, session: SessionIdentity): Promise<HomeNodeAnswer | undefined> {
+    if (home.nodeId === this.#options.nodeId) return this.#lookUpLocally(session);
     const { transport } = this.#options;
     const result = await transport.call(
       home.address,
@@ -212,13 +217,13 @@
       { session },
       LOOK_UP_TIMEOUT_MS,
     );
-    const parsed = answerSchema.safeParse(result.unwrapOr(undefined));
+    const parsed = lookUpResponseSchema.safeParse(result.unwrapOr(undefined));
     if (!parsed.success) return undefined;
     const positions = new Map(parsed.data.positions.map((entry) => [entry.group, entry.position]));
     return { positions, complete: parsed.data.complete };
   }
 
-  async #tell(
+  async #recordAt(
     home: HomeNode,
     session: SessionIdentity,
     entry: GroupPositionEntry,
--- a/src/node/gateway/open-message.ts
+++ b/src/node/gateway/open-message.ts
@@ -7,10 +7,10 @@
   StatementMarkers,
 } from '../../postgres/contract.js';
 import type { OpenMessage } from '../owner/messages.js';
-import { batchMessage } from './batch-message.js';
+import { toBatchMessage } from './batch-message.js';
 import type { SentRequest } from './request-observer.js';
 
-/** Where a session's requests go, and from where. */
+/** Destination and origin of a session's requests. */
 export interface SessionRoute {
   readonly group: GroupName;
   readonly database: string;
@@ -18,22 +18,23 @@
   readonly zone: ZoneName;
 }
 
-/** A batch with what was found out about it. */
-export interface ExaminedBatch {
+/** A batch with its classification and markers. */
+export interface ClassifiedBatch {
   readonly batch: CallerBatch;
   readonly statementClass: StatementClassification;
   readonly markers: StatementMarkers;
 }
 
-/** Opens a request with its first batch. */
-export function openMessage(
+/** Creates the message that opens a request, with its first batch. */
+export function createOpenMessage(
   { requestId, terms, access }: SentRequest,
-  { batch, statementClass, markers }: ExaminedBatch,
+  { batch, statementClass, markers }: ClassifiedBatch,
   policy: TenantPolicy,
   route: SessionRoute,
   session: SessionRequirement,
 ): OpenMessage {
-  const holds = statementClass.transactionControl === 'begin' || markers.once !== undefined;
+  const holdsConnection =
+    statementClass.transactionControl === 'begin' || markers.once !== undefined;
   return {
     type: 'open',
     requestId,
@@ -47,7 +48,7 @@
     repeatable: terms.repeatable,
     session,
     remainingMs: terms.deadlineMs,
-    hold: holds ? 'transaction' : 'statement',
-    batch: batchMessage(batch, statementClass, markers),
+    hold: holdsConnection ? 'transaction' : 'statement',
+    batch: toBatchMessage(batch, statementClass, markers),
   };
 }
--- a/src/node/gateway/request-metrics.ts
+++ b/src/node/gateway/request-metrics.ts
@@ -1,21 +1,21 @@
-/** What a gateway reports of each request that ended. */
+/** What a gateway reports about each request that has ended. */
 import type { FailureOutcome } from '../../core/errors.js';
 import type { Access } from '../../core/request.js';
 
 /** One request that ended. */
 export interface EndedRequest {
-  /** Follows the request over both hops. */
+  /** Identifies the request on the gateway and on the owner. */
   readonly requestId: string;
   readonly kind: string;
   readonly access: Access;
   readonly outcome: 'done' | FailureOutcome;
   readonly route: 'primary' | 'replica';
-  /** Of a request that was not run or whose outcome is unknown: the reason in its error. */
+  /** Error code of a request that failed; undefined if it was done. */
   readonly reason: string | undefined;
   readonly elapsedMs: number;
 }
 
-/** Takes the ends of requests. */
+/** Receives a report of each request that has ended. */
 export interface RequestMetrics {
   requestEnded(request: EndedRequest): void;
 }
--- a/src/node/gateway/request-observer.ts
+++ b/src/node/gateway/request-observer.ts
@@ -1,4 +1,4 @@
-/** Times the request that a session runs, and reports its end to the metrics. */
+/** Measures the duration of a session's request and reports its end to the metrics. */
 import type { RequestError } from '../../core/errors.js';
 import type { Access } from '../../core/request.js';
 import type { Milliseconds } from '../../core/units.js';
@@ -13,42 +13,42 @@
   readonly access: Access;
 }
 
-/** Follows one request at a time; each is reported once. */
+/** Observes one request at a time; each is reported once. */
 export class RequestObserver {
   #running: SentRequest | undefined;
   #startedAt: Milliseconds = 0;
-  #deadlineAt: Milliseconds = 0;
+  #deadline: Milliseconds = 0;
 
   constructor(private readonly metrics: RequestMetrics) {}
 
-  /** Access of the request that runs; undefined if none does. */
+  /** Access of the running request; undefined if there is none. */
   get access(): Access | undefined {
     return this.#running?.access;
   }
 
-  /** What is left of the latest request's time, also once it has ended. */
+  /** Time until the deadline of the latest request, also once it has ended. */
   get remainingMs(): Milliseconds {
-    return this.#deadlineAt - monotonicNow();
+    return this.#deadline - monotonicNow();
   }
 
   /** The request is about to be sent. */
-  started(request: SentRequest): void {
+  recordStart(request: SentRequest): void {
     this.#running = request;
     this.#startedAt = monotonicNow();
-    this.#deadlineAt = this.#startedAt + request.terms.deadlineMs;
+    this.#deadline = this.#startedAt + request.terms.deadlineMs;
   }
 
-  /** The request's answer is whole. */
-  done(fromReplica: boolean): void {
-    this.#ended('done', fromReplica, undefined);
+  /** The request's response is complete. */
+  recordDone(fromReplica: boolean): void {
+    this.#report('done', fromReplica, undefined);
   }
 
   /** The request ended with this error. */
-  failed(error: RequestError): void {
-    this.#ended(error.outcome, false, error.code);
+  recordFailure(error: RequestError): void {
+    this.#report(error.outcome, false, error.code);
   }
 
-  #ended(
+  #report(
     outcome: 'done' | RequestError['outcome'],
     fromReplica: boolean,
     reason: string | undefined,
--- a/src/node/gateway/request-policy.ts
+++ b/src/node/gateway/request-policy.ts
@@ -1,11 +1,11 @@
-/** What the tenant's policy and the statement's markers make of one batch. Pure. */
+/** Derives how a batch is served from the tenant's policy and the statements' markers. Pure. */
 import type { RequestKindPolicy, TenantPolicy } from '../../core/configuration/model.js';
 import type { Milliseconds } from '../../core/units.js';
 import type { StatementClassification, StatementMarkers } from '../../postgres/contract.js';
 
-/** Kind of requests that carry no marker, or one that the tenant's policy does not list. */
+/** Kind of a request that has no `kind` marker, or one that the tenant's policy does not list. */
 export const DEFAULT_KIND = 'default';
-/** Longest deadline that a marker may ask for, in ms. */
+/** Longest deadline that a marker or policy can set. */
 const MAX_DEADLINE_MS: Milliseconds = 120_000;
 
 const FALLBACK_KIND: RequestKindPolicy = {
@@ -16,7 +16,7 @@
   deadlineMs: 10_000,
 };
 
-/** How one request is served, marker and policy taken together. */
+/** How one request is served, according to its markers and the tenant's policy. */
 export interface RequestTerms {
   readonly kind: string;
   readonly weight: number;
@@ -25,14 +25,14 @@
   readonly deadlineMs: Milliseconds;
 }
 
-/** The terms of a request under the tenant's policy. */
-export function requestTerms(
+/** Combines the tenant's policy and a request's markers. */
+export function resolveRequestTerms(
   policy: TenantPolicy,
   markers: StatementMarkers,
   access: StatementClassification['access'],
 ): RequestTerms {
   const kind = kindPolicyOf(policy, markers.kind);
-  // A marker may ask for fresher data than the tenant's bound, never for staler.
+  // A marker can request fresher data than the tenant's staleness bound, never staler data.
   const staleMs = Math.min(markers.staleMs ?? kind.stalenessBoundMs, kind.stalenessBoundMs);
   return {
     kind: kind.kind,
@@ -56,13 +56,18 @@
   deadlineMs: undefined,
 };
 
-/** Markers of a batch: those of its first marked statement. */
-export function firstMarkers(markers: readonly StatementMarkers[]): StatementMarkers {
-  const marked = markers.find((entry) => Object.values(entry).some((value) => value !== undefined));
-  return marked ?? NO_MARKERS;
+/** Selects the markers of a batch: those of its first statement that has any. */
+export function selectMarkers(markers: readonly StatementMarkers[]): StatementMarkers {
+  const markedStatement = markers.find((entry) =>
+    Object.values(entry).some((value) => value !== undefined),
+  );
+  return markedStatement ?? NO_MARKERS;
 }
 
-/** The class of a batch: the strongest of its statements. */
+/**
+ * Classifies a batch: a write if any statement is one; transaction control, unsupported feature and
+ * session setting are those of the first statement that has one.
+ */
 export function combineClasses(
   classes: readonly StatementClassification[],
 ): StatementClassification {
--- a/src/node/gateway/session-directory.ts
+++ b/src/node/gateway/session-directory.ts
@@ -1,4 +1,4 @@
-/** Where positions of sessions are kept that move between nodes with nothing but their id. */
+/** Stores the positions of sessions that move between nodes by their id alone, without a token. */
 
 import type { Position } from '../../core/position.js';
 import type { GroupName, TenantName } from '../../core/request.js';
@@ -11,13 +11,13 @@
   readonly position: Position;
 }
 
-/** Keeps the positions of sessions that move with nothing but their id. */
+/** Stores the positions of sessions that move by their id alone. */
 export interface SessionDirectory {
-  /** What the home nodes know; groups they can't vouch for are unknown. Never fails. */
+  /** The recorded positions; groups that the home nodes can't confirm are unknown. Never fails. */
   lookUp(tenant: TenantName, sessionId: string): Promise<SessionState>;
   /**
-   * True once enough home nodes keep the position; false if they could not be reached in what is
-   * left of the request's time.
+   * True once enough home nodes have stored the position; false if they could not be reached in
+   * the time that the request has left.
    */
   record(
     tenant: TenantName,
--- a/src/node/gateway/session-positions.ts
+++ b/src/node/gateway/session-positions.ts
@@ -1,6 +1,6 @@
 /**
- * What one caller's session has seen and written in its group, and how that travels: the token that
- * the caller carries, and the record on home nodes if the session has an id.
+ * The position up to which one caller's session has read and written in its group, and how it moves
+ * between nodes: in a token that the caller carries, and on home nodes if the session has an id.
  */
 
 import type { Result } from 'neverthrow';
@@ -23,17 +23,17 @@
 import type { Milliseconds } from '../../core/units.js';
 import type { SessionDirectory } from './session-directory.js';
 
-/** What a session's positions are made of. */
+/** Dependencies of a session's positions. */
 export interface SessionPositionsOptions {
   readonly tenant: TenantName;
   readonly group: GroupName;
-  /** Undefined if the session moves with its token only. */
+  /** Undefined if the session moves between nodes by its token only. */
   readonly sessionId: string | undefined;
   readonly keys: SessionKeys;
   readonly directory: SessionDirectory;
 }
 
-/** What one session has seen, and where that is written down. */
+/** The positions that one session has observed, and their record on home nodes. */
 export class SessionPositions {
   readonly #options: SessionPositionsOptions;
   #state: SessionState = freshSession();
@@ -42,33 +42,33 @@
     this.#options = options;
   }
 
-  /** What the next request must have seen. */
+  /** The position that an instance must have reached to serve the next request. */
   requirement(): SessionRequirement {
     return requirementFor(this.#state, this.#options.group);
   }
 
-  /** The token as the caller should carry it now. */
+  /** The current token for the caller. */
   token(): string {
     return encodeSessionToken(this.#state, this.#options.tenant, this.#options.keys);
   }
 
-  /** Takes in a token that the caller brought. */
-  adopt(token: string): Result<void, SessionTokenError> {
+  /** Merges the positions of a token that the caller sent. */
+  mergeToken(token: string): Result<void, SessionTokenError> {
     return decodeSessionToken(token, this.#options.tenant, this.#options.keys)
-      .andTee((told) => {
-        this.#state = mergeSessions(this.#state, told);
+      .andTee((decoded) => {
+        this.#state = mergeSessions(this.#state, decoded);
       })
       .map(() => undefined);
   }
 
-  /** Takes in what the home nodes know of the session's id. Never fails. */
+  /** Merges the positions that the home nodes have for the session's id. Never fails. */
   async lookUp(): Promise<void> {
     const { tenant, sessionId, directory } = this.#options;
     if (sessionId === undefined) return;
     this.#state = mergeSessions(this.#state, await directory.lookUp(tenant, sessionId));
   }
 
-  /** True if the position is news, so that the caller should be given a new token. */
+  /** Records a position; true if it changes the requirement, so that the caller needs a new token. */
   observe(position: Position, fromReplica: boolean): boolean {
     const before = this.requirement();
     const source = fromReplica ? 'unconfirmed' : 'confirmed-primary';
@@ -77,26 +77,26 @@
   }
 
   /**
-   * After these errors the position known so far does not tell any more what the session has to see:
-   * the next read needs a confirmed primary. True if so; the caller should be given a new token.
+   * True if after this error the known position no longer covers everything that the session has to
+   * see: the next read then needs a confirmed primary, and the caller needs a new token.
    */
-  failed(error: RequestError): boolean {
-    const mayLast = error.outcome === 'unknown' || error.outcome === 'done';
-    const forgets = mayLast || error.code === SESSION_POSITION_LOST_CODE;
-    if (forgets) this.#state = markUnknown(this.#state, this.#options.group);
-    return forgets;
+  recordFailure(error: RequestError): boolean {
+    const mayHaveCommitted = error.outcome === 'unknown' || error.outcome === 'done';
+    const losesPosition = mayHaveCommitted || error.code === SESSION_POSITION_LOST_CODE;
+    if (losesPosition) this.#state = markUnknown(this.#state, this.#options.group);
+    return losesPosition;
   }
 
   /**
-   * True if the caller must not be told of its request before the home nodes keep the position. A
-   * read that raised a known position is not worth a round to them.
+   * True if the home nodes must have stored the position before the request's end is reported to the
+   * caller. A read that only raised a known position is not worth a round trip to them.
    */
   needsRecord(access: Access | undefined, before: SessionRequirement): boolean {
     if (this.#options.sessionId === undefined) return false;
     return access === 'write' || before.type === 'unknown';
   }
 
-  /** True once enough home nodes keep the position; tried for what is left of the request's time. */
+  /** True once enough home nodes have stored the position; retried until the request's deadline. */
   async record(position: Position, remainingMs: Milliseconds): Promise<boolean> {
     const { tenant, sessionId, directory, group } = this.#options;
     if (sessionId === undefined) return true;
--- a/src/node/gateway/session-registry.ts
+++ b/src/node/gateway/session-registry.ts
@@ -1,6 +1,6 @@
 /**
- * Open sessions of this node, by tenant. Applies what a new configuration takes away: a revoked
- * tenant's sessions end, and those beyond a lowered connection limit, newest first.
+ * Open sessions of this node, by tenant. After a configuration change it ends the sessions of
+ * tenants whose access was revoked, and those beyond a lowered connection limit, newest first.
  */
 import type { TenantPolicy } from '../../core/configuration/model.js';
 import { NotRunError, type RequestError } from '../../core/errors.js';
@@ -8,13 +8,13 @@
 import type { Milliseconds } from '../../core/units.js';
 import type { GatewaySession } from './gateway-session.js';
 
-/** How long an open transaction may go on after its tenant's access was taken away, in ms. */
+/** How long an open transaction may continue after the end of its session was requested. */
 export const SESSION_GRACE_MS: Milliseconds = 1000;
 
 /** The open sessions of this gateway. */
 export class SessionRegistry {
   readonly #sessions = new Map<TenantName, Set<GatewaySession>>();
-  /** Sessions that were told to end. */
+  /** Sessions that were requested to end. */
   readonly #ending = new WeakSet<GatewaySession>();
 
   add(session: GatewaySession): void {
@@ -37,46 +37,46 @@
     return [...this.#sessions.values()].flatMap((sessions) => [...sessions]);
   }
 
-  /** Ends sessions whose tenant, or whose tenant's access to their database, is gone. */
+  /** Ends sessions whose tenant was removed or disabled, or lost access to their database. */
   applyPolicies(policyOf: (tenant: TenantName) => TenantPolicy | undefined): void {
     for (const [tenant, sessions] of this.#sessions) {
       const policy = policyOf(tenant);
-      const refused =
+      const revoked =
         policy?.enabled === true
           ? [...sessions].filter((session) => !session.isAllowedBy(policy))
           : [...sessions];
-      this.#endAll(refused, noAccess());
+      this.#endAll(revoked, accessRevokedError());
     }
   }
 
-  /** Ends the newest sessions of a tenant beyond those that it may have on this node. */
-  endBeyond(tenant: TenantName, allowed: number): void {
+  /** Ends the newest sessions of a tenant beyond the number allowed on this node. */
+  endNewestBeyond(tenant: TenantName, allowed: number): void {
     const sessions = [...(this.#sessions.get(tenant) ?? [])];
-    const staying = sessions.filter((session) => !this.#ending.has(session));
-    const alreadyEnding = sessions.length - staying.length;
-    const ended = Math.max(0, sessions.length - alreadyEnding - allowed);
-    this.#endAll(staying.slice(staying.length - ended), tooMany(tenant));
+    const remaining = sessions.filter((session) => !this.#ending.has(session));
+    const alreadyEnding = sessions.length - remaining.length;
+    const excessCount = Math.max(0, sessions.length - alreadyEnding - allowed);
+    this.#endAll(remaining.slice(remaining.length - excessCount), connectionLimitError(tenant));
   }
 
-  /** Between requests if they end soon, whatever they do after the grace time. */
+  /** Ends each session between requests if possible, otherwise at the end of the grace time. */
   #endAll(sessions: readonly GatewaySession[], error: RequestError): void {
-    const running = sessions.filter((session) => !this.#ending.has(session));
-    if (running.length === 0) return;
-    for (const session of running) {
+    const sessionsToEnd = sessions.filter((session) => !this.#ending.has(session));
+    if (sessionsToEnd.length === 0) return;
+    for (const session of sessionsToEnd) {
       this.#ending.add(session);
-      session.stop(error);
+      session.endWhenIdle(error);
     }
     const timer = setTimeout(() => {
-      for (const session of running) session.cut(error);
+      for (const session of sessionsToEnd) session.endNow(error);
     }, SESSION_GRACE_MS);
     timer.unref();
   }
 }
 
-function noAccess(): RequestError {
-  return new NotRunError('tenant-revoked', 'the tenant has no access any more');
+function accessRevokedError(): RequestError {
+  return new NotRunError('tenant-revoked', 'the tenant no longer has access');
 }
 
-function tooMany(tenant: TenantName): RequestError {
+function connectionLimitError(tenant: TenantName): RequestError {
   return new NotRunError('connection-limit', `tenant ${tenant} may hold fewer connections now`);
 }
--- a/src/node/gateway/transaction-block.ts
+++ b/src/node/gateway/transaction-block.ts
@@ -1,6 +1,7 @@
 /**
- * What a session knows of its caller's transaction block: whether one is open on a back end, what the
- * caller was told of it, and how it was lost. A caller can believe in a block that is gone.
+ * State of the transaction block of one session: whether one is open on a back end, whether it was
+ * reported to the caller as open, and how it was lost. For the caller, a block may still be open
+ * that is already lost on the back end.
  */
 import type { RequestError } from '../../core/errors.js';
 import type { StatementClassification, TransactionStatus } from '../../postgres/contract.js';
@@ -8,84 +9,86 @@
 /** One session's transaction block. */
 export class TransactionBlock {
   #isOpen = false;
-  /** The caller was told that its block is open, and has not asked to end it. */
-  #isAnnounced = false;
-  /** The block was lost while the caller was idle; told at its next batch. */
-  #loss: RequestError | undefined;
-  /** The caller believes in a block that no back end has any more. */
-  #isWithoutBackend = false;
+  /** The block was reported to the caller as open, and the caller has not yet tried to end it. */
+  #isReportedOpen = false;
+  /** The block was lost while the caller was idle; reported at its next batch. */
+  #unreportedLoss: RequestError | undefined;
+  /** A block is open for the caller that no back end has any more. */
+  #isOpenForCallerOnly = false;
 
-  /** A transaction is open, or being opened, on a back end. */
+  /** True if a transaction is open, or being opened, on a back end. */
   get isOpen(): boolean {
     return this.#isOpen;
   }
 
-  /** Status for a batch that was answered here and leaves the block on the back end as it is. */
+  /** Status for a batch that the proxy answered itself; the block on the back end is unchanged. */
   get status(): TransactionStatus {
     return this.#isOpen ? 'T' : 'I';
   }
 
-  /** Status for a batch that was refused: a block that only the caller believes in goes on, too. */
+  /** Status for a batch that was refused; a block that is open for the caller only stays open. */
   get statusAfterRefusal(): TransactionStatus {
-    return this.#isWithoutBackend ? 'T' : this.status;
+    return this.#isOpenForCallerOnly ? 'T' : this.status;
   }
 
-  /** A request goes out; `begins` if it opens a transaction. */
-  requestOpened(begins: boolean): void {
-    this.#isOpen = begins;
-    this.#isAnnounced = false;
+  /** A request is sent to the owner. */
+  recordRequestSent(opensTransaction: boolean): void {
+    this.#isOpen = opensTransaction;
+    this.#isReportedOpen = false;
   }
 
-  /** A further batch of the open transaction goes out. */
-  batchSent(statementClass: StatementClassification): void {
-    if (endsBlock(statementClass)) this.#isAnnounced = false;
+  /** Another batch of the open transaction is sent to the owner. */
+  recordBatchSent(statementClass: StatementClassification): void {
+    if (endsBlock(statementClass)) this.#isReportedOpen = false;
   }
 
-  /** The caller is told of a batch that leaves the transaction open. */
-  batchEnded(): void {
-    this.#isAnnounced = true;
+  /** The end of a batch that leaves the transaction open is reported to the caller. */
+  recordBatchReported(): void {
+    this.#isReportedOpen = true;
   }
 
-  /** The request ended well, and with it a transaction that it held. */
-  requestEnded(): void {
+  /** The request succeeded, which also ends its transaction if it had one. */
+  recordRequestDone(): void {
     this.#isOpen = false;
-    this.#isWithoutBackend = false;
+    this.#isOpenForCallerOnly = false;
   }
 
-  /** The request failed, and with it a transaction that it held; true if there was one. */
-  requestFailed(): boolean {
+  /** The request failed, which also ends its transaction; true if it had one. */
+  recordRequestFailed(): boolean {
     const wasOpen = this.#isOpen;
     this.#isOpen = false;
     return wasOpen;
   }
 
-  /** The transaction was lost while its caller was idle. */
-  lostWhileIdle(error: RequestError): void {
-    this.#loss = error;
+  /** The transaction was lost while the caller was idle. */
+  recordIdleLoss(error: RequestError): void {
+    this.#unreportedLoss = error;
   }
 
-  /** The loss that the caller was not told yet. */
-  get loss(): RequestError | undefined {
-    return this.#loss;
+  /** The error of a loss that is not yet reported to the caller. */
+  get unreportedLoss(): RequestError | undefined {
+    return this.#unreportedLoss;
   }
 
-  /** The caller's next batch is told of the loss; gives the status that goes with it. */
-  lossTold(statementClass: StatementClassification): TransactionStatus {
-    this.#loss = undefined;
-    return this.#goesOnForCaller(!endsBlock(statementClass));
+  /** The loss is reported for the caller's next batch; returns the status to send with it. */
+  recordReportedLoss(statementClass: StatementClassification): TransactionStatus {
+    this.#unreportedLoss = undefined;
+    return this.#setOpenForCallerOnly(!endsBlock(statementClass));
   }
 
   /**
-   * The caller is told that its request failed; gives the status that goes with it. As in PostgreSQL,
-   * a BEGIN that fails opens no block, and a COMMIT that fails ends it.
+   * The failure is reported to the caller; returns the status to send with it. As in PostgreSQL, a
+   * BEGIN that fails opens no block, and a COMMIT that fails ends it.
    */
-  failureTold(error: RequestError, wasOpen: boolean): TransactionStatus {
-    return this.#goesOnForCaller(wasOpen && this.#isAnnounced && error.outcome === 'failed');
+  recordReportedFailure(error: RequestError, wasOpen: boolean): TransactionStatus {
+    return this.#setOpenForCallerOnly(
+      wasOpen && this.#isReportedOpen && error.outcome === 'failed',
+    );
   }
 
-  #goesOnForCaller(goesOn: boolean): TransactionStatus {
-    this.#isWithoutBackend = goesOn;
-    return goesOn ? 'T' : 'I';
+  #setOpenForCallerOnly(isOpen: boolean): TransactionStatus {
+    this.#isOpenForCallerOnly = isOpen;
+    return isOpen ? 'T' : 'I';
   }
 }
 
--- a/src/node/owner/batch-transfer.ts
+++ b/src/node/owner/batch-transfer.ts
@@ -13,7 +13,7 @@
 const NOTHING = Buffer.alloc(0);
 
 /** The form in which the batch's message is sent. */
-export function batchHeader(batch: BatchMessage): BatchMessage {
+export function toBatchHeader(batch: BatchMessage): BatchMessage {
   if (batch.messages.length <= INLINE_BATCH_BYTES) return batch;
   return { ...batch, messages: NOTHING, followingBytes: batch.messages.length };
 }
@@ -27,7 +27,7 @@
   }
 
   /** Call after the batch's header was sent. */
-  follow(batch: BatchMessage): void {
+  sendRemainder(batch: BatchMessage): void {
     if (batch.messages.length <= INLINE_BATCH_BYTES) return;
     this.#rest = batch.messages;
     this.#pump();
--- a/test/unit/gateway-session.test.ts
+++ b/test/unit/gateway-session.test.ts
@@ -125,7 +125,7 @@
     metrics: { requestEnded: () => undefined },
     onClosed: () => undefined,
   });
-  await session.begin();
+  await session.start();
   return Object.assign(caller, { session });
 }
 
@@ -168,10 +168,10 @@
   const caller = await sessionWith(() => undefined);
   void caller.query('UPDATE orders SET state = 1');
   const revoked = new NotRunError('tenant-revoked', 'the tenant has no access any more');
-  caller.session.cut(revoked);
+  caller.session.endNow(revoked);
   assert.is(caller.terminated?.outcome, 'unknown');
   const idle = await sessionWith(() => undefined);
-  idle.session.cut(revoked);
+  idle.session.endNow(revoked);
   assert.is(idle.terminated, revoked);
 });
 
