--- a/src/node/gateway/gateway-session.ts
+++ b/src/node/gateway/gateway-session.ts
@@ -108,7 +108,9 @@
     if (queuedBatch !== undefined) this.#handleBatch(queuedBatch);
   }
 
-  /** Graceful shutdown or revoked access: ends the session once no request or transaction is open. */
+  /**
+   * Graceful shutdown or revoked access: ends the session once no request or transaction is open.
+   */
   endWhenIdle(error: RequestError): void {
     this.#endReason = error;
     if (!this.#connection.busy && !this.#block.isOpen) this.#connection.terminate(error);
--- a/src/node/gateway/home-node-directory.ts
+++ b/src/node/gateway/home-node-directory.ts
@@ -1,6 +1,6 @@
 /**
- * Stores the positions of sessions with an id on their home nodes, over peer calls. The core defines
- * which nodes are home nodes and how many must respond; see docs/design/sessions.md.
+ * Stores the positions of sessions with an id on their home nodes, over peer calls. The core
+ * defines which nodes are home nodes and how many must respond; see docs/design/sessions.md.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import { z } from 'zod';
--- a/src/node/gateway/session-positions.ts
+++ b/src/node/gateway/session-positions.ts
@@ -68,7 +68,9 @@
     this.#state = mergeSessions(this.#state, await directory.lookUp(tenant, sessionId));
   }
 
-  /** Records a position; true if it changes the requirement, so that the caller needs a new token. */
+  /**
+   * Records a position; true if it changes the requirement, so that the caller needs a new token.
+   */
   observe(position: Position, fromReplica: boolean): boolean {
     const before = this.requirement();
     const source = fromReplica ? 'unconfirmed' : 'confirmed-primary';
@@ -88,8 +90,8 @@
   }
 
   /**
-   * True if the home nodes must have stored the position before the request's end is reported to the
-   * caller. A read that only raised a known position is not worth a round trip to them.
+   * True if the home nodes must have stored the position before the request's end is reported to
+   * the caller. A read that only raised a known position is not worth a round trip to them.
    */
   needsRecord(access: Access | undefined, before: SessionRequirement): boolean {
     if (this.#options.sessionId === undefined) return false;
--- a/src/node/owner/backend-connector.ts
+++ b/src/node/owner/backend-connector.ts
@@ -1,6 +1,6 @@
 /**
- * Opens back-end connections by instance name: knows where each instance listens, with which
- * credentials its roles log in, and over which transport.
+ * Opens back-end connections by instance name, with the address from the machine list and the
+ * credentials and TLS mode from the settings.
  */
 import { errAsync, type ResultAsync } from 'neverthrow';
 import { MeadowstackError } from '../../core/errors.js';
@@ -31,23 +31,23 @@
   readonly #settings: BackendSettings;
   #machines: ReadonlyMap<InstanceName, DatabaseMachine> = new Map();
   readonly counters = createBackendCounters();
-  #opened = 0;
+  #attemptCount = 0;
 
   constructor(settings: BackendSettings) {
     this.#settings = settings;
   }
 
-  /** Replaces what is known of where instances listen. */
+  /** Sets the addresses of the instances. */
   setMachines(machines: readonly DatabaseMachine[]): void {
     this.#machines = new Map(machines.map((machine) => [machine.name, machine]));
   }
 
-  /** Connections opened since start. */
-  get opened(): number {
-    return this.#opened;
+  /** Connection attempts since start. */
+  get attemptCount(): number {
+    return this.#attemptCount;
   }
 
-  /** A connection for the pool. */
+  /** Opens a connection for the pool. */
   connect(
     instance: InstanceName,
     role: DatabaseRole,
@@ -56,7 +56,7 @@
     return this.#open(instance, role, database);
   }
 
-  /** A connection for probes, as the settings' probe role. */
+  /** Opens a connection for probes, with the probe role and database of the settings. */
   connectForProbe(instance: InstanceName): ResultAsync<BackendConnection, ConnectFailedError> {
     const { probeRole, probeDatabase } = this.#settings;
     return this.#open(instance, probeRole, probeDatabase);
@@ -71,7 +71,7 @@
     if (machine === undefined) {
       return errAsync(new ConnectFailedError(`instance ${instance} is not listed`, false));
     }
-    this.#opened += 1;
+    this.#attemptCount += 1;
     return connectBackend({
       host: machine.host,
       port: machine.port,
@@ -88,8 +88,8 @@
   }
 
   #passwordOf(role: DatabaseRole): string | undefined {
-    const configured = this.#settings.roles.find((entry) => entry.role === role);
-    return configured?.password ?? this.#settings.defaultPassword;
+    const configuredRole = this.#settings.roles.find((entry) => entry.role === role);
+    return configuredRole?.password ?? this.#settings.defaultPassword;
   }
 }
 
--- a/src/node/owner/batch-runner.ts
+++ b/src/node/owner/batch-runner.ts
@@ -1,6 +1,7 @@
 /**
- * Runs one batch of a gateway on an assigned connection, with the claim of its once key around it if
- * it has one. Tells how it ended; decides nothing about the request as a whole.
+ * Runs one batch of a gateway on an assigned connection. A batch with an idempotency key runs in a
+ * transaction that claims the key first. Reports the result of the batch only, not the outcome of
+ * the request.
  */
 
 import { serialize } from 'pg-protocol';
@@ -26,8 +27,8 @@
 import { asBuffer } from './buffers.js';
 import type { BatchMessage } from './messages.js';
 
-/** Rows of the trailing query, as text. */
-type TrailingRows = readonly (readonly (string | null)[])[] | undefined;
+/** Rows of the appended query, as text. */
+type AppendedQueryRows = readonly (readonly (string | null)[])[] | undefined;
 
 /** How a batch ended. */
 export type BatchResult =
@@ -36,18 +37,21 @@
       readonly status: TransactionStatus;
       readonly heldBack: Buffer;
       readonly errorSqlState: string | undefined;
-      /** The server refused to write; nothing of the batch lasts. */
+      /** The server refused to write because it is read-only; nothing was committed. */
       readonly refusedAsReadOnly: boolean;
-      readonly appendedQueryRows: TrailingRows;
-      /** Reported in place of what is held back; nothing of the batch lasts, or it lasted before. */
+      readonly appendedQueryRows: AppendedQueryRows;
+      /**
+       * Reported to the caller instead of the held-back messages: the batch committed nothing, or
+       * an earlier request with the same key had already committed it.
+       */
       readonly refusal: RequestError | undefined;
-      /** The refusal itself tells of something that lasts. */
+      /** The refusal reports something committed, so that its commit needs confirmation first. */
       readonly refusalNeedsConfirmation: boolean;
     }
   | {
       readonly type: 'lost';
       readonly anyBytesWritten: boolean;
-      /** False if what was sent surely rolled back with the connection. */
+      /** False if the batch was provably rolled back when the connection was lost. */
       readonly mayHaveCommitted: boolean;
     };
 
@@ -65,26 +69,26 @@
 /** Starts the batch; `onResult` is called exactly once. */
 export function runBatch(run: BatchRun): void {
   if (run.batch.onceKey === undefined) {
-    runPlain(run);
+    runWithoutKey(run);
     return;
   }
   parseOnceClaim(run.tenant, run.batch.onceKey).match(
-    (claim) => new OnceRun(run).start(startOnce(claim, run.onceMode)),
+    (claim) => new AtMostOnceRun(run).start(startOnce(claim, run.onceMode)),
     (error) => run.onResult(refusedBeforeSending(error)),
   );
 }
 
-function runPlain(run: BatchRun): void {
+function runWithoutKey(run: BatchRun): void {
   run.connection.run({
     requires: run.batch.requires,
     messages: asBuffer(run.batch.messages),
     appendedQuery: run.appendedQuery,
     onMessages: run.onMessages,
-    onFinished: (end) => run.onResult(resultOf(end)),
+    onFinished: (end) => run.onResult(toBatchResult(end)),
   });
 }
 
-function resultOf(end: BackendBatchResult): BatchResult {
+function toBatchResult(end: BackendBatchResult): BatchResult {
   if (end.type === 'lost') {
     return {
       type: 'lost',
@@ -92,7 +96,7 @@
       mayHaveCommitted: end.anyBytesWritten,
     };
   }
-  // Field by field: V8 makes a slow object of a spread, and this is made for every request.
+  // Not a spread: V8 creates a slower object for it, and this runs for every request.
   return {
     type: 'ready',
     status: end.status,
@@ -118,17 +122,17 @@
   };
 }
 
-/** Drives the at-most-once execution over the connection. */
-class OnceRun {
+/** Carries out the actions of an at-most-once execution on the connection. */
+class AtMostOnceRun {
   readonly #run: BatchRun;
   #execution: OnceExecution | undefined;
   #heldBack: Buffer = Buffer.alloc(0);
-  readonly #commitError: Buffer[] = [];
-  /** What is held back ends with the error of the caller's own batch. */
+  readonly #commitErrorMessages: Buffer[] = [];
+  /** The caller's own batch ended with an error, which is in the held-back messages. */
   #callerBatchFailed = false;
   /** Undefined once the connection is lost. */
-  #last: Extract<BackendBatchResult, { type: 'ready' }> | undefined;
-  #lostWithBytes = false;
+  #lastResult: Extract<BackendBatchResult, { type: 'ready' }> | undefined;
+  #lostAfterWrite = false;
 
   constructor(run: BatchRun) {
     this.#run = run;
@@ -136,13 +140,13 @@
 
   start(transition: { readonly execution: OnceExecution; readonly action: OnceAction }): void {
     this.#execution = transition.execution;
-    this.#act(transition.action);
+    this.#perform(transition.action);
   }
 
-  #act(action: OnceAction): void {
+  #perform(action: OnceAction): void {
     switch (action.type) {
       case 'run-own':
-        this.#runOwn(action.text);
+        this.#runOwnStatement(action.text);
         return;
       case 'run-caller-batch':
         this.#runCallerBatch();
@@ -153,21 +157,24 @@
     }
   }
 
-  #runOwn(text: string): void {
+  #runOwnStatement(text: string): void {
     const endsTransaction =
       this.#execution?.phase === 'commit' || this.#execution?.phase === 'roll-back';
     this.#run.connection.run({
       requires: [],
       messages: serialize.query(text),
       appendedQuery: endsTransaction ? this.#run.appendedQuery : undefined,
-      onMessages: (messages) => this.#keepCommitError(messages),
-      onFinished: (end) => this.#onEnd(end),
+      onMessages: (messages) => this.#collectCommitError(messages),
+      onFinished: (end) => this.#onBatchFinished(end),
     });
   }
 
-  /** What COMMIT says before its end is an error, and the caller's: nothing of its batch lasts. */
-  #keepCommitError(messages: Buffer): void {
-    if (this.#execution?.phase === 'commit') this.#commitError.push(messages);
+  /**
+   * Any message of COMMIT before its end is an error, reported to the caller: nothing was
+   * committed.
+   */
+  #collectCommitError(messages: Buffer): void {
+    if (this.#execution?.phase === 'commit') this.#commitErrorMessages.push(messages);
   }
 
   #runCallerBatch(): void {
@@ -182,32 +189,34 @@
           this.#heldBack = end.heldBack;
           this.#callerBatchFailed = end.errorSqlState !== undefined;
         }
-        this.#onEnd(end);
+        this.#onBatchFinished(end);
       },
     });
   }
 
-  #onEnd(end: BackendBatchResult): void {
+  #onBatchFinished(end: BackendBatchResult): void {
     if (this.#execution === undefined) return;
-    this.#last = end.type === 'ready' ? end : undefined;
-    this.#lostWithBytes = end.type === 'lost' && end.anyBytesWritten;
+    this.#lastResult = end.type === 'ready' ? end : undefined;
+    this.#lostAfterWrite = end.type === 'lost' && end.anyBytesWritten;
     this.start(continueOnce(this.#execution, end));
   }
 
   #finish(result: OnceResult): void {
-    const last = this.#last;
+    const last = this.#lastResult;
     const refusal = result.type === 'refused' ? result.error : undefined;
-    const lost = last === undefined;
-    if (lost) {
-      // Before COMMIT was sent the server surely rolls the claim and the statement back.
-      const mayHaveCommitted = this.#lostWithBytes && this.#execution?.phase === 'commit';
-      this.#run.onResult({ type: 'lost', anyBytesWritten: this.#lostWithBytes, mayHaveCommitted });
+    const isLost = last === undefined;
+    if (isLost) {
+      // If COMMIT was not sent, the server certainly rolls back the claim and the statement.
+      const mayHaveCommitted = this.#lostAfterWrite && this.#execution?.phase === 'commit';
+      this.#run.onResult({ type: 'lost', anyBytesWritten: this.#lostAfterWrite, mayHaveCommitted });
       return;
     }
     this.#run.onResult({
       type: 'ready',
       status: last.status,
-      heldBack: this.#tellsCallerBatch(result) ? this.#heldBack : Buffer.concat(this.#commitError),
+      heldBack: this.#reportsCallerBatch(result)
+        ? this.#heldBack
+        : Buffer.concat(this.#commitErrorMessages),
       errorSqlState:
         result.type === 'done' ? undefined : (last.errorSqlState ?? refusal?.sqlState ?? ''),
       refusedAsReadOnly: isRefusedAsReadOnly(refusal),
@@ -217,14 +226,14 @@
     });
   }
 
-  /** False if something of ours failed: then the answer to the caller's batch is not true. */
-  #tellsCallerBatch(result: OnceResult): boolean {
+  /** False if one of the proxy's own statements failed: the batch's response then does not hold. */
+  #reportsCallerBatch(result: OnceResult): boolean {
     return result.type === 'done' || (result.type === 'database-error' && this.#callerBatchFailed);
   }
 }
 
-/** The claim is the first thing that a keyed request writes. */
+/** A read-only server refuses the claim, since it is the first write of a request with a key. */
 function isRefusedAsReadOnly(refusal: RequestError | undefined): boolean {
-  const refusedClaim = refusal instanceof OnceClaimRefusedError;
-  return refusedClaim && refusal.databaseSqlState === READ_ONLY_SQL_TRANSACTION;
+  const isRefusedClaim = refusal instanceof OnceClaimRefusedError;
+  return isRefusedClaim && refusal.databaseSqlState === READ_ONLY_SQL_TRANSACTION;
 }
--- a/src/node/owner/batch-transfer.ts
+++ b/src/node/owner/batch-transfer.ts
@@ -1,53 +1,53 @@
 /**
- * Carries batches from gateway to owner. A small one travels inside its message; a large one follows
- * its message as data, so that flow control holds for it as for answers.
+ * Transfers batches from gateway to owner. A small batch is sent inside its message; a large one is
+ * sent after its message as data, so that flow control applies to it as to responses.
  */
 
 import type { PeerStream } from '../../peer/contract.js';
 import { asBuffer } from './buffers.js';
 import type { BatchMessage } from './messages.js';
 
-/** Batches up to this size travel inside their message. */
+/** Batches up to this size are sent inside their message. */
 export const INLINE_BATCH_BYTES = 64 * 1024;
 const CHUNK_BYTES = 64 * 1024;
-const NOTHING = Buffer.alloc(0);
+const EMPTY_BUFFER = Buffer.alloc(0);
 
-/** The form in which the batch's message is sent. */
+/** Returns the message to send for a batch: without its bytes if they follow as data. */
 export function toBatchHeader(batch: BatchMessage): BatchMessage {
   if (batch.messages.length <= INLINE_BATCH_BYTES) return batch;
-  return { ...batch, messages: NOTHING, followingBytes: batch.messages.length };
+  return { ...batch, messages: EMPTY_BUFFER, followingBytes: batch.messages.length };
 }
 
-/** Sends what `batchHeader` left out, as fast as the stream takes it. */
+/** Sends the bytes that `toBatchHeader` left out, as fast as flow control allows. */
 export class BatchSender {
-  #rest: Uint8Array = NOTHING;
+  #unsent: Uint8Array = EMPTY_BUFFER;
 
   constructor(readonly stream: PeerStream) {
     stream.onDrain = () => this.#pump();
   }
 
-  /** Call after the batch's header was sent. */
+  /** To be called after the batch's header was sent. */
   sendRemainder(batch: BatchMessage): void {
     if (batch.messages.length <= INLINE_BATCH_BYTES) return;
-    this.#rest = batch.messages;
+    this.#unsent = batch.messages;
     this.#pump();
   }
 
   #pump(): void {
-    while (this.#rest.length > 0) {
-      const chunk = this.#rest.subarray(0, CHUNK_BYTES);
-      this.#rest = this.#rest.subarray(CHUNK_BYTES);
-      const goOn = this.stream.write(asBuffer(chunk));
-      if (!goOn) return;
+    while (this.#unsent.length > 0) {
+      const chunk = this.#unsent.subarray(0, CHUNK_BYTES);
+      this.#unsent = this.#unsent.subarray(CHUNK_BYTES);
+      const mayContinue = this.stream.write(asBuffer(chunk));
+      if (!mayContinue) return;
     }
   }
 }
 
-/** Puts a batch together whose messages follow as data. */
+/** Assembles batches whose bytes follow as data. */
 export class BatchReceiver {
   #header: BatchMessage | undefined;
   #chunks: Buffer[] = [];
-  #missingBytes = 0;
+  #remainingBytes = 0;
 
   /** `onBatch` is called with each whole batch. */
   constructor(readonly onBatch: (batch: BatchMessage) => void) {}
@@ -58,16 +58,16 @@
       return;
     }
     this.#header = batch;
-    this.#missingBytes = batch.followingBytes;
+    this.#remainingBytes = batch.followingBytes;
   }
 
-  /** False if no data was due: the peer breaks the protocol. */
+  /** False if the data was not expected: the peer violates the protocol. */
   data(chunk: Buffer): boolean {
     const header = this.#header;
-    if (header === undefined || chunk.length > this.#missingBytes) return false;
+    if (header === undefined || chunk.length > this.#remainingBytes) return false;
     this.#chunks.push(chunk);
-    this.#missingBytes -= chunk.length;
-    if (this.#missingBytes > 0) return true;
+    this.#remainingBytes -= chunk.length;
+    if (this.#remainingBytes > 0) return true;
     const messages = Buffer.concat(this.#chunks);
     this.#header = undefined;
     this.#chunks = [];
--- a/src/node/owner/buffers.ts
+++ b/src/node/owner/buffers.ts
@@ -1,6 +1,6 @@
-/** Bytes as they come from the codec, for code that wants a Buffer. */
+/** Converts the bytes that the codec returns to a Buffer. */
 
-/** A Buffer over the same memory. */
+/** Returns a Buffer over the same memory. */
 export function asBuffer(bytes: Uint8Array): Buffer {
   return Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength);
 }
--- a/src/node/owner/group-runtime.ts
+++ b/src/node/owner/group-runtime.ts
@@ -1,6 +1,6 @@
 /**
  * Carries out the effects of one group's state machine: opens and closes back-end connections, runs
- * requests on them, probes instances, and feeds what happened back as events.
+ * requests on them, probes instances, and returns the results as events.
  */
 import type {
   ConnectionId,
@@ -19,18 +19,18 @@
 import { InstanceProbe } from './instance-probe.js';
 import type { GroupWork } from './work.js';
 
-/** Statement that clears what a tenant left on a connection. */
+/** Clears the session state that a tenant left on a connection. */
 const RESET_STATEMENT = 'DISCARD ALL';
 
-/** Told of changes that are worth a log line. */
+/** Callbacks for changes that are logged. */
 export interface GroupObserver {
   primaryChanged(change: Extract<GroupEffect, { type: 'primary-changed' }>): void;
 }
 
-/** What the runtime is made of. */
+/** Dependencies of the runtime. */
 export interface GroupRuntimeOptions {
   readonly group: GroupName;
-  readonly machine: GroupStateMachine;
+  readonly stateMachine: GroupStateMachine;
   readonly connector: BackendConnector;
   readonly now: () => Milliseconds;
   readonly observer: GroupObserver;
@@ -41,77 +41,81 @@
   readonly #options: GroupRuntimeOptions;
   readonly #work = new Map<RequestId, GroupWork>();
   readonly #connections = new Map<ConnectionId, BackendConnection>();
-  readonly #running = new Map<ConnectionId, GroupWork>();
+  readonly #runningWork = new Map<ConnectionId, GroupWork>();
   readonly #probes = new Map<InstanceName, InstanceProbe>();
-  readonly #pending: GroupEvent[] = [];
-  #handling = false;
+  readonly #pendingEvents: GroupEvent[] = [];
+  #isHandling = false;
   #timer: NodeJS.Timeout | undefined;
   #timerDue: Milliseconds | undefined;
-  #closed = false;
+  #isClosed = false;
 
   constructor(options: GroupRuntimeOptions) {
     this.#options = options;
   }
 
-  /** Hands a request to the state machine; exactly one of `release` and `fail` follows. */
+  /** Passes a request to the state machine; exactly one of `release` and `fail` is called later. */
   submit(request: GroupRequest, work: GroupWork): void {
     this.#work.set(request.id, work);
     this.#handle({ type: 'request-arrived', request });
   }
 
-  /** The caller has gone. */
+  /** The request's caller has disconnected. */
   abandon(requestId: RequestId): void {
     this.#handle({ type: 'request-abandoned', requestId });
   }
 
-  /** Instances as the machine list tells them, with this owner's share of their connections. */
+  /** Sets the instances of the machine list, with this owner's share of their connections. */
   setInstances(instances: readonly InstanceDescription[]): void {
-    this.#dropProbesExcept(new Set(instances.map((instance) => instance.name)));
+    this.#closeProbesExcept(new Set(instances.map((instance) => instance.name)));
     this.#handle({ type: 'instances-changed', instances });
   }
 
-  /** Passes any other event on to the state machine. */
+  /** Passes a change of limits or the start of a drain to the state machine. */
   notify(event: Extract<GroupEvent, { type: 'limits-changed' | 'drain-started' }>): void {
     this.#handle(event);
   }
 
   statistics(): GroupStatistics {
-    return this.#options.machine.statistics();
+    return this.#options.stateMachine.statistics();
   }
 
-  /** Requests that have not ended yet. */
-  get unfinished(): number {
+  /** Number of requests that have not ended yet. */
+  get unfinishedCount(): number {
     return this.#work.size;
   }
 
-  /** Closes every connection; nothing is handled any more. */
+  /** Closes every connection; later events are ignored. */
   close(): void {
-    this.#closed = true;
+    this.#isClosed = true;
     clearTimeout(this.#timer);
     for (const connection of this.#connections.values()) {
       connection.onClose = undefined;
       connection.close();
     }
     this.#connections.clear();
-    this.#dropProbesExcept(new Set());
+    this.#closeProbesExcept(new Set());
   }
 
-  /** Events raised while an event is handled wait their turn: the machine is never re-entered. */
+  /** Queues events that arise while another is handled: the state machine is never re-entered. */
   #handle(event: GroupEvent): void {
-    if (this.#closed) return;
-    this.#pending.push(event);
-    if (this.#handling) return;
-    this.#handling = true;
-    for (let next = this.#pending.shift(); next !== undefined; next = this.#pending.shift()) {
-      const effects = this.#options.machine.handle(next, this.#options.now());
+    if (this.#isClosed) return;
+    this.#pendingEvents.push(event);
+    if (this.#isHandling) return;
+    this.#isHandling = true;
+    for (
+      let next = this.#pendingEvents.shift();
+      next !== undefined;
+      next = this.#pendingEvents.shift()
+    ) {
+      const effects = this.#options.stateMachine.handle(next, this.#options.now());
       for (const effect of effects) this.#carryOut(effect);
     }
-    this.#handling = false;
+    this.#isHandling = false;
     this.#armTimer();
   }
 
   #armTimer(): void {
-    const due = this.#options.machine.nextDeadline();
+    const due = this.#options.stateMachine.nextDeadline();
     if (due === this.#timerDue && this.#timer !== undefined) return;
     clearTimeout(this.#timer);
     this.#timer = undefined;
@@ -142,10 +146,10 @@
         this.#run(effect);
         return;
       case 'fail':
-        this.#takeWork(effect.requestId)?.fail(effect.error);
+        this.#removeWork(effect.requestId)?.fail(effect.error);
         return;
       case 'release':
-        this.#takeWork(effect.requestId)?.release(effect.position);
+        this.#removeWork(effect.requestId)?.release(effect.position);
         return;
       case 'probe':
         this.#probe(effect.probeId, effect.instance);
@@ -156,7 +160,7 @@
     }
   }
 
-  #takeWork(requestId: RequestId): GroupWork | undefined {
+  #removeWork(requestId: RequestId): GroupWork | undefined {
     const work = this.#work.get(requestId);
     this.#work.delete(requestId);
     return work;
@@ -165,7 +169,7 @@
   #openConnection(effect: Extract<GroupEffect, { type: 'open-connection' }>): void {
     const { connectionId } = effect;
     this.#options.connector.connect(effect.instance, effect.databaseRole, effect.database).match(
-      (connection) => this.#adopt(connectionId, connection),
+      (connection) => this.#addConnection(connectionId, connection),
       (error) =>
         this.#handle({
           type: 'connection-open-failed',
@@ -175,27 +179,27 @@
     );
   }
 
-  #adopt(connectionId: ConnectionId, connection: BackendConnection): void {
-    if (this.#closed) {
+  #addConnection(connectionId: ConnectionId, connection: BackendConnection): void {
+    if (this.#isClosed) {
       connection.close();
       return;
     }
     this.#connections.set(connectionId, connection);
-    connection.onClose = () => this.#lost(connectionId);
+    connection.onClose = () => this.#handleConnectionClosed(connectionId);
     this.#handle({ type: 'connection-opened', connectionId });
   }
 
-  #lost(connectionId: ConnectionId): void {
+  #handleConnectionClosed(connectionId: ConnectionId): void {
     if (!this.#connections.delete(connectionId)) return;
-    this.#running.get(connectionId)?.connectionClosed();
+    this.#runningWork.get(connectionId)?.connectionClosed();
     this.#handle({ type: 'connection-closed', connectionId });
   }
 
-  /** Closed by this side without the state machine having asked for it. */
+  /** Closes a connection that the state machine did not ask to close, and reports that to it. */
   #closeAndReport(connectionId: ConnectionId, connection: BackendConnection): void {
     connection.onClose = undefined;
     connection.close();
-    this.#lost(connectionId);
+    this.#handleConnectionClosed(connectionId);
   }
 
   #closeConnection(connectionId: ConnectionId): void {
@@ -204,8 +208,9 @@
     this.#connections.delete(connectionId);
     connection.onClose = undefined;
     connection.close();
-    // A transaction that is idle between its statements has no batch that would tell of the loss.
-    this.#running.get(connectionId)?.connectionClosed();
+    // A transaction that is idle between statements has no running batch that would report the
+    // loss.
+    this.#runningWork.get(connectionId)?.connectionClosed();
   }
 
   #resetConnection(connectionId: ConnectionId): void {
@@ -231,7 +236,7 @@
       this.#handle({ type: 'run-finished', requestId, result });
       return;
     }
-    this.#running.set(connectionId, work);
+    this.#runningWork.set(connectionId, work);
     work.start({
       connection,
       onPrimary: effect.onPrimary,
@@ -240,7 +245,7 @@
         this.#handle({ type: idle ? 'transaction-idle' : 'transaction-busy', requestId }),
       closeConnection: () => this.#closeAndReport(connectionId, connection),
       finished: (result) => {
-        this.#running.delete(connectionId);
+        this.#runningWork.delete(connectionId);
         this.#handle({ type: 'run-finished', requestId, result });
       },
     });
@@ -252,15 +257,15 @@
       probe = new InstanceProbe(instance, this.#options.connector);
       this.#probes.set(instance, probe);
     }
-    probe.ask().match(
+    probe.queryState().match(
       (state) => this.#handle({ type: 'probe-answered', probeId, state }),
       () => this.#handle({ type: 'probe-failed', probeId }),
     );
   }
 
-  #dropProbesExcept(kept: ReadonlySet<InstanceName>): void {
+  #closeProbesExcept(keptInstances: ReadonlySet<InstanceName>): void {
     for (const [instance, probe] of this.#probes) {
-      if (kept.has(instance)) continue;
+      if (keptInstances.has(instance)) continue;
       probe.close();
       this.#probes.delete(instance);
     }
--- a/src/node/owner/instance-probe.ts
+++ b/src/node/owner/instance-probe.ts
@@ -1,6 +1,6 @@
 /**
- * Asks one instance for its state on a connection kept for that purpose. A hung connection is closed
- * after a bound, so that the next question goes over a fresh one.
+ * Queries the state of one instance on a dedicated connection. A connection that hangs is closed
+ * after a timeout, so that the next query uses a new one.
  */
 import { errAsync, ResultAsync } from 'neverthrow';
 import { MeadowstackError } from '../../core/errors.js';
@@ -10,7 +10,7 @@
 import type { BackendConnection } from '../../postgres/contract.js';
 import type { BackendConnector } from './backend-connector.js';
 
-/** Longest wait for one answer before the connection is given up, in ms. */
+/** Wait for one response before the connection is closed. */
 const PROBE_TIMEOUT_MS = 400;
 
 /** An instance did not answer a probe. */
@@ -22,21 +22,21 @@
   }
 }
 
-/** Probes one instance over a connection of its own. */
+/** Probes one instance over a dedicated connection. */
 export class InstanceProbe {
   #connection: BackendConnection | undefined;
   #connecting: ResultAsync<BackendConnection, MeadowstackError> | undefined;
-  #closed = false;
+  #isClosed = false;
 
   constructor(
     readonly instance: InstanceName,
     readonly connector: BackendConnector,
   ) {}
 
-  /** One question; connects first if need be. */
-  ask(): ResultAsync<InstanceState, ProbeFailedError> {
-    if (this.#closed) return errAsync(new ProbeFailedError(this.instance, undefined));
-    return this.#ready()
+  /** Queries the instance's state; connects first if necessary. */
+  queryState(): ResultAsync<InstanceState, ProbeFailedError> {
+    if (this.#isClosed) return errAsync(new ProbeFailedError(this.instance, undefined));
+    return this.#getConnection()
       .andThen((connection) => this.#query(connection))
       .mapErr((error) =>
         error instanceof ProbeFailedError ? error : new ProbeFailedError(this.instance, error),
@@ -44,18 +44,18 @@
   }
 
   close(): void {
-    this.#closed = true;
+    this.#isClosed = true;
     this.#connection?.close();
     this.#connection = undefined;
   }
 
-  #ready(): ResultAsync<BackendConnection, MeadowstackError> {
+  #getConnection(): ResultAsync<BackendConnection, MeadowstackError> {
     if (this.#connection !== undefined)
       return ResultAsync.fromSafePromise(Promise.resolve(this.#connection));
     if (this.#connecting !== undefined) return this.#connecting;
     const connecting = this.connector.connectForProbe(this.instance).map((connection) => {
       this.#connecting = undefined;
-      if (this.#closed) connection.close();
+      if (this.#isClosed) connection.close();
       this.#connection = connection;
       connection.onClose = () => {
         if (this.#connection === connection) this.#connection = undefined;
--- a/src/node/owner/messages.ts
+++ b/src/node/owner/messages.ts
@@ -1,7 +1,7 @@
 /**
  * Messages on the stream between a gateway and an owner. One stream carries one statement batch or
- * one whole transaction. The header opens it with the first batch; raw backend messages come back
- * as data; each batch ends with a `batch-end` message and the last one with `end`.
+ * one whole transaction. The header opens it with the first batch; raw backend messages are
+ * returned as data; each batch ends with a `batch-end` message and the last one with `end`.
  */
 import { z } from 'zod';
 import {
@@ -14,7 +14,7 @@
   type UnknownReason,
 } from '../../core/errors.js';
 
-/** Longest batch that an owner takes, in bytes; the gateway refuses longer ones before. */
+/** Longest batch that an owner accepts; the gateway refuses longer ones beforehand. */
 const MAX_BATCH_BYTES = 128 * 1024 * 1024;
 
 const bytesSchema = z.custom<Uint8Array>((value) => value instanceof Uint8Array);
@@ -31,21 +31,21 @@
 export const batchSchema = z.object({
   type: z.literal('batch'),
   requires: z.array(preparedStatementSchema),
-  /** Empty if `followingBytes` says that they come as data. */
+  /** Empty if `followingBytes` is set: the bytes then follow as data. */
   messages: bytesSchema,
   followingBytes: z.number().int().positive().max(MAX_BATCH_BYTES).optional(),
-  /** Key under which the batch runs at most once. */
+  /** Idempotency key: a batch with this key runs at most once. */
   onceKey: z.string().optional(),
   /** The batch may end the open transaction with COMMIT. */
   mayCommit: z.boolean(),
 });
-/** One batch on its way to the owner. */
+/** One batch that a gateway sends to an owner. */
 export type BatchMessage = z.infer<typeof batchSchema>;
 
-/** Opens a stream: what to run, for whom, and until when. */
+/** Opens a stream: which batch to run, for which tenant, and until when. */
 export const openSchema = z.object({
   type: z.literal('open'),
-  /** Follows the request over both hops, in logs and errors. */
+  /** Identifies the request in logs and errors of the gateway and the owner. */
   requestId: z.string(),
   group: z.string(),
   tenant: z.string(),
@@ -60,7 +60,7 @@
     z.object({ type: z.literal('known'), position: positionSchema }),
     z.object({ type: z.literal('unknown') }),
   ]),
-  /** Time the caller still waits, in ms from now; clocks are not compared between nodes. */
+  /** Time until the caller's deadline; not a time of day, since the nodes' clocks may differ. */
   remainingMs: z.number(),
   hold: z.enum(['statement', 'transaction']),
   zone: z.string(),
@@ -69,17 +69,17 @@
 /** Opens a request. */
 export type OpenMessage = z.infer<typeof openSchema>;
 
-/** The caller asked to cancel the batch that is running. */
+/** Cancels the running batch. */
 export const cancelSchema = z.object({ type: z.literal('cancel') });
-/** The caller wants its running statement cancelled. */
+/** The caller has requested the cancellation of its running batch. */
 export type CancelMessage = z.infer<typeof cancelSchema>;
 
-/** What a gateway sends after the opening. */
+/** Messages that a gateway sends after the open message. */
 export const gatewayMessageSchema = z.discriminatedUnion('type', [batchSchema, cancelSchema]);
-/** What a gateway sends after the opening. */
+/** A message that a gateway sends after the open message. */
 export type GatewayMessage = z.infer<typeof gatewayMessageSchema>;
 
-/** A batch inside a transaction ended; the transaction goes on. */
+/** A batch inside a transaction ended; the transaction stays open. */
 const batchEndSchema = z.object({
   type: z.literal('batch-end'),
   status: z.enum(['I', 'T', 'E']),
@@ -96,7 +96,7 @@
   fromReplica: z.boolean(),
 });
 
-/** The request ended without a database answer. */
+/** The request ended with an error of the proxy instead of a database response. */
 const errorSchema = z.object({
   type: z.literal('error'),
   outcome: z.enum(['done', 'not-run', 'unknown', 'failed']),
@@ -106,30 +106,32 @@
   reason: z.string().optional(),
   message: z.string(),
   retryAfterMs: z.number().optional(),
-  /** What the session must see from now on, if the error says that something lasts. */
+  /** Position that the session's later reads must have reached, if something was committed. */
   position: positionSchema.optional(),
 });
 /** The request failed. */
 export type ErrorMessage = z.infer<typeof errorSchema>;
 
-/** A batch inside a transaction ended with an error of the proxy; the block goes on, failed. */
+/**
+ * A batch inside a transaction ended with an error of the proxy; the block stays open, as failed.
+ */
 const batchErrorSchema = z.object({
   type: z.literal('batch-error'),
   status: z.enum(['I', 'T', 'E']),
   error: errorSchema,
 });
 
-/** What an owner sends. */
+/** Messages that an owner sends. */
 export const ownerMessageSchema = z.discriminatedUnion('type', [
   batchEndSchema,
   batchErrorSchema,
   endSchema,
   errorSchema,
 ]);
-/** What an owner sends. */
+/** A message that an owner sends. */
 export type OwnerMessage = z.infer<typeof ownerMessageSchema>;
 
-/** A typed error as another node reported it, of a class that needs no handling of its own here. */
+/** An error reported by another node whose class this node does not need to distinguish. */
 export class ReportedRequestError extends RequestError {
   readonly code: string;
   readonly outcome: FailureOutcome;
@@ -143,7 +145,7 @@
   }
 }
 
-/** The wire form of a typed error. */
+/** Converts an error to its message. */
 export function encodeRequestError(error: RequestError): ErrorMessage {
   const hasReason = error instanceof NotRunError || error instanceof UnknownOutcomeError;
   return {
@@ -157,7 +159,7 @@
   };
 }
 
-/** The typed error that an owner reported. */
+/** Restores the error that an owner reported. */
 export function decodeRequestError(message: ErrorMessage): RequestError {
   const { reason } = message;
   if (message.outcome === 'not-run' && reason !== undefined) {
--- a/src/node/owner/owner-service.ts
+++ b/src/node/owner/owner-service.ts
@@ -1,6 +1,6 @@
 /**
- * The owner job of a node: one runtime for each database group that this node owns, created and
- * closed as the machine list and the members change.
+ * The owner role of a node: one runtime for each database group that this node owns. Runtimes are
+ * created and closed when the machine list or the members change.
  */
 
 import { setTimeout as pause } from 'node:timers/promises';
@@ -25,17 +25,17 @@
 import { OwnerStream } from './owner-stream.js';
 import { openFromWire } from './wire-form.js';
 
-/** Longest wait for a group's primary to become known, in ms. */
-const WARM_LIMIT_MS = 1500;
-const WARM_POLL_MS = 10;
-/** How soon a gateway may ask again after reaching a node that is not an owner, in ms. */
-const NOT_OWNER_RETRY_MS = 5;
+/** Wait for a group's primary to become known. */
+const WARM_UP_TIMEOUT_MS = 1500;
+const WARM_UP_POLL_PERIOD_MS = 10;
+/** When a gateway may retry after a node refused a request because it is not an owner. */
+const NOT_OWNER_RETRY_DELAY_MS = 5;
 
-/** What the service is made of. */
+/** Dependencies of the service. */
 export interface OwnerServiceOptions {
   readonly connector: BackendConnector;
-  readonly createMachine: (group: GroupName) => GroupStateMachine;
-  /** Whether this node is one of the group's owners, in its own view. */
+  readonly createStateMachine: (group: GroupName) => GroupStateMachine;
+  /** Whether this node is one of the group's owners, according to its own view of the fleet. */
   readonly owns: (group: GroupName) => boolean;
   /** This owner's share of an instance's connections. */
   readonly connectionBudget: (machine: DatabaseMachine) => number;
@@ -43,14 +43,14 @@
   readonly logger: Logger;
 }
 
-/** The groups that this node owns. */
+/** Serves the groups that this node owns. */
 export class OwnerService {
   readonly #options: OwnerServiceOptions;
   readonly #runtimes = new Map<GroupName, GroupRuntime>();
-  /** Kept by group: a fleet's list has thousands of machines, and is looked into for each group. */
-  #machines: ReadonlyMap<GroupName, readonly DatabaseMachine[]> = new Map();
-  #policies: ReadonlyMap<TenantName, TenantPolicy> = new Map();
-  #draining = false;
+  /** Indexed by group, since the list has thousands of machines and is searched for each group. */
+  #machinesByGroup: ReadonlyMap<GroupName, readonly DatabaseMachine[]> = new Map();
+  #policiesByTenant: ReadonlyMap<TenantName, TenantPolicy> = new Map();
+  #isDraining = false;
   #requestsAccepted = 0;
   #primaryChanges = 0;
 
@@ -58,7 +58,7 @@
     this.#options = options;
   }
 
-  /** A gateway, here or elsewhere, opened a stream for one statement or transaction. */
+  /** Handles a stream that a gateway opened for one statement or transaction. */
   accept(header: WireValue, stream: PeerStream): void {
     const parsed = openSchema.safeParse(openFromWire(header));
     if (!parsed.success) {
@@ -68,7 +68,7 @@
     this.acceptOpen(parsed.data, stream);
   }
 
-  /** The same for a message that this process made itself. */
+  /** Handles a stream of this process's own gateway, whose message needs no check. */
   acceptOpen(open: OpenMessage, stream: PeerStream): void {
     const receiver = new BatchReceiver((batch) => this.#submit({ ...open, batch }, stream));
     stream.onData = (data) => {
@@ -78,43 +78,46 @@
   }
 
   setMachines(machines: readonly DatabaseMachine[]): void {
-    this.#machines = byGroup(machines);
+    this.#machinesByGroup = groupMachines(machines);
     this.#options.connector.setMachines(machines);
     this.reconcile();
   }
 
   setConfiguration(snapshot: ConfigurationSnapshot): void {
-    this.#policies = snapshot.tenantsByName;
+    this.#policiesByTenant = snapshot.tenantsByName;
     for (const [group, runtime] of this.#runtimes) this.#sendLimits(group, runtime);
   }
 
-  /** Gets a group ready before gateways use this owner; resolves once its primary is known. */
-  async warm(group: GroupName): Promise<void> {
-    const runtime = this.#ensure(group);
-    const limit = this.#options.now() + WARM_LIMIT_MS;
+  /**
+   * Prepares a group before gateways use this owner; resolves once its primary is known or after a
+   * timeout.
+   */
+  async warmUp(group: GroupName): Promise<void> {
+    const runtime = this.#ensureRuntime(group);
+    const limit = this.#options.now() + WARM_UP_TIMEOUT_MS;
     while (runtime?.statistics().primary === undefined && this.#options.now() < limit) {
-      await pause(WARM_POLL_MS);
+      await pause(WARM_UP_POLL_PERIOD_MS);
     }
   }
 
-  /** Brings runtimes in line with the groups that this node owns now. */
+  /** Creates, updates and closes runtimes to match the groups that this node owns now. */
   reconcile(): void {
-    for (const group of this.#machines.keys()) {
-      if (this.#options.owns(group)) this.#ensure(group);
+    for (const group of this.#machinesByGroup.keys()) {
+      if (this.#options.owns(group)) this.#ensureRuntime(group);
     }
-    for (const [group, runtime] of this.#runtimes) this.#refresh(group, runtime);
+    for (const [group, runtime] of this.#runtimes) this.#updateRuntime(group, runtime);
   }
 
   /** Closes runtimes of groups that are no longer owned, once their last request has ended. */
-  releaseGroups(): void {
+  closeUnownedGroups(): void {
     for (const [group, runtime] of this.#runtimes) {
       if (!this.#options.owns(group)) this.#closeIfIdle(group, runtime);
     }
   }
 
-  /** Planned stop: queued requests are refused as not run, running ones finish. */
+  /** Graceful shutdown: queued requests are refused as not run, running ones finish. */
   drain(): void {
-    this.#draining = true;
+    this.#isDraining = true;
     for (const runtime of this.#runtimes.values()) runtime.notify({ type: 'drain-started' });
   }
 
@@ -122,9 +125,9 @@
     return this.#primaryChanges;
   }
 
-  get unfinished(): number {
+  get unfinishedCount(): number {
     let unfinished = 0;
-    for (const runtime of this.#runtimes.values()) unfinished += runtime.unfinished;
+    for (const runtime of this.#runtimes.values()) unfinished += runtime.unfinishedCount;
     return unfinished;
   }
 
@@ -140,9 +143,13 @@
   #submit(open: OpenMessage, stream: PeerStream): void {
     const runtime = this.#runtimeFor(open.group);
     if (runtime === undefined) {
-      const refusal = this.#draining
-        ? new NotRunError('owner-stopping', 'the owner is stopping', NOT_OWNER_RETRY_MS)
-        : new NotRunError('owner-unreachable', 'not an owner of the group', NOT_OWNER_RETRY_MS);
+      const refusal = this.#isDraining
+        ? new NotRunError('owner-stopping', 'the owner is stopping', NOT_OWNER_RETRY_DELAY_MS)
+        : new NotRunError(
+            'owner-unreachable',
+            'not an owner of the group',
+            NOT_OWNER_RETRY_DELAY_MS,
+          );
       stream.send(encodeRequestError(refusal));
       stream.end();
       return;
@@ -166,7 +173,7 @@
   }
 
   #idleTransactionTimeoutMs(tenant: TenantName): Milliseconds {
-    const policy = this.#policies.get(tenant);
+    const policy = this.#policiesByTenant.get(tenant);
     return policy?.idleTransactionTimeoutMs ?? DEFAULT_IDLE_TRANSACTION_TIMEOUT_MS;
   }
 
@@ -189,19 +196,19 @@
   }
 
   #runtimeFor(group: GroupName): GroupRuntime | undefined {
-    if (this.#draining) return undefined;
+    if (this.#isDraining) return undefined;
     if (!this.#options.owns(group)) return undefined;
-    return this.#ensure(group);
+    return this.#ensureRuntime(group);
   }
 
-  #ensure(group: GroupName): GroupRuntime | undefined {
+  #ensureRuntime(group: GroupName): GroupRuntime | undefined {
     const existing = this.#runtimes.get(group);
     if (existing !== undefined) return existing;
     const instances = this.#instancesOf(group);
     if (instances.length === 0) return undefined;
     const runtime = new GroupRuntime({
       group,
-      machine: this.#options.createMachine(group),
+      stateMachine: this.#options.createStateMachine(group),
       connector: this.#options.connector,
       now: this.#options.now,
       observer: {
@@ -219,9 +226,9 @@
     this.#options.logger.info('primary changed', { ...change });
   }
 
-  #refresh(group: GroupName, runtime: GroupRuntime): void {
-    const owned = this.#machines.has(group) && this.#options.owns(group);
-    if (owned) {
+  #updateRuntime(group: GroupName, runtime: GroupRuntime): void {
+    const isOwned = this.#machinesByGroup.has(group) && this.#options.owns(group);
+    if (isOwned) {
       runtime.setInstances(this.#instancesOf(group));
       return;
     }
@@ -229,13 +236,13 @@
   }
 
   #closeIfIdle(group: GroupName, runtime: GroupRuntime): void {
-    if (runtime.unfinished > 0) return;
+    if (runtime.unfinishedCount > 0) return;
     runtime.close();
     this.#runtimes.delete(group);
   }
 
   #instancesOf(group: GroupName): InstanceDescription[] {
-    return (this.#machines.get(group) ?? []).map((machine) => ({
+    return (this.#machinesByGroup.get(group) ?? []).map((machine) => ({
       name: machine.name,
       zone: machine.zone,
       slots: machine.slots,
@@ -245,7 +252,7 @@
   }
 
   #sendLimits(group: GroupName, runtime: GroupRuntime): void {
-    const limits = [...this.#policies.values()]
+    const limits = [...this.#policiesByTenant.values()]
       .filter((policy) => policy.databases.some((access) => access.group === group))
       .map(limitsOf);
     runtime.notify({ type: 'limits-changed', limits });
@@ -264,14 +271,14 @@
   };
 }
 
-function byGroup(
+function groupMachines(
   machines: readonly DatabaseMachine[],
 ): ReadonlyMap<GroupName, readonly DatabaseMachine[]> {
   const groups = new Map<GroupName, DatabaseMachine[]>();
   for (const machine of machines) {
-    const members = groups.get(machine.group);
-    if (members === undefined) groups.set(machine.group, [machine]);
-    else members.push(machine);
+    const groupMembers = groups.get(machine.group);
+    if (groupMembers === undefined) groups.set(machine.group, [machine]);
+    else groupMembers.push(machine);
   }
   return groups;
 }
--- a/src/node/owner/owner-stream.ts
+++ b/src/node/owner/owner-stream.ts
@@ -1,6 +1,6 @@
 /**
- * The owner's end of one request: takes batches from the gateway, runs them on the connection that
- * the state machine assigned, relays the answer and holds back its end until it is released.
+ * The owner's side of one request: receives batches from the gateway, runs them on the connection
+ * that the state machine assigned, relays the response and holds back its end until it is released.
  */
 import {
   IdleTransactionError,
@@ -22,40 +22,43 @@
   type OpenMessage,
   type OwnerMessage,
 } from './messages.js';
-import { AnswerRelay } from './relay.js';
+import { ResponseRelay } from './relay.js';
 import { ownerMessageToWire } from './wire-form.js';
 import type { Assignment, GroupWork } from './work.js';
 
-/** Longest wait for the ROLLBACK of an abandoned transaction before its connection is closed, in ms. */
+/** Wait for the ROLLBACK of an abandoned transaction before its connection is closed. */
 const ROLLBACK_TIMEOUT_MS = 2000;
-const NOTHING = Buffer.alloc(0);
+const EMPTY_BUFFER = Buffer.alloc(0);
 
 type ReadyResult = Extract<BatchResult, { type: 'ready' }>;
 
-/** What the owner's end of a request is told. */
+/** Idle timeout and callbacks of one request. */
 export interface OwnerStreamOptions {
-  /** How long an open transaction may hold its connection while its caller sends nothing. */
+  /** How long an open transaction may hold its connection while the caller sends nothing. */
   readonly idleTransactionTimeoutMs: Milliseconds;
-  /** The gateway or its caller has gone before the request ended. */
+  /** The gateway or its caller disconnected, or cancelled, before the request ended. */
   abandoned(): void;
-  /** The last message of the request, for logs. */
+  /** Called with the last message of the request, for logs. */
   settled?(message: OwnerMessage): void;
 }
 
-/** The owner's end of one request. */
+/** The owner's side of one request. */
 export class OwnerStream implements GroupWork {
   readonly #stream: PeerStream;
   readonly #open: OpenMessage;
   readonly #options: OwnerStreamOptions;
-  readonly #relay: AnswerRelay;
-  /** A keyed statement holds its connection like a transaction, but ends with its first batch. */
+  readonly #relay: ResponseRelay;
+  /**
+   * False for a statement with an idempotency key: it holds its connection like a transaction, but
+   * ends with its first batch.
+   */
   readonly #callerHoldsTransaction: boolean;
   #assignment: Assignment | undefined;
-  #servedByReplica = false;
-  #batchRunning = false;
+  #isServedByReplica = false;
+  #isBatchRunning = false;
   #mayHaveCommitted = false;
-  #callerGone = false;
-  #settled = false;
+  #isCallerGone = false;
+  #isSettled = false;
   #lastResult: ReadyResult | undefined;
   #idleTimer: NodeJS.Timeout | undefined;
   readonly #receiver = new BatchReceiver((batch) => this.#onNextBatch(batch));
@@ -64,7 +67,7 @@
     this.#stream = stream;
     this.#open = open;
     this.#options = options;
-    this.#relay = new AnswerRelay(stream, () => this.#assignment?.connection.pause());
+    this.#relay = new ResponseRelay(stream, () => this.#assignment?.connection.pause());
     this.#callerHoldsTransaction = open.hold === 'transaction' && open.batch.onceKey === undefined;
     stream.onData = (data) => {
       if (!this.#receiver.data(data)) stream.abort('unexpected data from gateway');
@@ -75,12 +78,12 @@
   }
 
   start(assignment: Assignment): void {
-    // Of an earlier run that could not be confirmed or was cut short, nothing may be told.
-    this.#relay.withdraw();
+    // Nothing of an earlier run that could not be confirmed or was interrupted may be reported.
+    this.#relay.discardGathered();
     this.#lastResult = undefined;
     this.#assignment = assignment;
-    this.#servedByReplica = !assignment.onPrimary;
-    if (this.#callerGone && this.#open.hold === 'transaction') {
+    this.#isServedByReplica = !assignment.onPrimary;
+    if (this.#isCallerGone && this.#open.hold === 'transaction') {
       this.#finishRun({ type: 'database-error', position: undefined });
       return;
     }
@@ -97,8 +100,8 @@
     this.#settle({
       type: 'end',
       status: result?.status ?? 'I',
-      heldBack: this.#relay.take(result?.heldBack ?? NOTHING),
-      fromReplica: this.#servedByReplica,
+      heldBack: this.#relay.takeGathered(result?.heldBack ?? EMPTY_BUFFER),
+      fromReplica: this.#isServedByReplica,
       ...(position === undefined ? {} : { position }),
     });
   }
@@ -106,25 +109,25 @@
   fail(error: RequestError): void {
     this.#settle(encodeRequestError(error));
     if (this.#open.hold === 'transaction') this.#abortTransaction();
-    else if (this.#open.access === 'read' && this.#batchRunning) this.#cancelRunning();
+    else if (this.#open.access === 'read' && this.#isBatchRunning) this.#cancelRunning();
   }
 
   interruptIfSilent(): void {
-    if (this.#batchRunning && !this.#relay.hasAnswer) this.#assignment?.closeConnection();
+    if (this.#isBatchRunning && !this.#relay.hasResponse) this.#assignment?.closeConnection();
   }
 
   connectionClosed(): void {
-    if (this.#assignment === undefined || this.#batchRunning) return;
+    if (this.#assignment === undefined || this.#isBatchRunning) return;
     this.#finishRun(this.#lostResult(true));
   }
 
   #settle(message: OwnerMessage): void {
-    if (this.#settled) return;
-    this.#settled = true;
+    if (this.#isSettled) return;
+    this.#isSettled = true;
     clearTimeout(this.#idleTimer);
     this.#options.settled?.(message);
     this.#relay.close();
-    if (this.#callerGone) return;
+    if (this.#isCallerGone) return;
     this.#stream.send(ownerMessageToWire(message));
     this.#stream.end();
   }
@@ -140,9 +143,9 @@
   }
 
   #onNextBatch(batch: BatchMessage): void {
-    if (this.#settled) return;
-    const idleInTransaction = this.#assignment !== undefined && !this.#batchRunning;
-    if (this.#callerHoldsTransaction && idleInTransaction) {
+    if (this.#isSettled) return;
+    const isIdleInTransaction = this.#assignment !== undefined && !this.#isBatchRunning;
+    if (this.#callerHoldsTransaction && isIdleInTransaction) {
       this.#assignment?.setIdle(false);
       this.#run(batch);
       return;
@@ -154,14 +157,14 @@
 
   #cancelRunning(): void {
     if (this.#assignment === undefined) this.#options.abandoned();
-    else if (this.#batchRunning) void this.#assignment.connection.cancel();
+    else if (this.#isBatchRunning) void this.#assignment.connection.cancel();
   }
 
   #run(batch: BatchMessage): void {
     const assignment = this.#assignment;
     if (assignment === undefined) return;
     const endsRun = !this.#callerHoldsTransaction || batch.mayCommit;
-    this.#batchRunning = true;
+    this.#isBatchRunning = true;
     clearTimeout(this.#idleTimer);
     if (endsRun) this.#mayHaveCommitted = true;
     runBatch({
@@ -176,7 +179,7 @@
   }
 
   #onBatchResult(result: BatchResult, batch: BatchMessage): void {
-    this.#batchRunning = false;
+    this.#isBatchRunning = false;
     this.#relay.batchEnded();
     this.#assignment?.connection.resume();
     if (result.type === 'lost') {
@@ -189,47 +192,47 @@
     else this.#continueTransaction(result);
   }
 
-  #lostResult(bytesWritten: boolean): RunResult {
-    const answerRelayed = this.#relay.flowed;
-    this.#relay.withdraw();
+  #lostResult(anyBytesWritten: boolean): RunResult {
+    const anyBytesRelayed = this.#relay.anyBytesRelayed;
+    this.#relay.discardGathered();
     return {
       type: 'connection-lost',
-      anyBytesWritten: bytesWritten || this.#open.hold === 'transaction',
-      anyBytesRelayed: answerRelayed,
-      mayHaveCommitted: this.#mayHaveCommitted && bytesWritten,
+      anyBytesWritten: anyBytesWritten || this.#open.hold === 'transaction',
+      anyBytesRelayed,
+      mayHaveCommitted: this.#mayHaveCommitted && anyBytesWritten,
     };
   }
 
   #runResultOf(result: ReadyResult, batch: BatchMessage): RunResult {
-    if (this.#refusedInRecovery(result)) return { type: 'not-writable' };
+    if (this.#isRefusedInRecovery(result)) return { type: 'not-writable' };
     const position = positionOf(result);
-    const rolledBack =
+    const isRolledBack =
       (result.errorSqlState !== undefined && !result.refusalNeedsConfirmation) ||
       (this.#callerHoldsTransaction && !batch.mayCommit);
-    if (rolledBack) return { type: 'database-error', position };
-    return { type: 'completed', position, anyBytesRelayed: this.#relay.flowed };
+    if (isRolledBack) return { type: 'database-error', position };
+    return { type: 'completed', position, anyBytesRelayed: this.#relay.anyBytesRelayed };
   }
 
   /**
-   * True if a write that was meant for the primary met an instance in recovery, so that nothing of it
-   * ran. The error alone is no proof: a statement may make its own transaction read only.
+   * True if a write that was sent to the primary reached an instance in recovery, so that nothing
+   * of it ran. The error alone is no proof: a statement may make its own transaction read-only.
    */
-  #refusedInRecovery(result: ReadyResult): boolean {
+  #isRefusedInRecovery(result: ReadyResult): boolean {
     const { access } = this.#open;
     if (!result.refusedAsReadOnly || access !== 'write' || this.#callerHoldsTransaction)
       return false;
-    return !this.#relay.flowed && stateOf(result)?.writable === false;
+    return !this.#relay.anyBytesRelayed && stateOf(result)?.writable === false;
   }
 
   #continueTransaction(result: ReadyResult): void {
     this.#mayHaveCommitted = false;
     if (!this.#callerHoldsTransaction) {
-      // A single statement may not leave a transaction open on a shared connection.
+      // A single statement must not leave a transaction open on a shared connection.
       this.#settle(
         encodeRequestError(new TransactionAbortedError('statement opened a transaction')),
       );
     }
-    if (this.#callerGone || this.#settled) {
+    if (this.#isCallerGone || this.#isSettled) {
       this.#abortTransaction();
       return;
     }
@@ -237,7 +240,7 @@
     this.#startIdleTimer();
   }
 
-  /** From now on the transaction holds its connection for nothing until the next batch comes. */
+  /** The transaction holds its connection without using it until the next batch arrives. */
   #startIdleTimer(): void {
     const { idleTransactionTimeoutMs } = this.#options;
     this.#assignment?.setIdle(true);
@@ -249,7 +252,7 @@
 
   #sendBatchEnd(result: ReadyResult): void {
     if (result.refusal !== undefined) {
-      this.#relay.withdraw();
+      this.#relay.discardGathered();
       this.#stream.send({
         type: 'batch-error',
         status: result.status,
@@ -257,27 +260,27 @@
       });
       return;
     }
-    const heldBack = this.#relay.take(result.heldBack);
+    const heldBack = this.#relay.takeGathered(result.heldBack);
     this.#stream.send({ type: 'batch-end', status: result.status, heldBack });
   }
 
   #onCallerGone(): void {
-    if (this.#callerGone) return;
-    this.#callerGone = true;
+    if (this.#isCallerGone) return;
+    this.#isCallerGone = true;
     clearTimeout(this.#idleTimer);
-    if (this.#settled) return;
+    if (this.#isSettled) return;
     this.#options.abandoned();
     this.#relay.close();
     this.#assignment?.connection.resume();
     if (this.#callerHoldsTransaction) this.#abortTransaction();
-    else if (this.#open.access === 'read' && this.#batchRunning) this.#cancelRunning();
+    else if (this.#open.access === 'read' && this.#isBatchRunning) this.#cancelRunning();
   }
 
-  /** Rolls back on the server and gives the connection back only after that was answered. */
+  /** Rolls back on the server; the connection is returned only after the server has responded. */
   #abortTransaction(): void {
     const assignment = this.#assignment;
     if (assignment === undefined) return;
-    if (this.#batchRunning) {
+    if (this.#isBatchRunning) {
       if (!this.#mayHaveCommitted) void assignment.connection.cancel();
       return;
     }
@@ -286,11 +289,11 @@
 
   #rollBack(assignment: Assignment): void {
     const { connection } = assignment;
-    this.#batchRunning = true;
+    this.#isBatchRunning = true;
     const timer = setTimeout(() => assignment.closeConnection(), ROLLBACK_TIMEOUT_MS);
     const finish = (result: RunResult): void => {
       clearTimeout(timer);
-      this.#batchRunning = false;
+      this.#isBatchRunning = false;
       this.#finishRun(result);
     };
     connection.query('ROLLBACK').match(
@@ -317,8 +320,8 @@
   return stateOf(result)?.replayedPosition;
 }
 
-/** What the instance said of itself behind the batch. */
-function stateOf({ appendedQueryRows: trailingRows }: ReadyResult): InstanceState | undefined {
-  if (trailingRows === undefined) return undefined;
-  return parseInstanceState(trailingRows).unwrapOr(undefined);
+/** The instance's state, from the query appended to the batch. */
+function stateOf({ appendedQueryRows }: ReadyResult): InstanceState | undefined {
+  if (appendedQueryRows === undefined) return undefined;
+  return parseInstanceState(appendedQueryRows).unwrapOr(undefined);
 }
--- a/src/node/owner/relay.ts
+++ b/src/node/owner/relay.ts
@@ -1,24 +1,24 @@
 /**
- * Gathers the answer of a running batch, so that a short one travels with its end in one frame and
- * can still be withdrawn, while a long or slow one flows on.
+ * Buffers the response of a running batch. A short response is sent with its end in one frame and
+ * can be discarded until then; a long or slow one is relayed as it arrives.
  */
 import type { PeerStream } from '../../peer/contract.js';
 
-/** Answers up to this size wait for their end. */
-const GATHERED_BYTES = 16 * 1024;
-/** Rows of a slow statement wait at most this long, in ms. */
-const GATHERING_MS = 10;
+/** Responses up to this size are buffered until their end. */
+const MAX_GATHERED_BYTES = 16 * 1024;
+/** Longest time for which rows of a slow statement are buffered. */
+const MAX_GATHERING_MS = 10;
 
-/** Gathers and relays the answer of the batch that runs. */
-export class AnswerRelay {
+/** Buffers and relays the response of the running batch. */
+export class ResponseRelay {
   readonly #stream: PeerStream;
   #gathered: Buffer[] = [];
   #gatheredBytes = 0;
   #timer: NodeJS.Timeout | undefined;
-  #flowed = false;
-  #closed = false;
+  #anyBytesRelayed = false;
+  #isClosed = false;
 
-  /** `onBlocked`: the stream wants no more until its `onDrain`. */
+  /** `onBlocked` is called when the stream accepts no more data until its `onDrain`. */
   constructor(
     stream: PeerStream,
     readonly onBlocked: () => void,
@@ -26,33 +26,33 @@
     this.#stream = stream;
   }
 
-  /** True once any byte has left for the caller; then the answer can't be withdrawn. */
-  get flowed(): boolean {
-    return this.#flowed;
+  /** True once any byte was sent towards the caller; the response can then not be discarded. */
+  get anyBytesRelayed(): boolean {
+    return this.#anyBytesRelayed;
   }
 
-  /** True once any part of the running batch's answer has come. */
-  get hasAnswer(): boolean {
-    return this.#flowed || this.#gatheredBytes > 0;
+  /** True once any part of the running batch's response has arrived. */
+  get hasResponse(): boolean {
+    return this.#anyBytesRelayed || this.#gatheredBytes > 0;
   }
 
-  /** Whole backend messages. */
+  /** Adds complete backend messages. */
   add(messages: Buffer): void {
-    if (this.#closed) return;
+    if (this.#isClosed) return;
     this.#gathered.push(messages);
     this.#gatheredBytes += messages.length;
-    if (this.#flowed || this.#gatheredBytes > GATHERED_BYTES) this.#flow();
-    else this.#timer ??= setTimeout(() => this.#flow(), GATHERING_MS);
+    if (this.#anyBytesRelayed || this.#gatheredBytes > MAX_GATHERED_BYTES) this.#relayGathered();
+    else this.#timer ??= setTimeout(() => this.#relayGathered(), MAX_GATHERING_MS);
   }
 
-  /** The batch has ended: what is still gathered waits for `take`. */
+  /** The batch has ended: messages that are still buffered stay until `takeGathered`. */
   batchEnded(): void {
     clearTimeout(this.#timer);
     this.#timer = undefined;
   }
 
-  /** What did not flow yet, followed by `end`. */
-  take(end: Buffer): Buffer {
+  /** Returns and clears the buffered messages, followed by `end`. */
+  takeGathered(end: Buffer): Buffer {
     this.batchEnded();
     if (this.#gathered.length === 0) return end;
     const bytes = Buffer.concat([...this.#gathered, end]);
@@ -60,24 +60,24 @@
     return bytes;
   }
 
-  /** Forgets what did not flow: the batch is run again, or answered by an error. */
-  withdraw(): void {
+  /** Discards the buffered messages: the batch is run again, or answered with an error. */
+  discardGathered(): void {
     this.batchEnded();
     this.#clear();
   }
 
   /** Nothing more is relayed. */
   close(): void {
-    this.#closed = true;
-    this.withdraw();
+    this.#isClosed = true;
+    this.discardGathered();
   }
 
-  #flow(): void {
+  #relayGathered(): void {
     this.batchEnded();
     if (this.#gatheredBytes === 0) return;
     const bytes = this.#gathered.length === 1 ? this.#gathered[0] : Buffer.concat(this.#gathered);
     this.#clear();
-    this.#flowed = true;
+    this.#anyBytesRelayed = true;
     if (bytes !== undefined && !this.#stream.write(bytes)) this.onBlocked();
   }
 
--- a/src/node/owner/wire-form.ts
+++ b/src/node/owner/wire-form.ts
@@ -1,6 +1,7 @@
 /**
- * The messages of each request as arrays: half the bytes and a third of the coding time of maps
- * with names (docs/MEASUREMENTS.md). What comes in is turned back and checked by the messages' own schemas.
+ * Encodes the messages of each request as arrays: half the bytes and a third of the coding time of
+ * maps with names (docs/MEASUREMENTS.md). Received arrays are converted back to objects and checked
+ * by the messages' schemas.
  */
 import type { WireValue } from '../../peer/contract.js';
 import type { BatchMessage, OpenMessage, OwnerMessage } from './messages.js';
@@ -8,7 +9,7 @@
 const OPEN = 'open';
 const END = 'end';
 
-/** The array form of the message that opens a stream. */
+/** Encodes the message that opens a stream as an array. */
 export function openToWire(open: OpenMessage): WireValue {
   return [
     OPEN,
@@ -30,7 +31,9 @@
   ];
 }
 
-/** An object for `openSchema` to check; anything that is no array is passed on as it is. */
+/**
+ * Returns an object for `openSchema` to check; a value that is not an array is returned unchanged.
+ */
 export function openFromWire(value: WireValue): unknown {
   if (!Array.isArray(value)) return value;
   const [
@@ -71,7 +74,7 @@
   };
 }
 
-/** Array form of the message that ends most requests; the others keep their names. */
+/** Encodes `end`, which ends most requests, as an array; other messages keep their field names. */
 export function ownerMessageToWire(message: OwnerMessage): WireValue {
   if (message.type === 'error' && message.position !== undefined) {
     return { ...message, position: positionToWire(message.position) };
@@ -81,7 +84,7 @@
   return [END, status, heldBack, fromReplica, position && positionToWire(position)];
 }
 
-/** An object for `ownerMessageSchema` to check. */
+/** Returns an object for `ownerMessageSchema` to check. */
 export function ownerMessageFromWire(value: WireValue): unknown {
   if (!Array.isArray(value)) return withPosition(value);
   const [type, status, heldBack, fromReplica, position] = value as unknown[];
@@ -128,7 +131,7 @@
 function positionFromWire(value: unknown): unknown {
   if (!Array.isArray(value)) return value ?? undefined;
   const [timeline, lsn] = value as unknown[];
-  // A small integer comes back as a number: CBOR has one kind of integer.
+  // CBOR has only one integer type, so a small integer is decoded as a number.
   return { timeline, lsn: Number.isSafeInteger(lsn) ? BigInt(lsn as number) : lsn };
 }
 
@@ -137,7 +140,7 @@
   return { type: 'known', position: positionFromWire(position) };
 }
 
-/** An error message that carries a position has it as an array too. */
+/** Decodes the position of an error message, which is an array too. */
 function withPosition(value: WireValue): unknown {
   if (typeof value !== 'object' || value === null || !('position' in value)) return value;
   return { ...value, position: positionFromWire(value.position) };
--- a/src/node/owner/work.ts
+++ b/src/node/owner/work.ts
@@ -1,18 +1,18 @@
 /**
- * A unit of work on an owner, as an object that carries its own completion: the group runtime calls
- * back when the state machine has decided.
+ * Interface between the group runtime and a request: the runtime calls the request's methods when
+ * the state machine has decided about it.
  */
 import type { RequestError } from '../../core/errors.js';
 import type { RunResult } from '../../core/group/contract.js';
 import type { Position } from '../../core/position.js';
 import type { BackendConnection } from '../../postgres/contract.js';
 
-/** What the state machine assigned to the request. */
+/** The connection that the state machine assigned to a request. */
 export interface Assignment {
   readonly connection: BackendConnection;
   readonly onPrimary: boolean;
   readonly appendPositionQuery: boolean;
-  /** The transaction waits for its next batch, or has been given it. */
+  /** Reports whether the transaction is idle: true while it waits for its next batch. */
   setIdle(idle: boolean): void;
   /** Closes the connection; a running batch ends as lost. */
   closeConnection(): void;
@@ -20,16 +20,16 @@
   finished(result: RunResult): void;
 }
 
-/** One request on its way through a group. */
+/** One request that a group's owner serves. */
 export interface GroupWork {
-  /** Run on this connection. Called again only if nothing was relayed to the caller before. */
+  /** Runs the request on a connection. Called again only if nothing was relayed to the caller. */
   start(assignment: Assignment): void;
-  /** The assigned connection was lost; reported between batches, a running batch has its own report. */
+  /** The assigned connection was lost. Ignored during a batch, which reports the loss itself. */
   connectionClosed(): void;
-  /** Closes the assigned connection unless a part of the answer has come. */
+  /** Closes the assigned connection unless part of the response has arrived. */
   interruptIfSilent(): void;
-  /** The answer held back may go out; final. */
+  /** The held-back end of the response may be sent; final. */
   release(position: Position | undefined): void;
-  /** The request ended with a typed error; final. */
+  /** The request failed with an error; final. */
   fail(error: RequestError): void;
 }
--- a/src/node/proxy-node.ts
+++ b/src/node/proxy-node.ts
@@ -159,7 +159,7 @@
       configuration: this.#configuration.status(),
       callers: this.#gateway.callerCount,
       sessionsKept: this.#gateway.directory.sessionCount,
-      backendConnectionsOpened: this.#connector.opened,
+      backendConnectionsOpened: this.#connector.attemptCount,
       backend: this.#connector.counters,
       storeRequests: this.#store.requestCount(),
       primaryChanges: this.#owner.primaryChanges,
@@ -207,7 +207,7 @@
     const limit = monotonicNow() + this.#settings.drainLimitMs;
     while (this.#gateway.callerCount > 0 && monotonicNow() < limit) await pause(DRAIN_POLL_MS);
     this.#owner.drain();
-    while (this.#owner.unfinished > 0 && monotonicNow() < limit) await pause(DRAIN_POLL_MS);
+    while (this.#owner.unfinishedCount > 0 && monotonicNow() < limit) await pause(DRAIN_POLL_MS);
     await this.#close();
     this.#logger.info('left');
     this.onDrained?.();
@@ -229,7 +229,7 @@
   #createOwner(): OwnerService {
     return new OwnerService({
       connector: this.#connector,
-      createMachine: (group) => this.#createGroup(group),
+      createStateMachine: (group) => this.#createGroup(group),
       owns: (group) => this.#owners.owns(group),
       connectionBudget: (machine) => this.#connectionBudget(machine),
       now: monotonicNow,
@@ -278,7 +278,7 @@
       hash: links.hash,
       transport: links.transport,
       now: monotonicNow,
-      warm: (group) => this.#owner.warm(group),
+      warm: (group) => this.#owner.warmUp(group),
       onChange: () => this.#owner.reconcile(),
     });
   }
@@ -323,7 +323,7 @@
 
   #sweep(): void {
     if (this.#fleet.dropSilentNodes()) this.#onFleetChanged();
-    this.#owner.releaseGroups();
+    this.#owner.closeUnownedGroups();
   }
 
   #onFleetChanged(): void {
