--- a/scale/hollow-configuration.ts
+++ b/scale/hollow-configuration.ts
@@ -9,15 +9,15 @@
 import type { ConfigurationEntry } from '../src/core/configuration/store-layout.js';
 import {
   DIGEST_METHOD,
-  digestAnswerSchema,
   digestRequestSchema,
+  digestResponseSchema,
   FETCH_METHOD,
-  fetchAnswerSchema,
   fetchRequestSchema,
-  fitsOnePush,
+  fetchResponseSchema,
+  fitsInOnePush,
   PUSH_METHOD,
-  pageOf,
   pushRequestSchema,
+  selectPage,
 } from '../src/node/configuration/peer-messages.js';
 import type { NodeIdentity, WireValue } from '../src/peer/contract.js';
 import { DeadlineTimer } from './deadline-timer.js';
@@ -104,7 +104,7 @@
     }
     return this.#timed(() => {
       const { sinceRevision, afterKey } = fetchRequestSchema.parse(body);
-      return pageOf(this.agent.replica.changesSince(sinceRevision), afterKey);
+      return selectPage(this.agent.replica.changesSince(sinceRevision), afterKey);
     });
   }
 
@@ -149,7 +149,7 @@
   #askDigest(peer: ConfigurationMember): void {
     const body = { digest: this.#timed(() => this.agent.replica.digest()) };
     this.#call(peer, DIGEST_METHOD, body, 'configuration-digests', (value) => {
-      const answer = this.#timed(() => digestAnswerSchema.parse(value));
+      const answer = this.#timed(() => digestResponseSchema.parse(value));
       this.handle({ type: 'digest-answered', nodeId: peer.nodeId, answer });
     });
   }
@@ -164,7 +164,7 @@
 
   #onPage(progress: FetchProgress, value: WireValue): void {
     const { peer, sinceRevision } = progress;
-    const { delta, more } = this.#timed(() => fetchAnswerSchema.parse(value));
+    const { delta, more } = this.#timed(() => fetchResponseSchema.parse(value));
     const { revision } = delta;
     if (progress.revision !== undefined && progress.revision !== revision) {
       this.handle({ type: 'peer-failed', nodeId: peer.nodeId });
@@ -179,7 +179,7 @@
   }
 
   #push({ peer, root, delta }: Extract<ConfigurationAgentEffect, { type: 'push' }>): void {
-    if (!fitsOnePush(delta)) {
+    if (!fitsInOnePush(delta)) {
       this.#askDigest(peer);
       return;
     }
--- a/src/node/configuration/peer-client.ts
+++ b/src/node/configuration/peer-client.ts
@@ -1,4 +1,4 @@
-/** Asks other nodes about their configuration and pushes changes to them. */
+/** Requests the configuration of other nodes and pushes changes to them. */
 import { err, ok, type Result, ResultAsync } from 'neverthrow';
 import type { z } from 'zod';
 import type { DigestResponse } from '../../core/configuration/agent-contract.js';
@@ -10,10 +10,10 @@
 import { ConfigurationFetchError, ConfigurationMessageError } from './errors.js';
 import {
   DIGEST_METHOD,
-  digestAnswerSchema,
+  digestResponseSchema,
   FETCH_METHOD,
-  fetchAnswerSchema,
-  fitsOnePush,
+  fetchResponseSchema,
+  fitsInOnePush,
   PUSH_METHOD,
 } from './peer-messages.js';
 
@@ -24,15 +24,15 @@
 export class ConfigurationPeerClient {
   constructor(private readonly transport: PeerTransport) {}
 
-  /** Tells a peer our digest and asks for its own. */
-  askDigest(
+  /** Sends this node's digest to a peer and returns the peer's. */
+  exchangeDigests(
     peer: ConfigurationMember,
     digest: ConfigurationDigest,
   ): ResultAsync<DigestResponse, MeadowstackError> {
-    return this.#call(peer, DIGEST_METHOD, { digest }, digestAnswerSchema);
+    return this.#call(peer, DIGEST_METHOD, { digest }, digestResponseSchema);
   }
 
-  /** Everything that a peer holds beyond a revision; pages are put together. */
+  /** Fetches everything that changed at a peer after a revision, page by page. */
   fetch(
     peer: ConfigurationMember,
     sinceRevision: number,
@@ -40,14 +40,17 @@
     return new ResultAsync(this.#fetchPages(peer, sinceRevision));
   }
 
-  /** Passes a change on; one too large to push is only announced, and the peer fetches it. */
+  /**
+   * Pushes a change to a peer. If it is too large, only the digest is sent, and the peer fetches
+   * the change.
+   */
   push(
     peer: ConfigurationMember,
     root: string,
     delta: ConfigurationDelta,
     digest: ConfigurationDigest,
   ): ResultAsync<void, MeadowstackError> {
-    if (!fitsOnePush(delta)) return this.askDigest(peer, digest).map(() => undefined);
+    if (!fitsInOnePush(delta)) return this.exchangeDigests(peer, digest).map(() => undefined);
     return this.transport
       .call(peer, PUSH_METHOD, { root, delta }, CALL_TIMEOUT_MS)
       .map(() => undefined);
@@ -61,10 +64,10 @@
     let revision: number | undefined;
     for (let page = 0; page < MAX_PAGES; page += 1) {
       const request = { sinceRevision, afterKey: entries.at(-1)?.key ?? '' };
-      const answer = await this.#call(peer, FETCH_METHOD, request, fetchAnswerSchema);
-      if (answer.isErr()) return err(answer.error);
-      const { delta, more } = answer.value;
-      // Pages of two states together might hold half of a publish.
+      const response = await this.#call(peer, FETCH_METHOD, request, fetchResponseSchema);
+      if (response.isErr()) return err(response.error);
+      const { delta, more } = response.value;
+      // Pages of two different revisions could together contain only half of a publish.
       if (revision !== undefined && delta.revision !== revision) break;
       revision = delta.revision;
       entries.push(...delta.entries);
@@ -79,8 +82,8 @@
     body: unknown,
     schema: z.ZodType<Output>,
   ): ResultAsync<Output, MeadowstackError> {
-    return this.transport.call(peer, method, body, CALL_TIMEOUT_MS).andThen((answer) => {
-      const parsed = schema.safeParse(answer);
+    return this.transport.call(peer, method, body, CALL_TIMEOUT_MS).andThen((response) => {
+      const parsed = schema.safeParse(response);
       return parsed.success ? ok(parsed.data) : err(new ConfigurationMessageError(method));
     });
   }
--- a/src/node/configuration/peer-messages.ts
+++ b/src/node/configuration/peer-messages.ts
@@ -4,14 +4,14 @@
 import type { ConfigurationDelta } from '../../core/configuration/replica.js';
 import { isDeclarationKey } from '../../core/configuration/store-layout.js';
 
-/** Compares digests. */
+/** Exchanges digests. */
 export const DIGEST_METHOD = 'configuration.digest';
 /** Fetches what changed after a revision. */
 export const FETCH_METHOD = 'configuration.fetch';
-/** Passes a change on. */
+/** Pushes a change. */
 export const PUSH_METHOD = 'configuration.push';
 
-const MAX_VALUE_LENGTH = 1_000_000;
+const MAX_VALUE_CHARACTERS = 1_000_000;
 const MAX_ENTRIES = 10_000;
 
 const revisionSchema = z.int().min(0);
@@ -21,7 +21,7 @@
 const entrySchema = z.object({
   key: keySchema,
   revision: revisionSchema,
-  value: z.string().max(MAX_VALUE_LENGTH),
+  value: z.string().max(MAX_VALUE_CHARACTERS),
 });
 const deltaSchema = z.object({
   sinceRevision: revisionSchema,
@@ -30,39 +30,39 @@
 });
 const digestSchema = z.object({ revision: revisionSchema, hash: z.string().max(64) });
 
-/** The asker's digest. */
+/** Digest of the requesting node. */
 export const digestRequestSchema = z.object({ digest: digestSchema });
-/** The asked node's digest. */
-export const digestAnswerSchema = z.object({ digest: digestSchema, ready: z.boolean() });
-/** Asks for what changed after a revision, a page at a time. */
+/** Digest of the responding node. */
+export const digestResponseSchema = z.object({ digest: digestSchema, ready: z.boolean() });
+/** Requests one page of the changes after a revision. */
 export const fetchRequestSchema = z.object({
   sinceRevision: revisionSchema,
-  /** Last key of the page before; empty for the first page. */
+  /** Last key of the previous page; empty for the first page. */
   afterKey: z.string().max(200),
 });
-/** One page, in order of key. `more`: ask again after the last key of this one. */
-export const fetchAnswerSchema = z.object({ delta: deltaSchema, more: z.boolean() });
-/** A change on its way along the tree of `root`. */
+/** One page, ordered by key. `more`: another page follows after its last key. */
+export const fetchResponseSchema = z.object({ delta: deltaSchema, more: z.boolean() });
+/** A change that is forwarded along the push tree of the node `root`. */
 export const pushRequestSchema = z.object({ root: z.string().max(200), delta: deltaSchema });
 
 /** One page of a fetch. */
-export type FetchAnswer = z.output<typeof fetchAnswerSchema>;
+export type FetchResponse = z.output<typeof fetchResponseSchema>;
 
-/** Bytes of values in one page or push, about; one entry is sent even if it is longer. */
-export const PAGE_BYTES = 128 * 1024;
+/** Size of the values in one page or push; a single entry is sent even if it is longer. */
+export const MAX_PAGE_CHARACTERS = 128 * 1024;
 
-/** The page of a delta that follows a key. */
-export function pageOf(delta: ConfigurationDelta, afterKey: string): FetchAnswer {
-  const rest = delta.entries.filter((entry) => entry.key > afterKey);
-  let bytes = 0;
-  const page = rest.filter((entry, index) => {
-    bytes += entry.value.length;
-    return index === 0 || bytes <= PAGE_BYTES;
+/** Selects the page of a delta that follows a key. */
+export function selectPage(delta: ConfigurationDelta, afterKey: string): FetchResponse {
+  const remaining = delta.entries.filter((entry) => entry.key > afterKey);
+  let characters = 0;
+  const page = remaining.filter((entry, index) => {
+    characters += entry.value.length;
+    return index === 0 || characters <= MAX_PAGE_CHARACTERS;
   });
-  return { delta: { ...delta, entries: page }, more: page.length < rest.length };
+  return { delta: { ...delta, entries: page }, more: page.length < remaining.length };
 }
 
-/** True if a delta is small enough to be pushed whole. */
-export function fitsOnePush(delta: ConfigurationDelta): boolean {
-  return delta.entries.reduce((sum, entry) => sum + entry.value.length, 0) <= PAGE_BYTES;
+/** True if a delta is small enough to be sent in one push. */
+export function fitsInOnePush(delta: ConfigurationDelta): boolean {
+  return delta.entries.reduce((sum, entry) => sum + entry.value.length, 0) <= MAX_PAGE_CHARACTERS;
 }
--- a/src/node/configuration/publisher.ts
+++ b/src/node/configuration/publisher.ts
@@ -1,6 +1,7 @@
 /**
- * Publishes declarations to the store and reads them back: the operators' side. Plans come from the
- * core; this carries them out, resolves lost answers by publish id and repeats lost races.
+ * Publishes declarations to the store and reads them, for operators' commands. The core plans each
+ * publish; the publisher carries out the plan, finds out by publish id whether a transaction whose
+ * response was lost was applied, and retries after a conflict with a concurrent publish.
  */
 import { err, ok, type Result, ResultAsync } from 'neverthrow';
 import { Backoff, type RandomSource } from '../../core/configuration/backoff.js';
@@ -33,26 +34,26 @@
 import type { KeyValue, Store, StoreError } from '../../platform/contract.js';
 
 const RETRY_BACKOFF = { initialMs: 50, maximumMs: 2000 };
-const DEFAULT_ATTEMPTS = 12;
+const DEFAULT_MAX_ATTEMPTS = 12;
 
-/** What the publisher needs. */
+/** Dependencies of the publisher. */
 export interface PublisherOptions {
   readonly store: Store;
   readonly random: RandomSource;
   /** Waits between attempts. */
   readonly wait: (delayMs: number) => Promise<void>;
-  /** How often the store is asked at most before the publisher gives up; default 12. */
+  /** Maximum number of attempts before the publisher gives up; default 12. */
   readonly attempts?: number;
 }
 
-/** A publish that is in force in the store. */
+/** Result of a publish that has been applied to the store, or that had nothing to change. */
 export interface PublishOutcome {
   readonly publishId: string;
-  /** Revision at which it was applied; the revision in force if nothing had to change. */
+  /** Revision at which it was applied; the current revision if nothing had to change. */
   readonly revision: ConfigurationRevision;
   /** False if there was nothing to change. */
   readonly changed: boolean;
-  /** True if an earlier attempt with the same publish id had applied it. */
+  /** True if an earlier attempt with the same publish id had already applied it. */
   readonly alreadyApplied: boolean;
   readonly changes: readonly { readonly key: string; readonly version: number }[];
 }
@@ -65,36 +66,36 @@
   | PublishOutcomeUnknownError
   | DeclarationStoreError;
 
-/** One kept version of a declaration. */
+/** One retained version of a declaration. */
 export interface HistoryEntry extends StoredEntry {
   readonly revision: ConfigurationRevision;
 }
 
-/** One kept publish with the revision that it made. */
+/** One retained publish record with the revision that the publish created. */
 export interface PublishHistoryEntry extends PublishRecord {
   readonly revision: ConfigurationRevision;
 }
 
-/** What one attempt came to: an end, or another attempt. */
+/** Result of one attempt: a final result, or the need for another attempt. */
 type Attempt =
   | { readonly type: 'ended'; readonly result: Result<PublishOutcome, PublishError> }
   | { readonly type: 'again'; readonly retryAfterMs: number; readonly error: unknown };
 
 interface AttemptState {
-  /** A transaction was sent whose answer was lost, and nothing has told yet what became of it. */
-  outcomeUnknown: boolean;
+  /** True once the response to a transaction was lost, so that it may have been applied. */
+  isOutcomeUnknown: boolean;
 }
 
 /** Publishes and reads declarations. */
 export class Publisher {
   constructor(private readonly options: PublisherOptions) {}
 
-  /** What is in force in the store. */
+  /** Reads the declarations that are current in the store. */
   read(): ResultAsync<PublishedState, DeclarationStoreError> {
     return this.#range(CURRENT_PREFIX).map(toPublishedState);
   }
 
-  /** What a publish would change; changes nothing. */
+  /** Returns what a publish would change, without applying it. */
   plan(
     request: PublishRequest,
   ): ResultAsync<
@@ -109,7 +110,7 @@
     return new ResultAsync(this.#publish(request));
   }
 
-  /** The kept versions of one declaration, oldest first. */
+  /** Returns the retained versions of one declaration, oldest first. */
   history(key: DeclarationKey): ResultAsync<readonly HistoryEntry[], DeclarationStoreError> {
     return this.#range(historyPrefixOf(key)).map((entries) =>
       entries.flatMap((entry) =>
@@ -120,10 +121,10 @@
     );
   }
 
-  /** The kept publishes, oldest first. */
+  /** Returns the retained publish records, oldest first. */
   publishes(): ResultAsync<readonly PublishHistoryEntry[], DeclarationStoreError> {
     return this.#range(PUBLISH_PREFIX).map((entries) =>
-      [...entries].sort(byRevision).flatMap((entry) =>
+      [...entries].sort(compareRevisions).flatMap((entry) =>
         decodePublishRecord(entry.key, entry.value)
           .map((record) => [{ ...record, revision: entry.modRevision }])
           .unwrapOr([]),
@@ -132,9 +133,9 @@
   }
 
   async #publish(request: PublishRequest): Promise<Result<PublishOutcome, PublishError>> {
-    const { attempts = DEFAULT_ATTEMPTS, random, wait } = this.options;
+    const { attempts = DEFAULT_MAX_ATTEMPTS, random, wait } = this.options;
     const backoff = new Backoff(RETRY_BACKOFF, random);
-    const state: AttemptState = { outcomeUnknown: false };
+    const state: AttemptState = { isOutcomeUnknown: false };
     let lastError: unknown;
     for (let attempt = 0; attempt < attempts; attempt += 1) {
       const outcome = await this.#attempt(request, state);
@@ -142,42 +143,42 @@
       lastError = outcome.error;
       await wait(backoff.next(outcome.retryAfterMs));
     }
-    return err(exhaustedError(request.publishId, state, lastError));
+    return err(errorAfterLastAttempt(request.publishId, state, lastError));
   }
 
   async #attempt(request: PublishRequest, state: AttemptState): Promise<Attempt> {
-    // The state is read before the records: a record that is absent then proves that the state
-    // does not contain this publish.
+    // The state is read before the publish records: if the record of this publish is absent
+    // afterwards, the state that was read does not contain the publish.
     const current = await this.options.store.range(CURRENT_PREFIX);
-    if (current.isErr()) return again(current.error);
+    if (current.isErr()) return retryAfter(current.error);
     const records = await this.options.store.range(PUBLISH_PREFIX);
-    if (records.isErr()) return again(records.error);
+    if (records.isErr()) return retryAfter(records.error);
     const applied = records.value.entries.find(
       ({ key }) => key === publishKeyOf(request.publishId),
     );
-    if (applied !== undefined) return ended(ok(outcomeOfRecord(request.publishId, applied)));
+    if (applied !== undefined) return endWith(ok(outcomeFromRecord(request.publishId, applied)));
     const published = toPublishedState(current.value.entries);
-    const recordKeys = [...records.value.entries].sort(byRevision).map(({ key }) => key);
+    const recordKeys = [...records.value.entries].sort(compareRevisions).map(({ key }) => key);
     const plan = planPublish(published, request, recordKeys);
-    if (plan.isErr()) return ended(err(plan.error));
+    if (plan.isErr()) return endWith(err(plan.error));
     if (plan.value.operations.length === 0) {
-      return ended(ok(unchanged(request.publishId, published.headRevision)));
+      return endWith(ok(unchangedOutcome(request.publishId, published.headRevision)));
     }
     return this.#send(plan.value, state);
   }
 
   async #send(plan: PublishPlan, state: AttemptState): Promise<Attempt> {
-    const answer = await this.options.store.transaction(plan.compares, plan.operations);
-    if (answer.isErr()) {
-      state.outcomeUnknown ||= answer.error.outcomeUnknown;
-      return again(answer.error);
+    const response = await this.options.store.transaction(plan.compares, plan.operations);
+    if (response.isErr()) {
+      state.isOutcomeUnknown ||= response.error.outcomeUnknown;
+      return retryAfter(response.error);
     }
-    if (!answer.value.succeeded) {
+    if (!response.value.succeeded) {
       return { type: 'again', retryAfterMs: 0, error: new PublishContentionError() };
     }
     const { publishId, changes } = plan;
-    const { revision } = answer.value;
-    return ended(ok({ publishId, revision, changed: true, alreadyApplied: false, changes }));
+    const { revision } = response.value;
+    return endWith(ok({ publishId, revision, changed: true, alreadyApplied: false, changes }));
   }
 
   #range(prefix: string): ResultAsync<readonly KeyValue[], DeclarationStoreError> {
@@ -185,38 +186,42 @@
   }
 
   async #retryRange(prefix: string): Promise<Result<readonly KeyValue[], DeclarationStoreError>> {
-    const { attempts = DEFAULT_ATTEMPTS, random, wait } = this.options;
+    const { attempts = DEFAULT_MAX_ATTEMPTS, random, wait } = this.options;
     const backoff = new Backoff(RETRY_BACKOFF, random);
     let lastError: unknown;
     for (let attempt = 0; attempt < attempts; attempt += 1) {
-      const answer = await this.options.store.range(prefix);
-      if (answer.isOk()) return ok(answer.value.entries);
-      lastError = answer.error;
-      await wait(backoff.next(answer.error.retryAfterMs));
+      const response = await this.options.store.range(prefix);
+      if (response.isOk()) return ok(response.value.entries);
+      lastError = response.error;
+      await wait(backoff.next(response.error.retryAfterMs));
     }
     return err(new DeclarationStoreError({ cause: lastError }));
   }
 }
 
-function exhaustedError(publishId: string, state: AttemptState, cause: unknown): PublishError {
-  if (state.outcomeUnknown) return new PublishOutcomeUnknownError(publishId, { cause });
+function errorAfterLastAttempt(
+  publishId: string,
+  state: AttemptState,
+  cause: unknown,
+): PublishError {
+  if (state.isOutcomeUnknown) return new PublishOutcomeUnknownError(publishId, { cause });
   if (cause instanceof PublishContentionError) return cause;
   return new DeclarationStoreError({ cause });
 }
 
-function ended(result: Result<PublishOutcome, PublishError>): Attempt {
+function endWith(result: Result<PublishOutcome, PublishError>): Attempt {
   return { type: 'ended', result };
 }
 
-function again(error: StoreError): Attempt {
+function retryAfter(error: StoreError): Attempt {
   return { type: 'again', retryAfterMs: error.retryAfterMs ?? 0, error };
 }
 
-function unchanged(publishId: string, revision: ConfigurationRevision): PublishOutcome {
+function unchangedOutcome(publishId: string, revision: ConfigurationRevision): PublishOutcome {
   return { publishId, revision, changed: false, alreadyApplied: false, changes: [] };
 }
 
-function outcomeOfRecord(publishId: string, record: KeyValue): PublishOutcome {
+function outcomeFromRecord(publishId: string, record: KeyValue): PublishOutcome {
   const changes = decodePublishRecord(record.key, record.value)
     .map((decoded) => decoded.changes)
     .unwrapOr([]);
@@ -224,6 +229,6 @@
   return { publishId, revision, changed: true, alreadyApplied: true, changes };
 }
 
-function byRevision(left: KeyValue, right: KeyValue): number {
+function compareRevisions(left: KeyValue, right: KeyValue): number {
   return left.modRevision - right.modRevision;
 }
--- a/src/node/configuration/request-rate.ts
+++ b/src/node/configuration/request-rate.ts
@@ -1,10 +1,10 @@
-/** Counts requests over the last minute from a counter that only grows. */
+/** Counts the requests of the last minute from a monotonic counter. */
 import type { Milliseconds } from '../../core/units.js';
 
 const WINDOW_MS = 60_000;
 
 interface Sample {
-  readonly at: Milliseconds;
+  readonly sampledAt: Milliseconds;
   readonly count: number;
 }
 
@@ -21,14 +21,16 @@
 
   /** Takes a sample; to be called about once a second. */
   sample(): void {
-    const at = this.now();
-    const expired = this.#samples.findLastIndex((sample) => sample.at <= at - WINDOW_MS);
-    // The newest expired sample stays: it is the count at the start of the window.
+    const sampledAt = this.now();
+    const expired = this.#samples.findLastIndex(
+      (sample) => sample.sampledAt <= sampledAt - WINDOW_MS,
+    );
+    // The newest expired sample is kept: it holds the count at the start of the window.
     if (expired > 0) this.#samples = this.#samples.slice(expired);
-    this.#samples.push({ at, count: this.counter() });
+    this.#samples.push({ sampledAt, count: this.counter() });
   }
 
-  /** Requests in the last minute, or since the start if that is shorter ago. */
+  /** Requests in the last minute, or since the start if that is more recent. */
   lastMinute(): number {
     return this.counter() - (this.#samples[0]?.count ?? 0);
   }
--- a/src/node/configuration/service-options.ts
+++ b/src/node/configuration/service-options.ts
@@ -1,4 +1,4 @@
-/** What the configuration service is built with and what it tells of itself. */
+/** Options and status of the configuration service. */
 import type { ConfigurationStatus } from '../../core/configuration/agent-contract.js';
 import type { RandomSource } from '../../core/configuration/backoff.js';
 import type { ConfigurationMember } from '../../core/configuration/relays.js';
@@ -6,19 +6,19 @@
 import type { PeerTransport } from '../../peer/contract.js';
 import type { Store } from '../../platform/contract.js';
 
-/** What the service is built with. */
+/** Dependencies of the service. */
 export interface ConfigurationServiceOptions {
   readonly self: ConfigurationMember;
   readonly store: Store;
   readonly transport: PeerTransport;
-  /** Live members; whether this node is among them does not matter. */
+  /** Live members, with or without this node. */
   readonly members: () => readonly ConfigurationMember[];
   readonly random: RandomSource;
   /** Monotonic clock in ms. */
   readonly now: () => Milliseconds;
 }
 
-/** What `status` shows, with the load on the store. */
+/** Status of the agent, with the load on the store and the errors of store and peers. */
 export interface ConfigurationServiceStatus extends ConfigurationStatus {
   readonly storeRequestsLastMinute: number;
   readonly storeErrors: number;
--- a/src/node/configuration/service.ts
+++ b/src/node/configuration/service.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps a proxy process's configuration up to date: carries out what the core's agent decides,
- * over the store and the links to other nodes.
+ * Keeps the configuration of a proxy process up to date: carries out the effects of the core's
+ * configuration agent, over the store and the links to other nodes.
  */
 import { ConfigurationAgent } from '../../core/configuration/agent.js';
 import type {
@@ -21,8 +21,8 @@
   FETCH_METHOD,
   fetchRequestSchema,
   PUSH_METHOD,
-  pageOf,
   pushRequestSchema,
+  selectPage,
 } from './peer-messages.js';
 import { RequestRate } from './request-rate.js';
 import type { ConfigurationServiceOptions, ConfigurationServiceStatus } from './service-options.js';
@@ -30,63 +30,63 @@
 
 export type { ConfigurationServiceOptions, ConfigurationServiceStatus } from './service-options.js';
 
-const MEMBERS_POLL_MS = 1000;
+const MEMBERS_POLL_PERIOD_MS = 1000;
 
 /** The configuration of one proxy process. */
 export class ConfigurationService {
-  /** Called with each new configuration in force here. */
+  /** Called with each new configuration that this node applies. */
   onSnapshot: ((snapshot: ConfigurationSnapshot) => void) | undefined;
-  /** Resolves once a configuration is in hand; never rejects. */
+  /** Resolves once a configuration is available; never rejects. */
   readonly ready: Promise<void>;
   readonly #agent: ConfigurationAgent;
   readonly #store: StoreSession;
   readonly #peers: ConfigurationPeerClient;
-  readonly #rate: RequestRate;
+  readonly #storeRequestRate: RequestRate;
   #resolveReady: () => void = () => undefined;
   #members: readonly ConfigurationMember[] = [];
   #timer: NodeJS.Timeout | undefined;
   #membersTimer: NodeJS.Timeout | undefined;
-  #stopped = false;
-  /** The last lease that was given back, on its way. */
-  #released: Promise<void> = Promise.resolve();
+  #isStopped = false;
+  /** Resolves once the latest release of a relay lease has succeeded or failed. */
+  #leaseReleased: Promise<void> = Promise.resolve();
   #storeErrors = 0;
   #peerErrors = 0;
-  /** Revision that the next watch continues from. */
-  #readRevision = 0;
+  /** Configuration revision of the latest read; the next watch continues from it. */
+  #lastReadRevision = 0;
 
   constructor(private readonly options: ConfigurationServiceOptions) {
     const { self, store, transport, random, now } = options;
     this.#agent = new ConfigurationAgent({ self, random });
     this.#store = new StoreSession(store, self.nodeId, self.zone);
     this.#peers = new ConfigurationPeerClient(transport);
-    this.#rate = new RequestRate(() => store.requestCount(), now);
+    this.#storeRequestRate = new RequestRate(() => store.requestCount(), now);
     this.ready = new Promise((resolve) => {
       this.#resolveReady = resolve;
     });
   }
 
-  /** Begins to ask the store and the peers. */
+  /** Starts to query the store and the peers. */
   start(): void {
     this.membersChanged();
-    this.#membersTimer = setInterval(() => this.#poll(), MEMBERS_POLL_MS);
+    this.#membersTimer = setInterval(() => this.#handleMembersTimer(), MEMBERS_POLL_PERIOD_MS);
     this.#handle({ type: 'started' });
   }
 
   /**
-   * Ends timers, the watch and the lease. Resolves once the store has the lease back or could not
-   * be told, so the store's client should be closed only then.
+   * Ends timers, the watch and the relay lease. Resolves once the lease is released or the store
+   * could not be reached; the store's client must not be closed before.
    */
   async stop(): Promise<void> {
-    // Without candidacy the lease goes back, so that another node can take the slot at once.
+    // Ending the candidacy releases the lease, so that another node can claim the slot at once.
     this.#handleRelay({ type: 'candidacy-changed', candidate: false });
-    this.#stopped = true;
+    this.#isStopped = true;
     clearTimeout(this.#timer);
     clearInterval(this.#membersTimer);
     this.#store.closeWatch();
-    await this.#released;
+    await this.#leaseReleased;
   }
 
-  /** To be called when the membership changed; it is also looked at once a second. */
+  /** To be called when the membership has changed; the service also checks it once a second. */
   membersChanged(): void {
     const members = this.options.members();
     if (areSameMembers(members, this.#members)) return;
@@ -94,7 +94,7 @@
     this.#handle({ type: 'members-changed', members });
   }
 
-  /** The configuration in force here; empty before `ready`. */
+  /** The configuration that this node has applied; empty before `ready`. */
   snapshot(): ConfigurationSnapshot {
     return this.#agent.replica.snapshot();
   }
@@ -102,54 +102,54 @@
   status(): ConfigurationServiceStatus {
     return {
       ...this.#agent.status(this.options.now()),
-      storeRequestsLastMinute: this.#rate.lastMinute(),
+      storeRequestsLastMinute: this.#storeRequestRate.lastMinute(),
       storeErrors: this.#storeErrors,
       peerErrors: this.#peerErrors,
     };
   }
 
-  /** True for the methods that `onCall` answers. */
+  /** True for the methods that `onCall` implements. */
   handles(method: string): boolean {
     return method === DIGEST_METHOD || method === FETCH_METHOD || method === PUSH_METHOD;
   }
 
   /** Answers a peer's call; rejects with `ConfigurationMessageError` if it is malformed. */
   async onCall(method: string, body: WireValue, from: NodeIdentity): Promise<WireValue> {
-    if (method === DIGEST_METHOD) return this.#onDigest(body, from.nodeId);
-    if (method === FETCH_METHOD) return this.#onFetch(body);
-    if (method === PUSH_METHOD) return this.#onPush(body, from.nodeId);
+    if (method === DIGEST_METHOD) return this.#handleDigest(body, from.nodeId);
+    if (method === FETCH_METHOD) return this.#handleFetch(body);
+    if (method === PUSH_METHOD) return this.#handlePush(body, from.nodeId);
     throw new ConfigurationMessageError(method);
   }
 
-  #onDigest(body: WireValue, nodeId: string): WireValue {
+  #handleDigest(body: WireValue, nodeId: string): WireValue {
     const parsed = digestRequestSchema.safeParse(body);
     if (!parsed.success) throw new ConfigurationMessageError(DIGEST_METHOD);
-    const answer = this.#agent.digestResponse();
+    const response = this.#agent.digestResponse();
     this.#handle({ type: 'digest-received', nodeId, digest: parsed.data.digest });
-    return answer;
+    return response;
   }
 
-  #onFetch(body: WireValue): WireValue {
+  #handleFetch(body: WireValue): WireValue {
     const parsed = fetchRequestSchema.safeParse(body);
     if (!parsed.success) throw new ConfigurationMessageError(FETCH_METHOD);
     const { sinceRevision, afterKey } = parsed.data;
-    return pageOf(this.#agent.replica.changesSince(sinceRevision), afterKey);
+    return selectPage(this.#agent.replica.changesSince(sinceRevision), afterKey);
   }
 
-  #onPush(body: WireValue, nodeId: string): WireValue {
+  #handlePush(body: WireValue, nodeId: string): WireValue {
     const parsed = pushRequestSchema.safeParse(body);
     if (!parsed.success) throw new ConfigurationMessageError(PUSH_METHOD);
     this.#handle({ type: 'push-received', nodeId, ...parsed.data });
     return { revision: this.#agent.replica.revision };
   }
 
-  #poll(): void {
-    this.#rate.sample();
+  #handleMembersTimer(): void {
+    this.#storeRequestRate.sample();
     this.membersChanged();
   }
 
   #handle(event: ConfigurationAgentEvent): void {
-    if (this.#stopped) return;
+    if (this.#isStopped) return;
     const effects = this.#agent.handle(event, this.options.now());
     for (const effect of effects) this.#carryOut(effect);
     this.#schedule();
@@ -162,7 +162,7 @@
   #schedule(): void {
     clearTimeout(this.#timer);
     const deadline = this.#agent.nextDeadline();
-    if (deadline === undefined || this.#stopped) return;
+    if (deadline === undefined || this.#isStopped) return;
     const delay = Math.max(0, deadline - this.options.now());
     this.#timer = setTimeout(() => this.#handle({ type: 'tick' }), Math.ceil(delay));
   }
@@ -194,10 +194,10 @@
         this.#renewLease(effect);
         return;
       case 'release-relay':
-        this.#released = this.#releaseRelay(effect.lease);
+        this.#leaseReleased = this.#releaseRelay(effect.lease);
         return;
       case 'ask-digest':
-        this.#askDigest(effect.peer);
+        this.#exchangeDigests(effect.peer);
         return;
       case 'fetch':
         this.#fetch(effect.peer, effect.sinceRevision);
@@ -211,24 +211,24 @@
   #readStore(): void {
     this.#store.read().match(
       ({ storeRevision, delta }) => {
-        this.#readRevision = delta.revision;
+        this.#lastReadRevision = delta.revision;
         this.#handle({ type: 'store-read', storeRevision, delta });
       },
-      (error) => this.#handle({ type: 'store-read-failed', ...this.#retryOf(error) }),
+      (error) => this.#handle({ type: 'store-read-failed', ...this.#recordFailure(error) }),
     );
   }
 
   #checkHead(): void {
     this.#store.readHead().match(
       (headRevision) => this.#handle({ type: 'head-checked', headRevision }),
-      (error) => this.#handle({ type: 'head-check-failed', ...this.#retryOf(error) }),
+      (error) => this.#handle({ type: 'head-check-failed', ...this.#recordFailure(error) }),
     );
   }
 
   #openWatch(fromRevision: number): void {
     this.#store.openWatch(
       fromRevision,
-      this.#readRevision,
+      this.#lastReadRevision,
       (delta) => this.#handle({ type: 'watch-delta', delta }),
       () => this.#handle({ type: 'watch-ended' }),
     );
@@ -242,7 +242,7 @@
         this.#handleRelay(
           lease === undefined ? { type: 'claim-refused' } : { type: 'claimed', lease },
         ),
-      (error) => this.#handleRelay({ type: 'claim-failed', ...this.#retryOf(error) }),
+      (error) => this.#handleRelay({ type: 'claim-failed', ...this.#recordFailure(error) }),
     );
   }
 
@@ -253,13 +253,13 @@
 
   #renewLease({ lease }: Extract<ConfigurationAgentEffect, { type: 'renew-lease' }>): void {
     this.#store.renewLease(lease).match(
-      (stands) => this.#handleRelay({ type: stands ? 'renewed' : 'lease-lapsed' }),
-      (error) => this.#handleRelay({ type: 'renewal-failed', ...this.#retryOf(error) }),
+      (isHeld) => this.#handleRelay({ type: isHeld ? 'renewed' : 'lease-lapsed' }),
+      (error) => this.#handleRelay({ type: 'renewal-failed', ...this.#recordFailure(error) }),
     );
   }
 
-  #askDigest(peer: ConfigurationMember): void {
-    this.#peers.askDigest(peer, this.#agent.replica.digest()).match(
+  #exchangeDigests(peer: ConfigurationMember): void {
+    this.#peers.exchangeDigests(peer, this.#agent.replica.digest()).match(
       (answer) => this.#handle({ type: 'digest-answered', nodeId: peer.nodeId, answer }),
       () => this.#peerFailed(peer),
     );
@@ -283,7 +283,7 @@
     this.#handle({ type: 'peer-failed', nodeId: peer.nodeId });
   }
 
-  #retryOf(error: StoreError): { readonly retryAfterMs: Milliseconds } {
+  #recordFailure(error: StoreError): { readonly retryAfterMs: Milliseconds } {
     this.#countStoreError();
     return { retryAfterMs: error.retryAfterMs ?? 0 };
   }
--- a/src/node/configuration/store-session.ts
+++ b/src/node/configuration/store-session.ts
@@ -1,4 +1,4 @@
-/** The store's side of a node's configuration: reads, the watch and the relay lease. */
+/** A node's access to the configuration in the store: reads, the watch and the relay lease. */
 import { err, ok, type Result, ResultAsync } from 'neverthrow';
 import { RELAY_LEASE_SECONDS, type RelayLease } from '../../core/configuration/relay-role.js';
 import { RELAYS_PER_ZONE } from '../../core/configuration/relays.js';
@@ -14,19 +14,19 @@
 import type { Store, StoreError } from '../../platform/contract.js';
 import { StoreLeaseNotFoundError } from '../../platform/errors.js';
 
-/** All of the configuration, read at one revision of the store. */
+/** The whole configuration, read at one revision of the store. */
 export interface ConfigurationRead {
   readonly storeRevision: number;
   readonly delta: ConfigurationDelta;
 }
 
-/** A relay slot that may be claimed as long as its key has this revision; 0: it has none. */
+/** A relay slot that can be claimed while its key has this revision; 0: the key does not exist. */
 interface FreeSlot {
   readonly slot: number;
   readonly modRevision: number;
 }
 
-/** Wraps the store for one node. */
+/** Store operations of one node. */
 export class StoreSession {
   #endWatch: (() => void) | undefined;
 
@@ -36,7 +36,7 @@
     private readonly zone: string,
   ) {}
 
-  /** Reads everything in force. */
+  /** Reads the whole current configuration. */
   read(): ResultAsync<ConfigurationRead, StoreError> {
     return this.store.range(CURRENT_PREFIX).map(({ revision, entries }) => ({
       storeRevision: revision,
@@ -48,14 +48,14 @@
     }));
   }
 
-  /** Mod revision of the head key; 0 if there is none. */
+  /** Reads the mod revision of the head key; 0 if the key does not exist. */
   readHead(): ResultAsync<number, StoreError> {
     return this.store
       .range(HEAD_KEY)
       .map(({ entries }) => entries.find(({ key }) => key === HEAD_KEY)?.modRevision ?? 0);
   }
 
-  /** Watches what is in force; ends the watch before, if any. */
+  /** Watches the current configuration; ends a previous watch. */
   openWatch(
     fromRevision: number,
     headRevision: number,
@@ -64,20 +64,20 @@
   ): void {
     this.closeWatch();
     const assembler = new WatchAssembler(headRevision);
-    let open = true;
-    const end = this.store.watch(CURRENT_PREFIX, fromRevision, {
+    let isOpen = true;
+    const endWatch = this.store.watch(CURRENT_PREFIX, fromRevision, {
       onEvents: (events) => {
-        const delta = open ? assembler.add(events) : undefined;
+        const delta = isOpen ? assembler.add(events) : undefined;
         if (delta !== undefined) onDelta(delta);
       },
       onEnd: () => {
-        if (open) onEnd();
-        open = false;
+        if (isOpen) onEnd();
+        isOpen = false;
       },
     });
     this.#endWatch = () => {
-      open = false;
-      end();
+      isOpen = false;
+      endWatch();
     };
   }
 
@@ -87,24 +87,25 @@
   }
 
   /**
-   * Claims a slot of the zone's relays; undefined if there is none. A slot is free if nobody holds
-   * it, or a node that is not live: a lease outlasts its holder, and the zone would wait for it.
+   * Claims a free relay slot of the zone; undefined if there is none. A slot is free if no node
+   * holds it, or one that is not live: the lease outlives its holder, and the zone would otherwise
+   * wait for its expiry.
    */
   claimRelay(isLive: (nodeId: string) => boolean): ResultAsync<RelayLease | undefined, StoreError> {
     return this.store.range(relayPrefixOf(this.zone)).andThen(({ entries }) => {
-      const held = new Map(entries.map((entry) => [entry.key, entry]));
+      const holders = new Map(entries.map((entry) => [entry.key, entry]));
       const slots = Array.from({ length: RELAYS_PER_ZONE }, (_, slot) => slot);
-      const free = slots.flatMap((slot): FreeSlot[] => {
-        const holder = held.get(relayKeyOf(this.zone, slot));
+      const freeSlots = slots.flatMap((slot): FreeSlot[] => {
+        const holder = holders.get(relayKeyOf(this.zone, slot));
         if (holder === undefined) return [{ slot, modRevision: 0 }];
         return isLive(holder.value) ? [] : [{ slot, modRevision: holder.modRevision }];
       });
-      if (free.length === 0) return ok(undefined);
-      return new ResultAsync(this.#takeOneOf(free));
+      if (freeSlots.length === 0) return ok(undefined);
+      return new ResultAsync(this.#claimOneOf(freeSlots));
     });
   }
 
-  /** True if the lease still stands; false if it has lapsed. */
+  /** True if the lease was renewed; false if it has expired. */
   renewLease(lease: RelayLease): ResultAsync<boolean, StoreError> {
     return this.store
       .keepLeaseAlive(lease.leaseId)
@@ -112,36 +113,36 @@
       .orElse((error) => (error instanceof StoreLeaseNotFoundError ? ok(false) : err(error)));
   }
 
-  /** Gives the slot back. */
+  /** Releases the slot. */
   releaseRelay(lease: RelayLease): ResultAsync<void, StoreError> {
     return this.store.revokeLease(lease.leaseId);
   }
 
-  async #takeOneOf(
+  async #claimOneOf(
     slots: readonly FreeSlot[],
   ): Promise<Result<RelayLease | undefined, StoreError>> {
     const granted = await this.store.grantLease(RELAY_LEASE_SECONDS);
     if (granted.isErr()) return err(granted.error);
     const leaseId = granted.value;
-    const taken = await this.#firstTaken(slots, leaseId);
-    // A slot that was taken without our knowing goes with its lease.
-    if (taken.isErr() || taken.value === undefined) await this.store.revokeLease(leaseId);
-    return taken.map((slot) => (slot === undefined ? undefined : { leaseId, slot }));
+    const claimed = await this.#claimFirst(slots, leaseId);
+    // If the response to a successful claim was lost, revoking the lease also releases that slot.
+    if (claimed.isErr() || claimed.value === undefined) await this.store.revokeLease(leaseId);
+    return claimed.map((slot) => (slot === undefined ? undefined : { leaseId, slot }));
   }
 
-  /** Tries the slots in turn: another candidate may take one at the same moment. */
-  async #firstTaken(
+  /** Tries the slots in turn, since another candidate may claim one at the same time. */
+  async #claimFirst(
     slots: readonly FreeSlot[],
     leaseId: string,
   ): Promise<Result<number | undefined, StoreError>> {
     for (const { slot, modRevision } of slots) {
       const key = relayKeyOf(this.zone, slot);
-      const answer = await this.store.transaction(
+      const response = await this.store.transaction(
         [{ key, modRevision }],
         [{ type: 'put', key, value: this.nodeId, leaseId }],
       );
-      if (answer.isErr()) return err(answer.error);
-      if (answer.value.succeeded) return ok(slot);
+      if (response.isErr()) return err(response.error);
+      if (response.value.succeeded) return ok(slot);
     }
     return ok(undefined);
   }
