--- a/src/node/clock.ts
+++ b/src/node/clock.ts
@@ -1,8 +1,8 @@
-/** The process's clocks. Core logic never reads these; adapters pass their values in. */
+/** The clock of the process. The core never reads it; its callers pass the time. */
 import { performance } from 'node:perf_hooks';
 import type { Milliseconds } from '../core/units.js';
 
-/** Monotonic time since process start, in milliseconds. */
+/** Monotonic time since process start. */
 export function monotonicNow(): Milliseconds {
   return performance.now();
 }
--- a/src/node/fleet-nodes.ts
+++ b/src/node/fleet-nodes.ts
@@ -1,4 +1,4 @@
-/** A node of the fleet in the forms in which the parts of the program name it. */
+/** Converts a node of the fleet to the types that other modules use for it. */
 import type { ConfigurationMember } from '../core/configuration/relays.js';
 import type { ListedNode } from '../core/membership/contract.js';
 import type { Member } from '../core/membership/member.js';
@@ -7,23 +7,23 @@
 import type { FleetNode } from './fleet-view.js';
 import type { MemberSummary } from './node-status.js';
 
-/** A member as the status shows it. */
-export function summaryOf({ nodeId, zone, status }: Member): MemberSummary {
+/** Converts a member to its entry in the status. */
+export function toMemberSummary({ nodeId, zone, status }: Member): MemberSummary {
   return { nodeId, zone, status };
 }
 
-/** A node's address for links. */
-export function addressOf(node: FleetNode): PeerAddress {
+/** Returns the address for links to a node. */
+export function toPeerAddress(node: FleetNode): PeerAddress {
   return { host: node.host, port: node.peerPort };
 }
 
-/** A node as the configuration names it. */
-export function configurationMember(node: FleetNode): ConfigurationMember {
-  return { nodeId: node.nodeId, zone: node.zone, ...addressOf(node) };
+/** Converts a node to a member of the configuration exchange. */
+export function toConfigurationMember(node: FleetNode): ConfigurationMember {
+  return { nodeId: node.nodeId, zone: node.zone, ...toPeerAddress(node) };
 }
 
-/** A listed proxy as the membership names it. */
-export function listedNode(proxy: ProxyMachine): ListedNode {
+/** Converts a proxy of the machine list for the membership. */
+export function toListedNode(proxy: ProxyMachine): ListedNode {
   return {
     nodeId: proxy.name,
     zone: proxy.zone,
@@ -33,17 +33,17 @@
   };
 }
 
-/** Maps an array that is the same one until something changed, only when it has changed. */
-export function keptMapping<From, To>(
+/** Maps an array again only when `read` returns another array than before. */
+export function memoizeMapping<From, To>(
   read: () => readonly From[],
   mapItem: (item: From) => To,
 ): () => readonly To[] {
-  let from: readonly From[] = [];
-  let to: readonly To[] = [];
+  let previousInput: readonly From[] = [];
+  let output: readonly To[] = [];
   return () => {
     const current = read();
-    if (current !== from) to = current.map(mapItem);
-    from = current;
-    return to;
+    if (current !== previousInput) output = current.map(mapItem);
+    previousInput = current;
+    return output;
   };
 }
--- a/src/node/fleet-view.ts
+++ b/src/node/fleet-view.ts
@@ -1,16 +1,16 @@
 /**
- * This node's view of the fleet: the machine list gives machines and leaving marks, membership
- * gives liveness. Until membership has heard of a listed node, the list alone counts, but only for
- * a while: a node that is silent from the start can't be found dead by probes, and would otherwise
- * keep its groups and its place as a relay for as long as it is listed.
+ * This node's view of the fleet: the machine list provides the machines and which are leaving,
+ * membership provides liveness. A listed node that membership does not know yet counts as live, but
+ * only for a limited time: probes can't detect the failure of a node that has never responded, and
+ * it would otherwise keep its groups and its relay role for as long as it is listed.
  */
 import type { Member } from '../core/membership/member.js';
 import type { Milliseconds } from '../core/units.js';
 import type { DatabaseMachine, Machine, ProxyMachine } from '../platform/contract.js';
-import { EMPTY_FLEET, type Fleet, fleetOf } from './fleet.js';
+import { EMPTY_FLEET, type Fleet, splitByRole } from './fleet.js';
 import type { HomeNode } from './gateway/home-node-directory.js';
 
-/** A proxy that may be asked to serve. */
+/** A proxy node with its zone and its address for links. */
 export interface FleetNode {
   readonly nodeId: string;
   readonly zone: string;
@@ -18,23 +18,24 @@
   readonly peerPort: number;
 }
 
-/** Where the view gets its knowledge. */
+/** Sources of the view. */
 export interface FleetViewOptions {
   readonly self: FleetNode;
-  /** What membership knows of a node; undefined if it never heard of it. */
+  /** Looks a node up in the membership; undefined if it is not known there. */
   readonly memberOf: (nodeId: string) => Member | undefined;
   readonly members: () => readonly Member[];
   readonly now: () => Milliseconds;
 }
 
-/** How long a node that has left still counts as home of sessions, in ms: a session's life. */
-const REMEMBERED_MS: Milliseconds = 15 * 60_000;
+/** A node that has left stays a home node of sessions for this long: the session idle timeout. */
+const HOME_NODE_RETENTION_MS: Milliseconds = 15 * 60_000;
 
 /**
- * How long a node that is only listed counts as live, in ms from when this node first saw it listed:
- * twice what membership needs to hear of every node when a fleet starts at once.
+ * How long a listed node that membership does not know counts as live, from when this node first
+ * saw it listed: twice the time that membership needs to learn of every node when a whole fleet
+ * starts at the same time.
  */
-export const UNHEARD_GRACE_MS: Milliseconds = 10_000;
+export const UNCONFIRMED_NODE_GRACE_MS: Milliseconds = 10_000;
 
 interface RememberedNode {
   readonly node: FleetNode;
@@ -44,17 +45,17 @@
 /** This node's view of the fleet. */
 export class FleetView {
   readonly #options: FleetViewOptions;
-  readonly #remembered = new Map<string, RememberedNode>();
-  /** When each listed proxy was first seen on the list, since it was last absent from it. */
+  readonly #rememberedNodes = new Map<string, RememberedNode>();
+  /** When each listed proxy appeared in the list, counted from its last absence. */
   #firstListedAt: ReadonlyMap<string, Milliseconds> = new Map();
-  /** When the next of the live nodes stops to count unless it is heard of by then. */
-  #graceEndsAt: Milliseconds = Number.POSITIVE_INFINITY;
+  /** When the next live node that membership does not know stops counting as live. */
+  #nextGraceEndAt: Milliseconds = Number.POSITIVE_INFINITY;
   #fleet: Fleet = EMPTY_FLEET;
   #listedNodes: readonly FleetNode[] = [];
-  #selfLeaving = false;
-  /** Kept between two changes: asked for at every log-in and for every tenant at a snapshot. */
+  #hasStartedLeaving = false;
+  /** Cached until the next change: read at every log-in, and for every tenant of a snapshot. */
   #liveNodes: readonly FleetNode[] | undefined;
-  /** Kept between two changes: asked for at every look-up and record of a session. */
+  /** Cached until the next change: read at every look-up and record of a session. */
   #homeNodes: readonly HomeNode[] | undefined;
 
   constructor(options: FleetViewOptions) {
@@ -62,40 +63,40 @@
   }
 
   setMachines(machines: readonly Machine[]): void {
-    this.#fleet = fleetOf(machines);
+    this.#fleet = splitByRole(machines);
     this.#liveNodes = undefined;
     this.#homeNodes = undefined;
-    const staying = this.#fleet.proxies.filter(({ state }) => state !== 'leaving');
-    this.#listedNodes = staying.length === 0 ? [this.#options.self] : staying.map(nodeOf);
+    const remaining = this.#fleet.proxies.filter(({ state }) => state !== 'leaving');
+    this.#listedNodes = remaining.length === 0 ? [this.#options.self] : remaining.map(nodeOfProxy);
     const lastListedAt = this.#options.now();
     this.#firstListedAt = new Map(
       this.#fleet.proxies.map(({ name }) => [name, this.#firstListedAt.get(name) ?? lastListedAt]),
     );
     for (const proxy of this.#fleet.proxies) {
-      this.#remembered.set(proxy.name, { node: nodeOf(proxy), lastListedAt });
+      this.#rememberedNodes.set(proxy.name, { node: nodeOfProxy(proxy), lastListedAt });
     }
-    for (const [nodeId, { lastListedAt: last }] of this.#remembered) {
-      if (lastListedAt - last > REMEMBERED_MS) this.#remembered.delete(nodeId);
+    for (const [nodeId, { lastListedAt: last }] of this.#rememberedNodes) {
+      if (lastListedAt - last > HOME_NODE_RETENTION_MS) this.#rememberedNodes.delete(nodeId);
     }
   }
 
-  /** This node's planned stop has begun: it owns nothing any more, in its own view. */
+  /** This node's graceful shutdown has begun: in its own view it owns no groups any more. */
   setSelfLeaving(): void {
-    this.#selfLeaving = true;
+    this.#hasStartedLeaving = true;
     this.#liveNodes = undefined;
   }
 
-  /** Membership knows something else than before. */
+  /** To be called when the membership has changed. */
   membersChanged(): void {
     this.#liveNodes = undefined;
   }
 
   /**
-   * To be called from time to time. True if a listed node that was never heard of has used up its
-   * grace, so that the live nodes are to be worked out again.
+   * To be called periodically. True if the grace period of a listed node that membership does not
+   * know has ended, so that the live nodes have changed.
    */
-  dropSilentNodes(): boolean {
-    if (this.#liveNodes === undefined || this.#options.now() < this.#graceEndsAt) return false;
+  dropUnconfirmedNodes(): boolean {
+    if (this.#liveNodes === undefined || this.#options.now() < this.#nextGraceEndAt) return false;
     this.#liveNodes = undefined;
     return true;
   }
@@ -104,18 +105,21 @@
     return this.#fleet.databases;
   }
 
-  /** Proxies as the list names them, for seeds and leaving marks. */
+  /** Proxies of the machine list, for the membership's seeds and for which nodes are leaving. */
   get listedProxies(): readonly ProxyMachine[] {
     return this.#fleet.proxies;
   }
 
-  /** Nodes that may own groups: live (a suspicion is not yet a death) and not leaving. */
+  /** Nodes that may own groups: live (suspected nodes included) and not leaving. */
   liveNodes(): readonly FleetNode[] {
     this.#liveNodes ??= this.#selectLiveNodes();
     return this.#liveNodes;
   }
 
-  /** Nodes that may be home of a live session's positions, gone ones included; the same array until they change. */
+  /**
+   * Nodes that may be home nodes of a session in use, including nodes that have left; the same
+   * array until they change.
+   */
   homeNodes(): readonly HomeNode[] {
     this.#homeNodes ??= this.#selectHomeNodes();
     return this.#homeNodes;
@@ -125,17 +129,17 @@
     const { self } = this.#options;
     const nodes = new Map<string, FleetNode>();
     const now = this.#options.now();
-    this.#graceEndsAt = Number.POSITIVE_INFINITY;
+    this.#nextGraceEndAt = Number.POSITIVE_INFINITY;
     for (const member of this.#options.members()) {
-      if (isServing(member)) nodes.set(member.nodeId, memberNode(member));
+      if (isServing(member)) nodes.set(member.nodeId, nodeOfMember(member));
     }
     for (const proxy of this.#fleet.proxies) {
       if (proxy.state === 'leaving') nodes.delete(proxy.name);
       else if (proxy.name !== self.nodeId && this.#options.memberOf(proxy.name) === undefined) {
-        const endsAt = (this.#firstListedAt.get(proxy.name) ?? now) + UNHEARD_GRACE_MS;
-        if (endsAt <= now) continue;
-        this.#graceEndsAt = Math.min(this.#graceEndsAt, endsAt);
-        nodes.set(proxy.name, nodeOf(proxy));
+        const graceEndAt = (this.#firstListedAt.get(proxy.name) ?? now) + UNCONFIRMED_NODE_GRACE_MS;
+        if (graceEndAt <= now) continue;
+        this.#nextGraceEndAt = Math.min(this.#nextGraceEndAt, graceEndAt);
+        nodes.set(proxy.name, nodeOfProxy(proxy));
       }
     }
     if (this.#isSelfLeaving()) nodes.delete(self.nodeId);
@@ -144,18 +148,18 @@
   }
 
   /**
-   * Proxies that the list names and doesn't mark as leaving; if it names none, this node is alone.
-   * Empty until the list was read. The same array until the next list.
+   * Listed proxies that are not leaving; only this node if there are none. Empty until the list was
+   * read. The same array until the next list.
    */
   get listedNodes(): readonly FleetNode[] {
     return this.#listedNodes;
   }
 
-  /** Every node that may still run: listed, or a member that has neither failed nor left. */
+  /** Every node that may still be running: listed, or a member that has neither failed nor left. */
   knownNodes(): readonly FleetNode[] {
-    const nodes = new Map(this.#fleet.proxies.map((proxy) => [proxy.name, nodeOf(proxy)]));
+    const nodes = new Map(this.#fleet.proxies.map((proxy) => [proxy.name, nodeOfProxy(proxy)]));
     for (const member of this.#options.members()) {
-      if (isServing(member)) nodes.set(member.nodeId, memberNode(member));
+      if (isServing(member)) nodes.set(member.nodeId, nodeOfMember(member));
     }
     nodes.set(this.#options.self.nodeId, this.#options.self);
     return [...nodes.values()];
@@ -163,7 +167,7 @@
 
   #selectHomeNodes(): readonly HomeNode[] {
     const { self } = this.#options;
-    const nodes = new Map([...this.#remembered].map(([nodeId, { node }]) => [nodeId, node]));
+    const nodes = new Map([...this.#rememberedNodes].map(([nodeId, { node }]) => [nodeId, node]));
     if (!nodes.has(self.nodeId)) nodes.set(self.nodeId, self);
     return [...nodes.values()].map(({ nodeId, host, peerPort }) => ({
       nodeId,
@@ -174,7 +178,7 @@
   #isSelfLeaving(): boolean {
     const { self } = this.#options;
     const listed = this.#fleet.proxies.find((proxy) => proxy.name === self.nodeId);
-    return this.#selfLeaving || listed?.state === 'leaving';
+    return this.#hasStartedLeaving || listed?.state === 'leaving';
   }
 }
 
@@ -182,11 +186,11 @@
   return member.status === 'alive' || member.status === 'suspect';
 }
 
-function memberNode(member: Member): FleetNode {
+function nodeOfMember(member: Member): FleetNode {
   const { nodeId, zone, host, peerPort } = member;
   return { nodeId, zone, host, peerPort };
 }
 
-function nodeOf(proxy: ProxyMachine): FleetNode {
+function nodeOfProxy(proxy: ProxyMachine): FleetNode {
   return { nodeId: proxy.name, zone: proxy.zone, host: proxy.host, peerPort: proxy.peerPort };
 }
--- a/src/node/fleet.ts
+++ b/src/node/fleet.ts
@@ -1,4 +1,4 @@
-/** What the machine list says of the fleet, split by role. Immutable. */
+/** The machine list, split by role. Immutable. */
 import type { DatabaseMachine, Machine, ProxyMachine } from '../platform/contract.js';
 
 /** The listed machines, by role. */
@@ -7,11 +7,11 @@
   readonly databases: readonly DatabaseMachine[];
 }
 
-/** Before the machine list was read. */
+/** The fleet before the machine list was read. */
 export const EMPTY_FLEET: Fleet = { proxies: [], databases: [] };
 
 /** Splits a machine list by role. */
-export function fleetOf(machines: readonly Machine[]): Fleet {
+export function splitByRole(machines: readonly Machine[]): Fleet {
   return {
     proxies: machines.filter((machine) => machine.role === 'proxy'),
     databases: machines.filter((machine) => machine.role === 'database'),
--- a/src/node/gateway/gateway-service.ts
+++ b/src/node/gateway/gateway-service.ts
@@ -33,10 +33,10 @@
   readonly settings: Settings;
   readonly links: NodeLinks;
   readonly metrics: RequestMetrics;
-  readonly owners: OwnerDirectory;
+  readonly ownerDirectory: OwnerDirectory;
   /** The owner role of this node. */
-  readonly owner: OwnerService;
-  readonly fleet: FleetView;
+  readonly ownerService: OwnerService;
+  readonly fleetView: FleetView;
 }
 
 /** The gateway role of a node: its callers, their sessions and limits. */
@@ -49,14 +49,14 @@
   /** Enforces the tenants' connection limits across the fleet. */
   readonly limits: TenantLimitService;
   /** Stores the positions of sessions that have an id. */
-  readonly directory: HomeNodeDirectory;
+  readonly homeNodeDirectory: HomeNodeDirectory;
   #snapshot: ConfigurationSnapshot | undefined;
   #requestCount = 0;
 
   constructor(options: GatewayServiceOptions) {
     this.#options = options;
     this.#sessionKeys = sessionKeysOf(options.settings);
-    this.directory = this.#createDirectory();
+    this.homeNodeDirectory = this.#createDirectory();
     this.#client = this.#createClient();
     this.limits = this.#createLimits();
     this.#callers = this.#createCallerServer();
@@ -111,7 +111,7 @@
     const session = new GatewaySession(connection, {
       client: this.#client,
       sessionKeys: this.#sessionKeys,
-      directory: this.directory,
+      directory: this.homeNodeDirectory,
       policyOf: (tenant) => this.#policyOf(tenant),
       zone: this.#options.settings.zone,
       nextRequestId: () => this.#nextRequestId(),
@@ -163,17 +163,17 @@
       nodeId: this.#options.settings.nodeId,
       transport: this.#options.links.transport,
       rank: new NodeRanker(this.#options.links.hash).rank,
-      nodes: () => this.#options.fleet.homeNodes(),
+      nodes: () => this.#options.fleetView.homeNodes(),
       now: monotonicNow,
     });
   }
 
   #createClient(): GroupClient {
     return new GroupClient({
-      ownersOf: (group) => this.#options.owners.ownersOf(group),
+      ownersOf: (group) => this.#options.ownerDirectory.ownersOf(group),
       transport: this.#options.links.transport,
-      onOwnerRefused: (group) => this.#options.owners.onRefused(group),
-      acceptLocal: (message, stream) => this.#options.owner.acceptOpen(message, stream),
+      onOwnerRefused: (group) => this.#options.ownerDirectory.handleRefusal(group),
+      acceptLocal: (message, stream) => this.#options.ownerService.acceptOpen(message, stream),
       retryBudget: new RetryBudget(RETRY_BUDGET),
       now: monotonicNow,
     });
--- a/src/node/node-links.ts
+++ b/src/node/node-links.ts
@@ -1,4 +1,4 @@
-/** The links of a node that is being put together: listening already, routed once the node stands. */
+/** The peer links of a starting node: they listen first; services are added to the router later. */
 import type { Result } from 'neverthrow';
 import type { MeadowstackError } from '../core/errors.js';
 import type { OwnMember } from '../core/membership/machine.js';
@@ -11,7 +11,7 @@
 import type { Settings } from './settings.js';
 import { clusterSecretOf } from './settings-values.js';
 
-/** The open links of a node, and what came to be known while they were opened. */
+/** The open links of a node, with the identity, address and hash that its services need. */
 export interface NodeLinks {
   readonly identity: NodeIdentity;
   readonly router: PeerRouter;
@@ -20,7 +20,7 @@
   readonly hash: Hash64;
 }
 
-/** Begins to listen for peers. */
+/** Starts listening for peers. */
 export async function openLinks(settings: Settings): Promise<Result<NodeLinks, MeadowstackError>> {
   const identity = { nodeId: settings.nodeId, incarnation: Date.now() };
   const router = new PeerRouter();
@@ -28,17 +28,18 @@
   const transport = new TcpPeerTransport({
     identity,
     handlers: router,
-    // Only links with work under way are asked; a frozen owner is given up after three of these.
+    // Only links with calls or streams in progress are checked; after three heartbeat periods
+    // without a byte, a hung owner counts as lost.
     limits: { heartbeatPeriodMs: settings.peer.heartbeatMs },
-    events: { onLinkDown: (peer) => router.linkDown(peer) },
+    events: { onLinkDown: (peer) => router.handleLinkDown(peer) },
     ...(clusterSecret === undefined ? {} : { clusterSecret }),
   });
   const [listening, hash] = await Promise.all([transport.listen(settings.peer), loadHash64()]);
   return listening.map((address) => ({ identity, router, transport, address, hash }));
 }
 
-/** This node as its peers see it. */
-export function selfOf(settings: Settings, links: NodeLinks): OwnMember & FleetNode {
+/** Describes this node as its peers see it. */
+export function toOwnMember(settings: Settings, links: NodeLinks): OwnMember & FleetNode {
   return {
     ...links.identity,
     zone: settings.zone,
--- a/src/node/node-metrics.ts
+++ b/src/node/node-metrics.ts
@@ -1,6 +1,6 @@
 /**
- * Carries what a node does into its metrics: requests as they end; totals that the parts count
- * themselves, and gauges, before each scrape.
+ * Records a node's metrics: requests when they end; gauges, and totals that the services count
+ * themselves, before each scrape.
  */
 import { type NodeMetrics, type RequestRoute, syncCounter } from '../observability/metrics.js';
 import type { EndedRequest } from './gateway/request-metrics.js';
@@ -9,10 +9,10 @@
 const MILLISECONDS_PER_SECOND = 1000;
 const MEMBER_STATES = ['alive', 'suspect', 'leaving', 'dead'] as const;
 
-/** Raises a counter to a total. */
+/** Raises a counter to the given total. */
 type SetTotal = (total: number) => void;
 
-/** Totals of one group; they start again when the group comes back to this owner. */
+/** Totals of one group; they start at zero again when this node becomes its owner again. */
 interface GroupTotals {
   readonly replicaReads: SetTotal;
   readonly primaryReads: SetTotal;
@@ -21,12 +21,12 @@
   readonly writesConfirmed: SetTotal;
 }
 
-/** Copies what a node tells of itself into its metrics. */
+/** Records a node's requests and status in its metrics. */
 export class NodeMetricsRecorder {
   readonly #metrics: NodeMetrics;
   readonly #totals: ReturnType<typeof nodeTotals>;
   readonly #groups = new Map<string, GroupTotals>();
-  #revision = 0;
+  #lastRevision = 0;
 
   constructor(metrics: NodeMetrics) {
     this.#metrics = metrics;
@@ -43,12 +43,12 @@
     if (outcome === 'unknown') this.#metrics.unknown.inc({ reason });
   }
 
-  /** Brings gauges and totals up to date. */
+  /** Updates gauges and totals from the status. */
   refresh(status: NodeStatus): void {
     const metrics = this.#metrics;
     metrics.draining.set(status.state === 'leaving' ? 1 : 0);
     metrics.openConnections.set({ side: 'caller' }, status.callers);
-    this.#noteRevision(status.configuration.revision);
+    this.#recordRevision(status.configuration.revision);
     for (const state of MEMBER_STATES) {
       const members = status.members.filter((member) => member.status === state);
       metrics.members.set({ state }, members.length);
@@ -65,10 +65,11 @@
     this.#refreshTotals(status);
   }
 
-  #noteRevision(revision: number): void {
+  #recordRevision(revision: number): void {
     this.#metrics.configurationRevision.set(revision);
-    if (revision !== this.#revision) this.#metrics.configurationAppliedSeconds.setToCurrentTime();
-    this.#revision = revision;
+    if (revision !== this.#lastRevision)
+      this.#metrics.configurationAppliedSeconds.setToCurrentTime();
+    this.#lastRevision = revision;
   }
 
   #refreshTotals({ backend, peers, ...status }: NodeStatus): void {
--- a/src/node/owner-directory.ts
+++ b/src/node/owner-directory.ts
@@ -1,7 +1,8 @@
 /**
- * Which nodes own a group and in which order to ask them, by this node's view of the fleet, with
- * hand-over when the view changes. Views may differ between nodes: that costs connections, never
- * correctness. Decisions are the core's; this carries them over peer calls.
+ * Which nodes own a group and in which order to try them, according to this node's view of the
+ * fleet, with a hand-over when the view changes. Views may differ between nodes: that costs
+ * connections, never correctness. The core decides; this module carries out its effects over peer
+ * calls.
  */
 import { z } from 'zod';
 import { MeadowstackError } from '../core/errors.js';
@@ -13,37 +14,37 @@
 import type { Milliseconds } from '../core/units.js';
 import type { NodeIdentity, PeerTransport, WireValue } from '../peer/contract.js';
 import type { DatabaseMachine } from '../platform/contract.js';
-import { addressOf } from './fleet-nodes.js';
+import { toPeerAddress } from './fleet-nodes.js';
 import type { FleetNode } from './fleet-view.js';
 import type { OwnerReference } from './gateway/group-client.js';
 
-/** Tells a node that served a group before that the caller serves it now. */
+/** Announces to a former owner of a group that the calling node serves the group now. */
 export const SERVING_METHOD = 'ownership.serving';
 const CALL_TIMEOUT_MS = 1000;
-/** Gateways use former owners at most this long after a change; longer than warming takes. */
-const HAND_OVER_MS: Milliseconds = 3000;
+/** Gateways use former owners at most this long after a change; longer than the warm-up takes. */
+const MAX_HAND_OVER_MS: Milliseconds = 3000;
 
 const servingSchema = z.object({ group: z.string() });
 
-/** A peer's announcement is malformed. */
+/** A peer sent a malformed announcement. */
 export class OwnershipCallError extends MeadowstackError {
   readonly code = 'MS-OWNERSHIP-CALL';
 }
 
-/** What the directory of owners is made of. */
+/** Dependencies of the directory of owners. */
 export interface OwnerDirectoryOptions {
   readonly nodeId: string;
   readonly ownersPerGroup: number;
   readonly hash: Hash64;
   readonly transport: Pick<PeerTransport, 'call'>;
   readonly now: () => Milliseconds;
-  /** Get ready to serve the group; resolves when ready or as ready as can be. */
-  readonly warm: (group: GroupName) => Promise<void>;
-  /** This node serves other groups than before. */
+  /** Prepares this node to serve the group; resolves when it is ready or after a timeout. */
+  readonly warmUp: (group: GroupName) => Promise<void>;
+  /** Called when the groups that this node serves have changed. */
   readonly onChange: () => void;
 }
 
-/** Knows the owners of each group, and hands groups over when they change. */
+/** Determines the owners of each group, and hands groups over when the owners change. */
 export class OwnerDirectory {
   readonly #options: OwnerDirectoryOptions;
   readonly #index: OwnerIndex;
@@ -56,11 +57,11 @@
   constructor(options: OwnerDirectoryOptions) {
     this.#options = options;
     this.#index = new OwnerIndex(options.hash, options.ownersPerGroup);
-    this.#routes = new GroupRoutes(HAND_OVER_MS, (nodeId) => this.#nodes.has(nodeId));
+    this.#routes = new GroupRoutes(MAX_HAND_OVER_MS, (nodeId) => this.#nodes.has(nodeId));
     this.#handOver = new OwnerHandOver(options.nodeId);
   }
 
-  /** Live nodes as the fleet view has them now. */
+  /** Sets the live nodes of the fleet view. */
   setNodes(nodes: readonly FleetNode[]): void {
     const previous = this.#nodes;
     this.#nodes = new Map(nodes.map((node) => [node.nodeId, node]));
@@ -75,7 +76,7 @@
     }
   }
 
-  /** Groups and the zones of their instances, as the machine list has them now. */
+  /** Sets the groups and the zones of their instances from the machine list. */
   setGroups(machines: readonly DatabaseMachine[]): void {
     const zones = zonesByGroup(machines);
     for (const group of this.#groups) {
@@ -88,23 +89,25 @@
     this.#apply(changes);
   }
 
-  /** True if this node takes requests for the group: also before it is warm and until it retires. */
+  /** True if this node accepts requests for the group: also during warm-up and until it retires. */
   owns(group: GroupName): boolean {
     return this.#handOver.phaseOf(group) !== 'none';
   }
 
-  /** Whom to ask, best first. */
+  /** Owners to which requests are sent, in order of preference. */
   ownersOf(group: GroupName): readonly OwnerReference[] {
     const route = this.#routes.routeOf(group, this.#options.now());
     return route.flatMap((nodeId): OwnerReference[] => {
       if (nodeId === this.#options.nodeId) return [{ type: 'local' }];
       const node = this.#nodes.get(nodeId);
-      return node === undefined ? [] : [{ type: 'remote', address: addressOf(node) }];
+      return node === undefined ? [] : [{ type: 'remote', address: toPeerAddress(node) }];
     });
   }
 
-  /** An owner refused because it no longer owns the group. */
-  onRefused(group: GroupName): void {
+  /**
+   * To be called when an owner refused a request, for example because it no longer owns the group.
+   */
+  handleRefusal(group: GroupName): void {
     this.#routes.handleRedirect(group);
   }
 
@@ -141,7 +144,7 @@
     switch (effect.type) {
       case 'warm': {
         const { group } = effect;
-        void this.#options.warm(group).then(() => this.#handle({ type: 'warmed', group }));
+        void this.#options.warmUp(group).then(() => this.#handle({ type: 'warmed', group }));
         return;
       }
       case 'announce-serving':
@@ -152,7 +155,7 @@
         this.#options.onChange();
         return;
       case 'redirect':
-        // Gateways learn by the refusal of their next request, which did not run.
+        // Gateways learn of the change when their next request is refused, which then did not run.
         return;
     }
   }
@@ -160,8 +163,13 @@
   #announce(nodeId: string, group: GroupName): void {
     const node = this.#nodes.get(nodeId);
     if (node === undefined) return;
-    // A lost announcement is made up for by the former owner's deadline.
-    void this.#options.transport.call(addressOf(node), SERVING_METHOD, { group }, CALL_TIMEOUT_MS);
+    // If the announcement is lost, the former owner retires at its deadline.
+    void this.#options.transport.call(
+      toPeerAddress(node),
+      SERVING_METHOD,
+      { group },
+      CALL_TIMEOUT_MS,
+    );
   }
 
   #armTimer(): void {
--- a/src/node/peer-router.ts
+++ b/src/node/peer-router.ts
@@ -1,4 +1,6 @@
-/** Hands what peers ask to the service that answers it. Services are added while the node is put together. */
+/**
+ * Routes calls and streams of peers to the node's services, which are added while the node starts.
+ */
 import type {
   NodeIdentity,
   PeerAddress,
@@ -8,22 +10,22 @@
 } from '../peer/contract.js';
 import { UnknownMethodError } from '../peer/errors.js';
 
-/** Answers some methods. */
+/** Implements some of the peer methods. */
 export interface CallService {
   handles(method: string): boolean;
   onCall(method: string, body: WireValue, from: NodeIdentity): Promise<WireValue> | WireValue;
 }
 
-/** Routes peers' calls by method and their streams to the owner. */
+/** Routes peers' calls by method, and their streams to the owner role. */
 export class PeerRouter implements PeerHandlers {
   readonly #services: CallService[] = [];
   #acceptStream: (header: WireValue, stream: PeerStream) => void = (_, stream) =>
     stream.abort('the node is starting');
 
-  /** Told of links that this node dialled and that are lost. */
+  /** Called when a link that this node opened is lost. */
   onLinkDown: ((peer: PeerAddress) => void) | undefined;
 
-  linkDown(peer: PeerAddress): void {
+  handleLinkDown(peer: PeerAddress): void {
     this.onLinkDown?.(peer);
   }
 
@@ -31,7 +33,7 @@
     this.#services.push(service);
   }
 
-  /** Streams go to the owner job. */
+  /** Sets the handler of streams. */
   acceptStreams(accept: (header: WireValue, stream: PeerStream) => void): void {
     this.#acceptStream = accept;
   }
--- a/src/node/proxy-node.ts
+++ b/src/node/proxy-node.ts
@@ -1,4 +1,4 @@
-/** One proxy node put together: its links, membership, configuration, gateway and owner, from start to planned stop. */
+/** Assembles a proxy node from its services, and runs it from start to graceful shutdown. */
 import { setTimeout as pause } from 'node:timers/promises';
 import { err, ok, type Result, ResultAsync } from 'neverthrow';
 import type { ConfigurationSnapshot } from '../core/configuration/model.js';
@@ -15,13 +15,18 @@
 import { ServerStoppingError } from '../postgres/caller/errors.js';
 import { monotonicNow } from './clock.js';
 import { ConfigurationService } from './configuration/service.js';
-import { configurationMember, keptMapping, listedNode, summaryOf } from './fleet-nodes.js';
+import {
+  memoizeMapping,
+  toConfigurationMember,
+  toListedNode,
+  toMemberSummary,
+} from './fleet-nodes.js';
 import { type FleetNode, FleetView } from './fleet-view.js';
 import { GatewayService } from './gateway/gateway-service.js';
 import type { RequestMetrics } from './gateway/request-metrics.js';
 import { MachineListService } from './machine-list/service.js';
 import { MembershipService } from './membership/service.js';
-import { type NodeLinks, openLinks, selfOf } from './node-links.js';
+import { type NodeLinks, openLinks, toOwnMember } from './node-links.js';
 import type { NodeState, NodeStatus } from './node-status.js';
 import { BackendConnector } from './owner/backend-connector.js';
 import { OwnerService } from './owner/owner-service.js';
@@ -34,26 +39,26 @@
   createStore,
   probeTimingOf,
 } from './settings-values.js';
-import { groupPolicyOf, OUR_POLICY } from './test-policy.js';
+import { DEFAULT_POLICY, findGroupPolicy } from './test-policy.js';
 
-/** Connections of each instance that owners leave to operators and probes. */
+/** Connections of each instance that owners leave free for operators and probes. */
 const RESERVED_CONNECTIONS = 2;
-const DRAIN_POLL_MS = 20;
-/** How often groups that are no longer owned, and nodes that were never heard, are looked through. */
-const SWEEP_MS = 1000;
+const DRAIN_POLL_PERIOD_MS = 20;
+/** Interval of checks for groups no longer owned, and for listed nodes unknown to membership. */
+const SWEEP_PERIOD_MS = 1000;
 
 /** The proxy could not start. */
 export class ProxyStartError extends MeadowstackError {
   readonly code = 'MS-PROXY-START';
 }
 
-/** Where a started proxy listens. */
+/** Addresses on which a started proxy listens. */
 export interface ProxyAddresses {
   readonly callers: PeerAddress;
   readonly peer: PeerAddress;
 }
 
-/** What a proxy node is started with. */
+/** Dependencies of a proxy node. */
 export interface ProxyOptions {
   readonly settings: Settings;
   readonly logger: Logger;
@@ -68,19 +73,19 @@
   readonly #identity: NodeIdentity;
   readonly #transport: TcpPeerTransport;
   readonly #membership: MembershipService;
-  readonly #fleet: FleetView;
+  readonly #fleetView: FleetView;
   readonly #store: StoreClient;
   readonly #machineList: MachineListService;
   readonly #configuration: ConfigurationService;
-  readonly #connector: BackendConnector;
-  readonly #owners: OwnerDirectory;
-  readonly #owner: OwnerService;
+  readonly #backendConnector: BackendConnector;
+  readonly #ownerDirectory: OwnerDirectory;
+  readonly #ownerService: OwnerService;
   readonly #gateway: GatewayService;
   #isConfigured = false;
   #sweepTimer: NodeJS.Timeout | undefined;
-  /** Set from a change of members until the end of this event-loop turn. */
-  #fleetChange: NodeJS.Immediate | undefined;
-  #draining: Promise<void> | undefined;
+  /** Set when members have changed, until the change is applied in the next event-loop turn. */
+  #pendingFleetChange: NodeJS.Immediate | undefined;
+  #drainPromise: Promise<void> | undefined;
 
   private constructor(
     readonly options: ProxyOptions,
@@ -92,13 +97,13 @@
     this.#identity = links.identity;
     this.#transport = links.transport;
     this.addresses = { callers: settings.callers, peer: links.address };
-    const self = selfOf(settings, links);
+    const self = toOwnMember(settings, links);
     this.#membership = new MembershipService({
       self,
       transport: links.transport,
       clusterSecret: clusterSecretOf(settings),
     });
-    this.#fleet = new FleetView({
+    this.#fleetView = new FleetView({
       self,
       memberOf: (nodeId) => this.#membership.member(nodeId),
       members: () => this.#membership.members(),
@@ -106,21 +111,21 @@
     });
     this.#store = createStore(settings);
     this.#machineList = this.#createMachineList(self, links);
-    this.#owners = this.#createOwners(links);
-    this.#connector = new BackendConnector(settings.backend);
-    this.#owner = this.#createOwner();
+    this.#ownerDirectory = this.#createOwnerDirectory(links);
+    this.#backendConnector = new BackendConnector(settings.backend);
+    this.#ownerService = this.#createOwnerService();
     this.#gateway = new GatewayService({
       ...options,
       links,
-      owners: this.#owners,
-      owner: this.#owner,
-      fleet: this.#fleet,
+      ownerDirectory: this.#ownerDirectory,
+      ownerService: this.#ownerService,
+      fleetView: this.#fleetView,
     });
     this.#configuration = this.#createConfiguration(self);
-    this.#route(links.router);
+    this.#registerServices(links.router);
   }
 
-  /** Resolves once callers are served. */
+  /** Starts a node; resolves once it serves callers. */
   static start(options: ProxyOptions): ResultAsync<ProxyNode, ProxyStartError> {
     return new ResultAsync(ProxyNode.#start(options));
   }
@@ -132,20 +137,20 @@
     return node.#serve();
   }
 
-  /** Called once the planned stop is over. */
+  /** Called once the graceful shutdown is complete. */
   onDrained: (() => void) | undefined;
 
-  /** Planned stop: resolves once every session has ended or the drain limit has passed. */
+  /** Graceful shutdown: resolves once every session has ended or the drain limit has passed. */
   drain(): Promise<void> {
-    this.#draining ??= this.#drain();
-    return this.#draining;
+    this.#drainPromise ??= this.#drain();
+    return this.#drainPromise;
   }
 
-  /** Whether callers may be sent here. */
+  /** Whether this node can serve callers. */
   readiness(): Readiness {
     const reasons: string[] = [];
     if (!this.#isConfigured) reasons.push('no-configuration');
-    if (this.#draining !== undefined) reasons.push('draining');
+    if (this.#drainPromise !== undefined) reasons.push('draining');
     return { ready: reasons.length === 0, reasons };
   }
 
@@ -158,13 +163,16 @@
       state: this.#state(),
       configuration: this.#configuration.status(),
       callers: this.#gateway.callerCount,
-      sessionsKept: this.#gateway.directory.sessionCount,
-      backendConnectionsOpened: this.#connector.attemptCount,
-      backend: this.#connector.counters,
+      sessionsKept: this.#gateway.homeNodeDirectory.sessionCount,
+      backendConnectionsOpened: this.#backendConnector.attemptCount,
+      backend: this.#backendConnector.counters,
       storeRequests: this.#store.requestCount(),
-      primaryChanges: this.#owner.primaryChanges,
-      groups: [...this.#owner.statistics()].map(([group, figures]) => ({ group, ...figures })),
-      members: this.#membership.members().map(summaryOf),
+      primaryChanges: this.#ownerService.primaryChanges,
+      groups: [...this.#ownerService.statistics()].map(([group, statistics]) => ({
+        group,
+        ...statistics,
+      })),
+      members: this.#membership.members().map(toMemberSummary),
       machineList: this.#machineList.status(),
       membership: this.#membership.counters(),
       limits: this.#gateway.limits.status(),
@@ -173,18 +181,18 @@
   }
 
   #state(): NodeState {
-    if (this.#draining !== undefined) return 'leaving';
+    if (this.#drainPromise !== undefined) return 'leaving';
     return this.#isConfigured ? 'serving' : 'starting';
   }
 
   async #serve(): Promise<Result<ProxyNode, ProxyStartError>> {
     const { testPolicy } = this.#settings;
-    if (testPolicy !== OUR_POLICY) this.#logger.warn('test policy in force', { testPolicy });
+    if (testPolicy !== DEFAULT_POLICY) this.#logger.warn('test policy in force', { testPolicy });
     const joined = await this.#membership.start([]);
     if (joined.isErr()) return err(startError(joined.error));
     this.#membership.onMemberChanged = (event) => this.#onMemberChanged(event);
     this.#membership.onToldToLeave = () => void this.drain();
-    this.#sweepTimer = setInterval(() => this.#sweep(), SWEEP_MS);
+    this.#sweepTimer = setInterval(() => this.#sweep(), SWEEP_PERIOD_MS);
     this.#machineList.onChange = (machines) => this.#onMachines(machines);
     this.#machineList.start();
     this.#configuration.onSnapshot = (snapshot) => this.#onSnapshot(snapshot);
@@ -201,13 +209,15 @@
   async #drain(): Promise<void> {
     this.#logger.info('leaving', { callers: this.#gateway.callerCount });
     this.#membership.leave();
-    this.#fleet.setSelfLeaving();
+    this.#fleetView.setSelfLeaving();
     this.#onFleetChanged();
     this.#gateway.stopAccepting(new ServerStoppingError());
-    const limit = monotonicNow() + this.#settings.drainLimitMs;
-    while (this.#gateway.callerCount > 0 && monotonicNow() < limit) await pause(DRAIN_POLL_MS);
-    this.#owner.drain();
-    while (this.#owner.unfinishedCount > 0 && monotonicNow() < limit) await pause(DRAIN_POLL_MS);
+    const deadline = monotonicNow() + this.#settings.drainLimitMs;
+    while (this.#gateway.callerCount > 0 && monotonicNow() < deadline)
+      await pause(DRAIN_POLL_PERIOD_MS);
+    this.#ownerService.drain();
+    while (this.#ownerService.unfinishedCount > 0 && monotonicNow() < deadline)
+      await pause(DRAIN_POLL_PERIOD_MS);
     await this.#close();
     this.#logger.info('left');
     this.onDrained?.();
@@ -216,21 +226,21 @@
   async #close(): Promise<void> {
     clearInterval(this.#sweepTimer);
     await this.#gateway.close(new ServerStoppingError());
-    this.#owners.stop();
+    this.#ownerDirectory.stop();
     await this.#membership.stop();
-    clearImmediate(this.#fleetChange);
+    clearImmediate(this.#pendingFleetChange);
     await this.#configuration.stop();
     this.#machineList.stop();
-    this.#owner.close();
+    this.#ownerService.close();
     await this.#transport.close();
     this.#store.close();
   }
 
-  #createOwner(): OwnerService {
+  #createOwnerService(): OwnerService {
     return new OwnerService({
-      connector: this.#connector,
+      connector: this.#backendConnector,
       createStateMachine: (group) => this.#createGroup(group),
-      owns: (group) => this.#owners.owns(group),
+      owns: (group) => this.#ownerDirectory.owns(group),
       connectionBudget: (machine) => this.#connectionBudget(machine),
       now: monotonicNow,
       logger: this.#logger,
@@ -244,16 +254,16 @@
       confirmationMode: this.#settings.confirmation,
       timing: probeTimingOf(this.#settings),
       random: Math.random,
-      ...groupPolicyOf(this.#settings.testPolicy),
+      ...findGroupPolicy(this.#settings.testPolicy),
     });
   }
 
   #createConfiguration(self: FleetNode): ConfigurationService {
     return new ConfigurationService({
-      self: configurationMember(self),
+      self: toConfigurationMember(self),
       store: this.#store,
       transport: this.#transport,
-      members: keptMapping(() => this.#fleet.liveNodes(), configurationMember),
+      members: memoizeMapping(() => this.#fleetView.liveNodes(), toConfigurationMember),
       random: Math.random,
       now: monotonicNow,
     });
@@ -261,36 +271,36 @@
 
   #createMachineList(self: FleetNode, links: NodeLinks): MachineListService {
     return new MachineListService({
-      self: configurationMember(self),
+      self: toConfigurationMember(self),
       client: createMachineList(this.#settings),
       transport: links.transport,
-      members: keptMapping(() => this.#fleet.liveNodes(), configurationMember),
+      members: memoizeMapping(() => this.#fleetView.liveNodes(), toConfigurationMember),
       hash: links.hash,
       random: Math.random,
       now: monotonicNow,
     });
   }
 
-  #createOwners(links: NodeLinks): OwnerDirectory {
+  #createOwnerDirectory(links: NodeLinks): OwnerDirectory {
     return new OwnerDirectory({
       nodeId: this.#settings.nodeId,
       ownersPerGroup: this.#settings.ownersPerGroup,
       hash: links.hash,
       transport: links.transport,
       now: monotonicNow,
-      warm: (group) => this.#owner.warmUp(group),
-      onChange: () => this.#owner.reconcile(),
+      warmUp: (group) => this.#ownerService.warmUp(group),
+      onChange: () => this.#ownerService.reconcile(),
     });
   }
 
-  #route(router: PeerRouter): void {
-    router.acceptStreams((header, stream) => this.#owner.accept(header, stream));
+  #registerServices(router: PeerRouter): void {
+    router.acceptStreams((header, stream) => this.#ownerService.accept(header, stream));
     router.onLinkDown = (peer) => this.#onLinkDown(peer);
     router.add(this.#configuration);
     router.add(this.#machineList);
-    router.add(this.#gateway.directory);
+    router.add(this.#gateway.homeNodeDirectory);
     router.add(this.#gateway.limits);
-    router.add(this.#owners);
+    router.add(this.#ownerDirectory);
     router.add({
       handles: (method) => this.#membership.handlesCall(method),
       onCall: (method, body) => this.#membership.handleCall(method, body),
@@ -298,22 +308,22 @@
   }
 
   #onMachines(machines: readonly Machine[]): void {
-    this.#fleet.setMachines(machines);
-    this.#owner.setMachines(this.#fleet.databases);
-    this.#owners.setGroups(this.#fleet.databases);
-    this.#membership.setListedNodes(this.#fleet.listedProxies.map(listedNode));
+    this.#fleetView.setMachines(machines);
+    this.#ownerService.setMachines(this.#fleetView.databases);
+    this.#ownerDirectory.setGroups(this.#fleetView.databases);
+    this.#membership.setListedNodes(this.#fleetView.listedProxies.map(toListedNode));
     this.#onFleetChanged();
   }
 
   #onMemberChanged(event: MemberEvent): void {
     if (event.change === 'revision-changed') return;
     this.#logger.info(`member ${event.change}`, { member: event.member.nodeId });
-    this.#fleet.membersChanged();
-    // A node that joins learns of thousands of members in a few messages.
-    this.#fleetChange ??= setImmediate(() => this.#onFleetChanged());
+    this.#fleetView.membersChanged();
+    // Deferred, since a joining node learns of thousands of members from a few messages.
+    this.#pendingFleetChange ??= setImmediate(() => this.#onFleetChanged());
   }
 
-  /** A lost link is a hint: the node behind it is probed at once. */
+  /** Reports a lost link to the membership, which probes the node at the other end at once. */
   #onLinkDown(peer: PeerAddress): void {
     const member = this.#membership
       .members()
@@ -322,32 +332,32 @@
   }
 
   #sweep(): void {
-    if (this.#fleet.dropSilentNodes()) this.#onFleetChanged();
-    this.#owner.closeUnownedGroups();
+    if (this.#fleetView.dropUnconfirmedNodes()) this.#onFleetChanged();
+    this.#ownerService.closeUnownedGroups();
   }
 
   #onFleetChanged(): void {
-    clearImmediate(this.#fleetChange);
-    this.#fleetChange = undefined;
-    this.#owners.setNodes(this.#fleet.liveNodes());
-    this.#owner.reconcile();
+    clearImmediate(this.#pendingFleetChange);
+    this.#pendingFleetChange = undefined;
+    this.#ownerDirectory.setNodes(this.#fleetView.liveNodes());
+    this.#ownerService.reconcile();
     this.#configuration.membersChanged();
     this.#machineList.membersChanged();
     this.#gateway.limits.setFleet(
-      this.#fleet.liveNodes(),
-      this.#fleet.knownNodes(),
-      this.#fleet.listedNodes,
+      this.#fleetView.liveNodes(),
+      this.#fleetView.knownNodes(),
+      this.#fleetView.listedNodes,
     );
   }
 
   #onSnapshot(snapshot: ConfigurationSnapshot): void {
     this.#isConfigured = true;
     this.#membership.setConfigurationRevision(snapshot.revision);
-    this.#owner.setConfiguration(snapshot);
+    this.#ownerService.setConfiguration(snapshot);
     this.#gateway.setConfiguration(snapshot);
   }
 
-  /** Owners divide an instance's connections evenly. */
+  /** This owner's share of an instance's connections: all owners get equal shares. */
   #connectionBudget(machine: DatabaseMachine): number {
     const shared = Math.max(1, machine.maxConnections - RESERVED_CONNECTIONS);
     return Math.max(1, Math.floor(shared / this.#settings.ownersPerGroup));
@@ -355,5 +365,5 @@
 }
 
 function startError(cause: MeadowstackError): ProxyStartError {
-  return new ProxyStartError(`the proxy can not start: ${cause.message}`, { cause });
+  return new ProxyStartError(`the proxy cannot start: ${cause.message}`, { cause });
 }
--- a/src/node/run-proxy.ts
+++ b/src/node/run-proxy.ts
@@ -1,4 +1,4 @@
-/** Runs a proxy as a process: signals, admin server, and the line that tells its addresses. */
+/** Runs a proxy as a process: signals, admin server, and the output line with its addresses. */
 import { err, ok, type Result } from 'neverthrow';
 import type { MeadowstackError } from '../core/errors.js';
 import { startAdminServer } from '../observability/admin-server.js';
@@ -8,7 +8,10 @@
 import { ProxyNode } from './proxy-node.js';
 import type { Settings } from './settings.js';
 
-/** Resolves when the process has stopped as planned. `announce` gets one JSON line. */
+/**
+ * Runs a proxy; resolves after its graceful shutdown. `announce` is called with one JSON line that
+ * contains the addresses.
+ */
 export async function runProxy(
   settings: Settings,
   announce: (line: string) => void,
@@ -65,7 +68,7 @@
   return new Promise((resolve) => {
     node.onDrained = resolve;
     const stop = (): void => void node.drain();
-    // A second signal must not end the process in the middle of its planned stop.
+    // `on`, not `once`: a second signal must not end the process during its graceful shutdown.
     process.on('SIGTERM', stop);
     process.on('SIGINT', stop);
   });
--- a/src/node/setting-fields.ts
+++ b/src/node/setting-fields.ts
@@ -1,13 +1,13 @@
 /**
- * The settings that environment variables and flags can give: one entry a field, from which the
- * names of both follow (`callers.port`: `MEADOWSTACK_CALLERS_PORT`, `--callers-port`).
+ * The settings that environment variables and flags can set. The names of both are derived from the
+ * field's path (`callers.port`: `MEADOWSTACK_CALLERS_PORT`, `--callers-port`).
  */
 import type { FieldPath } from '../core/configuration/document.js';
 
-/** How the text of a variable or flag becomes a value. */
+/** How the text of a variable or flag is parsed. */
 export type SettingType = 'string' | 'integer' | 'list' | 'keys' | 'roles';
 
-/** One settable field. */
+/** One field that a variable or flag can set. */
 export interface SettingField {
   /** Dotted path in the settings file. */
   readonly path: string;
@@ -17,9 +17,9 @@
   readonly hidden?: boolean;
 }
 
-/** Every field that can be given outside the file. */
+/** Every field that can be set outside the settings file. */
 export const SETTING_FIELDS: readonly SettingField[] = [
-  { path: 'nodeId', type: 'string', description: 'name of this node, unique over the fleet' },
+  { path: 'nodeId', type: 'string', description: 'name of this node, unique in the fleet' },
   { path: 'zone', type: 'string', description: 'zone of this node' },
   { path: 'callers.host', type: 'string', description: 'address that callers connect to' },
   { path: 'callers.port', type: 'integer', description: 'port that callers connect to' },
@@ -34,15 +34,19 @@
   {
     path: 'peer.heartbeatMs',
     type: 'integer',
-    description: 'interval of heartbeats on a link with work under way; lost after three',
+    description: 'interval of heartbeats on a link in use; lost after three without response',
   },
-  { path: 'peer.secretHex', type: 'string', description: 'secret that all nodes share' },
+  { path: 'peer.secretHex', type: 'string', description: 'secret shared by all nodes' },
   { path: 'admin.host', type: 'string', description: 'address of the admin port' },
   { path: 'admin.port', type: 'integer', description: 'admin port' },
-  { path: 'store.endpoints', type: 'list', description: 'URLs of the store, with commas between' },
+  { path: 'store.endpoints', type: 'list', description: 'URLs of the store, separated by commas' },
   { path: 'machines.endpoint', type: 'string', description: 'URL of the machine list' },
-  { path: 'session.keys', type: 'keys', description: 'id:hex,… keys of tokens, current first' },
-  { path: 'backend.roles', type: 'roles', description: 'role=password,… of the back ends' },
+  {
+    path: 'session.keys',
+    type: 'keys',
+    description: 'id:hex,… keys of session tokens, current first',
+  },
+  { path: 'backend.roles', type: 'roles', description: 'role=password,… for the back ends' },
   {
     path: 'backend.defaultPassword',
     type: 'string',
@@ -54,44 +58,50 @@
   {
     path: 'backend.connectTimeoutMs',
     type: 'integer',
-    description: 'limit of a connection attempt',
+    description: 'timeout of a connection attempt',
   },
   {
     path: 'probe.intervalMs',
     type: 'integer',
-    description: 'between probes of a healthy instance',
+    description: 'interval between probes of a healthy instance',
   },
   {
     path: 'probe.suspectIntervalMs',
     type: 'integer',
-    description: 'between probes while the primary is suspected',
+    description: 'interval between probes while the primary is suspected',
+  },
+  { path: 'probe.timeoutMs', type: 'integer', description: 'timeout of one probe' },
+  { path: 'drainLimitMs', type: 'integer', description: 'time limit of a graceful shutdown' },
+  {
+    path: 'ownersPerGroup',
+    type: 'integer',
+    description: 'number of nodes that own a database group',
   },
-  { path: 'probe.timeoutMs', type: 'integer', description: 'limit of one probe' },
-  { path: 'drainLimitMs', type: 'integer', description: 'limit of a planned stop' },
-  { path: 'ownersPerGroup', type: 'integer', description: 'nodes that own a database group' },
   { path: 'confirmation', type: 'string', description: 'received or term' },
   { path: 'log.level', type: 'string', description: 'trace, debug, info, warn, error or silent' },
   { path: 'log.format', type: 'string', description: 'json or text' },
-  { path: 'testPolicy', type: 'string', description: 'baseline of the bench', hidden: true },
+  { path: 'testPolicy', type: 'string', description: 'policy for measurements', hidden: true },
 ];
 
-/** Name of the environment variable: `MEADOWSTACK_CALLERS_PORT`. */
+/** Returns the name of the environment variable: `MEADOWSTACK_CALLERS_PORT`. */
 export function environmentName(field: SettingField): string {
-  return `MEADOWSTACK_${wordsOf(field.path).join('_').toUpperCase()}`;
+  return `MEADOWSTACK_${splitIntoWords(field.path).join('_').toUpperCase()}`;
 }
 
-/** Name of the flag without its dashes: `callers-port`. */
+/** Returns the name of the flag without its dashes: `callers-port`. */
 export function flagName(field: SettingField): string {
-  return wordsOf(field.path).join('-').toLowerCase();
+  return splitIntoWords(field.path).join('-').toLowerCase();
 }
 
-/** The field's path as steps. */
+/** Returns the field's path as an array of keys. */
 export function fieldPathOf(field: SettingField): FieldPath {
   return field.path.split('.');
 }
 
-/** The value for the schema to check; text that does not fit the type is passed on as it is. */
-export function valueOfText(text: string, type: SettingType): unknown {
+/**
+ * Parses a value for the schema to check; text that does not fit the type is returned unchanged.
+ */
+export function parseValue(text: string, type: SettingType): unknown {
   switch (type) {
     case 'string':
       return text;
@@ -100,9 +110,9 @@
     case 'list':
       return splitList(text);
     case 'keys':
-      return splitList(text).map((item) => pairOf(item, ':', 'id', 'secretHex'));
+      return splitList(text).map((item) => parsePair(item, ':', 'id', 'secretHex'));
     case 'roles':
-      return splitList(text).map((item) => pairOf(item, '=', 'role', 'password'));
+      return splitList(text).map((item) => parsePair(item, '=', 'role', 'password'));
   }
 }
 
@@ -113,17 +123,20 @@
     .filter((item) => item !== '');
 }
 
-function pairOf(
+function parsePair(
   item: string,
   separator: string,
   firstName: string,
   secondName: string,
 ): Record<string, string> {
-  const at = item.indexOf(separator);
-  if (at < 0) return { [firstName]: item };
-  return { [firstName]: item.slice(0, at), [secondName]: item.slice(at + separator.length) };
+  const separatorIndex = item.indexOf(separator);
+  if (separatorIndex < 0) return { [firstName]: item };
+  return {
+    [firstName]: item.slice(0, separatorIndex),
+    [secondName]: item.slice(separatorIndex + separator.length),
+  };
 }
 
-function wordsOf(path: string): string[] {
+function splitIntoWords(path: string): string[] {
   return path.split('.').flatMap((step) => step.split(/(?=[A-Z])/));
 }
--- a/src/node/settings-schema.ts
+++ b/src/node/settings-schema.ts
@@ -1,10 +1,10 @@
 /**
- * The settings of a proxy process: their shape, bounds and defaults. Every field has a default
- * that lets a single node run on loopback; docs/operations/settings.md lists them.
+ * The settings of a proxy process: their schema, bounds and defaults. With the defaults a single
+ * node runs on loopback; docs/operations/settings.md lists them.
  */
 import { hostname } from 'node:os';
 import { z } from 'zod';
-import { OUR_POLICY, TEST_POLICIES } from './test-policy.js';
+import { DEFAULT_POLICY, TEST_POLICIES } from './test-policy.js';
 
 const DEFAULT_CALLERS_PORT = 6432;
 const DEFAULT_PEER_PORT = 7432;
@@ -58,9 +58,9 @@
   host: host.default('127.0.0.1'),
   /** TCP and UDP. */
   port: port.default(DEFAULT_PEER_PORT),
-  /** A link with work under way is lost after three of these without a byte. */
+  /** Heartbeat period: a link in use counts as lost after three periods without a byte. */
   heartbeatMs: durationMs.default(DEFAULT_LINK_HEARTBEAT_MS),
-  /** Shared by all nodes. Absent: any process that can connect may pose as a node. */
+  /** Shared by all nodes. Absent: any process that can connect can impersonate a node. */
   secretHex: secretHex.optional(),
 });
 
@@ -84,7 +84,7 @@
 const session = z.strictObject({
   /**
    * Keys of session tokens, the same on every node; the first signs, all verify. Empty: the node
-   * makes a key of its own at start, and its tokens are good on that node only.
+   * generates a key at start, and its tokens are valid on that node only.
    */
   keys: z.array(sessionKey).refine(haveUniqueIds, { error: 'expected unique key ids' }).default([]),
 });
@@ -94,20 +94,22 @@
 const backend = z.strictObject({
   /** Passwords of database roles. */
   roles: z.array(backendRole).default([]),
-  /** Password of roles that `roles` does not name. */
+  /** Password of roles that are not in `roles`. */
   defaultPassword: z.string().default(''),
   /** Role and database of the probes' connections; the role needs `pg_monitor`. */
   probeRole: z.string().min(1).default('meadowstack'),
   probeDatabase: z.string().min(1).default('postgres'),
-  /** `disable`: plain text; `require`: TLS, any certificate; `verify`: certificate and name checked. */
+  /**
+   * `disable`: plain text; `require`: TLS, any certificate; `verify`: certificate and name checked.
+   */
   tls: z.enum(['disable', 'require', 'verify']).default('disable'),
   connectTimeoutMs: durationMs.default(DEFAULT_CONNECT_TIMEOUT_MS),
 });
 
 const probe = z.strictObject({
-  /** Between probes of a healthy instance while requests come; five times that when none do. */
+  /** Interval between probes of a healthy instance; five times as long while the group is idle. */
   intervalMs: durationMs.default(DEFAULT_PROBE_INTERVAL_MS),
-  /** Between probes while the primary is suspected. */
+  /** Interval between probes while the primary is suspected. */
   suspectIntervalMs: durationMs.default(DEFAULT_SUSPECT_PROBE_INTERVAL_MS),
   timeoutMs: durationMs.default(DEFAULT_PROBE_TIMEOUT_MS),
 });
@@ -119,7 +121,7 @@
 
 /** Checks settings and fills in the defaults. */
 export const settingsSchema = z.strictObject({
-  /** Unique over the fleet. Default: host name and process id. */
+  /** Unique in the fleet. Default: host name and process id. */
   nodeId: name.default(() => `${hostname().slice(0, 50)}-${process.pid}`),
   zone: name.default('default'),
   callers: callers.prefault({}),
@@ -130,17 +132,17 @@
   session: session.prefault({}),
   backend: backend.prefault({}),
   probe: probe.prefault({}),
-  /** How long open transactions may take to finish in a planned stop. */
+  /** Time that open transactions have to finish during a graceful shutdown. */
   drainLimitMs: z.int().min(0).max(MAX_DURATION_MS).default(DEFAULT_DRAIN_LIMIT_MS),
   ownersPerGroup: z.int().min(1).max(MAX_OWNERS_PER_GROUP).default(DEFAULT_OWNERS_PER_GROUP),
-  /** How an acknowledgement is confirmed; see `ConfirmationMode` of the group machine. */
+  /** How an acknowledgement is confirmed; see `ConfirmationMode` of the group state machine. */
   confirmation: z.enum(['received', 'term']).default('received'),
   log: log.prefault({}),
-  /** Baselines of the bench; see test-policy.ts. Never set it in production. */
-  testPolicy: z.enum(TEST_POLICIES).default(OUR_POLICY),
+  /** Policy for measurements; see test-policy.ts. Never set it in production. */
+  testPolicy: z.enum(TEST_POLICIES).default(DEFAULT_POLICY),
 });
 
-/** Settings of a proxy process, complete. */
+/** Settings of a proxy process, with all defaults filled in. */
 export type Settings = z.output<typeof settingsSchema>;
 
 /** How back-end connections are opened. */
--- a/src/node/settings-values.ts
+++ b/src/node/settings-values.ts
@@ -1,4 +1,4 @@
-/** What the parts of a node are made with, worked out from its settings. */
+/** Creates clients, keys and options of a node's services from its settings. */
 import { createHmac, randomBytes } from 'node:crypto';
 import { readFileSync } from 'node:fs';
 import type { GroupTiming } from '../core/group/options.js';
@@ -9,33 +9,33 @@
 } from '../platform/machine-list-client.js';
 import { DEFAULT_STORE_CLIENT_OPTIONS, StoreClient } from '../platform/store-client.js';
 import type { CallerTlsOptions } from '../postgres/caller/options.js';
-import { endpointOf } from './endpoints.js';
+import { parseEndpoint } from './endpoints.js';
 import type { Settings } from './settings.js';
 
 const SECRET_BYTES = 32;
-/** Quiet groups are probed this many times more slowly. */
-const QUIET_PROBE_FACTOR = 5;
+/** The probe period of an idle group is this many times the normal one. */
+const IDLE_PROBE_PERIOD_FACTOR = 5;
 
-/** The store's client. */
+/** Creates the client of the store. */
 export function createStore(settings: Settings): StoreClient {
   return new StoreClient({
     ...DEFAULT_STORE_CLIENT_OPTIONS,
-    endpoint: endpointOf(settings.store.endpoints[0] ?? ''),
+    endpoint: parseEndpoint(settings.store.endpoints[0] ?? ''),
     clientName: settings.nodeId,
   });
 }
 
-/** The machine list's client. */
+/** Creates the client of the machine list. */
 export function createMachineList(settings: Settings): MachineListClient {
   return new MachineListClient({
     ...DEFAULT_MACHINE_LIST_OPTIONS,
-    endpoint: endpointOf(settings.machines.endpoint),
+    endpoint: parseEndpoint(settings.machines.endpoint),
     clientName: settings.nodeId,
     random: Math.random,
   });
 }
 
-/** Keys of session tokens; a node without any makes one of its own. */
+/** Returns the keys of session tokens; without any in the settings, generates one. */
 export function sessionKeysOf(settings: Settings): SessionKeys {
   const [first, ...rest] = settings.session.keys.map((key) => ({
     id: key.id,
@@ -44,28 +44,28 @@
   return [first ?? { id: 'local', secret: randomBytes(SECRET_BYTES) }, ...rest];
 }
 
-/** The same on all nodes, so that unknown users can't be told by salts that differ. */
+/** The same on all nodes, so that unknown users can't be detected by salts that differ. */
 export function mockSecretOf([key]: SessionKeys): Buffer {
   return createHmac('sha256', key.secret).update('mock authentication').digest();
 }
 
-/** How often instances are probed. */
+/** Periods and timeout of the probes of instances. */
 export function probeTimingOf({ probe }: Settings): Partial<GroupTiming> {
   return {
     probePeriodMs: probe.intervalMs,
-    idleProbePeriodMs: probe.intervalMs * QUIET_PROBE_FACTOR,
+    idleProbePeriodMs: probe.intervalMs * IDLE_PROBE_PERIOD_FACTOR,
     fastProbePeriodMs: probe.suspectIntervalMs,
     probeTimeoutMs: probe.timeoutMs,
   };
 }
 
-/** Undefined: any process that can connect may pose as a node. */
+/** Undefined: any process that can connect can impersonate a node. */
 export function clusterSecretOf(settings: Settings): Buffer | undefined {
   const { secretHex } = settings.peer;
   return secretHex === undefined ? undefined : Buffer.from(secretHex, 'hex');
 }
 
-/** TLS towards callers; undefined if the settings name none. */
+/** TLS options for callers' connections; undefined if the settings have none. */
 export function callerTlsOf(settings: Settings): CallerTlsOptions | undefined {
   const { tls } = settings.callers;
   if (tls === undefined) return undefined;
--- a/src/node/settings.ts
+++ b/src/node/settings.ts
@@ -1,6 +1,6 @@
 /**
- * Loads the settings of a proxy process: a YAML file, then environment variables, then flags,
- * each layer over the one before. A problem names its file, line and field, or its variable or flag.
+ * Loads the settings of a proxy process from a YAML file, environment variables and flags; each
+ * overrides the one before. A problem names its file, line and field, or its variable or flag.
  */
 import { readFileSync } from 'node:fs';
 import { err, ok, type Result } from 'neverthrow';
@@ -19,21 +19,21 @@
   environmentName,
   fieldPathOf,
   flagName,
+  parseValue,
   SETTING_FIELDS,
   type SettingField,
-  valueOfText,
 } from './setting-fields.js';
 import { type Settings, settingsSchema } from './settings-schema.js';
 
 export type { BackendSettings, Settings } from './settings-schema.js';
 
-/** Where settings come from. */
+/** Sources of the settings. */
 export interface SettingsSources {
   /** Path of the YAML file; undefined if there is none. */
   readonly file: string | undefined;
   /** Environment variables; those not starting with `MEADOWSTACK_` are ignored. */
   readonly env: Readonly<Record<string, string | undefined>>;
-  /** Flags as parsed, by flag name without dashes: `callers-port`. Others are ignored. */
+  /** Parsed flags, by name without dashes: `callers-port`. Other flags are ignored. */
   readonly flags: Readonly<Record<string, unknown>>;
 }
 
@@ -52,11 +52,11 @@
   return readSettingsFile(sources.file).andThen((document) => checkLayers(document, sources));
 }
 
-/** A value given outside the file. */
+/** A value set outside the file. */
 interface Override {
   readonly path: FieldPath;
   readonly value: unknown;
-  /** Variable or flag that gave it. */
+  /** Variable or flag that set it. */
   readonly source: string;
 }
 
@@ -68,9 +68,9 @@
   if (text.isErr()) return err(text.error);
   const parsed = parseYaml(text.value, file);
   if (parsed.problems.length > 0) return err(new SettingsError(parsed.problems));
-  const [document, second] = parsed.documents;
-  if (second !== undefined) {
-    return err(new SettingsError([problemAt(second.locate([]), 'a single YAML document')]));
+  const [document, secondDocument] = parsed.documents;
+  if (secondDocument !== undefined) {
+    return err(new SettingsError([problemAt(secondDocument.locate([]), 'a single YAML document')]));
   }
   if (document !== undefined && !isRecord(document.value)) {
     return err(new SettingsError([problemAt(document.locate([]), 'a map of settings')]));
@@ -102,7 +102,9 @@
   return err(new SettingsError(toDocumentProblems(parsed.error.issues, locate)));
 }
 
-/** Variables first, flags after them, so that flags win. An empty variable counts as not set. */
+/**
+ * Flags come after variables, so that flags take precedence. An empty variable counts as not set.
+ */
 function collectOverrides(sources: SettingsSources): Override[] {
   const variables = SETTING_FIELDS.flatMap((field) => {
     const name = environmentName(field);
@@ -118,7 +120,7 @@
 }
 
 function overrideOf(field: SettingField, text: string, source: string): Override {
-  return { path: fieldPathOf(field), value: valueOfText(text, field.type), source };
+  return { path: fieldPathOf(field), value: parseValue(text, field.type), source };
 }
 
 function withValueAt(root: unknown, path: FieldPath, value: unknown): unknown {
--- a/src/node/test-policy.ts
+++ b/src/node/test-policy.ts
@@ -1,6 +1,7 @@
 /**
- * Baselines and ablations of the bench, by the name of a policy. Never for production: all but
- * `ours` give promises or performance away, so that their absence can be measured.
+ * Test policies: baselines, and variants with one mechanism disabled, for measurements. Never for
+ * production: every policy but `ours` gives up guarantees or performance, so that the effect of
+ * their absence can be measured.
  */
 import {
   ALL_MECHANISMS,
@@ -8,15 +9,15 @@
   type Mechanism,
 } from '../core/group/options.js';
 
-/** What a policy changes in the options of every group. */
+/** Options that a policy changes in every group. */
 export type GroupPolicy = Pick<DatabaseGroupOptions, 'routing' | 'disabledMechanisms'>;
 
-/** Name of the policy that is no baseline. */
-export const OUR_POLICY = 'ours';
+/** Name of the policy that changes nothing. */
+export const DEFAULT_POLICY = 'ours';
 const WITHOUT_PREFIX = 'without-';
 
 const BASELINES: ReadonlyMap<string, GroupPolicy> = new Map<string, GroupPolicy>([
-  [OUR_POLICY, {}],
+  [DEFAULT_POLICY, {}],
   ['primary-only', { routing: 'primary-only' }],
   [
     'any-replica',
@@ -33,8 +34,8 @@
   ...ALL_MECHANISMS.map((mechanism) => WITHOUT_PREFIX + mechanism),
 ];
 
-/** Options of the named policy; undefined if there is none of this name. */
-export function groupPolicyOf(name: string): GroupPolicy | undefined {
+/** Returns the options of the named policy; undefined if there is no such policy. */
+export function findGroupPolicy(name: string): GroupPolicy | undefined {
   const baseline = BASELINES.get(name);
   if (baseline !== undefined) return baseline;
   const mechanism = ALL_MECHANISMS.find((candidate) => name === WITHOUT_PREFIX + candidate);
--- a/test/unit/fleet-view.test.ts
+++ b/test/unit/fleet-view.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { Member, MemberStatus } from '../../src/core/membership/member.js';
-import { FleetView, UNHEARD_GRACE_MS } from '../../src/node/fleet-view.js';
+import { FleetView, UNCONFIRMED_NODE_GRACE_MS } from '../../src/node/fleet-view.js';
 import type { ProxyMachine } from '../../src/platform/contract.js';
 
 const SELF = { nodeId: 'self', zone: 'a', host: '127.0.0.1', peerPort: 1 };
@@ -68,15 +68,15 @@
   members.set('heard', memberOf('heard', 'alive'));
   view.membersChanged();
   assert.equal(liveIds(view), ['heard', 'self', 'silent']);
-  now += UNHEARD_GRACE_MS - 1;
-  assert.is(view.dropSilentNodes(), false);
+  now += UNCONFIRMED_NODE_GRACE_MS - 1;
+  assert.is(view.dropUnconfirmedNodes(), false);
   // Another list begins no new grace.
   view.setMachines([proxyOf('self'), proxyOf('silent'), proxyOf('heard')]);
   assert.equal(liveIds(view), ['heard', 'self', 'silent']);
   now += 1;
-  assert.is(view.dropSilentNodes(), true);
+  assert.is(view.dropUnconfirmedNodes(), true);
   assert.equal(liveIds(view), ['heard', 'self']);
-  assert.is(view.dropSilentNodes(), false, 'nothing more to drop');
+  assert.is(view.dropUnconfirmedNodes(), false, 'nothing more to drop');
 });
 
 test('a silent node that is heard of at last is live again', () => {
@@ -84,7 +84,7 @@
   const members = new Map<string, Member>();
   const view = viewOf(members, () => now);
   view.setMachines([proxyOf('late')]);
-  now = UNHEARD_GRACE_MS;
+  now = UNCONFIRMED_NODE_GRACE_MS;
   assert.equal(liveIds(view), ['self']);
   members.set('late', memberOf('late', 'alive'));
   view.membersChanged();
@@ -96,7 +96,7 @@
   const members = new Map([['gone', memberOf('gone', 'dead')]]);
   const view = viewOf(members, () => now);
   view.setMachines([proxyOf('self'), proxyOf('gone')]);
-  now = 60 * UNHEARD_GRACE_MS;
+  now = 60 * UNCONFIRMED_NODE_GRACE_MS;
   members.clear();
   view.membersChanged();
   assert.equal(liveIds(view), ['self']);
