--- a/test/integration/owner-stream.test.ts
+++ b/test/integration/owner-stream.test.ts
@@ -1,4 +1,6 @@
-/** The owner's end of a request against real instances: what it reports of a refused write. */
+/**
+ * The owner's side of a request on real instances: the result that it reports for a refused write.
+ */
 import { serialize } from 'pg-protocol';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -73,7 +75,9 @@
   };
 }
 
-/** Runs the write on the instance as if it were the primary, and resolves with what is reported. */
+/**
+ * Runs the write on the instance as if it were the primary, and resolves with the reported result.
+ */
 async function reportOf(
   group: DatabaseGroup,
   name: string,
--- a/test/property/wire-form.test.ts
+++ b/test/property/wire-form.test.ts
@@ -1,4 +1,7 @@
-/** The array form of messages carries everything, also through the codec, and refuses what is malformed. */
+/**
+ * The array form of messages preserves all fields, also through the codec; malformed ones are
+ * refused.
+ */
 import fc from 'fast-check';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -63,7 +66,7 @@
   return decodeValue(encodeValue(value, MAX_BYTES));
 }
 
-/** Without fields that are undefined, with bytes as text, so that values compare. */
+/** Removes undefined fields and converts bytes to text, so that values can be compared. */
 function comparable(value: unknown): unknown {
   if (value instanceof Uint8Array) return Buffer.from(value).toString('hex');
   if (Array.isArray(value)) return value.map(comparable);
--- a/test/unit/batch-runner.test.ts
+++ b/test/unit/batch-runner.test.ts
@@ -1,4 +1,7 @@
-/** Keyed batches on a connection: what the caller gets of the statement's and of COMMIT's answer. */
+/**
+ * Batches with an idempotency key: which parts of the responses to the statement and to COMMIT
+ * reach the caller.
+ */
 import { serialize } from 'pg-protocol';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -10,7 +13,7 @@
 const NOTHING: Buffer = Buffer.alloc(0);
 const COMMIT_ERROR = errorResponse({ severity: 'ERROR', code: '23503', message: 'deferred' });
 
-/** Answers each batch in turn. */
+/** A connection that answers the n-th batch with the n-th function. */
 function connectionWith(answers: readonly ((batch: BackendBatch) => void)[]): BackendConnection {
   let next = 0;
   const run = (batch: BackendBatch): void => {
--- a/test/unit/fleet-view.test.ts
+++ b/test/unit/fleet-view.test.ts
@@ -1,4 +1,4 @@
-/** The view of the fleet is kept between changes, and never outlives one. */
+/** The view of the fleet is cached between changes, and each change invalidates it. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { Member, MemberStatus } from '../../src/core/membership/member.js';
@@ -70,7 +70,7 @@
   assert.equal(liveIds(view), ['heard', 'self', 'silent']);
   now += UNCONFIRMED_NODE_GRACE_MS - 1;
   assert.is(view.dropUnconfirmedNodes(), false);
-  // Another list begins no new grace.
+  // Another list does not restart the grace period.
   view.setMachines([proxyOf('self'), proxyOf('silent'), proxyOf('heard')]);
   assert.equal(liveIds(view), ['heard', 'self', 'silent']);
   now += 1;
--- a/test/unit/gateway-session.test.ts
+++ b/test/unit/gateway-session.test.ts
@@ -1,4 +1,4 @@
-/** The gateway's session against an owner of the test's own. */
+/** A session of the gateway with an owner that the test simulates. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { TenantPolicy } from '../../src/core/configuration/model.js';
@@ -33,7 +33,7 @@
   revision: 1,
 };
 
-/** What the caller was told at the end of one batch. */
+/** What was reported to the caller at the end of one batch. */
 interface BatchEnd {
   readonly error: RequestError | undefined;
   readonly status: TransactionStatus;
@@ -93,7 +93,9 @@
   }
 }
 
-/** A session whose owner answers the n-th batch of every stream with the n-th answer. */
+/**
+ * Starts a session; `answer` is called with the stream and number of each batch and responds to it.
+ */
 async function sessionWith(
   answer: (stream: PeerStream, batch: number) => void,
   record: SessionDirectory['record'] = async () => true,
--- a/test/unit/home-node-directory.test.ts
+++ b/test/unit/home-node-directory.test.ts
@@ -1,4 +1,6 @@
-/** Records of session positions on home nodes, over a transport that fails as it is told to. */
+/**
+ * Records of session positions on home nodes, over a transport whose failures the test controls.
+ */
 import { errAsync, okAsync, type ResultAsync } from 'neverthrow';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -22,7 +24,7 @@
   readonly clock: { nowMs: number };
 }
 
-/** A directory on `proxy-1`; calls to a port succeed if `answers` says so. */
+/** A directory on `proxy-1`; a call to a port succeeds if `answers` returns true for it. */
 function createFixture(answers: (port: number, fixture: Fixture) => boolean): Fixture {
   const clock = { nowMs: 0 };
   const call = (peer: PeerAddress): ResultAsync<WireValue, MeadowstackError> => {
@@ -74,7 +76,7 @@
 test('once enough home nodes have recorded, the others are told no more', async () => {
   const fixture = createFixture((port) => port === 2);
   assert.is(await record(fixture), true);
-  // Another's record that has to be told again passes the time of the first one's next try.
+  // The second record needs a retry: by its end, a retry of the first would have been sent too.
   const later = createFixture((port, { called }) => port === 2 && called.length > 4);
   assert.is(await record(later), true);
   assert.equal(fixture.called, [2, 3]);
--- a/test/unit/node-metrics.test.ts
+++ b/test/unit/node-metrics.test.ts
@@ -1,4 +1,7 @@
-/** A node's own totals and gauges reach its metrics; a total that starts again never lowers a counter. */
+/**
+ * A node's totals and gauges reach its metrics; a total that restarts at zero never lowers a
+ * counter.
+ */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { NodeMetricsRecorder } from '../../src/node/node-metrics.js';
@@ -25,7 +28,7 @@
   };
 }
 
-/** Only what the recorder reads. */
+/** Only the fields that the recorder reads. */
 function nodeStatus(group: GroupStatus): NodeStatus {
   return {
     state: 'leaving',
