--- a/test/unit/gateway-session.test.ts
+++ b/test/unit/gateway-session.test.ts
@@ -1,4 +1,4 @@
-/** The gateway's session against an owner of the test's own. */
+/** A session of the gateway with an owner that the test simulates. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { TenantPolicy } from '../../src/core/configuration/model.js';
@@ -33,7 +33,7 @@
   revision: 1,
 };
 
-/** What the caller was told at the end of one batch. */
+/** What was reported to the caller at the end of one batch. */
 interface BatchEnd {
   readonly error: RequestError | undefined;
   readonly status: TransactionStatus;
@@ -93,7 +93,9 @@
   }
 }
 
-/** A session whose owner answers the n-th batch of every stream with the n-th answer. */
+/**
+ * Starts a session; `answer` is called with the stream and number of each batch and responds to it.
+ */
 async function sessionWith(
   answer: (stream: PeerStream, batch: number) => void,
   record: SessionDirectory['record'] = async () => true,
@@ -125,7 +127,7 @@
     metrics: { requestEnded: () => undefined },
     onClosed: () => undefined,
   });
-  await session.begin();
+  await session.start();
   return Object.assign(caller, { session });
 }
 
@@ -168,10 +170,10 @@
   const caller = await sessionWith(() => undefined);
   void caller.query('UPDATE orders SET state = 1');
   const revoked = new NotRunError('tenant-revoked', 'the tenant has no access any more');
-  caller.session.cut(revoked);
+  caller.session.endNow(revoked);
   assert.is(caller.terminated?.outcome, 'unknown');
   const idle = await sessionWith(() => undefined);
-  idle.session.cut(revoked);
+  idle.session.endNow(revoked);
   assert.is(idle.terminated, revoked);
 });
 
