--- a/src/postgres/statements/classify.ts
+++ b/src/postgres/statements/classify.ts
@@ -1,6 +1,6 @@
 /**
- * Classes of statements, behind a bounded cache. What isn't surely a read is a write; a text that
- * can't be read at all is a write, and the back end finds the fault.
+ * Classifies statements, with a bounded cache. A statement that isn't provably a read is a write. So is
+ * a text that can't be tokenized: the back end then reports the error.
  */
 import type { Milliseconds } from '../../core/units.js';
 import type { StatementClassification } from '../contract.js';
@@ -8,22 +8,21 @@
 import { splitStatements, type Token, TokenKind, tokenize } from './lexer.js';
 import { normalize, TOO_LONG, UNTERMINATED } from './normalize.js';
 import { ParseBudget } from './parse-budget.js';
-import { isSurelyRead } from './read-proof.js';
+import { isProvablyRead } from './read-proof.js';
 import { classifySetting } from './settings.js';
 import { findUnsupported } from './unsupported.js';
 
 const MAXIMUM_CACHE_ENTRIES = 20_000;
 const MAXIMUM_CACHE_CHARACTERS = 8 * 1024 * 1024;
-/** Longer normal forms are not cached and not parsed. */
-const MAXIMUM_CACHED_CHARACTERS = 8 * 1024;
+/** Longer normal forms are neither cached nor parsed. */
+const MAXIMUM_CACHEABLE_CHARACTERS = 8 * 1024;
 
-/** Longer normal forms are refused: looking them through would hold up other callers. */
-const MAXIMUM_NORMAL_CHARACTERS = 128 * 1024;
+/** Longer normal forms are refused: examining them would delay other callers. */
+const MAXIMUM_NORMAL_FORM_CHARACTERS = 128 * 1024;
 
-/** Classes of one text, by where it stands. */
-interface ClassPair {
+/** Classifications of one text outside and inside a transaction block. */
+interface ClassificationPair {
   readonly outside: StatementClassification;
-  /** Inside a transaction block. */
   readonly inside: StatementClassification;
 }
 
@@ -34,16 +33,16 @@
   sessionSetting: undefined,
 };
 const READ: StatementClassification = { ...WRITE, access: 'read' };
-const TOO_LONG_CLASS: StatementClassification = {
+const TOO_LONG_CLASSIFICATION: StatementClassification = {
   ...WRITE,
-  unsupportedFeature: `statement with more than ${MAXIMUM_NORMAL_CHARACTERS} characters besides literals`,
+  unsupportedFeature: `statement with more than ${MAXIMUM_NORMAL_FORM_CHARACTERS} characters besides literals`,
 };
-const WRITE_PAIR = samePair(WRITE);
+const WRITE_PAIR = sameInAndOutside(WRITE);
 
-/** SET, RESET, SHOW: their class depends on literals, which the normal form doesn't have. */
-const SETTING_WORDS: ReadonlySet<string> = new Set(['SET', 'RESET', 'SHOW']);
-/** Statements that change nothing but the transaction's own state. */
-const READING_COMMANDS: ReadonlySet<string> = new Set(['SAVEPOINT', 'RELEASE', 'CLOSE']);
+/** Commands whose classification depends on literals, which the normal form doesn't contain. */
+const SETTING_COMMANDS: ReadonlySet<string> = new Set(['SET', 'RESET', 'SHOW']);
+/** Commands that change only the state of the transaction itself. */
+const READ_COMMANDS: ReadonlySet<string> = new Set(['SAVEPOINT', 'RELEASE', 'CLOSE']);
 
 const EXPLAIN_OPTIONS: ReadonlySet<string> = new Set(['ANALYZE', 'ANALYSE', 'VERBOSE']);
 
@@ -52,9 +51,9 @@
   readonly now?: () => Milliseconds;
 }
 
-/** Classifier with a cache of its own. */
+/** Classifies statements and caches the results by normal form. */
 export class StatementClassifier {
-  private readonly cache = new TwoGenerationCache<ClassPair>(
+  private readonly cache = new TwoGenerationCache<ClassificationPair>(
     MAXIMUM_CACHE_ENTRIES,
     MAXIMUM_CACHE_CHARACTERS,
   );
@@ -64,27 +63,31 @@
     this.budget = new ParseBudget(options.now ?? (() => performance.now()));
   }
 
-  /** Class of a statement, or the strongest class of a string with several. */
+  /** Classifies a statement, or a string of several; one write among them makes the string a write. */
   classify(text: string, inTransaction = false): StatementClassification {
     const normal = normalize(text);
     if (normal === UNTERMINATED) return WRITE;
-    if (normal === TOO_LONG || normal.length > MAXIMUM_NORMAL_CHARACTERS) return TOO_LONG_CLASS;
-    const pair = this.cache.get(normal) ?? this.derive(normal, text);
+    if (normal === TOO_LONG || normal.length > MAXIMUM_NORMAL_FORM_CHARACTERS)
+      return TOO_LONG_CLASSIFICATION;
+    const pair = this.cache.get(normal) ?? this.computePair(normal, text);
     return inTransaction ? pair.inside : pair.outside;
   }
 
-  private derive(normal: string, text: string): ClassPair {
+  private computePair(normal: string, text: string): ClassificationPair {
     const statements = splitStatements(tokenize(normal) ?? []);
-    if (statements.some(isSetting)) return classifyWithValues(text);
-    if (normal.length > MAXIMUM_CACHED_CHARACTERS) return combine(statements.map(withoutParsing));
+    if (statements.some(isSettingStatement)) return classifyWithValues(text);
+    if (normal.length > MAXIMUM_CACHEABLE_CHARACTERS)
+      return combine(statements.map(classifyWithoutParsing));
     let complete = true;
     const classes = statements.map((tokens) => {
-      const known = byWords(tokens);
+      const known = classifyByKeywords(tokens);
       if (known !== undefined) return known;
-      const explained = withoutExplain(tokens);
-      const isRead = this.budget.spend(() => isSurelyRead(explained, textOf(explained, normal)));
+      const explained = stripExplain(tokens);
+      const isRead = this.budget.tryRun(() =>
+        isProvablyRead(explained, sourceTextOf(explained, normal)),
+      );
       if (isRead === undefined) complete = false;
-      return samePair(isRead === true ? READ : WRITE);
+      return sameInAndOutside(isRead === true ? READ : WRITE);
     });
     const pair = combine(classes);
     if (complete) this.cache.set(normal, pair);
@@ -94,71 +97,74 @@
 
 const sharedClassifier = new StatementClassifier();
 
-/** Class by the classifier that the whole process shares. `inTransaction`: inside a block. */
+/** Classifies with the classifier that the process shares. `inTransaction`: inside a transaction block. */
 export function classify(text: string, inTransaction = false): StatementClassification {
   return sharedClassifier.classify(text, inTransaction);
 }
 
-function samePair(statementClass: StatementClassification): ClassPair {
+function sameInAndOutside(statementClass: StatementClassification): ClassificationPair {
   return { outside: statementClass, inside: statementClass };
 }
 
-function isSetting(tokens: readonly Token[]): boolean {
+function isSettingStatement(tokens: readonly Token[]): boolean {
   const [first] = tokens;
-  return first?.kind === TokenKind.WORD && SETTING_WORDS.has(first.value);
+  return first?.kind === TokenKind.WORD && SETTING_COMMANDS.has(first.value);
 }
 
-function textOf(tokens: readonly Token[], text: string): string {
+function sourceTextOf(tokens: readonly Token[], text: string): string {
   return text.slice(tokens[0]?.start, tokens.at(-1)?.end);
 }
 
-function withoutParsing(tokens: readonly Token[]): ClassPair {
-  return byWords(tokens) ?? WRITE_PAIR;
+function classifyWithoutParsing(tokens: readonly Token[]): ClassificationPair {
+  return classifyByKeywords(tokens) ?? WRITE_PAIR;
 }
 
-/** Class that the words alone decide; undefined if the statement may be a read. */
-function byWords(tokens: readonly Token[]): ClassPair | undefined {
+/** Classifies by keywords alone; undefined if the statement may be a read and has to be parsed. */
+function classifyByKeywords(tokens: readonly Token[]): ClassificationPair | undefined {
   const feature = findUnsupported(tokens);
   if (feature !== undefined) {
     const refused = { ...WRITE, unsupportedFeature: feature.name };
     return { outside: refused, inside: feature.outsideTransactionOnly ? WRITE : refused };
   }
-  return transactionControl(tokens);
+  return classifyTransactionControl(tokens);
 }
 
-function transactionControl(tokens: readonly Token[]): ClassPair | undefined {
+function classifyTransactionControl(tokens: readonly Token[]): ClassificationPair | undefined {
   const [first, second] = tokens;
   if (first?.kind !== TokenKind.WORD) return undefined;
-  const access = readOnlyMode(tokens) ? 'read' : 'write';
+  const access = hasReadOnlyMode(tokens) ? 'read' : 'write';
   switch (first.value) {
     case 'BEGIN':
-      return samePair({ ...WRITE, access, transactionControl: 'begin' });
+      return sameInAndOutside({ ...WRITE, access, transactionControl: 'begin' });
     case 'START':
       return second?.value === 'TRANSACTION'
-        ? samePair({ ...WRITE, access, transactionControl: 'begin' })
+        ? sameInAndOutside({ ...WRITE, access, transactionControl: 'begin' })
         : undefined;
     case 'COMMIT':
     case 'END':
-      return samePair({ ...WRITE, transactionControl: 'commit' });
+      return sameInAndOutside({ ...WRITE, transactionControl: 'commit' });
     case 'ROLLBACK':
     case 'ABORT': {
       const toSavepoint = tokens.some((token) => token.value === 'TO');
-      return samePair(toSavepoint ? READ : { ...READ, transactionControl: 'rollback' });
+      return sameInAndOutside(toSavepoint ? READ : { ...READ, transactionControl: 'rollback' });
     }
     default:
-      return READING_COMMANDS.has(first.value) ? samePair(READ) : undefined;
+      return READ_COMMANDS.has(first.value) ? sameInAndOutside(READ) : undefined;
   }
 }
 
-/** READ ONLY among the modes of BEGIN, and no READ WRITE. */
-function readOnlyMode(tokens: readonly Token[]): boolean {
+/** True if the modes of BEGIN contain READ ONLY and not READ WRITE. */
+function hasReadOnlyMode(tokens: readonly Token[]): boolean {
   const follows = (word: string): boolean =>
     tokens.some((token, index) => token.value === 'READ' && tokens[index + 1]?.value === word);
   return follows('ONLY') && !follows('WRITE');
 }
 
-/** The statement behind EXPLAIN and its options; planning may already run its functions. */
-function withoutExplain(tokens: readonly Token[]): readonly Token[] {
+/**
+ * Returns the statement that follows EXPLAIN and its options. It is classified even without ANALYZE:
+ * planning may already run its functions.
+ */
+function stripExplain(tokens: readonly Token[]): readonly Token[] {
   if (tokens[0]?.value !== 'EXPLAIN') return tokens;
   let start = 1;
   if (tokens[start]?.value === '(') start = tokens.findIndex(({ value }) => value === ')') + 1;
@@ -166,33 +172,39 @@
   return tokens.slice(start);
 }
 
-function classifyWithValues(text: string): ClassPair {
+function classifyWithValues(text: string): ClassificationPair {
   const statements = splitStatements(tokenize(text) ?? []);
   return combine(
-    statements.map((tokens) => (isSetting(tokens) ? settingClass(tokens) : withoutParsing(tokens))),
+    statements.map((tokens) =>
+      isSettingStatement(tokens)
+        ? classifySettingStatement(tokens)
+        : classifyWithoutParsing(tokens),
+    ),
   );
 }
 
-function settingClass(tokens: readonly Token[]): ClassPair {
+function classifySettingStatement(tokens: readonly Token[]): ClassificationPair {
   const found = classifySetting(tokens);
-  if (found.type === 'gateway') return samePair({ ...READ, sessionSetting: found.setting });
+  if (found.type === 'gateway') return sameInAndOutside({ ...READ, sessionSetting: found.setting });
   if (found.type === 'unsupported')
-    return samePair({ ...WRITE, unsupportedFeature: found.feature });
-  return samePair(READ);
+    return sameInAndOutside({ ...WRITE, unsupportedFeature: found.feature });
+  return sameInAndOutside(READ);
 }
 
-function combine(pairs: readonly ClassPair[]): ClassPair {
+function combine(pairs: readonly ClassificationPair[]): ClassificationPair {
   const [first] = pairs;
-  if (first === undefined) return samePair(READ);
+  if (first === undefined) return sameInAndOutside(READ);
   if (pairs.length === 1) return first;
   return {
-    outside: strongest(pairs.map((pair) => pair.outside)),
-    inside: strongest(pairs.map((pair) => pair.inside)),
+    outside: mergeClassifications(pairs.map((pair) => pair.outside)),
+    inside: mergeClassifications(pairs.map((pair) => pair.inside)),
   };
 }
 
-/** Class of a string with several statements. */
-function strongest(classes: readonly StatementClassification[]): StatementClassification {
+/** Classification of a string with several statements. */
+function mergeClassifications(
+  classes: readonly StatementClassification[],
+): StatementClassification {
   const unsupported = classes.map(unsupportedAmongSeveral).find((name) => name !== undefined);
   const writes = classes.some(({ access }) => access === 'write');
   return { ...WRITE, access: writes ? 'write' : 'read', unsupportedFeature: unsupported };
--- a/src/postgres/statements/lexer.ts
+++ b/src/postgres/statements/lexer.ts
@@ -1,6 +1,6 @@
 /**
  * Splits SQL text into tokens by PostgreSQL's lexical rules with standard_conforming_strings on.
- * Source: PostgreSQL manual, "Lexical Structure". It knows nothing of grammar.
+ * Source: PostgreSQL manual, "Lexical Structure". The grammar is not checked.
  */
 
 export const TokenKind = {
@@ -34,7 +34,7 @@
 const UNDERSCORE = 0x5f;
 const FIRST_NON_ASCII = 0x80;
 const LOWER_CASE_BIT = 0x20;
-/** Letters that, right before a quote, make another kind of string: bit, escape, national, hex. */
+/** Prefix letters directly before a quote: bit (b), escape (e), national (n) and hex (x) strings. */
 const STRING_PREFIXES = 'benx';
 const LOWER_U = 0x75;
 const LOWER_E = 0x65;
@@ -57,7 +57,7 @@
   return code === 0x20 || (code >= 0x09 && code <= 0x0d);
 }
 
-/** Moves over a text token by token: `next`, then `kind`, `start`, `end`. */
+/** Iterates over the tokens of a text: call `next`, then read `kind`, `start` and `end`. */
 export class Lexer {
   kind: TokenKindValue = TokenKind.WHITESPACE;
   start = 0;
@@ -65,7 +65,7 @@
 
   constructor(readonly text: string) {}
 
-  /** Goes to the next token; false at the end of the text. */
+  /** Advances to the next token; false at the end of the text. */
   next(): boolean {
     this.start = this.end;
     if (this.start >= this.text.length) return false;
@@ -73,7 +73,7 @@
     return true;
   }
 
-  /** The token's characters. */
+  /** Text of the current token. */
   get token(): string {
     return this.text.slice(this.start, this.end);
   }
@@ -85,7 +85,7 @@
     else if (code === QUOTE) this.readQuoted(this.start + 1, QUOTE, false);
     else if (code === DOUBLE_QUOTE) this.readQuoted(this.start + 1, DOUBLE_QUOTE, false);
     else if (code === DOLLAR) this.readDollar();
-    else this.readOther(code);
+    else this.readCommentOrPunctuation(code);
   }
 
   private set(kind: TokenKindValue, end: number): void {
@@ -93,20 +93,20 @@
     this.end = end;
   }
 
-  /** Code of a character after the token's first; NaN past the end, which equals nothing. */
-  private at(index: number): number {
+  /** Character code at an offset of the text; NaN past the end, which no comparison matches. */
+  private codeAt(index: number): number {
     return this.text.charCodeAt(index);
   }
 
   private readWord(code: number): void {
-    const next = this.at(this.start + 1);
+    const next = this.codeAt(this.start + 1);
     const lower = code | LOWER_CASE_BIT;
     if (next === QUOTE && STRING_PREFIXES.includes(String.fromCharCode(lower))) {
       this.readQuoted(this.start + 2, QUOTE, lower === LOWER_E);
       return;
     }
     if (next === AMPERSAND && lower === LOWER_U) {
-      const quote = this.at(this.start + 2);
+      const quote = this.codeAt(this.start + 2);
       if (quote === QUOTE || quote === DOUBLE_QUOTE) {
         this.readQuoted(this.start + 3, quote, false);
         return;
@@ -117,46 +117,46 @@
 
   private endOfWord(from: number): number {
     let index = from;
-    while (isWordPart(this.at(index))) index += 1;
+    while (isWordPart(this.codeAt(index))) index += 1;
     return index;
   }
 
   private readWhitespace(): void {
     let index = this.start + 1;
-    while (isWhitespace(this.at(index))) index += 1;
+    while (isWhitespace(this.codeAt(index))) index += 1;
     this.set(TokenKind.WHITESPACE, index);
   }
 
-  /** Digits, fraction, exponent. Letters right behind it are a token of their own. */
+  /** Digits, fraction, exponent. Letters that directly follow are a separate token. */
   private readNumber(from: number): void {
     let index = this.endOfDigits(from);
-    if (this.at(index) === PERIOD) index = this.endOfDigits(index + 1);
-    if ((this.at(index) | LOWER_CASE_BIT) === LOWER_E) {
+    if (this.codeAt(index) === PERIOD) index = this.endOfDigits(index + 1);
+    if ((this.codeAt(index) | LOWER_CASE_BIT) === LOWER_E) {
       const sign = /[+-]/.test(this.text.charAt(index + 1)) ? 1 : 0;
-      if (isDigit(this.at(index + 1 + sign))) index = this.endOfDigits(index + 1 + sign);
+      if (isDigit(this.codeAt(index + 1 + sign))) index = this.endOfDigits(index + 1 + sign);
     }
     this.set(TokenKind.NUMBER, index);
   }
 
   private endOfDigits(from: number): number {
     let index = from;
-    while (isDigit(this.at(index))) index += 1;
+    while (isDigit(this.codeAt(index))) index += 1;
     return index;
   }
 
-  /** From behind the opening quote; a doubled quote stands for itself. */
+  /** `from` is the offset after the opening quote; a doubled quote stands for one quote character. */
   private readQuoted(from: number, quote: number, backslashEscapes: boolean): void {
     const kind = quote === QUOTE ? TokenKind.STRING : TokenKind.QUOTED_IDENTIFIER;
-    const close = backslashEscapes ? this.endOfEscapeString(from) : this.endOfPlain(from, quote);
+    const close = backslashEscapes ? this.endOfEscapeString(from) : this.endOfQuoted(from, quote);
     if (close === -1) this.set(TokenKind.UNTERMINATED, this.text.length);
     else this.set(kind, close + 1);
   }
 
   /** Offset of the closing quote; -1 if there is none. */
-  private endOfPlain(from: number, quote: number): number {
+  private endOfQuoted(from: number, quote: number): number {
     const character = String.fromCharCode(quote);
     let close = this.text.indexOf(character, from);
-    while (close !== -1 && this.at(close + 1) === quote) {
+    while (close !== -1 && this.codeAt(close + 1) === quote) {
       close = this.text.indexOf(character, close + 2);
     }
     return close;
@@ -164,9 +164,9 @@
 
   private endOfEscapeString(from: number): number {
     for (let index = from; index < this.text.length; index += 1) {
-      const code = this.at(index);
+      const code = this.codeAt(index);
       if (code === BACKSLASH) index += 1;
-      else if (code === QUOTE && this.at(index + 1) === QUOTE) index += 1;
+      else if (code === QUOTE && this.codeAt(index + 1) === QUOTE) index += 1;
       else if (code === QUOTE) return index;
     }
     return -1;
@@ -174,16 +174,16 @@
 
   /** `$1`, `$$…$$`, `$tag$…$tag$`, or a lone dollar sign. */
   private readDollar(): void {
-    const first = this.at(this.start + 1);
+    const first = this.codeAt(this.start + 1);
     if (isDigit(first)) {
       this.set(TokenKind.PARAMETER, this.endOfDigits(this.start + 1));
       return;
     }
     let tagEnd = this.start + 1;
     if (isWordStart(first)) {
-      while (isWordPart(this.at(tagEnd)) && this.at(tagEnd) !== DOLLAR) tagEnd += 1;
+      while (isWordPart(this.codeAt(tagEnd)) && this.codeAt(tagEnd) !== DOLLAR) tagEnd += 1;
     }
-    if (this.at(tagEnd) !== DOLLAR) {
+    if (this.codeAt(tagEnd) !== DOLLAR) {
       this.set(TokenKind.PUNCTUATION, this.start + 1);
       return;
     }
@@ -193,8 +193,8 @@
     else this.set(TokenKind.STRING, close + delimiter.length);
   }
 
-  private readOther(code: number): void {
-    const next = this.at(this.start + 1);
+  private readCommentOrPunctuation(code: number): void {
+    const next = this.codeAt(this.start + 1);
     if (code === HYPHEN && next === HYPHEN) this.readLineComment();
     else if (code === SLASH && next === ASTERISK) this.readBlockComment();
     else if (code === PERIOD && isDigit(next)) this.readNumber(this.start);
@@ -203,7 +203,7 @@
 
   private readLineComment(): void {
     let index = this.start + 2;
-    while (index < this.text.length && this.at(index) !== 0x0a && this.at(index) !== 0x0d) {
+    while (index < this.text.length && this.codeAt(index) !== 0x0a && this.codeAt(index) !== 0x0d) {
       index += 1;
     }
     this.set(TokenKind.COMMENT, index);
@@ -214,8 +214,8 @@
     let depth = 1;
     let index = this.start + 2;
     while (index < this.text.length && depth > 0) {
-      const code = this.at(index);
-      const next = this.at(index + 1);
+      const code = this.codeAt(index);
+      const next = this.codeAt(index + 1);
       const opens = code === SLASH && next === ASTERISK;
       const closes = code === ASTERISK && next === SLASH;
       if (opens) depth += 1;
@@ -226,16 +226,16 @@
   }
 }
 
-/** A token that carries meaning: neither white space nor comment. */
+/** A token that is neither white space nor a comment. */
 export interface Token {
   readonly kind: TokenKindValue;
-  /** Upper case for words; without quotes for `"…"`; as written otherwise, `U&"…"` included. */
+  /** Words in upper case, `"…"` without its quotes, all else as written, including `U&"…"`. */
   readonly value: string;
   readonly start: number;
   readonly end: number;
 }
 
-/** Meaningful tokens of a text; undefined if it has an unterminated one. */
+/** Tokens of a text without white space and comments; undefined if one is unterminated. */
 export function tokenize(text: string): readonly Token[] | undefined {
   const tokens: Token[] = [];
   const lexer = new Lexer(text);
@@ -254,7 +254,7 @@
   return text.slice(1, -1).replaceAll('""', '"');
 }
 
-/** Statements of a string with several, split at semicolons; empty ones are left out. */
+/** Splits tokens into statements at semicolons; empty statements are omitted. */
 export function splitStatements(tokens: readonly Token[]): readonly (readonly Token[])[] {
   const statements: Token[][] = [[]];
   for (const token of tokens) {
--- a/src/postgres/statements/markers.ts
+++ b/src/postgres/statements/markers.ts
@@ -1,7 +1,7 @@
 /**
- * Markers of this project in sqlcommenter form, in a comment at the start or end of a statement:
+ * Reads this project's sqlcommenter markers from comments at the start or end of a statement:
  * `/*meadowstack_kind='unlock',meadowstack_deadline_ms='800'*\/`. Keys and values are URL-encoded.
- * Other keys in the comment, such as `traceparent`, are left alone. Source: sqlcommenter
+ * Other keys in the comment, such as `traceparent`, are ignored. Source: sqlcommenter
  * specification, "Sql Commenter: comment format".
  */
 import { err, ok, type Result } from 'neverthrow';
@@ -11,10 +11,10 @@
 
 const SEMICOLON = 0x3b;
 const MARKER_PREFIX = 'meadowstack_';
-/** A longer comment that holds markers is refused. */
+/** A longer comment that contains markers is refused. */
 const MAXIMUM_COMMENT_CHARACTERS = 2048;
 const MAXIMUM_VALUE_CHARACTERS = 200;
-/** A day: longer bounds make no sense for a request. */
+/** One day: a longer duration makes no sense for a request. */
 const MAXIMUM_DURATION_MS = 86_400_000;
 const PAIR = /^\s*([^=\s]+)\s*=\s*'((?:[^'\\]|\\.)*)'\s*$/;
 export const NO_MARKERS: StatementMarkers = {
@@ -24,7 +24,7 @@
   deadlineMs: undefined,
 };
 
-/** A marker that can't be read. The request does not run: guessing could run it twice. */
+/** A marker is invalid. The request isn't run: ignoring the marker could run it twice. */
 export class InvalidMarkerError extends RequestError {
   readonly code = 'MS-MARKER';
   readonly outcome = 'not-run';
@@ -38,7 +38,7 @@
   }
 }
 
-/** Markers of a statement; where one stands twice with different values it is an error. */
+/** Reads the markers of a statement. A marker given twice with different values is an error. */
 export function readMarkers(text: string): Result<StatementMarkers, InvalidMarkerError> {
   if (!text.includes(MARKER_PREFIX)) return ok(NO_MARKERS);
   let markers = NO_MARKERS;
@@ -50,7 +50,7 @@
   return ok(markers);
 }
 
-/** Bodies of the block comments before the first and behind the last meaningful token. */
+/** Bodies of the block comments before the first and after the last token of the statement itself. */
 function outerComments(text: string): readonly string[] {
   const leading: string[] = [];
   let trailing: string[] = [];
@@ -91,7 +91,7 @@
   return ok(markers);
 }
 
-/** Splits at commas outside quotes, in one pass: a hostile comment must not cost more. */
+/** Splits at commas outside quotes, in one pass, so that a hostile comment takes only linear time. */
 function splitPairs(comment: string): readonly string[] {
   const pairs: string[] = [];
   let start = 0;
@@ -115,38 +115,38 @@
 ): Result<StatementMarkers, InvalidMarkerError> {
   const match = PAIR.exec(pair);
   const name = match?.[1] ?? pair.trim().slice(0, 40);
-  const value = decode(match?.[2]);
+  const value = decodeValue(match?.[2]);
   if (value === undefined) return err(new InvalidMarkerError(name, "expected name='value'"));
   if (value.length === 0 || value.length > MAXIMUM_VALUE_CHARACTERS) {
     return err(new InvalidMarkerError(name, `takes 1 to ${MAXIMUM_VALUE_CHARACTERS} characters`));
   }
-  return assign(name, value, before);
+  return applyMarker(name, value, before);
 }
 
-function assign(
+function applyMarker(
   name: string,
   value: string,
   before: StatementMarkers,
 ): Result<StatementMarkers, InvalidMarkerError> {
   switch (name) {
     case 'meadowstack_once':
-      return once(name, before.once, value).map(() => ({ ...before, once: value }));
+      return rejectConflict(name, before.once, value).map(() => ({ ...before, once: value }));
     case 'meadowstack_kind':
-      return once(name, before.kind, value).map(() => ({ ...before, kind: value }));
+      return rejectConflict(name, before.kind, value).map(() => ({ ...before, kind: value }));
     case 'meadowstack_stale_ms':
       return readDuration(name, value)
-        .andThen((staleMs) => once(name, before.staleMs, staleMs))
+        .andThen((staleMs) => rejectConflict(name, before.staleMs, staleMs))
         .map((staleMs) => ({ ...before, staleMs }));
     case 'meadowstack_deadline_ms':
       return readDuration(name, value)
-        .andThen((deadlineMs) => once(name, before.deadlineMs, deadlineMs))
+        .andThen((deadlineMs) => rejectConflict(name, before.deadlineMs, deadlineMs))
         .map((deadlineMs) => ({ ...before, deadlineMs }));
     default:
       return err(new InvalidMarkerError(name, 'no marker of this name exists'));
   }
 }
 
-function once<Value>(
+function rejectConflict<Value>(
   name: string,
   before: Value | undefined,
   value: Value,
@@ -161,8 +161,8 @@
   return err(new InvalidMarkerError(name, `expected 0 to ${MAXIMUM_DURATION_MS} milliseconds`));
 }
 
-/** URL-decodes; sqlcommenter escapes quotes by a backslash besides. */
-function decode(value: string | undefined): string | undefined {
+/** Decodes URL encoding, and the backslash by which sqlcommenter also escapes quotes. */
+function decodeValue(value: string | undefined): string | undefined {
   try {
     return value === undefined ? undefined : decodeURIComponent(value.replaceAll("\\'", "'"));
   } catch {
--- a/src/postgres/statements/normalize.ts
+++ b/src/postgres/statements/normalize.ts
@@ -1,8 +1,8 @@
 /**
- * The form under which statements that differ only in literals and comments are cached: strings
- * become `'1'`, numbers `1`, parameters `$1`, lists of them and rows of such lists one of them, comments and
- * white space one space. The class of a statement depends on its words only, so that it is the same for all
- * texts of one form.
+ * Computes the normal form of a statement, the key under which its classification is cached. Strings
+ * become `'1'`, numbers `1`, parameters `$1`; a list of literals becomes one literal, rows of such lists
+ * become one row, and comments and white space one space. Texts with the same normal form have the same
+ * classification, as that depends on the words of a statement only.
  */
 import { Lexer, TokenKind, type TokenKindValue } from './lexer.js';
 
@@ -10,19 +10,19 @@
 const NUMBER_PLACEHOLDER = '1';
 const PARAMETER_PLACEHOLDER = '$1';
 
-/** Bounds the time that one text can take: about 0.1 s (measured). */
+/** Bounds the time spent on one text to about 0.1 s. */
 const MAXIMUM_TOKENS = 1_000_000;
 
-/** A string or comment of the text doesn't end. */
+/** The text has an unterminated string, quoted identifier or comment. */
 export const UNTERMINATED = Symbol('unterminated');
-/** The text has more tokens than are looked at. */
+/** The text has more than MAXIMUM_TOKENS tokens. */
 export const TOO_LONG = Symbol('too long');
-export type NormalizeFault = typeof UNTERMINATED | typeof TOO_LONG;
+export type NormalizationFailure = typeof UNTERMINATED | typeof TOO_LONG;
 
-/** `(1), (1), …`: rows of literals, each list already collapsed to one literal. */
+/** Matches `(1), (1), …`: rows of literals, each list already collapsed to one literal. */
 const LITERAL_ROWS = /(\((?:'1'|1|\$1)\))(?:, ?\((?:'1'|1|\$1)\))+/g;
 
-/** What a literal is replaced by; undefined for other tokens. */
+/** Placeholder of a literal or parameter; undefined for other tokens. */
 function placeholderOf(kind: TokenKindValue): string | undefined {
   if (kind === TokenKind.STRING) return STRING_PLACEHOLDER;
   if (kind === TokenKind.NUMBER) return NUMBER_PLACEHOLDER;
@@ -30,19 +30,19 @@
   return undefined;
 }
 
-/** Normal form of a text. */
-export function normalize(text: string): string | NormalizeFault {
+/** Returns the normal form of a text, or why it has none. */
+export function normalize(text: string): string | NormalizationFailure {
   const normal = collapseLiterals(text);
   if (typeof normal !== 'string' || !normal.includes('),') || normal.includes('"')) return normal;
   return normal.replace(LITERAL_ROWS, '$1');
 }
 
-function collapseLiterals(text: string): string | NormalizeFault {
+function collapseLiterals(text: string): string | NormalizationFailure {
   const lexer = new Lexer(text);
   let normal = '';
   let spaceBefore = false;
   let afterLiteral = false;
-  let commaHeld = false;
+  let isCommaPending = false;
   let tokenCount = 0;
   while (lexer.next()) {
     const { kind } = lexer;
@@ -54,19 +54,19 @@
       continue;
     }
     const placeholder = placeholderOf(kind);
-    if (placeholder !== undefined && commaHeld) {
-      commaHeld = false;
+    if (placeholder !== undefined && isCommaPending) {
+      isCommaPending = false;
       spaceBefore = false;
       continue;
     }
-    if (commaHeld) {
+    if (isCommaPending) {
       normal += ',';
-      commaHeld = false;
+      isCommaPending = false;
       afterLiteral = false;
       spaceBefore = true;
     }
     if (kind === TokenKind.PUNCTUATION && afterLiteral && lexer.token === ',') {
-      commaHeld = true;
+      isCommaPending = true;
       continue;
     }
     const needsSpace = spaceBefore || (afterLiteral && kind !== TokenKind.PUNCTUATION);
@@ -75,5 +75,5 @@
     spaceBefore = false;
     afterLiteral = placeholder !== undefined;
   }
-  return commaHeld ? `${normal},` : normal;
+  return isCommaPending ? `${normal},` : normal;
 }
--- a/src/postgres/statements/parse-budget.ts
+++ b/src/postgres/statements/parse-budget.ts
@@ -1,31 +1,32 @@
 /**
- * Bounds the share of the process's time that goes into parsing new statements, so that one tenant
- * who sends ever new texts can't hold up the others. Beyond it statements count as writes.
+ * Limits the fraction of the process's time spent on parsing statements that aren't cached, so that a
+ * tenant that keeps sending new texts can't delay the others. Statements beyond the limit are classified
+ * as writes.
  */
 import type { Milliseconds } from '../../core/units.js';
 
-/** Of each second, in the long run. */
-const PARSE_SHARE = 0.2;
-/** Unused time that is kept for later. */
-const MAXIMUM_SAVED_MS = 1000;
+/** Long-term fraction of elapsed time that may be spent on parsing. */
+const MAXIMUM_PARSE_FRACTION = 0.2;
+/** Upper bound of the unused parsing time that accumulates. */
+const MAXIMUM_AVAILABLE_MS = 1000;
 
 export class ParseBudget {
-  private savedMs = MAXIMUM_SAVED_MS;
+  private availableMs = MAXIMUM_AVAILABLE_MS;
   private updatedAt: Milliseconds;
 
   constructor(private readonly now: () => Milliseconds) {
     this.updatedAt = now();
   }
 
-  /** Runs `work` and counts its time; undefined, without running it, if the budget is used up. */
-  spend<Result>(work: () => Result): Result | undefined {
+  /** Runs `work` and charges its duration; returns undefined without running it if the budget is used up. */
+  tryRun<Result>(work: () => Result): Result | undefined {
     const start = this.now();
-    const earned = (start - this.updatedAt) * PARSE_SHARE;
-    this.savedMs = Math.min(MAXIMUM_SAVED_MS, this.savedMs + earned);
+    const earned = (start - this.updatedAt) * MAXIMUM_PARSE_FRACTION;
+    this.availableMs = Math.min(MAXIMUM_AVAILABLE_MS, this.availableMs + earned);
     this.updatedAt = start;
-    if (this.savedMs <= 0) return undefined;
+    if (this.availableMs <= 0) return undefined;
     const result = work();
-    this.savedMs -= this.now() - start;
+    this.availableMs -= this.now() - start;
     return result;
   }
 }
--- a/src/postgres/statements/pure-functions.ts
+++ b/src/postgres/statements/pure-functions.ts
@@ -1,7 +1,7 @@
 /**
- * Functions that change nothing: neither data nor sequences nor the session nor anything outside.
- * Source: PostgreSQL 15 manual, "Functions and Operators". A function that isn't listed makes its
- * statement a write.
+ * Functions without side effects on data, sequences, the session or anything outside the database.
+ * Source: PostgreSQL 15 manual, "Functions and Operators". A statement that calls a function that isn't
+ * listed is classified as a write.
  */
 const AGGREGATES = `
   any_value array_agg avg bit_and bit_or bit_xor bool_and bool_or corr count covar_pop covar_samp
@@ -46,7 +46,7 @@
   phraseto_tsquery plainto_tsquery to_tsquery to_tsvector ts_headline ts_rank ts_rank_cd
   websearch_to_tsquery gen_random_uuid`;
 
-/** Looks at the server without changing it. `pg_sleep` only waits. */
+/** Functions that read the server's state without changing it. `pg_sleep` only waits. */
 const SYSTEM = `
   col_description current_catalog current_database current_role current_schema current_schemas
   current_setting current_user format_type has_column_privilege has_database_privilege
--- a/src/postgres/statements/read-proof.ts
+++ b/src/postgres/statements/read-proof.ts
@@ -1,19 +1,19 @@
 /**
- * Shows of a statement that it surely changes nothing. Two proofs must agree: one over its words,
- * which is cheap and lets most writes go at once, and one over its syntax tree. What neither knows
- * is no read.
+ * Proves that a statement changes nothing. Two checks must agree: one of its words, which is cheap and
+ * rules out most writes at once, and one of its syntax tree. A statement with anything that a check
+ * doesn't know is not a read.
  */
 import { parse } from 'pgsql-ast-parser';
 import { type Token, TokenKind } from './lexer.js';
 import { PURE_FUNCTIONS } from './pure-functions.js';
 
-/** The parser takes about 0.1 ms a token (measured), so that long statements are not parsed. */
+/** The parser takes about 0.1 ms per token, so longer statements are not parsed. */
 const MAXIMUM_TOKENS = 300;
 
-const FIRST_WORDS: ReadonlySet<string> = new Set(['SELECT', 'WITH', 'VALUES']);
+const READ_FIRST_KEYWORDS: ReadonlySet<string> = new Set(['SELECT', 'WITH', 'VALUES']);
 
-/** Words that never stand in a statement that only reads, unless quoted. */
-const WRITING_WORDS: ReadonlySet<string> = new Set([
+/** Keywords that never occur unquoted in a read-only statement. */
+const WRITE_KEYWORDS: ReadonlySet<string> = new Set([
   'INTO',
   'INSERT',
   'UPDATE',
@@ -31,8 +31,8 @@
   'COPY',
 ]);
 
-/** Words that may stand before a parenthesis without calling a function. */
-const WORDS_BEFORE_PARENTHESIS: ReadonlySet<string> = new Set([
+/** Keywords that may precede a parenthesis without being a function call. */
+const KEYWORDS_BEFORE_PARENTHESIS: ReadonlySet<string> = new Set([
   'ALL',
   'AND',
   'ANY',
@@ -81,7 +81,7 @@
   'WHEN',
   'WHERE',
   'WITH',
-  // Type names with a length or precision.
+  // Type names that take a length or precision.
   'BIT',
   'CHAR',
   'CHARACTER',
@@ -93,8 +93,8 @@
   'VARYING',
 ]);
 
-/** Nodes of a syntax tree that read only; `call` is looked at besides. */
-const READING_NODES: ReadonlySet<string> = new Set([
+/** Types of syntax tree nodes that only read; for `call` the function is checked as well. */
+const READ_ONLY_NODE_TYPES: ReadonlySet<string> = new Set([
   'select',
   'union',
   'union all',
@@ -135,27 +135,27 @@
   'CROSS JOIN',
 ]);
 
-/** True if the statement surely reads only. `text` holds exactly the statement of `tokens`. */
-export function isSurelyRead(tokens: readonly Token[], text: string): boolean {
+/** True if the statement provably only reads. `text` is exactly the source of `tokens`. */
+export function isProvablyRead(tokens: readonly Token[], text: string): boolean {
   const first = firstWord(tokens);
-  if (first === undefined || !FIRST_WORDS.has(first)) return false;
+  if (first === undefined || !READ_FIRST_KEYWORDS.has(first)) return false;
   if (tokens.length > MAXIMUM_TOKENS) return false;
-  return wordsOnlyRead(tokens) && treeOnlyReads(text);
+  return areWordsReadOnly(tokens) && isSyntaxTreeReadOnly(text);
 }
 
-/** First word, past opening parentheses. */
+/** First word after any opening parentheses. */
 function firstWord(tokens: readonly Token[]): string | undefined {
   const first = tokens.find((token) => token.value !== '(');
   return first?.kind === TokenKind.WORD ? first.value : undefined;
 }
 
-function wordsOnlyRead(tokens: readonly Token[]): boolean {
+function areWordsReadOnly(tokens: readonly Token[]): boolean {
   return tokens.every((token, index) => {
     const isWord = token.kind === TokenKind.WORD;
-    if (isWord && WRITING_WORDS.has(token.value)) return false;
+    if (isWord && WRITE_KEYWORDS.has(token.value)) return false;
     if (tokens[index + 1]?.value !== '(') return true;
     if (token.kind === TokenKind.QUOTED_IDENTIFIER) return PURE_FUNCTIONS.has(token.value);
-    return !isWord || WORDS_BEFORE_PARENTHESIS.has(token.value) || isPureFunction(token.value);
+    return !isWord || KEYWORDS_BEFORE_PARENTHESIS.has(token.value) || isPureFunction(token.value);
   });
 }
 
@@ -163,25 +163,25 @@
   return PURE_FUNCTIONS.has(name.toLowerCase());
 }
 
-function treeOnlyReads(text: string): boolean {
+function isSyntaxTreeReadOnly(text: string): boolean {
   try {
     const statements = parse(text);
-    return statements.length === 1 && nodeOnlyReads(statements[0]);
+    return statements.length === 1 && isNodeReadOnly(statements[0]);
   } catch {
     return false;
   }
 }
 
-function nodeOnlyReads(node: unknown): boolean {
-  if (Array.isArray(node)) return node.every(nodeOnlyReads);
+function isNodeReadOnly(node: unknown): boolean {
+  if (Array.isArray(node)) return node.every(isNodeReadOnly);
   if (typeof node !== 'object' || node === null) return true;
   if ('type' in node) {
-    if (typeof node.type !== 'string' || !READING_NODES.has(node.type)) return false;
+    if (typeof node.type !== 'string' || !READ_ONLY_NODE_TYPES.has(node.type)) return false;
     if (node.type === 'select' && 'for' in node) return false;
     if (node.type === 'call' && 'function' in node && !callsPureFunction(node.function))
       return false;
   }
-  return Object.values(node).every(nodeOnlyReads);
+  return Object.values(node).every(isNodeReadOnly);
 }
 
 function callsPureFunction(name: unknown): boolean {
