--- a/src/node/gateway/gateway-session.ts
+++ b/src/node/gateway/gateway-session.ts
@@ -12,7 +12,7 @@
 import type { Position } from '../../core/position.js';
 import type { TenantName, ZoneName } from '../../core/request.js';
 import type { SessionKeys } from '../../core/session/index.js';
-import { type LocalResult, localAnswer } from '../../postgres/caller/local-answer.js';
+import { buildLocalResponse, type LocalResult } from '../../postgres/caller/local-response.js';
 import type {
   CallerBatch,
   CallerConnection,
@@ -306,7 +306,7 @@
       setting.name === SESSION_TOKEN_PARAMETER
         ? this.#positions.token()
         : (this.#connection.parameters.get(setting.name) ?? '');
-    this.#connection.write(localAnswer(batch, () => settingResult(setting, shown)));
+    this.#connection.write(buildLocalResponse(batch, () => settingResult(setting, shown)));
     this.#finish(this.#block.status);
   }
 
--- a/src/postgres/caller/batch-builder.ts
+++ b/src/postgres/caller/batch-builder.ts
@@ -1,6 +1,6 @@
 /**
- * Makes a batch of one simple Query, or of the extended-query messages up to Sync or Flush:
- * resolves prepared statements, rewrites their names, and notes what the batch would execute.
+ * Builds a batch from one simple Query, or from the extended-query messages up to Sync or Flush. It
+ * resolves prepared statements, rewrites their names, and records the texts that the batch would execute.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { serialize } from 'pg-protocol';
@@ -8,9 +8,8 @@
 import type { CallerBatch, PreparedStatement } from '../contract.js';
 import { ProtocolViolationError } from '../errors.js';
 import { FrontendMessageType } from '../messages.js';
-import type { AnswerStep } from './answer-merger.js';
 import { UnknownPortalError, UnknownPreparedStatementError } from './errors.js';
-import { textInFailedBlock } from './failed-block.js';
+import { rewriteInFailedBlock } from './failed-block.js';
 import { MessageAssembler } from './message-assembler.js';
 import {
   type Frame,
@@ -21,58 +20,60 @@
   readTarget,
   type StringField,
 } from './message-fields.js';
-import { type PreparedStatementStore, preparedStatementOf } from './prepared-statements.js';
+import { createPreparedStatement, type PreparedStatementStore } from './prepared-statements.js';
+import type { ResponseStep } from './response-merger.js';
 
 const SYNC = Buffer.from(serialize.sync());
 
-/** What the connection knows of its transaction when it builds a batch. */
+/** State of the connection's transaction block when a batch is built. */
 export interface BlockState {
   readonly inTransaction: boolean;
-  /** A refusal failed the block while the back end's still stands: only its end is let through. */
+  /** The proxy refused a statement of the block, which the back end still has open; see `failed-block.ts`. */
   readonly failed: boolean;
 }
 
 export interface BuiltBatch {
   readonly batch: CallerBatch;
-  /** One step for each message but Sync; empty for simple queries. */
-  readonly steps: readonly AnswerStep[];
-  /** Nothing of it needs the back end. */
-  readonly answeredLocally: boolean;
+  /** One step for each message except the boundary; empty for simple queries. */
+  readonly steps: readonly ResponseStep[];
+  /** True if no part of the batch needs the back end. */
+  readonly isAnsweredLocally: boolean;
 }
 
-type Step = Result<void, RequestError>;
-const DONE: Step = ok(undefined);
+type AddResult = Result<void, RequestError>;
+const DONE: AddResult = ok(undefined);
 
-/** The unnamed statement; `inBatch`: parsed by the batch in work, so the back end has it. */
+/** The unnamed prepared statement. */
 interface UnnamedStatement {
   readonly text: string;
   readonly parameterTypes: readonly number[];
-  inBatch: boolean;
+  /** True if the current batch parses it, so that the back end has it as its unnamed statement. */
+  isParsedInBatch: boolean;
 }
 
 /** Builds the batches of one connection, in order. */
 export class BatchBuilder {
   private unnamed: UnnamedStatement | undefined;
-  /** Texts behind the portals that are open. */
+  /** Statement texts of the open portals, by portal name. */
   private readonly portals = new Map<string, string>();
   private block: BlockState = { inTransaction: false, failed: false };
   private assembler = new MessageAssembler();
-  private steps: AnswerStep[] = [];
+  private steps: ResponseStep[] = [];
   private texts: string[] = [];
   private requires = new Map<string, PreparedStatement>();
 
   constructor(private readonly store: PreparedStatementStore) {}
 
-  /** Portals end with the batch, or with the transaction block that it stands in. */
-  endBatch(stillInTransaction: boolean): void {
+  /** Closes the portals, which last until the end of the batch or of its transaction block. */
+  handleBatchEnd(stillInTransaction: boolean): void {
     if (!stillInTransaction && this.portals.size > 0) this.portals.clear();
   }
 
-  simple(frame: Frame, block: BlockState): Result<BuiltBatch, RequestError> {
+  buildSimple(frame: Frame, block: BlockState): Result<BuiltBatch, RequestError> {
     const text = readQuery(frame);
     if (text === undefined) return err(malformed('Query'));
     this.unnamed = undefined;
-    const allowed = block.failed ? textInFailedBlock(text) : ok(text);
+    const allowed = block.failed ? rewriteInFailedBlock(text) : ok(text);
     if (allowed.isErr()) return err(allowed.error);
     const messages =
       allowed.value === text
@@ -85,18 +86,18 @@
       messages,
       endsWithFlush: false,
     };
-    return ok({ batch, steps: [], answeredLocally: false });
+    return ok({ batch, steps: [], isAnsweredLocally: false });
   }
 
   /** `boundary` is the Sync or Flush that ends `frames`. */
-  extended(
+  buildExtended(
     frames: readonly Frame[],
     boundary: Frame,
     block: BlockState,
   ): Result<BuiltBatch, RequestError> {
-    this.begin(block);
+    this.reset(block);
     for (const frame of frames) {
-      const step = this.take(frame);
+      const step = this.addMessage(frame);
       if (step.isErr()) return err(step.error);
     }
     const flush = boundary.type === FrontendMessageType.FLUSH;
@@ -106,17 +107,17 @@
     return ok(this.finish(boundary, flush));
   }
 
-  private begin(block: BlockState): void {
+  private reset(block: BlockState): void {
     this.block = block;
     this.assembler = new MessageAssembler();
     this.steps = [];
     this.texts = [];
     this.requires = new Map();
-    if (this.unnamed !== undefined) this.unnamed.inBatch = false;
+    if (this.unnamed !== undefined) this.unnamed.isParsedInBatch = false;
   }
 
   private finish(boundary: Frame, flush: boolean): BuiltBatch {
-    const answeredLocally = this.assembler.isEmpty && this.requires.size === 0;
+    const isAnsweredLocally = this.assembler.isEmpty && this.requires.size === 0;
     if (flush) this.assembler.add(SYNC, 0, SYNC.length);
     else this.assembler.add(boundary.buffer, boundary.start, boundary.end);
     const batch: CallerBatch = {
@@ -126,38 +127,38 @@
       messages: this.assembler.assemble(),
       endsWithFlush: flush,
     };
-    return { batch, steps: this.steps, answeredLocally };
+    return { batch, steps: this.steps, isAnsweredLocally: isAnsweredLocally };
   }
 
-  private take(frame: Frame): Step {
+  private addMessage(frame: Frame): AddResult {
     switch (frame.type) {
       case FrontendMessageType.PARSE:
-        return this.takeParse(frame);
+        return this.addParse(frame);
       case FrontendMessageType.BIND:
-        return this.takeBind(frame);
+        return this.addBind(frame);
       case FrontendMessageType.DESCRIBE:
-        return this.takeDescribe(frame);
+        return this.addDescribe(frame);
       case FrontendMessageType.EXECUTE:
-        return this.takeExecute(frame);
+        return this.addExecute(frame);
       case FrontendMessageType.CLOSE:
-        return this.takeClose(frame);
+        return this.addClose(frame);
       default:
         return err(new ProtocolViolationError(`unexpected message type ${frame.type}`));
     }
   }
 
-  private takeParse(frame: Frame): Step {
+  private addParse(frame: Frame): AddResult {
     const fields = readParse(frame);
     if (fields === undefined) return err(malformed('Parse'));
-    const allowed = this.allowedText(fields.text.text);
+    const allowed = this.checkText(fields.text.text);
     if (allowed.isErr()) return err(allowed.error);
     const text = allowed.value;
     if (fields.name.text === '') {
-      this.unnamed = { text, parameterTypes: fields.parameterTypes, inBatch: true };
+      this.unnamed = { text, parameterTypes: fields.parameterTypes, isParsedInBatch: true };
       this.relayParse(frame, text === fields.text.text, this.unnamed);
       return DONE;
     }
-    const statement = preparedStatementOf(text, fields.parameterTypes);
+    const statement = createPreparedStatement(text, fields.parameterTypes);
     const added = this.store.add(fields.name.text, statement);
     if (added.isErr()) return err(added.error);
     this.requires.set(statement.backendName, statement);
@@ -176,23 +177,24 @@
     this.assembler.add(message, 0, message.length);
   }
 
-  private takeBind(frame: Frame): Step {
+  private addBind(frame: Frame): AddResult {
     const fields = readBind(frame);
     if (fields === undefined) return err(malformed('Bind'));
-    const text = this.relayNaming(frame, fields.statement);
+    const text = this.relayWithStatementName(frame, fields.statement);
     if (text.isErr()) return err(text.error);
     this.portals.set(fields.portal.text, text.value);
     return DONE;
   }
 
-  private takeDescribe(frame: Frame): Step {
+  private addDescribe(frame: Frame): AddResult {
     const fields = readTarget(frame);
     if (fields === undefined) return err(malformed('Describe'));
-    if (fields.target === 'S') return this.relayNaming(frame, fields.name).map(() => undefined);
+    if (fields.target === 'S')
+      return this.relayWithStatementName(frame, fields.name).map(() => undefined);
     return this.relayPortal(frame, fields.name.text).map(() => undefined);
   }
 
-  private takeExecute(frame: Frame): Step {
+  private addExecute(frame: Frame): AddResult {
     const portal = readExecute(frame);
     if (portal === undefined) return err(malformed('Execute'));
     const text = this.relayPortal(frame, portal);
@@ -201,7 +203,7 @@
     return DONE;
   }
 
-  private takeClose(frame: Frame): Step {
+  private addClose(frame: Frame): AddResult {
     const fields = readTarget(frame);
     if (fields === undefined) return err(malformed('Close'));
     const name = fields.name.text;
@@ -221,28 +223,32 @@
     this.steps.push('relay');
   }
 
-  /** Relays a message that names a portal; gives its text, undefined for a cursor made by SQL. */
+  /** Relays a message that names a portal; returns its text, undefined for a cursor declared in SQL. */
   private relayPortal(frame: Frame, portal: string): Result<string | undefined, RequestError> {
     const text = this.portals.get(portal);
     if (text === undefined && !this.block.inTransaction) return err(new UnknownPortalError(portal));
-    const allowed = this.allowedText(text ?? '');
+    const allowed = this.checkText(text ?? '');
     if (allowed.isErr()) return err(allowed.error);
     this.relay(frame);
     return ok(text);
   }
 
-  /** Relays a message that names a statement, under the name the back end has; gives its text. */
-  private relayNaming(frame: Frame, name: StringField): Result<string, RequestError> {
-    if (name.text === '' && this.unnamed?.inBatch === true) {
+  /** Relays a message that names a statement, with the name it has on the back end; returns its text. */
+  private relayWithStatementName(frame: Frame, name: StringField): Result<string, RequestError> {
+    if (name.text === '' && this.unnamed?.isParsedInBatch === true) {
       this.relay(frame);
       return ok(this.unnamed.text);
     }
     const statement = this.resolve(name.text);
     if (statement === undefined) return err(new UnknownPreparedStatementError(name.text));
-    const allowed = this.allowedText(statement.text);
+    const allowed = this.checkText(statement.text);
     if (allowed.isErr()) return err(allowed.error);
-    const same = allowed.value === statement.text;
-    this.relayRenamed(frame, name, same ? statement : preparedStatementOf(allowed.value, []));
+    const isUnchanged = allowed.value === statement.text;
+    this.relayRenamed(
+      frame,
+      name,
+      isUnchanged ? statement : createPreparedStatement(allowed.value, []),
+    );
     return ok(allowed.value);
   }
 
@@ -258,11 +264,11 @@
 
   private resolve(name: string): PreparedStatement | undefined {
     if (name !== '') return this.store.get(name);
-    return this.unnamed && preparedStatementOf(this.unnamed.text, this.unnamed.parameterTypes);
+    return this.unnamed && createPreparedStatement(this.unnamed.text, this.unnamed.parameterTypes);
   }
 
-  private allowedText(text: string): Result<string, RequestError> {
-    return this.block.failed ? textInFailedBlock(text) : ok(text);
+  private checkText(text: string): Result<string, RequestError> {
+    return this.block.failed ? rewriteInFailedBlock(text) : ok(text);
   }
 }
 
--- a/src/postgres/caller/batch-queue.ts
+++ b/src/postgres/caller/batch-queue.ts
@@ -1,14 +1,14 @@
-/** Messages of a caller that wait, grouped into batches by their boundaries, and their size. */
+/** Queue of received messages of a caller, grouped into batches, that tracks their memory. */
 import { FrontendMessageType } from '../messages.js';
 import type { Frame } from './message-fields.js';
 
-/** Memory that a waiting message takes besides its bytes, so that tiny messages count too. */
+/** Memory of a queued message besides its bytes; counted so that many tiny messages reach the limit too. */
 const FRAME_OVERHEAD_BYTES = 128;
 
-/** Messages up to and including the one that ends the batch. */
-export interface WaitingBatch {
+/** A complete batch: messages up to and including the one that ends it. */
+export interface QueuedBatch {
   readonly frames: readonly Frame[];
-  /** Query, Sync, Flush or FunctionCall. */
+  /** The message that ends the batch: Query, Sync, Flush or FunctionCall. */
   readonly boundary: Frame;
   readonly bytes: number;
 }
@@ -22,49 +22,53 @@
 
 /** Queue of one connection. */
 export class BatchQueue {
-  /** Size of the batches that wait. */
-  waitingBytes = 0;
-  /** Size of the batch whose boundary is still to come. */
-  openBytes = 0;
-  private openFrames: Frame[] = [];
-  private waiting: WaitingBatch[] = [];
+  /** Memory of the complete batches in the queue. */
+  queuedBytes = 0;
+  /** Memory of the last batch, whose boundary hasn't arrived yet. */
+  incompleteBytes = 0;
+  private incompleteFrames: Frame[] = [];
+  private batches: QueuedBatch[] = [];
   private head = 0;
 
   get isEmpty(): boolean {
-    return this.head === this.waiting.length;
+    return this.head === this.batches.length;
   }
 
   /** Adds a message; true if it ends a batch. */
   add(frame: Frame): boolean {
-    this.openBytes += frame.end - frame.start + FRAME_OVERHEAD_BYTES;
+    this.incompleteBytes += frame.end - frame.start + FRAME_OVERHEAD_BYTES;
     if (!BOUNDARIES.has(frame.type)) {
-      this.openFrames.push(frame);
+      this.incompleteFrames.push(frame);
       return false;
     }
-    this.waiting.push({ frames: this.openFrames, boundary: frame, bytes: this.openBytes });
-    this.waitingBytes += this.openBytes;
-    this.openFrames = [];
-    this.openBytes = 0;
+    this.batches.push({
+      frames: this.incompleteFrames,
+      boundary: frame,
+      bytes: this.incompleteBytes,
+    });
+    this.queuedBytes += this.incompleteBytes;
+    this.incompleteFrames = [];
+    this.incompleteBytes = 0;
     return true;
   }
 
-  shift(): WaitingBatch | undefined {
-    const batch = this.waiting[this.head];
+  shift(): QueuedBatch | undefined {
+    const batch = this.batches[this.head];
     if (batch === undefined) return undefined;
     this.head += 1;
-    this.waitingBytes -= batch.bytes;
-    if (this.head === this.waiting.length) {
-      this.waiting = [];
+    this.queuedBytes -= batch.bytes;
+    if (this.head === this.batches.length) {
+      this.batches = [];
       this.head = 0;
     }
     return batch;
   }
 
   clear(): void {
-    this.openFrames = [];
-    this.waiting = [];
+    this.incompleteFrames = [];
+    this.batches = [];
     this.head = 0;
-    this.openBytes = 0;
-    this.waitingBytes = 0;
+    this.incompleteBytes = 0;
+    this.queuedBytes = 0;
   }
 }
--- a/src/postgres/caller/cancel-keys.ts
+++ b/src/postgres/caller/cancel-keys.ts
@@ -1,4 +1,4 @@
-/** Keys by which a CancelRequest on another connection names the one it means. */
+/** Keys that identify the connection to cancel in a CancelRequest, which arrives on another connection. */
 import { randomBytes, timingSafeEqual } from 'node:crypto';
 
 export interface CancelKey {
@@ -14,7 +14,7 @@
 
 const KEY_BYTES = 4;
 
-/** Both numbers are random: 63 bits to guess. */
+/** Issues keys. Both of their numbers are random: 63 bits to guess. */
 export class CancelKeyRegistry {
   private readonly entries = new Map<number, Entry>();
 
@@ -30,7 +30,7 @@
     this.entries.delete(key.processId);
   }
 
-  /** Does nothing if the key is wrong: who asks is told nothing either way. */
+  /** Ignores a wrong key. The sender gets no response in either case. */
   cancel(key: CancelKey): void {
     const entry = this.entries.get(key.processId);
     if (entry === undefined) return;
--- a/src/postgres/caller/connection.ts
+++ b/src/postgres/caller/connection.ts
@@ -1,6 +1,6 @@
 /**
- * One caller after log-in: cuts its messages into batches, hands them to the handler one at a time,
- * and writes the answers.
+ * Connection of one caller after log-in: groups its messages into batches, delivers them to the handler
+ * one at a time, and writes the responses.
  */
 import type { Socket } from 'node:net';
 import { err, type Result } from 'neverthrow';
@@ -17,15 +17,15 @@
   parameterStatus,
   readyForQuery,
 } from '../messages.js';
-import { AnswerMerger } from './answer-merger.js';
 import { BatchBuilder, type BuiltBatch } from './batch-builder.js';
-import { BatchQueue, type WaitingBatch } from './batch-queue.js';
+import { BatchQueue, type QueuedBatch } from './batch-queue.js';
 import type { Frame } from './message-fields.js';
 import type { CallerLimits } from './options.js';
 import { CallerOutput } from './output.js';
 import { PreparedStatementStore } from './prepared-statements.js';
+import { ResponseMerger } from './response-merger.js';
 
-/** Who the caller is, as the log-in found. */
+/** Identity of the caller, as established by the log-in. */
 export interface CallerIdentity {
   readonly id: string;
   readonly policy: TenantPolicy;
@@ -57,16 +57,16 @@
   private readonly store: PreparedStatementStore;
   private readonly builder: BatchBuilder;
   private running: CallerBatch | undefined;
-  private merger: AnswerMerger | undefined;
+  private merger: ResponseMerger | undefined;
   private errorSeen = false;
-  private refused = false;
+  private wasRefused = false;
   private status: TransactionStatus = 'I';
-  /** The status `E` that the caller sees is ours; the back end's block still stands. */
-  private failedByProxy = false;
-  private skippingToSync = false;
-  private delivering = false;
-  private open = true;
-  /** Terminate came: closes once the batches before it are answered. */
+  /** The caller sees status `E` because the proxy refused a statement; the back end's block is still open. */
+  private isFailedByProxy = false;
+  private isSkippingToSync = false;
+  private isDelivering = false;
+  private isOpen = true;
+  /** Terminate was received: the connection closes once the batches before it have ended. */
   private terminateReceived = false;
 
   constructor(
@@ -83,11 +83,11 @@
     this.store = new PreparedStatementStore(limits);
     this.builder = new BatchBuilder(this.store);
     this.reader = new FrameReader(
-      (type, buffer, start, end) => this.take({ type, buffer, start, end }),
+      (type, buffer, start, end) => this.receiveMessage({ type, buffer, start, end }),
       limits.messageBytes,
     );
     socket.on('data', (chunk: Buffer) => this.receive(chunk));
-    socket.on('close', () => this.closed());
+    socket.on('close', () => this.handleClose());
   }
 
   get onBatch(): BatchListener | undefined {
@@ -96,7 +96,7 @@
 
   set onBatch(listener: BatchListener | undefined) {
     this.batchListener = listener;
-    this.deliver();
+    this.deliverBatches();
   }
 
   get busy(): boolean {
@@ -105,7 +105,7 @@
 
   write(messages: Buffer): boolean {
     if (messages.length === 0) return true;
-    this.noteError(messages);
+    this.recordError(messages);
     if (this.merger === undefined) return this.output.write(messages);
     return this.merger.relay(messages, this.writeOutput);
   }
@@ -119,154 +119,161 @@
   }
 
   writeError(error: RequestError): void {
-    this.merger?.fail();
+    this.merger?.skipToSync();
     this.errorSeen = true;
-    this.refused = true;
+    this.wasRefused = true;
     this.output.write(errorResponseOf(error, 'ERROR'));
   }
 
   finish(status: TransactionStatus): void {
     const batch = this.running;
-    if (batch === undefined || !this.open) return;
+    if (batch === undefined || !this.isOpen) return;
     this.running = undefined;
-    this.settle(status, batch.statements.length > 0);
+    this.settleBatch(status, batch.statements.length > 0);
     if (!batch.endsWithFlush) this.output.write(readyForQuery(this.status));
-    else if (this.errorSeen) this.skippingToSync = true;
-    this.deliver();
+    else if (this.errorSeen) this.isSkippingToSync = true;
+    this.deliverBatches();
   }
 
   terminate(error: RequestError): void {
-    if (!this.open) return;
+    if (!this.isOpen) return;
     this.output.write(errorResponseOf(error, 'FATAL'));
-    this.end();
+    this.closeSocket();
   }
 
-  /** Tells the handler that a CancelRequest with this connection's key came. */
+  /** Notifies the handler of a CancelRequest with this connection's key, if a batch is running. */
   cancel(): void {
-    if (this.open && this.busy) this.onCancel?.();
+    if (this.isOpen && this.busy) this.onCancel?.();
   }
 
-  /** Takes bytes that came behind the log-in. */
+  /** Processes bytes received after the log-in. */
   receive(chunk: Buffer): void {
-    if (!this.open) return;
+    if (!this.isOpen) return;
     const pushed = this.reader.push(chunk);
     if (pushed.isErr()) this.terminate(pushed.error);
-    else this.regulateInput();
+    else this.updateSocketReading();
   }
 
-  private take(frame: Frame): void {
-    if (this.terminateReceived || !this.open) return;
+  private receiveMessage(frame: Frame): void {
+    if (this.terminateReceived || !this.isOpen) return;
     if (frame.type === FrontendMessageType.TERMINATE) {
       this.terminateReceived = true;
-      this.deliver();
+      this.deliverBatches();
       return;
     }
     if (COPY_MESSAGES.has(frame.type)) {
       this.terminate(new UnsupportedFeatureError('COPY'));
       return;
     }
-    if (this.queue.add(frame)) this.deliver();
-    else if (this.queue.openBytes > this.limits.messageBytes) {
-      this.terminate(new MessageTooLargeError(this.queue.openBytes, this.limits.messageBytes));
+    if (this.queue.add(frame)) this.deliverBatches();
+    else if (this.queue.incompleteBytes > this.limits.messageBytes) {
+      this.terminate(
+        new MessageTooLargeError(this.queue.incompleteBytes, this.limits.messageBytes),
+      );
     }
   }
 
-  /** Stops reading while enough waits; a batch that is only half there is always read on. */
-  private regulateInput(): void {
-    const full = this.queue.waitingBytes > this.limits.queuedBytes;
+  /**
+   * Pauses the socket while the queued batches exceed their limit. An incomplete batch doesn't count
+   * towards it, so it can always be read to its end.
+   */
+  private updateSocketReading(): void {
+    const full = this.queue.queuedBytes > this.limits.queuedBytes;
     if (full && !this.socket.isPaused()) this.socket.pause();
     else if (!full && this.socket.isPaused()) this.socket.resume();
   }
 
-  /** Hands out waiting batches as long as the handler ends them at once. */
-  private deliver(): void {
-    if (this.delivering) return;
-    this.delivering = true;
-    while (this.open && this.running === undefined && this.batchListener !== undefined) {
-      const waiting = this.queue.shift();
-      if (waiting === undefined) break;
-      this.start(waiting, this.batchListener);
+  /** Delivers queued batches until one doesn't end synchronously. */
+  private deliverBatches(): void {
+    if (this.isDelivering) return;
+    this.isDelivering = true;
+    while (this.isOpen && this.running === undefined && this.batchListener !== undefined) {
+      const queued = this.queue.shift();
+      if (queued === undefined) break;
+      this.startBatch(queued, this.batchListener);
     }
-    this.delivering = false;
-    if (this.open && this.socket.isPaused()) this.regulateInput();
-    if (this.terminateReceived && this.running === undefined && this.queue.isEmpty) this.end();
+    this.isDelivering = false;
+    if (this.isOpen && this.socket.isPaused()) this.updateSocketReading();
+    if (this.terminateReceived && this.running === undefined && this.queue.isEmpty)
+      this.closeSocket();
   }
 
-  private start(waiting: WaitingBatch, listener: BatchListener): void {
-    if (this.skippingToSync) {
-      this.skipToSync(waiting);
+  private startBatch(queued: QueuedBatch, listener: BatchListener): void {
+    if (this.isSkippingToSync) {
+      this.skipToSync(queued);
       return;
     }
     this.errorSeen = false;
-    this.refused = false;
-    const built = this.build(waiting);
+    this.wasRefused = false;
+    const built = this.build(queued);
     if (built.isErr()) {
-      this.refuse(built.error, waiting.boundary.type === FrontendMessageType.FLUSH);
+      this.refuseBatch(built.error, queued.boundary.type === FrontendMessageType.FLUSH);
       return;
     }
-    this.run(built.value, listener);
+    this.runBatch(built.value, listener);
   }
 
-  private build(waiting: WaitingBatch): Result<BuiltBatch, RequestError> {
-    const { frames, boundary } = waiting;
-    const block = { inTransaction: this.status !== 'I', failed: this.failedByProxy };
+  private build(queued: QueuedBatch): Result<BuiltBatch, RequestError> {
+    const { frames, boundary } = queued;
+    const block = { inTransaction: this.status !== 'I', failed: this.isFailedByProxy };
     if (boundary.type === FrontendMessageType.FUNCTION_CALL) {
       return err(new UnsupportedFeatureError('FunctionCall'));
     }
     if (boundary.type !== FrontendMessageType.QUERY) {
-      return this.builder.extended(frames, boundary, block);
+      return this.builder.buildExtended(frames, boundary, block);
     }
     if (frames.length > 0) return err(new ProtocolViolationError('Query before Sync'));
-    return this.builder.simple(boundary, block);
+    return this.builder.buildSimple(boundary, block);
   }
 
-  private run(built: BuiltBatch, listener: BatchListener): void {
+  private runBatch(built: BuiltBatch, listener: BatchListener): void {
     this.running = built.batch;
     const synthesizes = built.steps.some((step) => step !== 'relay');
-    this.merger = synthesizes ? new AnswerMerger(built.steps) : undefined;
-    if (built.answeredLocally) this.finish(this.backendStatus());
+    this.merger = synthesizes ? new ResponseMerger(built.steps) : undefined;
+    if (built.isAnsweredLocally) this.finish(this.backendStatus());
     else listener(built.batch);
   }
 
-  /** Ends a batch that the connection itself refuses, as PostgreSQL would: skip to Sync. */
-  private refuse(error: RequestError, flush: boolean): void {
+  /** Refuses a batch as PostgreSQL would: sends the error and skips to Sync. */
+  private refuseBatch(error: RequestError, flush: boolean): void {
     if (error.labels.has('protocol-violation')) {
       this.terminate(error);
       return;
     }
     this.writeError(error);
-    this.settle(this.backendStatus(), false);
-    if (flush) this.skippingToSync = true;
+    this.settleBatch(this.backendStatus(), false);
+    if (flush) this.isSkippingToSync = true;
     else this.output.write(readyForQuery(this.status));
   }
 
-  private skipToSync(waiting: WaitingBatch): void {
-    if (waiting.boundary.type !== FrontendMessageType.SYNC) return;
-    this.skippingToSync = false;
+  private skipToSync(queued: QueuedBatch): void {
+    if (queued.boundary.type !== FrontendMessageType.SYNC) return;
+    this.isSkippingToSync = false;
     this.output.write(readyForQuery(this.status));
   }
 
   /**
-   * Books what the batch changed; `status` is the back end's. In a block that we failed, a batch
-   * that `executed` anything was a ROLLBACK TO SAVEPOINT, which mends it.
+   * Applies the effects of a batch that ended; `status` is the back end's. In a block that the proxy
+   * failed, a batch that `executed` a statement ended the block or was a ROLLBACK TO SAVEPOINT, after which
+   * the block is no longer failed.
    */
-  private settle(status: TransactionStatus, executed: boolean): void {
-    if (!this.errorSeen) this.merger?.end(this.writeOutput);
-    this.store.settle(this.merger?.synthesized ?? 0);
+  private settleBatch(status: TransactionStatus, executed: boolean): void {
+    if (!this.errorSeen) this.merger?.finish(this.writeOutput);
+    this.store.settleBatch(this.merger?.synthesizedCount ?? 0);
     this.merger = undefined;
-    const stillFailed = this.failedByProxy && !executed;
-    this.failedByProxy = status === 'T' && (this.refused || stillFailed);
-    this.status = this.failedByProxy ? 'E' : status;
-    this.builder.endBatch(this.status !== 'I');
+    const stillFailed = this.isFailedByProxy && !executed;
+    this.isFailedByProxy = status === 'T' && (this.wasRefused || stillFailed);
+    this.status = this.isFailedByProxy ? 'E' : status;
+    this.builder.handleBatchEnd(this.status !== 'I');
   }
 
-  /** The status that the back end's connection has while the caller sees `status`. */
+  /** Transaction status of the back-end connection while the caller sees `status`. */
   private backendStatus(): TransactionStatus {
-    return this.failedByProxy ? 'T' : this.status;
+    return this.isFailedByProxy ? 'T' : this.status;
   }
 
-  /** Only a flushed batch or one with recorded messages needs to know of the back end's errors. */
-  private noteError(messages: Buffer): void {
+  /** Records a back-end error; only needed for batches with a merger or that end with Flush. */
+  private recordError(messages: Buffer): void {
     if (this.errorSeen || (this.merger === undefined && this.running?.endsWithFlush !== true))
       return;
     let offset = 0;
@@ -276,10 +283,10 @@
     }
   }
 
-  /** Sends what is written, closes, and cuts the socket if the caller doesn't follow. */
-  private end(): void {
-    if (!this.open) return;
-    this.open = false;
+  /** Flushes the output and closes; destroys the socket if the caller doesn't close its side in time. */
+  private closeSocket(): void {
+    if (!this.isOpen) return;
+    this.isOpen = false;
     this.reader.stop();
     this.queue.clear();
     this.output.flush();
@@ -288,8 +295,8 @@
     setTimeout(() => this.socket.destroy(), this.limits.lingerMs).unref();
   }
 
-  private closed(): void {
-    this.open = false;
+  private handleClose(): void {
+    this.isOpen = false;
     this.reader.stop();
     this.queue.clear();
     this.onClose?.();
--- a/src/postgres/caller/errors.ts
+++ b/src/postgres/caller/errors.ts
@@ -1,7 +1,7 @@
-/** Errors of the caller side: log-in, prepared statements, transaction blocks. */
+/** Errors towards callers: log-in, prepared statements, transaction blocks. */
 import { type ErrorLabel, MeadowstackError, RequestError, SqlState } from '../../core/errors.js';
 
-/** Wrong password or unknown user; the two look the same on purpose. */
+/** Wrong password or unknown user; deliberately the same error, so that user names can't be probed. */
 export class AuthenticationFailedError extends RequestError {
   readonly code = 'MS-AUTHENTICATION';
   readonly outcome = 'not-run';
@@ -13,7 +13,7 @@
   }
 }
 
-/** The log-in asks for something that is not granted, such as an unencrypted connection. */
+/** The log-in requires something that is not allowed, such as an unencrypted connection. */
 export class AuthorizationError extends RequestError {
   readonly code = 'MS-AUTHORIZATION';
   readonly outcome = 'not-run';
@@ -32,7 +32,7 @@
   }
 }
 
-/** A start-up parameter has a value that the proxy can't serve. */
+/** A start-up parameter has a value that the proxy doesn't support. */
 export class StartupParameterError extends RequestError {
   readonly code = 'MS-STARTUP-PARAMETER';
   readonly outcome = 'not-run';
@@ -72,7 +72,7 @@
   }
 }
 
-/** The connection holds as many prepared statements, or bytes of them, as it may. */
+/** The connection reached its limit of prepared statements, or of their size in bytes. */
 export class PreparedStatementLimitError extends RequestError {
   readonly code = 'MS-STATEMENT-LIMIT';
   readonly outcome = 'not-run';
@@ -94,7 +94,7 @@
   }
 }
 
-/** A statement of the transaction block was refused before, so that the block must be rolled back. */
+/** An earlier statement of the transaction block was refused, so the block must be rolled back. */
 export class FailedTransactionError extends RequestError {
   readonly code = 'MS-FAILED-TRANSACTION';
   readonly outcome = 'not-run';
@@ -105,7 +105,7 @@
   }
 }
 
-/** The proxy ends the connection because it stops. */
+/** The proxy closes the connection because it is stopping. */
 export class ServerStoppingError extends RequestError {
   readonly code = 'MS-STOPPING';
   readonly outcome = 'not-run';
@@ -127,7 +127,7 @@
   }
 }
 
-/** A stored SCRAM verifier is not in PostgreSQL's form. */
+/** A stored SCRAM verifier is not in PostgreSQL's format. */
 export class InvalidVerifierError extends MeadowstackError {
   readonly code = 'MS-VERIFIER';
   override readonly labels: ReadonlySet<ErrorLabel> = new Set(['configuration']);
--- a/src/postgres/caller/failed-block.ts
+++ b/src/postgres/caller/failed-block.ts
@@ -1,7 +1,7 @@
 /**
- * A transaction block that the proxy failed by refusing one of its statements, while the back end
- * knows nothing of the failure. As in PostgreSQL, only the end of the block is let through, and
- * COMMIT rolls back.
+ * Rules for a transaction block that is failed for the caller because the proxy refused one of its
+ * statements, while on the back end the block is still in progress. As in PostgreSQL, only statements that
+ * end the block or roll back to a savepoint are allowed, and COMMIT rolls back.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { classify } from '../statements/classify.js';
@@ -9,11 +9,11 @@
 
 const ROLLBACK = 'ROLLBACK';
 
-/** ROLLBACK TO [SAVEPOINT] undoes the part that failed, so that the block may go on. */
+/** Matches ROLLBACK TO [SAVEPOINT], which undoes the failed part, so that the block may continue. */
 const ROLLBACK_TO_SAVEPOINT = /^\s*rollback(\s+(work|transaction))?\s+to\s/i;
 
-/** The text to run in place of `text`; an error if it has to be refused. */
-export function textInFailedBlock(text: string): Result<string, FailedTransactionError> {
+/** Returns the text to run in place of `text`; an error if `text` has to be refused. */
+export function rewriteInFailedBlock(text: string): Result<string, FailedTransactionError> {
   if (ROLLBACK_TO_SAVEPOINT.test(text)) return ok(text);
   const control = classify(text).transactionControl;
   if (control === 'rollback') return ok(text);
--- a/src/postgres/caller/local-answer.ts
+++ b/src/postgres/caller/local-response.ts
@@ -1,6 +1,6 @@
 /**
- * Answers of the gateway itself, for statements that never reach a back end, such as
- * `SET meadowstack.session`. Gives the messages that a back end would send for the batch.
+ * Builds responses to statements that the gateway handles itself and that never reach a back end, such as
+ * `SET meadowstack.session`: the messages that a back end would send for the batch.
  */
 import type { CallerBatch } from '../contract.js';
 import { FrameReader } from '../frames.js';
@@ -21,31 +21,35 @@
 export interface LocalResult {
   /** Command tag, such as `SET`. */
   readonly tag: string;
-  /** Empty for statements that give no rows. */
+  /** Empty for statements that return no rows. */
   readonly columns: readonly string[];
   readonly rows: readonly (readonly (string | null)[])[];
 }
 
 /**
- * Messages for `CallerConnection.write`, without ReadyForQuery. `resultOf` is asked with each text
- * of `batch.statements` as it is executed, and with an empty text if one is described only.
+ * Builds the messages for `CallerConnection.write`, without ReadyForQuery. `resultOf` is called with the
+ * next text of `batch.statements`, or with an empty text if the batch describes a statement after the last
+ * one that it executes.
  */
-export function localAnswer(batch: CallerBatch, resultOf: (text: string) => LocalResult): Buffer {
-  const answers: Buffer[] = [];
+export function buildLocalResponse(
+  batch: CallerBatch,
+  resultOf: (text: string) => LocalResult,
+): Buffer {
+  const responses: Buffer[] = [];
   let executed = 0;
   const reader = new FrameReader((type, buffer, start, end) => {
     const text = batch.statements[executed] ?? '';
-    answers.push(...answerOf({ type, buffer, start, end }, () => resultOf(text)));
+    responses.push(...respondTo({ type, buffer, start, end }, () => resultOf(text)));
     if (type === FrontendMessageType.EXECUTE) executed += 1;
   });
   reader.push(batch.messages);
-  return Buffer.concat(answers);
+  return Buffer.concat(responses);
 }
 
-function answerOf(frame: Frame, result: () => LocalResult): readonly Buffer[] {
+function respondTo(frame: Frame, result: () => LocalResult): readonly Buffer[] {
   switch (frame.type) {
     case FrontendMessageType.QUERY:
-      return [...descriptionOf(result()), ...executionOf(result())];
+      return [...buildDescription(result()), ...buildResult(result())];
     case FrontendMessageType.PARSE:
       return [PARSE_COMPLETE];
     case FrontendMessageType.BIND:
@@ -53,23 +57,23 @@
     case FrontendMessageType.CLOSE:
       return [CLOSE_COMPLETE];
     case FrontendMessageType.DESCRIBE:
-      return describe(frame, result());
+      return respondToDescribe(frame, result());
     case FrontendMessageType.EXECUTE:
-      return executionOf(result());
+      return buildResult(result());
     default:
       return [];
   }
 }
 
-function describe(frame: Frame, result: LocalResult): readonly Buffer[] {
-  const row = result.columns.length === 0 ? [NO_DATA] : descriptionOf(result);
+function respondToDescribe(frame: Frame, result: LocalResult): readonly Buffer[] {
+  const row = result.columns.length === 0 ? [NO_DATA] : buildDescription(result);
   return readTarget(frame)?.target === 'S' ? [noParameters(), ...row] : row;
 }
 
-function descriptionOf({ columns }: LocalResult): readonly Buffer[] {
+function buildDescription({ columns }: LocalResult): readonly Buffer[] {
   return columns.length === 0 ? [] : [rowDescription(columns)];
 }
 
-function executionOf({ rows, tag }: LocalResult): readonly Buffer[] {
+function buildResult({ rows, tag }: LocalResult): readonly Buffer[] {
   return [...rows.map(dataRow), commandComplete(tag)];
 }
--- a/src/postgres/caller/login.ts
+++ b/src/postgres/caller/login.ts
@@ -1,5 +1,5 @@
 /**
- * From accept to the end of log-in: SSLRequest, GSSENCRequest, CancelRequest, StartupMessage and
+ * Handles a connection from accept to the end of log-in: SSLRequest, GSSENCRequest, CancelRequest, StartupMessage and
  * SCRAM-SHA-256. Source: PostgreSQL manual, "Start-up" and "SASL Authentication".
  */
 import type { Socket } from 'node:net';
@@ -18,9 +18,9 @@
 import type { CancelKey } from './cancel-keys.js';
 import { AuthenticationFailedError, AuthorizationError, UnknownDatabaseError } from './errors.js';
 import type { CallerLimits } from './options.js';
-import { mockVerifier, parseVerifier, SCRAM_SHA_256, ScramExchange } from './scram.js';
+import { createMockVerifier, parseVerifier, SCRAM_SHA_256, ScramExchange } from './scram.js';
 import { type FirstMessage, parseFirstMessage, type StartupMessage } from './startup.js';
-import { checkParameters } from './startup-parameters.js';
+import { findUnsupportedParameter } from './startup-parameters.js';
 
 /** Codes of Authentication messages. */
 const AUTHENTICATION_OK = 0;
@@ -41,18 +41,18 @@
   policyFor(user: string, database: string): Result<TenantPolicy, RequestError>;
 }
 
-/** A log-in whose password was right; AuthenticationOk is sent. */
+/** A successful log-in; AuthenticationOk has been sent. */
 export interface LoginResult extends AcceptedLogin {
   readonly socket: Socket;
-  /** Bytes that came behind the log-in. */
+  /** Bytes received after the last log-in message. */
   readonly rest: Buffer;
 }
 
-/** Each is called at most once; after any of them the log-in is over. */
+/** Receives the outcome of a log-in. Each method is called at most once, when the log-in has ended. */
 export interface LoginListener {
   onLogin(result: LoginResult): void;
   onCancelRequest(key: CancelKey): void;
-  /** Refused, timed out, or gone. The socket is closed by the log-in itself. */
+  /** Refused, timed out, cancel request handled, or disconnected. The log-in itself closes the socket. */
   onEnd(): void;
 }
 
@@ -72,10 +72,10 @@
   private startup: StartupMessage | undefined;
   private policy: TenantPolicy | undefined;
   private exchange: ScramExchange | undefined;
-  private accepted: AcceptedLogin | undefined;
-  private encrypted = false;
+  private acceptedLogin: AcceptedLogin | undefined;
+  private isEncrypted = false;
   private readonly onData = (chunk: Buffer): void => this.receive(chunk);
-  private readonly onClose = (): void => this.leave(() => this.listener.onEnd());
+  private readonly onClose = (): void => this.endOnce(() => this.listener.onEnd());
 
   constructor(
     private socket: Socket,
@@ -84,43 +84,43 @@
   ) {
     const { limits } = options;
     this.reader = new FrameReader(
-      (type, buffer, start, end) => this.takeFrame(type, buffer.subarray(start, end)),
+      (type, buffer, start, end) => this.handleMessage(type, buffer.subarray(start, end)),
       limits.startupBytes,
     );
-    this.timer = setTimeout(() => this.timeOut(), limits.startupTimeoutMs);
-    this.listen();
+    this.timer = setTimeout(() => this.handleTimeout(), limits.startupTimeoutMs);
+    this.attachListeners();
   }
 
-  /** Reports an error and closes. */
+  /** Sends an error and closes. */
   refuse(error: RequestError): void {
     const { socket } = this;
-    this.leave(() => {
-      closeWith(socket, error, this.options.limits.lingerMs);
+    this.endOnce(() => {
+      closeWithError(socket, error, this.options.limits.lingerMs);
       this.listener.onEnd();
     });
   }
 
-  private listen(): void {
+  private attachListeners(): void {
     this.socket.on('data', this.onData);
     this.socket.once('close', this.onClose);
   }
 
-  private unlisten(): void {
+  private detachListeners(): void {
     this.socket.off('data', this.onData);
     this.socket.off('close', this.onClose);
   }
 
-  /** Ends the log-in, once. */
-  private leave(report: () => void): void {
+  /** Ends the log-in and calls `report`, unless it has already ended. */
+  private endOnce(report: () => void): void {
     if (this.phase === 'over') return;
     this.phase = 'over';
     clearTimeout(this.timer);
     this.reader.stop();
-    this.unlisten();
+    this.detachListeners();
     report();
   }
 
-  private timeOut(): void {
+  private handleTimeout(): void {
     this.refuse(new ProtocolViolationError('log-in took too long'));
   }
 
@@ -132,8 +132,8 @@
   private receiveFrames(chunk: Buffer): void {
     const pushed = this.reader.push(chunk);
     if (pushed.isErr()) this.refuse(pushed.error);
-    else if (this.accepted !== undefined) {
-      this.succeed(this.accepted, chunk.subarray(pushed.value));
+    else if (this.acceptedLogin !== undefined) {
+      this.completeLogin(this.acceptedLogin, chunk.subarray(pushed.value));
     }
   }
 
@@ -149,39 +149,39 @@
       if (length >= LENGTH_FIELD_BYTES && length > this.received.length) return;
       const message = this.received.subarray(0, Math.max(length, 0));
       this.received = this.received.subarray(message.length);
-      this.takeFirst(message);
+      this.handleFirstMessage(message);
     }
   }
 
-  private takeFirst(message: Buffer): void {
+  private handleFirstMessage(message: Buffer): void {
     const parsed = parseFirstMessage(message);
     if (parsed.isErr()) this.refuse(parsed.error);
-    else this.dispatchFirst(parsed.value);
+    else this.dispatchFirstMessage(parsed.value);
   }
 
-  private dispatchFirst(message: FirstMessage): void {
+  private dispatchFirstMessage(message: FirstMessage): void {
     switch (message.type) {
       case 'ssl-request':
-        this.answerSslRequest();
+        this.handleSslRequest();
         return;
       case 'gssenc-request':
         this.socket.write(ENCRYPTION_REFUSED);
         return;
       case 'cancel-request':
-        this.leave(() => {
+        this.endOnce(() => {
           this.socket.end();
           this.listener.onCancelRequest(message);
           this.listener.onEnd();
         });
         return;
       case 'startup':
-        this.begin(message);
+        this.startAuthentication(message);
     }
   }
 
-  private answerSslRequest(): void {
+  private handleSslRequest(): void {
     const { secureContext } = this.options;
-    if (secureContext === undefined || this.encrypted) {
+    if (secureContext === undefined || this.isEncrypted) {
       this.socket.write(ENCRYPTION_REFUSED);
       return;
     }
@@ -189,18 +189,18 @@
       this.refuse(new ProtocolViolationError('unencrypted bytes behind SSLRequest'));
       return;
     }
-    this.unlisten();
+    this.detachListeners();
     const plain = this.socket;
     plain.write(TLS_ACCEPTED);
-    this.encrypted = true;
+    this.isEncrypted = true;
     this.socket = new TLSSocket(plain, { isServer: true, secureContext });
     this.socket.on('error', () => plain.destroy());
     plain.once('close', () => this.socket.destroy());
-    this.listen();
+    this.attachListeners();
   }
 
-  private begin(startup: StartupMessage): void {
-    const fault = this.faultOf(startup);
+  private startAuthentication(startup: StartupMessage): void {
+    const fault = this.findFault(startup);
     if (fault !== undefined) {
       this.refuse(fault);
       return;
@@ -212,7 +212,7 @@
       return;
     }
     this.policy = found.isOk() ? found.value : undefined;
-    this.exchange = this.exchangeFor(startup.user, this.policy);
+    this.exchange = this.createExchange(startup.user, this.policy);
     this.phase = 'sasl-initial';
     this.negotiateVersion(startup);
     this.socket.write(authentication(AUTHENTICATION_SASL, Buffer.from(`${SCRAM_SHA_256}\0\0`)));
@@ -220,11 +220,11 @@
     if (rest.length > 0) this.receiveFrames(rest);
   }
 
-  private faultOf(startup: StartupMessage): RequestError | undefined {
-    if (this.options.tlsRequired && !this.encrypted) {
+  private findFault(startup: StartupMessage): RequestError | undefined {
+    if (this.options.tlsRequired && !this.isEncrypted) {
       return new AuthorizationError('this proxy takes encrypted connections only');
     }
-    return checkParameters(startup.parameters);
+    return findUnsupportedParameter(startup.parameters);
   }
 
   private negotiateVersion(startup: StartupMessage): void {
@@ -233,25 +233,25 @@
     this.socket.write(negotiateProtocolVersion(NEWEST_MINOR_VERSION, protocolOptions));
   }
 
-  private exchangeFor(user: string, policy: TenantPolicy | undefined): ScramExchange {
+  private createExchange(user: string, policy: TenantPolicy | undefined): ScramExchange {
     const stored = policy === undefined ? undefined : parseVerifier(policy.scramVerifier);
     if (stored?.isOk()) return new ScramExchange(user, stored.value, true);
-    return new ScramExchange(user, mockVerifier(user, this.options.mockSecret), false);
+    return new ScramExchange(user, createMockVerifier(user, this.options.mockSecret), false);
   }
 
-  private takeFrame(type: number, frame: Buffer): void {
+  private handleMessage(type: number, frame: Buffer): void {
     const body = frame.subarray(FRAME_HEADER_BYTES);
     if (type !== FrontendMessageType.PASSWORD) {
       this.refuse(new ProtocolViolationError('expected a SASL response'));
     } else if (this.phase === 'sasl-initial') {
-      this.takeSaslInitial(body);
+      this.handleSaslInitial(body);
     } else if (this.phase === 'sasl-final') {
-      this.takeSaslFinal(body);
+      this.handleSaslFinal(body);
     }
   }
 
   /** SASLInitialResponse: mechanism, int32 length, client-first-message. */
-  private takeSaslInitial(body: Buffer): void {
+  private handleSaslInitial(body: Buffer): void {
     const mechanismEnd = body.indexOf(0);
     const data = body.subarray(mechanismEnd + 1);
     const mechanism = body.toString('latin1', 0, Math.max(mechanismEnd, 0));
@@ -261,41 +261,41 @@
       this.refuse(new ProtocolViolationError('malformed SASLInitialResponse'));
       return;
     }
-    const answer = this.exchange.first(data.toString('utf8', LENGTH_FIELD_BYTES));
-    if (answer.isErr()) {
-      this.refuse(answer.error);
+    const response = this.exchange.respondToFirst(data.toString('utf8', LENGTH_FIELD_BYTES));
+    if (response.isErr()) {
+      this.refuse(response.error);
       return;
     }
     this.phase = 'sasl-final';
-    this.socket.write(authentication(AUTHENTICATION_SASL_CONTINUE, Buffer.from(answer.value)));
+    this.socket.write(authentication(AUTHENTICATION_SASL_CONTINUE, Buffer.from(response.value)));
   }
 
-  private takeSaslFinal(body: Buffer): void {
+  private handleSaslFinal(body: Buffer): void {
     const { startup, policy, exchange } = this;
-    const answer = exchange?.final(body.toString('utf8'));
-    if (answer === undefined || startup === undefined) return;
-    if (answer.isErr()) this.refuse(answer.error);
+    const response = exchange?.respondToFinal(body.toString('utf8'));
+    if (response === undefined || startup === undefined) return;
+    if (response.isErr()) this.refuse(response.error);
     else if (policy === undefined) this.refuse(new AuthenticationFailedError(startup.user));
     else if (!policy.databases.some(({ database }) => database === startup.database)) {
       this.refuse(new UnknownDatabaseError(startup.database));
     } else {
-      this.socket.write(authentication(AUTHENTICATION_SASL_FINAL, Buffer.from(answer.value)));
-      this.accepted = { startup, policy };
+      this.socket.write(authentication(AUTHENTICATION_SASL_FINAL, Buffer.from(response.value)));
+      this.acceptedLogin = { startup, policy };
       this.reader.stop();
     }
   }
 
-  private succeed(accepted: AcceptedLogin, rest: Buffer): void {
+  private completeLogin(accepted: AcceptedLogin, rest: Buffer): void {
     const { socket } = this;
-    this.leave(() => {
+    this.endOnce(() => {
       socket.write(authentication(AUTHENTICATION_OK));
       this.listener.onLogin({ socket, ...accepted, rest });
     });
   }
 }
 
-/** Sends a FATAL error and closes; cuts the socket if the other side doesn't follow. */
-export function closeWith(socket: Socket, error: RequestError, lingerMs: number): void {
+/** Sends a FATAL error and closes; destroys the socket after `lingerMs` if the peer doesn't close. */
+export function closeWithError(socket: Socket, error: RequestError, lingerMs: number): void {
   socket.end(errorResponseOf(error, 'FATAL'));
   socket.resume();
   setTimeout(() => socket.destroy(), lingerMs).unref();
--- a/src/postgres/caller/message-fields.ts
+++ b/src/postgres/caller/message-fields.ts
@@ -1,7 +1,7 @@
-/** Reads the fields of extended-query messages in place. Undefined: the message is malformed. */
+/** Reads fields of frontend messages in place. Each function returns undefined if the message is malformed. */
 import { FRAME_HEADER_BYTES } from '../frames.js';
 
-/** One whole frontend message: `buffer[start, end)`, type byte and length included. */
+/** One complete frontend message: `buffer[start, end)`, including type byte and length. */
 export interface Frame {
   readonly type: number;
   readonly buffer: Buffer;
@@ -9,7 +9,7 @@
   readonly end: number;
 }
 
-/** A zero-terminated string and where it lies; `end` is the offset of its zero byte. */
+/** A zero-terminated string and its offsets; `end` is the offset of its zero byte. */
 export interface StringField {
   readonly text: string;
   readonly start: number;
@@ -27,7 +27,7 @@
   return { text, start, end };
 }
 
-/** Query: the text must fill the message. */
+/** Reads the text of Query, which must fill the message. */
 export function readQuery(frame: Frame): string | undefined {
   const text = readString(frame, frame.start + FRAME_HEADER_BYTES);
   return text?.end === frame.end - 1 ? text.text : undefined;
@@ -59,7 +59,7 @@
   readonly statement: StringField;
 }
 
-/** Formats and values of Bind are left to the back end. */
+/** Reads the names in Bind. The back end checks the formats and values. */
 export function readBind(frame: Frame): BindFields | undefined {
   const portal = readString(frame, frame.start + FRAME_HEADER_BYTES);
   const statement = portal && readString(frame, portal.end + 1);
@@ -82,7 +82,7 @@
   return { target, name };
 }
 
-/** Execute: the portal's name; the row limit is the back end's. */
+/** Reads the portal's name in Execute. The row limit is relayed unread. */
 export function readExecute(frame: Frame): string | undefined {
   const portal = readString(frame, frame.start + FRAME_HEADER_BYTES);
   return portal?.end === frame.end - 1 - INT32_BYTES ? portal.text : undefined;
--- a/src/postgres/caller/options.ts
+++ b/src/postgres/caller/options.ts
@@ -8,25 +8,25 @@
 const KIBIBYTE = 1024;
 const MEBIBYTE = 1024 * KIBIBYTE;
 
-/** Bounds that one caller can't exceed. */
+/** Limits that one caller can't exceed. */
 export interface CallerLimits {
-  /** Connections that have not logged in yet, over the whole server. Default 200. */
+  /** Connections of the whole server that have not logged in yet. Default 200. */
   readonly unauthenticatedConnections: number;
-  /** From accept to the end of log-in. Default 10 000 ms. */
+  /** Time from accept to the end of log-in. Default 10 000 ms. */
   readonly startupTimeoutMs: number;
-  /** Start-up packet and each message of the log-in. Default 10 000 bytes, as in PostgreSQL. */
+  /** Size of the start-up packet and of each log-in message. Default 10 000 bytes, as in PostgreSQL. */
   readonly startupBytes: number;
-  /** One message after log-in, and the messages of one batch together. Default 64 MiB. */
+  /** Size of one message after log-in, and of all messages of one batch. Default 64 MiB. */
   readonly messageBytes: number;
-  /** Pipelined batches that wait; beyond it the socket is not read. Default 1 MiB. */
+  /** Memory of queued pipelined batches, above which the socket is not read. Default 1 MiB. */
   readonly queuedBytes: number;
   /** Prepared statements of one connection. Default 1000. */
   readonly preparedStatements: number;
-  /** Text of all prepared statements of one connection. Default 4 MiB. */
+  /** Memory of all prepared statements of one connection. Default 4 MiB. */
   readonly preparedStatementBytes: number;
-  /** Answer bytes not yet taken by the socket, from which `write` gives false. Default 256 KiB. */
+  /** Response bytes not yet accepted by the socket, from which `write` returns false. Default 256 KiB. */
   readonly outputBytes: number;
-  /** From a FATAL error until the socket is cut if the caller doesn't close. Default 2000 ms. */
+  /** Time from a FATAL error until the socket is destroyed if the caller doesn't close. Default 2000 ms. */
   readonly lingerMs: number;
 }
 
@@ -42,7 +42,7 @@
   lingerMs: 2000,
 };
 
-/** TLS of the caller side: PEM texts. */
+/** TLS towards callers; certificate and key in PEM format. */
 export interface CallerTlsOptions {
   readonly certificate: string;
   readonly privateKey: string;
@@ -51,26 +51,25 @@
 }
 
 export interface CallerServerOptions {
-  /** IP number to listen on. */
+  /** IP address to listen on. */
   readonly host: string;
-  /** 0 takes a free port. */
+  /** 0 selects a free port. */
   readonly port: number;
   readonly tls?: CallerTlsOptions;
   /**
-   * Called at log-in. An error means that the user is unknown or revoked: the log-in then runs
-   * against a mock verifier and fails like a wrong password. Only errors of SQLSTATE 57P03, which
-   * must not depend on the user, are reported as they are. The database's existence is checked
-   * against the policy after the password.
+   * Called at log-in. An error means that the user is unknown or revoked: the log-in then uses a mock
+   * verifier and fails as with a wrong password. Only errors of SQLSTATE 57P03 are sent to the caller, so
+   * they must not depend on the user. The database is checked against the policy after the password.
    */
   policyFor(user: string, database: string): Result<TenantPolicy, RequestError>;
-  /** Connection limit: called after the password was right; gives what returns the place. */
+  /** Enforces the connection limit after a successful log-in; the result releases the connection's place. */
   admit(policy: TenantPolicy): ResultAsync<() => void, RequestError>;
   readonly handler: CallerHandler;
-  /** `server_version` that callers are told. Default `15.0`. */
+  /** `server_version` that is reported to callers. Default `15.0`. */
   readonly serverVersion?: string;
   /**
-   * Key of the mock salts of unknown users. The same on all nodes, or names could be told by salts
-   * that differ between nodes. Default: random for the process.
+   * Key from which the mock salts of unknown users are derived. It must be the same on all nodes: a salt
+   * that differs between nodes would reveal that the user doesn't exist. Default: random for the process.
    */
   readonly mockSecret?: Buffer;
   readonly limits?: Partial<CallerLimits>;
--- a/src/postgres/caller/output.ts
+++ b/src/postgres/caller/output.ts
@@ -1,26 +1,26 @@
-/** Collects what one turn of the event loop writes to a caller, and writes it at once. */
+/** Buffers what is written to a caller in one turn of the event loop, and writes it in one go. */
 import type { Socket } from 'node:net';
 
-/** Up to this size small messages are joined into one buffer: cheaper than many in one writev. */
-const JOIN_BYTES = 64 * 1024;
+/** Up to this size chunks are joined into one buffer: cheaper than a writev of many. */
+const MAXIMUM_JOINED_BYTES = 64 * 1024;
 
 export class CallerOutput {
-  /** The socket takes bytes again after `write` gave false. */
+  /** Called when the socket accepts bytes again after `write` returned false. */
   onDrain: (() => void) | undefined;
   private chunks: Buffer[] = [];
   private chunkBytes = 0;
   private flushScheduled = false;
-  private refused = false;
+  private isDrainPending = false;
 
   constructor(
     private readonly socket: Socket,
-    /** Bytes not taken by the socket yet from which `write` gives false. */
-    private readonly highWaterBytes: number,
+    /** Bytes not yet accepted by the socket from which `write` returns false. */
+    private readonly highWaterMarkBytes: number,
   ) {
     socket.on('drain', () => this.reportDrain());
   }
 
-  /** Takes the bytes in any case; false: write no more until `onDrain`. */
+  /** Always accepts the bytes; false: write no more until `onDrain`. */
   write(bytes: Buffer): boolean {
     if (this.socket.destroyed || this.socket.writableEnded) return true;
     this.chunks.push(bytes);
@@ -29,12 +29,12 @@
       this.flushScheduled = true;
       process.nextTick(flushOutput, this);
     }
-    if (this.chunkBytes + this.socket.writableLength < this.highWaterBytes) return true;
-    this.refused = true;
+    if (this.chunkBytes + this.socket.writableLength < this.highWaterMarkBytes) return true;
+    this.isDrainPending = true;
     return false;
   }
 
-  /** Hands everything to the socket. */
+  /** Writes all buffered bytes to the socket. */
   flush(): void {
     this.flushScheduled = false;
     const chunks = this.chunks;
@@ -51,7 +51,7 @@
     const [first] = chunks;
     if (chunks.length === 1 && first !== undefined) {
       this.socket.write(first);
-    } else if (bytes <= JOIN_BYTES) {
+    } else if (bytes <= MAXIMUM_JOINED_BYTES) {
       this.socket.write(Buffer.concat(chunks, bytes));
     } else {
       this.socket.cork();
@@ -61,8 +61,8 @@
   }
 
   private reportDrain(): void {
-    if (!this.refused) return;
-    this.refused = false;
+    if (!this.isDrainPending) return;
+    this.isDrainPending = false;
     this.onDrain?.();
   }
 }
--- a/src/postgres/caller/prepared-statements.ts
+++ b/src/postgres/caller/prepared-statements.ts
@@ -1,9 +1,9 @@
 /**
- * Prepared statements and portals of one caller. Named statements live here, not on back-end
- * connections: there they stand under a name made of their content, so that connections of the
- * pool can share and re-create them. The unnamed statement stays unnamed within the batch that
- * parses it (an error then shows exactly where PostgreSQL shows it, and one-off texts don't pile up
- * on back-end connections); a later batch that binds it gets it by its content name.
+ * Named prepared statements of one caller. The caller's names are kept here. On back-end connections each
+ * statement has a name derived from its content, so that pooled connections can share and re-create it. The
+ * unnamed statement stays unnamed within the batch that parses it: an error is then reported exactly where
+ * PostgreSQL reports it, and one-off texts don't accumulate on back-end connections. A later batch that
+ * binds it uses the name derived from its content.
  */
 import { createHash } from 'node:crypto';
 import { err, ok, type Result } from 'neverthrow';
@@ -11,11 +11,11 @@
 import { DuplicatePreparedStatementError, PreparedStatementLimitError } from './errors.js';
 
 const BACKEND_NAME_PREFIX = 'ms_';
-/** 128 bits: collisions can't be made on purpose, so that no text can stand in for another. */
+/** 128 bits: nobody can construct a collision by which one text would run in place of another. */
 const BACKEND_NAME_DIGITS = 32;
 
-/** A statement under its content-derived name. */
-export function preparedStatementOf(
+/** Creates a statement with its name derived from text and types. */
+export function createPreparedStatement(
   text: string,
   parameterTypes: readonly number[],
 ): PreparedStatement {
@@ -24,7 +24,7 @@
   return { backendName, text, parameterTypes };
 }
 
-function sameStatement(left: PreparedStatement, right: PreparedStatement): boolean {
+function isSameStatement(left: PreparedStatement, right: PreparedStatement): boolean {
   return left.backendName === right.backendName;
 }
 
@@ -33,13 +33,13 @@
   readonly preparedStatementBytes: number;
 }
 
-/** A change that counts only once its acknowledgement went to the caller. */
+/** A change of the running batch. It takes effect once its acknowledgement was sent to the caller. */
 interface Change {
   readonly name: string;
   readonly before: PreparedStatement | undefined;
 }
 
-/** Named statements of a connection, with the changes of the running batch still revocable. */
+/** Named statements of a connection; the changes of the running batch can still be undone. */
 export class PreparedStatementStore {
   private readonly statements = new Map<string, PreparedStatement>();
   private bytes = 0;
@@ -51,13 +51,13 @@
     return this.statements.get(name);
   }
 
-  /** Records a Parse. The same content under the same name again is taken. */
+  /** Records a Parse. Repeating it with the same name and content is allowed. */
   add(
     name: string,
     statement: PreparedStatement,
   ): Result<void, DuplicatePreparedStatementError | PreparedStatementLimitError> {
     const before = this.statements.get(name);
-    if (before !== undefined && !sameStatement(before, statement)) {
+    if (before !== undefined && !isSameStatement(before, statement)) {
       return err(new DuplicatePreparedStatementError(name));
     }
     const { preparedStatements, preparedStatementBytes } = this.limits;
@@ -68,26 +68,26 @@
       return err(new PreparedStatementLimitError(preparedStatementBytes, 'bytes'));
     }
     this.changes.push({ name, before });
-    this.put(name, statement);
+    this.replace(name, statement);
     return ok(undefined);
   }
 
   /** Records a Close. */
   remove(name: string): void {
     this.changes.push({ name, before: this.statements.get(name) });
-    this.put(name, undefined);
+    this.replace(name, undefined);
   }
 
-  /** Ends the batch: its first `acknowledged` changes stay, the others are undone. */
-  settle(acknowledged: number): void {
+  /** Ends the batch: its first `acknowledged` changes are kept, the others undone. */
+  settleBatch(acknowledged: number): void {
     for (let index = this.changes.length - 1; index >= acknowledged; index -= 1) {
       const change = this.changes[index];
-      if (change !== undefined) this.put(change.name, change.before);
+      if (change !== undefined) this.replace(change.name, change.before);
     }
     if (this.changes.length > 0) this.changes = [];
   }
 
-  private put(name: string, statement: PreparedStatement | undefined): void {
+  private replace(name: string, statement: PreparedStatement | undefined): void {
     const before = this.statements.get(name);
     if (before !== undefined) this.bytes -= sizeOf(name, before);
     this.statements.delete(name);
@@ -97,7 +97,7 @@
   }
 }
 
-/** Characters count twice: strings take up to two bytes each. */
+/** Estimated memory in bytes; JavaScript strings take up to two bytes per character. */
 function sizeOf(name: string, statement: PreparedStatement): number {
   return 2 * (name.length + statement.text.length) + 8 * statement.parameterTypes.length;
 }
--- a/src/postgres/caller/scram.ts
+++ b/src/postgres/caller/scram.ts
@@ -34,8 +34,8 @@
   return ok({ iterations: Number(iterations), salt, storedKey, serverKey });
 }
 
-/** A verifier that no password fits, whose salt is the same each time that `user` is asked for. */
-export function mockVerifier(user: string, secret: Buffer): ScramVerifier {
+/** Creates a verifier that no password matches; its salt is always the same for the same `user`. */
+export function createMockVerifier(user: string, secret: Buffer): ScramVerifier {
   const salt = hmac(secret, user).subarray(0, MOCK_SALT_BYTES).toString('base64');
   const storedKey = randomBytes(KEY_BYTES);
   const serverKey = randomBytes(KEY_BYTES);
@@ -43,13 +43,13 @@
 }
 
 interface ClientFirst {
-  /** Base64 of the GS2 header, which the final message repeats. */
+  /** GS2 header in base64, which client-final-message repeats. */
   readonly channelBinding: string;
   readonly bare: string;
   readonly nonce: string;
 }
 
-/** One log-in: `first`, then `final`. */
+/** SCRAM exchange of one log-in: `respondToFirst`, then `respondToFinal`. */
 export class ScramExchange {
   private clientFirst: ClientFirst | undefined;
   private serverFirst = '';
@@ -58,13 +58,13 @@
   constructor(
     private readonly user: string,
     private readonly verifier: ScramVerifier,
-    /** False for mock verifiers: the exchange then fails whatever the proof. */
-    private readonly verifierIsReal: boolean,
+    /** False for mock verifiers: the exchange then fails with any proof. */
+    private readonly isVerifierReal: boolean,
     private readonly serverNonce: string = randomBytes(NONCE_BYTES).toString('base64'),
   ) {}
 
-  /** Takes client-first-message, gives server-first-message. */
-  first(message: string): Result<string, ProtocolViolationError> {
+  /** Takes client-first-message, returns server-first-message. */
+  respondToFirst(message: string): Result<string, ProtocolViolationError> {
     const parsed = parseClientFirst(message);
     if (parsed.isErr()) return err(parsed.error);
     this.clientFirst = parsed.value;
@@ -73,8 +73,10 @@
     return ok(this.serverFirst);
   }
 
-  /** Takes client-final-message, gives server-final-message. */
-  final(message: string): Result<string, ProtocolViolationError | AuthenticationFailedError> {
+  /** Takes client-final-message, returns server-final-message. */
+  respondToFinal(
+    message: string,
+  ): Result<string, ProtocolViolationError | AuthenticationFailedError> {
     const match = /^(c=([A-Za-z0-9+/=]+),r=([^,]+)(?:,[^p][^,]*)*),p=([A-Za-z0-9+/=]+)$/.exec(
       message,
     );
@@ -86,19 +88,19 @@
       return err(new ProtocolViolationError('SCRAM nonce or channel binding does not match'));
     }
     const authMessage = `${this.clientFirst.bare},${this.serverFirst},${withoutProof}`;
-    if (!this.proofFits(Buffer.from(proofText, 'base64'), authMessage)) {
+    if (!this.isProofValid(Buffer.from(proofText, 'base64'), authMessage)) {
       return err(new AuthenticationFailedError(this.user));
     }
     return ok(`v=${hmac(this.verifier.serverKey, authMessage).toString('base64')}`);
   }
 
-  private proofFits(proof: Buffer, authMessage: string): boolean {
+  private isProofValid(proof: Buffer, authMessage: string): boolean {
     if (proof.length !== KEY_BYTES) return false;
     const signature = hmac(this.verifier.storedKey, authMessage);
     const clientKey = Buffer.from(proof.map((byte, index) => byte ^ (signature[index] ?? 0)));
     const storedKey = createHash('sha256').update(clientKey).digest();
     const equal = timingSafeEqual(storedKey, this.verifier.storedKey);
-    return equal && this.verifierIsReal;
+    return equal && this.isVerifierReal;
   }
 }
 
--- a/src/postgres/caller/server.ts
+++ b/src/postgres/caller/server.ts
@@ -1,4 +1,4 @@
-/** Accepts callers over TCP and TLS, logs them in, and hands their connections to the handler. */
+/** Accepts callers over TCP and TLS, logs them in, and passes their connections to the handler. */
 import { randomBytes, randomUUID } from 'node:crypto';
 import { type AddressInfo, createServer, type Server, type Socket } from 'node:net';
 import { createSecureContext, type SecureContext } from 'node:tls';
@@ -8,14 +8,14 @@
 import { type CancelKey, CancelKeyRegistry } from './cancel-keys.js';
 import { CallerSocketConnection } from './connection.js';
 import { ListenError, ServerStoppingError } from './errors.js';
-import { closeWith, Login, type LoginOptions, type LoginResult } from './login.js';
+import { closeWithError, Login, type LoginOptions, type LoginResult } from './login.js';
 import { type CallerLimits, type CallerServerOptions, DEFAULT_CALLER_LIMITS } from './options.js';
 import { reportedParameters } from './startup-parameters.js';
 
 const DEFAULT_SERVER_VERSION = '15.0';
 const MOCK_SECRET_BYTES = 32;
 
-/** Where the server listens. */
+/** Address on which the server listens. */
 export interface CallerAddress {
   readonly host: string;
   readonly port: number;
@@ -43,7 +43,7 @@
     this.server = createServer({ noDelay: true, keepAlive: true }, (socket) => this.accept(socket));
   }
 
-  /** Begins to accept callers. */
+  /** Starts to accept callers. */
   listen(): ResultAsync<CallerAddress, ListenError> {
     const { host, port } = this.options;
     const listening = new Promise<CallerAddress>((resolve, reject) => {
@@ -60,7 +60,7 @@
     );
   }
 
-  /** Connections that have logged in and are open. */
+  /** Open connections that have logged in. */
   openConnections(): readonly CallerSocketConnection[] {
     return [...this.connections.values()];
   }
@@ -70,13 +70,13 @@
     return this.logins.size;
   }
 
-  /** Takes no new connections and breaks off log-ins; those that are open go on. */
+  /** Stops accepting connections and aborts log-ins; connections that have logged in continue. */
   stopAccepting(): void {
     if (this.server.listening) this.server.close();
     for (const login of [...this.logins]) login.refuse(new ServerStoppingError());
   }
 
-  /** Ends everything at once; resolves when the last socket is closed. */
+  /** Terminates all connections; resolves when the last socket is closed. */
   close(): ResultAsync<void, never> {
     this.stopAccepting();
     for (const connection of this.openConnections())
@@ -92,7 +92,7 @@
     socket.once('close', () => this.sockets.delete(socket));
     socket.on('error', () => socket.destroy());
     if (this.logins.size >= this.limits.unauthenticatedConnections) {
-      closeWith(socket, tooManyLogins(), this.limits.lingerMs);
+      closeWithError(socket, tooManyLoginsError(), this.limits.lingerMs);
       return;
     }
     const login: Login = new Login(socket, this.loginOptions, {
@@ -108,45 +108,52 @@
     this.logins.add(login);
   }
 
-  /** The caller's next bytes wait in its socket while it waits for its place. */
+  /** Waits for admission; the socket isn't read meanwhile. */
   private async admit(login: LoginResult): Promise<void> {
     const { socket } = login;
     socket.pause();
     const admitted = await this.options.admit(login.policy);
     socket.resume();
     if (admitted.isErr()) {
-      closeWith(socket, admitted.error, this.limits.lingerMs);
+      closeWithError(socket, admitted.error, this.limits.lingerMs);
     } else if (socket.destroyed) {
       admitted.value();
     } else if (!this.server.listening) {
       admitted.value();
-      closeWith(socket, new ServerStoppingError(), this.limits.lingerMs);
+      closeWithError(socket, new ServerStoppingError(), this.limits.lingerMs);
     } else {
       this.open(login, admitted.value);
     }
   }
 
-  private open(login: LoginResult, giveBack: () => void): void {
-    const connection = this.connect(login);
+  private open(login: LoginResult, release: () => void): void {
+    const connection = this.createConnection(login);
     const key = this.cancelKeys.register(() => connection.cancel());
     this.connections.set(connection.id, connection);
     login.socket.once('close', () => {
       this.connections.delete(connection.id);
       this.cancelKeys.release(key);
-      giveBack();
+      release();
     });
-    this.greet(login, connection, key);
+    this.sendGreeting(login, connection, key);
   }
 
-  private connect(login: LoginResult): CallerSocketConnection {
+  private createConnection(login: LoginResult): CallerSocketConnection {
     const { socket, startup, policy } = login;
     const { database, parameters } = startup;
     const identity = { id: randomUUID(), policy, database, parameters };
     return new CallerSocketConnection(socket, identity, this.limits);
   }
 
-  /** The handler hears of the connection before the caller may send; it may refuse it still. */
-  private greet(login: LoginResult, connection: CallerSocketConnection, key: CancelKey): void {
+  /**
+   * Sends the start-up messages. The handler gets the connection before ReadyForQuery is sent and may
+   * still refuse it.
+   */
+  private sendGreeting(
+    login: LoginResult,
+    connection: CallerSocketConnection,
+    key: CancelKey,
+  ): void {
     const { user, parameters } = login.startup;
     const applicationName = parameters.get('application_name') ?? '';
     const serverVersion = this.options.serverVersion ?? DEFAULT_SERVER_VERSION;
@@ -166,6 +173,6 @@
   return createSecureContext({ cert: certificate, key: privateKey });
 }
 
-function tooManyLogins(): RequestError {
+function tooManyLoginsError(): RequestError {
   return new NotRunError('connection-limit', 'too many connections are logging in');
 }
--- a/src/postgres/caller/startup-parameters.ts
+++ b/src/postgres/caller/startup-parameters.ts
@@ -1,11 +1,13 @@
-/** What callers may ask for at start-up, and what they are told there. */
+/** Checks the parameters of a caller's StartupMessage and lists the parameters reported in response. */
 import { type RequestError, UnsupportedFeatureError } from '../../core/errors.js';
 import { StartupParameterError } from './errors.js';
 
 const UTF8_NAMES: ReadonlySet<string> = new Set(['utf8', 'utf-8', 'unicode']);
 
-/** A parameter that can't be served; other parameters are left to the handler. */
-export function checkParameters(parameters: ReadonlyMap<string, string>): RequestError | undefined {
+/** Returns an error for an unsupported parameter; the handler checks the other parameters. */
+export function findUnsupportedParameter(
+  parameters: ReadonlyMap<string, string>,
+): RequestError | undefined {
   if (parameters.has('replication')) return new UnsupportedFeatureError('replication');
   const encoding = (parameters.get('client_encoding') ?? 'utf8').replaceAll(/['"]/g, '');
   if (UTF8_NAMES.has(encoding.toLowerCase())) return undefined;
@@ -13,8 +15,8 @@
 }
 
 /**
- * ParameterStatus values at start-up, as PostgreSQL 15 sends them with its default settings, which
- * pooled connections keep.
+ * ParameterStatus values at start-up, as PostgreSQL 15 sends them with its default settings. Pooled
+ * connections always have these settings.
  */
 export function reportedParameters(
   user: string,
--- a/src/postgres/caller/startup.ts
+++ b/src/postgres/caller/startup.ts
@@ -1,6 +1,6 @@
 /**
- * The untyped first message of a connection. Source: PostgreSQL manual, "Message Flow",
- * "Start-up", and "Message Formats".
+ * Parses the first message of a connection, which has no type byte. Source: PostgreSQL manual,
+ * "Message Flow", "Start-up", and "Message Formats".
  */
 import { err, ok, type Result } from 'neverthrow';
 import { ProtocolViolationError } from '../errors.js';
@@ -14,7 +14,7 @@
 const PARAMETERS_OFFSET = 8;
 const CANCEL_REQUEST_BYTES = 16;
 
-/** Prefix of protocol options, which a server lists back if it doesn't know them. */
+/** Prefix of protocol options. A server returns the names of those that it doesn't support. */
 const PROTOCOL_OPTION_PREFIX = '_pq_.';
 
 export interface StartupMessage {
@@ -22,9 +22,9 @@
   readonly minorVersion: number;
   readonly user: string;
   readonly database: string;
-  /** Lower-case names, those inside `options` included. */
+  /** By lower-case name, including those given inside `options`. */
   readonly parameters: ReadonlyMap<string, string>;
-  /** Names of `_pq_.` options, none of which is known here. */
+  /** Names of `_pq_.` options, none of which is supported. */
   readonly protocolOptions: readonly string[];
 }
 
@@ -36,7 +36,7 @@
 
 export type StartupError = ProtocolViolationError | StartupParameterError;
 
-/** Reads a whole first message, length field included. */
+/** Parses a complete first message, including its length field. */
 export function parseFirstMessage(message: Buffer): Result<FirstMessage, StartupError> {
   if (message.length < PARAMETERS_OFFSET) {
     return err(new ProtocolViolationError('start-up packet is too short'));
@@ -73,7 +73,7 @@
     if (name.startsWith(PROTOCOL_OPTION_PREFIX)) protocolOptions.push(name);
     else parameters.set(name.toLowerCase(), value);
   }
-  const added = addCommandLineOptions(parameters);
+  const added = extractCommandLineOptions(parameters);
   if (added.isErr()) return err(added.error);
   const user = parameters.get('user') ?? '';
   if (user === '') return err(new StartupParameterError('user', 'no user name given'));
@@ -81,7 +81,7 @@
   return ok({ type: 'startup', minorVersion, user, database, parameters, protocolOptions });
 }
 
-/** Pairs of zero-terminated strings up to an empty name; undefined if they don't end so. */
+/** Reads pairs of zero-terminated strings up to an empty name; undefined if that is missing. */
 function readPairs(message: Buffer): [string, string][] | undefined {
   const strings: string[] = [];
   let offset = PARAMETERS_OFFSET;
@@ -105,8 +105,8 @@
   return pairs;
 }
 
-/** Moves `-c name=value` and `--name=value` of the `options` parameter to parameters of their own. */
-function addCommandLineOptions(parameters: Map<string, string>): Result<void, StartupError> {
+/** Adds each `-c name=value` and `--name=value` of the `options` parameter as a parameter of its own. */
+function extractCommandLineOptions(parameters: Map<string, string>): Result<void, StartupError> {
   const words = splitOptions(parameters.get('options') ?? '');
   for (let index = 0; index < words.length; index += 1) {
     let word = words[index] ?? '';
--- a/test/integration/postgres/caller-fixture.ts
+++ b/test/integration/postgres/caller-fixture.ts
@@ -4,7 +4,7 @@
 import type { TenantPolicy } from '../../../src/core/configuration/model.js';
 import { NotRunError, UnsupportedFeatureError } from '../../../src/core/errors.js';
 import { AuthenticationFailedError } from '../../../src/postgres/caller/errors.js';
-import { localAnswer } from '../../../src/postgres/caller/local-answer.js';
+import { buildLocalResponse } from '../../../src/postgres/caller/local-response.js';
 import type { CallerLimits, CallerTlsOptions } from '../../../src/postgres/caller/options.js';
 import { CallerServer } from '../../../src/postgres/caller/server.js';
 import type {
@@ -49,7 +49,11 @@
 
 /** What a back end would answer: each statement gives its own text as its one row. */
 export function echoAnswer(batch: CallerBatch): Buffer {
-  return localAnswer(batch, (text) => ({ tag: 'SELECT 1', columns: ['text'], rows: [[text]] }));
+  return buildLocalResponse(batch, (text) => ({
+    tag: 'SELECT 1',
+    columns: ['text'],
+    rows: [[text]],
+  }));
 }
 
 /** Handles batches like a back end whose every statement succeeds. */
--- a/test/property/postgres/caller-messages.test.ts
+++ b/test/property/postgres/caller-messages.test.ts
@@ -2,12 +2,12 @@
 import * as assert from 'node:assert/strict';
 import fc from 'fast-check';
 import { test } from 'uvu';
-import { AnswerMerger, type AnswerStep } from '../../../src/postgres/caller/answer-merger.js';
 import { BatchBuilder } from '../../../src/postgres/caller/batch-builder.js';
 import type { Frame } from '../../../src/postgres/caller/message-fields.js';
 import { DEFAULT_CALLER_LIMITS } from '../../../src/postgres/caller/options.js';
 import { PreparedStatementStore } from '../../../src/postgres/caller/prepared-statements.js';
-import { mockVerifier, ScramExchange } from '../../../src/postgres/caller/scram.js';
+import { ResponseMerger, type ResponseStep } from '../../../src/postgres/caller/response-merger.js';
+import { createMockVerifier, ScramExchange } from '../../../src/postgres/caller/scram.js';
 import { parseFirstMessage } from '../../../src/postgres/caller/startup.js';
 import { FrameReader } from '../../../src/postgres/frames.js';
 import {
@@ -50,7 +50,7 @@
       );
       for (const batch of batches) {
         const frames = batch.map(([type, content]) => frameOf(type, content));
-        const built = builder.extended(frames, boundary, {
+        const built = builder.buildExtended(frames, boundary, {
           inTransaction: failed || flush,
           failed,
         });
@@ -77,20 +77,25 @@
       header.writeInt32BE(code, 4);
       parseFirstMessage(Buffer.concat([header, content]));
       parseFirstMessage(content);
-      const exchange = new ScramExchange('a', mockVerifier('a', Buffer.alloc(32)), true, 'x');
-      assert.ok(exchange.final(text).isErr());
-      exchange.first(text);
-      exchange.first('n,,n=,r=abc');
-      assert.ok(exchange.final(`c=biws,r=abcx,p=${Buffer.from(text).toString('base64')}`).isErr());
+      const exchange = new ScramExchange('a', createMockVerifier('a', Buffer.alloc(32)), true, 'x');
+      assert.ok(exchange.respondToFinal(text).isErr());
+      exchange.respondToFirst(text);
+      exchange.respondToFirst('n,,n=,r=abc');
+      assert.ok(
+        exchange.respondToFinal(`c=biws,r=abcx,p=${Buffer.from(text).toString('base64')}`).isErr(),
+      );
     }),
     { seed: SEED, numRuns: NUM_RUNS },
   );
 });
 
 test('the merged answer is the same however the back end cuts it', () => {
-  const steps = fc.array(fc.constantFrom<AnswerStep>('relay', 'parse-complete', 'close-complete'), {
-    maxLength: 12,
-  });
+  const steps = fc.array(
+    fc.constantFrom<ResponseStep>('relay', 'parse-complete', 'close-complete'),
+    {
+      maxLength: 12,
+    },
+  );
   fc.assert(
     fc.property(steps, fc.array(fc.boolean(), { minLength: 40, maxLength: 40 }), (plan, flips) => {
       const answers = plan.flatMap((step, index) => {
@@ -110,12 +115,12 @@
   );
 });
 
-function mergeAll(plan: readonly AnswerStep[], writes: readonly Buffer[]): Buffer {
+function mergeAll(plan: readonly ResponseStep[], writes: readonly Buffer[]): Buffer {
   const output: Buffer[] = [];
   const take = (bytes: Buffer): boolean => output.push(bytes) > 0;
-  const merger = new AnswerMerger(plan);
+  const merger = new ResponseMerger(plan);
   for (const write of writes) if (write.length > 0) merger.relay(write, take);
-  merger.end(take);
+  merger.finish(take);
   return Buffer.concat(output);
 }
 
