--- a/src/postgres/backend/cancel.ts
+++ b/src/postgres/backend/cancel.ts
@@ -1,15 +1,15 @@
 /**
- * CancelRequest on a connection of its own. Source: PostgreSQL manual, "Canceling Requests in
+ * Sends a CancelRequest over a separate connection. Source: PostgreSQL manual, "Canceling Requests in
  * Progress".
  *
- * The race: a CancelRequest names a back-end process, not a statement. The server signals that
- * process whenever it gets to it, and cancels whatever runs there then. A request still on its way
- * when the batch ends would hit the next batch, perhaps another tenant's.
+ * The race: a CancelRequest names a back-end process, not a statement. The server signals that process when
+ * it handles the request, and cancels whatever the process runs at that time. A request that is still in
+ * transit when the batch ends would cancel the next batch, perhaps another tenant's.
  *
- * The rule: the server closes the cancel connection only after it has sent the signal. So a
- * connection takes no other batch until each cancel connection that was opened for it was closed
- * by the server, and its own batch has ended. If the close can't be seen (timeout, reset), the
- * connection is closed and never used again.
+ * The rule: the server closes the cancel connection only after it has sent the signal. So a connection
+ * takes no other batch until its current batch has ended and the server has closed every cancel connection
+ * that was opened for it. If that close is not observed (timeout, reset), the connection is closed and
+ * never used again.
  */
 
 import type { Socket } from 'node:net';
@@ -19,7 +19,7 @@
 import { openSocket } from './open-socket.js';
 import { type BackendConnectOptions, DEFAULT_CANCEL_TIMEOUT_MS } from './options.js';
 
-/** `closed-by-server`: it has done what it will do. `uncertain`: it may still take effect. */
+/** `closed-by-server`: the request can't take effect any more. `uncertain`: it may still take effect. */
 export type CancelOutcome = 'closed-by-server' | 'uncertain';
 
 /** Sends a CancelRequest. An error means that nothing was sent. */
--- a/src/postgres/backend/channel.ts
+++ b/src/postgres/backend/channel.ts
@@ -1,27 +1,27 @@
-/** A socket to a back end whose bytes are cut into messages, with one listener at a time. */
+/** A socket to a back end that splits the received bytes into messages and passes them to one listener. */
 import type { Socket } from 'node:net';
 import { type FrameError, FrameReader, type FrameVisitor } from '../frames.js';
 
 export interface ChannelListener {
   readonly visit: FrameVisitor;
-  chunkEnded(): void;
-  /** The stream can't be read on. */
-  malformed(error: FrameError): void;
+  handleChunkEnd(): void;
+  /** Framing is broken; nothing further can be read. */
+  handleMalformed(error: FrameError): void;
   /** The socket ended or failed; called once. */
-  closed(cause: Error | undefined): void;
+  handleClose(cause: Error | undefined): void;
 }
 
 const IGNORE: ChannelListener = {
   visit: () => undefined,
-  chunkEnded: () => undefined,
-  malformed: () => undefined,
-  closed: () => undefined,
+  handleChunkEnd: () => undefined,
+  handleMalformed: () => undefined,
+  handleClose: () => undefined,
 };
 
-/** Owns the socket's events from its construction on. */
+/** Handles all events of the socket. */
 export class BackendChannel {
   private listener: ChannelListener = IGNORE;
-  private cause: Error | undefined;
+  private lastError: Error | undefined;
   private isClosed = false;
   private readonly reader: FrameReader;
 
@@ -33,24 +33,24 @@
       (type, buffer, start, end) => this.listener.visit(type, buffer, start, end),
       maximumMessageBytes,
     );
-    socket.on('data', (chunk: Buffer) => this.take(chunk));
+    socket.on('data', (chunk: Buffer) => this.receive(chunk));
     socket.on('error', (error) => {
-      this.cause = error;
+      this.lastError = error;
     });
-    socket.once('end', () => this.end());
-    socket.once('close', () => this.end());
+    socket.once('end', () => this.handleEnd());
+    socket.once('close', () => this.handleEnd());
   }
 
   get closed(): boolean {
     return this.isClosed;
   }
 
-  /** Hands all further events to another listener. */
-  listen(listener: ChannelListener): void {
+  /** Replaces the listener for all further events. */
+  setListener(listener: ChannelListener): void {
     this.listener = listener;
   }
 
-  /** Drops the connection at once; the listener hears no more. */
+  /** Closes the connection at once; the listener isn't called any more. */
   destroy(): void {
     this.listener = IGNORE;
     this.isClosed = true;
@@ -58,7 +58,7 @@
     this.socket.destroy();
   }
 
-  /** Sends a last message and closes; the listener hears no more. */
+  /** Sends a last message and closes; the listener isn't called any more. */
   closeWith(message: Buffer): void {
     this.listener = IGNORE;
     this.isClosed = true;
@@ -67,18 +67,18 @@
     this.socket.destroySoon();
   }
 
-  private take(chunk: Buffer): void {
+  private receive(chunk: Buffer): void {
     const taken = this.reader.push(chunk);
-    this.listener.chunkEnded();
-    if (taken.isErr()) this.listener.malformed(taken.error);
+    this.listener.handleChunkEnd();
+    if (taken.isErr()) this.listener.handleMalformed(taken.error);
   }
 
-  private end(): void {
+  private handleEnd(): void {
     if (this.isClosed) return;
     this.isClosed = true;
     const listener = this.listener;
     this.listener = IGNORE;
     this.socket.destroy();
-    listener.closed(this.cause);
+    listener.handleClose(this.lastError);
   }
 }
--- a/src/postgres/backend/connect.ts
+++ b/src/postgres/backend/connect.ts
@@ -7,7 +7,7 @@
 import type { BackendConnectOptions } from './options.js';
 import { startSession } from './startup.js';
 
-/** Opens and authenticates a connection, within `connectTimeoutMs` in all. */
+/** Opens and authenticates a connection; fails if that takes longer than `connectTimeoutMs` in total. */
 export function connectBackend(
   options: BackendConnectOptions,
 ): ResultAsync<BackendConnection, BackendConnectError> {
--- a/src/postgres/backend/connection.ts
+++ b/src/postgres/backend/connection.ts
@@ -1,11 +1,10 @@
-/** One pooled connection to a database instance, ready for batches. */
+/** One pooled connection to a database instance, after start-up and authentication. */
 import { okAsync, ResultAsync } from 'neverthrow';
 import { serialize } from 'pg-protocol';
 import type { MeadowstackError } from '../../core/errors.js';
 import type { BackendBatch, BackendBatchResult, BackendConnection } from '../contract.js';
 import type { FrameError } from '../frames.js';
 import { FrontendMessageType } from '../messages.js';
-import { type AnswerEnd, type AnswerListener, AnswerReader } from './answer-reader.js';
 import { type CancelOutcome, sendCancelRequest } from './cancel.js';
 import type { BackendChannel, ChannelListener } from './channel.js';
 import {
@@ -21,39 +20,40 @@
   DEFAULT_MAXIMUM_PREPARED_STATEMENTS,
 } from './options.js';
 import { PreparedNames } from './prepared-names.js';
+import { type ResponseEnd, type ResponseListener, ResponseReader } from './response-reader.js';
 import type { TextRow } from './rows.js';
 import type { ServerError } from './server-error.js';
 import type { StartedSession } from './startup.js';
 
-/** A batch of the pool's, or a query of our own. */
-interface Work {
+/** The batch, or the proxy's own query, that runs on the connection. */
+interface ActiveWork {
   readonly onMessages: (messages: Buffer) => void;
-  readonly onEnd: (end: AnswerEnd) => void;
-  readonly onLost: (error: BackendLostError, answerRelayed: boolean) => void;
+  readonly onEnd: (end: ResponseEnd) => void;
+  readonly onLost: (error: BackendLostError, anyBytesRelayed: boolean) => void;
   anyBytesRelayed: boolean;
 }
 
-const NOTHING = Buffer.alloc(0);
+const EMPTY = Buffer.alloc(0);
 
 export class PostgresBackendConnection
-  implements BackendConnection, AnswerListener, ChannelListener
+  implements BackendConnection, ResponseListener, ChannelListener
 {
   onClose: ((error: MeadowstackError) => void) | undefined;
 
   private readonly channel: BackendChannel;
-  private readonly answers = new AnswerReader(this);
+  private readonly responseReader = new ResponseReader(this);
   private readonly names: PreparedNames;
   private readonly counters: BackendCounters;
-  private work: Work | undefined;
-  /** The batch has ended, but a cancel connection is still open: see `cancel.ts`. */
-  private parkedEnd: AnswerEnd | undefined;
-  private openCancels = 0;
-  private cancelUncertain = false;
+  private work: ActiveWork | undefined;
+  /** End of the batch, not reported until its cancel connections are closed: see `cancel.ts`. */
+  private deferredEnd: ResponseEnd | undefined;
+  private openCancelCount = 0;
+  private isCancelUncertain = false;
   private fatalError: ServerError | undefined;
-  /** Set once the connection takes no more work. */
-  private lost: BackendLostError | undefined;
-  private lastTrailingText = '';
-  private lastTrailingMessage: Buffer = NOTHING;
+  /** Why the connection is closed or lost; set once it takes no more work. */
+  private lossError: BackendLostError | undefined;
+  private lastAppendedQuery = '';
+  private lastAppendedMessage: Buffer = EMPTY;
 
   constructor(
     private readonly session: StartedSession,
@@ -64,8 +64,8 @@
     this.names = new PreparedNames(
       options.maximumPreparedStatements ?? DEFAULT_MAXIMUM_PREPARED_STATEMENTS,
     );
-    this.channel.listen(this);
-    if (this.channel.closed) this.closed(undefined);
+    this.channel.setListener(this);
+    if (this.channel.closed) this.handleClose(undefined);
   }
 
   get parameters(): ReadonlyMap<string, string> {
@@ -73,18 +73,19 @@
   }
 
   run(batch: BackendBatch): void {
-    const unusable = this.unusableBecause();
+    const unusable = this.findUnusableReason();
     if (unusable !== undefined) {
-      queueMicrotask(() => batch.onFinished(notWritten(unusable)));
+      queueMicrotask(() => batch.onFinished(notWrittenResult(unusable)));
       return;
     }
-    this.work = workOfBatch(batch);
-    // A Parse ahead of a simple Query would, if it failed, skip the Query for want of a Sync.
+    this.work = createBatchWork(batch);
+    // No prelude before a simple Query: if its Parse failed, the back end would skip the Query, as no
+    // Sync comes before it.
     const simple = batch.messages[0] === FrontendMessageType.QUERY;
     const prelude = this.names.preludeFor(simple ? [] : batch.requires);
     const { appendedQuery } = batch;
-    this.answers.begin({
-      prelude: prelude.answers,
+    this.responseReader.begin({
+      prelude: prelude.responses,
       batch: true,
       hasAppendedQuery: appendedQuery !== undefined,
     });
@@ -92,7 +93,7 @@
     socket.cork();
     for (const message of prelude.messages) socket.write(message);
     socket.write(batch.messages);
-    if (appendedQuery !== undefined) socket.write(this.trailingMessage(appendedQuery));
+    if (appendedQuery !== undefined) socket.write(this.encodeAppendedQuery(appendedQuery));
     socket.uncork();
   }
 
@@ -105,24 +106,24 @@
   }
 
   cancel(): ResultAsync<void, MeadowstackError> {
-    if (this.work === undefined || this.parkedEnd !== undefined || this.lost !== undefined) {
+    if (this.work === undefined || this.deferredEnd !== undefined || this.lossError !== undefined) {
       return okAsync(undefined);
     }
-    this.openCancels += 1;
+    this.openCancelCount += 1;
     this.counters.cancelsSent += 1;
     const { processId, secretKey } = this.session;
     return sendCancelRequest(this.options, processId, secretKey)
-      .map((outcome) => this.cancelSettled(outcome))
+      .map((outcome) => this.handleCancelOutcome(outcome))
       .mapErr((error) => {
-        // Nothing was sent, so nothing can come of it.
-        this.cancelSettled('closed-by-server');
+        // Nothing was sent, so the request can't take effect.
+        this.handleCancelOutcome('closed-by-server');
         return error;
       });
   }
 
   query(text: string): ResultAsync<readonly TextRow[], MeadowstackError> {
     const answered = new Promise<readonly TextRow[]>((resolve, reject) => {
-      const unusable = this.unusableBecause();
+      const unusable = this.findUnusableReason();
       if (unusable !== undefined) {
         reject(unusable);
         return;
@@ -130,50 +131,55 @@
       this.work = {
         onMessages: () => undefined,
         onEnd: (end) => {
-          if (end.trailingError !== undefined) reject(new BackendQueryError(end.trailingError));
+          if (end.appendedQueryError !== undefined)
+            reject(new BackendQueryError(end.appendedQueryError));
           else resolve(end.appendedQueryRows ?? []);
         },
         onLost: (error) => reject(error),
         anyBytesRelayed: false,
       };
-      this.answers.begin({ prelude: [], batch: false, hasAppendedQuery: true });
+      this.responseReader.begin({ prelude: [], batch: false, hasAppendedQuery: true });
       this.channel.socket.write(serialize.query(text));
     });
     return ResultAsync.fromPromise(answered, (error) => error as MeadowstackError);
   }
 
   close(): void {
-    if (this.lost !== undefined) return;
-    this.lost = new BackendLostError('closed', 'closed by this side');
+    if (this.lossError !== undefined) return;
+    this.lossError = new BackendLostError('closed', 'closed by this side');
     this.channel.closeWith(serialize.end());
-    this.endWorkAsLost(this.lost);
+    this.reportWorkLost(this.lossError);
   }
 
-  // What the channel tells.
+  // ChannelListener
 
   get visit(): ChannelListener['visit'] {
-    return this.answers.visit;
+    return this.responseReader.visit;
   }
 
-  chunkEnded(): void {
-    this.answers.chunkEnded();
+  handleChunkEnd(): void {
+    this.responseReader.handleChunkEnd();
   }
 
-  malformed(error: FrameError): void {
+  handleMalformed(error: FrameError): void {
     this.counters.protocolViolations += 1;
-    this.lose('protocol-violation', error.message, error);
+    this.failConnection('protocol-violation', error.message, error);
   }
 
-  closed(cause: Error | undefined): void {
+  handleClose(cause: Error | undefined): void {
     const fatal = this.fatalError;
     if (fatal !== undefined) {
-      this.lose('ended-by-server', `${fatal.severity} ${fatal.sqlState}: ${fatal.message}`, cause);
+      this.failConnection(
+        'ended-by-server',
+        `${fatal.severity} ${fatal.sqlState}: ${fatal.message}`,
+        cause,
+      );
     } else {
-      this.lose('connection-lost', cause?.message ?? 'closed by the back end', cause);
+      this.failConnection('connection-lost', cause?.message ?? 'closed by the back end', cause);
     }
   }
 
-  // What the answers tell.
+  // ResponseListener
 
   relay(messages: Buffer): void {
     const { work } = this;
@@ -182,101 +188,104 @@
     work.onMessages(messages);
   }
 
-  ended(end: AnswerEnd): void {
-    if (this.openCancels > 0) this.parkedEnd = end;
-    else this.deliver(end);
+  handleEnd(end: ResponseEnd): void {
+    if (this.openCancelCount > 0) this.deferredEnd = end;
+    else this.deliverEnd(end);
   }
 
-  fatal(error: ServerError): void {
+  handleFatalError(error: ServerError): void {
     this.fatalError = error;
   }
 
-  violation(message: string): void {
+  handleViolation(message: string): void {
     this.counters.protocolViolations += 1;
-    this.lose('protocol-violation', message);
+    this.failConnection('protocol-violation', message);
   }
 
-  heldBackTooLarge(): void {
-    this.lose('held-back-too-large', 'too many bytes between a completion and ReadyForQuery');
+  handleHeldBackTooLarge(): void {
+    this.failConnection(
+      'held-back-too-large',
+      'too many bytes between a completion and ReadyForQuery',
+    );
   }
 
-  prepared(name: string): void {
+  recordPrepared(name: string): void {
     this.counters.statementsPrepared += 1;
     this.names.add(name);
   }
 
-  deallocated(all: boolean): void {
-    if (all) this.names.forgetAll();
-    else this.names.distrustAll();
+  recordDeallocated(all: boolean): void {
+    if (all) this.names.clear();
+    else this.names.invalidateAll();
   }
 
-  parameter(name: string, value: string): void {
+  recordParameter(name: string, value: string): void {
     this.session.parameters.set(name, value);
   }
 
-  notificationDropped(): void {
+  recordDroppedNotification(): void {
     this.counters.notificationsDropped += 1;
   }
 
-  /** Encoded once: an owner trails the same text behind each write. */
-  private trailingMessage(text: string): Buffer {
-    if (text !== this.lastTrailingText) {
-      this.lastTrailingText = text;
-      this.lastTrailingMessage = serialize.query(text);
+  /** Encodes the appended query. The last one is cached, as an owner appends the same text to each write. */
+  private encodeAppendedQuery(text: string): Buffer {
+    if (text !== this.lastAppendedQuery) {
+      this.lastAppendedQuery = text;
+      this.lastAppendedMessage = serialize.query(text);
     }
-    return this.lastTrailingMessage;
+    return this.lastAppendedMessage;
   }
 
-  private unusableBecause(): MeadowstackError | undefined {
-    if (this.lost !== undefined) return this.lost;
+  private findUnusableReason(): MeadowstackError | undefined {
+    if (this.lossError !== undefined) return this.lossError;
     if (this.work !== undefined) return new BackendBusyError();
     return undefined;
   }
 
-  private cancelSettled(outcome: CancelOutcome): void {
-    this.openCancels -= 1;
-    if (outcome === 'uncertain') this.cancelUncertain = true;
-    const { parkedEnd } = this;
-    if (parkedEnd === undefined || this.openCancels > 0) return;
-    this.parkedEnd = undefined;
-    this.deliver(parkedEnd);
+  private handleCancelOutcome(outcome: CancelOutcome): void {
+    this.openCancelCount -= 1;
+    if (outcome === 'uncertain') this.isCancelUncertain = true;
+    const { deferredEnd } = this;
+    if (deferredEnd === undefined || this.openCancelCount > 0) return;
+    this.deferredEnd = undefined;
+    this.deliverEnd(deferredEnd);
   }
 
-  private deliver(end: AnswerEnd): void {
+  private deliverEnd(end: ResponseEnd): void {
     const { work } = this;
     this.work = undefined;
-    if (!this.cancelUncertain) {
+    if (!this.isCancelUncertain) {
       work?.onEnd(end);
       return;
     }
     const error = new BackendLostError('cancel-uncertain', 'a CancelRequest may still take effect');
-    if (this.lost === undefined) {
-      this.lost = error;
+    if (this.lossError === undefined) {
+      this.lossError = error;
       this.channel.destroy();
       work?.onEnd(end);
       this.onClose?.(error);
     } else work?.onEnd(end);
   }
 
-  private lose(reason: BackendLossReason, message: string, cause?: Error): void {
-    if (this.lost !== undefined) return;
+  private failConnection(reason: BackendLossReason, message: string, cause?: Error): void {
+    if (this.lossError !== undefined) return;
     const error = new BackendLostError(reason, message, this.fatalError, { cause });
-    this.lost = error;
+    this.lossError = error;
     this.channel.destroy();
-    this.endWorkAsLost(error);
+    this.reportWorkLost(error);
     this.onClose?.(error);
   }
 
-  private endWorkAsLost(error: BackendLostError): void {
-    const { work, parkedEnd } = this;
+  private reportWorkLost(error: BackendLostError): void {
+    const { work, deferredEnd } = this;
     this.work = undefined;
-    this.parkedEnd = undefined;
-    if (parkedEnd !== undefined) work?.onEnd(parkedEnd);
+    this.deferredEnd = undefined;
+    if (deferredEnd !== undefined) work?.onEnd(deferredEnd);
     else work?.onLost(error, work.anyBytesRelayed);
   }
 }
 
-function workOfBatch(batch: BackendBatch): Work {
+function createBatchWork(batch: BackendBatch): ActiveWork {
   return {
     onMessages: (messages) => batch.onMessages(messages),
     onEnd: (end) =>
@@ -287,17 +296,17 @@
         errorSqlState: end.errorSqlState,
         appendedQueryRows: end.appendedQueryRows,
       }),
-    onLost: (error, answerRelayed) =>
+    onLost: (error, anyBytesRelayed) =>
       batch.onFinished({
         type: 'lost',
         anyBytesWritten: true,
-        anyBytesRelayed: answerRelayed,
+        anyBytesRelayed,
         error,
       }),
     anyBytesRelayed: false,
   };
 }
 
-function notWritten(error: MeadowstackError): BackendBatchResult {
+function notWrittenResult(error: MeadowstackError): BackendBatchResult {
   return { type: 'lost', anyBytesWritten: false, anyBytesRelayed: false, error };
 }
--- a/src/postgres/backend/errors.ts
+++ b/src/postgres/backend/errors.ts
@@ -1,19 +1,19 @@
-/** Errors of connections to back ends. None of them reaches a caller as it is. */
+/** Errors of connections to back ends. None of them is sent to a caller unchanged. */
 import { type ErrorLabel, MeadowstackError } from '../../core/errors.js';
 import type { ServerError } from './server-error.js';
 
 /** Why a connection could not be opened. */
 export type BackendConnectFailure =
-  /** The back end's own limit of connections (SQLSTATE 53300): another time it may work. */
+  /** The back end's own connection limit (SQLSTATE 53300): a later attempt may succeed. */
   | 'refused-by-limit'
   /** The back end refused for another reason, such as starting up (57P03) or no such database. */
   | 'refused'
-  /** Wrong password, unknown role, or a mechanism that this side doesn't take. */
+  /** Wrong password, unknown role, or an authentication method that the proxy doesn't support. */
   | 'authentication'
-  /** No connection at all: refused, reset, no route, or TLS that could not be set up. */
+  /** No connection: refused, reset, no route, or TLS failed. */
   | 'unreachable'
   | 'timeout'
-  /** The other side did not speak the protocol. */
+  /** The back end violated the protocol. */
   | 'protocol';
 
 const TRANSIENT_FAILURES: ReadonlySet<BackendConnectFailure> = new Set([
@@ -31,7 +31,7 @@
   constructor(
     readonly failure: BackendConnectFailure,
     message: string,
-    /** What the back end itself said, if it did. */
+    /** The error that the back end sent, if any. */
     readonly serverError?: ServerError,
     options?: ErrorOptions,
   ) {
@@ -43,17 +43,17 @@
 
 /** Why an open connection ended. */
 export type BackendLossReason =
-  /** The socket failed or was closed by the other side. */
+  /** The socket failed or was closed by the back end. */
   | 'connection-lost'
-  /** The back end ended it with a FATAL error, such as 57P01 when it stops. */
+  /** The back end closed it with a FATAL error, such as 57P01 when it stops. */
   | 'ended-by-server'
-  /** A message that is not lawful at that point. */
+  /** The back end sent a malformed message, or one that is not allowed at that point. */
   | 'protocol-violation'
   /** `close()` was called while a batch ran. */
   | 'closed'
   /** A CancelRequest may still be on its way, so the connection can't be used again. */
   | 'cancel-uncertain'
-  /** What has to be held back until confirmation outgrew its bound. */
+  /** The messages held back until confirmation exceeded their limit. */
   | 'held-back-too-large';
 
 /** A back-end connection ended. */
@@ -63,7 +63,7 @@
   constructor(
     readonly reason: BackendLossReason,
     message: string,
-    /** The FATAL error that the back end gave, if it did. */
+    /** The FATAL error that the back end sent, if any. */
     readonly serverError?: ServerError,
     options?: ErrorOptions,
   ) {
@@ -72,7 +72,7 @@
   }
 }
 
-/** A second batch was given to a connection that runs one; nothing of it was written. */
+/** A batch was given to a connection that already runs one; none of it was written. */
 export class BackendBusyError extends MeadowstackError {
   readonly code = 'MS-BACKEND-BUSY';
 
@@ -81,7 +81,7 @@
   }
 }
 
-/** The back end answered a query of our own (probe, reset, position) with an error. */
+/** The back end responded to the proxy's own query (probe, reset, position) with an error. */
 export class BackendQueryError extends MeadowstackError {
   readonly code = 'MS-BACKEND-QUERY';
 
@@ -90,17 +90,17 @@
   }
 }
 
-/** A CancelRequest could not be delivered, or it can't be told whether it was. */
+/** A CancelRequest could not be sent. */
 export class BackendCancelError extends MeadowstackError {
   readonly code = 'MS-BACKEND-CANCEL';
 }
 
-/** An answer to the position query that has not its shape. */
+/** The response to the position query is malformed. */
 export class PositionAnswerError extends MeadowstackError {
   readonly code = 'MS-POSITION-ANSWER';
 }
 
-/** SCRAM failed: the server's message is malformed, or it doesn't know the password itself. */
+/** SCRAM failed: the server's message is malformed or reports an error, or its signature is wrong. */
 export class ScramError extends MeadowstackError {
   readonly code = 'MS-SCRAM';
   override readonly labels: ReadonlySet<ErrorLabel> = new Set(['security']);
--- a/src/postgres/backend/open-socket.ts
+++ b/src/postgres/backend/open-socket.ts
@@ -1,4 +1,4 @@
-/** TCP and TLS towards a back end, before any message of the protocol proper. */
+/** Opens TCP and TLS connections to back ends, before the start-up message. */
 import { connect, isIP, type Socket } from 'node:net';
 import { connect as connectTls } from 'node:tls';
 import { ResultAsync } from 'neverthrow';
@@ -7,11 +7,11 @@
 import type { BackendConnectOptions, BackendTlsOptions } from './options.js';
 
 const KEEP_ALIVE_DELAY_MS = 10_000;
-/** The server's one-byte answers to SSLRequest. */
+/** The server's one-byte responses to SSLRequest. */
 const TLS_ACCEPTED = 0x53;
 const TLS_DECLINED = 0x4e;
 
-/** Opens the socket, with TLS if asked for. Aborting the signal destroys it, now or later. */
+/** Opens a socket, with TLS if configured. Aborting the signal destroys it, even after it was opened. */
 export function openSocket(
   options: BackendConnectOptions,
   signal: AbortSignal,
@@ -24,13 +24,13 @@
   );
 }
 
-function unreachable(cause: unknown): BackendConnectError {
+function unreachableError(cause: unknown): BackendConnectError {
   const message = cause instanceof Error ? cause.message : 'the connection failed';
   return new BackendConnectError('unreachable', message, undefined, { cause });
 }
 
 function toConnectError(cause: unknown): BackendConnectError {
-  return cause instanceof BackendConnectError ? cause : unreachable(cause);
+  return cause instanceof BackendConnectError ? cause : unreachableError(cause);
 }
 
 /** Destroys the socket when the signal aborts. */
@@ -57,11 +57,11 @@
     keepAliveInitialDelay: KEEP_ALIVE_DELAY_MS,
   });
   destroyOnAbort(socket, signal);
-  return until(socket, 'connect').map(() => socket);
+  return waitForEvent(socket, 'connect').map(() => socket);
 }
 
-/** Waits for one event of a socket, or for its failure. */
-function until(
+/** Waits for an event of a socket; fails if the socket fails or closes first. */
+function waitForEvent(
   socket: Socket,
   event: 'connect' | 'secureConnect',
 ): ResultAsync<void, BackendConnectError> {
@@ -77,7 +77,7 @@
     };
     const fail = (error: Error): void => {
       settle();
-      // A later error of the same socket must not end the process.
+      // Without a listener, a later error of this socket would end the process.
       socket.on('error', () => undefined);
       reject(error);
     };
@@ -86,20 +86,20 @@
     socket.once('error', fail);
     socket.once('close', close);
   });
-  return ResultAsync.fromPromise(happened, unreachable);
+  return ResultAsync.fromPromise(happened, unreachableError);
 }
 
-/** SSLRequest: the answer is a single byte, in clear text, and nothing may come behind it. */
+/** Sends SSLRequest. The response is a single unencrypted byte, and nothing may follow it. */
 function requestTls(socket: Socket): ResultAsync<void, BackendConnectError> {
-  const answered = new Promise<void>((resolve, reject) => {
+  const negotiated = new Promise<void>((resolve, reject) => {
     const settle = (): void => {
-      socket.off('data', take);
+      socket.off('data', receive);
       socket.off('error', fail);
       socket.off('close', close);
     };
-    const take = (answer: Buffer): void => {
+    const receive = (response: Buffer): void => {
       settle();
-      const error = tlsAnswerError(answer);
+      const error = tlsResponseError(response);
       if (error === undefined) resolve();
       else fail(error);
     };
@@ -110,21 +110,21 @@
       reject(error);
     };
     const close = (): void => fail(new Error('closed by the other side'));
-    socket.once('data', take);
+    socket.once('data', receive);
     socket.once('error', fail);
     socket.once('close', close);
     socket.write(serialize.requestSsl());
   });
-  return ResultAsync.fromPromise(answered, toConnectError);
+  return ResultAsync.fromPromise(negotiated, toConnectError);
 }
 
-function tlsAnswerError(answer: Buffer): BackendConnectError | undefined {
-  if (answer.length === 1 && answer[0] === TLS_ACCEPTED) return undefined;
-  if (answer[0] === TLS_DECLINED) {
+function tlsResponseError(response: Buffer): BackendConnectError | undefined {
+  if (response.length === 1 && response[0] === TLS_ACCEPTED) return undefined;
+  if (response[0] === TLS_DECLINED) {
     return new BackendConnectError('protocol', 'the back end does not offer TLS');
   }
-  // Bytes behind the answer came unencrypted: someone in between may have put them there.
-  return new BackendConnectError('protocol', 'the answer to SSLRequest is not lawful');
+  // Further bytes were sent unencrypted, so a man in the middle may have inserted them.
+  return new BackendConnectError('protocol', 'invalid response to SSLRequest');
 }
 
 function startTls(
@@ -142,7 +142,7 @@
     minVersion: 'TLSv1.2',
   });
   destroyOnAbort(secured, signal);
-  return until(secured, 'secureConnect')
+  return waitForEvent(secured, 'secureConnect')
     .map((): Socket => secured)
     .mapErr((error) => {
       socket.destroy();
--- a/src/postgres/backend/options.ts
+++ b/src/postgres/backend/options.ts
@@ -1,13 +1,13 @@
-/** How to open a connection to a back end. */
+/** Options of connections to back ends. */
 import type { Milliseconds } from '../../core/units.js';
 
-/** TLS towards a back end; it is asked for with SSLRequest before anything else is sent. */
+/** TLS towards a back end; requested with SSLRequest before anything else is sent. */
 export interface BackendTlsOptions {
-  /** Certificates that are trusted, in PEM form; the machine's own if absent. */
+  /** Trusted CA certificates in PEM format. Default: Node.js's root certificates. */
   readonly authorities?: string | undefined;
-  /** Name that the certificate must carry; the host if absent. */
+  /** Name that the certificate must contain. Default: the host. */
   readonly serverName?: string | undefined;
-  /** False takes any certificate: for tests only. Default true. */
+  /** False accepts any certificate: for tests only. Default true. */
   readonly verify?: boolean | undefined;
 }
 
@@ -16,30 +16,30 @@
   readonly port: number;
   readonly user: string;
   readonly database: string;
-  /** Absent: the back end must let the role in without one. */
+  /** Absent: the back end must accept the role without a password. */
   readonly password?: string | undefined;
   /** Absent: no TLS. Present: a back end that doesn't offer TLS is refused. */
   readonly tls?: BackendTlsOptions | undefined;
-  /** Sends the password in clear text if the back end asks so. Default false. */
+  /** Sends the password in clear text if the back end requests it. Default false. */
   readonly allowClearTextPassword?: boolean | undefined;
-  /** Bound of everything until the first ReadyForQuery. */
+  /** Timeout of the whole connection attempt, up to the first ReadyForQuery. */
   readonly connectTimeoutMs: Milliseconds;
   /** Further start-up parameters, such as `application_name`. */
   readonly startupParameters?: Readonly<Record<string, string>> | undefined;
-  /** Prepared statements kept on the connection; the least recently used is closed beyond it. */
+  /** Maximum of prepared statements on the connection; beyond it the least recently used is closed. */
   readonly maximumPreparedStatements?: number | undefined;
-  /** Longest message taken from the back end, in bytes. */
+  /** Longest message accepted from the back end, in bytes. */
   readonly maximumMessageBytes?: number | undefined;
-  /** Bound of the whole life of a CancelRequest's own connection. */
+  /** Timeout of a CancelRequest, from opening its connection to the server's closing it. */
   readonly cancelTimeoutMs?: Milliseconds | undefined;
   readonly counters?: BackendCounters | undefined;
 }
 
-/** Counted by all connections that are given the same object. */
+/** Counters, shared by all connections that get the same object. */
 export interface BackendCounters {
-  /** NotificationResponse messages dropped: LISTEN can't be kept through a pool. */
+  /** Dropped NotificationResponse messages: pooled connections don't support LISTEN. */
   notificationsDropped: number;
-  /** Connections closed because the back end sent what is not lawful. */
+  /** Connections closed because the back end violated the protocol. */
   protocolViolations: number;
   cancelsSent: number;
   statementsPrepared: number;
--- a/src/postgres/backend/position-query.ts
+++ b/src/postgres/backend/position-query.ts
@@ -1,20 +1,20 @@
 /**
- * One query that tells an instance's role, timeline and positions, with PostgreSQL's own functions.
+ * Query for an instance's role, timeline and log positions, with PostgreSQL's own functions.
  *
- * The timeline: `pg_control_checkpoint()` reads the control file, which after a promotion names the
- * new timeline only from the next checkpoint on (a promotion asks for one, but does not wait for
- * it). A primary that has just been promoted would report its old timeline, and a write there
- * would look as if it had run on the deposed primary. So on a primary the timeline comes from
- * `pg_walfile_name(pg_current_wal_lsn())`, whose first eight hexadecimal digits are the timeline
- * that is being written at this moment. That function is refused during recovery.
+ * Timeline of a primary: `pg_control_checkpoint()` reads the control file, which after a promotion has the
+ * new timeline only from the next checkpoint on (a promotion requests a checkpoint but doesn't wait for
+ * it). So a newly promoted primary would report its old timeline, and a write there would seem to have run
+ * on the replaced primary. On a primary the timeline is therefore taken from
+ * `pg_walfile_name(pg_current_wal_lsn())`, whose first eight hexadecimal digits are the timeline that is
+ * currently written. That function fails during recovery.
  *
- * On a replica the control file follows only at restart points. For what was replayed that is the
- * safe side: the replica counts as less far than it is. For the question whether a later timeline
- * exists it is not: a replica that already follows the new primary would vouch for the deposed
- * one. So the timeline of what was received is `pg_stat_wal_receiver.received_tli`, if it is later.
- * It is NULL while no primary is followed, or if the role lacks `pg_read_all_stats`.
+ * Timeline of a replica: the control file is only updated at restart points. For the replayed position that
+ * is safe: the replica is treated as being behind where it is. For detecting a later timeline it isn't
+ * safe: a replica that already follows the new primary would confirm the replaced one. So the timeline of
+ * the received position is `pg_stat_wal_receiver.received_tli` if that is later. It is NULL while the
+ * replica follows no primary, or if the role lacks `pg_read_all_stats`.
  *
- * Both positions are NULL on a replica that never streamed; zero stands for them.
+ * Both positions are NULL on a replica that has never streamed; they are then read as zero.
  */
 import { err, ok, Result } from 'neverthrow';
 import type { MeadowstackError } from '../../core/errors.js';
@@ -32,9 +32,9 @@
   'CASE WHEN pg_is_in_recovery() THEN pg_last_wal_replay_lsn() ELSE pg_current_wal_lsn() END, ' +
   'CASE WHEN pg_is_in_recovery() THEN pg_last_wal_receive_lsn() ELSE pg_current_wal_lsn() END';
 
-const COLUMNS = 6;
-/** Answers kept parsed. */
-const KEPT_STATES = 512;
+const COLUMN_COUNT = 6;
+/** Parsed responses that are cached. */
+const MAXIMUM_CACHED_STATES = 512;
 const MAXIMUM_ROW_CHARACTERS = 128;
 const ZERO_LSN = '0/0';
 const TRUE = 't';
@@ -44,19 +44,19 @@
 const HEXADECIMAL = 16;
 
 const parsedStates = new TwoGenerationCache<InstanceState>(
-  KEPT_STATES,
-  KEPT_STATES * MAXIMUM_ROW_CHARACTERS,
+  MAXIMUM_CACHED_STATES,
+  MAXIMUM_CACHED_STATES * MAXIMUM_ROW_CHARACTERS,
 );
 
-/** Reads the answer to `POSITION_QUERY`. */
+/** Parses the rows of `POSITION_QUERY`. */
 export function parseInstanceState(
   rows: readonly TextRow[],
 ): Result<InstanceState, MeadowstackError> {
   const [row] = rows;
-  if (rows.length !== 1 || row === undefined || row.length !== COLUMNS) {
-    return err(new PositionAnswerError('the answer is not one row of six columns'));
+  if (rows.length !== 1 || row === undefined || row.length !== COLUMN_COUNT) {
+    return err(new PositionAnswerError('the response is not one row of six columns'));
   }
-  // Between two writes all answers of an instance are the same.
+  // Between two writes an instance always returns the same row, so parsed rows are cached.
   const key = row.join();
   const known = parsedStates.get(key);
   if (known !== undefined) return ok(known);
@@ -69,8 +69,10 @@
     return err(new PositionAnswerError('pg_is_in_recovery() is not a boolean'));
   }
   const writable = inRecovery === FALSE;
-  const replayedTimeline = writable ? timelineOfWalFile(walFile) : timelineOf(controlTimeline);
-  const laterTimeline = receivedTimeline == null ? ok(0) : timelineOf(receivedTimeline);
+  const replayedTimeline = writable
+    ? parseWalFileTimeline(walFile)
+    : parseTimeline(controlTimeline);
+  const laterTimeline = receivedTimeline == null ? ok(0) : parseTimeline(receivedTimeline);
   const lsns = Result.combine([parseLsn(replayed ?? ZERO_LSN), parseLsn(received ?? ZERO_LSN)]);
   return Result.combine([replayedTimeline, laterTimeline]).andThen(([timeline, later]) =>
     lsns.map(
@@ -86,12 +88,14 @@
   );
 }
 
-function timelineOf(text: string | null | undefined): Result<number, PositionAnswerError> {
+function parseTimeline(text: string | null | undefined): Result<number, PositionAnswerError> {
   if (typeof text === 'string' && TIMELINE_PATTERN.test(text)) return ok(Number(text));
   return err(new PositionAnswerError('a timeline is not a number'));
 }
 
-function timelineOfWalFile(text: string | null | undefined): Result<number, PositionAnswerError> {
+function parseWalFileTimeline(
+  text: string | null | undefined,
+): Result<number, PositionAnswerError> {
   const digits = typeof text === 'string' ? WAL_FILE_PATTERN.exec(text)?.[1] : undefined;
   if (digits !== undefined) return ok(Number.parseInt(digits, HEXADECIMAL));
   return err(new PositionAnswerError('pg_walfile_name() is not the name of a log file'));
--- a/src/postgres/backend/relay-buffer.ts
+++ b/src/postgres/backend/relay-buffer.ts
@@ -1,10 +1,10 @@
 /**
- * Collects the messages of an answer into large slices, without copying, and holds back its end.
+ * Collects the messages of a response into large slices, without copying, and holds back its end.
  *
- * The end is the last completion (CommandComplete, EmptyQueryResponse, PortalSuspended) and what
- * carries no result behind it (CloseComplete, ParameterStatus, a notice): none of these shows that
- * another statement follows. A result, a further completion or an error does. An error is held back
- * likewise: it may yet turn out that the batch never ran and can be run elsewhere.
+ * The end is the last completion (CommandComplete, EmptyQueryResponse, PortalSuspended) and the messages
+ * without a result after it (CloseComplete, ParameterStatus, a notice): none of these shows that the
+ * response to another statement follows. A result, a further completion or an error shows it. An error is
+ * held back too: it may turn out that the batch was not executed and can be run elsewhere.
  */
 const EMPTY = Buffer.alloc(0);
 
@@ -16,75 +16,75 @@
 }
 
 export class RelayBuffer {
-  private run: Span | undefined;
-  private held: Span[] = [];
+  private current: Span | undefined;
+  private heldSpans: Span[] = [];
   private heldLength = 0;
 
   constructor(private readonly relay: (messages: Buffer) => void) {}
 
-  /** Bytes held back at the moment. */
-  get heldBytes(): number {
+  /** Number of bytes that are held back. */
+  get heldBackBytes(): number {
     return this.heldLength;
   }
 
-  /** A message that shows that what was held back was not the end. */
-  add(buffer: Buffer, start: number, end: number): void {
-    if (this.heldLength > 0) this.releaseHeld();
+  /** Adds a message that shows that what was held back was not the end. */
+  addResult(buffer: Buffer, start: number, end: number): void {
+    if (this.heldLength > 0) this.releaseHeldBack();
     this.append(buffer, start, end);
   }
 
-  /** A completion or an error: it may be the last one. */
-  hold(buffer: Buffer, start: number, end: number): void {
-    if (this.heldLength > 0) this.releaseHeld();
-    this.appendHeld(buffer, start, end);
+  /** Adds a completion or an error, which may be the last one. */
+  holdBack(buffer: Buffer, start: number, end: number): void {
+    if (this.heldLength > 0) this.releaseHeldBack();
+    this.appendHeldBack(buffer, start, end);
   }
 
-  /** A message that proves nothing: it goes wherever the message before it went. */
-  follow(buffer: Buffer, start: number, end: number): void {
-    if (this.heldLength > 0) this.appendHeld(buffer, start, end);
+  /** Adds a message that carries no result: it is held back if the message before it is. */
+  addNeutral(buffer: Buffer, start: number, end: number): void {
+    if (this.heldLength > 0) this.appendHeldBack(buffer, start, end);
     else this.append(buffer, start, end);
   }
 
-  /** Relays all that is not held back. To be called at the end of each chunk. */
+  /** Relays everything that is not held back. To be called at the end of each chunk. */
   flush(): void {
-    const run = this.run;
+    const run = this.current;
     if (run === undefined) return;
-    this.run = undefined;
+    this.current = undefined;
     this.relay(run.buffer.subarray(run.start, run.end));
   }
 
-  /** Gives what is held back and forgets it. Empty if the answer had no completion. */
-  takeHeld(): Buffer {
-    const [first] = this.held;
+  /** Removes and returns what is held back; empty if the response had no completion or error. */
+  takeHeldBack(): Buffer {
+    const [first] = this.heldSpans;
     const messages =
-      this.held.length === 1 && first !== undefined
+      this.heldSpans.length === 1 && first !== undefined
         ? first.buffer.subarray(first.start, first.end)
-        : concatenate(this.held);
-    this.held = [];
+        : concatenate(this.heldSpans);
+    this.heldSpans = [];
     this.heldLength = 0;
     return messages;
   }
 
   private append(buffer: Buffer, start: number, end: number): void {
-    const run = this.run;
+    const run = this.current;
     if (run !== undefined && run.buffer === buffer && run.end === start) {
       run.end = end;
       return;
     }
     this.flush();
-    this.run = { buffer, start, end };
+    this.current = { buffer, start, end };
   }
 
-  private appendHeld(buffer: Buffer, start: number, end: number): void {
+  private appendHeldBack(buffer: Buffer, start: number, end: number): void {
     this.heldLength += end - start;
-    const last = this.held.at(-1);
+    const last = this.heldSpans.at(-1);
     if (last !== undefined && last.buffer === buffer && last.end === start) last.end = end;
-    else this.held.push({ buffer, start, end });
+    else this.heldSpans.push({ buffer, start, end });
   }
 
-  private releaseHeld(): void {
-    const held = this.held;
-    this.held = [];
+  private releaseHeldBack(): void {
+    const held = this.heldSpans;
+    this.heldSpans = [];
     this.heldLength = 0;
     for (const span of held) this.append(span.buffer, span.start, span.end);
   }
--- a/src/postgres/backend/rows.ts
+++ b/src/postgres/backend/rows.ts
@@ -1,4 +1,4 @@
-/** Rows of our own queries, as text. */
+/** Parses the rows of the proxy's own queries as text. */
 import { FRAME_HEADER_BYTES } from '../frames.js';
 
 /** One row; null stands for SQL NULL. */
@@ -8,7 +8,7 @@
 const LENGTH_BYTES = 4;
 const NULL_LENGTH = -1;
 
-/** Reads the DataRow at `start`, which ends before `end`; undefined if it is malformed. */
+/** Parses the DataRow in `buffer[start, end)`; undefined if it is malformed. */
 export function parseTextRow(buffer: Buffer, start: number, end: number): TextRow | undefined {
   let offset = start + FRAME_HEADER_BYTES;
   if (offset + COUNT_BYTES > end) return undefined;
--- a/src/postgres/backend/scram-client.ts
+++ b/src/postgres/backend/scram-client.ts
@@ -1,6 +1,6 @@
 /**
- * Client side of SCRAM-SHA-256 (RFC 5802, RFC 7677) as PostgreSQL speaks it: without channel
- * binding, with an empty user name because the start-up message already carries it.
+ * Client side of SCRAM-SHA-256 (RFC 5802, RFC 7677) as used by PostgreSQL: without channel binding, and
+ * with an empty user name because the start-up message already contains it.
  */
 import { createHash, createHmac, pbkdf2, randomBytes, timingSafeEqual } from 'node:crypto';
 import { promisify } from 'node:util';
@@ -12,22 +12,22 @@
 const HASH = 'sha256';
 const KEY_BYTES = 32;
 const NONCE_BYTES = 18;
-/** "no channel binding", and its base64 form for the final message. */
+/** "no channel binding"; in base64 for the final message. */
 const GS2_HEADER = 'n,,';
 const CHANNEL_BINDING = Buffer.from(GS2_HEADER).toString('base64');
-/** A server that asks for more is refused: it would only burn this node's processor. */
+/** A server that requests more is refused, as it would only waste CPU time of this node. */
 const MAXIMUM_ITERATIONS = 1_000_000;
 
 const deriveKey = promisify(pbkdf2);
 
-/** What the server's first message says. */
+/** Contents of server-first-message. */
 interface ServerFirstMessage {
   readonly nonce: string;
   readonly salt: Buffer;
   readonly iterations: number;
 }
 
-/** The client's answer, and what the server must prove in turn. */
+/** client-final-message, and the signature that the server must then prove. */
 export interface ScramFinal {
   readonly message: string;
   readonly expectedServerSignature: Buffer;
@@ -37,8 +37,8 @@
   return randomBytes(NONCE_BYTES).toString('base64');
 }
 
-/** client-first-message. */
-export function clientFirstMessage(nonce: string): string {
+/** Creates client-first-message. */
+export function createClientFirstMessage(nonce: string): string {
   return `${GS2_HEADER}${clientFirstBare(nonce)}`;
 }
 
@@ -46,8 +46,8 @@
   return `n=,r=${nonce}`;
 }
 
-/** Answers server-first-message with client-final-message. */
-export function clientFinal(
+/** Creates client-final-message in response to server-first-message. */
+export function createClientFinal(
   password: string,
   clientNonce: string,
   serverFirst: string,
@@ -56,11 +56,11 @@
     ResultAsync.fromPromise(
       deriveKey(password.normalize('NFKC'), server.salt, server.iterations, KEY_BYTES, HASH),
       (cause) => new ScramError('the password could not be salted', { cause }),
-    ).map((saltedPassword) => proofOf(saltedPassword, clientNonce, serverFirst, server.nonce)),
+    ).map((saltedPassword) => computeProof(saltedPassword, clientNonce, serverFirst, server.nonce)),
   );
 }
 
-function proofOf(
+function computeProof(
   saltedPassword: Buffer,
   clientNonce: string,
   serverFirst: string,
@@ -83,12 +83,12 @@
   return createHmac(HASH, key).update(text).digest();
 }
 
-/** Checks server-final-message: the server must know the password's verifier too. */
+/** Checks server-final-message, which proves that the server knows the password's verifier. */
 export function verifyServerFinal(
   serverFinal: string,
   expectedServerSignature: Buffer,
 ): Result<void, ScramError> {
-  const attributes = attributesOf(serverFinal);
+  const attributes = parseAttributes(serverFinal);
   const failure = attributes.get('e');
   if (failure !== undefined) return err(new ScramError(`the server refused: ${failure}`));
   const signature = Buffer.from(attributes.get('v') ?? '', 'base64');
@@ -102,12 +102,12 @@
   message: string,
   clientNonce: string,
 ): Result<ServerFirstMessage, ScramError> {
-  const attributes = attributesOf(message);
+  const attributes = parseAttributes(message);
   const nonce = attributes.get('r') ?? '';
   const salt = Buffer.from(attributes.get('s') ?? '', 'base64');
   const iterations = Number(attributes.get('i') ?? 'NaN');
   if (!nonce.startsWith(clientNonce) || nonce.length === clientNonce.length) {
-    return err(new ScramError("the server's nonce doesn't extend ours"));
+    return err(new ScramError("the server's nonce doesn't extend the client's"));
   }
   if (salt.length === 0) return err(new ScramError('the server sent no salt'));
   if (!Number.isInteger(iterations) || iterations < 1 || iterations > MAXIMUM_ITERATIONS) {
@@ -117,7 +117,7 @@
 }
 
 /** `r=…,s=…,i=…`: one letter, an equals sign, and a value that may itself hold equals signs. */
-function attributesOf(message: string): ReadonlyMap<string, string> {
+function parseAttributes(message: string): ReadonlyMap<string, string> {
   const pairs = message.split(',').map((part): [string, string] => [part[0] ?? '', part.slice(2)]);
   return new Map(pairs);
 }
--- a/src/postgres/backend/server-error.ts
+++ b/src/postgres/backend/server-error.ts
@@ -1,7 +1,7 @@
-/** What a back end says in ErrorResponse. Source: PostgreSQL manual, "Error and Notice Message Fields". */
+/** Parses ErrorResponse of a back end. Source: PostgreSQL manual, "Error and Notice Message Fields". */
 import { FRAME_HEADER_BYTES } from '../frames.js';
 
-/** The fields of an ErrorResponse that decide something here. */
+/** The fields of an ErrorResponse that the proxy uses. */
 export interface ServerError {
   /** `ERROR`, `FATAL` or `PANIC`, never translated. */
   readonly severity: string;
@@ -15,12 +15,12 @@
 const FIELD_SQLSTATE = 0x43;
 const FIELD_MESSAGE = 0x4d;
 
-/** SQLSTATE with which a server refuses a connection beyond its limit. */
+/** SQLSTATE with which a server refuses connections over its limit. */
 export const SQLSTATE_TOO_MANY_CONNECTIONS = '53300';
 /** SQLSTATE class of failed authentication and authorization. */
 const SQLSTATE_CLASS_AUTHORIZATION = '28';
 
-/** Reads the ErrorResponse at `start`, which ends before `end`. Missing fields are empty. */
+/** Parses the ErrorResponse in `buffer[start, end)`. Missing fields are empty. */
 export function parseServerError(buffer: Buffer, start: number, end: number): ServerError {
   const fields = new Map<number, string>();
   let offset = start + FRAME_HEADER_BYTES;
@@ -39,12 +39,12 @@
   };
 }
 
-/** True if the server ends the connection after this error. */
+/** True if the server closes the connection after this error. */
 export function endsConnection(error: ServerError): boolean {
   return error.severity === 'FATAL' || error.severity === 'PANIC';
 }
 
-/** True if the server refused who we are, not what we asked. */
+/** True if the server refused the role, not the request. */
 export function isAuthorizationError(error: ServerError): boolean {
   return error.sqlState.startsWith(SQLSTATE_CLASS_AUTHORIZATION);
 }
--- a/src/postgres/backend/startup.ts
+++ b/src/postgres/backend/startup.ts
@@ -1,5 +1,5 @@
 /**
- * Start-up and authentication on an open socket, up to the first ReadyForQuery.
+ * Performs start-up and authentication on an open socket, up to the first ReadyForQuery.
  * Source: PostgreSQL manual, "Start-up" and "SASL Authentication".
  */
 import type { Socket } from 'node:net';
@@ -11,8 +11,8 @@
 import { BackendConnectError } from './errors.js';
 import type { BackendConnectOptions } from './options.js';
 import {
-  clientFinal,
-  clientFirstMessage,
+  createClientFinal,
+  createClientFirstMessage,
   createClientNonce,
   SCRAM_MECHANISM,
   verifyServerFinal,
@@ -24,10 +24,10 @@
   SQLSTATE_TOO_MANY_CONNECTIONS,
 } from './server-error.js';
 
-/** A connection that is ready for its first batch. */
+/** Result of the start-up: a connection that is ready for its first batch. */
 export interface StartedSession {
   readonly channel: BackendChannel;
-  /** From BackendKeyData: what a CancelRequest names. */
+  /** Process id and secret key from BackendKeyData, for CancelRequest. */
   readonly processId: number;
   readonly secretKey: number;
   readonly parameters: Map<string, string>;
@@ -51,7 +51,7 @@
   options: BackendConnectOptions,
 ): ResultAsync<StartedSession, BackendConnectError> {
   const started = new Promise<StartedSession>((resolve, reject) => {
-    new Startup(socket, options, resolve, reject).begin();
+    new Startup(socket, options, resolve, reject).start();
   });
   return ResultAsync.fromPromise(started, (cause) =>
     cause instanceof BackendConnectError
@@ -60,8 +60,8 @@
   );
 }
 
-/** How far SCRAM has come. AuthenticationOk is taken only when it has not begun, or is proven. */
-type ScramStep =
+/** State of SCRAM. AuthenticationOk is accepted only before it starts or once the server has proven itself. */
+type ScramState =
   | { readonly type: 'none' }
   | { readonly type: 'first-sent'; readonly nonce: string }
   | { readonly type: 'deriving' }
@@ -71,10 +71,10 @@
 class Startup implements ChannelListener {
   private readonly channel: BackendChannel;
   private readonly parameters = new Map<string, string>();
-  private scram: ScramStep = { type: 'none' };
-  private authenticated = false;
-  private ready = false;
-  private failed = false;
+  private scram: ScramState = { type: 'none' };
+  private isAuthenticated = false;
+  private isReady = false;
+  private isFailed = false;
   private processId = 0;
   private secretKey = 0;
 
@@ -87,25 +87,25 @@
     this.channel = new BackendChannel(socket, options.maximumMessageBytes);
   }
 
-  begin(): void {
-    this.channel.listen(this);
+  start(): void {
+    this.channel.setListener(this);
     const { user, database, startupParameters } = this.options;
     this.socket.write(serialize.startup({ ...startupParameters, user, database }));
   }
 
-  chunkEnded(): void {}
+  handleChunkEnd(): void {}
 
-  malformed(error: FrameError): void {
+  handleMalformed(error: FrameError): void {
     this.fail(new BackendConnectError('protocol', error.message, undefined, { cause: error }));
   }
 
-  closed(cause: Error | undefined): void {
+  handleClose(cause: Error | undefined): void {
     const message = cause?.message ?? 'closed by the other side during start-up';
     this.fail(new BackendConnectError('unreachable', message, undefined, { cause }));
   }
 
   readonly visit = (type: number, buffer: Buffer, start: number, end: number): void => {
-    if (this.failed) return;
+    if (this.isFailed) return;
     switch (type) {
       case Type.AUTHENTICATION:
         this.visitAuthentication(buffer, start, end);
@@ -117,16 +117,16 @@
         this.visitKey(buffer, start, end);
         return;
       case Type.READY_FOR_QUERY:
-        this.finish();
+        this.complete();
         return;
       case Type.ERROR_RESPONSE:
-        this.fail(refusalOf(parseServerError(buffer, start, end)));
+        this.fail(connectErrorOf(parseServerError(buffer, start, end)));
         return;
       case Type.NOTICE_RESPONSE:
       case Type.NEGOTIATE_PROTOCOL_VERSION:
         return;
       default:
-        this.violation(`message type ${type}`);
+        this.failOnViolation(`message type ${type}`);
     }
   };
 
@@ -137,7 +137,7 @@
 
   private visitKey(buffer: Buffer, start: number, end: number): void {
     if (end - start !== BACKEND_KEY_BYTES) {
-      this.violation('BackendKeyData of another length');
+      this.failOnViolation('BackendKeyData of unexpected length');
       return;
     }
     this.processId = buffer.readInt32BE(start + FRAME_HEADER_BYTES);
@@ -146,14 +146,14 @@
 
   private visitAuthentication(buffer: Buffer, start: number, end: number): void {
     const dataStart = start + FRAME_HEADER_BYTES + INT32_BYTES;
-    if (dataStart > end || this.authenticated) {
-      this.violation('authentication message out of place');
+    if (dataStart > end || this.isAuthenticated) {
+      this.failOnViolation('unexpected authentication message');
       return;
     }
     const data = buffer.subarray(dataStart, end);
     switch (buffer.readInt32BE(start + FRAME_HEADER_BYTES)) {
       case Authentication.OK:
-        this.acceptOk();
+        this.handleAuthenticationOk();
         return;
       case Authentication.CLEARTEXT_PASSWORD:
         this.sendClearText();
@@ -165,19 +165,19 @@
         this.sendScramFinal(data.toString('utf8'));
         return;
       case Authentication.SASL_FINAL:
-        this.checkScramFinal(data.toString('utf8'));
+        this.verifyScramFinal(data.toString('utf8'));
         return;
       default:
         this.failAuthentication('the back end asks for an authentication that is not supported');
     }
   }
 
-  private acceptOk(): void {
+  private handleAuthenticationOk(): void {
     if (this.scram.type !== 'none' && this.scram.type !== 'proven') {
-      this.failAuthentication('the back end ended SCRAM without proving itself');
+      this.failAuthentication('the back end ended SCRAM without a valid server signature');
       return;
     }
-    this.authenticated = true;
+    this.isAuthenticated = true;
   }
 
   private sendClearText(): void {
@@ -193,7 +193,7 @@
 
   private sendScramFirst(mechanisms: Buffer): void {
     const offered = mechanisms.toString('utf8').split('\0');
-    if (this.scram.type !== 'none') this.violation('SASL begun twice');
+    if (this.scram.type !== 'none') this.failOnViolation('SASL started twice');
     else if (!offered.includes(SCRAM_MECHANISM)) {
       this.failAuthentication(`the back end does not offer ${SCRAM_MECHANISM}`);
     } else if (this.options.password === undefined) {
@@ -201,21 +201,21 @@
     } else {
       const nonce = createClientNonce();
       this.scram = { type: 'first-sent', nonce };
-      const message = clientFirstMessage(nonce);
+      const message = createClientFirstMessage(nonce);
       this.socket.write(serialize.sendSASLInitialResponseMessage(SCRAM_MECHANISM, message));
     }
   }
 
   private sendScramFinal(serverFirst: string): void {
     if (this.scram.type !== 'first-sent') {
-      this.violation('SASLContinue out of place');
+      this.failOnViolation('unexpected SASLContinue');
       return;
     }
     const { nonce } = this.scram;
     this.scram = { type: 'deriving' };
-    void clientFinal(this.options.password ?? '', nonce, serverFirst).match(
+    void createClientFinal(this.options.password ?? '', nonce, serverFirst).match(
       (final) => {
-        if (this.failed) return;
+        if (this.isFailed) return;
         const { expectedServerSignature } = final;
         this.scram = { type: 'final-sent', expectedServerSignature };
         this.socket.write(serialize.sendSCRAMClientFinalMessage(final.message));
@@ -224,9 +224,9 @@
     );
   }
 
-  private checkScramFinal(serverFinal: string): void {
+  private verifyScramFinal(serverFinal: string): void {
     if (this.scram.type !== 'final-sent') {
-      this.violation('SASLFinal out of place');
+      this.failOnViolation('unexpected SASLFinal');
       return;
     }
     verifyServerFinal(serverFinal, this.scram.expectedServerSignature).match(
@@ -237,18 +237,18 @@
     );
   }
 
-  private finish(): void {
-    if (!this.authenticated || this.ready) {
-      this.violation('ReadyForQuery out of place');
+  private complete(): void {
+    if (!this.isAuthenticated || this.isReady) {
+      this.failOnViolation('unexpected ReadyForQuery');
       return;
     }
-    this.ready = true;
+    this.isReady = true;
     const { channel, processId, secretKey, parameters } = this;
     this.resolve({ channel, processId, secretKey, parameters });
   }
 
-  private violation(what: string): void {
-    this.fail(new BackendConnectError('protocol', `unlawful during start-up: ${what}`));
+  private failOnViolation(what: string): void {
+    this.fail(new BackendConnectError('protocol', `protocol violation during start-up: ${what}`));
   }
 
   private failAuthentication(message: string, cause?: Error): void {
@@ -256,14 +256,14 @@
   }
 
   private fail(error: BackendConnectError): void {
-    if (this.failed) return;
-    this.failed = true;
+    if (this.isFailed) return;
+    this.isFailed = true;
     this.channel.destroy();
     this.reject(error);
   }
 }
 
-function refusalOf(error: ServerError): BackendConnectError {
+function connectErrorOf(error: ServerError): BackendConnectError {
   const message = `${error.severity} ${error.sqlState}: ${error.message}`;
   if (error.sqlState === SQLSTATE_TOO_MANY_CONNECTIONS) {
     return new BackendConnectError('refused-by-limit', message, error);
--- a/test/property/postgres/backend-chunking.test.ts
+++ b/test/property/postgres/backend-chunking.test.ts
@@ -2,10 +2,10 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import {
-  type AnswerEnd,
-  type AnswerListener,
-  AnswerReader,
-} from '../../../src/postgres/backend/answer-reader.js';
+  type ResponseEnd,
+  type ResponseListener,
+  ResponseReader,
+} from '../../../src/postgres/backend/response-reader.js';
 import { FrameReader } from '../../../src/postgres/frames.js';
 import * as messages from '../../../src/postgres/messages.js';
 import { dataRow, ROW_DESCRIPTION, ready } from '../../support/scripted-server.js';
@@ -67,24 +67,24 @@
     (steps, lengths, preludeLength) => {
       const relayed: Buffer[] = [];
       const prepared: string[] = [];
-      const ends: AnswerEnd[] = [];
-      const listener: AnswerListener = {
+      const ends: ResponseEnd[] = [];
+      const listener: ResponseListener = {
         relay: (part) => {
           relayed.push(part);
           const whole = new FrameReader(ignore);
           whole.push(part);
           assert.is(whole.pendingBytes, 0);
         },
-        ended: (end) => ends.push(end),
-        fatal: () => assert.unreachable(),
-        violation: (message) => assert.unreachable(message),
-        heldBackTooLarge: () => assert.unreachable(),
-        prepared: (name) => prepared.push(name),
-        deallocated: ignore,
-        parameter: ignore,
-        notificationDropped: ignore,
+        handleEnd: (end) => ends.push(end),
+        handleFatalError: () => assert.unreachable(),
+        handleViolation: (message) => assert.unreachable(message),
+        handleHeldBackTooLarge: () => assert.unreachable(),
+        recordPrepared: (name) => prepared.push(name),
+        recordDeallocated: ignore,
+        recordParameter: ignore,
+        recordDroppedNotification: ignore,
       };
-      const reader = new AnswerReader(listener);
+      const reader = new ResponseReader(listener);
       const names = Array.from({ length: preludeLength }, (_, index) => `s${index}`);
       reader.begin({
         prelude: names.map((name) => ({ type: 0x31, prepared: name })),
@@ -103,7 +103,7 @@
       const frames = new FrameReader(reader.visit);
       for (const chunk of cut(whole, lengths)) {
         frames.push(Buffer.from(chunk));
-        reader.chunkEnded();
+        reader.handleChunkEnd();
       }
       const split = heldBackFrom(steps);
       const [end] = ends;
--- a/test/unit/postgres/backend-answer-reader.test.ts
+++ b/test/unit/postgres/backend-answer-reader.test.ts
@@ -1,49 +1,49 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import {
-  type AnswerEnd,
-  type AnswerListener,
-  AnswerReader,
-  type ExpectedAnswers,
+  type ExpectedResponses,
   MAXIMUM_HELD_BACK_BYTES,
-} from '../../../src/postgres/backend/answer-reader.js';
+  type ResponseEnd,
+  type ResponseListener,
+  ResponseReader,
+} from '../../../src/postgres/backend/response-reader.js';
 import { FrameReader } from '../../../src/postgres/frames.js';
 import * as messages from '../../../src/postgres/messages.js';
 import { dataRow, ROW_DESCRIPTION, ready } from '../../support/scripted-server.js';
 
 interface Recorded {
   readonly relayed: string;
-  readonly end: AnswerEnd | undefined;
+  readonly end: ResponseEnd | undefined;
   /** Everything else that the reader told, in order. */
   readonly events: readonly string[];
 }
 
-const BATCH: ExpectedAnswers = { prelude: [], batch: true, hasAppendedQuery: false };
+const BATCH: ExpectedResponses = { prelude: [], batch: true, hasAppendedQuery: false };
 const ERROR = messages.errorResponse({ severity: 'ERROR', code: '25P02', message: 'aborted' });
 const FATAL = messages.errorResponse({ severity: 'FATAL', code: '57P01', message: 'stopping' });
 const DONE = messages.commandComplete('INSERT 0 1');
 
-function read(expected: ExpectedAnswers | undefined, ...answer: readonly Buffer[]): Recorded {
+function read(expected: ExpectedResponses | undefined, ...answer: readonly Buffer[]): Recorded {
   const relayed: Buffer[] = [];
   const events: string[] = [];
-  let end: AnswerEnd | undefined;
-  const listener: AnswerListener = {
+  let end: ResponseEnd | undefined;
+  const listener: ResponseListener = {
     relay: (part) => relayed.push(part),
-    ended: (given) => {
+    handleEnd: (given) => {
       end = given;
     },
-    fatal: (error) => events.push(`fatal ${error.sqlState}`),
-    violation: () => events.push('violation'),
-    heldBackTooLarge: () => events.push('too large'),
-    prepared: (name) => events.push(`prepared ${name}`),
-    deallocated: (all) => events.push(all ? 'deallocated all' : 'deallocated one'),
-    parameter: (name, value) => events.push(`${name}=${value}`),
-    notificationDropped: () => events.push('notification'),
+    handleFatalError: (error) => events.push(`fatal ${error.sqlState}`),
+    handleViolation: () => events.push('violation'),
+    handleHeldBackTooLarge: () => events.push('too large'),
+    recordPrepared: (name) => events.push(`prepared ${name}`),
+    recordDeallocated: (all) => events.push(all ? 'deallocated all' : 'deallocated one'),
+    recordParameter: (name, value) => events.push(`${name}=${value}`),
+    recordDroppedNotification: () => events.push('notification'),
   };
-  const reader = new AnswerReader(listener);
+  const reader = new ResponseReader(listener);
   if (expected !== undefined) reader.begin(expected);
   new FrameReader(reader.visit).push(Buffer.concat(answer));
-  reader.chunkEnded();
+  reader.handleChunkEnd();
   return { relayed: Buffer.concat(relayed).toString('latin1'), end, events };
 }
 
@@ -85,7 +85,7 @@
   assert.is(relayed, '');
   assert.is(end?.heldBack.toString('latin1'), bytes(ERROR));
   assert.is(end?.appendedQueryRows, undefined);
-  assert.is(end?.trailingError?.sqlState, '25P02');
+  assert.is(end?.appendedQueryError?.sqlState, '25P02');
   assert.is(end?.status, 'E');
 });
 
