--- a/src/postgres/caller/local-response.ts
+++ b/src/postgres/caller/local-response.ts
@@ -9,9 +9,9 @@
   CLOSE_COMPLETE,
   commandComplete,
   dataRow,
+  emptyParameterDescription,
   FrontendMessageType,
   NO_DATA,
-  noParameters,
   PARSE_COMPLETE,
   rowDescription,
 } from '../messages.js';
@@ -67,7 +67,7 @@
 
 function respondToDescribe(frame: Frame, result: LocalResult): readonly Buffer[] {
   const row = result.columns.length === 0 ? [NO_DATA] : buildDescription(result);
-  return readTarget(frame)?.target === 'S' ? [noParameters(), ...row] : row;
+  return readTarget(frame)?.target === 'S' ? [emptyParameterDescription(), ...row] : row;
 }
 
 function buildDescription({ columns }: LocalResult): readonly Buffer[] {
--- a/src/postgres/caller/login.ts
+++ b/src/postgres/caller/login.ts
@@ -1,6 +1,6 @@
 /**
- * Handles a connection from accept to the end of log-in: SSLRequest, GSSENCRequest, CancelRequest, StartupMessage and
- * SCRAM-SHA-256. Source: PostgreSQL manual, "Start-up" and "SASL Authentication".
+ * Handles a connection from accept to the end of log-in: SSLRequest, GSSENCRequest, CancelRequest,
+ * StartupMessage and SCRAM-SHA-256. Source: PostgreSQL manual, "Start-up" and "SASL Authentication".
  */
 import type { Socket } from 'node:net';
 import { type SecureContext, TLSSocket } from 'node:tls';
@@ -186,7 +186,7 @@
       return;
     }
     if (this.received.length > 0) {
-      this.refuse(new ProtocolViolationError('unencrypted bytes behind SSLRequest'));
+      this.refuse(new ProtocolViolationError('unencrypted bytes after SSLRequest'));
       return;
     }
     this.detachListeners();
@@ -222,7 +222,7 @@
 
   private findFault(startup: StartupMessage): RequestError | undefined {
     if (this.options.tlsRequired && !this.isEncrypted) {
-      return new AuthorizationError('this proxy takes encrypted connections only');
+      return new AuthorizationError('this proxy only accepts encrypted connections');
     }
     return findUnsupportedParameter(startup.parameters);
   }
--- a/src/postgres/caller/startup.ts
+++ b/src/postgres/caller/startup.ts
@@ -116,7 +116,7 @@
     }
     const match = /^(?:-c|--)([A-Za-z_][\w.-]*)=(.*)$/s.exec(word);
     if (match === null) {
-      return err(new StartupParameterError('options', 'only "-c name=value" is understood'));
+      return err(new StartupParameterError('options', 'only "-c name=value" is supported'));
     }
     parameters.set((match[1] ?? '').replaceAll('-', '_').toLowerCase(), match[2] ?? '');
   }
--- a/src/postgres/errors.ts
+++ b/src/postgres/errors.ts
@@ -1,7 +1,7 @@
-/** Errors of the PostgreSQL v3 wire that both of its sides share. */
+/** Errors of the PostgreSQL v3 wire protocol, shared by the callers' and the back ends' side. */
 import { type ErrorLabel, RequestError, SqlState } from '../core/errors.js';
 
-/** Bytes that are not a lawful message of the protocol. Ends the connection they came on. */
+/** A message is malformed or not allowed at that point. The connection it was received on is closed. */
 export class ProtocolViolationError extends RequestError {
   readonly code = 'MS-PROTOCOL';
   readonly outcome = 'not-run';
@@ -9,14 +9,14 @@
   override readonly labels: ReadonlySet<ErrorLabel> = new Set(['protocol-violation']);
 }
 
-/** A message longer than the connection takes. Ends the connection it came on. */
+/** A message exceeds the connection's size limit. The connection it was received on is closed. */
 export class MessageTooLargeError extends RequestError {
   readonly code = 'MS-MESSAGE-TOO-LARGE';
   readonly outcome = 'not-run';
   readonly sqlState = SqlState.PROGRAM_LIMIT_EXCEEDED;
 
   constructor(
-    /** Length that the message declared, in bytes. */
+    /** Length declared by the message, in bytes. */
     readonly declaredBytes: number,
     readonly maximumBytes: number,
   ) {
--- a/src/postgres/frames.ts
+++ b/src/postgres/frames.ts
@@ -1,37 +1,38 @@
 /**
- * Framing of the PostgreSQL v3 wire after start-up: a type byte, an int32 length that counts
- * itself, and the payload. Used on both sides. Source: PostgreSQL manual, "Message Formats".
+ * Framing of the PostgreSQL v3 wire protocol after start-up: a type byte, an int32 length that includes
+ * itself, and the payload. Used towards callers and back ends. Source: PostgreSQL manual, "Message Formats".
  */
 import { err, ok, type Result } from 'neverthrow';
 import { MessageTooLargeError, ProtocolViolationError } from './errors.js';
 
-/** Type byte and length field. */
+/** Size of the type byte and the length field. */
 export const FRAME_HEADER_BYTES = 5;
-/** Length of the length field, which the length counts in. */
+/** Size of the length field, which is included in the length. */
 export const LENGTH_FIELD_BYTES = 4;
-/** Default bound of one message. */
+/** Default limit of the size of one message. */
 export const DEFAULT_MAXIMUM_MESSAGE_BYTES = 64 * 1024 * 1024;
-/** First allocation for a message that spans chunks; it doubles as bytes really arrive. */
-const FIRST_PARTIAL_CAPACITY_BYTES = 4 * 1024;
+/** Initial buffer size for a message that spans chunks; it only grows with the bytes received. */
+const INITIAL_PARTIAL_CAPACITY_BYTES = 4 * 1024;
 
 /**
- * Hears of one whole message: `buffer[start]` is its type byte, `end` is one past its last byte.
- * The bytes stay valid after the call; they share memory with the chunk that was pushed.
+ * Called with each complete message: `buffer[start]` is its type byte, `end` is one past its last byte.
+ * The bytes stay valid after the call; they may share memory with the chunk that was pushed.
  */
 export type FrameVisitor = (type: number, buffer: Buffer, start: number, end: number) => void;
 
 export type FrameError = ProtocolViolationError | MessageTooLargeError;
 
 /**
- * Cuts a byte stream into messages. A message that lies whole in one chunk is visited in place;
- * one that spans chunks is gathered into a buffer that never exceeds twice the bytes received.
+ * Splits a byte stream into messages. A message within one chunk is visited in place. One that spans
+ * chunks is copied into a buffer of at most twice the bytes received (at least its initial size), whatever
+ * length the message declares.
  */
 export class FrameReader {
-  /** Longest message taken, header included, in bytes. May change between messages. */
+  /** Longest accepted message in bytes, including the header. May be changed between messages. */
   maximumMessageBytes: number;
   private partial: Buffer | undefined;
   private partialLength = 0;
-  private stopped = false;
+  private isStopped = false;
 
   constructor(
     private readonly visit: FrameVisitor,
@@ -40,25 +41,25 @@
     this.maximumMessageBytes = maximumMessageBytes;
   }
 
-  /** Bytes of a message that has begun and not ended. */
+  /** Number of bytes received of an incomplete message. */
   get pendingBytes(): number {
     return this.partialLength;
   }
 
-  /** Visits no further message: also those of the chunk in work are left out. */
+  /** Stops visiting messages, including the remaining ones of the current chunk. */
   stop(): void {
-    this.stopped = true;
+    this.isStopped = true;
     this.partial = undefined;
     this.partialLength = 0;
   }
 
   /**
-   * Takes the next bytes of the stream; gives how many were used, which is all of them unless
-   * `stop` was called meanwhile. After an error the stream can't be read on.
+   * Processes the next bytes of the stream. Returns how many were used, which is all of them unless `stop`
+   * was called during the call. After an error the rest of the stream can't be read.
    */
   push(chunk: Buffer): Result<number, FrameError> {
     let offset = 0;
-    while (offset < chunk.length && !this.stopped) {
+    while (offset < chunk.length && !this.isStopped) {
       const next =
         this.partialLength > 0
           ? this.continuePartial(chunk, offset)
@@ -69,24 +70,24 @@
     return ok(offset);
   }
 
-  /** Visits whole messages from `offset` and keeps what is left; gives the offset up to which it was used. */
+  /** Visits complete messages from `start` on and buffers the rest; returns the offset after what was used. */
   private visitInPlace(chunk: Buffer, start: number): Result<number, FrameError> {
     let offset = start;
-    while (chunk.length - offset >= FRAME_HEADER_BYTES && !this.stopped) {
+    while (chunk.length - offset >= FRAME_HEADER_BYTES && !this.isStopped) {
       const frameBytes = frameLength(chunk, offset);
-      const fault = this.faultOf(frameBytes);
+      const fault = this.findLengthError(frameBytes);
       if (fault !== undefined) return err(fault);
       const end = offset + frameBytes;
       if (end > chunk.length) break;
       this.visit(chunk[offset] ?? 0, chunk, offset, end);
       offset = end;
     }
-    if (offset === chunk.length || this.stopped) return ok(offset);
+    if (offset === chunk.length || this.isStopped) return ok(offset);
     this.append(chunk, offset, chunk.length);
     return ok(chunk.length);
   }
 
-  /** Adds to the message that spans chunks; gives the offset up to which the chunk was used. */
+  /** Continues the message that spans chunks; returns the offset after what was used of this chunk. */
   private continuePartial(chunk: Buffer, start: number): Result<number, FrameError> {
     let offset = start;
     if (this.partialLength < FRAME_HEADER_BYTES) {
@@ -97,7 +98,7 @@
     const partial = this.partial;
     if (partial === undefined || this.partialLength < FRAME_HEADER_BYTES) return ok(offset);
     const frameBytes = frameLength(partial, 0);
-    const fault = this.faultOf(frameBytes);
+    const fault = this.findLengthError(frameBytes);
     if (fault !== undefined) return err(fault);
     const bodyEnd = Math.min(chunk.length, offset + frameBytes - this.partialLength);
     this.append(chunk, offset, bodyEnd);
@@ -117,7 +118,7 @@
     const needed = this.partialLength + end - start;
     let target = this.partial;
     if (target === undefined || target.length < needed) {
-      target = Buffer.allocUnsafeSlow(Math.max(FIRST_PARTIAL_CAPACITY_BYTES, needed * 2));
+      target = Buffer.allocUnsafeSlow(Math.max(INITIAL_PARTIAL_CAPACITY_BYTES, needed * 2));
       this.partial?.copy(target, 0, 0, this.partialLength);
       this.partial = target;
     }
@@ -125,7 +126,7 @@
     this.partialLength = needed;
   }
 
-  private faultOf(frameBytes: number): FrameError | undefined {
+  private findLengthError(frameBytes: number): FrameError | undefined {
     if (frameBytes < FRAME_HEADER_BYTES) {
       return new ProtocolViolationError('a message declares a length below its own length field');
     }
@@ -136,7 +137,7 @@
   }
 }
 
-/** Length of the message at `offset`, type byte included. Needs the header's five bytes. */
+/** Length of the message at `offset`, including its type byte. All five header bytes must be there. */
 export function frameLength(buffer: Buffer, offset: number): number {
   return 1 + buffer.readInt32BE(offset + 1);
 }
--- a/src/postgres/messages.ts
+++ b/src/postgres/messages.ts
@@ -1,6 +1,6 @@
 /**
- * Builders of the small backend messages that a proxy sends of its own accord, by pg-protocol's
- * writer. Source: PostgreSQL manual, "Message Formats" and "Error and Notice Message Fields".
+ * Builds the small backend messages that the proxy itself sends, with pg-protocol's writer.
+ * Source: PostgreSQL manual, "Message Formats" and "Error and Notice Message Fields".
  */
 import { Writer } from 'pg-protocol/dist/buffer-writer.js';
 import { NotRunError, type RequestError } from '../core/errors.js';
@@ -65,33 +65,33 @@
 const SQLSTATE_WARNING = '01000';
 const writer = new Writer();
 
-function addField(name: string, value: string | undefined): void {
+function writeField(name: string, value: string | undefined): void {
   if (value === undefined || value.length === 0) return;
-  writer.addString(name).addCString(withoutNul(value));
+  writer.addString(name).addCString(stripNul(value));
 }
 
-function withoutNul(text: string): string {
+function stripNul(text: string): string {
   return text.replaceAll('\0', '');
 }
 
-function addFields(fields: ErrorFields): void {
-  addField('S', fields.severity);
-  addField('V', fields.severity);
-  addField('C', fields.code);
-  addField('M', fields.message);
-  addField('D', fields.detail);
-  addField('H', fields.hint);
+function writeFields(fields: ErrorFields): void {
+  writeField('S', fields.severity);
+  writeField('V', fields.severity);
+  writeField('C', fields.code);
+  writeField('M', fields.message);
+  writeField('D', fields.detail);
+  writeField('H', fields.hint);
   writer.addCString('');
 }
 
 export function errorResponse(fields: ErrorFields): Buffer {
-  addFields(fields);
+  writeFields(fields);
   return writer.flush(BackendMessageType.ERROR_RESPONSE);
 }
 
 /**
- * ErrorResponse of a typed error. Detail: `<code>: <outcome>`, the stable part for programs; the
- * hint says when a retry makes sense.
+ * Builds ErrorResponse for a typed error. The detail, `<code>: <outcome>`, is stable and meant for
+ * programs; the hint says when to retry.
  */
 export function errorResponseOf(error: RequestError, severity: ErrorSeverity): Buffer {
   return errorResponse({
@@ -105,8 +105,8 @@
 
 function retryHintOf(error: RequestError): string | undefined {
   if (error.retryAfterMs !== undefined) return `retry after ${Math.ceil(error.retryAfterMs)} ms`;
-  const comesBack = error instanceof NotRunError && error.reason !== 'tenant-revoked';
-  if (comesBack) return 'the request did not run and may be sent again';
+  const isRetryable = error instanceof NotRunError && error.reason !== 'tenant-revoked';
+  if (isRetryable) return 'the request did not run and may be sent again';
   return undefined;
 }
 
@@ -115,12 +115,12 @@
   detail: string,
   severity: NoticeSeverity = 'WARNING',
 ): Buffer {
-  addFields({ severity, code: SQLSTATE_WARNING, message, detail });
+  writeFields({ severity, code: SQLSTATE_WARNING, message, detail });
   return writer.flush(BackendMessageType.NOTICE_RESPONSE);
 }
 
 export function parameterStatus(name: string, value: string): Buffer {
-  writer.addCString(withoutNul(name)).addCString(withoutNul(value));
+  writer.addCString(stripNul(name)).addCString(stripNul(value));
   return writer.flush(BackendMessageType.PARAMETER_STATUS);
 }
 
@@ -129,7 +129,7 @@
   return writer.flush(BackendMessageType.BACKEND_KEY_DATA);
 }
 
-/** AuthenticationOk, AuthenticationSASL and its kin: an int32 code and its data. */
+/** Builds an Authentication message, such as AuthenticationOk: an int32 code and its data. */
 export function authentication(code: number, data?: Buffer): Buffer {
   writer.addInt32(code);
   if (data !== undefined) writer.add(data);
@@ -147,7 +147,7 @@
 const TEXT_FORMAT = 0;
 const NULL_LENGTH = -1;
 
-/** RowDescription of columns of type text. */
+/** Builds RowDescription for columns of type text. */
 export function rowDescription(columns: readonly string[]): Buffer {
   writer.addInt16(columns.length);
   for (const column of columns) {
@@ -157,7 +157,7 @@
   return writer.flush(BackendMessageType.ROW_DESCRIPTION);
 }
 
-/** DataRow of text values. */
+/** Builds DataRow with text values. */
 export function dataRow(values: readonly (string | null)[]): Buffer {
   writer.addInt16(values.length);
   for (const value of values) {
@@ -167,13 +167,13 @@
   return writer.flush(BackendMessageType.DATA_ROW);
 }
 
-/** ParameterDescription of a statement without parameters. */
-export function noParameters(): Buffer {
+/** Builds ParameterDescription for a statement without parameters. */
+export function emptyParameterDescription(): Buffer {
   writer.addInt16(0);
   return writer.flush(BackendMessageType.PARAMETER_DESCRIPTION);
 }
 
-/** NegotiateProtocolVersion: newest minor version served, options that were not understood. */
+/** Builds NegotiateProtocolVersion: newest supported minor version, names of unsupported options. */
 export function negotiateProtocolVersion(
   minorVersion: number,
   unknownOptions: readonly string[],
@@ -197,14 +197,14 @@
   E: readyForQueryMessage('E'),
 };
 
-/** Shared buffers: not to be written into. */
+/** Shared buffers: must not be modified. */
 export const PARSE_COMPLETE = emptyMessage(BackendMessageType.PARSE_COMPLETE);
 export const BIND_COMPLETE = emptyMessage(BackendMessageType.BIND_COMPLETE);
 export const CLOSE_COMPLETE = emptyMessage(BackendMessageType.CLOSE_COMPLETE);
 export const NO_DATA = emptyMessage(BackendMessageType.NO_DATA);
 export const EMPTY_QUERY_RESPONSE = emptyMessage(BackendMessageType.EMPTY_QUERY_RESPONSE);
 
-/** Shared buffer: not to be written into. */
+/** Returns a shared buffer, which must not be modified. */
 export function readyForQuery(status: TransactionStatus): Buffer {
   return READY_FOR_QUERY[status];
 }
--- a/src/postgres/statements/markers.ts
+++ b/src/postgres/statements/markers.ts
@@ -118,7 +118,9 @@
   const value = decodeValue(match?.[2]);
   if (value === undefined) return err(new InvalidMarkerError(name, "expected name='value'"));
   if (value.length === 0 || value.length > MAXIMUM_VALUE_CHARACTERS) {
-    return err(new InvalidMarkerError(name, `takes 1 to ${MAXIMUM_VALUE_CHARACTERS} characters`));
+    return err(
+      new InvalidMarkerError(name, `must have 1 to ${MAXIMUM_VALUE_CHARACTERS} characters`),
+    );
   }
   return applyMarker(name, value, before);
 }
@@ -152,7 +154,7 @@
   value: Value,
 ): Result<Value, InvalidMarkerError> {
   if (before === undefined || before === value) return ok(value);
-  return err(new InvalidMarkerError(name, 'stands twice with different values'));
+  return err(new InvalidMarkerError(name, 'is given twice with different values'));
 }
 
 function readDuration(name: string, value: string): Result<number, InvalidMarkerError> {
--- a/src/postgres/two-generation-cache.ts
+++ b/src/postgres/two-generation-cache.ts
@@ -1,6 +1,7 @@
 /**
- * A bounded cache that keeps what was used lately, in two generations: a new one is begun when the
- * young one is full, and the old one is dropped whole. A hit costs one map look-up.
+ * A bounded cache of recently used entries in two generations. When the young generation is full, it
+ * becomes the old one, and the previous old generation is dropped as a whole. A hit in the young generation
+ * costs one map look-up; a hit in the old one moves the entry to the young one.
  */
 export class TwoGenerationCache<Value> {
   private young = new Map<string, Value>();
@@ -8,9 +9,9 @@
   private youngCharacters = 0;
 
   constructor(
-    /** Entries of both generations together. */
+    /** Maximum of entries in both generations together. */
     private readonly maximumEntries: number,
-    /** Characters of the keys of both generations together. */
+    /** Maximum of key characters in both generations together. */
     private readonly maximumCharacters: number,
   ) {}
 
@@ -29,10 +30,10 @@
   }
 
   set(key: string, value: Value): void {
-    const full =
+    const isFull =
       this.young.size >= this.maximumEntries / 2 ||
       this.youngCharacters + key.length > this.maximumCharacters / 2;
-    if (full) {
+    if (isFull) {
       this.old = this.young;
       this.young = new Map();
       this.youngCharacters = 0;
