--- a/src/postgres/backend/channel.ts
+++ b/src/postgres/backend/channel.ts
@@ -68,9 +68,9 @@
   }
 
   private receive(chunk: Buffer): void {
-    const taken = this.reader.push(chunk);
+    const pushed = this.reader.push(chunk);
     this.listener.handleChunkEnd();
-    if (taken.isErr()) this.listener.handleMalformed(taken.error);
+    if (pushed.isErr()) this.listener.handleMalformed(pushed.error);
   }
 
   private handleEnd(): void {
--- a/src/postgres/backend/connection.ts
+++ b/src/postgres/backend/connection.ts
@@ -122,7 +122,7 @@
   }
 
   query(text: string): ResultAsync<readonly TextRow[], MeadowstackError> {
-    const answered = new Promise<readonly TextRow[]>((resolve, reject) => {
+    const response = new Promise<readonly TextRow[]>((resolve, reject) => {
       const unusable = this.findUnusableReason();
       if (unusable !== undefined) {
         reject(unusable);
@@ -141,7 +141,7 @@
       this.responseReader.begin({ prelude: [], batch: false, hasAppendedQuery: true });
       this.channel.socket.write(serialize.query(text));
     });
-    return ResultAsync.fromPromise(answered, (error) => error as MeadowstackError);
+    return ResultAsync.fromPromise(response, (error) => error as MeadowstackError);
   }
 
   close(): void {
--- a/src/postgres/backend/errors.ts
+++ b/src/postgres/backend/errors.ts
@@ -51,7 +51,7 @@
   | 'protocol-violation'
   /** `close()` was called while a batch ran. */
   | 'closed'
-  /** A CancelRequest may still be on its way, so the connection can't be used again. */
+  /** A CancelRequest may still be in transit, so the connection can't be used again. */
   | 'cancel-uncertain'
   /** The messages held back until confirmation exceeded their limit. */
   | 'held-back-too-large';
--- a/src/postgres/backend/position-query.ts
+++ b/src/postgres/backend/position-query.ts
@@ -58,8 +58,8 @@
   }
   // Between two writes an instance always returns the same row, so parsed rows are cached.
   const key = row.join();
-  const known = parsedStates.get(key);
-  if (known !== undefined) return ok(known);
+  const cached = parsedStates.get(key);
+  if (cached !== undefined) return ok(cached);
   return parseRow(row).andTee((state) => parsedStates.set(key, state));
 }
 
--- a/src/postgres/caller/cancel-keys.ts
+++ b/src/postgres/caller/cancel-keys.ts
@@ -34,9 +34,9 @@
   cancel(key: CancelKey): void {
     const entry = this.entries.get(key.processId);
     if (entry === undefined) return;
-    const given = Buffer.alloc(KEY_BYTES);
-    given.writeInt32BE(key.secretKey);
-    if (timingSafeEqual(given, entry.secret)) entry.cancel();
+    const received = Buffer.alloc(KEY_BYTES);
+    received.writeInt32BE(key.secretKey);
+    if (timingSafeEqual(received, entry.secret)) entry.cancel();
   }
 }
 
--- a/src/postgres/statements/classify.ts
+++ b/src/postgres/statements/classify.ts
@@ -80,8 +80,8 @@
       return combine(statements.map(classifyWithoutParsing));
     let complete = true;
     const classes = statements.map((tokens) => {
-      const known = classifyByKeywords(tokens);
-      if (known !== undefined) return known;
+      const byKeywords = classifyByKeywords(tokens);
+      if (byKeywords !== undefined) return byKeywords;
       const explained = stripExplain(tokens);
       const isRead = this.budget.tryRun(() =>
         isProvablyRead(explained, sourceTextOf(explained, normal)),
--- a/test/integration/postgres/backend-connection.test.ts
+++ b/test/integration/postgres/backend-connection.test.ts
@@ -57,7 +57,7 @@
   };
 }
 
-/** Runs `body` on a connection to a server that lets it in and then follows the script. */
+/** Runs `body` on a connection to a server that accepts the log-in and then follows the script. */
 async function withConnection(
   script: Script,
   body: (connection: BackendConnection) => Promise<void>,
@@ -302,7 +302,7 @@
           if (paused) return;
           paused = true;
           connection.pause();
-          // Two turns of the event loop: what was read already has been handed on by then.
+          // Two turns of the event loop, by which everything already read has been relayed.
           void setImmediate().then(async () => {
             bytesAtPause = relayedBytes;
             await setImmediate();
--- a/test/integration/postgres/backend-standin.test.ts
+++ b/test/integration/postgres/backend-standin.test.ts
@@ -1,4 +1,4 @@
-/** The back-end side against instances of the database stand-in. */
+/** Tests back-end connections against instances of the database stand-in. */
 import { serialize } from 'pg-protocol';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
--- a/test/integration/postgres/caller-fixture.ts
+++ b/test/integration/postgres/caller-fixture.ts
@@ -1,4 +1,4 @@
-/** A caller server with a tiny handler, for tests: answers a few statements by itself. */
+/** A caller server for tests, with a small handler that responds to statements without a back end. */
 import { createHash, createHmac, pbkdf2Sync } from 'node:crypto';
 import { err, errAsync, ok, okAsync } from 'neverthrow';
 import type { TenantPolicy } from '../../../src/core/configuration/model.js';
@@ -47,7 +47,7 @@
   revision: 1,
 };
 
-/** What a back end would answer: each statement gives its own text as its one row. */
+/** Response to a batch in which each statement returns one row with its own text. */
 export function echoAnswer(batch: CallerBatch): Buffer {
   return buildLocalResponse(batch, (text) => ({
     tag: 'SELECT 1',
@@ -56,11 +56,11 @@
   }));
 }
 
-/** Handles batches like a back end whose every statement succeeds. */
+/** Handles batches like a back end on which every supported statement succeeds. */
 export class EchoHandler {
   readonly batches: CallerBatch[] = [];
   readonly connections: CallerConnection[] = [];
-  /** Called instead of the ordinary answer if it gives true. */
+  /** Called for each batch; if it returns true, the handler doesn't respond itself. */
   intercept: ((connection: CallerConnection, batch: CallerBatch) => boolean) | undefined;
 
   readonly handle = (connection: CallerConnection): void => {
@@ -98,7 +98,7 @@
   readonly limits?: Partial<CallerLimits>;
 }
 
-/** Starts a server on a free port of the loopback. */
+/** Starts a server on a free port of the loopback interface. */
 export async function startCallerServer(options: FixtureOptions = {}): Promise<CallerFixture> {
   const handler = new EchoHandler();
   let admitted = 0;
--- a/test/integration/postgres/caller-messages.test.ts
+++ b/test/integration/postgres/caller-messages.test.ts
@@ -1,4 +1,4 @@
-/** The caller side message by message: what client libraries send only now and then. */
+/** Tests the callers' side with raw messages, for message sequences that client libraries rarely send. */
 import * as assert from 'node:assert/strict';
 import { connect, type Socket } from 'node:net';
 import pg from 'pg';
@@ -19,7 +19,7 @@
 const test = suite('caller messages');
 const fixtures: CallerFixture[] = [];
 
-/** Logs in by `pg`, then takes over its socket. */
+/** Uses the socket of a `pg` client that has logged in. */
 class RawCaller {
   private readonly types: string[] = [];
   private readonly waiting: (() => void)[] = [];
@@ -44,7 +44,7 @@
     this.socket.write(Buffer.concat(messages));
   }
 
-  /** Types of the answers up to and including `last`. */
+  /** Waits for a message of type `last`; returns the types received up to and including it. */
   async until(last: string): Promise<string> {
     while (!this.types.includes(last)) {
       await new Promise<void>((resolve) => this.waiting.push(resolve));
--- a/test/integration/postgres/caller.test.ts
+++ b/test/integration/postgres/caller.test.ts
@@ -1,4 +1,4 @@
-/** The caller side as a real `pg` client meets it. */
+/** Tests the callers' side with `pg` clients. */
 import * as assert from 'node:assert/strict';
 import { once } from 'node:events';
 import { connect, type Socket } from 'node:net';
--- a/test/property/postgres/backend-chunking.test.ts
+++ b/test/property/postgres/backend-chunking.test.ts
@@ -14,7 +14,7 @@
 const RUNS = 300;
 const ignore = (): void => undefined;
 
-/** One message of an answer, and whether it is a completion or shows that more follows. */
+/** One message of a response, and its effect on what is held back. */
 interface Step {
   readonly bytes: Buffer;
   readonly effect: 'result' | 'completion' | 'neutral';
@@ -37,7 +37,7 @@
   ),
 );
 
-/** The held-back part by its definition: from the last completion on, if no result follows it. */
+/** Index from which messages must be held back: that of the last completion, if no result follows it. */
 function heldBackFrom(steps: readonly Step[]): number {
   const lastCompletion = steps.findLastIndex((step) => step.effect === 'completion');
   const lastResult = steps.findLastIndex((step) => step.effect === 'result');
--- a/test/property/postgres/caller-messages.test.ts
+++ b/test/property/postgres/caller-messages.test.ts
@@ -1,4 +1,4 @@
-/** Whatever bytes a caller sends, they end in a batch or a typed error, never in an exception. */
+/** Any bytes that a caller sends result in a batch or a typed error, never in an exception. */
 import * as assert from 'node:assert/strict';
 import fc from 'fast-check';
 import { test } from 'uvu';
@@ -26,7 +26,7 @@
   FrontendMessageType.CLOSE,
 ];
 
-/** Bodies near to lawful ones: short strings, zero bytes, small numbers. */
+/** Message bodies that resemble valid ones: short strings, zero bytes, small numbers. */
 const body = fc
   .array(fc.constantFrom('S', 'P', 'a', '\0', '\0', '\0\0', '\0\0\0\u0001', 'commit', '\xff'), {
     maxLength: 8,
--- a/test/property/postgres/frames.test.ts
+++ b/test/property/postgres/frames.test.ts
@@ -1,4 +1,4 @@
-/** The frame reader gives the same messages however the byte stream is cut into chunks. */
+/** The frame reader finds the same messages for any division of the byte stream into chunks. */
 import * as assert from 'node:assert/strict';
 import fc from 'fast-check';
 import { test } from 'uvu';
--- a/test/property/postgres/statements.test.ts
+++ b/test/property/postgres/statements.test.ts
@@ -1,4 +1,4 @@
-/** What holds of lexer, normal form, classes and markers for all generated statements. */
+/** Properties of the lexer, normal form, classification and markers that hold for all generated statements. */
 import * as assert from 'node:assert/strict';
 import fc from 'fast-check';
 import { test } from 'uvu';
@@ -10,7 +10,7 @@
 const SEED = 20261202;
 const NUM_RUNS = 400;
 
-/** Characters that matter to the lexer, besides ordinary ones. */
+/** Text with characters that are special to the lexer, and ordinary ones. */
 const trickyText = fc.string({
   unit: fc.constantFrom(
     'a',
@@ -35,7 +35,7 @@
 });
 const MARKER = "/*meadowstack_once='x'*/";
 
-/** A literal that holds `content` and ends where it should. */
+/** Quotes `content` as a properly terminated literal or identifier. */
 const literalOf = fc.constantFrom<(content: string) => string>(
   (content) => `'${content.replaceAll("'", "''")}'`,
   (content) => `E'${content.replaceAll('\\', '\\\\').replaceAll("'", "\\'")}'`,
--- a/test/unit/postgres/backend-answer-reader.test.ts
+++ b/test/unit/postgres/backend-answer-reader.test.ts
@@ -14,7 +14,7 @@
 interface Recorded {
   readonly relayed: string;
   readonly end: ResponseEnd | undefined;
-  /** Everything else that the reader told, in order. */
+  /** All other calls of the listener, in order. */
   readonly events: readonly string[];
 }
 
--- a/test/unit/postgres/classify.test.ts
+++ b/test/unit/postgres/classify.test.ts
@@ -1,4 +1,4 @@
-/** Classes of statements by example. */
+/** Examples of statements and their classification. */
 import * as assert from 'node:assert/strict';
 import { test } from 'uvu';
 import { classify, StatementClassifier } from '../../../src/postgres/statements/classify.js';
--- a/test/unit/postgres/markers.test.ts
+++ b/test/unit/postgres/markers.test.ts
@@ -1,4 +1,4 @@
-/** Markers by example. */
+/** Examples of statements and the markers read from them. */
 import * as assert from 'node:assert/strict';
 import { test } from 'uvu';
 import {
