--- a/src/postgres/backend/response-reader.ts
+++ b/src/postgres/backend/response-reader.ts
@@ -49,6 +49,7 @@
   readonly hasAppendedQuery: boolean;
 }
 
+/** Whose response is being read; `trailing` is that of the appended query. */
 type Phase = 'idle' | 'prelude' | 'batch' | 'trailing';
 
 /** Effect of a message on the response that is being relayed. */
@@ -134,7 +135,7 @@
         this.visitPrelude(type, buffer, start, end);
         return;
       case 'trailing':
-        this.visitTrailing(type, buffer, start, end);
+        this.visitAppendedQuery(type, buffer, start, end);
         return;
       case 'idle':
         this.visitIdle(type, buffer, start, end);
@@ -227,7 +228,7 @@
     else this.finish(status);
   }
 
-  private visitTrailing(type: number, buffer: Buffer, start: number, end: number): void {
+  private visitAppendedQuery(type: number, buffer: Buffer, start: number, end: number): void {
     switch (EFFECTS[type]) {
       case Effect.Result:
         if (type === Type.DATA_ROW) this.addRow(buffer, start, end);
@@ -238,7 +239,7 @@
       case Effect.Neutral:
         return;
       case Effect.Error:
-        this.visitTrailingError(buffer, start, end);
+        this.visitAppendedQueryError(buffer, start, end);
         return;
       case Effect.Ready:
         this.finish(parseStatus(buffer, start, end));
@@ -249,7 +250,7 @@
   }
 
   /** Not relayed: the caller didn't send the appended query. */
-  private visitTrailingError(buffer: Buffer, start: number, end: number): void {
+  private visitAppendedQueryError(buffer: Buffer, start: number, end: number): void {
     const error = parseServerError(buffer, start, end);
     if (endsConnection(error)) this.listener.handleFatalError(error);
     else this.appendedQueryError = error;
--- a/src/postgres/caller/options.ts
+++ b/src/postgres/caller/options.ts
@@ -1,4 +1,4 @@
-/** Settings of the caller side and their defaults. */
+/** Settings of the server for callers, and their defaults. */
 import type { Result, ResultAsync } from 'neverthrow';
 import type { TenantPolicy } from '../../core/configuration/model.js';
 import type { RequestError } from '../../core/errors.js';
