--- a/standins/direct/kv-store.ts
+++ b/standins/direct/kv-store.ts
@@ -8,7 +8,7 @@
 import { MILLISECONDS_PER_SECOND } from '../../src/core/units.js';
 import { readJsonBody, sendJson } from '../common/control-server.js';
 import { TokenBucket } from '../common/token-bucket.js';
-import { type StoreCopy, StoreEngine } from '../store/engine.js';
+import { type StoreBackup, StoreEngine } from '../store/engine.js';
 import type { Commit } from '../store/model.js';
 import { type Answer, type CallKind, KV_CALLS, type KvCall, type KvRequest } from './kv-calls.js';
 import { type KvFaultSettings, type KvFaults, NO_KV_FAULTS } from './kv-faults.js';
@@ -53,8 +53,8 @@
   #leaseStoppedAt: Milliseconds | undefined;
   #leaseStoppedMs = 0;
   #nextLeaseId = 77_120;
-  #copies: { readonly copy: StoreCopy; readonly at: Milliseconds }[] = [];
-  #askedCopy: StoreCopy | undefined;
+  #copies: { readonly copy: StoreBackup; readonly at: Milliseconds }[] = [];
+  #askedCopy: StoreBackup | undefined;
   /** What the operator wrote last, whether or not the store has it yet. */
   readonly #operatorValues = new Map<string, string>();
   /** How often the store came back from a copy. */
@@ -124,10 +124,10 @@
 
   /** Takes the copy for a return that names no age. */
   takeCopy(): void {
-    this.#askedCopy = this.engine.copy(this.leaseNow);
+    this.#askedCopy = this.engine.createBackup(this.leaseNow);
   }
 
-  #copyOfAge(ageMs: Milliseconds): StoreCopy | undefined {
+  #copyOfAge(ageMs: Milliseconds): StoreBackup | undefined {
     const asOf = monotonicMs() - ageMs;
     return (this.#copies.findLast(({ at }) => at <= asOf) ?? this.#copies[0])?.copy;
   }
@@ -151,7 +151,7 @@
   #copy(): void {
     const now = monotonicMs();
     if (this.isDown) return;
-    this.#copies.push({ copy: this.engine.copy(this.leaseNow), at: now });
+    this.#copies.push({ copy: this.engine.createBackup(this.leaseNow), at: now });
     if ((this.#copies[0]?.at ?? now) < now - OLDEST_COPY_MS) this.#copies.shift();
   }
 
--- a/standins/store/engine.ts
+++ b/standins/store/engine.ts
@@ -1,10 +1,10 @@
 /**
  * The store stand-in without its network: etcd v3's semantics of range, put, delete, transaction,
- * lease, watch and compaction. Deterministic: the caller supplies the clock.
+ * lease, watch and compaction. Deterministic: the caller passes the time.
  */
 import type { Milliseconds } from '../../src/core/units.js';
 import { isInRange, KeySpace, type KeySpaceChange } from './key-space.js';
-import { type CopiedLease, Leases } from './leases.js';
+import { type LeaseBackup, Leases } from './leases.js';
 import {
   type ByteString,
   type Commit,
@@ -21,13 +21,13 @@
   type TransactionResponse,
 } from './model.js';
 
-/** A copy of the store: the keys as of a revision, and the leases. */
-export interface StoreCopy {
+/** A backup of the store: the revision of its keys, and its leases. */
+export interface StoreBackup {
   readonly revision: number;
-  readonly leases: readonly CopiedLease[];
+  readonly leases: readonly LeaseBackup[];
 }
 
-/** Told of each commit, in order. */
+/** Called with each commit, in order. */
 export type CommitListener = (commit: Commit) => void;
 
 export class StoreEngine {
@@ -50,27 +50,27 @@
   /** @throws StoreStandinError if the lease does not exist. */
   put(request: PutRequest): void {
     this.#leases.require(request.leaseId);
-    this.#change((change) => this.#applyPut(change, request));
+    this.#commitChange((change) => this.#applyPut(change, request));
   }
 
-  /** Returns how many keys were deleted. */
+  /** Returns the number of deleted keys. */
   deleteRange(range: KeyRange): number {
-    return this.#change((change) => this.#applyDelete(change, range));
+    return this.#commitChange((change) => this.#applyDelete(change, range));
   }
 
-  /** @throws StoreStandinError if puts overlap or a lease does not exist; nothing changes then. */
+  /** @throws StoreStandinError, without any change, if puts overlap or a lease does not exist. */
   transaction(request: TransactionRequest): TransactionResponse {
     for (const operations of [request.success, request.failure]) checkOverlaps(operations);
-    const succeeded = request.compares.every((compare) => this.#holds(compare));
+    const succeeded = request.compares.every((compare) => this.#isSatisfied(compare));
     const operations = succeeded ? request.success : request.failure;
     this.#checkExecutable(operations);
-    const responses = this.#change((change) =>
+    const responses = this.#commitChange((change) =>
       operations.map((operation) => this.#applyOperation(change, operation)),
     );
     return { succeeded, responses };
   }
 
-  /** Refuses what would fail half way, so that a transaction applies whole or not at all. */
+  /** Rejects operations that would fail midway, so that a transaction applies entirely or not at all. */
   #checkExecutable(operations: readonly Operation[]): void {
     for (const operation of operations) {
       if (operation.type === 'put') this.#leases.require(operation.request.leaseId);
@@ -78,7 +78,7 @@
     }
   }
 
-  #holds(compare: Compare): boolean {
+  #isSatisfied(compare: Compare): boolean {
     const entries = this.range({ ...compare, revision: 0, limit: 0 }).entries;
     if (entries.length > 0) return entries.every((entry) => compareEntry(compare, entry));
     return compare.target === 'VALUE' ? false : compareEntry(compare, undefined);
@@ -108,8 +108,8 @@
     return deleted.length;
   }
 
-  #change<Value>(apply: (change: KeySpaceChange) => Value): Value {
-    const change = this.#keys.begin();
+  #commitChange<Value>(apply: (change: KeySpaceChange) => Value): Value {
+    const change = this.#keys.beginChange();
     const value = apply(change);
     const commit = change.commit();
     if (commit !== undefined) {
@@ -118,52 +118,52 @@
     return value;
   }
 
-  /** Grants a lease; id `0` lets the store choose. */
+  /** Grants a lease; with id `0` the store chooses the id. */
   grantLease(id: string, ttlSeconds: number, now: Milliseconds): string {
     return this.#leases.grant(id, ttlSeconds, now);
   }
 
-  /** Renews a lease; 0 if it is gone. */
+  /** Renews a lease; returns its time to live in seconds, 0 if it does not exist. */
   keepLeaseAlive(id: string, now: Milliseconds): number {
     return this.#leases.keepAlive(id, now);
   }
 
   /** Ends a lease and deletes its keys in one revision. */
   revokeLease(id: string): void {
-    const keys = this.#leases.end(id);
-    this.#change((change) => {
+    const keys = this.#leases.remove(id);
+    this.#commitChange((change) => {
       for (const key of keys) change.deleteRange({ key, rangeEnd: '' });
     });
   }
 
-  /** Ends the leases that have lapsed at `now`; gives their ids. */
+  /** Revokes the leases that have expired at `now`; returns their ids. */
   expireLeases(now: Milliseconds): readonly string[] {
-    const lapsed = this.#leases.lapsed(now);
-    for (const id of lapsed) this.revokeLease(id);
-    return lapsed;
+    const expiredIds = this.#leases.expired(now);
+    for (const id of expiredIds) this.revokeLease(id);
+    return expiredIds;
   }
 
-  /** Ids of the leases that live. */
+  /** Ids of the leases that are neither expired nor revoked. */
   leaseIds(): readonly string[] {
     return this.#leases.ids();
   }
 
-  /** @throws StoreStandinError if the revision is compacted already or in the future. */
+  /** @throws StoreStandinError if the revision is already compacted or in the future. */
   compact(revision: number): void {
     this.#keys.compact(revision);
   }
 
-  /** The commits from a revision on. @throws StoreStandinError if that history is compacted. */
+  /** The commits at and after a revision. @throws StoreStandinError if that history is compacted. */
   commitsFrom(revision: number): readonly Commit[] {
     return this.#keys.commitsFrom(revision);
   }
 
-  copy(now: Milliseconds): StoreCopy {
-    return { revision: this.revision, leases: this.#leases.copy(now) };
+  createBackup(now: Milliseconds): StoreBackup {
+    return { revision: this.revision, leases: this.#leases.createBackup(now) };
   }
 
-  /** Goes back to a copy, as far as the history is kept; nobody is told. */
-  restore({ revision, leases }: StoreCopy, now: Milliseconds): void {
+  /** Restores a backup, or the oldest uncompacted revision if it is newer. Listeners are not called. */
+  restore({ revision, leases }: StoreBackup, now: Milliseconds): void {
     this.#keys.revertTo(Math.max(revision, this.#keys.compactedRevision));
     this.#leases.restore(leases, now);
   }
@@ -176,34 +176,34 @@
 }
 
 function compareEntry(compare: Compare, entry: StoredEntry | undefined): boolean {
-  const actual = targetOf(compare, entry);
+  const actual = actualValueOf(compare, entry);
   if (compare.result === 'EQUAL') return actual === compare.operand;
   if (compare.result === 'NOT_EQUAL') return actual !== compare.operand;
   return compare.result === 'GREATER' ? actual > compare.operand : actual < compare.operand;
 }
 
-function targetOf(compare: Compare, entry: StoredEntry | undefined): number | ByteString {
+function actualValueOf(compare: Compare, entry: StoredEntry | undefined): number | ByteString {
   if (compare.target === 'VERSION') return entry?.version ?? 0;
   if (compare.target === 'CREATE') return entry?.createRevision ?? 0;
   if (compare.target === 'MOD') return entry?.modRevision ?? 0;
   return entry?.value ?? '';
 }
 
-/** etcd refuses a transaction that puts a key twice, or puts one that it also deletes. */
+/** etcd rejects a transaction that puts a key twice, or puts a key that it also deletes. */
 function checkOverlaps(operations: readonly Operation[]): void {
   const put = new Set<ByteString>();
   for (const operation of operations) {
     if (operation.type !== 'put') continue;
-    if (put.has(operation.request.key)) throw duplicateKey();
+    if (put.has(operation.request.key)) throw duplicateKeyError();
     put.add(operation.request.key);
   }
   for (const operation of operations) {
     if (operation.type !== 'delete-range') continue;
-    for (const key of put) if (isInRange(key, operation.request)) throw duplicateKey();
+    for (const key of put) if (isInRange(key, operation.request)) throw duplicateKeyError();
   }
 }
 
-function duplicateKey(): StoreStandinError {
+function duplicateKeyError(): StoreStandinError {
   return new StoreStandinError(
     'INVALID_ARGUMENT',
     'etcdserver: duplicate key given in txn request',
--- a/standins/store/faults.ts
+++ b/standins/store/faults.ts
@@ -1,4 +1,4 @@
-/** Faults that only the store has: a rate limit, and answers lost after the change took effect. */
+/** Faults that only the store has: a rate limit, and responses lost after the write took effect. */
 import { z } from 'zod';
 import type { Milliseconds } from '../../src/core/units.js';
 import { type RandomSource, seededRandom } from '../common/random.js';
@@ -9,21 +9,21 @@
 
 /** Body of `POST /faults`. Absent fields stay as they are. */
 export const storeFaultSettings = serviceFaultSettings.extend({
-  /** Requests a second over all clients; `null` lifts the limit. */
+  /** Requests per second over all clients; `null` removes the limit. */
   requestsPerSecond: z.number().positive().nullable().optional(),
-  /** The answers to so many writes from now on are lost. */
+  /** Number of next writes whose responses are lost. */
   loseNextAnswers: z.int().min(0).optional(),
-  /** Probability that a write's answer is lost. */
+  /** Probability that the response to a write is lost. */
   loseAnswerProbability: z.number().min(0).max(1).optional(),
-  /** Seed of that chance, a 32-bit integer. */
+  /** Seed of the random choice for `loseAnswerProbability`, a 32-bit integer. */
   seed: z.int().optional(),
 });
 export type StoreFaultSettings = z.infer<typeof storeFaultSettings>;
 
 export class StoreFaults {
   #bucket: TokenBucket | undefined;
-  #loseNext = 0;
-  #loseProbability = 0;
+  #answersToLose = 0;
+  #answerLossProbability = 0;
   #random: RandomSource = seededRandom(DEFAULT_SEED);
 
   apply(settings: StoreFaultSettings, now: Milliseconds): void {
@@ -31,23 +31,23 @@
     if (rate === null) this.#bucket = undefined;
     else if (rate !== undefined) this.#bucket = new TokenBucket(rate, now);
     if (settings.seed !== undefined) this.#random = seededRandom(settings.seed);
-    if (settings.loseNextAnswers !== undefined) this.#loseNext = settings.loseNextAnswers;
+    if (settings.loseNextAnswers !== undefined) this.#answersToLose = settings.loseNextAnswers;
     if (settings.loseAnswerProbability !== undefined) {
-      this.#loseProbability = settings.loseAnswerProbability;
+      this.#answerLossProbability = settings.loseAnswerProbability;
     }
   }
 
-  /** True if the rate limit lets a request through. */
-  admits(now: Milliseconds): boolean {
+  /** Counts a request against the rate limit; false if it exceeds the limit. */
+  tryAdmit(now: Milliseconds): boolean {
     return this.#bucket?.tryTake(now) ?? true;
   }
 
-  /** Asked once for each write that took effect: true if its answer is to be lost. */
-  losesAnswer(): boolean {
-    if (this.#loseNext > 0) {
-      this.#loseNext -= 1;
+  /** Called once for each write that took effect; true if its response must be dropped. */
+  shouldLoseAnswer(): boolean {
+    if (this.#answersToLose > 0) {
+      this.#answersToLose -= 1;
       return true;
     }
-    return this.#loseProbability > 0 && this.#random() < this.#loseProbability;
+    return this.#answerLossProbability > 0 && this.#random() < this.#answerLossProbability;
   }
 }
--- a/standins/store/gateway.ts
+++ b/standins/store/gateway.ts
@@ -1,4 +1,4 @@
-/** The HTTP side of the store stand-in: paths of etcd v3's JSON gateway over the engine. */
+/** HTTP server of the store stand-in: serves the paths of etcd v3's JSON gateway from the engine. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { performance } from 'node:perf_hooks';
 import { readJsonBody, sendJson } from '../common/control-server.js';
@@ -31,18 +31,18 @@
 
 const WATCH_PATH = '/v3/watch';
 
-/** Runs one request and gives the answer's fields besides the header. */
+/** Executes one request and returns the fields of the response other than its header. */
 type Handler = (engine: StoreEngine, body: unknown) => JsonObject;
 
 interface Endpoint {
-  readonly changes: boolean;
-  /** True for calls that stream in gRPC: the gateway wraps their answers in `result`. */
-  readonly streamed?: boolean;
+  readonly changesState: boolean;
+  /** True for calls that stream in gRPC: the gateway wraps their responses in `result`. */
+  readonly isStreamed?: boolean;
   readonly handle: Handler;
 }
 
 const revokeLease: Endpoint = {
-  changes: true,
+  changesState: true,
   handle: (engine, body) => {
     engine.revokeLease(parseMessage(leaseIdMessage, body).ID);
     return {};
@@ -51,55 +51,55 @@
 
 const ENDPOINTS: Readonly<Record<string, Endpoint>> = {
   '/v3/kv/range': {
-    changes: false,
+    changesState: false,
     handle: (engine, body) => {
       const message = parseMessage(rangeMessage, body);
       return rangeJson(engine.range(message.request), message);
     },
   },
   '/v3/kv/put': {
-    changes: true,
+    changesState: true,
     handle: (engine, body) => {
       engine.put(parseMessage(putMessage, body));
       return {};
     },
   },
   '/v3/kv/deleterange': {
-    changes: true,
+    changesState: true,
     handle: (engine, body) => {
       return deletedJson(engine.deleteRange(parseMessage(deleteRangeMessage, body)));
     },
   },
   '/v3/kv/txn': {
-    changes: true,
+    changesState: true,
     handle: (engine, body) => {
-      const answer = engine.transaction(parseMessage(transactionMessage, body));
-      const responses = answer.responses.map((response) => {
+      const result = engine.transaction(parseMessage(transactionMessage, body));
+      const responses = result.responses.map((response) => {
         return operationJson(response, engine.revision);
       });
       return {
-        ...(answer.succeeded ? { succeeded: true } : {}),
+        ...(result.succeeded ? { succeeded: true } : {}),
         ...(responses.length === 0 ? {} : { responses }),
       };
     },
   },
   '/v3/kv/compaction': {
-    changes: true,
+    changesState: true,
     handle: (engine, body) => {
       engine.compact(parseMessage(compactionMessage, body).revision);
       return {};
     },
   },
   '/v3/lease/grant': {
-    changes: true,
+    changesState: true,
     handle: (engine, body) => {
       const { ID, TTL } = parseMessage(leaseGrantMessage, body);
       return { ID: engine.grantLease(ID, TTL, performance.now()), TTL: String(TTL) };
     },
   },
   '/v3/lease/keepalive': {
-    changes: true,
-    streamed: true,
+    changesState: true,
+    isStreamed: true,
     handle: (engine, body) => {
       const { ID } = parseMessage(leaseIdMessage, body);
       const seconds = engine.keepLeaseAlive(ID, performance.now());
@@ -110,7 +110,7 @@
   '/v3/kv/lease/revoke': revokeLease,
 };
 
-/** The store's HTTP server, with its faults put in by `connectFaults` once it listens. */
+/** The store's HTTP server. `connectFaults` adds outages and delays once it listens. */
 export class StoreGateway {
   readonly server: Server;
   readonly #watches = new Set<WatchStream>();
@@ -143,8 +143,8 @@
     this.counters.countRequest(client, path);
     const serve = (): void => {
       this.#serve(client, path, request, response).catch((error: unknown) => {
-        this.counters.countEnding(client, path, 'failed');
-        this.#answer(response, () => sendError(response, error));
+        this.counters.countOutcome(client, path, 'failed');
+        this.#respond(response, () => sendError(response, error));
       });
     };
     if (this.#serviceFaults === undefined) serve();
@@ -158,10 +158,10 @@
     response: ServerResponse,
   ): Promise<void> {
     const body = await readJsonBody(request);
-    if (!this.faults.admits(performance.now())) {
-      this.counters.countEnding(client, path, 'rateLimited');
+    if (!this.faults.tryAdmit(performance.now())) {
+      this.counters.countOutcome(client, path, 'rateLimited');
       const error = new StoreStandinError('RESOURCE_EXHAUSTED', 'etcdserver: too many requests');
-      this.#answer(response, () => sendError(response, error));
+      this.#respond(response, () => sendError(response, error));
       return;
     }
     if (path === WATCH_PATH) {
@@ -171,20 +171,20 @@
     const endpoint = ENDPOINTS[path];
     if (endpoint === undefined) throw new StoreStandinError('NOT_FOUND', 'Not Found');
     const fields = endpoint.handle(this.engine, body);
-    if (endpoint.changes && this.faults.losesAnswer()) {
-      this.counters.countEnding(client, path, 'answersLost');
+    if (endpoint.changesState && this.faults.shouldLoseAnswer()) {
+      this.counters.countOutcome(client, path, 'answersLost');
       request.socket.resetAndDestroy();
       return;
     }
-    const answer = { header: headerJson(this.engine.revision), ...fields };
-    const json = endpoint.streamed ? { result: answer } : answer;
-    this.#answer(response, () => sendJson(response, 200, json));
+    const result = { header: headerJson(this.engine.revision), ...fields };
+    const json = endpoint.isStreamed ? { result: result } : result;
+    this.#respond(response, () => sendJson(response, 200, json));
   }
 
   #openWatch(body: unknown, response: ServerResponse): void {
     const message = parseMessage(watchMessage, body);
     const pace = () => ({
-      held: this.#serviceFaults?.outage === 'hang',
+      isHeld: this.#serviceFaults?.outage === 'hang',
       delayMs: this.#serviceFaults?.answerDelayMs ?? 0,
     });
     const watch = new WatchStream(this.engine, message, response, pace, this.progressIntervalMs);
@@ -192,7 +192,7 @@
     response.on('close', () => this.#watches.delete(watch));
   }
 
-  #answer(response: ServerResponse, send: () => void): void {
+  #respond(response: ServerResponse, send: () => void): void {
     const sendIfOpen = (): void => {
       if (!response.destroyed) send();
     };
--- a/standins/store/key-space.ts
+++ b/standins/store/key-space.ts
@@ -1,4 +1,4 @@
-/** The revisioned keys of the store stand-in: every version of every key since the last compaction. */
+/** Multi-version key space of the store stand-in: every key version since the last compaction. */
 import {
   type ByteString,
   type Commit,
@@ -12,11 +12,12 @@
   StoreStandinError,
 } from './model.js';
 
-const FROM_KEY_ON = '\0';
+/** `rangeEnd` of a range without an upper bound. */
+const OPEN_RANGE_END = '\0';
 /** etcd starts at revision 1, before any change. */
 const FIRST_REVISION = 1;
 
-/** One point of a key's history; `entry` is absent where the key was deleted. */
+/** One version in a key's history; `entry` is undefined where the key was deleted. */
 interface KeyVersion {
   readonly modRevision: number;
   readonly entry: StoredEntry | undefined;
@@ -25,15 +26,15 @@
 /** True if `key` lies in the range. */
 export function isInRange(key: ByteString, range: KeyRange): boolean {
   if (range.rangeEnd === '') return key === range.key;
-  if (range.rangeEnd === FROM_KEY_ON) return key >= range.key;
+  if (range.rangeEnd === OPEN_RANGE_END) return key >= range.key;
   return key >= range.key && key < range.rangeEnd;
 }
 
-/** Keys, their versions and the log of commits. Pure state: no clock, no sockets. */
+/** Keys, their versions and the log of commits. No I/O and no clock. */
 export class KeySpace {
   #revision = FIRST_REVISION;
   #compactedRevision = 0;
-  /** All keys that have a history, in byte order. */
+  /** All keys with at least one version, in byte order. */
   #keys: ByteString[] = [];
   readonly #histories = new Map<ByteString, KeyVersion[]>();
   #commits: Commit[] = [];
@@ -42,12 +43,12 @@
     return this.#revision;
   }
 
-  /** Revision of the last compaction; history before it is gone. */
+  /** Revision of the last compaction; earlier history is removed. */
   get compactedRevision(): number {
     return this.#compactedRevision;
   }
 
-  /** The key's version at a revision (newest if absent). */
+  /** The key's version at a revision, by default the newest. */
   find(key: ByteString, revision: number = Number.POSITIVE_INFINITY): StoredEntry | undefined {
     return this.#histories.get(key)?.findLast((version) => version.modRevision <= revision)?.entry;
   }
@@ -55,16 +56,17 @@
   /** @throws StoreStandinError if the revision is compacted or in the future. */
   range(request: RangeRequest): RangeResponse {
     const revision = request.revision === 0 ? Number.POSITIVE_INFINITY : request.revision;
-    if (request.revision > this.#revision) throw futureRevision();
-    if (request.revision !== 0 && request.revision < this.#compactedRevision) throw compacted();
-    const entries = this.#keysIn(request)
+    if (request.revision > this.#revision) throw futureRevisionError();
+    if (request.revision !== 0 && request.revision < this.#compactedRevision)
+      throw compactedError();
+    const entries = this.#keysInRange(request)
       .map((key) => this.find(key, revision))
       .filter((entry) => entry !== undefined);
     const limited = request.limit === 0 ? entries : entries.slice(0, request.limit);
     return { entries: limited, count: entries.length };
   }
 
-  #keysIn(range: KeyRange): ByteString[] {
+  #keysInRange(range: KeyRange): ByteString[] {
     if (range.rangeEnd === '') return this.#histories.has(range.key) ? [range.key] : [];
     const keys: ByteString[] = [];
     for (let index = this.#lowerBound(range.key); index < this.#keys.length; index += 1) {
@@ -75,7 +77,7 @@
     return keys;
   }
 
-  /** Index of the first key that is not before `key`. */
+  /** Index of the first key greater than or equal to `key`. */
   #lowerBound(key: ByteString): number {
     let low = 0;
     let high = this.#keys.length;
@@ -87,8 +89,8 @@
     return low;
   }
 
-  /** Starts a change; its operations share one revision, taken only if something changes. */
-  begin(): KeySpaceChange {
+  /** Starts a change; its operations share one new revision, used only if something changes. */
+  beginChange(): KeySpaceChange {
     const revision = this.#revision + 1;
     const events: StoreEvent[] = [];
     return {
@@ -140,21 +142,21 @@
   }
 
   /**
-   * The commits from a revision on.
-   * @throws StoreStandinError if history from there is compacted.
+   * The commits at and after a revision.
+   * @throws StoreStandinError if that history is compacted.
    */
   commitsFrom(revision: number): readonly Commit[] {
-    if (revision < this.#compactedRevision) throw compacted();
+    if (revision < this.#compactedRevision) throw compactedError();
     return this.#commits.filter((commit) => commit.revision >= revision);
   }
 
   /**
-   * Drops versions that were superseded before `revision`.
-   * @throws StoreStandinError if it is already compacted or in the future.
+   * Removes versions that were superseded before `revision`.
+   * @throws StoreStandinError if the revision is already compacted or in the future.
    */
   compact(revision: number): void {
-    if (revision > this.#revision) throw futureRevision();
-    if (revision <= this.#compactedRevision) throw compacted();
+    if (revision > this.#revision) throw futureRevisionError();
+    if (revision <= this.#compactedRevision) throw compactedError();
     this.#compactedRevision = revision;
     this.#commits = this.#commits.filter((commit) => commit.revision >= revision);
     for (const [key, history] of this.#histories) this.#compactKey(key, history, revision);
@@ -162,12 +164,12 @@
   }
 
   /**
-   * Goes back to an earlier revision: what was written since is gone, and its revisions are given out again.
+   * Reverts to an earlier revision: later writes are lost, and their revisions are assigned again.
    * @throws StoreStandinError if the revision is compacted or in the future.
    */
   revertTo(revision: number): void {
-    if (revision > this.#revision) throw futureRevision();
-    if (revision < this.#compactedRevision) throw compacted();
+    if (revision > this.#revision) throw futureRevisionError();
+    if (revision < this.#compactedRevision) throw compactedError();
     this.#revision = revision;
     this.#commits = this.#commits.filter((commit) => commit.revision <= revision);
     for (const [key, history] of this.#histories) {
@@ -188,21 +190,21 @@
   }
 }
 
-/** The operations of one change, applied at once. */
+/** The operations of one change, each applied immediately. */
 export interface KeySpaceChange {
   put(request: PutRequest): StoredEntry;
   /** Returns the entries that were deleted. */
   deleteRange(range: KeyRange): readonly StoredEntry[];
-  /** Ends the change; `undefined` if nothing changed. */
+  /** Ends the change; returns `undefined` if nothing changed. */
   commit(): Commit | undefined;
 }
 
-function compacted(): StoreStandinError {
+function compactedError(): StoreStandinError {
   const message = 'etcdserver: mvcc: required revision has been compacted';
   return new StoreStandinError('OUT_OF_RANGE', message);
 }
 
-function futureRevision(): StoreStandinError {
+function futureRevisionError(): StoreStandinError {
   const message = 'etcdserver: mvcc: required revision is a future revision';
   return new StoreStandinError('OUT_OF_RANGE', message);
 }
--- a/standins/store/leases.ts
+++ b/standins/store/leases.ts
@@ -1,4 +1,4 @@
-/** Leases of the store stand-in: each holds keys and ends when it is not kept alive. */
+/** Leases of the store stand-in: each owns keys and expires unless it is kept alive. */
 import type { Milliseconds } from '../../src/core/units.js';
 import { MILLISECONDS_PER_SECOND } from '../../src/core/units.js';
 import { type ByteString, NO_LEASE, StoreStandinError } from './model.js';
@@ -12,21 +12,21 @@
   readonly keys: Set<ByteString>;
 }
 
-/** A lease as a copy of the store holds it. */
-export interface CopiedLease {
+/** A lease within a backup of the store. */
+export interface LeaseBackup {
   readonly id: string;
   readonly ttlSeconds: number;
-  /** What is left of it; it runs on from there. */
-  readonly leftMs: Milliseconds;
+  /** Remaining time to live, which continues from this value after a restore. */
+  readonly remainingMs: Milliseconds;
   readonly keys: readonly ByteString[];
 }
 
-/** All leases. The caller supplies the clock. */
+/** All leases. The caller passes the time. */
 export class Leases {
   readonly #leases = new Map<string, Lease>();
   #nextId = FIRST_LEASE_ID;
 
-  /** @throws StoreStandinError if the id is taken or the time to live is not positive. */
+  /** @throws StoreStandinError if the id is in use or the time to live is not positive. */
   grant(requestedId: string, ttlSeconds: number, now: Milliseconds): string {
     if (ttlSeconds <= 0) {
       throw new StoreStandinError('INVALID_ARGUMENT', 'etcdserver: lease TTL must be positive');
@@ -40,7 +40,7 @@
     return id;
   }
 
-  /** Renews a lease; gives its time to live in seconds, or 0 if there is no such lease. */
+  /** Renews a lease; returns its time to live in seconds, or 0 if there is no such lease. */
   keepAlive(id: string, now: Milliseconds): number {
     const lease = this.#leases.get(id);
     if (lease === undefined) return 0;
@@ -49,10 +49,10 @@
   }
 
   /**
-   * Ends a lease and gives its keys, in byte order.
+   * Removes a lease and returns its keys, in byte order.
    * @throws StoreStandinError if there is no such lease.
    */
-  end(id: string): readonly ByteString[] {
+  remove(id: string): readonly ByteString[] {
     const keys = [...this.#require(id).keys].sort();
     this.#leases.delete(id);
     return keys;
@@ -77,24 +77,24 @@
     this.#leases.get(id)?.keys.delete(key);
   }
 
-  /** Ids of the leases that have lapsed, oldest grant first. */
-  lapsed(now: Milliseconds): string[] {
+  /** Ids of the leases that have expired, oldest grant first. */
+  expired(now: Milliseconds): string[] {
     return [...this.#leases.values()]
       .filter((lease) => lease.expiresAt <= now)
       .map((lease) => lease.id);
   }
 
-  /** All leases as they are now. */
-  copy(now: Milliseconds): CopiedLease[] {
+  /** All leases with their remaining time at `now`. */
+  createBackup(now: Milliseconds): LeaseBackup[] {
     return [...this.#leases.values()].map(({ id, ttlSeconds, expiresAt, keys }) => {
-      return { id, ttlSeconds, leftMs: expiresAt - now, keys: [...keys] };
+      return { id, ttlSeconds, remainingMs: expiresAt - now, keys: [...keys] };
     });
   }
 
-  /** Goes back to a copy: leases granted since are gone, others are back. */
-  restore(copied: readonly CopiedLease[], now: Milliseconds): void {
+  /** Replaces all leases by those of a backup. */
+  restore(backups: readonly LeaseBackup[], now: Milliseconds): void {
     this.#leases.clear();
-    for (const { id, ttlSeconds, leftMs, keys } of copied) {
+    for (const { id, ttlSeconds, remainingMs: leftMs, keys } of backups) {
       this.#leases.set(id, { id, ttlSeconds, expiresAt: now + leftMs, keys: new Set(keys) });
     }
   }
--- a/standins/store/main.ts
+++ b/standins/store/main.ts
@@ -15,12 +15,12 @@
 const flags = readFlags(
   {
     name: 'store',
-    summary: "stand-in for the key-value store, in the form of etcd v3's JSON gateway",
+    summary: "stand-in for the key-value store, with the API of etcd v3's JSON gateway",
     flags: {
       ...COMMON_FLAGS,
       'progress-interval-ms': {
         placeholder: 'MS',
-        text: 'how often a watch with progress_notify hears of progress (1000)',
+        text: 'interval of progress notifications for watches with progress_notify (1000)',
       },
     },
     examples: ['node dist/standins/store/main.js --port 2379 --control-port 2380'],
@@ -43,7 +43,7 @@
 gateway.connectFaults(serviceFaults);
 setInterval(() => engine.expireLeases(performance.now()), LEASE_CHECK_INTERVAL_MS);
 
-const nothing = z.object({});
+const emptyBody = z.object({});
 const control = createControlServer([
   controlRoute('POST', '/faults', storeFaultSettings, (settings) => {
     storeFaults.apply(settings, performance.now());
@@ -58,9 +58,9 @@
     for (const leaseId of ids) engine.revokeLease(leaseId);
     return { expired: ids };
   }),
-  controlRoute('GET', '/counters', nothing, () => ({ counters: counters.list() })),
-  controlRoute('POST', '/counters/reset', nothing, () => counters.reset()),
-  controlRoute('GET', '/state', nothing, () => ({
+  controlRoute('GET', '/counters', emptyBody, () => ({ counters: counters.list() })),
+  controlRoute('POST', '/counters/reset', emptyBody, () => counters.reset()),
+  controlRoute('GET', '/state', emptyBody, () => ({
     revision: engine.revision,
     compactedRevision: engine.compactedRevision,
     leases: engine.leaseIds(),
--- a/standins/store/messages.ts
+++ b/standins/store/messages.ts
@@ -1,11 +1,11 @@
 /**
- * The JSON messages of etcd v3's HTTP gateway, requests only: base64 bytes, int64 as strings, names
- * in snake or camel case, absent fields meaning zero. Source: etcd's API reference, version 3.5.
+ * The JSON requests of etcd v3's HTTP gateway: base64 bytes, int64 as strings, names in snake or
+ * camel case, absent fields meaning zero. Source: etcd's API reference, version 3.5.
  */
 import { z } from 'zod';
 import { type Compare, NO_LEASE, type Operation, StoreStandinError } from './model.js';
 
-/** Base64 in, one character a byte out. */
+/** Decodes base64 to a `ByteString`. */
 const bytes = z
   .base64()
   .default('')
@@ -16,7 +16,7 @@
 
 const keyRange = { key: bytes, range_end: bytes };
 
-/** Body of /v3/kv/range. Options that the stand-in lacks are refused, never ignored. */
+/** Body of /v3/kv/range. Options that the stand-in does not support are rejected, never ignored. */
 export const rangeMessage = z
   .object({
     ...keyRange,
@@ -119,7 +119,7 @@
   }));
 export type WatchMessage = z.output<typeof watchMessage>;
 
-/** @throws StoreStandinError (INVALID_ARGUMENT) if the body does not fit. */
+/** @throws StoreStandinError (INVALID_ARGUMENT) if the body does not match the schema. */
 export function parseMessage<Schema extends z.ZodType>(
   schema: Schema,
   body: unknown,
@@ -129,7 +129,7 @@
   throw new StoreStandinError('INVALID_ARGUMENT', z.prettifyError(parsed.error));
 }
 
-/** The gateway takes field names in both cases; the schemas know the snake case. */
+/** The gateway accepts field names in snake and camel case; the schemas use snake case. */
 function toSnakeCase(value: unknown): unknown {
   if (Array.isArray(value)) return value.map(toSnakeCase);
   if (typeof value !== 'object' || value === null) return value;
--- a/standins/store/model.ts
+++ b/standins/store/model.ts
@@ -1,10 +1,10 @@
 /**
- * Types of the store stand-in. Keys are kept as `latin1` strings, one character a byte, so that
+ * Types of the store stand-in. Keys are kept as `latin1` strings, one character per byte, so that
  * string order is etcd's byte order.
  */
 import { MeadowstackError } from '../../src/core/errors.js';
 
-/** A key as one character a byte. */
+/** Bytes as a string with one character per byte. */
 export type ByteString = string;
 
 /** One version of a key. */
@@ -15,13 +15,13 @@
   readonly modRevision: number;
   /** Number of puts since the key was created. */
   readonly version: number;
-  /** Lease that the key is attached to; 0 if none. */
+  /** Lease that the key is attached to; `NO_LEASE` if none. */
   readonly leaseId: string;
 }
 
 export const NO_LEASE = '0';
 
-/** A change of one key, as watches see it. */
+/** A change of one key, as watches report it. */
 export type StoreEvent =
   | { readonly type: 'PUT'; readonly entry: StoredEntry }
   | { readonly type: 'DELETE'; readonly key: ByteString; readonly modRevision: number };
@@ -32,22 +32,22 @@
   readonly events: readonly StoreEvent[];
 }
 
-/** `rangeEnd` empty: the one key; `\0`: every key from `key` on; else the half-open range. */
+/** `rangeEnd` empty: only `key`; `\0`: every key from `key` on; otherwise a half-open range. */
 export interface KeyRange {
   readonly key: ByteString;
   readonly rangeEnd: ByteString;
 }
 
 export interface RangeRequest extends KeyRange {
-  /** Revision to read at; 0 is the newest. */
+  /** Revision to read at; 0 means the newest. */
   readonly revision: number;
-  /** Most entries to return; 0 is no limit. */
+  /** Maximum number of entries to return; 0 means no limit. */
   readonly limit: number;
 }
 
 export interface RangeResponse {
   readonly entries: readonly StoredEntry[];
-  /** Entries in the range, whatever the limit. */
+  /** Number of entries in the range, regardless of the limit. */
   readonly count: number;
 }
 
@@ -88,7 +88,7 @@
   readonly responses: readonly OperationResponse[];
 }
 
-/** gRPC status codes that the gateway reports, with the HTTP status it gives each. */
+/** gRPC status codes that the gateway reports, with the HTTP status of each. */
 export const GrpcStatus = {
   INVALID_ARGUMENT: { code: 3, httpStatus: 400 },
   NOT_FOUND: { code: 5, httpStatus: 404 },
@@ -101,7 +101,7 @@
 
 export type GrpcStatusName = keyof typeof GrpcStatus;
 
-/** A request that the store refuses, with etcd's own wording. */
+/** A request that the store rejects, with etcd's own message. */
 export class StoreStandinError extends MeadowstackError {
   readonly code = 'MS-STANDIN-STORE';
 
--- a/standins/store/request-counters.ts
+++ b/standins/store/request-counters.ts
@@ -1,6 +1,6 @@
-/** Counts requests per client and path, for the bound on requests that a node sends a minute. */
+/** Counts requests per client and path, to check the limit on requests per minute of a node. */
 
-/** How many requests of one client went to one path, and how they ended. */
+/** Number of requests of one client to one path, and of those with each outcome. */
 export interface RequestCounter {
   readonly client: string;
   readonly path: string;
@@ -10,7 +10,7 @@
   failed: number;
 }
 
-export type RequestEnding = 'rateLimited' | 'answersLost' | 'failed';
+export type RequestOutcome = 'rateLimited' | 'answersLost' | 'failed';
 
 export class RequestCounters {
   readonly #counters = new Map<string, RequestCounter>();
@@ -19,14 +19,14 @@
     this.#counter(client, path).requests += 1;
   }
 
-  countEnding(client: string, path: string, ending: RequestEnding): void {
-    this.#counter(client, path)[ending] += 1;
+  countOutcome(client: string, path: string, outcome: RequestOutcome): void {
+    this.#counter(client, path)[outcome] += 1;
   }
 
   #counter(client: string, path: string): RequestCounter {
     const id = JSON.stringify([client, path]);
-    const known = this.#counters.get(id);
-    if (known !== undefined) return known;
+    const existing = this.#counters.get(id);
+    if (existing !== undefined) return existing;
     const counter = { client, path, requests: 0, rateLimited: 0, answersLost: 0, failed: 0 };
     this.#counters.set(id, counter);
     return counter;
--- a/standins/store/responses.ts
+++ b/standins/store/responses.ts
@@ -1,4 +1,4 @@
-/** Answers of etcd v3's HTTP gateway as JSON values: int64 as strings, zero fields left out. */
+/** Responses of etcd v3's HTTP gateway as JSON values: int64 as strings, zero fields omitted. */
 import {
   type ByteString,
   GrpcStatus,
@@ -17,7 +17,7 @@
 /** A JSON object as the gateway sends it. */
 export type JsonObject = Readonly<Record<string, unknown>>;
 
-/** How much of each entry a range answer carries. */
+/** Which parts of each entry a range response contains. */
 export interface RangeDetail {
   readonly keysOnly: boolean;
   readonly countOnly: boolean;
@@ -25,7 +25,7 @@
 
 const WHOLE_ENTRIES: RangeDetail = { keysOnly: false, countOnly: false };
 
-/** The header of every answer. */
+/** The header of every response. */
 export function headerJson(revision: number): JsonObject {
   return {
     cluster_id: CLUSTER_ID,
@@ -62,7 +62,7 @@
   return deleted === 0 ? {} : { deleted: String(deleted) };
 }
 
-/** One response within a transaction's answer. */
+/** The response of one operation within a transaction's response. */
 export function operationJson(response: OperationResponse, revision: number): JsonObject {
   const header = { header: { revision: String(revision) } };
   if (response.type === 'put') return { response_put: header };
@@ -72,7 +72,7 @@
   return { response_delete_range: { ...header, ...deletedJson(response.deleted) } };
 }
 
-/** One event of a watch. PUT is the zero value of its enumeration and therefore left out. */
+/** One event of a watch. PUT is the zero value of its enumeration and therefore omitted. */
 export function eventJson(event: StoreEvent): JsonObject {
   if (event.type === 'PUT') return { kv: entryJson(event.entry, WHOLE_ENTRIES) };
   return {
@@ -81,7 +81,7 @@
   };
 }
 
-/** The body of an error answer. */
+/** The body of an error response. */
 export function errorJson(error: StoreStandinError): JsonObject {
   const { code } = GrpcStatus[error.status];
   return { error: error.message, code, message: error.message, details: [] };
--- a/standins/store/watch-stream.ts
+++ b/standins/store/watch-stream.ts
@@ -1,4 +1,4 @@
-/** One watch of the store stand-in: a streamed HTTP answer, one JSON object a line. */
+/** One watch of the store stand-in: a streamed HTTP response, one JSON object per line. */
 import type { ServerResponse } from 'node:http';
 import { performance } from 'node:perf_hooks';
 import type { StoreEngine } from './engine.js';
@@ -9,15 +9,15 @@
 
 const WATCH_ID = '0';
 
-/** Asked before each line: whether lines flow now, and how late. */
+/** Whether lines are held back now, and the delay of each. Evaluated for every line. */
 export interface StreamPace {
-  readonly held: boolean;
+  readonly isHeld: boolean;
   readonly delayMs: number;
 }
 
 interface PendingLine {
   readonly line: JsonObject;
-  /** Point on the process's monotonic clock before which it is not sent. */
+  /** Earliest time to send it, on the process's monotonic clock. */
   readonly dueAtMs: number;
 }
 
@@ -26,7 +26,7 @@
   #flushTimer: NodeJS.Timeout | undefined;
   readonly #unsubscribe: () => void;
   readonly #progressTimer: NodeJS.Timeout | undefined;
-  #ended = false;
+  #isEnded = false;
 
   constructor(
     private readonly engine: StoreEngine,
@@ -45,10 +45,10 @@
     this.#replay();
   }
 
-  /** Sends the lines that are due, in order, if lines flow now. */
+  /** Sends the lines that are due, in order, unless lines are held back. */
   flush(): void {
     clearTimeout(this.#flushTimer);
-    if (this.pace().held) return;
+    if (this.pace().isHeld) return;
     const now = performance.now();
     for (let first = this.#pending[0]; first !== undefined; first = this.#pending[0]) {
       if (first.dueAtMs > now) {
@@ -81,7 +81,7 @@
   }
 
   #send(fields: JsonObject, revision = this.engine.revision): void {
-    if (this.#ended) return;
+    if (this.#isEnded) return;
     const line = { result: { header: headerJson(revision), watch_id: WATCH_ID, ...fields } };
     this.#pending.push({ line, dueAtMs: performance.now() + this.pace().delayMs });
     this.flush();
@@ -92,7 +92,7 @@
   }
 
   #stop(): void {
-    this.#ended = true;
+    this.#isEnded = true;
     clearInterval(this.#progressTimer);
     this.#unsubscribe?.();
   }
