--- a/standins/direct/connection.ts
+++ b/standins/direct/connection.ts
@@ -1,4 +1,4 @@
-/** One connection to a database instance: lines in, answers out. */
+/** One client connection to a database instance: reads request lines and writes responses. */
 import type { Socket } from 'node:net';
 import { setTimeout as pause } from 'node:timers/promises';
 import { LineReader } from '../../src/platform/line-reader.js';
@@ -12,79 +12,79 @@
 
 export class InstanceConnection {
   readonly #lines: string[] = [];
-  readonly #gone = new AbortController();
-  #isServing = false;
+  readonly #closed = new AbortController();
+  #isProcessing = false;
   #isStarted = false;
-  #withheld = '';
+  #withheldOutput = '';
   readonly #session: InstanceSession;
 
   constructor(
     private readonly socket: Socket,
     private readonly instance: Instance,
   ) {
-    const number = instance.runLog.nextConnection();
-    this.#session = new InstanceSession(instance, number, this.#gone.signal);
+    const number = instance.runLog.nextConnectionNumber();
+    this.#session = new InstanceSession(instance, number, this.#closed.signal);
     const reader = new LineReader(MAX_MESSAGE_BYTES);
     socket.setNoDelay(true);
     socket.on('data', (chunk: Buffer) => {
       const lines = reader.push(chunk);
       if (lines.isErr()) socket.destroy();
-      else this.#take(lines.value);
+      else this.#receive(lines.value);
     });
     socket.on('error', () => undefined);
-    socket.on('close', () => this.#gone.abort());
+    socket.on('close', () => this.#closed.abort());
     if (instance.member.isDark) socket.pause();
   }
 
-  get #isGone(): boolean {
-    return this.#gone.signal.aborted;
+  get #isClosed(): boolean {
+    return this.#closed.signal.aborted;
   }
 
-  /** Nothing gets in or out from now on. */
-  darken(): void {
+  /** Stops all input and output, as if the instance's host were unreachable. */
+  makeUnreachable(): void {
     this.socket.pause();
   }
 
-  /** What was withheld goes out, and what waits comes in. */
-  lighten(): void {
-    this.socket.write(this.#withheld);
-    this.#withheld = '';
+  /** Sends the withheld output and resumes input. */
+  makeReachable(): void {
+    this.socket.write(this.#withheldOutput);
+    this.#withheldOutput = '';
     this.socket.resume();
   }
 
   /** Ends the connection with a reset. */
   reset(): void {
-    this.#gone.abort();
+    this.#closed.abort();
     this.socket.resetAndDestroy();
   }
 
-  #take(lines: readonly string[]): void {
+  #receive(lines: readonly string[]): void {
     this.#lines.push(...lines.map((line) => line.replace(/\r$/, '')));
-    if (this.#isServing) return;
-    this.#isServing = true;
-    this.#serveAll().finally(() => {
-      this.#isServing = false;
+    if (this.#isProcessing) return;
+    this.#isProcessing = true;
+    this.#processLines().finally(() => {
+      this.#isProcessing = false;
     });
   }
 
-  async #serveAll(): Promise<void> {
+  async #processLines(): Promise<void> {
     for (let line = this.#lines.shift(); line !== undefined; line = this.#lines.shift()) {
-      if (this.#isGone) return;
+      if (this.#isClosed) return;
       const [word, id, text] = splitFields(line, 3);
       if (word === 'TERMINATE') this.socket.end();
       else if (!this.#isStarted) await this.#start(line);
       else if (word === 'QUERY' && id !== undefined && text !== undefined) {
-        this.#answer(await this.#session.query(id, text));
-      } else this.#answer({ type: 'error', code: 'MALFORMED' });
+        this.#respond(await this.#session.query(id, text));
+      } else this.#respond({ type: 'error', code: 'MALFORMED' });
     }
   }
 
   #send(text: string): void {
-    if (this.instance.member.isDark) this.#withheld += text;
+    if (this.instance.member.isDark) this.#withheldOutput += text;
     else if (!this.socket.destroyed) this.socket.write(text);
   }
 
-  #ready(): string {
+  #formatReady(): string {
     const position = this.instance.member.applied(monotonicMs());
     return `READY ${this.#session.state} ${formatPosition(position)}\r\n`;
   }
@@ -92,36 +92,36 @@
   async #start(line: string): Promise<void> {
     const [word, service, account = '', id] = splitFields(line, 4);
     const { member, options, slots } = this.instance;
-    const isRight = service === options.service && (id === undefined || id === member.id);
+    const isForThisInstance = service === options.service && (id === undefined || id === member.id);
     const refuse = (code: ErrorCode): void => {
       this.#send(`ERROR ${code} ${member.id}\r\n`);
       this.#end();
     };
     if (word !== 'START') return refuse('MALFORMED');
-    if (!isRight) return refuse('MISROUTED');
+    if (!isForThisInstance) return refuse('MISROUTED');
     if (this.instance.connectionCount > options.maxConnections) return refuse('CONNLIMIT');
-    if (!(await slots.acquire(this.#gone.signal))) return;
+    if (!(await slots.acquire(this.#closed.signal))) return;
     await pause(options.connectMs * this.instance.faults.slowFactor);
     slots.release();
     this.#isStarted = true;
     this.#session.account = account;
-    this.#send(this.#ready());
+    this.#send(this.#formatReady());
   }
 
-  #answer(outcome: Outcome): void {
-    if (this.#isGone) return;
+  #respond(outcome: Outcome): void {
+    if (this.#isClosed) return;
     if (outcome.type === 'gone') {
       this.reset();
       return;
     }
     const { id } = this.instance.member;
     if (outcome.type === 'error') {
-      this.#send(`ERROR ${outcome.code} ${id}\r\n${this.#ready()}`);
+      this.#send(`ERROR ${outcome.code} ${id}\r\n${this.#formatReady()}`);
       return;
     }
     const rows = outcome.rows.map((row) => `ROW ${row}\r\n`).join('');
     if (outcome.type === 'complete') {
-      this.#send(`${rows}COMPLETE ${outcome.signature}\r\n${this.#ready()}`);
+      this.#send(`${rows}COMPLETE ${outcome.signature}\r\n${this.#formatReady()}`);
       return;
     }
     this.#send(`${rows}COMPL`);
@@ -130,6 +130,6 @@
 
   #end(): void {
     this.socket.end();
-    this.#gone.abort();
+    this.#closed.abort();
   }
 }
--- a/standins/direct/group.ts
+++ b/standins/direct/group.ts
@@ -1,15 +1,15 @@
 /**
- * Replication among the members of one database group: shipping entries, the wait for a synchronous
- * replica, promotion, and how an old primary learns of it.
+ * Replication among the members of one database group: log shipping, the wait for synchronous
+ * replicas, promotion, and the demotion of an old primary.
  */
 import type { Milliseconds } from '../../src/core/units.js';
 import type { LogEntry, LogPosition, Member } from './member.js';
 import { monotonicMs } from './monotonic.js';
 
 const TICK_INTERVAL_MS = 20;
-/** An old primary that reaches the new one for so long gives up. */
+/** An old primary demotes itself after it could reach the new one for this time. */
 const STEP_DOWN_AFTER_MS = 1000;
-/** A replica that was rolled back is busy for so long. */
+/** Time for which a replica answers BUSY after it was rolled back. */
 const ROLLED_BACK_BUSY_MS = 200;
 
 export interface GroupOptions {
@@ -23,12 +23,12 @@
 export interface PromotionEffect extends LogPosition {
   readonly service: string;
   readonly id: string;
-  /** The term it leads; `term` and `number` say what its log ended with. */
+  /** Term of the new primary; `term` and `number` are the last position of its log. */
   readonly leads: number;
   readonly at: Milliseconds;
 }
 
-/** `deposed`: the primary lost the lead, or ended, before a replica had the entry. */
+/** `deposed`: the primary was replaced or stopped before enough replicas had the entry. */
 export type SyncOutcome = 'received' | 'deposed';
 
 interface SyncWait {
@@ -39,10 +39,10 @@
 
 export class DatabaseGroup {
   readonly #cuts = new Set<string>();
-  readonly #acknowledged = new Map<Member, Map<Member, LogPosition>>();
-  readonly #sawNewerSince = new Map<Member, Milliseconds>();
-  #waits: SyncWait[] = [];
-  /** Told of each change of a member's role. */
+  readonly #acknowledgedPositions = new Map<Member, Map<Member, LogPosition>>();
+  readonly #newerPrimarySeenSince = new Map<Member, Milliseconds>();
+  #syncWaits: SyncWait[] = [];
+  /** Called after each change of a member's role. */
   onRoleChange: ((member: Member) => void) | undefined;
 
   constructor(
@@ -66,40 +66,42 @@
     );
   }
 
-  /** Cuts exactly these pairs of instances from each other. */
+  /** Interrupts replication between exactly these pairs of instances. */
   setCuts(pairs: readonly (readonly [string, string])[]): void {
     this.#cuts.clear();
     for (const [left, right] of pairs) this.#cuts.add(`${left} ${right}`).add(`${right} ${left}`);
   }
 
-  #reaches(from: Member, to: Member): boolean {
-    const up = [from, to].every(({ isRunning, isDark }) => isRunning && !isDark);
-    return up && !this.#cuts.has(`${from.id} ${to.id}`);
+  #canReach(from: Member, to: Member): boolean {
+    const areRunning = [from, to].every(({ isRunning, isDark }) => isRunning && !isDark);
+    return areRunning && !this.#cuts.has(`${from.id} ${to.id}`);
   }
 
-  /** Commits at the primary; the promise ends when a replica has the entry, if one must. */
+  /** Commits at the primary; the promise resolves when enough replicas have received the entry. */
   commit(
     member: Member,
     run: number,
     writes: LogEntry['writes'],
   ): [LogEntry, Promise<SyncOutcome>] {
     const entry = member.append(run, writes, monotonicMs());
-    const received = new Promise<SyncOutcome>((end) => this.#waits.push({ member, entry, end }));
-    this.#settle(member);
+    const received = new Promise<SyncOutcome>((end) =>
+      this.#syncWaits.push({ member, entry, end }),
+    );
+    this.#resolveReceived(member);
     this.#shipFrom(member);
     return [entry, received];
   }
 
-  /** Makes a running member the primary after the time that a promotion takes. */
+  /** Makes a running member the primary after `promoteMs`. */
   promote(member: Member): void {
-    setTimeout(() => this.#takeLead(member), this.options.promoteMs);
+    setTimeout(() => this.#completePromotion(member), this.options.promoteMs);
   }
 
-  #takeLead(member: Member): void {
+  #completePromotion(member: Member): void {
     if (!member.isRunning || member.isDark || member === this.newestPrimary) return;
     const { term, number } = member.received;
-    this.#acknowledged.delete(member);
-    member.lead(this.newestTerm + 1);
+    this.#acknowledgedPositions.delete(member);
+    member.becomePrimary(this.newestTerm + 1);
     const { service } = this.options;
     const at = monotonicMs();
     this.onPromotion({ service, id: member.id, leads: member.term, term, number, at });
@@ -109,13 +111,13 @@
 
   demote(member: Member): void {
     member.role = 'replica';
-    this.#endWaits(member);
+    this.#endSyncWaits(member);
     this.onRoleChange?.(member);
   }
 
-  /** A member comes back with its log: a replica if another was promoted. */
+  /** Restarts a member with its log, as a replica if another member was promoted. */
   restart(member: Member): void {
-    this.#endWaits(member);
+    this.#endSyncWaits(member);
     member.heldTerm = 0;
     member.isStalled = false;
     member.isRunning = true;
@@ -124,9 +126,9 @@
     this.onRoleChange?.(member);
   }
 
-  #endWaits(member: Member): void {
-    const ended = this.#waits.filter((wait) => wait.member === member);
-    this.#waits = this.#waits.filter((wait) => wait.member !== member);
+  #endSyncWaits(member: Member): void {
+    const ended = this.#syncWaits.filter((wait) => wait.member === member);
+    this.#syncWaits = this.#syncWaits.filter((wait) => wait.member !== member);
     for (const { end } of ended) end('deposed');
   }
 
@@ -136,12 +138,12 @@
       if (member.role !== 'primary' || !member.isRunning) continue;
       this.#shipFrom(member);
       const newer = this.newestPrimary;
-      if (newer === undefined || newer === member || !this.#reaches(member, newer)) {
-        this.#sawNewerSince.delete(member);
+      if (newer === undefined || newer === member || !this.#canReach(member, newer)) {
+        this.#newerPrimarySeenSince.delete(member);
         continue;
       }
-      const since = this.#sawNewerSince.get(member) ?? now;
-      this.#sawNewerSince.set(member, since);
+      const since = this.#newerPrimarySeenSince.get(member) ?? now;
+      this.#newerPrimarySeenSince.set(member, since);
       if (now - since >= STEP_DOWN_AFTER_MS) this.demote(member);
     }
   }
@@ -150,8 +152,8 @@
     for (const replica of this.members) {
       if (replica === primary || replica.role === 'primary') continue;
       const { term, number } = primary.received;
-      const isCurrent = replica.term === primary.term && replica.has({ term, number });
-      const isKnown = this.#acknowledged.get(primary)?.get(replica)?.number === number;
+      const isCurrent = replica.term === primary.term && replica.hasReceived({ term, number });
+      const isKnown = this.#acknowledgedPositions.get(primary)?.get(replica)?.number === number;
       if (!isCurrent || !isKnown) this.#ship(primary, replica);
     }
   }
@@ -161,13 +163,13 @@
     const entries = [...primary.entries];
     const { networkMs } = this.options;
     const isCurrent = (): boolean =>
-      this.#reaches(primary, replica) && primary.role === 'primary' && primary.term === term;
+      this.#canReach(primary, replica) && primary.role === 'primary' && primary.term === term;
     setTimeout(() => {
       if (!isCurrent() || replica.role === 'primary' || replica.isStalled) return;
       if (replica.term > term || replica.heldTerm > term) return;
       const now = monotonicMs();
-      const rolledBack = replica.follow(entries, term, now);
-      if (rolledBack) replica.busyUntil = now + ROLLED_BACK_BUSY_MS;
+      const wasRolledBack = replica.adoptLog(entries, term, now);
+      if (wasRolledBack) replica.busyUntil = now + ROLLED_BACK_BUSY_MS;
       setTimeout(() => {
         if (isCurrent()) this.#acknowledge(primary, replica, entries.at(-1));
       }, networkMs);
@@ -175,23 +177,23 @@
   }
 
   #acknowledge(primary: Member, replica: Member, last: LogEntry | undefined): void {
-    const positions = this.#acknowledged.get(primary) ?? new Map<Member, LogPosition>();
-    this.#acknowledged.set(primary, positions);
+    const positions = this.#acknowledgedPositions.get(primary) ?? new Map<Member, LogPosition>();
+    this.#acknowledgedPositions.set(primary, positions);
     const known = positions.get(replica);
     const isNewer = last !== undefined && (known === undefined || last.number > known.number);
     if (isNewer || known === undefined) positions.set(replica, last ?? { term: 0, number: 0 });
-    this.#settle(primary);
+    this.#resolveReceived(primary);
   }
 
-  /** Ends the waits of those commits that enough replicas have. */
-  #settle(primary: Member): void {
-    const positions = [...(this.#acknowledged.get(primary)?.values() ?? [])];
+  /** Resolves the waits of commits that enough replicas have received. */
+  #resolveReceived(primary: Member): void {
+    const positions = [...(this.#acknowledgedPositions.get(primary)?.values() ?? [])];
     const isReceived = ({ member, entry }: SyncWait): boolean => {
       const holders = positions.filter(({ number }) => number >= entry.number);
       return member === primary && holders.length >= this.options.syncReplicas;
     };
-    const ended = this.#waits.filter(isReceived);
-    this.#waits = this.#waits.filter((wait) => !ended.includes(wait));
+    const ended = this.#syncWaits.filter(isReceived);
+    this.#syncWaits = this.#syncWaits.filter((wait) => !ended.includes(wait));
     for (const { end } of ended) end('received');
   }
 }
--- a/standins/direct/instance-faults.ts
+++ b/standins/direct/instance-faults.ts
@@ -1,25 +1,25 @@
-/** Faults of one database instance, set at the control port. */
+/** Faults of one database instance, set through the control port. */
 import { z } from 'zod';
 
 /** Body of `POST /instances/:id/faults`. Absent fields stay as they are. */
 export const instanceFaultSettings = z.strictObject({
   /** Time from receiving an entry to applying it. */
   lagMs: z.number().min(0).optional(),
-  /** It receives nothing, though it is not paused. */
+  /** It receives no log entries, although it is not paused. */
   isStalled: z.boolean().optional(),
-  /** Work and new connections take so many times as long. */
+  /** Factor by which work and new connections take longer. */
   slowFactor: z.number().min(0).optional(),
-  /** So many next answers to reads, writes and commits are lost: run, and the connection breaks. */
+  /** Number of next reads, writes and commits that run but reset the connection instead of answering. */
   loseAnswers: z.int().min(0).optional(),
-  /** So many next answers break off after the rows. */
+  /** Number of next responses that end after the rows, without completion. */
   breakAnswers: z.int().min(0).optional(),
-  /** So many next reads and writes run and fail. */
+  /** Number of next reads and writes that run and are answered with FAILED. */
   failNext: z.int().min(0).optional(),
   /** Every read, write, commit and STATUS is answered with BUSY. */
   isBusy: z.boolean().optional(),
-  /** STATUS, PAUSE, RESUME and DEMOTE are neither heard nor answered, as if those who ask were cut off. */
+  /** STATUS, PAUSE, RESUME and DEMOTE are ignored, as if the node that sends them were cut off. */
   isDeafToControl: z.boolean().optional(),
-  /** Its heartbeats do not reach the store. */
+  /** Its heartbeats don't reach the store. */
   isSilentToStore: z.boolean().optional(),
 });
 export type InstanceFaultSettings = z.infer<typeof instanceFaultSettings>;
--- a/standins/direct/instance.ts
+++ b/standins/direct/instance.ts
@@ -1,4 +1,4 @@
-/** A database instance: its listener, its entry in the store, and how it ends and returns. */
+/** A database instance: its listener, its registration in the store, crash, restart and drain. */
 import { createServer, type Server, type Socket } from 'node:net';
 import type { Milliseconds } from '../../src/core/units.js';
 import { listen, listenAgain } from '../common/process.js';
@@ -11,33 +11,33 @@
 import { monotonicMs } from './monotonic.js';
 import type { RunLog } from './run-log.js';
 
-/** Heartbeats that may be missed before the entry goes. */
-const MISSED_HEARTBEATS = 3;
-/** Connections whose far end is dark for so long are dropped. */
-const DARK_DROP_AFTER_MS = 3000;
+/** Missed heartbeats after which the registration expires. */
+const MAX_MISSED_HEARTBEATS = 3;
+/** Connections are reset if the instance was unreachable for at least this time. */
+const UNREACHABLE_DROP_AFTER_MS = 3000;
 
 export interface InstanceOptions {
   readonly service: string;
   readonly zone: string;
   readonly host: string;
   readonly slots: number;
-  /** Statements that may wait for a slot; beyond them BUSY. */
+  /** Maximum number of statements waiting for a slot; further ones get BUSY. */
   readonly queueLength: number;
   readonly maxConnections: number;
   readonly workMs: Milliseconds;
-  /** How long a new connection keeps a slot. */
+  /** Time for which a new connection occupies a slot. */
   readonly connectMs: Milliseconds;
-  /** A commit that no replica receives for so long is answered with TIMEOUT. */
+  /** A commit that too few replicas receive within this time is answered with TIMEOUT. */
   readonly syncTimeoutMs: Milliseconds;
   readonly heartbeatMs: Milliseconds;
   readonly drainTimeoutMs: Milliseconds;
 }
 
-/** A planned end. */
+/** A planned shutdown. */
 export interface DrainPlan {
-  /** Time beyond the drain timeout. */
+  /** Additional time after the drain timeout. */
   readonly extraMs: Milliseconds;
-  /** When a new instance follows at the address; undefined for never. */
+  /** Delay before a new instance starts at the same address; undefined for none. */
   readonly replaceAfterMs: Milliseconds | undefined;
   readonly replacementId: string;
 }
@@ -50,11 +50,11 @@
   #port = 0;
   #isDraining = false;
   #sequence = 0;
-  /** The entry as it was written last, and what it says but for the sequence. */
-  #announced = { value: '', text: '' };
-  #announcedAt: Milliseconds = 0;
-  #darkSince: Milliseconds = 0;
-  #onAnnounced: (() => void) | undefined;
+  /** The registration last written (`value`), and the same without its sequence (`text`). */
+  #registration = { value: '', text: '' };
+  #registeredAt: Milliseconds = 0;
+  #unreachableSince: Milliseconds = 0;
+  #onRegistered: (() => void) | undefined;
 
   constructor(
     readonly options: InstanceOptions,
@@ -77,8 +77,8 @@
   async start(): Promise<void> {
     this.#server = this.#createServer();
     this.#port = await listen(this.#server, this.options.host, 0);
-    this.announce();
-    setInterval(() => this.#beat(), this.options.heartbeatMs).unref();
+    this.register();
+    setInterval(() => this.#sendHeartbeat(), this.options.heartbeatMs).unref();
   }
 
   #createServer(): Server {
@@ -89,7 +89,7 @@
     });
   }
 
-  /** True if a statement is turned away for want of a slot. */
+  /** True if a statement must be answered with BUSY: a fault, a rollback, or a full queue. */
   refusesAsBusy(): boolean {
     if (this.faults.isBusy || monotonicMs() < this.member.busyUntil) return true;
     return this.slots.queued >= this.options.queueLength;
@@ -101,8 +101,8 @@
     Object.assign(this.faults, settings);
   }
 
-  /** Writes its entry, if the store can be reached. */
-  announce(): void {
+  /** Writes its registration or counts a heartbeat, if the store can be reached. */
+  register(): void {
     const { id, role, isRunning, isDark } = this.member;
     if (!isRunning || isDark || this.faults.isSilentToStore) return;
     const { service, zone, slots } = this.options;
@@ -118,33 +118,34 @@
       database_role: role,
     };
     const text = JSON.stringify(entry);
-    // Also what a return of the store from a copy has taken back is written again.
-    const { value: written } = this.#announced;
-    const isSame = text === this.#announced.text && this.store.valueOf(key) === written;
-    if (isSame && this.store.isDown) return;
-    if (!isSame) {
+    // A registration that a restore of the store has reverted is written again.
+    const { value: written } = this.#registration;
+    const isUnchanged = text === this.#registration.text && this.store.valueOf(key) === written;
+    if (isUnchanged && this.store.isDown) return;
+    if (!isUnchanged) {
       const value = JSON.stringify({ ...entry, sequence: this.#sequence });
       if (this.store.put(key, value) === undefined) return;
-      this.#announced = { value, text };
+      this.#registration = { value, text };
     }
     this.#sequence += 1;
-    this.#announcedAt = monotonicMs();
-    this.#onAnnounced?.();
-    this.#onAnnounced = undefined;
+    this.#registeredAt = monotonicMs();
+    this.#onRegistered?.();
+    this.#onRegistered = undefined;
   }
 
-  #beat(): void {
-    this.announce();
-    const silentMs = monotonicMs() - this.#announcedAt;
-    const mayLapse = !this.store.isDown || this.store.faults.entriesLapse;
-    if (mayLapse && silentMs > MISSED_HEARTBEATS * this.options.heartbeatMs) this.#removeEntry();
+  #sendHeartbeat(): void {
+    this.register();
+    const msSinceRegistration = monotonicMs() - this.#registeredAt;
+    const mayExpire = !this.store.isDown || this.store.faults.entriesLapse;
+    if (mayExpire && msSinceRegistration > MAX_MISSED_HEARTBEATS * this.options.heartbeatMs)
+      this.#removeRegistration();
   }
 
-  #removeEntry(): void {
+  #removeRegistration(): void {
     this.store.remove(`servers/${this.member.id}`);
   }
 
-  /** Ends at once and says nothing. */
+  /** Stops immediately and resets all connections. */
   crash(): void {
     if (!this.member.isRunning) return;
     this.member.isRunning = false;
@@ -152,43 +153,43 @@
     for (const connection of this.#connections) connection.reset();
   }
 
-  /** Nothing gets in or out, while it goes on. */
-  darken(): void {
+  /** Stops all input and output while the instance keeps running. */
+  makeUnreachable(): void {
     this.member.isDark = true;
-    this.#darkSince = monotonicMs();
-    for (const connection of this.#connections) connection.darken();
+    this.#unreachableSince = monotonicMs();
+    for (const connection of this.#connections) connection.makeUnreachable();
   }
 
-  /** Comes back after a crash, or out of the dark. */
+  /** Restarts after a crash, or becomes reachable again. */
   async return(): Promise<void> {
     const { member } = this;
     if (member.isDark) {
       member.isDark = false;
-      const isDropped = monotonicMs() - this.#darkSince >= DARK_DROP_AFTER_MS;
+      const isDropped = monotonicMs() - this.#unreachableSince >= UNREACHABLE_DROP_AFTER_MS;
       for (const connection of this.#connections) {
         if (isDropped) connection.reset();
-        else connection.lighten();
+        else connection.makeReachable();
       }
     } else if (!member.isRunning) {
       this.#server = this.#createServer();
       await listenAgain(this.#server, this.options.host, this.#port);
       this.group.restart(member);
     }
-    this.announce();
+    this.register();
   }
 
-  /** Says `draining`; once the store has taken that, serves on for the drain timeout and ends. */
+  /** Registers as `draining`; once the store has that, serves for the drain timeout and stops. */
   drain(plan: DrainPlan): void {
     this.#isDraining = true;
-    this.#onAnnounced = () => {
-      setTimeout(() => this.#leave(plan), this.options.drainTimeoutMs + plan.extraMs);
+    this.#onRegistered = () => {
+      setTimeout(() => this.#finishDrain(plan), this.options.drainTimeoutMs + plan.extraMs);
     };
-    this.announce();
+    this.register();
   }
 
-  #leave({ replaceAfterMs, replacementId }: DrainPlan): void {
+  #finishDrain({ replaceAfterMs, replacementId }: DrainPlan): void {
     this.crash();
-    this.#removeEntry();
+    this.#removeRegistration();
     if (replaceAfterMs === undefined) return;
     setTimeout(() => {
       this.member.id = replacementId;
--- a/standins/direct/kv-faults.ts
+++ b/standins/direct/kv-faults.ts
@@ -1,30 +1,30 @@
-/** Faults of the metadata store: outage, slowness, lost answers, stale reads, a rate limit. */
+/** Faults of the metadata store: outage, slowness, lost responses, stale reads, a rate limit. */
 import { z } from 'zod';
 
 const milliseconds = z.number().min(0);
 
 /** Body of `POST /store/faults`. Absent fields stay as they are. */
 export const kvFaultSettings = z.strictObject({
-  /** `silent`: nothing is answered, and the connections in use stay mute; `unavailable`: 503. */
+  /** `silent`: no response, and none later on connections used meanwhile; `unavailable`: 503. */
   down: z.enum(['no', 'silent', 'unavailable']).optional(),
-  /** While it is down, leases wait (true) or run out (false). */
+  /** While it is down, lease times stop (true) or continue to run (false). */
   leasesWait: z.boolean().optional(),
-  /** While it is down, entries of instances lapse as if their heartbeats had ended. */
+  /** While it is down, registrations of instances expire as if their heartbeats had stopped. */
   entriesLapse: z.boolean().optional(),
-  /** Time from a call to its answer, without slowness. */
+  /** Time from a call to its response, before `slowFactor` applies. */
   answerMs: milliseconds.optional(),
   slowFactor: z.number().min(0).optional(),
-  /** So many next writing calls (lease renewals too) get no answer. */
+  /** Number of next writing calls, including lease renewals, that get no response. */
   loseNext: z.int().min(0).optional(),
-  /** What becomes of those: done at once, done `lateMs` later, or not done at all. */
+  /** Calls without a response take effect immediately, after `lateMs`, or never. */
   loseMode: z.enum(['done', 'late', 'dropped']).optional(),
   lateMs: milliseconds.optional(),
-  /** Age of what reads with `is_stale` see. */
+  /** Age of the state that reads with `is_stale` return. */
   staleMs: milliseconds.optional(),
-  /** Calls a second over all clients; `null` lifts the limit. */
+  /** Calls per second over all clients; `null` removes the limit. */
   writesPerSecond: z.number().positive().nullable().optional(),
   readsPerSecond: z.number().positive().nullable().optional(),
-  /** Most items on one page of a range. */
+  /** Maximum number of items on one page of a range. */
   pageItems: z.int().positive().optional(),
 });
 export type KvFaultSettings = z.infer<typeof kvFaultSettings>;
--- a/standins/direct/kv-store.ts
+++ b/standins/direct/kv-store.ts
@@ -1,6 +1,6 @@
 /**
- * The platform's metadata store over HTTP, on the engine of the store stand-in. The operator and the
- * instances write to it within this process; everyone else calls.
+ * The platform's metadata store over HTTP, built on the engine of the store stand-in. The operator
+ * and the instances write to it within this process; other clients use HTTP.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
@@ -10,33 +10,39 @@
 import { TokenBucket } from '../common/token-bucket.js';
 import { type StoreBackup, StoreEngine } from '../store/engine.js';
 import type { Commit } from '../store/model.js';
-import { type Answer, type CallKind, KV_CALLS, type KvCall, type KvRequest } from './kv-calls.js';
+import {
+  type CallKind,
+  KV_CALLS,
+  type KvCall,
+  type KvRequest,
+  type KvResponse,
+} from './kv-calls.js';
 import { type KvFaultSettings, type KvFaults, NO_KV_FAULTS } from './kv-faults.js';
 import { monotonicMs } from './monotonic.js';
 
 const LEASE_CHECK_INTERVAL_MS = 20;
-const RENEWAL_PRICE = 0.1;
-/** Copies older than this are not kept. */
-const OLDEST_COPY_MS: Milliseconds = 12_000;
-/** A copy is taken so often. */
-const COPY_EVERY_MS: Milliseconds = 50;
+const RENEWAL_COST = 0.1;
+/** Older backups are removed. */
+const MAX_BACKUP_AGE_MS: Milliseconds = 12_000;
+/** Interval of the periodic backups. */
+const BACKUP_INTERVAL_MS: Milliseconds = 50;
 const ERA_HEADER = 'store-era';
 const OPERATOR_PREFIX = 'op/';
-const TOO_MANY: Answer = { status: 429, body: { error: 'too many calls' } };
-const UNAVAILABLE: Answer = { status: 503, body: { error: 'the store is down' } };
-const NOT_FOUND: Answer = { status: 404, body: { error: 'no such call' } };
+const TOO_MANY: KvResponse = { status: 429, body: { error: 'too many calls' } };
+const UNAVAILABLE: KvResponse = { status: 503, body: { error: 'the store is down' } };
+const NOT_FOUND: KvResponse = { status: 404, body: { error: 'no such call' } };
 
-/** How the store comes back from a copy. */
-export interface ReturnPlan {
-  /** Age of the copy when the store goes away; undefined for the one that was asked for. */
+/** How the store is restored from a backup. */
+export interface RestorePlan {
+  /** Age of the backup when the outage begins; undefined for the one taken by `takeBackup`. */
   readonly ageMs?: Milliseconds | undefined;
-  /** How long it answers nothing. */
+  /** Duration of the outage, without any response. */
   readonly awayMs: Milliseconds;
-  /** So long after its return the operator writes again what is gone. */
+  /** Delay from the end of the outage until the operator rewrites its lost values. */
   readonly rewriteMs: Milliseconds;
 }
 
-/** What was called since start, by path. */
+/** Number of calls since start, by path. */
 export type CallCounts = Record<string, number>;
 
 export class KvStore {
@@ -45,19 +51,19 @@
   readonly counts: CallCounts = {};
   #faults: KvFaults = NO_KV_FAULTS;
   #buckets = new Map<CallKind, TokenBucket>();
-  /** Connections on which an answer was lost: nothing more is said there. */
-  readonly #mute = new WeakSet<Socket>();
-  readonly #waiting = new Set<Socket>();
-  /** Revisions by the time at which they were newest, for stale reads and for history. */
-  #history: { readonly revision: number; readonly at: Milliseconds }[] = [];
-  #leaseStoppedAt: Milliseconds | undefined;
-  #leaseStoppedMs = 0;
+  /** Connections on which a response was lost: they get no further response. */
+  readonly #mutedSockets = new WeakSet<Socket>();
+  readonly #watchSockets = new Set<Socket>();
+  /** Commit time of each revision, for stale reads and compaction. */
+  #revisionTimes: { readonly revision: number; readonly at: Milliseconds }[] = [];
+  #leaseClockStoppedAt: Milliseconds | undefined;
+  #leaseClockStoppedMs = 0;
   #nextLeaseId = 77_120;
-  #copies: { readonly copy: StoreBackup; readonly at: Milliseconds }[] = [];
-  #askedCopy: StoreBackup | undefined;
-  /** What the operator wrote last, whether or not the store has it yet. */
+  #backups: { readonly backup: StoreBackup; readonly at: Milliseconds }[] = [];
+  #requestedBackup: StoreBackup | undefined;
+  /** Values that the operator wrote last, whether or not the store still has them. */
   readonly #operatorValues = new Map<string, string>();
-  /** How often the store came back from a copy. */
+  /** Store era: the number of restores from a backup. */
   #era = 0;
 
   constructor(
@@ -68,9 +74,9 @@
       this.#accept(request, response).catch(() => request.socket.destroy());
     });
     this.server.requestTimeout = 0;
-    this.engine.subscribe((commit) => this.#remember(commit));
+    this.engine.subscribe((commit) => this.#recordCommitTime(commit));
     setInterval(() => this.#tick(), LEASE_CHECK_INTERVAL_MS).unref();
-    setInterval(() => this.#copy(), COPY_EVERY_MS).unref();
+    setInterval(() => this.#takePeriodicBackup(), BACKUP_INTERVAL_MS).unref();
   }
 
   get faults(): KvFaults {
@@ -81,9 +87,9 @@
     return this.#faults.down !== 'no';
   }
 
-  /** Time as leases see it: it may stand while the store is down. */
+  /** Current time of the lease clock, which may stop while the store is down. */
   get leaseNow(): Milliseconds {
-    return (this.#leaseStoppedAt ?? monotonicMs()) - this.#leaseStoppedMs;
+    return (this.#leaseClockStoppedAt ?? monotonicMs()) - this.#leaseClockStoppedMs;
   }
 
   applyFaults(settings: KvFaultSettings): void {
@@ -96,15 +102,15 @@
       else if (rate !== undefined) this.#buckets.set(kind, new TokenBucket(rate, now));
     }
     if (this.#faults.down === 'unavailable') this.cutWatches();
-    const stops = this.isDown && this.#faults.leasesWait;
-    if (stops) this.#leaseStoppedAt ??= now;
-    else if (this.#leaseStoppedAt !== undefined) {
-      this.#leaseStoppedMs += now - this.#leaseStoppedAt;
-      this.#leaseStoppedAt = undefined;
+    const stopsLeaseClock = this.isDown && this.#faults.leasesWait;
+    if (stopsLeaseClock) this.#leaseClockStoppedAt ??= now;
+    else if (this.#leaseClockStoppedAt !== undefined) {
+      this.#leaseClockStoppedMs += now - this.#leaseClockStoppedAt;
+      this.#leaseClockStoppedAt = undefined;
     }
   }
 
-  /** A write of the operator or of an instance; gives its revision, or undefined if not taken. */
+  /** A write by the operator or an instance; returns its revision, undefined while the store is down. */
   put(key: string, value: string): number | undefined {
     if (this.isDown) return undefined;
     this.engine.put({ key, value, leaseId: '0' });
@@ -117,30 +123,32 @@
     this.engine.deleteRange({ key, rangeEnd: '' });
   }
 
-  /** What a key holds now; undefined if it is absent. */
+  /** Current value of a key; undefined if it is absent. */
   valueOf(key: string): string | undefined {
     return this.engine.range({ key, rangeEnd: '', revision: 0, limit: 1 }).entries[0]?.value;
   }
 
-  /** Takes the copy for a return that names no age. */
-  takeCopy(): void {
-    this.#askedCopy = this.engine.createBackup(this.leaseNow);
+  /** Takes the backup for a restore without `ageMs`. */
+  takeBackup(): void {
+    this.#requestedBackup = this.engine.createBackup(this.leaseNow);
   }
 
-  #copyOfAge(ageMs: Milliseconds): StoreBackup | undefined {
+  #backupOfAge(ageMs: Milliseconds): StoreBackup | undefined {
     const asOf = monotonicMs() - ageMs;
-    return (this.#copies.findLast(({ at }) => at <= asOf) ?? this.#copies[0])?.copy;
+    return (this.#backups.findLast(({ at }) => at <= asOf) ?? this.#backups[0])?.backup;
   }
 
-  /** Goes away for a while and comes back as it was; settles when the operator has written again what was gone. */
-  async returnFromCopy({ ageMs, awayMs, rewriteMs }: ReturnPlan): Promise<void> {
-    const copy = ageMs === undefined ? this.#askedCopy : this.#copyOfAge(ageMs);
+  /** Simulates an outage that ends with a restore; resolves after the operator rewrote its lost values. */
+  async restoreBackup({ ageMs, awayMs, rewriteMs }: RestorePlan): Promise<void> {
+    const backup = ageMs === undefined ? this.#requestedBackup : this.#backupOfAge(ageMs);
     this.applyFaults({ down: 'silent' });
     await pause(awayMs);
-    if (copy !== undefined) this.engine.restore(copy, this.leaseNow);
+    if (backup !== undefined) this.engine.restore(backup, this.leaseNow);
     this.#era += 1;
-    this.#copies = [];
-    this.#history = this.#history.filter(({ revision }) => revision <= this.engine.revision);
+    this.#backups = [];
+    this.#revisionTimes = this.#revisionTimes.filter(
+      ({ revision }) => revision <= this.engine.revision,
+    );
     this.applyFaults({ down: 'no' });
     await pause(rewriteMs);
     for (const [key, value] of this.#operatorValues) {
@@ -148,11 +156,11 @@
     }
   }
 
-  #copy(): void {
+  #takePeriodicBackup(): void {
     const now = monotonicMs();
     if (this.isDown) return;
-    this.#copies.push({ copy: this.engine.createBackup(this.leaseNow), at: now });
-    if ((this.#copies[0]?.at ?? now) < now - OLDEST_COPY_MS) this.#copies.shift();
+    this.#backups.push({ backup: this.engine.createBackup(this.leaseNow), at: now });
+    if ((this.#backups[0]?.at ?? now) < now - MAX_BACKUP_AGE_MS) this.#backups.shift();
   }
 
   grantLease(ttlMs: Milliseconds): number {
@@ -165,78 +173,79 @@
     return this.#nextLeaseId;
   }
 
-  /** Cuts the connections on which a watch waits. */
+  /** Resets the connections of waiting watches. */
   cutWatches(): void {
-    for (const socket of this.#waiting) socket.resetAndDestroy();
+    for (const socket of this.#watchSockets) socket.resetAndDestroy();
   }
 
-  /** The revision that a stale read sees. */
+  /** The revision at which a stale read is answered. */
   staleRevision(): number {
     const asOf = monotonicMs() - this.#faults.staleMs;
-    const seen = this.#history.findLast(({ at }) => at <= asOf)?.revision ?? 1;
-    return Math.max(seen, this.engine.compactedRevision, 1);
+    const revision = this.#revisionTimes.findLast(({ at }) => at <= asOf)?.revision ?? 1;
+    return Math.max(revision, this.engine.compactedRevision, 1);
   }
 
-  #remember(commit: Commit): void {
-    this.#history.push({ revision: commit.revision, at: monotonicMs() });
+  #recordCommitTime(commit: Commit): void {
+    this.#revisionTimes.push({ revision: commit.revision, at: monotonicMs() });
   }
 
   #tick(): void {
-    if (this.#leaseStoppedAt === undefined) this.engine.expireLeases(this.leaseNow);
+    if (this.#leaseClockStoppedAt === undefined) this.engine.expireLeases(this.leaseNow);
     const asOf = monotonicMs() - this.historyMs;
-    const last = this.#history.findLastIndex(({ at }) => at <= asOf);
-    const forgotten = this.#history[last]?.revision ?? 0;
-    if (forgotten > this.engine.compactedRevision) this.engine.compact(forgotten);
-    if (last > 0) this.#history = this.#history.slice(last);
+    const last = this.#revisionTimes.findLastIndex(({ at }) => at <= asOf);
+    const compactTo = this.#revisionTimes[last]?.revision ?? 0;
+    if (compactTo > this.engine.compactedRevision) this.engine.compact(compactTo);
+    if (last > 0) this.#revisionTimes = this.#revisionTimes.slice(last);
   }
 
   async #accept(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const url = new URL(request.url ?? '/', 'http://store');
     const body = await readJsonBody(request);
     const { socket } = request;
-    if (this.#mute.has(socket)) return;
+    if (this.#mutedSockets.has(socket)) return;
     const found = findCall(request.method ?? '', url.pathname);
     const path = found?.call.path ?? url.pathname;
     this.counts[path] = (this.counts[path] ?? 0) + 1;
     if (this.#faults.down === 'silent') {
-      this.#mute.add(socket);
+      this.#mutedSockets.add(socket);
       return;
     }
     const delayMs = this.#faults.answerMs * this.#faults.slowFactor;
     await pause(delayMs / 2);
-    if (this.#faults.down === 'unavailable') return this.#answer(socket, response, UNAVAILABLE);
-    if (found === undefined) return this.#answer(socket, response, NOT_FOUND);
+    if (this.#faults.down === 'unavailable') return this.#respond(socket, response, UNAVAILABLE);
+    if (found === undefined) return this.#respond(socket, response, NOT_FOUND);
     const { call, parameter } = found;
     const parameters = url.searchParams;
     const isStale = parameters.get('is_stale') === '1';
-    if (!isStale && !this.#admits(call)) return this.#answer(socket, response, TOO_MANY);
+    if (!isStale && !this.#tryAdmit(call)) return this.#respond(socket, response, TOO_MANY);
     const input: KvRequest = { parameters, body, parameter, isStale };
-    if (call.kind !== 'read' && this.#faults.loseNext > 0) return this.#lose(socket, call, input);
-    if (call.waits === true) this.#waiting.add(socket);
+    if (call.kind !== 'read' && this.#faults.loseNext > 0)
+      return this.#loseResponse(socket, call, input);
+    if (call.isLongPoll === true) this.#watchSockets.add(socket);
     const answer = await call.handle(this, input, () => response.destroyed);
-    this.#waiting.delete(socket);
+    this.#watchSockets.delete(socket);
     await pause(delayMs / 2);
-    this.#answer(socket, response, answer);
+    this.#respond(socket, response, answer);
   }
 
-  #admits(call: KvCall): boolean {
+  #tryAdmit(call: KvCall): boolean {
     const bucket = this.#buckets.get(call.kind === 'write' ? 'write' : 'read');
-    return bucket?.tryTake(monotonicMs(), call.kind === 'renewal' ? RENEWAL_PRICE : 1) ?? true;
+    return bucket?.tryTake(monotonicMs(), call.kind === 'renewal' ? RENEWAL_COST : 1) ?? true;
   }
 
-  /** The call gets no answer; it may be done now, later or never. */
-  #lose(socket: Socket, call: KvCall, input: KvRequest): void {
+  /** Gives the call no response; it takes effect now, later or never, according to `loseMode`. */
+  #loseResponse(socket: Socket, call: KvCall, input: KvRequest): void {
     const { loseMode, lateMs } = this.#faults;
     this.#faults = { ...this.#faults, loseNext: this.#faults.loseNext - 1 };
-    this.#mute.add(socket);
+    this.#mutedSockets.add(socket);
     const run = (): void => void call.handle(this, input, () => false);
     if (loseMode === 'done') run();
     else if (loseMode === 'late') setTimeout(run, lateMs);
   }
 
-  #answer(socket: Socket, response: ServerResponse, answer: Answer): void {
-    if (this.#faults.down === 'silent') this.#mute.add(socket);
-    if (this.#mute.has(socket) || response.destroyed) return;
+  #respond(socket: Socket, response: ServerResponse, answer: KvResponse): void {
+    if (this.#faults.down === 'silent') this.#mutedSockets.add(socket);
+    if (this.#mutedSockets.has(socket) || response.destroyed) return;
     sendJson(response, answer.status, answer.body, { [ERA_HEADER]: String(this.#era) });
   }
 }
--- a/standins/direct/main.ts
+++ b/standins/direct/main.ts
@@ -1,4 +1,4 @@
-/** The stand-in for the direct gateway's platform: `node dist/standins/direct/main.js --help`. */
+/** Process that stands in for the direct gateway's platform: `node dist/standins/direct/main.js --help`. */
 import { z } from 'zod';
 import { controlRoute, createControlServer } from '../common/control-server.js';
 import { ControlRequestError } from '../common/errors.js';
@@ -46,12 +46,13 @@
     (effect) => promotions.push(effect),
   );
   groups.set(service, group);
-  const own = members.map((member, index) => {
+  const serviceInstances = members.map((member, index) => {
     const zone = zones[index % zones.length] ?? '';
     return new Instance(instanceOptions(service, zone), member, group, store, runLog);
   });
-  group.onRoleChange = (member) => own.find((instance) => instance.member === member)?.announce();
-  instances.push(...own);
+  group.onRoleChange = (member) =>
+    serviceInstances.find((instance) => instance.member === member)?.register();
+  instances.push(...serviceInstances);
 }
 
 function instanceOptions(service: string, zone: string): Instance['options'] {
@@ -78,13 +79,13 @@
   groups,
 );
 
-function find(id: string | undefined): Instance {
+function findInstance(id: string | undefined): Instance {
   const found = instances.find(({ member }) => member.id === id);
   if (found === undefined) throw new ControlRequestError(404, `no instance ${id}`);
   return found;
 }
 
-function describe({ member, options, address, connectionCount, slots }: Instance) {
+function describeInstance({ member, options, address, connectionCount, slots }: Instance) {
   const { id, role, term, heldTerm, isRunning, isDark } = member;
   const { service, zone } = options;
   return {
@@ -111,39 +112,39 @@
   return { revision, at: monotonicMs() };
 }
 
-const nothing = z.object({});
+const emptyBody = z.object({});
 const pairs = z.object({ pairs: z.array(z.tuple([z.string(), z.string()])) });
-const returnPlan = z.object({
+const restorePlan = z.object({
   ageMs: z.number().min(0).optional(),
   awayMs: z.number().min(0).default(0),
   rewriteMs: z.number().min(0).default(0),
 });
 const drainPlan = z.object({
   extraMs: z.number().min(0).default(0),
-  /** Null: no instance follows at the address. */
+  /** Null: no new instance starts at the address. */
   replaceAfterMs: z.number().min(0).nullable().default(500),
   replacementId: z.string().min(1),
 });
 
 const control = createControlServer([
-  controlRoute('GET', '/state', nothing, () => ({
+  controlRoute('GET', '/state', emptyBody, () => ({
     revision: store.engine.revision,
     leases: store.engine.leaseIds(),
-    instances: instances.map(describe),
+    instances: instances.map(describeInstance),
   })),
-  controlRoute('GET', '/log', nothing, readLog),
+  controlRoute('GET', '/log', emptyBody, readLog),
   controlRoute('POST', '/config', z.looseObject({}), putConfiguration),
-  controlRoute('GET', '/store/counts', nothing, () => store.counts),
+  controlRoute('GET', '/store/counts', emptyBody, () => store.counts),
   controlRoute('POST', '/store/faults', kvFaultSettings, (body) => store.applyFaults(body)),
-  controlRoute('POST', '/store/cut-watches', nothing, () => store.cutWatches()),
-  controlRoute('POST', '/store/compact', nothing, () =>
+  controlRoute('POST', '/store/cut-watches', emptyBody, () => store.cutWatches()),
+  controlRoute('POST', '/store/compact', emptyBody, () =>
     store.engine.compact(store.engine.revision),
   ),
-  controlRoute('POST', '/store/copy', nothing, () => store.takeCopy()),
-  controlRoute('POST', '/store/return-from-copy', returnPlan, (body) => {
-    void store.returnFromCopy(body);
+  controlRoute('POST', '/store/copy', emptyBody, () => store.takeBackup()),
+  controlRoute('POST', '/store/return-from-copy', restorePlan, (body) => {
+    void store.restoreBackup(body);
   }),
-  controlRoute('POST', '/store/leases/expire', nothing, () => {
+  controlRoute('POST', '/store/leases/expire', emptyBody, () => {
     for (const id of store.engine.leaseIds()) store.engine.revokeLease(id);
   }),
   controlRoute('POST', '/promotion/faults', promotionFaultSettings, (body) => {
@@ -153,13 +154,19 @@
     groups.get(service)?.setCuts(body.pairs);
   }),
   controlRoute('POST', '/instances/:id/faults', instanceFaultSettings, (body, { id }) => {
-    find(id).applyFaults(body);
+    findInstance(id).applyFaults(body);
   }),
-  controlRoute('POST', '/instances/:id/crash', nothing, (_body, { id }) => find(id).crash()),
-  controlRoute('POST', '/instances/:id/dark', nothing, (_body, { id }) => find(id).darken()),
-  controlRoute('POST', '/instances/:id/return', nothing, (_body, { id }) => find(id).return()),
+  controlRoute('POST', '/instances/:id/crash', emptyBody, (_body, { id }) =>
+    findInstance(id).crash(),
+  ),
+  controlRoute('POST', '/instances/:id/dark', emptyBody, (_body, { id }) =>
+    findInstance(id).makeUnreachable(),
+  ),
+  controlRoute('POST', '/instances/:id/return', emptyBody, (_body, { id }) =>
+    findInstance(id).return(),
+  ),
   controlRoute('POST', '/instances/:id/drain', drainPlan, (body, { id }) => {
-    find(id).drain({ ...body, replaceAfterMs: body.replaceAfterMs ?? undefined });
+    findInstance(id).drain({ ...body, replaceAfterMs: body.replaceAfterMs ?? undefined });
   }),
 ]);
 
@@ -173,5 +180,5 @@
   storePort,
   promotionPort,
   controlPort,
-  instances: instances.map(describe),
+  instances: instances.map(describeInstance),
 });
--- a/standins/direct/member.ts
+++ b/standins/direct/member.ts
@@ -1,20 +1,20 @@
 /**
- * One member of a database group: its role, its log and what of it is applied. Pure state: the
- * caller supplies the clock, and the group carries entries between members.
+ * One member of a database group: its role, its log and its applied position. No I/O and no clock:
+ * the caller passes the time, and the group carries entries between members.
  */
 import type { Milliseconds } from '../../src/core/units.js';
 
-/** A point of a group's log: the term in which the entry was written, and its number. */
+/** A position in a group's log: the term in which the entry was written, and its number. */
 export interface LogPosition {
   readonly term: number;
   readonly number: number;
 }
 
-/** One commit that writes. */
+/** One commit with at least one write. */
 export interface LogEntry extends LogPosition {
   /** Number of the run that committed it. */
   readonly run: number;
-  readonly writes: readonly { readonly thing: string; readonly data: string }[];
+  readonly writes: readonly { readonly key: string; readonly data: string }[];
 }
 
 export type MemberRole = 'primary' | 'replica';
@@ -26,18 +26,18 @@
 }
 
 export class Member {
-  /** Newest term that it has heard of; the one it leads if it is the primary. */
+  /** Newest term that it knows; its own term if it is the primary. */
   term = FIRST_TERM;
-  /** Term that a pause holds it at; 0 if none. */
+  /** Term of the PAUSE that holds it; 0 if it is not held. */
   heldTerm = 0;
-  /** Receives nothing, without being told to: a fault. */
+  /** A fault: it receives no log entries, although it is not paused. */
   isStalled = false;
   /** Time from receiving an entry to applying it. */
   lagMs: Milliseconds;
   isRunning = true;
-  /** Running, but nothing gets in or out. */
+  /** Running but unreachable: no input or output. */
   isDark = false;
-  /** It was rolled back and refuses until then. */
+  /** Until this time it answers BUSY, after a rollback of its log. */
   busyUntil: Milliseconds = 0;
   #entries: LogEntry[] = [];
   #receivedAt: Milliseconds[] = [];
@@ -60,65 +60,69 @@
     return this.#positionAt(this.#entries.length);
   }
 
-  /** The last position that reads see. */
+  /** The last applied position, which reads see. */
   applied(now: Milliseconds): LogPosition {
     this.#apply(now);
     return this.#positionAt(this.#applied);
   }
 
-  /** How old the oldest entry is that was received and not yet applied. */
+  /** Age of the oldest entry that was received and is not yet applied. */
   lagAt(now: Milliseconds): Milliseconds {
     this.#apply(now);
     const waitingSince = this.#receivedAt[this.#applied];
     return waitingSince === undefined ? 0 : now - waitingSince;
   }
 
-  /** True if the log as far as applied contains this position. */
+  /** True if the applied part of the log contains this position. */
   hasApplied(position: LogPosition, now: Milliseconds): boolean {
     this.#apply(now);
-    return position.number <= this.#applied && this.has(position);
+    return position.number <= this.#applied && this.hasReceived(position);
   }
 
-  /** True if the log as far as received contains this position. */
-  has({ term, number }: LogPosition): boolean {
+  /** True if the received log contains this position. */
+  hasReceived({ term, number }: LogPosition): boolean {
     return number === 0 || this.#entries[number - 1]?.term === term;
   }
 
-  read(thing: string, now: Milliseconds): string | undefined {
+  read(key: string, now: Milliseconds): string | undefined {
     this.#apply(now);
-    return this.#values.get(thing);
+    return this.#values.get(key);
   }
 
   /** Appends a commit to the log of the primary. */
   append(run: number, writes: LogEntry['writes'], now: Milliseconds): LogEntry {
     const entry = { term: this.term, number: this.#entries.length + 1, run, writes };
-    this.#push(entry, now);
+    this.#appendReceived(entry, now);
     return entry;
   }
 
-  /** Takes over a leader's log; gives true if that rolled back entries of its own. */
-  follow(entries: readonly LogEntry[], term: number, now: Milliseconds): boolean {
+  /** Adopts the log of a primary; returns true if that rolled back entries of its own. */
+  adoptLog(entries: readonly LogEntry[], term: number, now: Milliseconds): boolean {
     this.term = term;
     this.heldTerm = 0;
-    let common = Math.min(entries.length, this.#entries.length);
-    while (common > 0 && this.#entries[common - 1]?.term !== entries[common - 1]?.term) common -= 1;
-    // A shipment overtaken by a later one of the same leader takes nothing back.
-    const leaderHasLess = common === entries.length && this.#entries.at(-1)?.term === term;
-    const rollsBack = this.#entries.length > common && !leaderHasLess;
-    if (rollsBack) this.#truncate(common);
-    for (const entry of entries.slice(this.#entries.length)) this.#push(entry, now);
+    let commonLength = Math.min(entries.length, this.#entries.length);
+    while (
+      commonLength > 0 &&
+      this.#entries[commonLength - 1]?.term !== entries[commonLength - 1]?.term
+    )
+      commonLength -= 1;
+    // A shipment that a later one of the same primary overtook must not roll anything back.
+    const isOvertaken = commonLength === entries.length && this.#entries.at(-1)?.term === term;
+    const rollsBack = this.#entries.length > commonLength && !isOvertaken;
+    if (rollsBack) this.#truncate(commonLength);
+    for (const entry of entries.slice(this.#entries.length)) this.#appendReceived(entry, now);
     return rollsBack;
   }
 
-  /** Leads a term with what it has received. */
-  lead(term: number): void {
+  /** Becomes the primary of `term` with the log it has received. */
+  becomePrimary(term: number): void {
     this.role = 'primary';
     this.term = term;
     this.heldTerm = 0;
     this.isStalled = false;
   }
 
-  #push(entry: LogEntry, now: Milliseconds): void {
+  #appendReceived(entry: LogEntry, now: Milliseconds): void {
     this.#entries.push(entry);
     this.#receivedAt.push(now);
   }
@@ -142,8 +146,8 @@
   }
 
   #applyNext(): void {
-    for (const { thing, data } of this.#entries[this.#applied]?.writes ?? []) {
-      this.#values.set(thing, data);
+    for (const { key, data } of this.#entries[this.#applied]?.writes ?? []) {
+      this.#values.set(key, data);
     }
     this.#applied += 1;
   }
--- a/standins/direct/monotonic.ts
+++ b/standins/direct/monotonic.ts
@@ -1,4 +1,4 @@
-/** The machine's monotonic clock in milliseconds: the same in every process, so that logs compare. */
+/** The host's monotonic clock in milliseconds: the same in every process, so that logs are comparable. */
 import type { Milliseconds } from '../../src/core/units.js';
 
 const NANOSECONDS_PER_MILLISECOND = 1e6;
--- a/standins/direct/options.ts
+++ b/standins/direct/options.ts
@@ -3,7 +3,7 @@
 import { InvalidFlagsError } from '../common/errors.js';
 import { COMMON_FLAGS, hostFlag, type ProgramDescription, portFlag } from '../common/flags.js';
 
-const milliseconds = (standard: number) => z.coerce.number().min(0).default(standard);
+const milliseconds = (defaultValue: number) => z.coerce.number().min(0).default(defaultValue);
 const count = (standard: number) => z.coerce.number().int().min(0).default(standard);
 
 const serviceFlag = z.string().transform((text) => {
@@ -47,23 +47,23 @@
     'control-port': COMMON_FLAGS['control-port'],
     service: { ...flag('NAME=INSTANCES', 'a database group (orders=3)'), multiple: true },
     zones: flag('LIST', 'zones of the instances, in turn (zone-a,zone-b,zone-c)'),
-    slots: flag('N', 'statements that run at once on an instance (3)'),
-    'queue-length': flag('N', 'statements that wait for a slot; beyond them BUSY (64)'),
-    'max-connections': flag('N', 'connections of an instance; beyond them CONNLIMIT (34)'),
-    'sync-replicas': flag('N', 'replicas that must have a commit before its answer (1)'),
-    'work-ms': flag('MS', 'work of a read, write or commit (2)'),
-    'connect-ms': flag('MS', 'how long a new connection keeps a slot (3)'),
+    slots: flag('N', 'statements that run concurrently on an instance (3)'),
+    'queue-length': flag('N', 'statements that wait for a slot; further ones get BUSY (64)'),
+    'max-connections': flag('N', 'connections of an instance; further ones get CONNLIMIT (34)'),
+    'sync-replicas': flag('N', 'replicas that must receive a commit before it is acknowledged (1)'),
+    'work-ms': flag('MS', 'execution time of a read, write or commit (2)'),
+    'connect-ms': flag('MS', 'time for which a new connection occupies a slot (3)'),
     'lag-ms': flag('MS', 'time from receiving an entry to applying it (8)'),
-    'network-ms': flag('MS', 'time from one instance to another (1)'),
-    'promote-ms': flag('MS', 'time that a promotion takes (300)'),
-    'sync-timeout-ms': flag('MS', 'wait for a replica; beyond it TIMEOUT (2000)'),
-    'heartbeat-ms': flag('MS', 'interval at which instances write to the store (300)'),
-    'drain-timeout-ms': flag('MS', 'how long a draining instance serves on (2000)'),
-    'history-ms': flag('MS', 'age at which the store forgets history (20000)'),
+    'network-ms': flag('MS', 'network delay between two instances (1)'),
+    'promote-ms': flag('MS', 'duration of a promotion (300)'),
+    'sync-timeout-ms': flag('MS', 'maximum wait for replicas; then TIMEOUT (2000)'),
+    'heartbeat-ms': flag('MS', 'interval of the heartbeats from instances to the store (300)'),
+    'drain-timeout-ms': flag('MS', 'time for which a draining instance still serves (2000)'),
+    'history-ms': flag('MS', 'age at which the store compacts history (20000)'),
     'min-ttl-ms': flag('MS', 'shortest lease (1000)'),
     'value-bytes': flag('N', 'longest value in the store (1048576)'),
-    'duty-per-s': flag('N', 'promotion calls a second; beyond them 429 (50)'),
-    'fencing-enforced': flag('BOOLEAN', 'whether a lower fencing token is refused (false)'),
+    'duty-per-s': flag('N', 'promotion calls per second; further ones get 429 (50)'),
+    'fencing-enforced': flag('BOOLEAN', 'whether a lower fencing token is rejected (false)'),
   },
   examples: ['node dist/standins/direct/main.js --service orders=3 --service ledger=3'],
 };
--- a/standins/direct/promotion.ts
+++ b/standins/direct/promotion.ts
@@ -1,4 +1,4 @@
-/** The platform's call that replaces a primary: `POST /promotion`, with holder and fencing token. */
+/** The platform's call that replaces a primary: `POST /promotion`, with lock holder and fencing token. */
 import { createServer, type Server } from 'node:http';
 import { setTimeout as pause } from 'node:timers/promises';
 import { z } from 'zod';
@@ -12,7 +12,7 @@
 export const promotionFaultSettings = z.strictObject({
   down: z.enum(['no', 'silent', 'unavailable']).optional(),
   answerMs: z.number().min(0).optional(),
-  /** So many next calls are done and not answered. */
+  /** Number of next calls that take effect but get no response. */
   loseNext: z.int().min(0).optional(),
 });
 type PromotionFaults = Required<z.infer<typeof promotionFaultSettings>>;
@@ -42,16 +42,16 @@
   ) {
     this.#bucket = new TokenBucket(options.callsPerSecond, monotonicMs());
     this.server = createServer((request, response) => {
-      const answer = async (): Promise<void> => {
+      const respond = async (): Promise<void> => {
         const body = await readJsonBody(request);
         if (this.#faults.down === 'silent') return;
         await pause(this.#faults.answerMs);
         const isPromotion = request.method === 'POST' && request.url === '/promotion';
-        const status = isPromotion ? this.#call(body, request.headers) : 404;
+        const status = isPromotion ? this.#handleCall(body, request.headers) : 404;
         if (this.#faults.loseNext > 0) this.#faults.loseNext -= 1;
         else sendJson(response, status, {});
       };
-      answer().catch(() => request.socket.destroy());
+      respond().catch(() => request.socket.destroy());
     });
   }
 
@@ -59,7 +59,7 @@
     this.#faults = { ...this.#faults, ...settings };
   }
 
-  #call(body: unknown, headers: unknown): number {
+  #handleCall(body: unknown, headers: unknown): number {
     const parsedBody = bodySchema.safeParse(body);
     const parsedHeaders = headersSchema.safeParse(headers);
     if (!parsedBody.success || !parsedHeaders.success) return 400;
@@ -75,7 +75,7 @@
     if (this.#faults.down === 'unavailable') return 503;
     if (!this.#bucket.tryTake(monotonicMs())) return 429;
     const group = this.groups.get(service);
-    const member = group?.members.find((one) => one.id === id);
+    const member = group?.members.find((candidate) => candidate.id === id);
     if (group === undefined || member === undefined) return 409;
     const newest = Math.max(0, ...this.calls.map((call) => call.token));
     if (this.options.isFencingEnforced && token < newest) return 409;
--- a/standins/direct/run-log.ts
+++ b/standins/direct/run-log.ts
@@ -1,4 +1,4 @@
-/** What the instances ran, for tests to judge: each statement, each commit, each promotion. */
+/** Log of the statements, commits and promotions of all instances, which tests check. */
 import { createHash } from 'node:crypto';
 import { z } from 'zod';
 
@@ -7,36 +7,36 @@
 
 export const positionSchema = z.object({ term: z.int(), number: z.int() });
 
-/** One statement that used a slot, or was one of the callers' own. */
+/** One read, write or commit that an instance executed. */
 export const runRecordSchema = z.object({
   run: z.int(),
   service: z.string(),
   instance: z.string(),
-  /** Number of the connection, one for all instances. */
+  /** Number of the connection, unique over all instances. */
   connection: z.int(),
-  /** Who the connection was opened for, as its `START` said. */
+  /** Account of the connection, from its `START`. */
   account: z.string(),
   /** Id and text as received, without a leading `AFTER`. */
   id: z.string(),
   text: z.string(),
   kind: z.enum(['read', 'write', 'commit']),
-  /** Shape of the prepared name that was executed. */
+  /** Shape of the prepared statement that was executed. */
   shape: z.string().optional(),
   /** Number of the instance's transaction; 0 outside one. */
   transaction: z.int(),
-  /** Session values in force. */
+  /** Session values at the start of the statement. */
   values: z.record(z.string(), z.string()),
   startedAt: z.number(),
-  /** The log as the statement saw it. */
+  /** Applied log position that the statement saw. */
   position: positionSchema,
   rows: z.array(z.string()),
   signature: z.string(),
-  /** Where a write or commit went in the log. */
+  /** Log position of a write or commit. */
   committed: positionSchema.optional(),
   committedAt: z.number().optional(),
-  /** The error that it was answered with although it ran. */
+  /** Error that answered it although it ran. */
   error: z.string().optional(),
-  /** True if its answer was withheld or broken off. */
+  /** True if its response was withheld or truncated. */
   isAnswerLost: z.boolean().optional(),
 });
 export type RunRecord = z.infer<typeof runRecordSchema>;
@@ -48,7 +48,7 @@
   at: z.number(),
 });
 
-/** One call of `POST /promotion`, whatever its answer. */
+/** One call of `POST /promotion`, regardless of its response. */
 export const promotionCallSchema = z.object({
   service: z.string(),
   id: z.string(),
@@ -59,17 +59,17 @@
 });
 export type PromotionCall = z.infer<typeof promotionCallSchema>;
 
-/** Answer of `GET /log`. */
+/** Response of `GET /log`. */
 export const logSchema = z.object({
   runs: z.array(runRecordSchema),
   promotions: z.array(promotionEffectSchema),
   promotionCalls: z.array(promotionCallSchema),
-  /** The log of each service's newest primary, and whether it commits synchronously. */
+  /** The log of each service's newest primary, and the number of synchronous replicas. */
   services: z.array(
     z.object({
       service: z.string(),
       syncReplicas: z.int(),
-      /** Undefined while nobody leads: the old primary is demoted, and no other promoted yet. */
+      /** Undefined without a primary: the old one is demoted, and no other is promoted yet. */
       primary: z.string().optional(),
       entries: z.array(positionSchema.extend({ run: z.int() })),
     }),
@@ -77,34 +77,34 @@
 });
 export type DirectLog = z.infer<typeof logSchema>;
 
-/** What a statement's record begins with; the log adds its number and signature. */
+/** A statement's record at its start; the log adds its number and signature. */
 export type RunStart = Omit<RunRecord, 'run' | 'signature'>;
 
 export class RunLog {
   readonly runs: RunRecord[] = [];
-  #connections = 0;
-  #transactions = 0;
+  #connectionCount = 0;
+  #transactionCount = 0;
 
-  nextConnection(): number {
-    this.#connections += 1;
-    return this.#connections;
+  nextConnectionNumber(): number {
+    this.#connectionCount += 1;
+    return this.#connectionCount;
   }
 
-  nextTransaction(): number {
-    this.#transactions += 1;
-    return this.#transactions;
+  nextTransactionNumber(): number {
+    this.#transactionCount += 1;
+    return this.#transactionCount;
   }
 
   /** Records a statement as it starts. */
   start(run: RunStart): RunRecord {
     const number = this.runs.length + 1;
-    const record = { ...run, run: number, signature: signatureOf(number, run) };
+    const record = { ...run, run: number, signature: computeSignature(number, run) };
     this.runs.push(record);
     return record;
   }
 }
 
-function signatureOf(number: number, { instance, id, text, rows }: RunStart): string {
+function computeSignature(number: number, { instance, id, text, rows }: RunStart): string {
   const content = [String(number), instance, id, text, ...rows].join('\n');
   const digest = createHash('sha256').update(content).digest('hex');
   return `${number.toString(HEXADECIMAL)}.${digest.slice(0, SIGNATURE_CHARACTERS)}`;
--- a/standins/direct/session.ts
+++ b/standins/direct/session.ts
@@ -1,4 +1,4 @@
-/** A session at a database instance: its values, prepared names, transaction and statements. */
+/** A session at a database instance: its values, prepared statements, transaction and execution. */
 import { setTimeout as pause } from 'node:timers/promises';
 import type { Milliseconds } from '../../src/core/units.js';
 import type { SyncOutcome } from './group.js';
@@ -30,7 +30,7 @@
   | 'TIMEOUT'
   | 'UNPREPARED';
 
-/** `broken`: the answer breaks off after the rows; `gone`: nothing is said. Both end the connection. */
+/** `broken`: the response ends after the rows; `gone`: no response. Both end the connection. */
 export type Outcome =
   | { readonly type: 'complete'; readonly rows: readonly string[]; readonly signature: string }
   | { readonly type: 'error'; readonly code: ErrorCode }
@@ -40,20 +40,20 @@
 interface Transaction {
   readonly number: number;
   readonly isRead: boolean;
-  /** Term that the instance led when a plain transaction began. */
+  /** Term of the instance when the transaction began. */
   readonly term: number;
-  readonly writes: { thing: string; data: string }[];
+  readonly writes: { key: string; data: string }[];
 }
 
-/** What a work statement comes down to. */
+/** A work statement with its prepared name resolved. */
 interface Work {
   readonly kind: RunRecord['kind'];
-  readonly thing: string;
+  readonly key: string;
   readonly data: string;
   readonly shape?: string;
 }
 
-const DONE = completed([]);
+const COMPLETED = completed([]);
 const GONE: Outcome = { type: 'gone' };
 
 function completed(rows: readonly string[]): Outcome {
@@ -65,37 +65,39 @@
 }
 
 export class InstanceSession {
-  /** Who its connection was opened for. */
+  /** Account that the connection was opened for. */
   account = '';
   #state: State = 'I';
   #transaction: Transaction | undefined;
   readonly #values = new Map<string, string>();
   readonly #prepared = new Map<string, Prepared>();
 
-  /** `gone` aborts when the connection ends. */
+  /** `closedSignal` aborts when the connection ends. */
   constructor(
     private readonly instance: Instance,
     private readonly connection: number,
-    private readonly gone: AbortSignal,
+    private readonly closedSignal: AbortSignal,
   ) {}
 
   get state(): State {
     return this.#state;
   }
 
-  async query(id: string, whole: string): Promise<Outcome> {
-    const parsed = parseText(whole);
+  async query(id: string, fullText: string): Promise<Outcome> {
+    const parsed = parseText(fullText);
     const { statement } = parsed;
     const outcome =
-      this.#state === 'E' ? this.#inFailed(statement) : await this.#run(id, parsed, statement);
+      this.#state === 'E'
+        ? this.#runInFailedTransaction(statement)
+        : await this.#run(id, parsed, statement);
     if (outcome.type === 'error' && this.#state === 'T') this.#state = 'E';
     return outcome;
   }
 
-  #inFailed(statement: Statement | undefined): Outcome {
+  #runInFailedTransaction(statement: Statement | undefined): Outcome {
     if (statement?.type !== 'rollback' && statement?.type !== 'commit') return failure('MALFORMED');
     this.#endTransaction();
-    return statement.type === 'rollback' ? DONE : failure('ABORTED');
+    return statement.type === 'rollback' ? COMPLETED : failure('ABORTED');
   }
 
   #endTransaction(): void {
@@ -112,22 +114,22 @@
       case 'work':
       case 'execute':
       case 'commit':
-        return this.#work(id, parsed, statement);
+        return this.#runWork(id, parsed, statement);
       case 'status':
       case 'pause':
       case 'resume':
       case 'demote':
-        return this.#control(statement);
+        return this.#runControlStatement(statement);
       case 'begin':
         return this.#begin(parsed, statement.isRead);
       default:
-        return this.#session(statement);
+        return this.#runSessionStatement(statement);
     }
   }
 
-  #session(statement: Statement | undefined): Outcome {
+  #runSessionStatement(statement: Statement | undefined): Outcome {
     if (statement?.type === 'rollback') this.#endTransaction();
-    else if (this.#hasLostLead()) return failure('READONLY');
+    else if (this.#isNoLongerPrimary()) return failure('READONLY');
     else if (statement?.type === 'set') this.#values.set(statement.name, statement.value);
     else if (statement?.type === 'prepare') {
       this.#prepared.set(statement.name, statement.prepared);
@@ -137,12 +139,12 @@
       this.#values.clear();
       this.#prepared.clear();
     } else return failure('MALFORMED');
-    return DONE;
+    return COMPLETED;
   }
 
-  #control(statement: ControlStatement): Outcome | Promise<Outcome> {
+  #runControlStatement(statement: ControlStatement): Outcome | Promise<Outcome> {
     const { member, group, faults } = this.instance;
-    if (faults.isDeafToControl) return this.#silence();
+    if (faults.isDeafToControl) return this.#waitForClose();
     if (statement.type === 'status' && this.instance.refusesAsBusy()) return failure('BUSY');
     if (statement.type === 'resume') member.heldTerm = 0;
     if (statement.type === 'pause' && member.role === 'replica' && statement.term > member.term) {
@@ -154,10 +156,10 @@
     return this.#statusRow();
   }
 
-  /** Says nothing until the connection ends. */
-  #silence(): Promise<Outcome> {
+  /** Resolves only when the connection ends, so that no response is sent. */
+  #waitForClose(): Promise<Outcome> {
     return new Promise((resolve) => {
-      this.gone.addEventListener('abort', () => resolve(GONE));
+      this.closedSignal.addEventListener('abort', () => resolve(GONE));
     });
   }
 
@@ -174,63 +176,63 @@
     if (this.#transaction !== undefined) return failure('MALFORMED');
     if (!isRead && member.role !== 'primary') return failure('READONLY');
     if (after !== undefined && !member.hasApplied(after, monotonicMs())) return failure('LAGGING');
-    const number = runLog.nextTransaction();
+    const number = runLog.nextTransactionNumber();
     this.#transaction = { number, isRead, term: member.term, writes: [] };
     this.#state = 'T';
-    return DONE;
+    return COMPLETED;
   }
 
-  #hasLostLead(): boolean {
+  #isNoLongerPrimary(): boolean {
     const transaction = this.#transaction;
     if (transaction === undefined || transaction.isRead) return false;
     const { role, term } = this.instance.member;
     return role !== 'primary' || term !== transaction.term;
   }
 
-  #resolve(statement: WorkStatement): Work | undefined {
-    if (statement.type === 'commit') return { kind: 'commit', thing: '', data: '' };
+  #resolveWork(statement: WorkStatement): Work | undefined {
+    if (statement.type === 'commit') return { kind: 'commit', key: '', data: '' };
     if (statement.type === 'work') return statement;
     const prepared = this.#prepared.get(statement.name);
-    return prepared && { ...prepared, thing: statement.thing, data: statement.data };
+    return prepared && { ...prepared, key: statement.key, data: statement.data };
   }
 
-  async #work(id: string, parsed: ParsedText, statement: WorkStatement): Promise<Outcome> {
+  async #runWork(id: string, parsed: ParsedText, statement: WorkStatement): Promise<Outcome> {
     const { slots, faults, options } = this.instance;
-    const work = this.#resolve(statement);
+    const work = this.#resolveWork(statement);
     if (work === undefined) return failure('UNPREPARED');
     if (work.kind === 'commit' && this.#transaction === undefined) return failure('MALFORMED');
     if (this.instance.refusesAsBusy()) return failure('BUSY');
-    if (!(await slots.acquire(this.gone))) return GONE;
+    if (!(await slots.acquire(this.closedSignal))) return GONE;
     let finish: () => Promise<Outcome>;
     let record: RunRecord;
     try {
-      const refusal = this.#refusal(work, parsed);
+      const refusal = this.#refusalOf(work, parsed);
       if (refusal !== undefined) return failure(refusal);
-      record = this.#record(id, parsed.text, work);
+      record = this.#startRecord(id, parsed.text, work);
       const { term } = this.instance.member;
       await pause(options.workMs * faults.slowFactor);
-      if (this.gone.aborted) return GONE;
-      finish = this.#effect(work, record, term);
+      if (this.closedSignal.aborted) return GONE;
+      finish = this.#apply(work, record, term);
     } finally {
       slots.release();
     }
     const outcome = await finish();
     if (outcome.type === 'error') record.error = outcome.code;
-    return this.#spoil(outcome, record);
+    return this.#injectAnswerFault(outcome, record);
   }
 
-  #refusal({ kind }: Work, { after }: ParsedText): ErrorCode | undefined {
+  #refusalOf({ kind }: Work, { after }: ParsedText): ErrorCode | undefined {
     const { member } = this.instance;
     const transaction = this.#transaction;
     const isEmptyCommit = kind === 'commit' && transaction?.writes.length === 0;
-    if (this.#hasLostLead() && !isEmptyCommit) return 'READONLY';
+    if (this.#isNoLongerPrimary() && !isEmptyCommit) return 'READONLY';
     const mayWrite = member.role === 'primary' && transaction?.isRead !== true;
     if (kind === 'write' && !mayWrite) return 'READONLY';
     if (after !== undefined && !member.hasApplied(after, monotonicMs())) return 'LAGGING';
     return undefined;
   }
 
-  #record(id: string, text: string, work: Work): RunRecord {
+  #startRecord(id: string, text: string, work: Work): RunRecord {
     const { member, options, runLog } = this.instance;
     const now = monotonicMs();
     return runLog.start({
@@ -246,19 +248,19 @@
       values: Object.fromEntries(this.#values),
       startedAt: now,
       position: member.applied(now),
-      rows: this.#rowsOf(work, now),
+      rows: this.#readRows(work, now),
     });
   }
 
-  #rowsOf({ kind, thing, shape }: Work, now: Milliseconds): string[] {
+  #readRows({ kind, key, shape }: Work, now: Milliseconds): string[] {
     if (kind !== 'read') return [];
-    const own = this.#transaction?.writes.findLast((write) => write.thing === thing)?.data;
-    const data = own ?? this.instance.member.read(thing, now) ?? '-';
+    const own = this.#transaction?.writes.findLast((write) => write.key === key)?.data;
+    const data = own ?? this.instance.member.read(key, now) ?? '-';
     return [shape === undefined ? data : `${shape} ${data}`];
   }
 
-  /** Lets the statement take effect; gives what waits for its answer. */
-  #effect(work: Work, record: RunRecord, term: number): () => Promise<Outcome> {
+  /** Applies the statement; the returned function waits until it may be answered. */
+  #apply(work: Work, record: RunRecord, term: number): () => Promise<Outcome> {
     const { faults, member } = this.instance;
     const complete: Outcome = { type: 'complete', rows: record.rows, signature: record.signature };
     if (work.kind !== 'commit' && faults.failNext > 0) {
@@ -266,11 +268,10 @@
       return async () => failure('FAILED');
     }
     const transaction = this.#transaction;
-    const { thing, data } = work;
-    if (work.kind === 'write' && transaction !== undefined)
-      transaction.writes.push({ thing, data });
+    const { key, data } = work;
+    if (work.kind === 'write' && transaction !== undefined) transaction.writes.push({ key, data });
     const isCommitted = work.kind === 'commit' || (work.kind === 'write' && !transaction);
-    const writes = isCommitted ? (transaction?.writes ?? [{ thing, data }]) : [];
+    const writes = isCommitted ? (transaction?.writes ?? [{ key, data }]) : [];
     if (writes.length > 0 && (member.role !== 'primary' || member.term !== term)) {
       return async () => failure('READONLY');
     }
@@ -294,8 +295,8 @@
     return outcome === 'received' ? complete : GONE;
   }
 
-  /** Loses the answer or breaks it off, if that is asked for. */
-  #spoil(outcome: Outcome, record: RunRecord): Outcome {
+  /** Drops or truncates the response if a fault demands it. */
+  #injectAnswerFault(outcome: Outcome, record: RunRecord): Outcome {
     const { faults } = this.instance;
     if (outcome.type !== 'complete') return outcome;
     if (faults.loseAnswers > 0) {
--- a/standins/direct/statements.ts
+++ b/standins/direct/statements.ts
@@ -1,4 +1,4 @@
-/** The texts of the line protocol, as an instance reads them. */
+/** Parser of the statements of the line protocol. */
 import type { LogPosition } from './member.js';
 
 export interface Prepared {
@@ -11,18 +11,18 @@
   | {
       readonly type: 'work';
       readonly kind: 'read' | 'write';
-      readonly thing: string;
+      readonly key: string;
       readonly data: string;
     }
   | {
       readonly type: 'execute';
       readonly name: string;
-      readonly thing: string;
+      readonly key: string;
       readonly data: string;
     }
   | { readonly type: 'commit' };
 
-/** Statements about the instance's place in its group. */
+/** Statements about the instance's role in its group. */
 export type ControlStatement =
   | { readonly type: 'status' | 'resume' }
   | { readonly type: 'pause' | 'demote'; readonly term: number };
@@ -43,7 +43,7 @@
   readonly statement: Statement | undefined;
 }
 
-/** The first `count` fields of a line; the last of them goes on to its end. */
+/** Splits a line into at most `count` fields; the last one extends to the end of the line. */
 export function splitFields(line: string, count: number): string[] {
   const fields: string[] = [];
   let rest = line;
@@ -58,9 +58,9 @@
 
 const AFTER = /^AFTER (\d+)\.(\d+) (.*)$/;
 
-export function parseText(whole: string): ParsedText {
-  const [, term, number, rest] = AFTER.exec(whole) ?? [];
-  if (rest === undefined) return { text: whole, after: undefined, statement: parse(whole) };
+export function parseText(fullText: string): ParsedText {
+  const [, term, number, rest] = AFTER.exec(fullText) ?? [];
+  if (rest === undefined) return { text: fullText, after: undefined, statement: parse(fullText) };
   const after = { term: Number(term), number: Number(number) };
   return { text: rest, after, statement: parse(rest) };
 }
@@ -68,17 +68,17 @@
 function parse(text: string): Statement | undefined {
   const [word = '', ...others] = splitFields(text, 3);
   const [first, second] = others;
-  if (first === undefined) return parseBare(word);
+  if (first === undefined) return parseWithoutArguments(word);
   if (word === 'BEGIN') return text === 'BEGIN READ' ? { type: 'begin', isRead: true } : undefined;
-  if (word === 'EXECUTE') return { type: 'execute', name: first, ...splitData(second) };
-  if (second === undefined) return parseShort(word, first);
-  if (word === 'WRITE') return { type: 'work', kind: 'write', thing: first, data: second };
+  if (word === 'EXECUTE') return { type: 'execute', name: first, ...parseKeyAndData(second) };
+  if (second === undefined) return parseOneArgument(word, first);
+  if (word === 'WRITE') return { type: 'work', kind: 'write', key: first, data: second };
   if (word === 'SET') return { type: 'set', name: first, value: second };
   if (word === 'PREPARE') return parsePrepare(first, second);
   return undefined;
 }
 
-function parseBare(word: string): Statement | undefined {
+function parseWithoutArguments(word: string): Statement | undefined {
   if (word === 'BEGIN') return { type: 'begin', isRead: false };
   if (word === 'COMMIT') return { type: 'commit' };
   if (word === 'ROLLBACK') return { type: 'rollback' };
@@ -87,8 +87,8 @@
   return word === 'RESUME' ? { type: 'resume' } : undefined;
 }
 
-function parseShort(word: string, first: string): Statement | undefined {
-  if (word === 'READ') return { type: 'work', kind: 'read', thing: first, data: '' };
+function parseOneArgument(word: string, first: string): Statement | undefined {
+  if (word === 'READ') return { type: 'work', kind: 'read', key: first, data: '' };
   if (word === 'DEALLOCATE') return { type: 'deallocate', name: first };
   if (word === 'PAUSE') return { type: 'pause', term: Number(first) };
   return word === 'DEMOTE' ? { type: 'demote', term: Number(first) } : undefined;
@@ -100,7 +100,10 @@
   return { type: 'prepare', name, prepared: { kind: kind === 'READ' ? 'read' : 'write', shape } };
 }
 
-function splitData(rest: string | undefined): { readonly thing: string; readonly data: string } {
-  const [thing = '', data = ''] = splitFields(rest ?? '', 2);
-  return { thing, data };
+function parseKeyAndData(rest: string | undefined): {
+  readonly key: string;
+  readonly data: string;
+} {
+  const [key = '', data = ''] = splitFields(rest ?? '', 2);
+  return { key, data };
 }
--- a/standins/store/gateway.ts
+++ b/standins/store/gateway.ts
@@ -176,8 +176,8 @@
       request.socket.resetAndDestroy();
       return;
     }
-    const result = { header: headerJson(this.engine.revision), ...fields };
-    const json = endpoint.isStreamed ? { result: result } : result;
+    const payload = { header: headerJson(this.engine.revision), ...fields };
+    const json = endpoint.isStreamed ? { result: payload } : payload;
     this.#respond(response, () => sendJson(response, 200, json));
   }
 
