--- a/standins/machines/machine-list.ts
+++ b/standins/machines/machine-list.ts
@@ -1,31 +1,31 @@
 /**
- * The machine list without its network: what is true, what is published, and how much later.
- * Deterministic: the caller supplies the clock.
+ * The machine list without its network: the actual machines, the published ones, and the delay
+ * between them. Deterministic: the caller passes the time.
  */
 import type { Milliseconds } from '../../src/core/units.js';
 import type { Machine, MachineState } from '../../src/platform/contract.js';
 
-/** Names one machine of the list. */
+/** Identifies one machine of the list. */
 export interface MachineKey {
   readonly role: Machine['role'];
   readonly name: string;
 }
 
-/** What the list says of a machine whatever is true. */
+/** State that the list reports for a machine regardless of its actual state. */
 export type ClaimedState = MachineState | 'absent';
 
-/** One answer of the list. Entries are unchecked, since a test may put malformed ones in. */
+/** One response of the list. Its entries are unchecked, since a test may add malformed ones. */
 export interface PublishedList {
   readonly version: number;
   readonly machines: readonly unknown[];
 }
 
 interface PendingChange {
-  readonly visibleAt: Milliseconds;
+  readonly publishAt: Milliseconds;
   readonly apply: (published: Map<string, Machine>) => void;
 }
 
-function idOf(key: MachineKey): string {
+function machineIdOf(key: MachineKey): string {
   return `${key.role}/${key.name}`;
 }
 
@@ -52,41 +52,41 @@
 
   /** Adds or replaces a machine. */
   upsert(machine: Machine, now: Milliseconds): void {
-    const id = idOf(machine);
+    const id = machineIdOf(machine);
     this.#actual.set(id, machine);
     this.#schedule(now, (published) => published.set(id, machine));
   }
 
   /** Marks a machine as leaving; false if there is no such machine. */
   markLeaving(key: MachineKey, now: Milliseconds): boolean {
-    const machine = this.#actual.get(idOf(key));
+    const machine = this.#actual.get(machineIdOf(key));
     if (machine === undefined) return false;
     this.upsert({ ...machine, state: 'leaving' }, now);
     return true;
   }
 
-  /** Takes a machine off; false if there is no such machine. */
+  /** Removes a machine; false if there is no such machine. */
   remove(key: MachineKey, now: Milliseconds): boolean {
-    const id = idOf(key);
+    const id = machineIdOf(key);
     if (!this.#actual.delete(id)) return false;
     this.#schedule(now, (published) => published.delete(id));
     return true;
   }
 
-  /** Makes the list claim a state at once; `undefined` withdraws the claim. */
+  /** Makes the list report a state immediately; `undefined` ends that. */
   claim(key: MachineKey, state: ClaimedState | undefined): void {
-    if (state === undefined) this.#claims.delete(idOf(key));
-    else this.#claims.set(idOf(key), state);
+    if (state === undefined) this.#claims.delete(machineIdOf(key));
+    else this.#claims.set(machineIdOf(key), state);
     this.#publish();
   }
 
-  /** Adds entries to each answer as they are, to try the reader's checks. */
+  /** Adds these entries unchanged to each response, to test the validation of the reader. */
   setMalformed(entries: readonly unknown[]): void {
     this.#malformed = entries;
     this.#publish();
   }
 
-  /** Delay from a change to its publication; holds for later changes, which stay in order. */
+  /** Sets the delay from a change to its publication. Applies to later changes, which stay in order. */
   setLag(lagMs: Milliseconds): void {
     this.#lagMs = lagMs;
   }
@@ -97,20 +97,20 @@
   }
 
   #schedule(now: Milliseconds, apply: PendingChange['apply']): void {
-    const earliest = this.#pending.at(-1)?.visibleAt ?? 0;
-    this.#pending.push({ visibleAt: Math.max(earliest, now + this.#lagMs), apply });
+    const earliest = this.#pending.at(-1)?.publishAt ?? 0;
+    this.#pending.push({ publishAt: Math.max(earliest, now + this.#lagMs), apply });
     this.publishDue(now);
   }
 
-  /** Publishes the changes that are due; gives the time of the next one, if any. */
+  /** Publishes the changes that are due; returns the time of the next one, if any. */
   publishDue(now: Milliseconds): Milliseconds | undefined {
     if (this.#frozen) return undefined;
-    const due = this.#pending.filter((change) => change.visibleAt <= now);
+    const due = this.#pending.filter((change) => change.publishAt <= now);
     this.#pending = this.#pending.slice(due.length);
     for (const change of due) change.apply(this.#published);
     for (const [id, machine] of this.#published) this.#lastKnown.set(id, machine);
     if (due.length > 0) this.#publish();
-    return this.#pending[0]?.visibleAt;
+    return this.#pending[0]?.publishAt;
   }
 
   #publish(): void {
@@ -118,7 +118,7 @@
     this.onPublish?.();
   }
 
-  /** The list as it is published. */
+  /** The published list. */
   published(): PublishedList {
     const machines = new Map(this.#published);
     for (const [id, state] of this.#claims) {
@@ -129,7 +129,7 @@
     return { version: this.#version, machines: [...machines.values(), ...this.#malformed] };
   }
 
-  /** The machines as they really are. */
+  /** The actual machines. */
   actual(): readonly Machine[] {
     return [...this.#actual.values()];
   }
--- a/standins/machines/main.ts
+++ b/standins/machines/main.ts
@@ -15,7 +15,8 @@
 const flags = readFlags(
   {
     name: 'machines',
-    summary: 'stand-in for the list of live and leaving machines, which lags behind reality',
+    summary:
+      'stand-in for the list of live and leaving machines, which lags behind the actual state',
     flags: {
       ...COMMON_FLAGS,
       'lag-ms': { placeholder: 'MS', text: 'delay from a change to its publication (0)' },
@@ -38,9 +39,9 @@
 service.connectFaults(faults);
 setInterval(() => list.publishDue(performance.now()), PUBLISH_INTERVAL_MS);
 
-const nothing = z.object({});
-const key = z.object({ role: z.enum(['proxy', 'database']), name: z.string().min(1) });
-const claim = key.extend({ state: z.enum(['live', 'leaving', 'absent']).nullable() });
+const emptyBody = z.object({});
+const machineKey = z.object({ role: z.enum(['proxy', 'database']), name: z.string().min(1) });
+const claimBody = machineKey.extend({ state: z.enum(['live', 'leaving', 'absent']).nullable() });
 
 function requireFound(found: boolean): void {
   if (!found) throw new ControlRequestError(404, 'no such machine');
@@ -50,13 +51,13 @@
   controlRoute('POST', '/machines', machineSchema, (machine) => {
     list.upsert(machine, performance.now());
   }),
-  controlRoute('POST', '/machines/leaving', key, (machine) => {
+  controlRoute('POST', '/machines/leaving', machineKey, (machine) => {
     requireFound(list.markLeaving(machine, performance.now()));
   }),
-  controlRoute('POST', '/machines/remove', key, (machine) => {
+  controlRoute('POST', '/machines/remove', machineKey, (machine) => {
     requireFound(list.remove(machine, performance.now()));
   }),
-  controlRoute('POST', '/claims', claim, ({ state, ...machine }) => {
+  controlRoute('POST', '/claims', claimBody, ({ state, ...machine }) => {
     list.claim(machine, state ?? undefined);
   }),
   controlRoute('POST', '/malformed', z.object({ entries: z.array(z.unknown()) }), (body) => {
@@ -69,7 +70,7 @@
     list.setFrozen(frozen);
   }),
   controlRoute('POST', '/faults', serviceFaultSettings, (settings) => faults.apply(settings)),
-  controlRoute('GET', '/state', nothing, () => ({
+  controlRoute('GET', '/state', emptyBody, () => ({
     ...list.published(),
     actual: list.actual(),
     polls: service.polls,
--- a/standins/machines/server.ts
+++ b/standins/machines/server.ts
@@ -1,4 +1,4 @@
-/** HTTP side of the machine list: `GET /v1/machines?after=VERSION&wait=MS`, a long poll. */
+/** HTTP server of the machine list: `GET /v1/machines?after=VERSION&wait=MS`, a long poll. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { z } from 'zod';
 import { sendJson } from '../common/control-server.js';
@@ -13,17 +13,17 @@
   wait: z.coerce.number().int().min(0).max(MAX_WAIT_MS).default(0),
 });
 
-/** Ends the wait of one poll. */
-type Waiter = () => void;
+/** Ends the wait of one long poll. */
+type EndWait = () => void;
 
 export class MachineListServer {
   readonly server: Server;
-  readonly #waiters = new Set<Waiter>();
+  readonly #waiters = new Set<EndWait>();
   #faults: ServiceFaults | undefined;
   #polls = 0;
 
   constructor(private readonly list: MachineList) {
-    this.server = createServer((request, response) => this.#accept(request, response));
+    this.server = createServer((request, response) => this.#handle(request, response));
     list.onPublish = () => {
       for (const wake of [...this.#waiters]) wake();
     };
@@ -33,12 +33,12 @@
     this.#faults = faults;
   }
 
-  /** Requests since start. */
+  /** Number of requests since start. */
   get polls(): number {
     return this.#polls;
   }
 
-  #accept(request: IncomingMessage, response: ServerResponse): void {
+  #handle(request: IncomingMessage, response: ServerResponse): void {
     this.#polls += 1;
     const serve = (): void => this.#serve(request, response);
     if (this.#faults === undefined) serve();
@@ -73,7 +73,7 @@
     });
   }
 
-  /** An outage that began during the wait holds the answer too. */
+  /** Applies the faults again: an outage that began during the wait also affects the response. */
   #sendList(request: IncomingMessage, response: ServerResponse): void {
     const send = (): void => {
       if (!response.destroyed) sendJson(response, 200, this.list.published());
