--- a/standins/common/control-server.ts
+++ b/standins/common/control-server.ts
@@ -5,7 +5,7 @@
 
 const MAX_BODY_BYTES = 16 * 1024 * 1024;
 
-/** One control call: checks its body and gives the value to answer with. */
+/** One control route: validates the body and returns the value to respond with. */
 export interface ControlRoute {
   readonly method: 'GET' | 'POST' | 'DELETE';
   /** Path with `:name` segments, such as `/routes/:name/heal`. */
@@ -14,8 +14,8 @@
 }
 
 /**
- * Defines a control call whose body must fit `schema`. The answer of `handle` (or what its promise
- * gives) is sent as JSON; `undefined` is sent as `{}`.
+ * Defines a control route whose body must match `schema`. The result of `handle`, awaited if it is
+ * a promise, is sent as JSON; `undefined` is sent as `{}`.
  */
 export function controlRoute<Schema extends z.ZodType>(
   method: ControlRoute['method'],
@@ -34,10 +34,10 @@
   };
 }
 
-/** A control server over these routes, not yet listening. */
+/** Creates a control server with these routes, not yet listening. */
 export function createControlServer(routes: readonly ControlRoute[]): Server {
   return createServer((request, response) => {
-    answer(routes, request, response).catch((error: unknown) => {
+    handleRequest(routes, request, response).catch((error: unknown) => {
       const status = error instanceof ControlRequestError ? error.httpStatus : 500;
       const message = error instanceof Error ? error.message : 'unexpected failure';
       sendJson(response, status, { error: message });
@@ -45,7 +45,7 @@
   });
 }
 
-async function answer(
+async function handleRequest(
   routes: readonly ControlRoute[],
   request: IncomingMessage,
   response: ServerResponse,
@@ -59,16 +59,16 @@
     sendJson(response, 200, (await route.handle(parameters, body)) ?? {});
     return;
   }
-  throw new ControlRequestError(404, `no control call ${request.method} ${path}`);
+  throw new ControlRequestError(404, `no control route ${request.method} ${path}`);
 }
 
 function matchPath(pattern: string, path: string): Record<string, string> | undefined {
-  const wanted = pattern.split('/');
-  const given = path.split('/');
-  if (wanted.length !== given.length) return undefined;
+  const patternSegments = pattern.split('/');
+  const pathSegments = path.split('/');
+  if (patternSegments.length !== pathSegments.length) return undefined;
   const parameters: Record<string, string> = {};
-  for (const [index, segment] of wanted.entries()) {
-    const value = decodeURIComponent(given[index] ?? '');
+  for (const [index, segment] of patternSegments.entries()) {
+    const value = decodeURIComponent(pathSegments[index] ?? '');
     if (segment.startsWith(':')) parameters[segment.slice(1)] = value;
     else if (segment !== value) return undefined;
   }
@@ -76,7 +76,7 @@
 }
 
 /**
- * Reads a JSON body; an empty one is `undefined`.
+ * Reads a JSON body; returns `undefined` for an empty one.
  * @throws ControlRequestError if it is too large or not JSON.
  */
 export async function readJsonBody(request: IncomingMessage): Promise<unknown> {
@@ -95,7 +95,7 @@
   }
 }
 
-/** Sends a JSON answer. */
+/** Sends a JSON response. */
 export function sendJson(
   response: ServerResponse,
   status: number,
--- a/standins/common/process.ts
+++ b/standins/common/process.ts
@@ -1,8 +1,8 @@
-/** What every stand-in process does: listen, announce its ports, end with its parent. */
+/** Functions of every stand-in process: listen, announce its ports, exit with its parent. */
 import type { Server } from 'node:net';
 import { setTimeout } from 'node:timers/promises';
 
-/** Listens and returns the bound port. Rejects with node's error if the address can't be bound. */
+/** Listens and returns the bound port. Rejects with Node's error if the address can't be bound. */
 export function listen(server: Server, host: string, port: number): Promise<number> {
   return new Promise((resolve, reject) => {
     server.once('error', reject);
@@ -14,32 +14,32 @@
   });
 }
 
-const RELISTEN_PAUSE_MS = 20;
-const RELISTEN_TRIES = 250;
+const RELISTEN_RETRY_DELAY_MS = 20;
+const MAX_RELISTEN_ATTEMPTS = 250;
 
 /**
- * Listens again on a port that was closed for a while. An outgoing connection may have taken the
- * port meanwhile, so it is tried for some seconds.
+ * Listens again on a port that was closed for a while. An outgoing connection may use the port
+ * meanwhile, so this retries for several seconds.
  */
 export async function listenAgain(server: Server, host: string, port: number): Promise<void> {
-  for (let tries = 1; ; tries += 1) {
+  for (let attempts = 1; ; attempts += 1) {
     try {
       await listen(server, host, port);
       return;
     } catch (error) {
-      if (tries >= RELISTEN_TRIES) throw error;
-      await setTimeout(RELISTEN_PAUSE_MS);
+      if (attempts >= MAX_RELISTEN_ATTEMPTS) throw error;
+      await setTimeout(RELISTEN_RETRY_DELAY_MS);
     }
   }
 }
 
 /** Writes the first line of stdout: a JSON object with the bound ports. */
-export function announce(ports: Readonly<Record<string, unknown>>): void {
+export function announcePorts(ports: Readonly<Record<string, unknown>>): void {
   process.stdout.write(`${JSON.stringify(ports)}\n`);
 }
 
 /**
- * Ends the process when its stdin closes, so that no child outlives the harness that spawned it,
+ * Exits the process when its stdin closes, so that it does not outlive the harness that spawned it,
  * and on SIGTERM and SIGINT.
  */
 export function exitWithParent(): void {
--- a/standins/common/service-faults.ts
+++ b/standins/common/service-faults.ts
@@ -1,31 +1,31 @@
 /**
- * Faults of an HTTP service: outage (connections refused, held or reset) and slow answers. Wraps a
- * request handler; the server itself knows nothing of faults.
+ * Faults of an HTTP service: outages (connections refused, held or reset) and delayed responses.
+ * Wraps the request handler, which needs no fault handling of its own.
  */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
 import { z } from 'zod';
 import { listenAgain } from './process.js';
 
-/** `refuse`: no listener; `hang`: requests are held until healed; `reset`: each request is reset. */
+/** `refuse`: no listener; `hang`: requests wait until the outage ends; `reset`: connections are reset. */
 export const OUTAGE_KINDS = ['none', 'refuse', 'hang', 'reset'] as const;
 export type OutageKind = (typeof OUTAGE_KINDS)[number];
 
-/** Body of `POST /faults` as far as every service has it. Absent fields stay as they are. */
+/** Fields of the body of `POST /faults` that all services have. Absent fields stay as they are. */
 export const serviceFaultSettings = z.strictObject({
   outage: z.enum(OUTAGE_KINDS).optional(),
-  /** Delay of each answer after its effect, in milliseconds. */
+  /** Delay of each response after the request took effect, in milliseconds. */
   answerDelayMs: z.number().min(0).optional(),
 });
 export type ServiceFaultSettings = z.infer<typeof serviceFaultSettings>;
 
-/** Applies outages and slow answers to one HTTP server. */
+/** Applies outages and response delays to one HTTP server. */
 export class ServiceFaults {
   #outage: OutageKind = 'none';
   #answerDelayMs = 0;
-  #held: (() => void)[] = [];
+  #heldRequests: (() => void)[] = [];
   readonly #sockets = new Set<Socket>();
-  /** Called after each change, so that streams that are open can follow it. */
+  /** Called after each change, so that open streams can apply it. */
   onChange: (() => void) | undefined;
 
   constructor(
@@ -47,7 +47,7 @@
     return this.#answerDelayMs;
   }
 
-  /** Changes the faults; resolves when the listener is in the state asked for. */
+  /** Changes the faults; resolves when the listener is closed or open accordingly. */
   async apply(settings: ServiceFaultSettings): Promise<void> {
     if (settings.answerDelayMs !== undefined) this.#answerDelayMs = settings.answerDelayMs;
     if (settings.outage !== undefined) await this.#setOutage(settings.outage);
@@ -60,8 +60,8 @@
     else if (!this.server.listening) await listenAgain(this.server, this.host, this.port);
     if (outage === 'refuse' || outage === 'reset') this.#resetConnections();
     if (outage === 'hang') return;
-    const held = this.#held;
-    this.#held = [];
+    const held = this.#heldRequests;
+    this.#heldRequests = [];
     for (const resume of held) resume();
   }
 
@@ -74,8 +74,8 @@
   }
 
   /**
-   * Runs `proceed` as the outage allows: at once, after the hang, or never (the connection is
-   * reset). A request whose caller went away while it was held is dropped.
+   * Runs `proceed` according to the outage: immediately, after the hang, or never (the connection is
+   * reset). A held request whose client disconnects is dropped.
    */
   admit(request: IncomingMessage, response: ServerResponse, proceed: () => void): void {
     if (this.#outage === 'reset') {
@@ -86,13 +86,13 @@
       proceed();
       return;
     }
-    this.#held.push(() => {
-      const callerGone = response.destroyed || request.socket.destroyed;
-      if (!callerGone) this.admit(request, response, proceed);
+    this.#heldRequests.push(() => {
+      const isClientGone = response.destroyed || request.socket.destroyed;
+      if (!isClientGone) this.admit(request, response, proceed);
     });
   }
 
-  /** Runs `send` after the set delay. */
+  /** Runs `send` after the configured delay. */
   afterDelay(send: () => void): void {
     if (this.#answerDelayMs === 0) send();
     else setTimeout(send, this.#answerDelayMs);
--- a/standins/common/token-bucket.ts
+++ b/standins/common/token-bucket.ts
@@ -1,7 +1,7 @@
 /** Token bucket for the rate limit of a stand-in. */
 const MILLISECONDS_PER_SECOND = 1000;
 
-/** Allows `ratePerSecond` requests a second with a burst of as many. */
+/** Allows `ratePerSecond` requests per second, with bursts of the same number. */
 export class TokenBucket {
   #tokens: number;
 
@@ -12,13 +12,13 @@
     this.#tokens = Math.max(1, ratePerSecond);
   }
 
-  /** Takes `price` tokens if there are as many at `nowMs`. */
-  tryTake(nowMs: number, price = 1): boolean {
-    const gained = ((nowMs - this.updatedAtMs) / MILLISECONDS_PER_SECOND) * this.ratePerSecond;
-    this.#tokens = Math.min(Math.max(1, this.ratePerSecond), this.#tokens + gained);
+  /** Takes `cost` tokens if the bucket contains enough at `nowMs`. */
+  tryTake(nowMs: number, cost = 1): boolean {
+    const refilled = ((nowMs - this.updatedAtMs) / MILLISECONDS_PER_SECOND) * this.ratePerSecond;
+    this.#tokens = Math.min(Math.max(1, this.ratePerSecond), this.#tokens + refilled);
     this.updatedAtMs = nowMs;
-    if (this.#tokens < price) return false;
-    this.#tokens -= price;
+    if (this.#tokens < cost) return false;
+    this.#tokens -= cost;
     return true;
   }
 }
--- a/standins/direct/main.ts
+++ b/standins/direct/main.ts
@@ -3,7 +3,7 @@
 import { controlRoute, createControlServer } from '../common/control-server.js';
 import { ControlRequestError } from '../common/errors.js';
 import { readFlags } from '../common/flags.js';
-import { announce, exitWithParent, listen } from '../common/process.js';
+import { announcePorts, exitWithParent, listen } from '../common/process.js';
 import { DatabaseGroup, type PromotionEffect } from './group.js';
 import { Instance } from './instance.js';
 import { instanceFaultSettings } from './instance-faults.js';
@@ -174,7 +174,7 @@
 const storePort = await listen(store.server, host, 0);
 const promotionPort = await listen(promotionServer.server, host, 0);
 const controlPort = await listen(control, host, flags['control-port']);
-announce({
+announcePorts({
   service: 'direct',
   host,
   storePort,
--- a/standins/fault-proxy/main.ts
+++ b/standins/fault-proxy/main.ts
@@ -3,7 +3,7 @@
 import { controlRoute, createControlServer } from '../common/control-server.js';
 import { ControlRequestError } from '../common/errors.js';
 import { COMMON_FLAGS, hostFlag, portFlag, readFlags } from '../common/flags.js';
-import { announce, exitWithParent, listen } from '../common/process.js';
+import { announcePorts, exitWithParent, listen } from '../common/process.js';
 import { Route, type RouteState } from './route.js';
 import { delayTimers } from './scheduler.js';
 import {
@@ -101,4 +101,4 @@
 
 for (const definition of flags.route) await addRoute(definition);
 const controlPort = await listen(control, flags.host, flags['control-port']);
-announce({ service: 'fault-proxy', host: flags.host, controlPort, routes: allStates() });
+announcePorts({ service: 'fault-proxy', host: flags.host, controlPort, routes: allStates() });
--- a/standins/machines/main.ts
+++ b/standins/machines/main.ts
@@ -5,7 +5,7 @@
 import { controlRoute, createControlServer } from '../common/control-server.js';
 import { ControlRequestError } from '../common/errors.js';
 import { COMMON_FLAGS, hostFlag, portFlag, readFlags } from '../common/flags.js';
-import { announce, exitWithParent, listen } from '../common/process.js';
+import { announcePorts, exitWithParent, listen } from '../common/process.js';
 import { ServiceFaults, serviceFaultSettings } from '../common/service-faults.js';
 import { MachineList } from './machine-list.js';
 import { MachineListServer } from './server.js';
@@ -77,4 +77,4 @@
   })),
 ]);
 const controlPort = await listen(control, flags.host, flags['control-port']);
-announce({ service: 'machines', host: flags.host, port, controlPort });
+announcePorts({ service: 'machines', host: flags.host, port, controlPort });
--- a/standins/store/main.ts
+++ b/standins/store/main.ts
@@ -3,7 +3,7 @@
 import { z } from 'zod';
 import { controlRoute, createControlServer } from '../common/control-server.js';
 import { COMMON_FLAGS, hostFlag, portFlag, readFlags } from '../common/flags.js';
-import { announce, exitWithParent, listen } from '../common/process.js';
+import { announcePorts, exitWithParent, listen } from '../common/process.js';
 import { ServiceFaults } from '../common/service-faults.js';
 import { StoreEngine } from './engine.js';
 import { StoreFaults, storeFaultSettings } from './faults.js';
@@ -68,4 +68,4 @@
   })),
 ]);
 const controlPort = await listen(control, flags.host, flags['control-port']);
-announce({ service: 'store', host: flags.host, port, controlPort });
+announcePorts({ service: 'store', host: flags.host, port, controlPort });
--- a/test/unit/standin-flags.test.ts
+++ b/test/unit/standin-flags.test.ts
@@ -4,7 +4,7 @@
 import { InvalidFlagsError } from '../../standins/common/errors.js';
 import {
   COMMON_FLAGS,
-  helpText,
+  formatHelp,
   hostFlag,
   parseFlags,
   portFlag,
@@ -65,7 +65,7 @@
 });
 
 test('help names each flag', () => {
-  const help = helpText(program);
+  const help = formatHelp(program);
   for (const name of ['--host', '--port', '--route', '--help']) assert.match(help, name);
 });
 
