--- a/standins/fault-proxy/byte-stream.ts
+++ b/standins/fault-proxy/byte-stream.ts
@@ -1,6 +1,7 @@
 /**
- * One direction of one connection: carries bytes from a source socket to a destination, in order and
- * whole, delayed, throttled or held as the route's faults say. Without faults it is a plain write.
+ * One direction of one connection: forwards bytes from a source socket to a destination, in order
+ * and without loss, delayed, throttled or held back by the route's faults. Without faults it is a
+ * plain write.
  */
 import type { Socket } from 'node:net';
 import { performance } from 'node:perf_hooks';
@@ -8,10 +9,10 @@
 import type { DelayTimer } from './scheduler.js';
 import type { DirectionFaults } from './settings.js';
 
-/** Bytes kept in the proxy before it stops reading: what a network and two buffers would hold. */
-const MAX_HELD_BYTES = 1024 * 1024;
+/** Bytes buffered before the proxy stops reading: the capacity of a network and two socket buffers. */
+const MAX_BUFFERED_BYTES = 1024 * 1024;
 const MILLISECONDS_PER_SECOND = 1000;
-/** A throttled chunk is sent in pieces that last about this long. */
+/** A throttled chunk is sent in pieces, each of which takes about this time. */
 const THROTTLE_PIECE_MS = 10;
 
 interface DataItem {
@@ -20,26 +21,26 @@
   readonly dueAtMs: number;
 }
 
-interface LastItem {
+interface CloseItem {
   readonly type: 'end' | 'reset';
   readonly dueAtMs: number;
 }
 
-type Item = DataItem | LastItem;
+type StreamItem = DataItem | CloseItem;
 
-/** What a stream reports to its route. */
+/** Counter of a route that its streams increase. */
 export interface ByteCounter {
   bytes: number;
 }
 
 export class ByteStream {
-  #items: Item[] = [];
-  #heldBytes = 0;
-  /** Point before which a throttled stream sends nothing more. */
-  #sendableAtMs = 0;
-  #destinationFull = false;
-  #sourceOver = false;
-  #closed = false;
+  #items: StreamItem[] = [];
+  #bufferedBytes = 0;
+  /** Earliest time at which a throttled stream sends again. */
+  #nextSendAtMs = 0;
+  #isDestinationFull = false;
+  #isSourceEnded = false;
+  #isClosed = false;
 
   constructor(
     private readonly source: Socket,
@@ -49,75 +50,75 @@
     private readonly counter: ByteCounter,
     private readonly timer: DelayTimer,
   ) {
-    source.on('data', (bytes: Buffer) => this.#accept(bytes));
+    source.on('data', (bytes: Buffer) => this.#receive(bytes));
     source.on('end', () => this.#finish('end'));
     source.on('close', (hadError: boolean) => this.#finish(hadError ? 'reset' : 'end'));
     destination.on('drain', () => {
-      this.#destinationFull = false;
+      this.#isDestinationFull = false;
       this.flush();
     });
     destination.on('close', () => {
-      if (!this.#closed) this.close();
+      if (!this.#isClosed) this.close();
     });
   }
 
-  /** Ends the stream; what it holds is dropped, since there is no one left to take it. */
+  /** Ends the stream and drops buffered bytes, since the destination is closed. */
   close(): void {
     this.abandon();
     this.source.resume();
   }
 
-  /** Ends the stream and reads no more, as if the network behind had forgotten it. */
+  /** Ends the stream and stops reading, as if the network had lost the connection's state. */
   abandon(): void {
-    this.#closed = true;
+    this.#isClosed = true;
     this.timer.cancel();
     this.#items = [];
-    this.#heldBytes = 0;
+    this.#bufferedBytes = 0;
     this.source.pause();
   }
 
-  #accept(bytes: Buffer): void {
-    if (this.#closed) return;
+  #receive(bytes: Buffer): void {
+    if (this.#isClosed) return;
     this.counter.bytes += bytes.length;
     const faults = this.faults();
-    if (this.#items.length === 0 && isPlain(faults)) {
+    if (this.#items.length === 0 && hasNoFaults(faults)) {
       this.#write(bytes);
       this.#adjustReading();
       return;
     }
     this.#items.push({ type: 'data', bytes, dueAtMs: this.#dueAt(faults) });
-    this.#heldBytes += bytes.length;
+    this.#bufferedBytes += bytes.length;
     this.flush();
   }
 
-  /** A reset may follow an end, an end nothing. */
-  #finish(type: LastItem['type']): void {
-    if (this.#closed) return;
-    if (this.#sourceOver && type === 'end') return;
-    this.#sourceOver = true;
-    this.#pushLast(type);
+  /** A reset may follow an end; an end after an end or a reset is ignored. */
+  #finish(type: CloseItem['type']): void {
+    if (this.#isClosed) return;
+    if (this.#isSourceEnded && type === 'end') return;
+    this.#isSourceEnded = true;
+    this.#pushClose(type);
   }
 
-  #pushLast(type: LastItem['type']): void {
+  #pushClose(type: CloseItem['type']): void {
     this.#items.push({ type, dueAtMs: this.#dueAt(this.faults()) });
     this.flush();
   }
 
-  /** Jitter never reorders: items leave in the order they came, each when it is due. */
+  /** Jitter never reorders: items are sent in order of arrival, none before it is due. */
   #dueAt(faults: DirectionFaults): number {
     if (faults.latencyMs === 0 && faults.jitterMs === 0) return 0;
     const jitter = faults.jitterMs === 0 ? 0 : this.random()() * faults.jitterMs;
     return performance.now() + faults.latencyMs + jitter;
   }
 
-  /** Sends what may be sent now. Called when bytes come, time passes or the faults change. */
+  /** Sends what may be sent now. Called when bytes arrive, a timer fires or the faults change. */
   flush(): void {
     this.timer.cancel();
-    while (!this.#closed && !this.#destinationFull) {
+    while (!this.#isClosed && !this.#isDestinationFull) {
       const first = this.#items[0];
       const faults = this.faults();
       if (first === undefined || faults.cut) break;
-      const waitMs = this.#waitFor(first, faults) - performance.now();
+      const waitMs = this.#dueTimeOf(first, faults) - performance.now();
       if (!this.timer.isDue(waitMs)) {
         this.timer.schedule(waitMs, () => this.flush());
         break;
@@ -127,11 +128,11 @@
     this.#adjustReading();
   }
 
-  #waitFor(item: Item, faults: DirectionFaults): number {
-    return faults.bytesPerSecond > 0 ? Math.max(item.dueAtMs, this.#sendableAtMs) : item.dueAtMs;
+  #dueTimeOf(item: StreamItem, faults: DirectionFaults): number {
+    return faults.bytesPerSecond > 0 ? Math.max(item.dueAtMs, this.#nextSendAtMs) : item.dueAtMs;
   }
 
-  #sendFirst(item: Item, faults: DirectionFaults): void {
+  #sendFirst(item: StreamItem, faults: DirectionFaults): void {
     this.#items.shift();
     if (item.type === 'data') this.#sendData(item, faults);
     else if (item.type === 'end') this.destination.end();
@@ -139,39 +140,39 @@
   }
 
   #sendData(item: DataItem, faults: DirectionFaults): void {
-    const piece = item.bytes.subarray(0, pieceBytes(faults, item.bytes.length));
+    const piece = item.bytes.subarray(0, nextPieceBytes(faults, item.bytes.length));
     const rest = item.bytes.subarray(piece.length);
     if (rest.length > 0) this.#items.unshift({ ...item, bytes: rest });
-    this.#heldBytes -= piece.length;
-    this.#pace(piece.length, faults);
+    this.#bufferedBytes -= piece.length;
+    this.#delayNextSend(piece.length, faults);
     this.#write(piece);
   }
 
-  #pace(sentBytes: number, faults: DirectionFaults): void {
+  #delayNextSend(sentBytes: number, faults: DirectionFaults): void {
     if (faults.bytesPerSecond === 0) return;
-    const start = Math.max(this.#sendableAtMs, performance.now());
-    this.#sendableAtMs = start + (sentBytes / faults.bytesPerSecond) * MILLISECONDS_PER_SECOND;
+    const start = Math.max(this.#nextSendAtMs, performance.now());
+    this.#nextSendAtMs = start + (sentBytes / faults.bytesPerSecond) * MILLISECONDS_PER_SECOND;
   }
 
   #write(bytes: Buffer): void {
     if (this.destination.destroyed || this.destination.writableEnded) return;
-    if (!this.destination.write(bytes)) this.#destinationFull = true;
+    if (!this.destination.write(bytes)) this.#isDestinationFull = true;
   }
 
   #adjustReading(): void {
-    if (this.#closed) return;
-    if (this.#destinationFull || this.#heldBytes >= MAX_HELD_BYTES) this.source.pause();
+    if (this.#isClosed) return;
+    if (this.#isDestinationFull || this.#bufferedBytes >= MAX_BUFFERED_BYTES) this.source.pause();
     else if (this.source.isPaused()) this.source.resume();
   }
 }
 
-function isPlain(faults: DirectionFaults): boolean {
+function hasNoFaults(faults: DirectionFaults): boolean {
   return (
     !faults.cut && faults.latencyMs === 0 && faults.jitterMs === 0 && faults.bytesPerSecond === 0
   );
 }
 
-function pieceBytes(faults: DirectionFaults, available: number): number {
+function nextPieceBytes(faults: DirectionFaults, available: number): number {
   if (faults.bytesPerSecond === 0) return available;
   const piece = (faults.bytesPerSecond * THROTTLE_PIECE_MS) / MILLISECONDS_PER_SECOND;
   return Math.max(1, Math.min(available, Math.floor(piece)));
--- a/standins/fault-proxy/connection.ts
+++ b/standins/fault-proxy/connection.ts
@@ -1,4 +1,4 @@
-/** One connection through the fault proxy: two sockets and a byte stream each way. */
+/** One connection through the fault proxy: two sockets and a byte stream in each direction. */
 import { Socket } from 'node:net';
 import type { RandomSource } from '../common/random.js';
 import { type ByteCounter, ByteStream } from './byte-stream.js';
@@ -7,7 +7,7 @@
 
 export type Side = 'client' | 'target';
 
-/** What a connection needs of its route. */
+/** Data and functions that a connection uses from its route. */
 export interface ConnectionContext {
   readonly targetHost: string;
   readonly targetPort: number;
@@ -23,8 +23,8 @@
   readonly #target = new Socket({ allowHalfOpen: true });
   readonly #up: ByteStream;
   readonly #down: ByteStream;
-  #dialed = false;
-  #halfOpen = false;
+  #isDialed = false;
+  #isHalfOpen = false;
   #openSockets = 2;
 
   constructor(
@@ -39,13 +39,13 @@
     };
     this.#up = stream(client, this.#target, 'up');
     this.#down = stream(this.#target, client, 'down');
-    for (const socket of [client, this.#target]) this.#watch(socket);
-    this.faultsChanged();
+    for (const socket of [client, this.#target]) this.#watchSocket(socket);
+    this.handleFaultsChanged();
   }
 
-  #watch(socket: Socket): void {
+  #watchSocket(socket: Socket): void {
     socket.setNoDelay(true);
-    // The stream learns of a failure by `close`; node demands a listener for `error` too.
+    // The stream handles a failure at `close`; without a listener for `error` Node would throw it.
     socket.on('error', () => {});
     socket.on('close', () => {
       this.#openSockets -= 1;
@@ -53,38 +53,38 @@
     });
   }
 
-  /** Lets bytes flow as the faults now say. A connection is not opened through a cut. */
-  faultsChanged(): void {
-    const cut = this.context.faults('up').cut || this.context.faults('down').cut;
-    if (!this.#dialed && !cut) this.#dial();
+  /** Applies the current faults. The target is not dialed while either direction is cut. */
+  handleFaultsChanged(): void {
+    const isCut = this.context.faults('up').cut || this.context.faults('down').cut;
+    if (!this.#isDialed && !isCut) this.#dial();
     this.#up.flush();
     this.#down.flush();
   }
 
   #dial(): void {
-    this.#dialed = true;
-    const failed = (): void => this.context.onDialFailed();
-    this.#target.once('error', failed);
-    this.#target.once('connect', () => this.#target.off('error', failed));
+    this.#isDialed = true;
+    const handleDialFailure = (): void => this.context.onDialFailed();
+    this.#target.once('error', handleDialFailure);
+    this.#target.once('connect', () => this.#target.off('error', handleDialFailure));
     this.#target.connect({ host: this.context.targetHost, port: this.context.targetPort });
   }
 
-  /** Closes one side; the other is not told, and what it sends goes nowhere. */
-  halfOpen(closedSide: Side): void {
-    if (this.#halfOpen) return;
-    this.#halfOpen = true;
+  /** Closes one side without notifying the other, whose data is no longer read. */
+  makeHalfOpen(closedSide: Side): void {
+    if (this.#isHalfOpen) return;
+    this.#isHalfOpen = true;
     this.#up.abandon();
     this.#down.abandon();
     const closed = closedSide === 'client' ? this.client : this.#target;
     closed.destroy();
   }
 
-  /** After a half-open fault, the side that was not told gets its reset now. */
+  /** Ends a half-open fault: resets the side that is still open. */
   heal(): void {
-    if (this.#halfOpen) this.reset();
+    if (this.#isHalfOpen) this.reset();
   }
 
-  /** Resets both sides at once. */
+  /** Resets both sides. */
   reset(): void {
     for (const socket of [this.client, this.#target]) {
       if (socket.connecting) socket.destroy();
--- a/standins/fault-proxy/main.ts
+++ b/standins/fault-proxy/main.ts
@@ -5,7 +5,7 @@
 import { COMMON_FLAGS, hostFlag, portFlag, readFlags } from '../common/flags.js';
 import { announcePorts, exitWithParent, listen } from '../common/process.js';
 import { Route, type RouteState } from './route.js';
-import { delayTimers } from './scheduler.js';
+import { delayTimerFactory } from './scheduler.js';
 import {
   type RouteDefinition,
   routeDefinition,
@@ -16,18 +16,18 @@
 const flags = readFlags(
   {
     name: 'fault-proxy',
-    summary: 'TCP proxy that injects faults, nothing that TCP itself would not do',
+    summary: 'TCP proxy that injects faults, only such as can occur with TCP',
     flags: {
       host: COMMON_FLAGS.host,
       'control-port': COMMON_FLAGS['control-port'],
       route: {
         placeholder: 'ROUTE',
-        text: 'name=listenHost:port->targetHost:port; listen port 0 chooses a free one',
+        text: 'name=listenHost:port->targetHost:port; listen port 0 selects a free port',
         multiple: true,
       },
       timing: {
         placeholder: 'KIND',
-        text: 'coarse, or precise: below a millisecond, for up to a core (coarse)',
+        text: 'coarse, or precise: below a millisecond, uses up to one CPU core (coarse)',
       },
     },
     examples: [
@@ -44,7 +44,7 @@
 );
 
 exitWithParent();
-const newTimer = delayTimers(flags.timing === 'precise');
+const newTimer = delayTimerFactory(flags.timing === 'precise');
 const routes = new Map<string, Route>();
 
 async function addRoute(definition: RouteDefinition): Promise<RouteState> {
@@ -70,14 +70,14 @@
   return [...routes.values()].map((route) => route.state());
 }
 
-const nothing = z.object({});
-const closedSide = z.object({ closedSide: z.enum(['client', 'target']) });
+const emptyBody = z.object({});
+const halfOpenBody = z.object({ closedSide: z.enum(['client', 'target']) });
 
 const control = createControlServer([
   controlRoute('POST', '/routes', routeDefinition, addRoute),
-  controlRoute('GET', '/routes', nothing, () => ({ routes: allStates() })),
-  controlRoute('GET', '/routes/:name', nothing, (_body, { name }) => requireRoute(name).state()),
-  controlRoute('DELETE', '/routes/:name', nothing, (_body, { name = '' }) => {
+  controlRoute('GET', '/routes', emptyBody, () => ({ routes: allStates() })),
+  controlRoute('GET', '/routes/:name', emptyBody, (_body, { name }) => requireRoute(name).state()),
+  controlRoute('DELETE', '/routes/:name', emptyBody, (_body, { name = '' }) => {
     requireRoute(name).close();
     routes.delete(name);
   }),
@@ -86,15 +86,15 @@
     await route.apply(body);
     return route.state();
   }),
-  controlRoute('POST', '/routes/:name/heal', nothing, async (_body, { name }) => {
+  controlRoute('POST', '/routes/:name/heal', emptyBody, async (_body, { name }) => {
     const route = requireRoute(name);
     await route.heal();
     return route.state();
   }),
-  controlRoute('POST', '/routes/:name/reset', nothing, (_body, { name }) => ({
+  controlRoute('POST', '/routes/:name/reset', emptyBody, (_body, { name }) => ({
     connections: requireRoute(name).resetConnections(),
   })),
-  controlRoute('POST', '/routes/:name/half-open', closedSide, (body, { name }) => ({
+  controlRoute('POST', '/routes/:name/half-open', halfOpenBody, (body, { name }) => ({
     connections: requireRoute(name).halfOpenConnections(body.closedSide),
   })),
 ]);
--- a/standins/fault-proxy/route.ts
+++ b/standins/fault-proxy/route.ts
@@ -13,10 +13,10 @@
 } from './settings.js';
 
 const DEFAULT_SEED = 1;
-/** Read size for the sockets of clients; larger writes mean fewer system calls. */
+/** Read buffer size of client sockets; larger reads and writes need fewer system calls. */
 const SOCKET_BUFFER_BYTES = 256 * 1024;
 
-/** What a route has carried so far. */
+/** Counters of a route since it was opened. */
 export interface RouteCounters {
   readonly connectionsAccepted: number;
   readonly connectionsOpen: number;
@@ -25,7 +25,7 @@
   readonly bytesDown: number;
 }
 
-/** A route as the control port shows it. */
+/** State of a route, as reported by the control port. */
 export interface RouteState {
   readonly name: string;
   readonly listenHost: string;
@@ -43,10 +43,10 @@
   readonly #counters = { up: { bytes: 0 }, down: { bytes: 0 } };
   #faults: Record<Direction, DirectionFaults> = { up: NO_FAULTS, down: NO_FAULTS };
   #random: RandomSource = seededRandom(DEFAULT_SEED);
-  #refuse = false;
+  #isRefusing = false;
   #port = 0;
-  #accepted = 0;
-  #dialsFailed = 0;
+  #acceptedCount = 0;
+  #failedDialCount = 0;
 
   constructor(
     private readonly definition: RouteDefinition,
@@ -60,62 +60,62 @@
       newTimer,
       counters: this.#counters,
       onDialFailed: () => {
-        this.#dialsFailed += 1;
+        this.#failedDialCount += 1;
       },
       onClosed: (connection) => this.#connections.delete(connection),
     };
     const options = { allowHalfOpen: true, highWaterMark: SOCKET_BUFFER_BYTES };
     this.#server = createServer(options, (client) => {
-      this.#accepted += 1;
+      this.#acceptedCount += 1;
       this.#connections.add(new ProxiedConnection(client, context));
     });
   }
 
-  /** Listens and gives the port. */
+  /** Listens and returns the port. */
   async open(): Promise<number> {
     const { listenHost, listenPort } = this.definition;
     this.#port = await listen(this.#server, listenHost, listenPort);
     return this.#port;
   }
 
-  /** Changes some faults of this route; bytes that may flow now do so at once. */
+  /** Changes some faults of this route; bytes that are no longer held back are sent immediately. */
   async apply(settings: RouteFaultSettings): Promise<void> {
     if (settings.seed !== undefined) this.#random = seededRandom(settings.seed);
     this.#faults = {
-      up: merge(this.#faults.up, settings.up),
-      down: merge(this.#faults.down, settings.down),
+      up: mergeFaults(this.#faults.up, settings.up),
+      down: mergeFaults(this.#faults.down, settings.down),
     };
     if (settings.refuse !== undefined) await this.#setRefuse(settings.refuse);
-    for (const connection of this.#connections) connection.faultsChanged();
+    for (const connection of this.#connections) connection.handleFaultsChanged();
   }
 
   async #setRefuse(refuse: boolean): Promise<void> {
-    if (refuse === this.#refuse) return;
-    this.#refuse = refuse;
+    if (refuse === this.#isRefusing) return;
+    this.#isRefusing = refuse;
     if (refuse) this.#server.close();
     else await listenAgain(this.#server, this.definition.listenHost, this.#port);
   }
 
-  /** Takes all faults away; held bytes flow on in order. */
+  /** Removes all faults; held bytes are sent in order. */
   async heal(): Promise<void> {
     for (const connection of this.#connections) connection.heal();
     await this.apply({ up: NO_FAULTS, down: NO_FAULTS, refuse: false });
   }
 
-  /** Resets every open connection; gives their number. */
+  /** Resets every open connection; returns their number. */
   resetConnections(): number {
     const connections = [...this.#connections];
     for (const connection of connections) connection.reset();
     return connections.length;
   }
 
-  /** Closes one side of every open connection and does not tell the other; gives their number. */
+  /** Closes one side of every open connection without notifying the other; returns their number. */
   halfOpenConnections(closedSide: Side): number {
-    for (const connection of this.#connections) connection.halfOpen(closedSide);
+    for (const connection of this.#connections) connection.makeHalfOpen(closedSide);
     return this.#connections.size;
   }
 
-  /** Ends the route and its connections. */
+  /** Closes the listener and resets the connections. */
   close(): void {
     if (this.#server.listening) this.#server.close();
     this.resetConnections();
@@ -129,12 +129,12 @@
       listenPort: this.#port,
       targetHost,
       targetPort,
-      refuse: this.#refuse,
+      refuse: this.#isRefusing,
       faults: this.#faults,
       counters: {
-        connectionsAccepted: this.#accepted,
+        connectionsAccepted: this.#acceptedCount,
         connectionsOpen: this.#connections.size,
-        dialsFailed: this.#dialsFailed,
+        dialsFailed: this.#failedDialCount,
         bytesUp: this.#counters.up.bytes,
         bytesDown: this.#counters.down.bytes,
       },
@@ -142,7 +142,7 @@
   }
 }
 
-function merge(faults: DirectionFaults, settings: RouteFaultSettings['up']): DirectionFaults {
+function mergeFaults(faults: DirectionFaults, settings: RouteFaultSettings['up']): DirectionFaults {
   return {
     latencyMs: settings?.latencyMs ?? faults.latencyMs,
     jitterMs: settings?.jitterMs ?? faults.jitterMs,
--- a/standins/fault-proxy/scheduler.ts
+++ b/standins/fault-proxy/scheduler.ts
@@ -1,20 +1,20 @@
 /**
- * Timers for delayed bytes. Node's timers have a resolution of a millisecond and fire late; the
- * precise scheduler therefore spends the last stretch in turns of the event loop, which occupies up
- * to one core while bytes wait.
+ * Timers for delayed bytes. Node's timers have a resolution of a millisecond and fire late. The
+ * precise timer therefore polls with `setImmediate` before the due time, which uses up to one CPU
+ * core while bytes wait.
  */
 import { performance } from 'node:perf_hooks';
 
-/** A timer fires up to a millisecond late; sending nearly half of that early evens the error out. */
+/** A timer fires up to a millisecond late; sending up to nearly half of that early offsets the error. */
 const COARSE_TOLERANCE_MS = 0.4;
-/** The last stretch, which the precise scheduler spends in turns of the event loop. */
-const PRECISE_STRETCH_MS = 2;
+/** Time before the due time in which the precise timer polls. */
+const IMMEDIATE_POLLING_MS = 2;
 
 /** One pending call at a time. */
 export interface DelayTimer {
-  /** True if something due after `waitMs` may as well be done now. */
+  /** True if an action due in `waitMs` may be done now. */
   isDue(waitMs: number): boolean;
-  /** Calls back after about `waitMs`, to ask `isDue` again; replaces a pending call. */
+  /** Calls back after about `waitMs`, when `isDue` must be checked again; replaces a pending call. */
   schedule(waitMs: number, callback: () => void): void;
   cancel(): void;
 }
@@ -47,12 +47,12 @@
   schedule(waitMs: number, callback: () => void): void {
     this.cancel();
     const dueAtMs = performance.now() + waitMs;
-    const turn = (): void => {
+    const poll = (): void => {
       if (performance.now() >= dueAtMs) callback();
-      else this.#immediate = setImmediate(turn);
+      else this.#immediate = setImmediate(poll);
     };
-    if (waitMs <= PRECISE_STRETCH_MS) this.#immediate = setImmediate(turn);
-    else this.#timeout = setTimeout(turn, waitMs - PRECISE_STRETCH_MS);
+    if (waitMs <= IMMEDIATE_POLLING_MS) this.#immediate = setImmediate(poll);
+    else this.#timeout = setTimeout(poll, waitMs - IMMEDIATE_POLLING_MS);
   }
 
   cancel(): void {
@@ -61,9 +61,9 @@
   }
 }
 
-/** Makes timers of one kind. */
+/** Creates timers of one kind. */
 export type DelayTimerFactory = () => DelayTimer;
 
-export function delayTimers(precise: boolean): DelayTimerFactory {
-  return precise ? () => new PreciseTimer() : () => new CoarseTimer();
+export function delayTimerFactory(isPrecise: boolean): DelayTimerFactory {
+  return isPrecise ? () => new PreciseTimer() : () => new CoarseTimer();
 }
--- a/standins/fault-proxy/settings.ts
+++ b/standins/fault-proxy/settings.ts
@@ -1,19 +1,19 @@
-/** What a route of the fault proxy does to the bytes it carries. */
+/** Definition and fault settings of a route of the fault proxy. */
 import { z } from 'zod';
 
-/** Bytes flow from client to target (`up`) and back (`down`). */
+/** `up`: from client to target; `down`: from target to client. */
 export const DIRECTIONS = ['up', 'down'] as const;
 export type Direction = (typeof DIRECTIONS)[number];
 
 /** Faults of one direction. */
 export interface DirectionFaults {
-  /** Added delay each way, in milliseconds. */
+  /** Added delay in this direction, in milliseconds. */
   readonly latencyMs: number;
-  /** Greatest further delay, drawn evenly, in milliseconds; order is kept. */
+  /** Maximum further delay, uniformly distributed, in milliseconds; order is kept. */
   readonly jitterMs: number;
-  /** Bytes a second over one connection; 0 is no limit. */
+  /** Bytes per second over one connection; 0 means no limit. */
   readonly bytesPerSecond: number;
-  /** A black hole: bytes, ends and resets are held until healed. */
+  /** A black hole: bytes, ends and resets are held back until the fault is removed. */
   readonly cut: boolean;
 }
 
@@ -35,14 +35,14 @@
 export const routeFaultSettings = z.strictObject({
   up: directionSettings.optional(),
   down: directionSettings.optional(),
-  /** New connections are refused; those that are open go on. */
+  /** New connections are refused; open ones continue. */
   refuse: z.boolean().optional(),
-  /** Seed of the jitter, a 32-bit integer. */
+  /** Seed of the random jitter, a 32-bit integer. */
   seed: z.int().optional(),
 });
 export type RouteFaultSettings = z.infer<typeof routeFaultSettings>;
 
-/** One route: where it listens and where it leads. */
+/** One route: its listen and target addresses. */
 export const routeDefinition = z.object({
   name: z.string().min(1),
   listenHost: z.string().min(1).default('127.0.0.1'),
@@ -51,12 +51,12 @@
   targetPort: z.int().min(1).max(65_535),
 });
 export type RouteDefinition = z.infer<typeof routeDefinition>;
-/** A route as a caller writes it, defaults left out. */
+/** A route as given in a request, with defaults omitted. */
 export type RouteRequest = z.input<typeof routeDefinition>;
 
 const ROUTE_PATTERN = /^([^=]+)=([^:]+):(\d+)->([^:]+):(\d+)$/;
 
-/** The flag form of a route: `name=listenHost:port->targetHost:port`. */
+/** A route as a flag value: `name=listenHost:port->targetHost:port`. */
 export const routeFlag = z
   .string()
   .regex(ROUTE_PATTERN, 'expected name=listenHost:port->targetHost:port')
