--- a/standins/database/control/server.ts
+++ b/standins/database/control/server.ts
@@ -1,4 +1,4 @@
-/** Control port: HTTP with JSON, for harnesses that drive faults and check outcomes. */
+/** Control server: HTTP with JSON, for harnesses that inject faults and check outcomes. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { z } from 'zod';
 import { parseLsn } from '../../../src/core/position.js';
@@ -6,7 +6,7 @@
 import type { DatabaseInstance } from '../instance.js';
 import { PeerAddressSchema } from '../options.js';
 
-const BODY_MAX_BYTES = 1024 * 1024;
+const MAX_BODY_BYTES = 1024 * 1024;
 const PeersSchema = z.object({ peers: z.array(PeerAddressSchema) });
 
 type Handler = (instance: DatabaseInstance, url: URL, body: unknown) => Promise<unknown> | unknown;
@@ -39,7 +39,7 @@
   return {};
 }
 
-/** `from`: a pg_lsn text; entries after it. */
+/** Returns the log entries after `from`, a `pg_lsn` text, and the discarded entries. */
 function readLog(instance: DatabaseInstance, url: URL): unknown {
   const from = parseLsn(url.searchParams.get('from') ?? '0/0').unwrapOr(0n);
   const { allEntries, discarded } = instance.member.log;
@@ -48,11 +48,11 @@
 
 export function createControlServer(instance: DatabaseInstance): Server {
   return createServer((request, response) => {
-    void answer(instance, request, response);
+    void handleRequest(instance, request, response);
   });
 }
 
-async function answer(
+async function handleRequest(
   instance: DatabaseInstance,
   request: IncomingMessage,
   response: ServerResponse,
@@ -74,13 +74,13 @@
   let size = 0;
   for await (const chunk of request as AsyncIterable<Buffer>) {
     size += chunk.length;
-    if (size <= BODY_MAX_BYTES) chunks.push(chunk);
+    if (size <= MAX_BODY_BYTES) chunks.push(chunk);
   }
   return Buffer.concat(chunks).toString('utf8');
 }
 
 function send(response: ServerResponse, status: number, body: unknown): void {
-  // Harnesses may block between two requests: no connection is kept for them.
+  // A harness may block between two requests, so connections aren't kept alive.
   response.writeHead(status, { 'content-type': 'application/json', connection: 'close' });
   response.end(JSON.stringify(body));
 }
--- a/standins/database/errors.ts
+++ b/standins/database/errors.ts
@@ -1,7 +1,7 @@
-/** Errors of the PostgreSQL stand-in, as its clients see them: an SQLSTATE and a message. */
+/** Errors that the PostgreSQL stand-in sends to clients: an SQLSTATE and a message. */
 import { MeadowstackError } from '../../src/core/errors.js';
 
-/** SQLSTATEs the stand-in reports, named as in PostgreSQL's appendix A. */
+/** SQLSTATEs that the stand-in reports, named as in appendix A of PostgreSQL's manual. */
 export const ServerSqlState = {
   ACTIVE_SQL_TRANSACTION: '25001',
   ADMIN_SHUTDOWN: '57P01',
@@ -37,7 +37,7 @@
 
 export type ServerSqlStateCode = (typeof ServerSqlState)[keyof typeof ServerSqlState];
 
-/** Sent to the client as an ErrorResponse of severity ERROR (or FATAL when `fatal`). */
+/** Sent to the client as an ErrorResponse of severity ERROR, or FATAL if it ends the connection. */
 export class ServerError extends MeadowstackError {
   readonly code = 'MS-STANDIN-SERVER';
 
@@ -50,8 +50,8 @@
   }
 }
 
-/** A construct that the stand-in's SQL subset leaves out. */
-export function unsupported(feature: string): ServerError {
+/** Error for a construct that is not part of the stand-in's SQL subset. */
+export function unsupportedError(feature: string): ServerError {
   return new ServerError(
     ServerSqlState.FEATURE_NOT_SUPPORTED,
     `the stand-in does not support ${feature}`,
--- a/standins/database/faults.ts
+++ b/standins/database/faults.ts
@@ -1,4 +1,4 @@
-/** Faults that the control port sets while the process runs. */
+/** Faults that can be set through the control port while the process runs. */
 import { z } from 'zod';
 
 const CutSchema = z.union([
@@ -6,12 +6,12 @@
   z.object({ name: z.string(), direction: z.enum(['in', 'out', 'both']) }),
 ]);
 
-/** Body of `POST /faults`; fields that are left out stay as they are. */
+/** Body of `POST /faults`. Absent fields stay as they are. */
 export const FaultChangeSchema = z
   .object({
     /** Delay between receiving and replaying a commit. */
     replayLagMs: z.number().min(0),
-    /** The replica takes in no commits, though it hears heartbeats. */
+    /** The replica receives no commits, although it receives heartbeats. */
     receiveStall: z.boolean(),
     /** Replication traffic with these instances is dropped. */
     cutPeers: z.array(CutSchema),
@@ -19,20 +19,20 @@
     refuseConnections: z.boolean(),
     connectionDelayMs: z.number().min(0),
     statementMs: z.number().min(0),
-    /** So many next commits take effect, then the connection is destroyed before the answer. */
+    /** Number of next commits that take effect but destroy the connection before the response. */
     crashAfterCommit: z.number().int().min(0),
-    /** So many next commits are rolled back and the connection is destroyed. */
+    /** Number of next commits that are rolled back and destroy the connection. */
     crashBeforeCommit: z.number().int().min(0),
   })
   .partial()
   .strict();
 
-/** As a harness writes it: a bare name in `cutPeers` cuts both ways. */
+/** Input form: a plain name in `cutPeers` cuts both directions. */
 export type FaultRequest = z.input<typeof FaultChangeSchema>;
 export type FaultChange = z.infer<typeof FaultChangeSchema>;
 export type Faults = Required<FaultChange>;
 
-export function initialFaults(connectionDelayMs: number, statementMs: number): Faults {
+export function createInitialFaults(connectionDelayMs: number, statementMs: number): Faults {
   return {
     replayLagMs: 0,
     receiveStall: false,
--- a/standins/database/instance.ts
+++ b/standins/database/instance.ts
@@ -1,15 +1,15 @@
-/** The instance as a whole: ties storage, replication and client connections together. */
+/** A database instance: connects storage, replication and client connections. */
 import { createServer, type Server, type Socket } from 'node:net';
 import type { SecureContext } from 'node:tls';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { formatLsn } from '../../src/core/position.js';
 import { ServerError, ServerSqlState } from './errors.js';
-import { type FaultChange, type Faults, initialFaults, isCut } from './faults.js';
+import { createInitialFaults, type FaultChange, type Faults, isCut } from './faults.js';
 import type { DatabaseOptions, PeerAddress } from './options.js';
 import { PeerLinks } from './replication/links.js';
 import { Member } from './replication/member.js';
+import { PlanCache } from './session/plan-cache.js';
 import type { SessionHost } from './session/session.js';
-import { PlanCache } from './session/statement-cache.js';
 import { Slots } from './slots.js';
 import { Catalog } from './storage/catalog.js';
 import type { Transaction } from './storage/transaction.js';
@@ -18,7 +18,7 @@
 
 const RANDOM_RANGE = 2 ** 32;
 
-/** Answer of `GET /state`; positions are `pg_lsn` texts. */
+/** Response of `GET /state`; positions are `pg_lsn` texts. */
 export interface InstanceState {
   readonly name: string;
   readonly group: string;
@@ -36,9 +36,9 @@
   readonly slotsInUse: number;
   readonly queuedStatements: number;
   readonly statementsExecuted: number;
-  /** Answers that clients have not read yet, as far as this process holds them. */
+  /** Size of the responses in this process that clients have not read yet. */
   readonly bufferedOutputBytes: number;
-  /** The same by the role that logged in; probes have one of their own. */
+  /** `statementsExecuted` by login role; probes use a role of their own. */
   readonly statementsByRole: Readonly<Record<string, number>>;
   readonly connectionsAccepted: number;
   readonly connectionsRefused: number;
@@ -71,7 +71,7 @@
     private readonly options: DatabaseOptions,
     secureContext: SecureContext | undefined,
   ) {
-    this.faults = initialFaults(options['connection-delay-ms'], options['statement-ms']);
+    this.faults = createInitialFaults(options['connection-delay-ms'], options['statement-ms']);
     this.slots = new Slots(options.slots);
     this.links = new PeerLinks({
       host: options.host,
@@ -97,7 +97,7 @@
       broadcast: (message) => links.broadcast(message),
       groupSize: () => links.peers.length + 1,
       replayLagMs: () => this.faults.replayLagMs,
-      receiveStall: () => this.faults.receiveStall,
+      isReceiveStalled: () => this.faults.receiveStall,
       terminateSessions: (reason) => this.terminateSessions(reason),
     });
   }
@@ -118,7 +118,7 @@
       },
       secureContext,
       verifier,
-      refuseRole: (role) => (mayLogIn(role) ? undefined : unknownRole(role)),
+      checkRole: (role) => (mayLogIn(role) ? undefined : unknownRoleError(role)),
       connectionDelayMs: () => this.faults.connectionDelayMs,
       register: (connection) => this.register(connection),
       unregister: (connection) => this.connections.delete(connection.processId),
@@ -163,7 +163,7 @@
       this.catalog.rollback(transaction);
       throw new ConnectionCrashSignal();
     }
-    const keys = this.catalog.describe(changes);
+    const keys = this.catalog.describeChanges(changes);
     this.catalog.commit(transaction);
     this.member.commit(changes, keys);
     if (this.faults.crashAfterCommit > 0) {
@@ -259,7 +259,7 @@
   }
 }
 
-function unknownRole(role: string): ServerError {
+function unknownRoleError(role: string): ServerError {
   return new ServerError(
     ServerSqlState.INVALID_PASSWORD,
     `password authentication failed for user "${role}"`,
--- a/standins/database/main.ts
+++ b/standins/database/main.ts
@@ -4,7 +4,7 @@
 import { createSecureContext, type SecureContext } from 'node:tls';
 import { createControlServer } from './control/server.js';
 import { DatabaseInstance } from './instance.js';
-import { type DatabaseOptions, parsePeers, readOptions } from './options.js';
+import { type DatabaseOptions, parseOptions, parsePeers } from './options.js';
 
 /** First line of standard output. */
 export interface BoundPorts {
@@ -17,7 +17,7 @@
 }
 
 async function main(): Promise<void> {
-  const options = readOptions(process.argv.slice(2));
+  const options = parseOptions(process.argv.slice(2));
   if (options === undefined) return;
   if (options['exit-with-stdin']) exitWithStandardInput();
   const instance = new DatabaseInstance(options, loadTls(options));
@@ -44,7 +44,7 @@
   });
 }
 
-/** The harness holds the other end: when it dies, in whatever way, this process ends too. */
+/** Exits when the harness ends in any way, since that closes the other end of stdin. */
 function exitWithStandardInput(): void {
   process.stdin.resume();
   process.stdin.on('end', () => process.exit(0));
--- a/standins/database/options.ts
+++ b/standins/database/options.ts
@@ -1,4 +1,4 @@
-/** Command line of the stand-in. */
+/** Command line of the database stand-in. */
 import { parseArgs } from 'node:util';
 import { z } from 'zod';
 
@@ -12,13 +12,13 @@
   --control-port N         HTTP control port                      [0]
   --replication-port N     port for the other instances           [0]
   --peers LIST             name=host:replicationPort,...; or POST /peers
-  --slots N                statements that run at once            [5]
-  --max-connections N      beyond: 53300                          [60]
+  --slots N                statements that run concurrently       [5]
+  --max-connections N      further ones are refused with 53300    [60]
   --connection-delay-ms N  delay before AuthenticationOk          [0]
   --statement-ms N         service time of a statement            [0]
-  --election-timeout-ms N  silence before an election             [300]
+  --election-timeout-ms N  time without heartbeat before election [300]
   --heartbeat-ms N         interval of the primary's heartbeats   [50]
-  --initial-primary NAME   instance that leads timeline 1 from the start
+  --initial-primary NAME   instance that is primary of timeline 1 without election
   --seed N                 seed of the election's random timeouts [1]
   --user LIST              roles that may log in; empty = any
   --password TEXT          SCRAM-SHA-256 password; empty = trust
@@ -26,23 +26,23 @@
   --exit-with-stdin        exit when standard input closes
 `;
 
-const wholeNumber = z.coerce.number().int().min(0);
+const nonNegativeInteger = z.coerce.number().int().min(0);
 
 const OptionsSchema = z.object({
   name: z.string().min(1),
   group: z.string().default('group'),
   zone: z.string().default('zone'),
   host: z.string().default('127.0.0.1'),
-  port: wholeNumber.default(0),
-  'control-port': wholeNumber.default(0),
-  'replication-port': wholeNumber.default(0),
+  port: nonNegativeInteger.default(0),
+  'control-port': nonNegativeInteger.default(0),
+  'replication-port': nonNegativeInteger.default(0),
   peers: z.string().default(''),
-  slots: wholeNumber.min(1).default(5),
-  'max-connections': wholeNumber.min(1).default(60),
-  'connection-delay-ms': wholeNumber.default(0),
+  slots: nonNegativeInteger.min(1).default(5),
+  'max-connections': nonNegativeInteger.min(1).default(60),
+  'connection-delay-ms': nonNegativeInteger.default(0),
   'statement-ms': z.coerce.number().min(0).default(0),
-  'election-timeout-ms': wholeNumber.min(20).default(300),
-  'heartbeat-ms': wholeNumber.min(5).default(50),
+  'election-timeout-ms': nonNegativeInteger.min(20).default(300),
+  'heartbeat-ms': nonNegativeInteger.min(5).default(50),
   'initial-primary': z.string().optional(),
   seed: z.coerce.number().int().default(1),
   user: z.string().default(''),
@@ -62,8 +62,8 @@
 
 const FLAG_NAMES = Object.keys(OptionsSchema.shape);
 
-/** Reads the flags; undefined after printing the help. Throws ZodError or TypeError. */
-export function readOptions(args: readonly string[]): DatabaseOptions | undefined {
+/** Parses the flags; undefined after `--help`. @throws ZodError or TypeError if a flag is invalid. */
+export function parseOptions(args: readonly string[]): DatabaseOptions | undefined {
   const options = Object.fromEntries(
     FLAG_NAMES.map((name) => [name, { type: flagType(name) }] as const),
   );
--- a/standins/database/replication/election.ts
+++ b/standins/database/replication/election.ts
@@ -1,15 +1,16 @@
 /**
- * Election of a group's primary by majority vote. Decisions only: no I/O and no timers; time and
- * randomness are given. A voter refuses a candidate whose log is behind its own, and after a vote
- * accepts no primary of an older timeline.
+ * Election of a group's primary by majority vote. No I/O and no timers; the caller passes time and
+ * randomness. A voter rejects a candidate whose log is behind its own, and after a vote accepts no
+ * primary of an older timeline.
  */
 import type { PeerMessage, Vote, VoteRequest } from './messages.js';
 
 export interface ElectionOptions {
   readonly name: string;
   /**
-   * One member leads the first timeline without a vote: whoever is elected leads a later one, so that the other gives
-   * way. Where all were started anew without their data nobody does.
+   * One member is the primary of the first timeline without a vote. An elected primary then takes a
+   * later timeline, so that the initial one gives way to it. False if no member may do so, because
+   * all were restarted without their data.
    */
   readonly hasInitialPrimary?: boolean;
   readonly electionTimeoutMs: number;
@@ -24,12 +25,12 @@
   readonly onElected: (timeline: number) => void;
 }
 
-/** The first one of a group. */
+/** First timeline of a group. */
 export const INITIAL_TIMELINE = 1;
-/** Time to the next round, in election timeouts. */
-const RETRY_MIN = 0.1;
-const RETRY_SPREAD = 0.4;
-/** A handover that found no majority asks again after this: a commit was on its way to a voter. */
+/** Delay to the next round, as a fraction of the election timeout. */
+const RETRY_MIN_FRACTION = 0.1;
+const RETRY_JITTER_FRACTION = 0.4;
+/** Delay to the next round of a handover without a majority: a commit may be in transit. */
 const HANDOVER_RETRY_MS = 50;
 
 interface Round {
@@ -43,102 +44,108 @@
 }
 
 export class Election {
-  /** Primaries of older timelines are refused. */
+  /** Primaries of older timelines are rejected. */
   promisedTimeline = 0;
-  /** Latest timeline that a voter spoke of. */
-  private seenTimeline = 0;
+  /** Latest timeline that a voter has reported. */
+  private highestReportedTimeline = 0;
   private votedFor: string | undefined;
   private candidacy: Candidacy | undefined;
   private deadlineMs = Number.POSITIVE_INFINITY;
-  private heardMs = Number.NEGATIVE_INFINITY;
-  private heardFrom: string | undefined;
-  /** When a handover asks next; undefined if none is wanted. */
-  private handoverDueMs: number | undefined;
-  /** When a refused primary stands; undefined if it leads nobody or was not refused. */
-  private refusedDueMs: number | undefined;
+  private lastHeartbeatMs = Number.NEGATIVE_INFINITY;
+  private followedPrimary: string | undefined;
+  /** Time of the next round of a handover; undefined without a handover. */
+  private nextHandoverMs: number | undefined;
+  /** Earliest time of a refused primary's next round; undefined if it was not refused. */
+  private nextRefusedRoundMs: number | undefined;
 
   constructor(private readonly options: ElectionOptions) {}
 
-  /** Starts to wait for a primary. */
+  /** Starts waiting for a primary. */
   start(nowMs: number): void {
     this.resetDeadline(nowMs);
   }
 
-  /** A primary of an accepted timeline spoke. */
-  heard(primary: string, timeline: number, nowMs: number): void {
+  /** Records a heartbeat of a primary whose timeline is accepted. */
+  recordHeartbeat(primary: string, timeline: number, nowMs: number): void {
     if (timeline > this.promisedTimeline) this.votedFor = undefined;
     this.promisedTimeline = Math.max(this.promisedTimeline, timeline);
-    // The primary that a handover is to replace speaks on while the votes are on their way.
+    // The primary that a handover replaces still sends heartbeats while votes are in transit.
     const { candidacy } = this;
     if (candidacy?.handover !== true || candidacy.timeline <= timeline) this.candidacy = undefined;
-    if (primary !== this.heardFrom) this.handoverDueMs = undefined;
-    this.heardFrom = primary;
-    this.heardMs = nowMs;
+    if (primary !== this.followedPrimary) this.nextHandoverMs = undefined;
+    this.followedPrimary = primary;
+    this.lastHeartbeatMs = nowMs;
     this.resetDeadline(nowMs);
   }
 
   /**
-   * A replica follows this primary. A candidacy goes on: it is one for a later timeline, which
-   * this replica may not have heard of yet.
+   * Records that a replica follows this primary. A candidacy continues: it is for a later timeline,
+   * which this replica may not know yet.
    */
-  followed(nowMs: number): void {
-    this.heardFrom = this.options.name;
-    this.heardMs = nowMs;
+  recordFollower(nowMs: number): void {
+    this.followedPrimary = this.options.name;
+    this.lastHeartbeatMs = nowMs;
     this.resetDeadline(nowMs);
   }
 
   tick(nowMs: number): void {
     if (this.options.isPrimary()) return;
-    // Votes of a binding round are waited for: to stand again would throw them away.
+    // A binding round waits for its votes: a new round would discard them.
     const isBinding = this.candidacy?.preliminary === false;
-    const dueMs = this.handoverDueMs;
-    if (dueMs !== undefined && nowMs >= dueMs && !isBinding) this.takeOver(nowMs);
+    const dueMs = this.nextHandoverMs;
+    if (dueMs !== undefined && nowMs >= dueMs && !isBinding) this.startHandover(nowMs);
     if (nowMs < this.deadlineMs) return;
-    this.retryLater(nowMs);
-    this.stand(this.nextTimeline, { preliminary: true, handover: false });
+    this.scheduleRetry(nowMs);
+    this.startRound(this.nextTimeline, { preliminary: true, handover: false });
   }
 
   /**
-   * A voter refuses this primary's timeline. Whoever was voted for may lead in a moment, so this
-   * primary stands for a later timeline only if it's still refused after the time of a round. It
-   * does so also while other replicas follow it: the voter can't take back what it promised.
+   * A voter rejects this primary's timeline. The candidate that got its vote may be about to become
+   * primary, so this primary starts a round for a later timeline only if it is still rejected after
+   * the duration of a round. It does so even while other replicas follow it: the voter can't
+   * withdraw its promise.
    */
-  refused(timeline: number, nowMs: number): void {
-    const dueMs = this.refusedDueMs;
+  recordRefusal(timeline: number, nowMs: number): void {
+    const dueMs = this.nextRefusedRoundMs;
     const { electionTimeoutMs } = this.options;
-    if (dueMs === undefined) this.refusedDueMs = nowMs + electionTimeoutMs * RETRY_MIN;
+    if (dueMs === undefined)
+      this.nextRefusedRoundMs = nowMs + electionTimeoutMs * RETRY_MIN_FRACTION;
     if (dueMs === undefined || nowMs < dueMs) return;
-    // To stand again sooner would throw away the votes that are on their way.
-    this.refusedDueMs = nowMs + electionTimeoutMs;
-    this.stand(Math.max(timeline + 1, this.nextTimeline), { preliminary: false, handover: false });
+    // An earlier round would discard the votes that are in transit.
+    this.nextRefusedRoundMs = nowMs + electionTimeoutMs;
+    this.startRound(Math.max(timeline + 1, this.nextTimeline), {
+      preliminary: false,
+      handover: false,
+    });
   }
 
-  /** This primary gave way to one of a later timeline. */
-  demoted(timeline: number, nowMs: number): void {
-    this.refusedDueMs = undefined;
+  /** This primary was demoted in favor of one with a later timeline. */
+  handleDemotion(timeline: number, nowMs: number): void {
+    this.nextRefusedRoundMs = undefined;
     this.candidacy = undefined;
     if (timeline > this.promisedTimeline) this.votedFor = undefined;
     this.promisedTimeline = Math.max(this.promisedTimeline, timeline);
-    this.heardFrom = undefined;
-    this.heardMs = nowMs;
+    this.followedPrimary = undefined;
+    this.lastHeartbeatMs = nowMs;
     this.resetDeadline(nowMs);
   }
 
   /**
-   * Stands in place of a primary that is alive, until elected or until another primary is heard.
-   * The preliminary round binds nobody: a candidate that lacks a commit refuses no primary.
+   * Starts rounds to replace a live primary, until this member is elected or another primary sends a
+   * heartbeat. The preliminary round is not binding, so that a candidate that lacks a commit still
+   * accepts the current primary.
    */
-  takeOver(nowMs: number): void {
-    this.handoverDueMs = nowMs + HANDOVER_RETRY_MS;
-    this.stand(this.nextTimeline, { preliminary: true, handover: true });
+  startHandover(nowMs: number): void {
+    this.nextHandoverMs = nowMs + HANDOVER_RETRY_MS;
+    this.startRound(this.nextTimeline, { preliminary: true, handover: true });
   }
 
   private get nextTimeline(): number {
     const taken = this.options.hasInitialPrimary === true ? INITIAL_TIMELINE : 0;
-    return Math.max(taken, this.promisedTimeline, this.seenTimeline) + 1;
+    return Math.max(taken, this.promisedTimeline, this.highestReportedTimeline) + 1;
   }
 
-  private stand(timeline: number, round: Round): void {
+  private startRound(timeline: number, round: Round): void {
     const { name } = this.options;
     const { preliminary, handover } = round;
     if (!preliminary) {
@@ -160,7 +167,7 @@
   }
 
   onVoteRequest(request: VoteRequest, nowMs: number): void {
-    const granted = this.grants(request, nowMs);
+    const granted = this.shouldGrant(request, nowMs);
     const { timeline, preliminary, from } = request;
     if (granted && !preliminary) {
       this.promisedTimeline = timeline;
@@ -181,13 +188,13 @@
     this.options.send(from, vote);
   }
 
-  private grants(request: VoteRequest, nowMs: number): boolean {
-    const hearsPrimary = nowMs - this.heardMs < this.options.electionTimeoutMs;
-    const replacesPrimary = request.from !== this.heardFrom;
-    if (hearsPrimary && replacesPrimary && !request.handover) return false;
+  private shouldGrant(request: VoteRequest, nowMs: number): boolean {
+    const hasRecentHeartbeat = nowMs - this.lastHeartbeatMs < this.options.electionTimeoutMs;
+    const wouldReplacePrimary = request.from !== this.followedPrimary;
+    if (hasRecentHeartbeat && wouldReplacePrimary && !request.handover) return false;
     if (request.timeline < this.promisedTimeline) return false;
-    const same = request.timeline === this.promisedTimeline;
-    if (same && this.votedFor !== request.from) return false;
+    const isPromisedTimeline = request.timeline === this.promisedTimeline;
+    if (isPromisedTimeline && this.votedFor !== request.from) return false;
     const own = this.options.position();
     if (request.logTimeline !== own.timeline) return request.logTimeline > own.timeline;
     return request.logLsn >= own.lsn;
@@ -195,7 +202,7 @@
 
   onVote(vote: Vote): void {
     const { candidacy } = this;
-    this.seenTimeline = Math.max(this.seenTimeline, vote.promisedTimeline);
+    this.highestReportedTimeline = Math.max(this.highestReportedTimeline, vote.promisedTimeline);
     if (candidacy === undefined || !vote.granted) return;
     if (vote.timeline !== candidacy.timeline || vote.preliminary !== candidacy.preliminary) return;
     candidacy.voters.add(vote.from);
@@ -209,21 +216,22 @@
     this.candidacy = undefined;
     const { timeline, preliminary, handover } = candidacy;
     if (preliminary) {
-      this.stand(timeline, { preliminary: false, handover });
+      this.startRound(timeline, { preliminary: false, handover });
       return;
     }
-    this.handoverDueMs = undefined;
-    this.refusedDueMs = undefined;
+    this.nextHandoverMs = undefined;
+    this.nextRefusedRoundMs = undefined;
     this.options.onElected(timeline);
   }
 
-  /** After a round that may fail: soon, since the primary was silent for long enough before it. */
-  private retryLater(nowMs: number): void {
+  /** Schedules the round after one that may fail: soon, since the primary has already timed out. */
+  private scheduleRetry(nowMs: number): void {
     const { electionTimeoutMs, random } = this.options;
-    this.deadlineMs = nowMs + electionTimeoutMs * (RETRY_MIN + RETRY_SPREAD * random());
+    this.deadlineMs =
+      nowMs + electionTimeoutMs * (RETRY_MIN_FRACTION + RETRY_JITTER_FRACTION * random());
   }
 
-  /** Next try: a random time of one to two election timeouts from now. */
+  /** Schedules the next round at a random time of one to two election timeouts from now. */
   private resetDeadline(nowMs: number): void {
     const { electionTimeoutMs, random } = this.options;
     this.deadlineMs = nowMs + electionTimeoutMs * (1 + random());
--- a/standins/database/replication/links.ts
+++ b/standins/database/replication/links.ts
@@ -1,11 +1,11 @@
-/** TCP links of an instance to its peers: it sends on links it opened, receives on accepted ones. */
+/** TCP links of an instance to its peers: it sends on links it opened and receives on accepted ones. */
 import { connect, createServer, type Server, type Socket } from 'node:net';
 import type { PeerAddress } from '../options.js';
 import { encodeFrame, FrameReader, type PeerMessage } from './messages.js';
 
-const RECONNECT_MS = 50;
-/** A peer that stopped reading misses messages beyond this; a later sync mends the gap. */
-const UNSENT_MAX_BYTES = 16 * 1024 * 1024;
+const RECONNECT_DELAY_MS = 50;
+/** Messages to a peer are dropped while more than this is unsent; a later sync closes the gap. */
+const MAX_UNSENT_BYTES = 16 * 1024 * 1024;
 
 export interface LinkOptions {
   readonly host: string;
@@ -57,7 +57,7 @@
   private write(peer: string, frame: Buffer): void {
     const socket = this.outbound.get(peer);
     if (socket === undefined || socket.connecting || this.options.isCut(peer, 'out')) return;
-    if (socket.writableLength > UNSENT_MAX_BYTES) return;
+    if (socket.writableLength > MAX_UNSENT_BYTES) return;
     socket.write(frame);
   }
 
@@ -68,7 +68,7 @@
     this.outbound.set(name, socket);
     socket.on('error', () => socket.destroy());
     socket.on('close', () => {
-      setTimeout(() => this.dial(address), RECONNECT_MS);
+      setTimeout(() => this.dial(address), RECONNECT_DELAY_MS);
     });
     socket.resume();
   }
--- a/standins/database/replication/member.ts
+++ b/standins/database/replication/member.ts
@@ -1,6 +1,6 @@
 /**
- * An instance as member of its group: leads or follows, receives and replays commits, and
- * re-synchronizes after a gap or a divergence.
+ * An instance as a member of its group: it is the primary or follows it, receives and replays
+ * commits, and resynchronizes after a gap or a divergence.
  */
 import { performance } from 'node:perf_hooks';
 import type { Catalog } from '../storage/catalog.js';
@@ -30,7 +30,7 @@
 
 export interface MemberOptions {
   readonly name: string;
-  /** One member of the group leads at first without a vote. */
+  /** One member of the group is the first primary without a vote. */
   readonly hasInitialPrimary: boolean;
   readonly electionTimeoutMs: number;
   readonly heartbeatMs: number;
@@ -40,38 +40,38 @@
   readonly broadcast: (message: PeerMessage) => void;
   readonly groupSize: () => number;
   readonly replayLagMs: () => number;
-  readonly receiveStall: () => boolean;
-  /** Sessions must end before the data is replaced or the role is lost. */
+  readonly isReceiveStalled: () => boolean;
+  /** Ends all sessions, before the data is replaced or this instance stops being primary. */
   readonly terminateSessions: (reason: string) => void;
 }
 
-const TICK_MS = 10;
-/** A sync that was asked for and not answered is asked for again after this. */
-const SYNC_RETRY_MS = 200;
-const HISTORY_EVENTS = 1_000;
+const TICK_INTERVAL_MS = 10;
+/** Delay until an unanswered sync request is repeated. */
+const SYNC_RETRY_DELAY_MS = 200;
+const MAX_HISTORY_EVENTS = 1_000;
 
 export class Member {
   readonly log = new CommitLog();
   role: Role = 'replica';
   primaryName: string | undefined;
   replayedLsn = 0;
-  /** True once the instance has been a replica: its replay position is then known. */
+  /** True once the instance has been a replica, which gives it a replay position. */
   wasReplica = false;
   readonly events: ElectionEvent[] = [];
   private readonly election: Election;
   private readonly replayQueue: { commit: EncodedCommit; dueMs: number }[] = [];
   private replayTimer: NodeJS.Timeout | undefined;
   private primaryTimeline = 0;
-  private syncAskedMs = Number.NEGATIVE_INFINITY;
+  private syncRequestedMs = Number.NEGATIVE_INFINITY;
   private heartbeatDueMs = 0;
-  private ticks: NodeJS.Timeout | undefined;
+  private tickTimer: NodeJS.Timeout | undefined;
 
   constructor(private readonly options: MemberOptions) {
     this.election = new Election({
       ...options,
       position: () => this.log,
       isPrimary: () => this.role === 'primary',
-      onElected: (timeline) => this.lead(timeline),
+      onElected: (timeline) => this.becomePrimary(timeline),
     });
   }
 
@@ -81,14 +81,15 @@
 
   start(initialPrimary: boolean): void {
     this.election.start(performance.now());
-    // If it starts late, another may have been elected, or its vote been given.
-    if (initialPrimary && this.election.promisedTimeline === 0) this.lead(INITIAL_TIMELINE);
-    this.ticks = setInterval(() => this.tick(performance.now()), TICK_MS);
+    // If it starts late, another member may have been elected, or this one may have voted.
+    if (initialPrimary && this.election.promisedTimeline === 0)
+      this.becomePrimary(INITIAL_TIMELINE);
+    this.tickTimer = setInterval(() => this.tick(performance.now()), TICK_INTERVAL_MS);
   }
 
-  /** Ends what it does by itself. */
+  /** Stops its timers. */
   stop(): void {
-    clearInterval(this.ticks);
+    clearInterval(this.tickTimer);
     clearTimeout(this.replayTimer);
   }
 
@@ -104,23 +105,23 @@
     this.options.broadcast({ kind: 'heartbeat', from: this.options.name, timeline, lsn });
   }
 
-  private lead(timeline: number): void {
+  private becomePrimary(timeline: number): void {
     this.replayAll();
     this.role = 'primary';
     this.primaryName = this.options.name;
     this.primaryTimeline = timeline;
     this.log.startTimeline(timeline);
     this.election.promisedTimeline = Math.max(this.election.promisedTimeline, timeline);
-    this.note('elected');
+    this.recordEvent('elected');
     this.sendHeartbeat();
   }
 
-  /** Stands for the next timeline although a primary may be alive; nothing to do for a primary. */
+  /** Starts an election although the primary may be alive; does nothing on the primary itself. */
   promote(): void {
-    if (this.role === 'replica') this.election.takeOver(performance.now());
+    if (this.role === 'replica') this.election.startHandover(performance.now());
   }
 
-  /** Logs and sends a commit of this primary. */
+  /** Appends a commit of this primary to the log and sends it to the replicas. */
   commit(changes: readonly Change[], keys: readonly string[]): EncodedCommit {
     const commit = this.log.write(changes, Date.now());
     this.log.addEntry(commit, keys);
@@ -137,7 +138,7 @@
         break;
       case 'heartbeat-reply':
         if (this.role === 'primary' && message.timeline === this.log.timeline) {
-          this.election.followed(nowMs);
+          this.election.recordFollower(nowMs);
         }
         break;
       case 'append':
@@ -166,24 +167,24 @@
 
   private onHeartbeat(heartbeat: Heartbeat, nowMs: number): void {
     const { from, timeline, lsn } = heartbeat;
-    if (timeline < this.election.promisedTimeline || this.leadsAlready(timeline)) {
-      this.refuse(from);
+    if (timeline < this.election.promisedTimeline || this.leadsSameOrLaterTimeline(timeline)) {
+      this.sendStalePrimary(from);
       return;
     }
     this.follow(from, timeline);
-    this.election.heard(from, timeline, nowMs);
+    this.election.recordHeartbeat(from, timeline, nowMs);
     const receivedLsn = this.log.lsn;
     const kind = 'heartbeat-reply';
     this.options.send(from, { kind, from: this.options.name, timeline, receivedLsn });
-    if (this.options.receiveStall()) return;
-    if (this.log.timeline !== timeline || this.log.lsn !== lsn) this.askForSync(from, nowMs);
+    if (this.options.isReceiveStalled()) return;
+    if (this.log.timeline !== timeline || this.log.lsn !== lsn) this.requestSync(from, nowMs);
   }
 
-  private leadsAlready(timeline: number): boolean {
+  private leadsSameOrLaterTimeline(timeline: number): boolean {
     return this.role === 'primary' && timeline <= this.log.timeline;
   }
 
-  private refuse(primary: string): void {
+  private sendStalePrimary(primary: string): void {
     this.options.send(primary, {
       kind: 'stale-primary',
       from: this.options.name,
@@ -195,7 +196,7 @@
   private onStalePrimary(message: StalePrimary, nowMs: number): void {
     if (this.role !== 'primary' || message.timeline <= this.log.timeline) return;
     if (message.primaryTimeline > this.log.timeline) this.demote(message.primaryTimeline);
-    else this.election.refused(message.timeline, nowMs);
+    else this.election.recordRefusal(message.timeline, nowMs);
   }
 
   private follow(primary: string, timeline: number): void {
@@ -204,8 +205,8 @@
     this.primaryName = primary;
     this.primaryTimeline = timeline;
     this.wasReplica = true;
-    this.syncAskedMs = Number.NEGATIVE_INFINITY;
-    this.note('following');
+    this.syncRequestedMs = Number.NEGATIVE_INFINITY;
+    this.recordEvent('following');
   }
 
   private demote(timeline: number): void {
@@ -214,13 +215,13 @@
     this.primaryName = undefined;
     this.wasReplica = true;
     this.replayedLsn = this.log.lsn;
-    this.election.demoted(timeline, performance.now());
-    this.note('demoted');
+    this.election.handleDemotion(timeline, performance.now());
+    this.recordEvent('demoted');
   }
 
-  private askForSync(primary: string, nowMs: number): void {
-    if (nowMs - this.syncAskedMs < SYNC_RETRY_MS) return;
-    this.syncAskedMs = nowMs;
+  private requestSync(primary: string, nowMs: number): void {
+    if (nowMs - this.syncRequestedMs < SYNC_RETRY_DELAY_MS) return;
+    this.syncRequestedMs = nowMs;
     const { timeline, lsn } = this.log;
     this.options.send(primary, { kind: 'sync-request', from: this.options.name, timeline, lsn });
   }
@@ -259,37 +260,37 @@
     });
   }
 
-  private accepts(message: Append | CatchUp | Snapshot): boolean {
-    if (this.role === 'primary' || this.options.receiveStall()) return false;
+  private shouldAccept(message: Append | CatchUp | Snapshot): boolean {
+    if (this.role === 'primary' || this.options.isReceiveStalled()) return false;
     return message.timeline >= this.election.promisedTimeline && message.from === this.primaryName;
   }
 
   private onAppend(message: Append): void {
     const { commit } = message;
-    if (!this.accepts(message) || message.timeline !== this.log.timeline) return;
+    if (!this.shouldAccept(message) || message.timeline !== this.log.timeline) return;
     if (commit.previousLsn === this.log.lsn) this.receiveCommit(commit);
   }
 
   private onCatchUp(message: CatchUp): void {
     const { log } = this;
-    if (!this.accepts(message)) return;
+    if (!this.shouldAccept(message)) return;
     if (message.fromTimeline !== log.timeline || message.fromLsn !== log.lsn) return;
     log.timeline = message.timeline;
     log.history = message.history;
-    this.syncAskedMs = Number.NEGATIVE_INFINITY;
+    this.syncRequestedMs = Number.NEGATIVE_INFINITY;
     for (const commit of message.commits) this.receiveCommit(commit);
   }
 
   private onSnapshot(message: Snapshot): void {
-    if (!this.accepts(message)) return;
+    if (!this.shouldAccept(message)) return;
     this.options.terminateSessions('the data directory is rewound');
     this.replayQueue.length = 0;
     this.options.catalog.restore(message.tables);
-    const diverged = this.log.timeline !== 0;
+    const isDivergent = this.log.timeline !== 0;
     this.log.replace(message);
     this.replayedLsn = message.lsn;
-    this.syncAskedMs = Number.NEGATIVE_INFINITY;
-    if (diverged) this.note('rewound');
+    this.syncRequestedMs = Number.NEGATIVE_INFINITY;
+    if (isDivergent) this.recordEvent('rewound');
   }
 
   private receiveCommit(commit: EncodedCommit): void {
@@ -318,17 +319,17 @@
   }
 
   private replay(commit: EncodedCommit): void {
-    // Encoded by the primary, which is this same program.
+    // Encoded by the primary, which runs this same program.
     const changes = decodeValue(commit.changes) as Change[];
-    const keys = this.options.catalog.describe(changes);
-    this.options.catalog.apply(changes);
+    const keys = this.options.catalog.describeChanges(changes);
+    this.options.catalog.applyChanges(changes);
     this.log.addEntry(commit, keys);
     this.replayedLsn = commit.lsn;
   }
 
-  private note(event: ElectionEvent['event']): void {
+  private recordEvent(event: ElectionEvent['event']): void {
     const timeline = this.primaryTimeline;
     this.events.push({ event, timeline, primary: this.primaryName, atMs: Date.now() });
-    if (this.events.length > HISTORY_EVENTS) this.events.shift();
+    if (this.events.length > MAX_HISTORY_EVENTS) this.events.shift();
   }
 }
--- a/standins/database/replication/messages.ts
+++ b/standins/database/replication/messages.ts
@@ -2,7 +2,7 @@
 import { Encoder } from 'cbor-x';
 import type { LogEntry, TableSnapshot } from '../storage/commit-record.js';
 
-/** A commit as it travels: its changes are encoded once, by its primary. */
+/** A commit in a message. Its primary encodes the changes once. */
 export interface EncodedCommit {
   readonly timeline: number;
   readonly previousLsn: number;
@@ -19,7 +19,7 @@
 
 interface FromPeer {
   readonly from: string;
-  /** Of a primary: its timeline; of a vote: the timeline voted about. */
+  /** Timeline of the sending primary, or the one that a vote is about. */
   readonly timeline: number;
 }
 
@@ -51,15 +51,15 @@
   readonly history: readonly TimelineStart[];
   readonly lsn: number;
   readonly tables: readonly TableSnapshot[];
-  /** Both logs are the same up to here; `entries` are those after it. */
+  /** Position up to which both logs are equal; `entries` are the entries after it. */
   readonly commonLsn: number;
   readonly entries: readonly LogEntry[];
 }
 export interface VoteRequest extends FromPeer {
   readonly kind: 'vote-request';
-  /** A preliminary round binds nobody; it keeps a lone instance from disturbing a healthy group. */
+  /** A preliminary round is not binding; it keeps an isolated instance from disturbing a healthy group. */
   readonly preliminary: boolean;
-  /** Asked for by an operator: voters that hear a primary grant it all the same. */
+  /** Requested by an operator: voters grant it although they receive heartbeats from a primary. */
   readonly handover: boolean;
   readonly logTimeline: number;
   readonly logLsn: number;
@@ -68,13 +68,13 @@
   readonly kind: 'vote';
   readonly preliminary: boolean;
   readonly granted: boolean;
-  /** The voter refuses all timelines before this one: a candidate must stand for a later one. */
+  /** The voter rejects earlier timelines: a candidate needs a later one. */
   readonly promisedTimeline: number;
 }
-/** Answer to a primary whose timeline is no longer accepted. */
+/** Response to a primary whose timeline is no longer accepted. */
 export interface StalePrimary extends FromPeer {
   readonly kind: 'stale-primary';
-  /** Latest timeline of which a primary was heard. */
+  /** Latest timeline of which the sender knows a primary. */
   readonly primaryTimeline: number;
 }
 
@@ -108,7 +108,7 @@
   return frame;
 }
 
-/** Cuts a stream of bytes into messages. */
+/** Splits a stream of bytes into messages. */
 export class FrameReader {
   private chunks: Buffer[] = [];
   private buffered = 0;
@@ -116,13 +116,13 @@
   *push(chunk: Buffer): Generator<PeerMessage> {
     this.chunks.push(chunk);
     this.buffered += chunk.length;
-    for (let body = this.next(); body !== undefined; body = this.next()) {
-      // Both ends are this program: frames are trusted to be well formed.
+    for (let body = this.nextFrame(); body !== undefined; body = this.nextFrame()) {
+      // Both ends run this program, so that frames are not validated.
       yield encoder.decode(body) as PeerMessage;
     }
   }
 
-  private next(): Buffer | undefined {
+  private nextFrame(): Buffer | undefined {
     const [first] = this.chunks;
     if (first === undefined || this.buffered < LENGTH_BYTES) return undefined;
     if (first.length < LENGTH_BYTES) this.chunks = [Buffer.concat(this.chunks)];
--- a/standins/database/session/statement-cache.ts
+++ b/standins/database/session/plan-cache.ts
@@ -1,4 +1,4 @@
-/** Plans by statement text, parameter types and version of the definitions. */
+/** Plans by statement, parameter types and catalog version. */
 
 import type { Plan } from '../sql/plan.js';
 import { compileStatement } from '../sql/planner.js';
@@ -11,7 +11,7 @@
   readonly plan: Plan;
 }
 
-/** Bounded by the cache of parsed statements, whose entries are the keys. */
+/** Its size is limited by the cache of parsed statements, whose entries are its weak keys. */
 export class PlanCache {
   private readonly plans = new WeakMap<QueryStatement, Map<string, CachedPlan>>();
 
--- a/standins/database/session/runner.ts
+++ b/standins/database/session/runner.ts
@@ -1,4 +1,4 @@
-/** Runs plans: slots, service time, waiting for row locks, cancellation. */
+/** Executes plans: slots, service time, waiting for row locks, cancellation. */
 import { setTimeout as delay } from 'node:timers/promises';
 import type { Slots } from '../slots.js';
 import type { ExecutionContext, Plan, StatementResult } from '../sql/plan.js';
@@ -9,7 +9,7 @@
   statementMs(): number;
 }
 
-/** Throws the reason of an abort, a ServerError. */
+/** Throws the signal's abort reason, a ServerError. */
 export function throwIfAborted(signal: AbortSignal): void {
   if (signal.aborted) throw signal.reason;
 }
@@ -32,8 +32,8 @@
 }
 
 /**
- * Runs `work` with a slot, if the plan needs one. The slot is kept until the rows are written out:
- * a client that does not read keeps its slot, as a back end that waits for its socket does.
+ * Runs `work` with a slot, if the plan needs one. The slot is held until the rows are written: a
+ * client that does not read occupies its slot, like a PostgreSQL back end that waits for its socket.
  */
 export async function withSlot(
   plan: Plan,
@@ -50,7 +50,7 @@
   }
 }
 
-/** Executes a plan within `withSlot`; a wait for a row lock gives the slot to others meanwhile. */
+/** Executes a plan within `withSlot`; the slot is released while it waits for a row lock. */
 export async function runPlan(
   plan: Plan,
   context: ExecutionContext,
@@ -61,15 +61,15 @@
   if (statementMs > 0) await pause(statementMs, signal);
   for (;;) {
     const { transaction } = context;
-    const { mark } = transaction;
+    const { undoPosition } = transaction;
     try {
       context.sleepMs = 0;
       const result = plan.execute(context);
-      await sleepAsAsked(context, signal);
+      await performRequestedSleep(context, signal);
       return result;
     } catch (error) {
       if (!(error instanceof RowLockedSignal)) throw error;
-      transaction.rollbackTo(mark);
+      transaction.rollbackTo(undoPosition);
       await waitForLock(plan, context, error, host, signal);
     }
   }
@@ -86,18 +86,21 @@
   try {
     await context.transaction.waitFor(locked.holder, signal);
   } finally {
-    if (plan.needsSlot) await reacquire(host.slots);
+    if (plan.needsSlot) await reacquireSlot(host.slots);
   }
   throwIfAborted(signal);
 }
 
-/** Waits for a slot even when cancelled, since the caller releases one. */
-async function reacquire(slots: Slots): Promise<void> {
+/** Waits for a slot even when canceled, since the caller releases one. */
+async function reacquireSlot(slots: Slots): Promise<void> {
   await slots.acquire(new AbortController().signal);
 }
 
-/** Spends the time that pg_sleep asked for. */
-export async function sleepAsAsked(context: ExecutionContext, signal: AbortSignal): Promise<void> {
+/** Waits for the time that calls of pg_sleep have requested. */
+export async function performRequestedSleep(
+  context: ExecutionContext,
+  signal: AbortSignal,
+): Promise<void> {
   if (context.sleepMs === 0) return;
   const { sleepMs } = context;
   context.sleepMs = 0;
--- a/standins/database/session/session-statements.ts
+++ b/standins/database/session/session-statements.ts
@@ -1,4 +1,4 @@
-/** Statements that steer the session: transactions, settings, prepared statements. */
+/** Statements that control the session: transactions, settings, prepared statements. */
 import { ServerError, ServerSqlState } from '../errors.js';
 import type { ResultColumn } from '../sql/plan.js';
 import type { ParsedStatement, QueryStatement } from '../sql/statements.js';
@@ -46,48 +46,48 @@
       return begin(statement.readOnly, statement.tag, state);
     case 'commit':
       if (!block.isExplicit) warnNoTransaction(state);
-      return done(block.commit() ? 'COMMIT' : 'ROLLBACK');
+      return resultWithTag(block.commit() ? 'COMMIT' : 'ROLLBACK');
     case 'rollback':
       if (!block.isExplicit) warnNoTransaction(state);
       block.rollback();
-      return done('ROLLBACK');
+      return resultWithTag('ROLLBACK');
     case 'savepoint':
       block.savepoint(statement.name);
-      return done('SAVEPOINT');
+      return resultWithTag('SAVEPOINT');
     case 'release':
       block.releaseSavepoint(statement.name);
-      return done('RELEASE');
+      return resultWithTag('RELEASE');
     case 'rollback-to':
       block.rollbackToSavepoint(statement.name);
-      return done('ROLLBACK');
+      return resultWithTag('ROLLBACK');
     case 'set':
       return set(statement.name, statement.value, statement.local, statement.tag, state);
     case 'show':
       return { rows: [[show(statement.name, state)]], tag: 'SHOW' };
     case 'reset-all':
       settings.resetAll();
-      return done('RESET');
+      return resultWithTag('RESET');
     case 'deallocate':
       state.deallocate(statement.name);
-      return done(statement.name === undefined ? 'DEALLOCATE ALL' : 'DEALLOCATE');
+      return resultWithTag(statement.name === undefined ? 'DEALLOCATE ALL' : 'DEALLOCATE');
     case 'discard-all':
       return discardAll(state);
   }
 }
 
-function done(tag: string): SessionResult {
+function resultWithTag(tag: string): SessionResult {
   return { rows: [], tag };
 }
 
 function begin(readOnly: boolean, tag: string, state: SessionState): SessionResult {
   const { block, settings } = state;
   if (!block.isOpen) settings.beginTransaction();
-  const byDefault = settings.get('default_transaction_read_only') === 'on';
-  if (block.begin(readOnly || byDefault)) {
+  const isReadOnlyByDefault = settings.get('default_transaction_read_only') === 'on';
+  if (block.begin(readOnly || isReadOnlyByDefault)) {
     const text = 'there is already a transaction in progress';
     state.output.add(noticeResponse(ServerSqlState.ACTIVE_SQL_TRANSACTION, text));
   }
-  return done(tag);
+  return resultWithTag(tag);
 }
 
 function warnNoTransaction(state: SessionState): void {
@@ -103,15 +103,16 @@
 ): SessionResult {
   if (name === 'transaction_read_only') state.block.setReadOnly(value === 'on');
   else state.settings.set(name, value, local);
-  return done(tag);
+  return resultWithTag(tag);
 }
 
 function show(name: string, state: SessionState): string {
   const recovery = state.isInRecovery();
   if (name === 'in_hot_standby') return recovery ? 'on' : 'off';
   if (name === 'transaction_read_only') {
-    const byDefault = state.settings.get('default_transaction_read_only') === 'on';
-    const readOnly = recovery || state.block.isReadOnly || (byDefault && !state.block.isExplicit);
+    const isReadOnlyByDefault = state.settings.get('default_transaction_read_only') === 'on';
+    const readOnly =
+      recovery || state.block.isReadOnly || (isReadOnlyByDefault && !state.block.isExplicit);
     return readOnly ? 'on' : 'off';
   }
   const known = name === 'transaction_isolation_level' ? 'transaction_isolation' : name;
@@ -129,5 +130,5 @@
   state.settings.resetAll();
   state.deallocate(undefined);
   state.closePortals();
-  return done('DISCARD ALL');
+  return resultWithTag('DISCARD ALL');
 }
--- a/standins/database/session/session.ts
+++ b/standins/database/session/session.ts
@@ -1,5 +1,5 @@
-/** One client's session: simple and extended query, prepared statements, portals. */
-import { ServerError, ServerSqlState, unsupported } from '../errors.js';
+/** One client's session: simple and extended query protocol, prepared statements, portals. */
+import { ServerError, ServerSqlState, unsupportedError } from '../errors.js';
 import type { InstanceFunctions } from '../sql/evaluation.js';
 import type { ExecutionContext, Plan, ResultColumn } from '../sql/plan.js';
 import { type ParsedStatement, parseSimpleQuery, parseStatements } from '../sql/statements.js';
@@ -7,7 +7,14 @@
 import * as backend from '../wire/backend.js';
 import type { BindMessage, ExecuteMessage, ParseMessage, TargetMessage } from '../wire/frontend.js';
 import type { Output } from '../wire/output.js';
-import { type RunnerHost, runPlan, sleepAsAsked, throwIfAborted, withSlot } from './runner.js';
+import type { PlanCache } from './plan-cache.js';
+import {
+  performRequestedSleep,
+  type RunnerHost,
+  runPlan,
+  throwIfAborted,
+  withSlot,
+} from './runner.js';
 import {
   endsFailedTransaction,
   executeSessionStatement,
@@ -15,7 +22,6 @@
   sessionColumns,
 } from './session-statements.js';
 import { Settings } from './settings.js';
-import type { PlanCache } from './statement-cache.js';
 import { TransactionBlock, type TransactionHost } from './transaction-block.js';
 
 export interface SessionHost extends RunnerHost, TransactionHost {
@@ -35,7 +41,7 @@
   readonly prepared: PreparedStatement;
   readonly plan: Plan | undefined;
   readonly parameters: Row;
-  /** Rows that are still to be sent; undefined before the first Execute. */
+  /** Rows still to send; undefined before the first Execute. */
   rows: Iterator<Row> | undefined;
   context: ExecutionContext | undefined;
   affected: number;
@@ -47,7 +53,7 @@
   readonly output: Output;
   readonly functions: Omit<InstanceFunctions, 'setting' | 'changeSetting'>;
   readonly startupParameters: ReadonlyMap<string, string>;
-  /** Aborted with a ServerError: by a cancel request, the client's loss or a shutdown. */
+  /** Aborted with a ServerError by a cancel request, a disconnect or a shutdown. */
   readonly signal: () => AbortSignal;
 }
 
@@ -88,18 +94,18 @@
     if (statements.length === 0) output.add(backend.emptyQueryResponse);
     for (const [position, simple] of statements.entries()) {
       const prepared = { statement: simple.statement, declaredTypes: simple.types };
-      this.refuseIfFailed(simple.statement);
+      this.throwIfFailed(simple.statement);
       const types = this.planOf(prepared)?.parameters.list() ?? [];
       const parameters = simple.values.map((value, index) =>
         parseValue(types[index] ?? 'text', value),
       );
       const portal = this.openPortal(prepared, parameters);
       const columns = this.columnsOf(portal.prepared, portal.plan);
-      const last = position === statements.length - 1;
+      const isLast = position === statements.length - 1;
       const tag = await this.runPortal(portal, 0, (): void => {
         if (columns !== undefined) output.add(backend.rowDescription(columns));
       });
-      if (last) this.block.commitImplicit();
+      if (isLast) this.block.commitImplicit();
       if (tag !== undefined) output.add(backend.commandComplete(tag));
     }
   }
@@ -116,16 +122,16 @@
     }
     const [statement] = statements;
     const prepared = { statement, declaredTypes: message.parameterOids.map(typeByOid) };
-    this.refuseIfFailed(statement);
+    this.throwIfFailed(statement);
     this.planOf(prepared);
     this.prepared.set(message.name, prepared);
     this.options.output.add(backend.parseComplete);
   }
 
   bind(message: BindMessage): void {
-    if (message.resultFormats.includes(1)) throw unsupported('results in binary format');
+    if (message.resultFormats.includes(1)) throw unsupportedError('results in binary format');
     const prepared = this.findPrepared(message.statement);
-    this.refuseIfFailed(prepared.statement);
+    this.throwIfFailed(prepared.statement);
     const types = this.planOf(prepared)?.parameters.list() ?? [];
     if (message.parameters.length !== types.length) {
       const text = `bind message supplies ${message.parameters.length} parameters, but the prepared statement requires ${types.length}`;
@@ -134,7 +140,7 @@
     const parameters = message.parameters.map((bytes, position) => {
       const type = types[position] ?? 'text';
       if (bytes === null) return null;
-      const binary = formatAt(message.parameterFormats, position) === 1;
+      const binary = formatCodeAt(message.parameterFormats, position) === 1;
       return binary ? parseBinaryValue(type, bytes) : parseValue(type, bytes.toString('utf8'));
     });
     this.portals.set(message.portal, this.openPortal(prepared, parameters));
@@ -178,12 +184,12 @@
 
   private deallocate(name: string | undefined): void {
     if (name === undefined) this.prepared.clear();
-    else if (!this.prepared.delete(name)) throw unknownStatement(name);
+    else if (!this.prepared.delete(name)) throw unknownStatementError(name);
   }
 
   private findPrepared(name: string): PreparedStatement {
     const prepared = this.prepared.get(name);
-    if (prepared === undefined) throw unknownStatement(name);
+    if (prepared === undefined) throw unknownStatementError(name);
     return prepared;
   }
 
@@ -208,7 +214,7 @@
   }
 
   private openPortal(prepared: PreparedStatement, parameters: Row): Portal {
-    this.refuseIfFailed(prepared.statement);
+    this.throwIfFailed(prepared.statement);
     const plan = this.planOf(prepared);
     return {
       prepared,
@@ -221,7 +227,7 @@
     };
   }
 
-  private refuseIfFailed(statement: ParsedStatement | undefined): void {
+  private throwIfFailed(statement: ParsedStatement | undefined): void {
     if (!this.block.isFailed || statement === undefined) return;
     if (endsFailedTransaction(statement)) return;
     const message =
@@ -229,7 +235,7 @@
     throw new ServerError(ServerSqlState.IN_FAILED_TRANSACTION, message);
   }
 
-  /** Answers the command tag, or undefined when `maxRows` suspended the portal. */
+  /** Returns the command tag, or undefined if `maxRows` suspended the portal. */
   private async runPortal(
     portal: Portal,
     maxRows: number,
@@ -237,9 +243,9 @@
   ): Promise<string | undefined> {
     const { statement } = portal.prepared;
     if (statement === undefined) return undefined;
-    this.refuseIfFailed(statement);
+    this.throwIfFailed(statement);
     if (statement.kind !== 'query' || portal.plan === undefined) {
-      if (statement.kind === 'query') throw unsupported('this statement');
+      if (statement.kind === 'query') throw unsupportedError('this statement');
       const { rows, tag } = executeSessionStatement(statement, this.state);
       beforeRows();
       for (const row of rows) this.options.output.add(backend.dataRow(row));
@@ -257,22 +263,22 @@
     const { host } = this.options;
     const signal = this.options.signal();
     throwIfAborted(signal);
-    this.refuseWriteIfReadOnly(plan);
+    this.throwIfReadOnly(plan);
     const role = this.options.startupParameters.get('user') ?? '';
     host.countStatement(1, role);
     const stopTimer = this.startStatementTimer();
-    let complete = false;
+    let isComplete = false;
     try {
       await withSlot(plan, host, signal, async () => {
         if (portal.rows === undefined) await this.startPortal(portal, plan, signal);
         beforeRows();
-        complete = await this.sendRows(portal, maxRows, signal);
+        isComplete = await this.sendRows(portal, maxRows, signal);
       });
     } finally {
       stopTimer();
       host.countStatement(-1, role);
     }
-    return complete ? plan.tag(portal.returned, portal.affected) : undefined;
+    return isComplete ? plan.tag(portal.returned, portal.affected) : undefined;
   }
 
   private async startPortal(portal: Portal, plan: Plan, signal: AbortSignal): Promise<void> {
@@ -294,14 +300,15 @@
     portal.affected = result.affected;
   }
 
-  /** Sends up to `maxRows` rows (0: all); true when there are no more. */
+  /** Sends up to `maxRows` rows (0: all); returns true if there are no more. */
   private async sendRows(portal: Portal, maxRows: number, signal: AbortSignal): Promise<boolean> {
     const { output } = this.options;
     const { rows, context } = portal;
     for (let sent = 0; maxRows === 0 || sent < maxRows; sent += 1) {
       const next = rows?.next();
       if (next === undefined || next.done === true) return true;
-      if (context !== undefined && context.sleepMs > 0) await sleepAsAsked(context, signal);
+      if (context !== undefined && context.sleepMs > 0)
+        await performRequestedSleep(context, signal);
       portal.returned += 1;
       if (portal.plan?.columns !== undefined) output.add(backend.dataRow(next.value));
       if (output.isLarge) {
@@ -312,17 +319,17 @@
     return false;
   }
 
-  private refuseWriteIfReadOnly(plan: Plan): void {
+  private throwIfReadOnly(plan: Plan): void {
     if (!plan.writes) return;
-    const byDefault = this.settings.get('default_transaction_read_only') === 'on';
-    const readOnly = this.block.isReadOnly || (byDefault && !this.block.isExplicit);
+    const isReadOnlyByDefault = this.settings.get('default_transaction_read_only') === 'on';
+    const readOnly = this.block.isReadOnly || (isReadOnlyByDefault && !this.block.isExplicit);
     if (!readOnly && !this.options.host.isInRecovery()) return;
     const command = plan.tag(0, 0).split(' ')[0] ?? '';
     const message = `cannot execute ${command} in a read-only transaction`;
     throw new ServerError(ServerSqlState.READ_ONLY_TRANSACTION, message);
   }
 
-  /** Overridden by the connection: how `statement_timeout` ends a statement. */
+  /** Set by the connection: called when `statement_timeout` expires, to cancel the statement. */
   onStatementTimeout: () => void = () => {};
 
   private startStatementTimer(): () => void {
@@ -333,12 +340,12 @@
   }
 }
 
-function unknownStatement(name: string): ServerError {
+function unknownStatementError(name: string): ServerError {
   const message = `prepared statement "${name}" does not exist`;
   return new ServerError(ServerSqlState.INVALID_SQL_STATEMENT_NAME, message);
 }
 
-/** Format codes of Bind: none (text), one for all, or one each. */
-function formatAt(formats: readonly number[], position: number): number {
+/** Format code from a Bind message, which has none (text), one for all, or one for each. */
+function formatCodeAt(formats: readonly number[], position: number): number {
   return (formats.length === 1 ? formats[0] : formats[position]) ?? 0;
 }
--- a/standins/database/session/settings.ts
+++ b/standins/database/session/settings.ts
@@ -1,4 +1,4 @@
-/** Run-time settings of a session, with SET LOCAL and the undoing of SET by ROLLBACK. */
+/** Run-time settings of a session, with SET LOCAL and the revert of SET by ROLLBACK. */
 
 import { parameterStatus } from '../wire/backend.js';
 import type { Output } from '../wire/output.js';
@@ -24,8 +24,8 @@
   ['transaction_isolation', 'read committed'],
 ]);
 
-/** Settings a server reports at the start and at every change, in the manual's spelling. */
-const REPORTED: ReadonlyMap<string, string> = new Map([
+/** Settings that a server reports at the start and after each change, in the manual's spelling. */
+const REPORTED_NAMES: ReadonlyMap<string, string> = new Map([
   ['application_name', 'application_name'],
   ['client_encoding', 'client_encoding'],
   ['datestyle', 'DateStyle'],
@@ -41,9 +41,9 @@
 
 export class Settings {
   private readonly initial: ReadonlyMap<string, string>;
-  /** Never modified in place: a transaction's start keeps the map it began with. */
+  /** Never modified in place: `valuesAtBegin` keeps the map from the start of a transaction. */
   private current: ReadonlyMap<string, string>;
-  private atBegin: ReadonlyMap<string, string> | undefined;
+  private valuesAtBegin: ReadonlyMap<string, string> | undefined;
   private readonly localOriginals = new Map<string, string | undefined>();
 
   constructor(
@@ -57,11 +57,11 @@
   }
 
   reportAll(): void {
-    for (const name of REPORTED.keys()) this.report(name);
+    for (const name of REPORTED_NAMES.keys()) this.report(name);
   }
 
   private report(name: string): void {
-    const spelling = REPORTED.get(name);
+    const spelling = REPORTED_NAMES.get(name);
     if (spelling === undefined) return;
     this.output.add(parameterStatus(spelling, this.current.get(name) ?? ''));
   }
@@ -70,16 +70,16 @@
     return this.current.get(name);
   }
 
-  /** `value` undefined: back to the session's initial value. */
+  /** Sets a value; undefined restores the session's initial value. */
   set(name: string, value: string | undefined, local: boolean): void {
     if (local && !this.localOriginals.has(name)) {
       this.localOriginals.set(name, this.current.get(name));
     }
     if (!local) this.localOriginals.delete(name);
-    this.put(name, value ?? this.initial.get(name));
+    this.setCurrent(name, value ?? this.initial.get(name));
   }
 
-  private put(name: string, value: string | undefined): void {
+  private setCurrent(name: string, value: string | undefined): void {
     if (this.current.get(name) === value) return;
     const changed = new Map(this.current);
     if (value === undefined) changed.delete(name);
@@ -95,18 +95,18 @@
   private restore(values: ReadonlyMap<string, string>): void {
     if (values === this.current) return;
     for (const name of new Set([...this.current.keys(), ...values.keys()])) {
-      this.put(name, values.get(name));
+      this.setCurrent(name, values.get(name));
     }
   }
 
   beginTransaction(): void {
-    this.atBegin = this.current;
+    this.valuesAtBegin = this.current;
   }
 
   endTransaction(committed: boolean): void {
-    if (committed) for (const [name, value] of this.localOriginals) this.put(name, value);
-    else if (this.atBegin !== undefined) this.restore(this.atBegin);
+    if (committed) for (const [name, value] of this.localOriginals) this.setCurrent(name, value);
+    else if (this.valuesAtBegin !== undefined) this.restore(this.valuesAtBegin);
     this.localOriginals.clear();
-    this.atBegin = undefined;
+    this.valuesAtBegin = undefined;
   }
 }
--- a/standins/database/session/transaction-block.ts
+++ b/standins/database/session/transaction-block.ts
@@ -1,18 +1,18 @@
-/** Transaction state of a session: none, the implicit one of a batch, or a block with BEGIN. */
+/** Transaction state of a session: none, an implicit one of a batch, or a block opened by BEGIN. */
 import { ServerError, ServerSqlState } from '../errors.js';
 import type { Transaction } from '../storage/transaction.js';
 import type { TransactionStatus } from '../wire/backend.js';
 
 export interface TransactionHost {
   begin(): Transaction;
-  /** Throws ConnectionCrashSignal by a fault. */
+  /** @throws ConnectionCrashSignal if a fault demands it. */
   commit(transaction: Transaction): void;
   rollback(transaction: Transaction): void;
 }
 
 interface Savepoint {
   readonly name: string;
-  readonly mark: number;
+  readonly undoPosition: number;
 }
 
 export class TransactionBlock {
@@ -49,12 +49,12 @@
     return this.transaction !== undefined;
   }
 
-  /** Wall time of the transaction's start: the value of now(). */
+  /** Wall-clock time of the transaction's start: the value of now(). */
   get startedAtMs(): number {
     return this.startMs;
   }
 
-  /** The current transaction; begins an implicit one if there is none. */
+  /** Returns the current transaction; begins an implicit one if there is none. */
   current(): Transaction {
     if (this.transaction === undefined) {
       this.transaction = this.host.begin();
@@ -63,7 +63,7 @@
     return this.transaction;
   }
 
-  /** True if a block was already open. */
+  /** Opens a block; returns true if one was already open. */
   begin(readOnly: boolean): boolean {
     if (this.explicit) return true;
     this.current();
@@ -76,7 +76,7 @@
     this.readOnly = readOnly;
   }
 
-  /** Ends the block; false if it had failed and was rolled back. */
+  /** Ends the block; returns false if it had failed and was rolled back. */
   commit(): boolean {
     const { transaction, failed } = this;
     if (failed || transaction === undefined) {
@@ -109,7 +109,7 @@
 
   savepoint(name: string): void {
     this.requireBlock('SAVEPOINT');
-    this.savepoints.push({ name, mark: this.current().mark });
+    this.savepoints.push({ name, undoPosition: this.current().undoPosition });
   }
 
   releaseSavepoint(name: string): void {
@@ -119,7 +119,7 @@
   rollbackToSavepoint(name: string): void {
     this.requireBlock('ROLLBACK TO SAVEPOINT');
     const position = this.findSavepoint(name);
-    this.transaction?.rollbackTo(this.savepoints[position]?.mark ?? 0);
+    this.transaction?.rollbackTo(this.savepoints[position]?.undoPosition ?? 0);
     this.savepoints = this.savepoints.slice(0, position + 1);
     this.failed = false;
   }
--- a/standins/database/slots.ts
+++ b/standins/database/slots.ts
@@ -1,9 +1,9 @@
-/** The statements that may run at once; others queue in order of arrival. */
+/** Limits the number of concurrent statements; others wait in order of arrival. */
 export class Slots {
   private running = 0;
   private readonly queue: (() => void)[] = [];
 
-  /** `limit`: statements at once. */
+  /** `limit`: maximum number of concurrent statements. */
   constructor(private readonly limit: number) {}
 
   get inUse(): number {
@@ -14,14 +14,14 @@
     return this.queue.length;
   }
 
-  /** Takes a slot if one is free and nobody waits. */
+  /** Takes a slot if one is free. A free slot implies that no statement waits. */
   tryAcquire(): boolean {
     if (this.running >= this.limit) return false;
     this.running += 1;
     return true;
   }
 
-  /** Resolves with true when a slot is taken, false when `signal` aborts first. */
+  /** Resolves with true once a slot is taken, with false if `signal` aborts first. */
   acquire(signal: AbortSignal): Promise<boolean> {
     if (this.tryAcquire()) return Promise.resolve(true);
     return new Promise((resolve) => {
@@ -39,7 +39,7 @@
     });
   }
 
-  /** Gives a slot back: to the longest waiting, if any. */
+  /** Releases a slot, which passes to the longest waiting statement, if any. */
   release(): void {
     const next = this.queue.shift();
     if (next === undefined) this.running -= 1;
--- a/standins/database/sql/access-path.ts
+++ b/standins/database/sql/access-path.ts
@@ -1,4 +1,4 @@
-/** Chooses how a table is read: by unique key, by a range of a key, or in full. */
+/** Chooses how a table is read: by unique key, by a key range, or by a full scan. */
 import type { Expr } from 'pgsql-ast-parser';
 import type { StoredRow, Table } from '../storage/table.js';
 import type { IndexKey, UniqueIndex } from '../storage/unique-index.js';
@@ -6,14 +6,14 @@
 import { compileExpression } from './expression.js';
 import { isNumericType, type TypeName, type Value } from './types.js';
 
-/** Order that the reader would like the rows in. */
-export interface WantedOrder {
+/** Row order that the statement needs. */
+export interface RequestedOrder {
   readonly column: number;
   readonly descending: boolean;
 }
 
 export interface AccessPath {
-  /** True if rows come in the wanted order. */
+  /** True if rows are returned in the requested order. */
   readonly ordered: boolean;
   readonly candidates: (context: EvaluationContext) => Iterable<StoredRow>;
 }
@@ -23,12 +23,12 @@
   readonly value: CompiledExpression;
 }
 
-/** Candidates may hold more than the WHERE clause selects: the reader filters them. */
+/** Candidates may include rows that the WHERE clause does not select: the reader filters them. */
 export function chooseAccessPath(
   table: Table,
   where: Expr | undefined,
   scope: Scope,
-  order: WantedOrder | undefined,
+  order: RequestedOrder | undefined,
 ): AccessPath {
   const conditions = where === undefined ? [] : conjuncts(where);
   const indexes = table.indexes.filter((index) => index.column !== undefined);
@@ -36,7 +36,9 @@
     const path = pointPath(index, conditions, scope);
     if (path !== undefined) return path;
   }
-  const ordering = indexes.find((index) => index.column === order?.column && isTotal(table, index));
+  const ordering = indexes.find(
+    (index) => index.column === order?.column && containsAllRows(table, index),
+  );
   if (order !== undefined && ordering !== undefined) {
     return rangePath(ordering, boundsOf(ordering, conditions, scope), order.descending, true);
   }
@@ -47,8 +49,8 @@
   return { ordered: false, candidates: () => table.rows.values() };
 }
 
-/** An index without nulls holds every row and so may stand for the whole table. */
-function isTotal(table: Table, index: UniqueIndex<StoredRow>): boolean {
+/** An index on a column without nulls contains every row, so that it can replace a full scan. */
+function containsAllRows(table: Table, index: UniqueIndex<StoredRow>): boolean {
   const column = index.column === undefined ? undefined : table.definition.columns[index.column];
   return column?.notNull === true;
 }
@@ -68,22 +70,22 @@
   if (node.type === 'ref' || node.type === 'select') return false;
   if (node.type === 'binary') return isFreeOfColumns(node.left) && isFreeOfColumns(node.right);
   if (node.type === 'cast' || node.type === 'unary') return isFreeOfColumns(node.operand);
-  // ANY stands for the elements of an array, not for one value.
+  // ANY denotes the elements of an array, not one value.
   if (node.type === 'call') {
     return node.function.name !== 'any' && node.args.every(isFreeOfColumns);
   }
   return ['parameter', 'integer', 'string', 'numeric', 'boolean'].includes(node.type);
 }
 
-/** The compiled value if it may serve as a key of the column without a change of kind. */
+/** The compiled value if it can be a key of the column without conversion to another kind of type. */
 function keyValue(node: Expr, column: number, scope: Scope): CompiledExpression | undefined {
   const type = scope.columns[column]?.type;
   if (type === undefined || !isFreeOfColumns(node)) return undefined;
   const value = compileExpression(node, scope, type);
-  return sameKind(value.type, type) ? value : undefined;
+  return isSameKind(value.type, type) ? value : undefined;
 }
 
-function sameKind(left: TypeName, right: TypeName): boolean {
+function isSameKind(left: TypeName, right: TypeName): boolean {
   return isNumericType(left) === isNumericType(right) && (left === 'bool') === (right === 'bool');
 }
 
@@ -105,11 +107,11 @@
   scope: Scope,
 ): CompiledExpression[] | undefined {
   if (node.type !== 'binary' || column === undefined) return undefined;
-  const matches = columnOf(node.left, scope) === column;
+  const isLeftColumn = columnOf(node.left, scope) === column;
   if (node.op === '=' && columnOf(node.right, scope) === column) {
     return allDefined([keyValue(node.left, column, scope)]);
   }
-  if (!matches) return undefined;
+  if (!isLeftColumn) return undefined;
   if (node.op === '=') return allDefined([keyValue(node.right, column, scope)]);
   if (node.op !== 'IN' || node.right.type !== 'list') return undefined;
   return allDefined(node.right.expressions.map((member) => keyValue(member, column, scope)));
--- a/standins/database/sql/aggregate.ts
+++ b/standins/database/sql/aggregate.ts
@@ -36,10 +36,10 @@
   if (value === null || accumulator.seen?.has(value)) return;
   accumulator.seen?.add(value);
   accumulator.count += 1;
-  if (call.functionName !== 'count') accumulator.value = next(call, accumulator.value, value);
+  if (call.functionName !== 'count') accumulator.value = nextValue(call, accumulator.value, value);
 }
 
-function next(call: AggregateCall, previous: Value, value: string | number | boolean): Value {
+function nextValue(call: AggregateCall, previous: Value, value: string | number | boolean): Value {
   if (previous === null) return value;
   if (call.functionName === 'min') return compareValues(value, previous) < 0 ? value : previous;
   if (call.functionName === 'max') return compareValues(value, previous) > 0 ? value : previous;
--- a/standins/database/sql/assignment.ts
+++ b/standins/database/sql/assignment.ts
@@ -1,4 +1,4 @@
-/** What INSERT and UPDATE share: target columns, defaults, new versions of rows. */
+/** Shared by INSERT and UPDATE: target columns, defaults, new row versions. */
 import type { SelectedColumn, SetStatement } from 'pgsql-ast-parser';
 import { ServerError, ServerSqlState } from '../errors.js';
 import type { Catalog } from '../storage/catalog.js';
@@ -67,7 +67,7 @@
   });
 }
 
-export function updateOne(
+export function updateRow(
   table: Table,
   row: StoredRow,
   current: Row,
--- a/standins/database/sql/calls.ts
+++ b/standins/database/sql/calls.ts
@@ -1,6 +1,6 @@
-/** Compiles calls of functions and aggregates, and the keywords that stand for calls. */
+/** Compiles calls of functions and aggregates, and keywords that are equivalent to calls. */
 import type { Expr, ExprCall } from 'pgsql-ast-parser';
-import { ServerError, ServerSqlState, unsupported } from '../errors.js';
+import { ServerError, ServerSqlState, unsupportedError } from '../errors.js';
 import type { CompiledExpression, EvaluationContext, Scope } from './evaluation.js';
 import { compileExpression, constant, isUntyped } from './expression.js';
 import { SCALAR_FUNCTIONS } from './functions.js';
@@ -52,12 +52,12 @@
 }
 
 function compileAggregate(name: string, node: ExprCall, scope: Scope): CompiledExpression {
-  if (scope.aggregates === undefined) throw unsupported('aggregates here');
+  if (scope.aggregates === undefined) throw unsupportedError('aggregates here');
   const [argumentNode] = node.args;
-  const all =
+  const isCountAll =
     argumentNode === undefined || (argumentNode.type === 'ref' && argumentNode.name === '*');
   const inner: Scope = { ...scope, aggregates: undefined };
-  const argument = all ? undefined : compileExpression(argumentNode, inner);
+  const argument = isCountAll ? undefined : compileExpression(argumentNode, inner);
   const distinct = node.distinct === 'distinct';
   const position = scope.aggregates.push({ functionName: name, argument, distinct }) - 1;
   const type = aggregateType(name, argument?.type ?? 'int8');
@@ -85,5 +85,5 @@
     return { type: 'text', evaluate: (context) => context.instance.databaseName() };
   }
   if (keyword === 'current_schema') return constant('text', 'public');
-  throw unsupported(`keyword ${keyword}`);
+  throw unsupportedError(`keyword ${keyword}`);
 }
--- a/standins/database/sql/define.ts
+++ b/standins/database/sql/define.ts
@@ -5,7 +5,7 @@
   DropStatement,
   TruncateTableStatement,
 } from 'pgsql-ast-parser';
-import { ServerError, ServerSqlState, unsupported } from '../errors.js';
+import { ServerError, ServerSqlState, unsupportedError } from '../errors.js';
 import type { Catalog } from '../storage/catalog.js';
 import type { ColumnDefinition, TableDefinition, UniqueConstraint } from '../storage/schema.js';
 import { ParameterTypes } from './evaluation.js';
@@ -19,7 +19,7 @@
   return { columns: undefined, parameters, writes: true, needsSlot: true, execute, tag: () => tag };
 }
 
-const NOTHING = { rows: [], affected: 0 } as const;
+const NO_ROWS = { rows: [], affected: 0 } as const;
 
 export function compileCreateTable(node: CreateTableStatement, catalog: Catalog): Plan {
   const definition = tableDefinition(node);
@@ -30,7 +30,7 @@
       const message = `relation "${definition.name}" already exists`;
       throw new ServerError(ServerSqlState.DUPLICATE_TABLE, message);
     }
-    return NOTHING;
+    return NO_ROWS;
   });
 }
 
@@ -40,7 +40,7 @@
       if (node.ifExists && catalog.find(name) === undefined) continue;
       catalog.dropTable(name, transaction);
     }
-    return NOTHING;
+    return NO_ROWS;
   });
 }
 
@@ -53,14 +53,14 @@
         if (table.visible(row, transaction) !== undefined) table.delete(row, transaction);
       }
     }
-    return NOTHING;
+    return NO_ROWS;
   });
 }
 
 function tableDefinition(node: CreateTableStatement): TableDefinition {
   const { name } = node.name;
   const nodes = node.columns.map((column) => {
-    if (column.kind !== 'column') throw unsupported('LIKE in CREATE TABLE');
+    if (column.kind !== 'column') throw unsupportedError('LIKE in CREATE TABLE');
     return column;
   });
   const uniqueConstraints = [...columnConstraints(name, nodes), ...tableConstraints(node, nodes)];
@@ -73,7 +73,7 @@
 
 function columnDefinition(node: CreateColumnDef, inPrimaryKey: boolean): ColumnDefinition {
   const { dataType } = node;
-  if (dataType.kind === 'array' || !('name' in dataType)) throw unsupported('array columns');
+  if (dataType.kind === 'array' || !('name' in dataType)) throw unsupportedError('array columns');
   const constraints = node.constraints ?? [];
   const serial =
     SERIAL_TYPES.has(dataType.name.toLowerCase()) ||
@@ -108,7 +108,7 @@
   const table = node.name.name;
   return (node.constraints ?? []).map((constraint) => {
     if (constraint.type !== 'primary key' && constraint.type !== 'unique') {
-      throw unsupported(`table constraints of kind ${constraint.type}`);
+      throw unsupportedError(`table constraints of kind ${constraint.type}`);
     }
     const names = constraint.columns.map((column) => ('name' in column ? column.name : ''));
     const columns = names.map((name) =>
--- a/standins/database/sql/evaluation.ts
+++ b/standins/database/sql/evaluation.ts
@@ -1,4 +1,4 @@
-/** What compiled expressions are made of and what they see when they run. */
+/** Types of compiled expressions, and of the context that they are evaluated in. */
 import type { Expr } from 'pgsql-ast-parser';
 import type { Row, TypeName, Value } from './types.js';
 
@@ -6,14 +6,14 @@
 export interface InstanceFunctions {
   isInRecovery(): boolean;
   timeline(): number;
-  /** Throws 55000 in recovery. */
+  /** @throws ServerError 55000 in recovery. */
   currentLsn(): string;
   receivedLsn(): string | null;
   replayedLsn(): string | null;
   backendPid(): number;
   userName(): string;
   databaseName(): string;
-  /** Undefined for a setting that was never set. */
+  /** Undefined for a setting without a value. */
   setting(name: string): string | undefined;
   changeSetting(name: string, value: string): void;
 }
@@ -21,11 +21,11 @@
 /** State of one statement's evaluation; `row` changes from row to row. */
 export interface EvaluationContext {
   row: Row;
-  /** The row that an insert proposed: `excluded` of ON CONFLICT DO UPDATE. */
+  /** The row proposed for insertion: `excluded` of ON CONFLICT DO UPDATE. */
   excluded: Row;
   /** Results of the aggregates of a SELECT, in order of their registration. */
   aggregates: Row;
-  /** Time that calls of pg_sleep asked for; spent after the statement's work. */
+  /** Time requested by calls of pg_sleep; waited for after the statement's work. */
   sleepMs: number;
   readonly parameters: Row;
   readonly instance: InstanceFunctions;
@@ -70,14 +70,14 @@
   }
 }
 
-/** Names that an expression may use. */
+/** Names that an expression may reference. */
 export interface Scope {
   readonly columns: readonly ScopeColumn[];
   /** Name or alias by which columns may be qualified. */
   readonly sourceName: string | undefined;
   readonly excludedColumns: readonly ScopeColumn[] | undefined;
   readonly parameters: ParameterTypes;
-  /** Collects the aggregates of a select list; undefined where none may be called. */
+  /** Collects the aggregates of a select list; undefined where aggregates aren't allowed. */
   readonly aggregates: AggregateCall[] | undefined;
   /** Compiles a scalar subselect. */
   readonly compileSubselect: (select: Expr, parameters: ParameterTypes) => CompiledExpression;
--- a/standins/database/sql/expression.ts
+++ b/standins/database/sql/expression.ts
@@ -1,6 +1,6 @@
 /** Compiles expressions of the syntax tree to functions over an evaluation context. */
 import type { DataTypeDef, Expr, ExprBinary, ExprCase, ExprRef } from 'pgsql-ast-parser';
-import { ServerError, ServerSqlState, unsupported } from '../errors.js';
+import { ServerError, ServerSqlState, unsupportedError } from '../errors.js';
 import { compileCall, compileKeyword } from './calls.js';
 import type { CompiledExpression, EvaluationContext, Scope } from './evaluation.js';
 import * as operators from './operators.js';
@@ -16,7 +16,7 @@
 
 const INT4_MAX = 2_147_483_647;
 
-/** `hint`: the type that the surroundings expect, for parameters and untyped literals. */
+/** `hint`: the type that the context expects, for parameters and untyped literals. */
 export function compileExpression(node: Expr, scope: Scope, hint?: TypeName): CompiledExpression {
   switch (node.type) {
     case 'integer':
@@ -56,19 +56,19 @@
       if (node.expressions.length === 1 && node.expressions[0] !== undefined) {
         return compileExpression(node.expressions[0], scope, hint);
       }
-      throw unsupported('row constructors');
+      throw unsupportedError('row constructors');
     default:
-      throw unsupported(`expressions of kind ${node.type}`);
+      throw unsupportedError(`expressions of kind ${node.type}`);
   }
 }
 
-/** An expression of one value. */
+/** A constant expression. */
 export function constant(type: TypeName, value: Value): CompiledExpression {
   return { type, evaluate: () => value };
 }
 
 function castTargetName(to: DataTypeDef): string {
-  if (to.kind === 'array' || !('name' in to)) throw unsupported('array types');
+  if (to.kind === 'array' || !('name' in to)) throw unsupportedError('array types');
   return to.name;
 }
 
@@ -154,11 +154,11 @@
     case '+':
       return (value) => value;
     default:
-      throw unsupported(`operator ${operator}`);
+      throw unsupportedError(`operator ${operator}`);
   }
 }
 
-/** True for nodes whose type follows from their use. */
+/** True for nodes whose type is inferred from their use. */
 export function isUntyped(node: Expr): boolean {
   return node.type === 'parameter' || node.type === 'string' || node.type === 'null';
 }
@@ -206,7 +206,7 @@
     const type = arithmeticType(left.type, right.type);
     return apply(left, right, type, operators.arithmetic(op, type));
   }
-  throw unsupported(`operator ${op}`);
+  throw unsupportedError(`operator ${op}`);
 }
 
 function untypedHint(node: Expr, type: TypeName): TypeName | undefined {
--- a/standins/database/sql/functions.ts
+++ b/standins/database/sql/functions.ts
@@ -7,12 +7,12 @@
   readonly type: TypeName | 'of-first-argument';
   readonly minArguments: number;
   readonly maxArguments: number;
-  /** Answers null without a call when an argument is null. */
+  /** True if the result is null, without a call, when an argument is null. */
   readonly strict: boolean;
   readonly call: (values: readonly Value[], context: EvaluationContext) => Value;
 }
 
-/** Functions that report an instance's state: statements of only these take no slot. */
+/** Functions that report an instance's state: statements that call only these take no slot. */
 export const STATUS_FUNCTIONS: ReadonlySet<string> = new Set([
   'pg_is_in_recovery',
   'pg_current_wal_lsn',
@@ -29,7 +29,7 @@
 const WAL_NAME_PART_DIGITS = 8;
 const SERVER_VERSION_TEXT = 'PostgreSQL 16.0 (meadowstack stand-in)';
 
-function define(
+function defineFunction(
   type: ScalarFunction['type'],
   [minArguments, maxArguments]: readonly [number, number],
   call: ScalarFunction['call'],
@@ -38,9 +38,9 @@
   return { type, minArguments, maxArguments, strict, call };
 }
 
-const NONE = [0, 0] as const;
-const ONE = [1, 1] as const;
-const TWO = [2, 2] as const;
+const NO_ARGUMENTS = [0, 0] as const;
+const ONE_ARGUMENT = [1, 1] as const;
+const TWO_ARGUMENTS = [2, 2] as const;
 
 function text(value: Value | undefined): string {
   return value === null || value === undefined ? '' : formatValue(value);
@@ -58,7 +58,7 @@
   return '';
 }
 
-/** Name of the segment file that holds the LSN: timeline, then log and segment number. */
+/** Name of the segment file that contains the LSN: timeline, then log and segment number. */
 function walFileName(lsn: string, instance: EvaluationContext['instance']): string {
   const [high = '0', low = '0'] = lsn.split('/');
   const segment = Math.floor(Number.parseInt(low, HEXADECIMAL) / WAL_SEGMENT_BYTES);
@@ -86,39 +86,67 @@
 }
 
 export const SCALAR_FUNCTIONS: Readonly<Record<string, ScalarFunction>> = {
-  pg_is_in_recovery: define('bool', NONE, (_, { instance }) => instance.isInRecovery()),
-  pg_current_wal_lsn: define('pg_lsn', NONE, (_, { instance }) => instance.currentLsn()),
-  pg_last_wal_replay_lsn: define('pg_lsn', NONE, (_, { instance }) => instance.replayedLsn()),
-  pg_last_wal_receive_lsn: define('pg_lsn', NONE, (_, { instance }) => instance.receivedLsn()),
-  pg_walfile_name: define('text', ONE, ([lsn], { instance }) => walFileName(text(lsn), instance)),
-  pg_backend_pid: define('int4', NONE, (_, { instance }) => instance.backendPid()),
-  pg_sleep: define('void', ONE, ([seconds], context) => sleep(seconds, context)),
-  now: define('timestamptz', NONE, transactionTime),
-  transaction_timestamp: define('timestamptz', NONE, transactionTime),
-  clock_timestamp: define('timestamptz', NONE, () => formatTimestamp('timestamptz', Date.now())),
-  version: define('text', NONE, () => SERVER_VERSION_TEXT),
-  current_database: define('text', NONE, (_, { instance }) => instance.databaseName()),
-  current_schema: define('text', NONE, () => 'public'),
-  current_setting: define('text', [1, 2], currentSetting),
-  set_config: define('text', [3, 3], changeSetting),
-  repeat: define('text', TWO, ([value, count]) => repeat(value, count)),
-  length: define('int4', ONE, ([value]) => text(value).length),
-  upper: define('text', ONE, ([value]) => text(value).toUpperCase()),
-  lower: define('text', ONE, ([value]) => text(value).toLowerCase()),
-  concat: define('text', [1, 100], (values) => values.map(text).join(''), false),
-  abs: define('of-first-argument', ONE, ([value]) => Math.abs(Number(value))),
-  mod: define('of-first-argument', TWO, ([left, right]) => Number(left) % Number(right)),
-  coalesce: define(
+  pg_is_in_recovery: defineFunction('bool', NO_ARGUMENTS, (_, { instance }) =>
+    instance.isInRecovery(),
+  ),
+  pg_current_wal_lsn: defineFunction('pg_lsn', NO_ARGUMENTS, (_, { instance }) =>
+    instance.currentLsn(),
+  ),
+  pg_last_wal_replay_lsn: defineFunction('pg_lsn', NO_ARGUMENTS, (_, { instance }) =>
+    instance.replayedLsn(),
+  ),
+  pg_last_wal_receive_lsn: defineFunction('pg_lsn', NO_ARGUMENTS, (_, { instance }) =>
+    instance.receivedLsn(),
+  ),
+  pg_walfile_name: defineFunction('text', ONE_ARGUMENT, ([lsn], { instance }) =>
+    walFileName(text(lsn), instance),
+  ),
+  pg_backend_pid: defineFunction('int4', NO_ARGUMENTS, (_, { instance }) => instance.backendPid()),
+  pg_sleep: defineFunction('void', ONE_ARGUMENT, ([seconds], context) => sleep(seconds, context)),
+  now: defineFunction('timestamptz', NO_ARGUMENTS, transactionTime),
+  transaction_timestamp: defineFunction('timestamptz', NO_ARGUMENTS, transactionTime),
+  clock_timestamp: defineFunction('timestamptz', NO_ARGUMENTS, () =>
+    formatTimestamp('timestamptz', Date.now()),
+  ),
+  version: defineFunction('text', NO_ARGUMENTS, () => SERVER_VERSION_TEXT),
+  current_database: defineFunction('text', NO_ARGUMENTS, (_, { instance }) =>
+    instance.databaseName(),
+  ),
+  current_schema: defineFunction('text', NO_ARGUMENTS, () => 'public'),
+  current_setting: defineFunction('text', [1, 2], currentSetting),
+  set_config: defineFunction('text', [3, 3], changeSetting),
+  repeat: defineFunction('text', TWO_ARGUMENTS, ([value, count]) => repeat(value, count)),
+  length: defineFunction('int4', ONE_ARGUMENT, ([value]) => text(value).length),
+  upper: defineFunction('text', ONE_ARGUMENT, ([value]) => text(value).toUpperCase()),
+  lower: defineFunction('text', ONE_ARGUMENT, ([value]) => text(value).toLowerCase()),
+  concat: defineFunction('text', [1, 100], (values) => values.map(text).join(''), false),
+  abs: defineFunction('of-first-argument', ONE_ARGUMENT, ([value]) => Math.abs(Number(value))),
+  mod: defineFunction(
+    'of-first-argument',
+    TWO_ARGUMENTS,
+    ([left, right]) => Number(left) % Number(right),
+  ),
+  coalesce: defineFunction(
     'of-first-argument',
     [1, 100],
     (values) => values.find((value) => value !== null) ?? null,
     false,
   ),
-  greatest: define('of-first-argument', [1, 100], (values) => extreme(values, 1), false),
-  least: define('of-first-argument', [1, 100], (values) => extreme(values, -1), false),
+  greatest: defineFunction(
+    'of-first-argument',
+    [1, 100],
+    (values) => selectExtreme(values, 1),
+    false,
+  ),
+  least: defineFunction(
+    'of-first-argument',
+    [1, 100],
+    (values) => selectExtreme(values, -1),
+    false,
+  ),
 };
 
-function extreme(values: readonly Value[], direction: number): Value {
+function selectExtreme(values: readonly Value[], direction: number): Value {
   let best: Value = null;
   for (const value of values) {
     if (value === null) continue;
--- a/standins/database/sql/insert.ts
+++ b/standins/database/sql/insert.ts
@@ -1,6 +1,6 @@
 /** Compiles INSERT with its ON CONFLICT clause. */
 import type { Expr, InsertStatement, OnConflictAction } from 'pgsql-ast-parser';
-import { ServerError, ServerSqlState, unsupported } from '../errors.js';
+import { ServerError, ServerSqlState, unsupportedError } from '../errors.js';
 import type { Catalog } from '../storage/catalog.js';
 import type { StoredRow, Table } from '../storage/table.js';
 import {
@@ -10,7 +10,7 @@
   compileDefaults,
   compileReturning,
   tableScope,
-  updateOne,
+  updateRow,
 } from './assignment.js';
 import type { CompiledExpression, ParameterTypes, Scope } from './evaluation.js';
 import { castTo, compileExpression } from './expression.js';
@@ -30,14 +30,14 @@
     ? node.columns.map((column) => columnPosition(table, column.name))
     : table.definition.columns.map((_, position) => position);
   const proposals = compileProposals(node, table, targets, scope, catalog);
-  const resolve = compileConflict(node.onConflict ?? undefined, table, scope);
+  const resolveConflict = compileConflict(node.onConflict ?? undefined, table, scope);
   const returning = compileReturning(node.returning, scope);
   const execute = (context: ExecutionContext): StatementResult => {
     const returned: Row[] = [];
     let affected = 0;
     for (const proposal of proposals(context)) {
       checkNotNull(table, proposal);
-      const stored = insertOne(table, proposal, resolve, context);
+      const stored = insertRow(table, proposal, resolveConflict, context);
       if (stored === undefined) continue;
       affected += 1;
       context.row = stored;
@@ -61,7 +61,7 @@
   context: ExecutionContext,
 ) => Row | undefined;
 
-function insertOne(
+function insertRow(
   table: Table,
   proposal: Row,
   resolve: ConflictResolution | undefined,
@@ -94,7 +94,7 @@
     context.row = current;
     context.excluded = proposal;
     if (where !== undefined && where.evaluate(context) !== true) return undefined;
-    return updateOne(table, row, current, assignments, context);
+    return updateRow(table, row, current, assignments, context);
   };
 }
 
@@ -127,7 +127,7 @@
     });
     return (context) => compiled.map((row) => row.map((value) => value.evaluate(context)));
   }
-  if (insert.type !== 'select') throw unsupported(`INSERT from ${insert.type}`);
+  if (insert.type !== 'select') throw unsupportedError(`INSERT from ${insert.type}`);
   const plan = compileSelect(insert, catalog, scope.parameters);
   return function* (context) {
     const inner: ExecutionContext = { ...context };
--- a/standins/database/sql/literals.ts
+++ b/standins/database/sql/literals.ts
@@ -1,25 +1,25 @@
 /**
- * Takes literals out of a statement's text, so that texts which differ only in them share one
- * syntax tree and one plan. The parser is by far the dearest part of a simple query.
+ * Replaces literals in a statement's text by parameters, so that texts that differ only in literals
+ * share one syntax tree and one plan. The parser is by far the most expensive part of a simple query.
  */
 import type { TypeName } from './types.js';
 
 export interface ParameterizedText {
   /** The statement with `$n` in place of literals. */
   readonly text: string;
-  /** Undefined: the type follows from the use, as for any quoted literal. */
+  /** Undefined: the type is inferred from the use, as for any quoted literal. */
   readonly types: readonly (TypeName | undefined)[];
   readonly values: readonly string[];
 }
 
 const APPLICABLE = /^(?:select|insert|update|delete)\b/i;
-/** Places where a parameter would mean something else than the literal. */
+/** Constructs where a parameter would have a different meaning than the literal. */
 const EXCLUDED = /\$\d|\border\s+by\s+\d|\b(?:interval|timestamp|timestamptz|date|time)\s*'|\be'/i;
-/** Quoted names and words pass; strings and integers of int4 become parameters. */
+/** Quoted names, words and non-integer numbers stay; strings and int4 integers become parameters. */
 const TOKENS = /"(?:[^"]|"")*"|[A-Za-z_][\w$]*|\d+\.\d*|\d+[eE]\d+|'(?:[^']|'')*'|\d+/g;
 const INTEGER = /^\d{1,9}$/;
 
-/** Undefined if the text has no literals, or is of a kind that is left alone. */
+/** Undefined if the text has no literals, or contains a construct that is not parameterized. */
 export function parameterize(text: string): ParameterizedText | undefined {
   if (!APPLICABLE.test(text) || EXCLUDED.test(text)) return undefined;
   const types: (TypeName | undefined)[] = [];
--- a/standins/database/sql/modify.ts
+++ b/standins/database/sql/modify.ts
@@ -1,17 +1,17 @@
 /** Compiles UPDATE and DELETE. */
 import type { DeleteStatement, Expr, SelectedColumn, UpdateStatement } from 'pgsql-ast-parser';
-import { unsupported } from '../errors.js';
+import { unsupportedError } from '../errors.js';
 import type { Catalog } from '../storage/catalog.js';
 import type { StoredRow, Table } from '../storage/table.js';
 import { chooseAccessPath } from './access-path.js';
-import { compileAssignments, compileReturning, tableScope, updateOne } from './assignment.js';
+import { compileAssignments, compileReturning, tableScope, updateRow } from './assignment.js';
 import type { ParameterTypes, Scope } from './evaluation.js';
 import { compileExpression } from './expression.js';
 import type { ExecutionContext, Plan, StatementResult } from './plan.js';
 import { project } from './projection.js';
 import type { Row } from './types.js';
 
-/** Locks and collects the rows a WHERE clause selects, before any of them is changed. */
+/** Locks and collects the rows that a WHERE clause selects, before any of them is changed. */
 function compileTargets(
   table: Table,
   where: Expr | undefined,
@@ -38,16 +38,16 @@
   catalog: Catalog,
   parameters: ParameterTypes,
 ): Plan {
-  if (node.from) throw unsupported('UPDATE with FROM');
+  if (node.from) throw unsupportedError('UPDATE with FROM');
   const table = catalog.get(node.table.name);
   const scope = tableScope(table, node.table.alias, catalog, parameters);
   const assignments = compileAssignments(node.sets, table, scope);
   const targets = compileTargets(table, node.where ?? undefined, scope);
-  return modification(node.returning, 'UPDATE', scope, targets, (row, context) => {
+  return compileModification(node.returning, 'UPDATE', scope, targets, (row, context) => {
     const current = table.visible(row, context.transaction);
     if (current === undefined) return undefined;
     context.row = current;
-    return updateOne(table, row, current, assignments, context);
+    return updateRow(table, row, current, assignments, context);
   });
 }
 
@@ -59,14 +59,14 @@
   const table = catalog.get(node.from.name);
   const scope = tableScope(table, node.from.alias, catalog, parameters);
   const targets = compileTargets(table, node.where ?? undefined, scope);
-  return modification(node.returning, 'DELETE', scope, targets, (row, context) => {
+  return compileModification(node.returning, 'DELETE', scope, targets, (row, context) => {
     const current = table.visible(row, context.transaction);
     table.delete(row, context.transaction);
     return current;
   });
 }
 
-function modification(
+function compileModification(
   selected: readonly SelectedColumn[] | null | undefined,
   command: 'UPDATE' | 'DELETE',
   scope: Scope,
--- a/standins/database/sql/operators.ts
+++ b/standins/database/sql/operators.ts
@@ -1,5 +1,5 @@
 /** Operators of the SQL subset over values, with SQL's three-valued logic. */
-import { ServerError, ServerSqlState, unsupported } from '../errors.js';
+import { ServerError, ServerSqlState, unsupportedError } from '../errors.js';
 import { compareValues } from './functions.js';
 import { formatValue, isIntegerType, type TypeName, type Value } from './types.js';
 
@@ -26,13 +26,13 @@
 }
 
 export function comparison(operator: string): BinaryFunction {
-  const holds = COMPARISONS[operator];
-  if (holds === undefined) throw unsupported(`operator ${operator}`);
+  const isSatisfied = COMPARISONS[operator];
+  if (isSatisfied === undefined) throw unsupportedError(`operator ${operator}`);
   if (operator === '=') {
     return (left, right) => (left === null || right === null ? null : left === right);
   }
   return (left, right) =>
-    left === null || right === null ? null : holds(compareValues(left, right));
+    left === null || right === null ? null : isSatisfied(compareValues(left, right));
 }
 
 export function not(value: Value): Value {
--- a/standins/database/sql/plan.ts
+++ b/standins/database/sql/plan.ts
@@ -1,4 +1,4 @@
-/** What a compiled statement offers to the session that executes it. */
+/** Interface of a compiled statement, which a session executes. */
 import type { Transaction } from '../storage/transaction.js';
 import type { EvaluationContext, ParameterTypes, ScopeColumn } from './evaluation.js';
 import type { Row } from './types.js';
@@ -11,9 +11,9 @@
 }
 
 export interface StatementResult {
-  /** Rows to return, made as they are read; changes are done before the first one is. */
+  /** Rows to return, computed when they are read; all changes are made before the first one. */
   readonly rows: Iterable<Row>;
-  /** Rows affected, for the command tag of INSERT, UPDATE and DELETE. */
+  /** Number of affected rows, for the command tag of INSERT, UPDATE and DELETE. */
   readonly affected: number;
 }
 
@@ -22,9 +22,9 @@
   readonly columns: readonly ResultColumn[] | undefined;
   readonly parameters: ParameterTypes;
   readonly writes: boolean;
-  /** False for statements of status functions only: they take no slot and no service time. */
+  /** False for statements that call only status functions: they need no slot and no service time. */
   readonly needsSlot: boolean;
-  /** Runs in one go; throws RowLockedSignal to be run again after the lock's end. */
+  /** Runs synchronously. @throws RowLockedSignal to be run again after the lock is released. */
   readonly execute: (context: ExecutionContext) => StatementResult;
   /** Command tag, such as `SELECT 3`. */
   readonly tag: (rowsReturned: number, affected: number) => string;
--- a/standins/database/sql/planner.ts
+++ b/standins/database/sql/planner.ts
@@ -1,6 +1,6 @@
 /** Compiles a query statement to a plan. */
 import type { Statement } from 'pgsql-ast-parser';
-import { unsupported } from '../errors.js';
+import { unsupportedError } from '../errors.js';
 import type { Catalog } from '../storage/catalog.js';
 import { compileCreateTable, compileDropTable, compileTruncate } from './define.js';
 import { ParameterTypes } from './evaluation.js';
@@ -33,6 +33,6 @@
     case 'truncate table':
       return compileTruncate(tree, catalog);
     default:
-      throw unsupported(`statements of kind ${tree.type}`);
+      throw unsupportedError(`statements of kind ${tree.type}`);
   }
 }
--- a/standins/database/sql/predicates.ts
+++ b/standins/database/sql/predicates.ts
@@ -1,6 +1,6 @@
 /** Compiles BETWEEN, IN and ANY. */
 import type { Expr, ExprBinary, ExprCall } from 'pgsql-ast-parser';
-import { unsupported } from '../errors.js';
+import { unsupportedError } from '../errors.js';
 import type { CompiledExpression, EvaluationContext, Scope } from './evaluation.js';
 import { apply, compileExpression, compilePair } from './expression.js';
 import * as operators from './operators.js';
@@ -20,7 +20,7 @@
 }
 
 export function compileIn(node: ExprBinary, scope: Scope): CompiledExpression {
-  if (node.right.type !== 'list') throw unsupported('IN with a subselect');
+  if (node.right.type !== 'list') throw unsupportedError('IN with a subselect');
   const left = compileExpression(node.left, scope);
   const members = node.right.expressions.map((member) =>
     compileExpression(member, scope, left.type),
@@ -37,10 +37,10 @@
   return { type: 'bool', evaluate };
 }
 
-/** `value = ANY(array)`, the array in PostgreSQL's text form without nested quotes. */
+/** Compiles `value = ANY(array)`, with the array in PostgreSQL's text form without nested quotes. */
 export function compileAny(leftNode: Expr, call: ExprCall, scope: Scope): CompiledExpression {
   const [arrayNode] = call.args;
-  if (arrayNode === undefined) throw unsupported('ANY without an argument');
+  if (arrayNode === undefined) throw unsupportedError('ANY without an argument');
   const left = compileExpression(leftNode, scope);
   const array = compileExpression(arrayNode.type === 'cast' ? arrayNode.operand : arrayNode, scope);
   const evaluate = (context: EvaluationContext): Value => {
--- a/standins/database/sql/projection.ts
+++ b/standins/database/sql/projection.ts
@@ -33,7 +33,7 @@
   return { type, evaluate: (context) => context.row[position] ?? null };
 }
 
-/** The name PostgreSQL gives an unnamed output column. */
+/** The name that PostgreSQL gives to an unnamed output column. */
 function outputName(node: Expr): string {
   if (node.type === 'ref') return node.name;
   if (node.type === 'call') return node.function.name;
--- a/standins/database/sql/select.ts
+++ b/standins/database/sql/select.ts
@@ -1,8 +1,8 @@
 /** Compiles SELECT over one table, generate_series or no source at all. */
 import type { Expr, OrderByStatement, SelectFromStatement } from 'pgsql-ast-parser';
-import { unsupported } from '../errors.js';
+import { unsupportedError } from '../errors.js';
 import type { Catalog } from '../storage/catalog.js';
-import { chooseAccessPath, type WantedOrder } from './access-path.js';
+import { chooseAccessPath, type RequestedOrder } from './access-path.js';
 import { accumulate } from './aggregate.js';
 import type { AggregateCall, CompiledExpression, ParameterTypes, Scope } from './evaluation.js';
 import { compileExpression } from './expression.js';
@@ -24,8 +24,8 @@
   catalog: Catalog,
   parameters: ParameterTypes,
 ): Plan {
-  if (node.groupBy || node.having) throw unsupported('GROUP BY');
-  if (node.distinct && node.distinct !== 'all') throw unsupported('DISTINCT');
+  if (node.groupBy || node.having) throw unsupportedError('GROUP BY');
+  if (node.distinct && node.distinct !== 'all') throw unsupportedError('DISTINCT');
   const aggregates: AggregateCall[] = [];
   const source = compileSource(node.from ?? [], catalog, parameters);
   const scope: Scope = {
@@ -41,27 +41,27 @@
   const projection = compileProjection(node.columns ?? [], scope);
   const filter = where === undefined ? undefined : compileExpression(where, rowScope);
   const sortKeys = compileSortKeys(node.orderBy ?? [], projection, rowScope);
-  const limit = optional(node.limit?.limit, rowScope);
-  const offset = optional(node.limit?.offset, rowScope);
+  const limit = compileOptional(node.limit?.limit, rowScope);
+  const offset = compileOptional(node.limit?.offset, rowScope);
   const scan = compileScan(source, where, filter, node, rowScope);
-  const sorted = sortKeys.length > 0 && !scan.ordered;
+  const needsSort = sortKeys.length > 0 && !scan.ordered;
   const select = (context: ExecutionContext, rows: Iterable<Row>): Iterable<Row> => {
-    const first = offsetOf(offset, context);
-    const end = first + limitOf(limit, context);
+    const first = evaluateOffset(offset, context);
+    const end = first + evaluateLimit(limit, context);
     if (aggregates.length > 0) {
       return [aggregateRow(aggregates, rows, projection, context)].slice(first, end);
     }
-    if (source.generate !== undefined && !sorted) {
-      return projected(rows, first, end, projection, context);
+    if (source.generate !== undefined && !needsSort) {
+      return projectRows(rows, first, end, projection, context);
     }
-    // Rows of a table are collected before the first is sent: the statement sees one state.
-    const collected = take(rows, sorted ? Number.POSITIVE_INFINITY : end);
-    if (sorted) collected.sort((left, right) => compareRows(sortKeys, left, right, context));
-    return projected(collected, first, end, projection, context);
+    // Rows of a table are collected before the first is sent, so that the statement reads one state.
+    const collected = takeRows(rows, needsSort ? Number.POSITIVE_INFINITY : end);
+    if (needsSort) collected.sort((left, right) => compareRows(sortKeys, left, right, context));
+    return projectRows(collected, first, end, projection, context);
   };
   const execute = (context: ExecutionContext): StatementResult => {
     const rows = select(context, scan.read(context));
-    // Without a source the row is evaluated at once: its calls may have effects (pg_sleep).
+    // Without a source the row is evaluated immediately: its calls may have side effects (pg_sleep).
     return { rows: source === NO_SOURCE ? [...rows] : rows, affected: 0 };
   };
   return {
@@ -74,15 +74,18 @@
   };
 }
 
-function optional(node: Expr | null | undefined, scope: Scope): CompiledExpression | undefined {
+function compileOptional(
+  node: Expr | null | undefined,
+  scope: Scope,
+): CompiledExpression | undefined {
   return node ? compileExpression(node, scope, 'int8') : undefined;
 }
 
-function offsetOf(offset: CompiledExpression | undefined, context: ExecutionContext): number {
+function evaluateOffset(offset: CompiledExpression | undefined, context: ExecutionContext): number {
   return Math.max(0, Number(offset?.evaluate(context) ?? 0));
 }
 
-function limitOf(limit: CompiledExpression | undefined, context: ExecutionContext): number {
+function evaluateLimit(limit: CompiledExpression | undefined, context: ExecutionContext): number {
   const value = limit?.evaluate(context) ?? null;
   return value === null ? Number.POSITIVE_INFINITY : Math.max(0, Number(value));
 }
@@ -113,7 +116,7 @@
 }
 
 interface Scan {
-  /** True if no sort is needed after it. */
+  /** True if its rows need no further sort. */
   readonly ordered: boolean;
   readonly read: (context: ExecutionContext) => Iterable<Row>;
 }
@@ -129,10 +132,10 @@
   const orderBy = node.orderBy ?? [];
   if (table === undefined) {
     const read = (context: ExecutionContext): Iterable<Row> =>
-      filtered(generate?.(context) ?? [], filter, context);
+      filterRows(generate?.(context) ?? [], filter, context);
     return { ordered: orderBy.length === 0, read };
   }
-  const path = chooseAccessPath(table, where, scope, wantedOrder(orderBy, scope));
+  const path = chooseAccessPath(table, where, scope, requestedOrder(orderBy, scope));
   const locks = node.for !== undefined;
   const read = function* (context: ExecutionContext): Generator<Row> {
     for (const stored of path.candidates(context)) {
@@ -147,7 +150,10 @@
   return { ordered: path.ordered || orderBy.length === 0, read };
 }
 
-function wantedOrder(orderBy: readonly OrderByStatement[], scope: Scope): WantedOrder | undefined {
+function requestedOrder(
+  orderBy: readonly OrderByStatement[],
+  scope: Scope,
+): RequestedOrder | undefined {
   const [first] = orderBy;
   if (first?.by.type !== 'ref') return undefined;
   const name = first.by.name;
@@ -155,7 +161,7 @@
   return column < 0 ? undefined : { column, descending: first.order === 'DESC' };
 }
 
-function* filtered(
+function* filterRows(
   rows: Iterable<Row>,
   filter: CompiledExpression | undefined,
   context: ExecutionContext,
@@ -166,7 +172,7 @@
   }
 }
 
-function take(rows: Iterable<Row>, count: number): Row[] {
+function takeRows(rows: Iterable<Row>, count: number): Row[] {
   const taken: Row[] = [];
   if (count <= 0) return taken;
   for (const row of rows) {
@@ -176,7 +182,7 @@
   return taken;
 }
 
-function* projected(
+function* projectRows(
   rows: Iterable<Row>,
   first: number,
   end: number,
@@ -230,7 +236,7 @@
   return compareValues(left, right) * key.direction;
 }
 
-/** True if a tree calls status functions and no others. */
+/** True if a tree calls at least one function, and only status functions. */
 function callsOnlyStatusFunctions(node: SelectFromStatement): boolean {
   const names: string[] = [];
   JSON.stringify(node, (key, value: unknown) => {
--- a/standins/database/sql/statements.ts
+++ b/standins/database/sql/statements.ts
@@ -1,6 +1,6 @@
 /**
- * Splits SQL text into statements and parses each. Statements that steer the session are read
- * here, since the parser library knows only some of them; all others become its syntax tree.
+ * Splits SQL text into statements and parses each. Statements that control the session are parsed
+ * here, since the parser library supports only some of them; others become its syntax tree.
  */
 import { parse, type Statement } from 'pgsql-ast-parser';
 import { ServerError, ServerSqlState } from '../errors.js';
@@ -19,7 +19,7 @@
 export interface SettingStatement {
   readonly kind: 'set';
   readonly name: string;
-  /** Undefined: back to the default. */
+  /** Undefined: reset to the default. */
   readonly value: string | undefined;
   readonly tag: 'SET' | 'RESET';
   /** SET LOCAL: until the end of the transaction. */
@@ -52,23 +52,23 @@
   | PlainStatement
   | QueryStatement;
 
-const CACHED_TEXTS = 2_000;
-/** Longer texts (large inline values) are parsed each time rather than kept. */
-const CACHED_TEXT_MAX_LENGTH = 8_192;
+const MAX_CACHED_TEXTS = 2_000;
+/** Longer texts (large inline values) are parsed each time instead of cached. */
+const MAX_CACHED_TEXT_LENGTH = 8_192;
 const cache = new Map<string, ParsedStatement>();
 
-/** A statement of a simple query, its literals taken out as parameters where that is possible. */
+/** A statement of a simple query, with its literals replaced by parameters where possible. */
 export interface SimpleStatement {
   readonly statement: ParsedStatement;
   readonly types: readonly (TypeName | undefined)[];
   readonly values: readonly string[];
 }
 
-/** Strings, quoted names, comments, dollar quotes and semicolons: what splitting must see. */
+/** Tokens that matter for splitting: strings, quoted names, comments, dollar quotes, semicolons. */
 const TOKENS =
   /'(?:[^']|'')*'|"(?:[^"]|"")*"|--[^\n]*|\/\*[\s\S]*?\*\/|\$([A-Za-z_]\w*)?\$[\s\S]*?\$\1\$|;/g;
 
-/** The statements of a text without comments; empty statements are left out. */
+/** The statements of a text, with comments and empty statements removed. */
 export function splitStatements(text: string): string[] {
   const statements: string[] = [];
   let current = '';
@@ -88,27 +88,27 @@
   return statements.map((statement) => statement.trim()).filter((statement) => statement !== '');
 }
 
-/** Parses a text of any number of statements, by a bounded cache. Throws 42601. */
+/** Parses a text of any number of statements, with a bounded cache. @throws ServerError 42601. */
 export function parseStatements(text: string): readonly ParsedStatement[] {
   return splitStatements(text).map(parseCached);
 }
 
-/** Parses the text of a simple query. Throws 42601. */
+/** Parses the text of a simple query. @throws ServerError 42601. */
 export function parseSimpleQuery(text: string): readonly SimpleStatement[] {
   return splitStatements(text).map((statement) => {
     const parameterized = cache.has(statement) ? undefined : parameterize(statement);
-    if (parameterized === undefined) return literalStatement(statement);
+    if (parameterized === undefined) return parseWithoutParameters(statement);
     try {
       const { types, values } = parameterized;
       return { statement: parseCached(parameterized.text), types, values };
     } catch {
-      // The grammar takes a literal here but no parameter; else the text itself is at fault.
-      return literalStatement(statement);
+      // Either the grammar allows a literal but no parameter here, or the text itself is invalid.
+      return parseWithoutParameters(statement);
     }
   });
 }
 
-function literalStatement(text: string): SimpleStatement {
+function parseWithoutParameters(text: string): SimpleStatement {
   return { statement: parseCached(text), types: [], values: [] };
 }
 
@@ -116,8 +116,8 @@
   const cached = cache.get(text);
   if (cached !== undefined) return cached;
   const parsed = parseSessionStatement(text) ?? parseQuery(text);
-  if (text.length > CACHED_TEXT_MAX_LENGTH) return parsed;
-  if (cache.size >= CACHED_TEXTS) {
+  if (text.length > MAX_CACHED_TEXT_LENGTH) return parsed;
+  if (cache.size >= MAX_CACHED_TEXTS) {
     const oldest = cache.keys().next();
     if (!oldest.done) cache.delete(oldest.value);
   }
@@ -176,13 +176,13 @@
   if (COMMIT_PATTERN.test(text)) return { kind: 'commit' };
   if (ROLLBACK_PATTERN.test(text)) return { kind: 'rollback' };
   return (
-    savepoint('rollback-to', ROLLBACK_TO_PATTERN, text) ??
-    savepoint('savepoint', SAVEPOINT_PATTERN, text) ??
-    savepoint('release', RELEASE_PATTERN, text)
+    parseSavepoint('rollback-to', ROLLBACK_TO_PATTERN, text) ??
+    parseSavepoint('savepoint', SAVEPOINT_PATTERN, text) ??
+    parseSavepoint('release', RELEASE_PATTERN, text)
   );
 }
 
-function savepoint(
+function parseSavepoint(
   kind: SavepointStatement['kind'],
   pattern: RegExp,
   text: string,
@@ -193,7 +193,7 @@
 
 function parseSetting(text: string): ParsedStatement | undefined {
   const transaction = SET_TRANSACTION_PATTERN.exec(text);
-  if (transaction !== null) return transactionSetting(transaction);
+  if (transaction !== null) return parseTransactionSetting(transaction);
   const set = SET_PATTERN.exec(text);
   if (set?.[2] !== undefined && set[3] !== undefined) {
     const value = unquote(set[3]);
@@ -215,7 +215,7 @@
   return show === undefined ? undefined : { kind: 'show', name: show };
 }
 
-function transactionSetting(match: RegExpExecArray): SettingStatement {
+function parseTransactionSetting(match: RegExpExecArray): SettingStatement {
   const forSession = match[1] !== undefined;
   const name = forSession ? 'default_transaction_read_only' : 'transaction_read_only';
   const value = /read\s+only/i.test(match[2] ?? '') ? 'on' : 'off';
--- a/standins/database/sql/subselect.ts
+++ b/standins/database/sql/subselect.ts
@@ -1,5 +1,5 @@
 /** Scalar subselects: one column of at most one row, independent of the outer row. */
-import { unsupported } from '../errors.js';
+import { unsupportedError } from '../errors.js';
 import type { Catalog } from '../storage/catalog.js';
 import type { EvaluationContext, Scope } from './evaluation.js';
 import type { ExecutionContext } from './plan.js';
@@ -8,11 +8,11 @@
 
 export function subselectCompiler(catalog: Catalog): Scope['compileSubselect'] {
   return (node, parameters) => {
-    if (node.type !== 'select') throw unsupported(`subselects of kind ${node.type}`);
+    if (node.type !== 'select') throw unsupportedError(`subselects of kind ${node.type}`);
     const plan = compileSelect(node, catalog, parameters);
     const [column] = plan.columns ?? [];
     if (column === undefined || plan.columns?.length !== 1) {
-      throw unsupported('subselects of several columns');
+      throw unsupportedError('subselects of several columns');
     }
     const evaluate = (context: EvaluationContext): Value => {
       const inner: ExecutionContext = { ...(context as ExecutionContext), row: [], aggregates: [] };
--- a/standins/database/sql/types.ts
+++ b/standins/database/sql/types.ts
@@ -1,7 +1,7 @@
-/** Data types of the SQL subset: object identifiers, and the text form of values both ways. */
-import { ServerError, ServerSqlState, unsupported } from '../errors.js';
+/** Data types of the SQL subset: object identifiers, parsing and formatting of values. */
+import { ServerError, ServerSqlState, unsupportedError } from '../errors.js';
 
-/** A value in memory. Timestamps are kept in PostgreSQL's text form (UTC), json as its text. */
+/** A value in memory. Timestamps are stored in PostgreSQL's text form (UTC), json as its text. */
 export type Value = string | number | boolean | null;
 export type Row = readonly Value[];
 
@@ -51,7 +51,7 @@
 const INTEGER_LIMITS: Readonly<Partial<Record<TypeName, number>>> = {
   int2: 32_767,
   int4: 2_147_483_647,
-  // Integers are JavaScript numbers: the stand-in refuses what they can't hold exactly.
+  // Integers are JavaScript numbers: the stand-in rejects values that these can't represent exactly.
   int8: Number.MAX_SAFE_INTEGER,
 };
 
@@ -63,7 +63,7 @@
   return Object.hasOwn(TYPE_OIDS, name);
 }
 
-/** The type of a name as written in SQL; throws 42704 for others. */
+/** The type with a name as written in SQL. @throws ServerError 42704 for an unknown name. */
 export function typeByName(name: string): TypeName {
   const lower = name.toLowerCase();
   const known = isTypeName(lower) ? lower : ALIASES[lower];
@@ -71,11 +71,11 @@
   throw new ServerError(ServerSqlState.UNDEFINED_OBJECT, `type "${name}" does not exist`);
 }
 
-/** The type of an object identifier; undefined for 0 (unspecified). */
+/** The type with an object identifier; undefined for 0 (unspecified) and `unknown`. */
 export function typeByOid(oid: number): TypeName | undefined {
   if (oid === 0) return undefined;
   const type = TYPE_BY_OID.get(oid);
-  if (type === undefined) throw unsupported(`parameters of type ${oid}`);
+  if (type === undefined) throw unsupportedError(`parameters of type ${oid}`);
   return type === 'unknown' ? undefined : type;
 }
 
@@ -87,7 +87,7 @@
   return isIntegerType(type) || type === 'float8' || type === 'numeric';
 }
 
-function invalidInput(type: TypeName, text: string): ServerError {
+function invalidInputError(type: TypeName, text: string): ServerError {
   const shown = JSON.stringify(text.slice(0, 40));
   return new ServerError(
     ServerSqlState.INVALID_TEXT_REPRESENTATION,
@@ -97,7 +97,7 @@
 
 function parseInteger(type: TypeName, text: string, limit: number): number {
   const trimmed = text.trim();
-  if (!/^[+-]?\d+$/.test(trimmed)) throw invalidInput(type, text);
+  if (!/^[+-]?\d+$/.test(trimmed)) throw invalidInputError(type, text);
   return checkInteger(type, Number(trimmed), limit);
 }
 
@@ -110,31 +110,31 @@
   const lower = text.trim().toLowerCase();
   if (['t', 'true', 'on', 'yes', '1', 'y'].includes(lower)) return true;
   if (['f', 'false', 'off', 'no', '0', 'n'].includes(lower)) return false;
-  throw invalidInput('bool', text);
+  throw invalidInputError('bool', text);
 }
 
-/** Date, time of day and offset from UTC; the latter two may be left out. */
+/** Date, time of day and offset from UTC; the latter two are optional. */
 const TIMESTAMP_PATTERN =
   /^(\d{4,}-\d{2}-\d{2})(?:[T ](\d{2}:\d{2}(?::\d{2}(?:\.\d+)?)?) ?(?:(Z|UTC)|([+-]\d{2}):?(\d{2})?)?)?$/i;
 
 /** Without an offset the time is UTC; precision is milliseconds. */
 function parseTimestamp(type: TypeName, text: string): string {
   const match = TIMESTAMP_PATTERN.exec(text.trim());
-  if (match === null) throw invalidInput(type, text);
+  if (match === null) throw invalidInputError(type, text);
   const [, date, time = '00:00', , hours, minutes = '00'] = match;
   const offset = hours === undefined ? 'Z' : `${hours}:${minutes}`;
   const milliseconds = Date.parse(`${date}T${time}${offset}`);
-  if (Number.isNaN(milliseconds)) throw invalidInput(type, text);
+  if (Number.isNaN(milliseconds)) throw invalidInputError(type, text);
   return formatTimestamp(type, milliseconds);
 }
 
-/** Text form of a wall time in milliseconds since the epoch. */
+/** Text form of a wall-clock time in milliseconds since the epoch. */
 export function formatTimestamp(type: TypeName, milliseconds: number): string {
   const text = new Date(milliseconds).toISOString().replace('T', ' ').replace('Z', '');
   return type === 'timestamptz' ? `${text}+00` : text;
 }
 
-/** Reads a value of `type` from its text form; throws 22P02 or 22003. */
+/** Parses a value of `type` from its text form. @throws ServerError 22P02 or 22003. */
 export function parseValue(type: TypeName, text: string): Value {
   const limit = INTEGER_LIMITS[type];
   if (limit !== undefined) return parseInteger(type, text, limit);
@@ -147,7 +147,7 @@
 
 function parseNumber(type: TypeName, text: string): number {
   const value = Number(text);
-  if (text.trim() === '' || Number.isNaN(value)) throw invalidInput(type, text);
+  if (text.trim() === '' || Number.isNaN(value)) throw invalidInputError(type, text);
   return value;
 }
 
@@ -156,7 +156,7 @@
     JSON.parse(text);
     return text;
   } catch {
-    throw invalidInput(type, text);
+    throw invalidInputError(type, text);
   }
 }
 
@@ -167,7 +167,7 @@
   return value ? 't' : 'f';
 }
 
-/** Converts a value to `type`, as an assignment or a cast does. */
+/** Converts a value from type `from` to type `to`, as an assignment or a cast does. */
 export function castValue(value: Value, from: TypeName, to: TypeName): Value {
   if (value === null || from === to) return value;
   const limit = INTEGER_LIMITS[to];
@@ -180,11 +180,11 @@
   return parseValue(to, formatValue(value));
 }
 
-/** Reads a parameter in binary format: only int4, int8 and text are supported. */
+/** Parses a parameter in binary format: only int4, int8, text and varchar are supported. */
 export function parseBinaryValue(type: TypeName, bytes: Buffer): Value {
   if (type === 'int4' && bytes.length === 4) return bytes.readInt32BE(0);
   if (type === 'int8' && bytes.length === 8)
     return parseValue(type, String(bytes.readBigInt64BE(0)));
   if (type === 'text' || type === 'varchar') return bytes.toString('utf8');
-  throw unsupported(`binary parameters of type ${type}`);
+  throw unsupportedError(`binary parameters of type ${type}`);
 }
--- a/standins/database/storage/catalog.ts
+++ b/standins/database/storage/catalog.ts
@@ -1,4 +1,4 @@
-/** All tables of an instance; commits transactions and replays those of a primary. */
+/** All tables of an instance. Commits transactions and replays the commits of a primary. */
 import { ServerError, ServerSqlState } from '../errors.js';
 import type { Change, TableSnapshot } from './commit-record.js';
 import type { TableDefinition } from './schema.js';
@@ -7,19 +7,19 @@
 
 export class Catalog {
   private tables = new Map<string, Table>();
-  private readonly open = new Set<Transaction>();
-  /** Grows with every change of definitions: a plan is good for one version only. */
+  private readonly openTransactionSet = new Set<Transaction>();
+  /** Increases with each change of a table definition: a plan is valid for one version only. */
   version = 1;
 
   get openTransactions(): number {
-    return this.open.size;
+    return this.openTransactionSet.size;
   }
 
   find(name: string): Table | undefined {
     return this.tables.get(name);
   }
 
-  /** Throws 42P01. */
+  /** @throws ServerError 42P01 if there is no such table. */
   get(name: string): Table {
     const table = this.tables.get(name);
     if (table !== undefined) return table;
@@ -28,43 +28,43 @@
 
   begin(): Transaction {
     const transaction = new Transaction();
-    this.open.add(transaction);
+    this.openTransactionSet.add(transaction);
     return transaction;
   }
 
-  /** Definitions change for all sessions at once, also before the commit: a known shortcut. */
+  /** Unlike in PostgreSQL, a definition changes for all sessions immediately, before the commit. */
   createTable(definition: TableDefinition, transaction: Transaction): void {
-    this.put(definition.name, new Table(definition));
+    this.setTable(definition.name, new Table(definition));
     transaction.definitionChanges.push({ kind: 'create-table', definition });
     transaction.onUndo(() => {
       transaction.definitionChanges.pop();
-      this.put(definition.name, undefined);
+      this.setTable(definition.name, undefined);
     });
   }
 
   dropTable(name: string, transaction: Transaction): void {
     const table = this.get(name);
-    this.put(name, undefined);
+    this.setTable(name, undefined);
     transaction.definitionChanges.push({ kind: 'drop-table', table: name });
     transaction.onUndo(() => {
       transaction.definitionChanges.pop();
-      this.put(name, table);
+      this.setTable(name, table);
     });
   }
 
-  private put(name: string, table: Table | undefined): void {
+  private setTable(name: string, table: Table | undefined): void {
     this.version += 1;
     if (table === undefined) this.tables.delete(name);
     else this.tables.set(name, table);
   }
 
-  /** The changes that a commit would make; none if the transaction wrote nothing. */
+  /** The changes that a commit would make; empty if the transaction wrote nothing. */
   changesOf(transaction: Transaction): Change[] {
     const changes: Change[] = [...transaction.definitionChanges];
-    for (const [row, table] of transaction.touched) {
+    for (const [row, table] of transaction.touchedRows) {
       const { pending, committed } = row;
-      const vanished = pending === null && committed === undefined;
-      if (pending === undefined || vanished) continue;
+      const isTransient = pending === null && committed === undefined;
+      if (pending === undefined || isTransient) continue;
       const { name } = table.definition;
       if (this.find(name) !== table) continue;
       changes.push({ kind: 'row', table: name, rowId: row.id, values: pending });
@@ -73,7 +73,7 @@
   }
 
   commit(transaction: Transaction): void {
-    for (const [row, table] of transaction.touched) table.commitRow(row);
+    for (const [row, table] of transaction.touchedRows) table.commitRow(row);
     this.finish(transaction);
   }
 
@@ -83,12 +83,12 @@
   }
 
   private finish(transaction: Transaction): void {
-    this.open.delete(transaction);
+    this.openTransactionSet.delete(transaction);
     transaction.end();
   }
 
-  /** Keys of changed rows for the log of commits; asked before the changes are applied. */
-  describe(changes: readonly Change[]): string[] {
+  /** Keys of changed rows for the commit log. Must be called before the changes are applied. */
+  describeChanges(changes: readonly Change[]): string[] {
     return changes.map((change) => {
       if (change.kind === 'create-table') return `${change.definition.name} create`;
       if (change.kind === 'drop-table') return `${change.table} drop`;
@@ -100,7 +100,7 @@
   }
 
   /** Replays the changes of one commit. */
-  apply(changes: readonly Change[]): void {
+  applyChanges(changes: readonly Change[]): void {
     for (const change of changes) this.applyChange(change);
   }
 
@@ -108,9 +108,9 @@
     if (change.kind === 'row') {
       this.tables.get(change.table)?.applyVersion(change.rowId, change.values);
     } else if (change.kind === 'create-table') {
-      this.put(change.definition.name, new Table(change.definition));
+      this.setTable(change.definition.name, new Table(change.definition));
     } else {
-      this.put(change.table, undefined);
+      this.setTable(change.table, undefined);
     }
   }
 
@@ -123,14 +123,14 @@
     }));
   }
 
-  /** Replaces everything; the caller has rolled back its transactions before. */
+  /** Replaces all tables. The caller must have rolled back all transactions. */
   restore(snapshot: readonly TableSnapshot[]): void {
     this.tables = new Map();
     this.version += 1;
     for (const { definition, rows } of snapshot) {
       const table = new Table(definition);
       for (const [rowId, values] of rows) table.applyVersion(rowId, values);
-      this.put(definition.name, table);
+      this.setTable(definition.name, table);
     }
   }
 }
--- a/standins/database/storage/commit-record.ts
+++ b/standins/database/storage/commit-record.ts
@@ -1,4 +1,4 @@
-/** What one committed transaction changed, as it is replicated. Positions are byte offsets. */
+/** Replicated form of the changes of committed transactions. Positions are byte offsets. */
 import type { Row } from '../sql/types.js';
 import type { TableDefinition } from './schema.js';
 import type { DefinitionChange } from './transaction.js';
@@ -13,14 +13,14 @@
       readonly values: Row | null;
     };
 
-/** Line of the log of commits that checkers read by the control port. */
+/** Entry of the commit log that checkers read through the control port. */
 export interface LogEntry {
   readonly timeline: number;
   readonly lsn: string;
   /** The same position as a number of bytes. */
   readonly offset: number;
   readonly committedAtMs: number;
-  /** `<table>/<primary key> put|delete`, or `<table> create|drop`, the first 20. */
+  /** The first 20 changes: `<table>/<primary key> put|delete`, or `<table> create|drop`. */
   readonly keys: readonly string[];
   readonly changes: number;
 }
--- a/standins/database/storage/schema.ts
+++ b/standins/database/storage/schema.ts
@@ -1,4 +1,4 @@
-/** Table definitions: plain data, so that they travel in replication messages as they are. */
+/** Table definitions: plain data, so that replication messages can contain them. */
 import type { Expr } from 'pgsql-ast-parser';
 import type { TypeName } from '../sql/types.js';
 
--- a/standins/database/storage/table.ts
+++ b/standins/database/storage/table.ts
@@ -1,7 +1,7 @@
 /**
- * A table in memory. Each row holds its committed version and at most one pending version of the
- * one transaction that locked it (READ COMMITTED with row locks). Versions are never modified in
- * place, so a reader may keep them.
+ * A table in memory. Each row has a committed version and at most one pending version, of the one
+ * transaction that locked it (READ COMMITTED with row locks). Versions are never modified in place,
+ * so that a reader may keep them.
  */
 import { ServerError, ServerSqlState } from '../errors.js';
 import type { Row } from '../sql/types.js';
@@ -33,7 +33,7 @@
     return this.indexes.find((index) => index.constraint.primary);
   }
 
-  /** The version that `transaction` sees; undefined if the row isn't there for it. */
+  /** The version visible to `transaction`; undefined if the row does not exist for it. */
   visible(row: StoredRow, transaction: Transaction | undefined): Row | undefined {
     if (row.pending === undefined || row.lock !== transaction) return row.committed;
     return row.pending ?? undefined;
@@ -45,18 +45,18 @@
     return next;
   }
 
-  /** Locks a row until the transaction ends. Throws RowLockedSignal if another holds it. */
+  /** Locks a row until the transaction ends. @throws RowLockedSignal if another one holds the lock. */
   lock(row: StoredRow, transaction: Transaction): void {
     if (row.lock === transaction) return;
     if (row.lock !== undefined) throw new RowLockedSignal(row.lock);
     row.lock = transaction;
-    transaction.touched.set(row, this);
+    transaction.touchedRows.set(row, this);
     transaction.onUndo(() => this.unlock(row, transaction));
   }
 
   private unlock(row: StoredRow, transaction: Transaction): void {
     row.lock = undefined;
-    transaction.touched.delete(row);
+    transaction.touchedRows.delete(row);
     if (row.committed === undefined) this.rows.delete(row.id);
   }
 
@@ -70,12 +70,12 @@
       const key = index.keyOf(values);
       const row = key === undefined ? undefined : index.get(key);
       if (key === undefined || row === undefined || row === except) continue;
-      if (this.isTaken(row, index, key, transaction)) return { row, index };
+      if (this.hasConflict(row, index, key, transaction)) return { row, index };
     }
     return undefined;
   }
 
-  private isTaken(
+  private hasConflict(
     row: StoredRow,
     index: UniqueIndex<StoredRow>,
     key: IndexKey,
@@ -86,13 +86,13 @@
     if (row.lock === undefined || row.lock === transaction) {
       return hasKey(this.visible(row, transaction));
     }
-    const heldNow = hasKey(row.committed);
-    const heldThen = row.pending === undefined ? heldNow : hasKey(row.pending);
-    if (heldNow !== heldThen) throw new RowLockedSignal(row.lock);
-    return heldNow;
+    const hasKeyNow = hasKey(row.committed);
+    const hasKeyAfterCommit = row.pending === undefined ? hasKeyNow : hasKey(row.pending);
+    if (hasKeyNow !== hasKeyAfterCommit) throw new RowLockedSignal(row.lock);
+    return hasKeyNow;
   }
 
-  /** Inserts a row. Throws 23505, or RowLockedSignal when another transaction decides. */
+  /** Inserts a row. @throws ServerError 23505, or RowLockedSignal if it depends on another transaction. */
   insert(values: Row, transaction: Transaction): void {
     const conflict = this.findConflict(values, transaction);
     if (conflict !== undefined) throw this.uniqueViolation(values, conflict.index);
@@ -205,7 +205,7 @@
     });
   }
 
-  /** Text that names a row in the log of commits: its primary key, else its row id. */
+  /** Text that identifies a row in the commit log: its primary key, otherwise its row id. */
   describeKey(rowId: number, values: Row | undefined): string {
     const key = values === undefined ? undefined : this.primaryIndex?.keyOf(values);
     return key === undefined ? `#${rowId}` : String(key);
--- a/standins/database/storage/transaction.ts
+++ b/standins/database/storage/transaction.ts
@@ -1,4 +1,4 @@
-/** A transaction: what it touched, how to undo it, and who waits for its end. */
+/** A transaction: the rows it touched, its undo steps, and the transactions that wait for its end. */
 import { MeadowstackError } from '../../../src/core/errors.js';
 import { ServerError, ServerSqlState } from '../errors.js';
 import type { TableDefinition } from './schema.js';
@@ -8,7 +8,7 @@
   | { readonly kind: 'create-table'; readonly definition: TableDefinition }
   | { readonly kind: 'drop-table'; readonly table: string };
 
-/** Thrown inside a statement that needs a row of another open transaction; it is run again. */
+/** Thrown by a statement that needs a row locked by another transaction; the statement is run again. */
 export class RowLockedSignal extends MeadowstackError {
   readonly code = 'MS-STANDIN-ROW-LOCKED';
 
@@ -19,14 +19,14 @@
 
 export class Transaction {
   /** Rows locked or changed, with their tables. */
-  readonly touched = new Map<StoredRow, Table>();
+  readonly touchedRows = new Map<StoredRow, Table>();
   readonly definitionChanges: DefinitionChange[] = [];
   private readonly undoSteps: (() => void)[] = [];
   private waitingFor: Transaction | undefined;
   private waiters: (() => void)[] = [];
 
-  /** A point to roll back to: a statement's start or a savepoint. */
-  get mark(): number {
+  /** Current position in the undo log, which `rollbackTo` can return to. */
+  get undoPosition(): number {
     return this.undoSteps.length;
   }
 
@@ -34,11 +34,11 @@
     this.undoSteps.push(step);
   }
 
-  rollbackTo(mark: number): void {
-    while (this.undoSteps.length > mark) this.undoSteps.pop()?.();
+  rollbackTo(undoPosition: number): void {
+    while (this.undoSteps.length > undoPosition) this.undoSteps.pop()?.();
   }
 
-  /** Resolves when `holder` ends. Throws 40P01 if that would close a circle of waiting. */
+  /** Resolves when `holder` ends. @throws ServerError 40P01 if the wait would be a deadlock. */
   async waitFor(holder: Transaction, signal: AbortSignal): Promise<void> {
     for (let other: Transaction | undefined = holder; other; other = other.waitingFor) {
       if (other === this) {
@@ -53,7 +53,7 @@
     }
   }
 
-  /** Wakes all who wait; called once, after commit or rollback. */
+  /** Wakes all waiting transactions; called once, after commit or rollback. */
   end(): void {
     const waiters = this.waiters;
     this.waiters = [];
--- a/standins/database/storage/unique-index.ts
+++ b/standins/database/storage/unique-index.ts
@@ -1,11 +1,11 @@
-/** Index of a unique constraint: hash lookup, and ordered keys when it has just one column. */
+/** Index of a unique constraint: hash lookup, and sorted keys if it has only one column. */
 import type { Row, Value } from '../sql/types.js';
 import type { UniqueConstraint } from './schema.js';
 
-/** Value of the one column, or a JSON text of several; undefined when a column is null. */
+/** Value of the only column, or a JSON text of several columns. */
 export type IndexKey = string | number | boolean;
 
-/** Bounds of a range scan; absent bounds are open. */
+/** Inclusive bounds of a range scan; undefined means unbounded. */
 export interface KeyRange {
   readonly from: IndexKey | undefined;
   readonly to: IndexKey | undefined;
@@ -47,7 +47,7 @@
     if (this.sortedKeys[position] === key) this.sortedKeys.splice(position, 1);
   }
 
-  /** Entries within inclusive bounds, in key order. Not to be kept open across changes. */
+  /** Entries within inclusive bounds, in key order. The index must not change during the scan. */
   *scan(range: KeyRange, descending: boolean): Generator<Entry> {
     const keys = this.sortedKeys ?? [];
     const first = range.from === undefined ? 0 : this.firstAtLeast(range.from);
--- a/standins/database/wire/backend.ts
+++ b/standins/database/wire/backend.ts
@@ -1,4 +1,4 @@
-/** Writes the messages of a server, PostgreSQL protocol v3, named as in its manual. */
+/** Encodes the server's messages of PostgreSQL protocol v3, named as in its manual. */
 import { Writer } from 'pg-protocol/dist/buffer-writer.js';
 import type { ResultColumn } from '../sql/plan.js';
 import { formatValue, type Row, TYPE_OIDS, type TypeName } from '../sql/types.js';
@@ -31,16 +31,16 @@
 }
 
 const EMPTY = Buffer.alloc(0);
-function fixed(type: string): Buffer {
+function emptyMessage(type: string): Buffer {
   return writer.add(EMPTY).flush(type.charCodeAt(0));
 }
 
-export const parseComplete = fixed('1');
-export const bindComplete = fixed('2');
-export const closeComplete = fixed('3');
-export const noData = fixed('n');
-export const emptyQueryResponse = fixed('I');
-export const portalSuspended = fixed('s');
+export const parseComplete = emptyMessage('1');
+export const bindComplete = emptyMessage('2');
+export const closeComplete = emptyMessage('3');
+export const noData = emptyMessage('n');
+export const emptyQueryResponse = emptyMessage('I');
+export const portalSuspended = emptyMessage('s');
 
 export function authenticationOk(): Buffer {
   writer.addInt32(0);
@@ -72,7 +72,7 @@
   return message('K');
 }
 
-/** Says that only minor version 0 is spoken. */
+/** States that only minor version 0 is supported. */
 export function negotiateProtocolVersion(): Buffer {
   writer.addInt32(0).addInt32(0);
   return message('v');
--- a/standins/database/wire/connection.ts
+++ b/standins/database/wire/connection.ts
@@ -1,4 +1,4 @@
-/** One client connection: start-up, authentication, then messages in order. */
+/** One client connection: startup, authentication, then messages in order. */
 import { randomInt } from 'node:crypto';
 import type { Socket } from 'node:net';
 import { setTimeout as delay } from 'node:timers/promises';
@@ -10,7 +10,7 @@
 import {
   type FrontendMessage,
   FrontendReader,
-  protocolViolation,
+  protocolViolationError,
   readBind,
   readExecute,
   readParse,
@@ -23,11 +23,11 @@
 import { Output } from './output.js';
 import { SCRAM_MECHANISM, ScramExchange, type ScramVerifier } from './scram.js';
 
-/** A client that sends on without reading is not read from beyond this. */
-const INPUT_MAX_BYTES = 1024 * 1024;
+/** Reading from the client pauses while more unprocessed input than this is buffered. */
+const MAX_BUFFERED_INPUT_BYTES = 1024 * 1024;
 const SECRET_KEY_LIMIT = 2 ** 31 - 1;
 
-/** Thrown by a commit whose fault says that the connection ends here, without an answer. */
+/** Thrown by a commit if a fault destroys the connection without a response. */
 export class ConnectionCrashSignal extends MeadowstackError {
   readonly code = 'MS-STANDIN-CONNECTION-CRASH';
 
@@ -40,12 +40,12 @@
   readonly session: Omit<SessionOptions, 'output' | 'startupParameters' | 'signal' | 'functions'>;
   readonly functions: Omit<SessionOptions['functions'], 'backendPid' | 'userName' | 'databaseName'>;
   readonly secureContext: SecureContext | undefined;
-  /** Undefined: trust. */
+  /** Undefined: trust authentication. */
   readonly verifier: ScramVerifier | undefined;
-  /** Undefined when the role may log in. */
-  refuseRole(name: string): ServerError | undefined;
+  /** Returns the error for a role that may not log in, otherwise undefined. */
+  checkRole(name: string): ServerError | undefined;
   connectionDelayMs(): number;
-  /** Throws 53300; the connection counts from here on. */
+  /** Counts the connection from now on. @throws ServerError 53300 if there are too many. */
   register(connection: Connection): void;
   unregister(connection: Connection): void;
   cancel(processId: number, secretKey: number): void;
@@ -61,10 +61,10 @@
   private stream: Socket;
   private output: Output;
   private abort = new AbortController();
-  private busy = false;
-  private skippingToSync = false;
+  private isProcessing = false;
+  private isSkippingToSync = false;
   private scram: ScramExchange | undefined;
-  private scramStarted = false;
+  private isScramStarted = false;
   private parameters: ReadonlyMap<string, string> = new Map();
 
   constructor(
@@ -91,17 +91,17 @@
     this.output = new Output(stream);
     stream.on('data', (chunk: Buffer) => this.onData(chunk));
     stream.on('error', () => stream.destroy());
-    stream.on('end', () => this.onLost());
-    stream.on('close', () => this.onLost());
+    stream.on('end', () => this.handleDisconnect());
+    stream.on('close', () => this.handleDisconnect());
   }
 
   private onData(chunk: Buffer): void {
     this.reader.push(chunk);
-    if (this.reader.buffered > INPUT_MAX_BYTES) this.stream.pause();
-    if (!this.busy) void this.work();
+    if (this.reader.buffered > MAX_BUFFERED_INPUT_BYTES) this.stream.pause();
+    if (!this.isProcessing) void this.processMessages();
   }
 
-  private onLost(): void {
+  private handleDisconnect(): void {
     if (this.phase === 'closed') return;
     this.phase = 'closed';
     this.abort.abort(new ServerError(ServerSqlState.ADMIN_SHUTDOWN, 'connection lost'));
@@ -110,19 +110,19 @@
     this.stream.destroy();
   }
 
-  /** Ends the statement that runs, if any, with 57014. */
+  /** Cancels the running statement, if any, with 57014. */
   cancel(reason: string): void {
-    if (!this.busy) return;
+    if (!this.isProcessing) return;
     this.abort.abort(new ServerError(ServerSqlState.QUERY_CANCELED, reason));
   }
 
   /** Ends the connection with a FATAL error; its transaction is rolled back at once. */
   terminate(reason: string): void {
     const message = `terminating connection due to administrator command: ${reason}`;
-    this.fatal(new ServerError(ServerSqlState.ADMIN_SHUTDOWN, message));
+    this.endWithError(new ServerError(ServerSqlState.ADMIN_SHUTDOWN, message));
   }
 
-  private fatal(error: ServerError): void {
+  private endWithError(error: ServerError): void {
     if (this.phase === 'closed') return;
     this.phase = 'closed';
     this.abort.abort(error);
@@ -132,22 +132,22 @@
     this.output.add(backend.errorResponse(fieldsOf(error, 'FATAL')));
     void this.output.flush();
     this.stream.end();
-    // A client that does not read can't hold the socket.
+    // A client that does not read must not keep the socket open.
     this.stream.setTimeout(1_000, () => this.stream.destroy());
   }
 
-  private async work(): Promise<void> {
-    this.busy = true;
+  private async processMessages(): Promise<void> {
+    this.isProcessing = true;
     try {
       for (let more: boolean | Promise<boolean> = true; more; ) {
-        // Most messages are handled at once: waiting for each would cost a turn of the queue.
-        more = this.step();
+        // Most messages are handled synchronously: awaiting each would cost a microtask turn.
+        more = this.processNextMessage();
         if (typeof more !== 'boolean') more = await more;
       }
     } catch (error) {
       this.onFailure(error);
     } finally {
-      this.busy = false;
+      this.isProcessing = false;
       if (this.phase !== 'closed') this.stream.resume();
     }
   }
@@ -156,14 +156,14 @@
     if (error instanceof ConnectionCrashSignal) {
       this.output.discard();
       this.stream.destroy();
-      this.onLost();
+      this.handleDisconnect();
       return;
     }
-    this.fatal(toServerError(error));
+    this.endWithError(toServerError(error));
   }
 
-  /** Handles one message; false if none is complete. */
-  private step(): boolean | Promise<boolean> {
+  /** Processes one message; false if no complete one is buffered. */
+  private processNextMessage(): boolean | Promise<boolean> {
     if (this.phase === 'closed') return false;
     if (this.phase === 'startup') {
       const startup = this.reader.nextStartup();
@@ -187,11 +187,11 @@
       this.stream.end();
       return;
     }
-    if (code >>> 16 !== 3) throw protocolViolation('protocol version');
+    if (code >>> 16 !== 3) throw protocolViolationError('protocol version');
     this.parameters = readStartupParameters(body);
     this.host.register(this);
     if (code !== StartupCode.PROTOCOL_3) this.output.add(backend.negotiateProtocolVersion());
-    const refusal = this.host.refuseRole(this.userName);
+    const refusal = this.host.checkRole(this.userName);
     if (refusal !== undefined) throw refusal;
     await this.authenticate();
   }
@@ -208,7 +208,7 @@
 
   private async authenticate(): Promise<void> {
     const { verifier } = this.host;
-    if (verifier === undefined) return this.welcome();
+    if (verifier === undefined) return this.completeLogin();
     this.scram = new ScramExchange(verifier);
     this.output.add(backend.authenticationSasl(SCRAM_MECHANISM));
     this.phase = 'password';
@@ -217,21 +217,22 @@
 
   private async onPassword(message: FrontendMessage): Promise<void> {
     const { scram } = this;
-    if (message.type !== 'p' || scram === undefined) throw protocolViolation('password message');
-    if (!this.scramStarted) {
-      this.scramStarted = true;
+    if (message.type !== 'p' || scram === undefined)
+      throw protocolViolationError('password message');
+    if (!this.isScramStarted) {
+      this.isScramStarted = true;
       const mechanism = readText(message.body.subarray(0, message.body.indexOf(0) + 1));
-      if (mechanism !== SCRAM_MECHANISM) throw protocolViolation('SASL mechanism');
+      if (mechanism !== SCRAM_MECHANISM) throw protocolViolationError('SASL mechanism');
       const data = message.body.subarray(mechanism.length + 5).toString('utf8');
       this.output.add(backend.authenticationSaslContinue(scram.first(data)));
       await this.output.flush();
       return;
     }
     this.output.add(backend.authenticationSaslFinal(scram.final(message.body.toString('utf8'))));
-    await this.welcome();
+    await this.completeLogin();
   }
 
-  private async welcome(): Promise<void> {
+  private async completeLogin(): Promise<void> {
     const delayMs = this.host.connectionDelayMs();
     if (delayMs > 0) await delay(delayMs);
     if (this.phase === 'closed') return;
@@ -255,10 +256,10 @@
     this.output.add(backend.authenticationOk());
     this.session.settings.reportAll();
     this.output.add(backend.backendKeyData(processId, this.secretKey));
-    await this.ready(this.session);
+    await this.sendReady(this.session);
   }
 
-  private ready(session: Session): Promise<void> | undefined {
+  private sendReady(session: Session): Promise<void> | undefined {
     if (this.abort.signal.aborted && this.phase !== 'closed') this.abort = new AbortController();
     this.output.add(backend.readyForQuery(session.block.status));
     return this.output.flush();
@@ -269,10 +270,10 @@
     if (session === undefined) return undefined;
     if (message.type === 'X') {
       this.stream.end();
-      this.onLost();
+      this.handleDisconnect();
       return undefined;
     }
-    if (this.skippingToSync && message.type !== 'S') return undefined;
+    if (this.isSkippingToSync && message.type !== 'S') return undefined;
     try {
       const pending = this.dispatch(session, message);
       return pending?.catch((error: unknown) => this.onStatementError(session, message, error));
@@ -289,8 +290,8 @@
     if (error instanceof ConnectionCrashSignal || this.phase === 'closed') throw error;
     this.output.add(backend.errorResponse(fieldsOf(toServerError(error), 'ERROR')));
     session.block.fail();
-    if (message.type === 'Q' || message.type === 'S') return this.ready(session);
-    this.skippingToSync = true;
+    if (message.type === 'Q' || message.type === 'S') return this.sendReady(session);
+    this.isSkippingToSync = true;
     return undefined;
   }
 
@@ -315,22 +316,22 @@
       case 'H':
         return this.output.flush();
       case 'S':
-        this.skippingToSync = false;
+        this.isSkippingToSync = false;
         session.sync();
-        return this.ready(session);
+        return this.sendReady(session);
       case 'd':
       case 'c':
       case 'f':
         return undefined;
       default:
-        throw protocolViolation(`message type ${JSON.stringify(type)}`);
+        throw protocolViolationError(`message type ${JSON.stringify(type)}`);
     }
   }
 
   private async simpleQuery(session: Session, text: string): Promise<void> {
     await session.simpleQuery(text);
     session.sync();
-    await this.ready(session);
+    await this.sendReady(session);
   }
 }
 
--- a/standins/database/wire/frontend.ts
+++ b/standins/database/wire/frontend.ts
@@ -1,11 +1,11 @@
-/** Reads the messages of a client, PostgreSQL protocol v3. */
+/** Decodes a client's messages of PostgreSQL protocol v3. */
 import { BufferReader } from 'pg-protocol/dist/buffer-reader.js';
 import { ServerError, ServerSqlState } from '../errors.js';
 
 const TYPED_HEADER_BYTES = 5;
 const STARTUP_HEADER_BYTES = 4;
-const STARTUP_MAX_BYTES = 10_000;
-const MESSAGE_MAX_BYTES = 128 * 1024 * 1024;
+const MAX_STARTUP_BYTES = 10_000;
+const MAX_MESSAGE_BYTES = 128 * 1024 * 1024;
 
 /** First message of a connection; `code` is a version or a request code. */
 export interface StartupMessage {
@@ -26,7 +26,7 @@
   GSS_ENCRYPTION_REQUEST: 80_877_104,
 } as const;
 
-/** Cuts a stream of bytes into messages. */
+/** Splits a stream of bytes into messages. */
 export class FrontendReader {
   private chunks: Buffer[] = [];
   private size = 0;
@@ -36,7 +36,7 @@
     this.size += chunk.length;
   }
 
-  /** Bytes read and not yet taken as messages. */
+  /** Number of bytes received and not yet returned as messages. */
   get buffered(): number {
     return this.size;
   }
@@ -44,7 +44,7 @@
   nextStartup(): StartupMessage | undefined {
     const length = this.peekLength(0);
     if (length === undefined) return undefined;
-    if (length < 8 || length > STARTUP_MAX_BYTES) throw protocolViolation('startup length');
+    if (length < 8 || length > MAX_STARTUP_BYTES) throw protocolViolationError('startup length');
     const message = this.take(length);
     if (message === undefined) return undefined;
     return { code: message.readInt32BE(STARTUP_HEADER_BYTES), body: message.subarray(8) };
@@ -53,7 +53,7 @@
   next(): FrontendMessage | undefined {
     const length = this.peekLength(1);
     if (length === undefined) return undefined;
-    if (length < 4 || length > MESSAGE_MAX_BYTES) throw protocolViolation('message length');
+    if (length < 4 || length > MAX_MESSAGE_BYTES) throw protocolViolationError('message length');
     const message = this.take(length + 1);
     if (message === undefined) return undefined;
     const type = String.fromCharCode(message[0] ?? 0);
@@ -82,11 +82,11 @@
   }
 }
 
-export function protocolViolation(what: string): ServerError {
+export function protocolViolationError(what: string): ServerError {
   return new ServerError(ServerSqlState.PROTOCOL_VIOLATION, `invalid ${what}`);
 }
 
-function reader(body: Buffer): BufferReader {
+function createReader(body: Buffer): BufferReader {
   const bufferReader = new BufferReader();
   bufferReader.setBuffer(0, body);
   return bufferReader;
@@ -112,10 +112,10 @@
 }
 
 export function readParse(body: Buffer): ParseMessage {
-  const input = reader(body);
+  const input = createReader(body);
   const name = input.cstring();
   const text = input.cstring();
-  const parameterOids = times(input.int16(), () => input.uint32());
+  const parameterOids = readMany(input.int16(), () => input.uint32());
   return { name, text, parameterOids };
 }
 
@@ -123,18 +123,18 @@
   readonly portal: string;
   readonly statement: string;
   readonly parameterFormats: readonly number[];
-  /** Null stands for SQL null. */
+  /** Null represents SQL NULL. */
   readonly parameters: readonly (Buffer | null)[];
   readonly resultFormats: readonly number[];
 }
 
 export function readBind(body: Buffer): BindMessage {
-  const input = reader(body);
+  const input = createReader(body);
   const portal = input.cstring();
   const statement = input.cstring();
-  const parameterFormats = times(input.int16(), () => input.int16());
-  const parameters = times(input.int16(), () => readParameter(input));
-  const resultFormats = times(input.int16(), () => input.int16());
+  const parameterFormats = readMany(input.int16(), () => input.int16());
+  const parameters = readMany(input.int16(), () => readParameter(input));
+  const resultFormats = readMany(input.int16(), () => input.int16());
   return { portal, statement, parameterFormats, parameters, resultFormats };
 }
 
@@ -148,7 +148,7 @@
   readonly name: string;
 }
 
-/** Describe and Close. */
+/** Decodes the body of Describe and Close. */
 export function readTarget(body: Buffer): TargetMessage {
   const target = body[0] === 'S'.charCodeAt(0) ? 'statement' : 'portal';
   return { target, name: readText(body.subarray(1)) };
@@ -161,11 +161,11 @@
 }
 
 export function readExecute(body: Buffer): ExecuteMessage {
-  const input = reader(body);
+  const input = createReader(body);
   return { portal: input.cstring(), maxRows: input.int32() };
 }
 
-function times<T>(count: number, read: () => T): T[] {
+function readMany<T>(count: number, read: () => T): T[] {
   const items: T[] = [];
   for (let index = 0; index < count; index += 1) items.push(read());
   return items;
--- a/standins/database/wire/output.ts
+++ b/standins/database/wire/output.ts
@@ -1,7 +1,7 @@
-/** Answers on their way to a client: gathered to larger writes, held back while it does not read. */
+/** Output to a client: messages are collected into larger writes, with backpressure. */
 import type { Duplex } from 'node:stream';
 
-/** Rows are written out from here on, and the writer waits if the socket takes no more. */
+/** Collected size from which rows are written, with a wait if the socket's buffer is full. */
 export const OUTPUT_CHUNK_BYTES = 16 * 1024;
 
 export class Output {
@@ -14,7 +14,7 @@
     return this.size >= OUTPUT_CHUNK_BYTES;
   }
 
-  /** Bytes that the client has not taken yet, as far as this process holds them. */
+  /** Bytes in this process that the client has not received yet. */
   get bufferedBytes(): number {
     return this.size + this.stream.writableLength;
   }
@@ -24,23 +24,23 @@
     this.size += message.length;
   }
 
-  /** Writes what was gathered; undefined if the reader keeps up, else resolves when it does. */
+  /** Writes the collected messages; returns a promise for the socket's drain if its buffer is full. */
   flush(): Promise<void> | undefined {
     const [first] = this.chunks;
     if (first === undefined || this.stream.destroyed) return undefined;
     const data = this.chunks.length === 1 ? first : Buffer.concat(this.chunks, this.size);
     this.chunks = [];
     this.size = 0;
-    return this.stream.write(data) ? undefined : this.drained();
+    return this.stream.write(data) ? undefined : this.waitForDrain();
   }
 
-  /** Drops what was not written yet. */
+  /** Drops the messages that are not written yet. */
   discard(): void {
     this.chunks = [];
     this.size = 0;
   }
 
-  private drained(): Promise<void> {
+  private waitForDrain(): Promise<void> {
     return new Promise((resolve) => {
       const finish = (): void => {
         this.stream.off('drain', finish);
--- a/standins/database/wire/scram.ts
+++ b/standins/database/wire/scram.ts
@@ -8,7 +8,7 @@
 const NONCE_BYTES = 18;
 const KEY_BYTES = 32;
 
-/** What a server keeps of a password. */
+/** Data that a server stores for a password. */
 export interface ScramVerifier {
   readonly salt: string;
   readonly storedKey: Buffer;
@@ -33,7 +33,7 @@
   };
 }
 
-/** One exchange: client-first, server-first, client-final, server-final. */
+/** One authentication exchange: client-first, server-first, client-final, server-final. */
 export class ScramExchange {
   private clientFirstBare = '';
   private serverFirst = '';
@@ -42,7 +42,7 @@
 
   constructor(private readonly verifier: ScramVerifier) {}
 
-  /** Answers the server-first message. */
+  /** Handles client-first; returns the server-first message. */
   first(clientFirst: string): string {
     const match = /^([nyp][^,]*,[^,]*,)(.*r=([^,]+).*)$/.exec(clientFirst);
     const [, header, bare, clientNonce] = match ?? [];
@@ -56,26 +56,27 @@
     return this.serverFirst;
   }
 
-  /** Checks the proof and answers the server-final message. Throws 28P01. */
+  /** Verifies the proof; returns the server-final message. @throws ServerError 28P01. */
   final(clientFinal: string): string {
     const match = /^(c=([^,]+),r=([^,]+)(?:,[^p][^,]*)*),p=(.+)$/.exec(clientFinal);
     const [, withoutProof, binding, nonce, proof] = match ?? [];
-    if (withoutProof === undefined || binding === undefined || proof === undefined) throw refused();
+    if (withoutProof === undefined || binding === undefined || proof === undefined)
+      throw authenticationError();
     const expectedBinding = Buffer.from(this.header).toString('base64');
-    if (nonce !== this.nonce || binding !== expectedBinding) throw refused();
+    if (nonce !== this.nonce || binding !== expectedBinding) throw authenticationError();
     const authMessage = `${this.clientFirstBare},${this.serverFirst},${withoutProof}`;
     const signature = hmac(this.verifier.storedKey, authMessage);
-    if (!this.proves(Buffer.from(proof, 'base64'), signature)) throw refused();
+    if (!this.isValidProof(Buffer.from(proof, 'base64'), signature)) throw authenticationError();
     return `v=${hmac(this.verifier.serverKey, authMessage).toString('base64')}`;
   }
 
-  private proves(proof: Buffer, signature: Buffer): boolean {
+  private isValidProof(proof: Buffer, signature: Buffer): boolean {
     if (proof.length !== signature.length) return false;
     const clientKey = Buffer.from(proof.map((byte, index) => byte ^ (signature[index] ?? 0)));
     return timingSafeEqual(sha256(clientKey), this.verifier.storedKey);
   }
 }
 
-function refused(): ServerError {
+function authenticationError(): ServerError {
   return new ServerError(ServerSqlState.INVALID_PASSWORD, 'password authentication failed');
 }
--- a/test/unit/database-election.test.ts
+++ b/test/unit/database-election.test.ts
@@ -68,7 +68,7 @@
 function tickUntilElected(voters: ReadonlyMap<string, Voter>, names: readonly string[]): string[] {
   for (const name of names) {
     const voter = voters.get(name);
-    voter?.election.heard('a', 1, 0);
+    voter?.election.recordHeartbeat('a', 1, 0);
   }
   for (nowMs = 0; nowMs < 20 * ELECTION_TIMEOUT_MS; nowMs += 10) {
     for (const name of names) voters.get(name)?.election.tick(nowMs);
@@ -102,8 +102,8 @@
 test('voters that hear a primary refuse a candidate', () => {
   const voters = createVoters([10, 10, 10], new Set());
   nowMs = 1_000;
-  for (const name of ['a', 'b']) voters.get(name)?.election.heard('a', 1, nowMs);
-  voters.get('c')?.election.heard('a', 1, 0);
+  for (const name of ['a', 'b']) voters.get(name)?.election.recordHeartbeat('a', 1, nowMs);
+  voters.get('c')?.election.recordHeartbeat('a', 1, 0);
   voters.get('c')?.election.tick(nowMs);
   assert.is(voters.get('c')?.primary, false);
 });
@@ -114,8 +114,8 @@
   assert.ok(a && b && c);
   nowMs = atMs;
   a.primary = true;
-  a.election.followed(nowMs);
-  for (const { election } of [b, c]) election.heard('a', 1, nowMs);
+  a.election.recordFollower(nowMs);
+  for (const { election } of [b, c]) election.recordHeartbeat('a', 1, nowMs);
   return { a, b, c };
 }
 
@@ -123,12 +123,12 @@
   const { a, b, c } = createLed([20, 20, 10], 1_000);
   // Lost a round: it promised itself timeline 2, and lacks what the others have.
   c.election.promisedTimeline = 2;
-  a.election.refused(2, nowMs);
+  a.election.recordRefusal(2, nowMs);
   assert.is(a.electedTimeline, 0, 'whoever was voted for may lead in a moment');
   nowMs += ELECTION_TIMEOUT_MS / 2;
-  a.election.followed(nowMs);
-  b.election.heard('a', 1, nowMs);
-  a.election.refused(2, nowMs);
+  a.election.recordFollower(nowMs);
+  b.election.recordHeartbeat('a', 1, nowMs);
+  a.election.recordRefusal(2, nowMs);
   assert.is(a.electedTimeline, 3);
   assert.is(b.election.promisedTimeline, 3);
   assert.is(c.election.promisedTimeline, 3);
@@ -136,15 +136,15 @@
 
 test('a refused primary keeps its votes while replicas still follow its timeline', () => {
   const { a, b, c } = createLed([20, 20, 20], 1_000);
-  a.election.refused(2, nowMs);
+  a.election.recordRefusal(2, nowMs);
   nowMs += ELECTION_TIMEOUT_MS / 2;
   // No vote at once: one replica's comes later.
   for (const { election } of [b, c]) election.promisedTimeline = 9;
-  a.election.refused(2, nowMs);
+  a.election.recordRefusal(2, nowMs);
   assert.is(a.electedTimeline, 0);
-  a.election.followed(nowMs);
+  a.election.recordFollower(nowMs);
   nowMs += ELECTION_TIMEOUT_MS / 2;
-  a.election.refused(2, nowMs);
+  a.election.recordRefusal(2, nowMs);
   a.election.onVote({
     kind: 'vote',
     from: 'b',
@@ -158,13 +158,13 @@
 
 test('a handover waits for the commits that are on their way and refuses no primary until then', () => {
   const { a, b, c } = createLed([20, 20, 10], 1_000);
-  c.election.takeOver(nowMs);
+  c.election.startHandover(nowMs);
   assert.equal(
     [a, b, c].map(({ election }) => election.promisedTimeline),
     [0, 1, 1],
   );
   c.position = { timeline: 1, lsn: 20 };
-  c.election.heard('a', 1, nowMs);
+  c.election.recordHeartbeat('a', 1, nowMs);
   nowMs += ELECTION_TIMEOUT_MS;
   c.election.tick(nowMs);
   assert.is(c.electedTimeline, 2);
@@ -176,12 +176,12 @@
 
 test('a handover ends once another primary is heard', () => {
   const { b, c } = createLed([20, 20, 10], 1_000);
-  c.election.takeOver(nowMs);
-  c.election.heard('b', 2, nowMs);
+  c.election.startHandover(nowMs);
+  c.election.recordHeartbeat('b', 2, nowMs);
   c.position = { timeline: 2, lsn: 20 };
   nowMs += ELECTION_TIMEOUT_MS / 2;
-  b.election.followed(nowMs);
-  c.election.heard('b', 2, nowMs);
+  b.election.recordFollower(nowMs);
+  c.election.recordHeartbeat('b', 2, nowMs);
   c.election.tick(nowMs);
   assert.is(c.electedTimeline, 0);
 });
--- a/test/unit/database-late-start.test.ts
+++ b/test/unit/database-late-start.test.ts
@@ -42,7 +42,7 @@
       },
       groupSize: () => NAMES.length,
       replayLagMs: () => 0,
-      receiveStall: () => false,
+      isReceiveStalled: () => false,
       terminateSessions: () => {},
     });
     members.set(name, member);
--- a/test/unit/database-sql.test.ts
+++ b/test/unit/database-sql.test.ts
@@ -205,7 +205,7 @@
   run(catalog, transaction, "UPDATE item SET name = 'tap' WHERE id = 1", []);
   run(catalog, transaction, "UPDATE item SET name = 'tip' WHERE id = 1", []);
   run(catalog, transaction, "INSERT INTO item (name) VALUES ('tap')", []);
-  const { mark } = transaction;
+  const { undoPosition: mark } = transaction;
   run(catalog, transaction, 'DELETE FROM item', []);
   transaction.rollbackTo(mark);
   assert.equal(run(catalog, transaction, 'SELECT count(*) FROM item', []), [[4]]);
@@ -257,14 +257,14 @@
   run(source, transaction, 'UPDATE item SET price = price * 2 WHERE id < 3', []);
   run(source, transaction, 'DELETE FROM item WHERE id = 3', []);
   const changes = source.changesOf(transaction);
-  assert.equal(source.describe(changes), [
+  assert.equal(source.describeChanges(changes), [
     'item/4 put',
     'item/1 put',
     'item/2 put',
     'item/3 delete',
   ]);
   source.commit(transaction);
-  replica.apply(changes);
+  replica.applyChanges(changes);
   const all = 'SELECT * FROM item ORDER BY id';
   assert.equal(query(replica, all), query(source, all));
   assert.equal(query(replica, "INSERT INTO item (name) VALUES ('next') RETURNING id"), [[5]]);
