--- a/bench/fuzz/main.ts
+++ b/bench/fuzz/main.ts
@@ -69,7 +69,7 @@
     `violations (${violations.length}):`,
     ...violations.slice(0, MAX_VIOLATION_LINES).map((violation) => `  ${violation}`),
     'account:',
-    ...outcome.account.map((line) => `  ${line}`),
+    ...outcome.summaries.map((line) => `  ${line}`),
   ];
 }
 
--- a/bench/fuzz/options.ts
+++ b/bench/fuzz/options.ts
@@ -2,7 +2,7 @@
 import { z } from 'zod';
 import { MeadowstackError } from '../../src/core/errors.js';
 import { readFlags } from '../flags.js';
-import { SCENARIOS, scenarioNamed } from '../simulation/registry.js';
+import { findScenario, SCENARIOS } from '../simulation/registry.js';
 import type { Scenario } from '../simulation/scenario.js';
 
 /** The flags do not fit. */
@@ -66,7 +66,7 @@
 
 function scenariosOf(name: string | undefined): readonly Scenario[] {
   if (name === undefined) return SCENARIOS;
-  const scenario = scenarioNamed(name);
+  const scenario = findScenario(name);
   if (scenario === undefined) throw new FuzzUsageError(`no scenario ${name}`);
   return [scenario];
 }
--- a/bench/fuzz/search.ts
+++ b/bench/fuzz/search.ts
@@ -1,6 +1,6 @@
 /** Runs scenarios over seeds until one violates something or the time is over. */
 import {
-  allEventsOf,
+  allEventIndexes,
   type Scenario,
   type ScenarioOutcome,
   type ScenarioPlan,
@@ -36,7 +36,7 @@
   for (; options.goesOn(runs); seed += 1) {
     for (const scenario of options.scenarios) {
       const plan = scenario.plan(seed, options.without);
-      const outcome = plan.run(allEventsOf(plan));
+      const outcome = plan.run(allEventIndexes(plan));
       runs += 1;
       if (outcome.violations.length > 0) {
         return { runs, lastSeed: seed, failed: { scenario, seed, plan, outcome } };
--- a/bench/fuzz/shrink.ts
+++ b/bench/fuzz/shrink.ts
@@ -1,7 +1,7 @@
 /** Finds a violation's own few events: leaves out whatever it happens without. */
 import {
-  allEventsOf,
-  checkOf,
+  allEventIndexes,
+  checkNameOf,
   type ScenarioOutcome,
   type ScenarioPlan,
 } from '../simulation/scenario.js';
@@ -17,8 +17,8 @@
 
 /** The plan must violate something when it is run whole. */
 export function shrink(plan: ScenarioPlan, whole: ScenarioOutcome): MinimalRun {
-  const check = checkOf(whole.violations[0] ?? '');
-  let minimal: MinimalRun = { kept: allEventsOf(plan), outcome: whole };
+  const check = checkNameOf(whole.violations[0] ?? '');
+  let minimal: MinimalRun = { kept: allEventIndexes(plan), outcome: whole };
   let runs = 0;
   let smaller = true;
   while (smaller && runs < MAX_RUNS) {
@@ -28,7 +28,7 @@
       kept.delete(index);
       const outcome = plan.run(kept);
       runs += 1;
-      if (!outcome.violations.some((violation) => checkOf(violation) === check)) continue;
+      if (!outcome.violations.some((violation) => checkNameOf(violation) === check)) continue;
       minimal = { kept, outcome };
       smaller = true;
     }
--- a/bench/simulation/clock.ts
+++ b/bench/simulation/clock.ts
@@ -2,7 +2,7 @@
 import { SeededRandom } from './random.js';
 import { Schedule } from './schedule.js';
 
-/** Simulated time in milliseconds, and random numbers that follow from a seed. */
+/** Simulated time in milliseconds, and a random number generator with a seed. */
 export class SimulatedClock extends Schedule {
   private readonly seeded: SeededRandom;
 
@@ -19,7 +19,7 @@
     return this.seeded.between(low, high);
   }
 
-  /** True with this probability. */
+  /** Returns true with the given probability. */
   chance(probability: number): boolean {
     return this.seeded.chance(probability);
   }
--- a/bench/simulation/configuration-scenario.ts
+++ b/bench/simulation/configuration-scenario.ts
@@ -1,7 +1,7 @@
 /**
- * Scenario `configuration`: agents of several nodes around a store, with publishes, restarts,
- * pauses, lost messages and a store that is down. Promise: what was accepted is in force
- * everywhere within seconds and never reverts.
+ * Scenario `configuration`: configuration agents of several nodes and one store, with publishes,
+ * restarts, pauses, lost messages and store outages. Checked promise: an accepted configuration is
+ * in force on every node within seconds and never reverts.
  */
 import {
   CONFIGURATION_MECHANISMS,
@@ -23,23 +23,25 @@
 const ZONES = ['a', 'b', 'c'];
 const TENANTS = ['t1', 't2', 't3', 't4'];
 const MAX_STEPS = 25;
-const START_MS = 5000;
-/** Longer than a relay's lease at times: the holder is paused and unaware. */
+const STARTUP_MS = 5000;
+/** Longer than a relay's lease, so that the lease of a paused relay can expire unnoticed. */
 const MAX_PAUSE_MS = 30_000;
-const MAX_PASS_MS = 20_000;
+const MAX_WAIT_MS = 20_000;
 const CONVERGENCE_MS = 60_000;
-/** "Within seconds", with every node and the store up. */
-const IN_FORCE_MS = 5000;
+/** Time limit for a publish to reach every node while all nodes and the store are up. */
+const MAX_PROPAGATION_MS = 5000;
 
 export const CONFIGURATION_SCENARIO: Scenario = {
   name: 'configuration',
   summary: 'agents of several nodes: publishes, restarts, pauses, lost messages, store down',
   mechanisms: CONFIGURATION_MECHANISMS,
-  plan(seed, without) {
+  plan(seed, disabledMechanisms) {
     const random = new SeededRandom(seed);
-    const nodes = random.whole(2, 9);
-    const steps = Array.from({ length: random.whole(3, MAX_STEPS) }, () => drawStep(random));
-    const off = new Set(CONFIGURATION_MECHANISMS.filter((mechanism) => without.has(mechanism)));
+    const nodes = random.integer(2, 9);
+    const steps = Array.from({ length: random.integer(3, MAX_STEPS) }, () => drawStep(random));
+    const disabledConfigurationMechanisms = new Set(
+      CONFIGURATION_MECHANISMS.filter((mechanism) => disabledMechanisms.has(mechanism)),
+    );
     return {
       events: steps.map((step) => JSON.stringify(step)),
       run: (kept) =>
@@ -47,15 +49,15 @@
           seed,
           nodes,
           steps.filter((_, index) => kept.has(index)),
-          off,
+          disabledConfigurationMechanisms,
         ),
     };
   },
 };
 
 function drawStep(random: SeededRandom): Step {
-  const index = random.whole(0, 8);
-  switch (random.whole(0, 9)) {
+  const index = random.integer(0, 8);
+  switch (random.integer(0, 9)) {
     case 0:
     case 1:
     case 2:
@@ -65,13 +67,13 @@
     case 4:
       return { type: 'restart', index };
     case 5:
-      return { type: 'pause', index, ms: random.whole(1, MAX_PAUSE_MS) };
+      return { type: 'pause', index, ms: random.integer(1, MAX_PAUSE_MS) };
     case 6:
       return { type: 'loss', share: random.pick([0, 0.2, 0.9]) };
     case 7:
       return { type: 'watches', silent: random.chance(0.5) };
     default:
-      return { type: 'pass', ms: random.whole(1, MAX_PASS_MS) };
+      return { type: 'pass', ms: random.integer(1, MAX_WAIT_MS) };
   }
 }
 
@@ -86,18 +88,19 @@
   for (let index = 0; index < nodes; index += 1) {
     simulation.add(`n${index}`, ZONES[index % ZONES.length] ?? 'a');
   }
-  simulation.runUntil(START_MS);
-  for (const step of steps) carryOut(simulation, step);
-  const late = endFaults(simulation);
-  const violations = [...late, ...simulation.nodes.flatMap(violationsOfNode)];
-  return { violations, account: simulation.nodes.map(accountOf) };
+  simulation.runUntil(STARTUP_MS);
+  for (const step of steps) applyStep(simulation, step);
+  const convergenceViolations = convergeAfterFaults(simulation);
+  const violations = [...convergenceViolations, ...simulation.nodes.flatMap(findNodeViolations)];
+  return { violations, summaries: simulation.nodes.map(summarizeNode) };
 }
 
-function carryOut(simulation: ConfigurationSimulation, step: Step): void {
-  const node = 'index' in step ? simulation.live[step.index % simulation.live.length] : undefined;
+function applyStep(simulation: ConfigurationSimulation, step: Step): void {
+  const node =
+    'index' in step ? simulation.liveNodes[step.index % simulation.liveNodes.length] : undefined;
   switch (step.type) {
     case 'publish':
-      if (!simulation.storeDown && step.names.length > 0) simulation.publish(...step.names);
+      if (!simulation.isStoreDown && step.names.length > 0) simulation.publish(...step.names);
       return;
     case 'store':
       simulation.setStoreDown(step.down);
@@ -111,31 +114,31 @@
       if (node !== undefined) node.pausedUntil = simulation.now + step.ms;
       return;
     case 'loss':
-      simulation.lossShare = step.share;
+      simulation.peerLossProbability = step.share;
       return;
     case 'watches':
-      simulation.watchesSilent = step.silent;
+      simulation.areWatchesSilent = step.silent;
       return;
     case 'pass':
       simulation.runUntil(simulation.now + step.ms);
   }
 }
 
-/** Heals everything, then publishes once more; what is not in force in time is a violation. */
-function endFaults(simulation: ConfigurationSimulation): string[] {
-  simulation.lossShare = 0;
-  simulation.watchesSilent = false;
+/** Ends all faults, then publishes once more; a node that lags in either case is a violation. */
+function convergeAfterFaults(simulation: ConfigurationSimulation): string[] {
+  simulation.peerLossProbability = 0;
+  simulation.areWatchesSilent = false;
   simulation.setStoreDown(false);
   simulation.runUntil(simulation.now + CONVERGENCE_MS);
-  const afterFaults = notInForce(simulation);
+  const afterFaults = findOutdatedNodes(simulation);
   simulation.publish('t1');
-  simulation.runUntil(simulation.now + IN_FORCE_MS);
-  return [...afterFaults, ...notInForce(simulation)];
+  simulation.runUntil(simulation.now + MAX_PROPAGATION_MS);
+  return [...afterFaults, ...findOutdatedNodes(simulation)];
 }
 
-function notInForce(simulation: ConfigurationSimulation): string[] {
-  const hashes = new Set(simulation.live.map(({ agent }) => agent.replica.digest().hash));
-  const behind = simulation.live
+function findOutdatedNodes(simulation: ConfigurationSimulation): string[] {
+  const hashes = new Set(simulation.liveNodes.map(({ agent }) => agent.replica.digest().hash));
+  const behind = simulation.liveNodes
     .filter(({ agent }) => agent.replica.revision !== simulation.headRevision)
     .map(({ agent, member }) => {
       const { revision } = agent.replica;
@@ -145,20 +148,31 @@
   return hashes.size > 1 ? [...behind, 'configurationInForce: contents differ'] : behind;
 }
 
-function violationsOfNode({ applied, torn, member, readyAt }: SimulatedNode): string[] {
+function findNodeViolations({
+  appliedRevisions,
+  tornRevisions,
+  member,
+  readyAt,
+}: SimulatedNode): string[] {
   const { nodeId } = member;
-  const back = applied.findIndex((revision, index) => revision < (applied[index - 1] ?? 0));
-  const violations = torn.map((revision) => `neverTorn: ${nodeId} had a part of ${revision}`);
+  const back = appliedRevisions.findIndex(
+    (revision, index) => revision < (appliedRevisions[index - 1] ?? 0),
+  );
+  const violations = tornRevisions.map(
+    (revision) => `neverTorn: ${nodeId} had a part of ${revision}`,
+  );
   if (back >= 0) {
-    violations.push(`neverReverts: ${nodeId} went from ${applied[back - 1]} to ${applied[back]}`);
+    violations.push(
+      `neverReverts: ${nodeId} went from ${appliedRevisions[back - 1]} to ${appliedRevisions[back]}`,
+    );
   }
-  if (readyAt !== undefined && applied.length === 0) {
+  if (readyAt !== undefined && appliedRevisions.length === 0) {
     violations.push(`servesWithConfiguration: ${nodeId} was ready without one`);
   }
   return violations;
 }
 
-function accountOf({ member, alive, applied, readyAt }: SimulatedNode): string {
-  const life = alive ? 'alive' : 'killed';
-  return `${member.nodeId} (${life}): ready at ${readyAt ?? 'no time'}, applied ${applied.join(' ')}`;
+function summarizeNode({ member, isAlive, appliedRevisions, readyAt }: SimulatedNode): string {
+  const processState = isAlive ? 'alive' : 'killed';
+  return `${member.nodeId} (${processState}): ready at ${readyAt ?? 'no time'}, applied ${appliedRevisions.join(' ')}`;
 }
--- a/bench/simulation/configuration-store.ts
+++ b/bench/simulation/configuration-store.ts
@@ -1,4 +1,4 @@
-/** The simulated store of the configuration: its contents, and the slots that relays lease. */
+/** The simulated configuration store: its contents, and the slots that relays lease. */
 import type {
   ConfigurationAgentEffect,
   ConfigurationAgentEvent,
@@ -12,33 +12,33 @@
 } from '../../src/core/configuration/replica.js';
 import type { ConfigurationEntry } from '../../src/core/configuration/store-layout.js';
 
-const LEASE_MS = 15_000;
+const LEASE_TTL_MS = 15_000;
 
 interface RelaySlot {
   readonly leaseId: string;
   readonly holder: string;
-  until: number;
+  expiresAt: number;
 }
 
-/** The node that asks, and whom it takes for live. */
-export interface StoreAsker {
+/** The node that sends a request, and which nodes it considers live. */
+export interface StoreCaller {
   readonly nodeId: string;
   readonly zone: string;
   readonly isLive: (nodeId: string) => boolean;
 }
 
-/** What the store holds, and what it answers. */
+/** Contents of the store, and its responses to requests. */
 export class SimulatedConfigurationStore {
-  down = false;
+  isDown = false;
   headRevision = 0;
   readonly #entries = new Map<DeclarationKey, ConfigurationEntry>();
   /** Digest of the store's contents at each revision. */
   readonly #digests = new Map<number, string>();
-  readonly #whole = new ConfigurationReplica();
+  readonly #fullReplica = new ConfigurationReplica();
   readonly #slots = new Map<string, RelaySlot>();
-  #leases = 0;
+  #leaseCount = 0;
 
-  /** Writes new versions of these declarations; gives the revision. */
+  /** Writes new versions of these declarations and returns the revision. */
   publish(names: readonly string[]): number {
     this.headRevision += 1;
     const revision = this.headRevision;
@@ -48,29 +48,29 @@
       return { key, revision, value };
     });
     for (const entry of entries) this.#entries.set(entry.key, entry);
-    this.#whole.merge({ sinceRevision: revision - 1, revision, entries });
-    this.#digests.set(revision, this.#whole.digest().hash);
+    this.#fullReplica.merge({ sinceRevision: revision - 1, revision, entries });
+    this.#digests.set(revision, this.#fullReplica.digest().hash);
     return revision;
   }
 
-  /** Digest of everything that was in force at a revision. */
+  /** Digest of the whole configuration at a revision. */
   digestAt(revision: number): string | undefined {
     return this.#digests.get(revision);
   }
 
-  /** What was written after a revision. */
+  /** Entries written after a revision. */
   changesSince(sinceRevision: number): ConfigurationDelta {
     const entries = [...this.#entries.values()].filter(({ revision }) => revision > sinceRevision);
     return { sinceRevision, revision: this.headRevision, entries };
   }
 
-  /** The answer to what a node asks; undefined if it expects none. */
-  answer(
-    asker: StoreAsker,
+  /** Carries out a node's request; returns the response, or undefined if there is none. */
+  handle(
+    caller: StoreCaller,
     effect: ConfigurationAgentEffect,
     now: number,
   ): ConfigurationAgentEvent | undefined {
-    if (this.down) return failureOf(effect);
+    if (this.isDown) return toFailureEvent(effect);
     switch (effect.type) {
       case 'read-store':
         return {
@@ -81,7 +81,7 @@
       case 'check-head':
         return { type: 'head-checked', headRevision: this.headRevision };
       case 'claim-relay':
-        return { type: 'relay', event: this.#claim(asker, now) };
+        return { type: 'relay', event: this.#claim(caller, now) };
       case 'renew-lease':
         return { type: 'relay', event: this.#renew(effect.lease, now) };
       case 'release-relay':
@@ -92,15 +92,19 @@
     }
   }
 
-  /** A slot is free if nobody holds it, or a node that the asker takes for dead. */
-  #claim({ nodeId, zone, isLive }: StoreAsker, now: number): RelayRoleEvent {
+  /** A slot is free if it has no holder or the caller considers its holder dead. */
+  #claim({ nodeId, zone, isLive }: StoreCaller, now: number): RelayRoleEvent {
     for (let slot = 0; slot < RELAYS_PER_ZONE; slot += 1) {
       const key = `${zone}/${slot}`;
       const held = this.#slots.get(key);
-      if (held !== undefined && held.until > now && isLive(held.holder)) continue;
-      this.#leases += 1;
-      const lease = { leaseId: String(this.#leases), slot };
-      this.#slots.set(key, { leaseId: lease.leaseId, holder: nodeId, until: now + LEASE_MS });
+      if (held !== undefined && held.expiresAt > now && isLive(held.holder)) continue;
+      this.#leaseCount += 1;
+      const lease = { leaseId: String(this.#leaseCount), slot };
+      this.#slots.set(key, {
+        leaseId: lease.leaseId,
+        holder: nodeId,
+        expiresAt: now + LEASE_TTL_MS,
+      });
       return { type: 'claimed', lease };
     }
     return { type: 'claim-refused' };
@@ -108,8 +112,8 @@
 
   #renew(lease: RelayLease, now: number): RelayRoleEvent {
     const held = [...this.#slots.values()].find(({ leaseId }) => leaseId === lease.leaseId);
-    if (held === undefined || held.until <= now) return { type: 'lease-lapsed' };
-    held.until = now + LEASE_MS;
+    if (held === undefined || held.expiresAt <= now) return { type: 'lease-lapsed' };
+    held.expiresAt = now + LEASE_TTL_MS;
     return { type: 'renewed' };
   }
 
@@ -120,8 +124,10 @@
   }
 }
 
-/** What a node takes from a call that got no answer; undefined if it expects none. */
-export function failureOf(effect: ConfigurationAgentEffect): ConfigurationAgentEvent | undefined {
+/** The event for a call that got no response; undefined if the node expects no response. */
+export function toFailureEvent(
+  effect: ConfigurationAgentEffect,
+): ConfigurationAgentEvent | undefined {
   switch (effect.type) {
     case 'read-store':
       return { type: 'store-read-failed', retryAfterMs: 0 };
--- a/bench/simulation/configuration.ts
+++ b/bench/simulation/configuration.ts
@@ -1,6 +1,6 @@
 /**
- * Several configuration agents around a simulated store, clock and network, in one process. Calls
- * take a random time or fail; nodes restart with nothing; the store can be down.
+ * Several configuration agents with a simulated store, clock and network, in one process. Calls
+ * take a random time or fail; nodes restart with empty memory; the store can be down.
  */
 import { ConfigurationAgent } from '../../src/core/configuration/agent.js';
 import type {
@@ -10,36 +10,36 @@
 import type { ConfigurationMechanism } from '../../src/core/configuration/mechanisms.js';
 import type { ConfigurationMember } from '../../src/core/configuration/relays.js';
 import type { ConfigurationDelta } from '../../src/core/configuration/replica.js';
-import { failureOf, SimulatedConfigurationStore } from './configuration-store.js';
+import { SimulatedConfigurationStore, toFailureEvent } from './configuration-store.js';
 import { Schedule } from './schedule.js';
 
-const MAX_CALL_MS = 10;
+const MAX_CALL_DELAY_MS = 10;
 const CALL_TIMEOUT_MS = 1000;
 
-/** One life of one node. */
+/** One incarnation of one node. */
 export interface SimulatedNode {
   readonly member: ConfigurationMember;
   readonly agent: ConfigurationAgent;
-  alive: boolean;
-  /** Does nothing before this time; what arrives meanwhile waits. */
+  isAlive: boolean;
+  /** The node handles no event before this time; events that arrive earlier are delayed. */
   pausedUntil: number;
   readyAt: number | undefined;
-  /** Revisions that were applied, in order. */
-  readonly applied: number[];
-  /** Revisions under which something was in force that the store never had as a whole. */
-  readonly torn: number[];
+  /** Applied revisions, in order. */
+  readonly appliedRevisions: number[];
+  /** Applied revisions whose contents differ from the store's contents at that revision. */
+  readonly tornRevisions: number[];
   storeRequests: number;
-  watching: { sinceRevision: number } | undefined;
+  watch: { sinceRevision: number } | undefined;
 }
 
-/** The whole simulation. */
+/** Nodes, store and network of one simulation. */
 export class ConfigurationSimulation {
-  /** Open watches hear nothing and are not told that they are dead. */
-  watchesSilent = false;
-  /** Share of peer calls that fail. */
-  lossShare = 0;
-  /** Share of calls to the store that are done, and whose answers are lost. */
-  storeLossShare = 0;
+  /** Open watches receive no events, and no notification that they ended. */
+  areWatchesSilent = false;
+  /** Probability that a call to a peer fails. */
+  peerLossProbability = 0;
+  /** Probability that the store carries out a call but its response is lost. */
+  storeLossProbability = 0;
   readonly nodes: SimulatedNode[] = [];
   readonly #suspected = new Set<SimulatedNode>();
   readonly #store = new SimulatedConfigurationStore();
@@ -47,15 +47,15 @@
 
   constructor(
     private readonly random: () => number,
-    private readonly without: ReadonlySet<ConfigurationMechanism> = new Set(),
+    private readonly disabledMechanisms: ReadonlySet<ConfigurationMechanism> = new Set(),
   ) {}
 
   get now(): number {
     return this.#schedule.now;
   }
 
-  get storeDown(): boolean {
-    return this.#store.down;
+  get isStoreDown(): boolean {
+    return this.#store.isDown;
   }
 
   /** Revision of the last publish. */
@@ -63,125 +63,125 @@
     return this.#store.headRevision;
   }
 
-  /** Adds a node, or a new life of one; the members are told to all. */
+  /** Adds a node, or a new incarnation of one, and notifies all nodes of the members. */
   add(nodeId: string, zone: string): SimulatedNode {
     const member = { nodeId, zone, host: nodeId, port: 1 };
     const agent = new ConfigurationAgent({
       self: member,
       random: this.random,
-      disabledMechanisms: this.without,
+      disabledMechanisms: this.disabledMechanisms,
     });
     const node: SimulatedNode = {
       member,
       agent,
-      alive: true,
+      isAlive: true,
       pausedUntil: 0,
       readyAt: undefined,
-      applied: [],
-      torn: [],
+      appliedRevisions: [],
+      tornRevisions: [],
       storeRequests: 0,
-      watching: undefined,
+      watch: undefined,
     };
     this.nodes.push(node);
-    this.#tellMembers();
+    this.#notifyMembers();
     this.#deliver(node, { type: 'started' });
     return node;
   }
 
-  /** Kills a node without a word. */
+  /** Kills a node without a graceful shutdown. */
   kill(node: SimulatedNode): void {
-    node.alive = false;
-    node.watching = undefined;
-    this.#tellMembers();
+    node.isAlive = false;
+    node.watch = undefined;
+    this.#notifyMembers();
   }
 
-  get live(): SimulatedNode[] {
-    return this.nodes.filter((node) => node.alive);
+  get liveNodes(): SimulatedNode[] {
+    return this.nodes.filter((node) => node.isAlive);
   }
 
-  /** Publishes a change of these declarations; only with the store up. */
+  /** Publishes a change of these declarations; the store must be up. */
   publish(...names: readonly string[]): number {
     const revision = this.#store.publish(names);
-    for (const node of this.live) {
-      if (!this.watchesSilent) this.#sendWatch(node, revision);
+    for (const node of this.liveNodes) {
+      if (!this.areWatchesSilent) this.#sendWatch(node, revision);
     }
     return revision;
   }
 
-  /** Takes the store down or up. Down: watches end. */
+  /** Starts or ends a store outage; an outage ends all watches. */
   setStoreDown(down: boolean): void {
-    this.#store.down = down;
+    this.#store.isDown = down;
     if (!down) return;
-    for (const node of this.live.filter(({ watching }) => watching !== undefined)) {
-      node.watching = undefined;
-      this.#later(node, () => ({ type: 'watch-ended' }));
+    for (const node of this.liveNodes.filter(({ watch }) => watch !== undefined)) {
+      node.watch = undefined;
+      this.#deliverLater(node, () => ({ type: 'watch-ended' }));
     }
   }
 
-  /** Does this after some time of the clock. */
+  /** Runs an action after a simulated delay. */
   after(delay: number, action: () => void): void {
     this.#schedule.after(delay, action);
   }
 
-  /** Runs until the clock shows this time. */
+  /** Runs the simulation until this simulated time. */
   runUntil(end: number): void {
     this.#schedule.runUntil(end);
   }
 
-  #later(
+  #deliverLater(
     node: SimulatedNode,
     event: () => ConfigurationAgentEvent,
-    delay = this.#callTime(),
+    delay = this.#drawCallDelay(),
   ): void {
     this.#schedule.after(delay, () => this.#deliver(node, event()));
   }
 
-  #callTime(): number {
-    return this.random() * MAX_CALL_MS;
+  #drawCallDelay(): number {
+    return this.random() * MAX_CALL_DELAY_MS;
   }
 
-  /** Membership takes these for dead; they don't hear of it while they are paused. */
+  /** Marks nodes as dead in the membership; a paused node is notified when it resumes. */
   suspect(nodes: readonly SimulatedNode[]): void {
     for (const node of nodes) this.#suspected.add(node);
-    this.#tellMembers();
+    this.#notifyMembers();
   }
 
-  /** Membership has heard from all again. */
+  /** Marks all nodes as live in the membership again. */
   clearSuspicions(): void {
     this.#suspected.clear();
-    this.#tellMembers();
+    this.#notifyMembers();
   }
 
-  #seen(): SimulatedNode[] {
-    return this.live.filter((node) => !this.#suspected.has(node));
+  #unsuspectedNodes(): SimulatedNode[] {
+    return this.liveNodes.filter((node) => !this.#suspected.has(node));
   }
 
-  #tellMembers(): void {
-    for (const node of this.live) {
-      this.#later(node, () => ({
+  #notifyMembers(): void {
+    for (const node of this.liveNodes) {
+      this.#deliverLater(node, () => ({
         type: 'members-changed',
-        members: this.#seen().map(({ member }) => member),
+        members: this.#unsuspectedNodes().map(({ member }) => member),
       }));
     }
   }
 
   #deliver(node: SimulatedNode, event: ConfigurationAgentEvent): void {
-    if (!node.alive) return;
+    if (!node.isAlive) return;
     if (node.pausedUntil > this.now) {
       this.#schedule.after(node.pausedUntil - this.now, () => this.#deliver(node, event));
       return;
     }
-    for (const effect of node.agent.handle(event, this.now)) this.#carryOut(node, effect);
+    for (const effect of node.agent.handle(event, this.now)) this.#executeEffect(node, effect);
     const deadline = node.agent.nextDeadline();
     if (deadline === undefined) return;
     this.#schedule.after(Math.max(0, deadline - this.now), () => {
-      // Superseded timers do no harm: the agent looks at its own deadlines.
+      // A superseded timer has no effect: the deadline is read again when it fires.
       const due = node.agent.nextDeadline();
       if (due !== undefined && due <= this.now) this.#deliver(node, { type: 'tick' });
     });
   }
 
-  #carryOut(node: SimulatedNode, effect: ConfigurationAgentEffect): void {
+  #executeEffect(node: SimulatedNode, effect: ConfigurationAgentEffect): void {
     switch (effect.type) {
       case 'apply':
         this.#recordApplied(node, effect.snapshot.revision);
@@ -190,13 +190,13 @@
         node.readyAt = this.now;
         return;
       case 'close-watch':
-        node.watching = undefined;
+        node.watch = undefined;
         return;
       case 'open-watch':
         this.#openWatch(node, effect.fromRevision - 1);
         return;
       case 'ask-digest':
-        this.#call(node, effect.peer, (peer) => this.#askDigest(node, peer));
+        this.#call(node, effect.peer, (peer) => this.#exchangeDigests(node, peer));
         return;
       case 'fetch':
         this.#call(node, effect.peer, (peer) => ({
@@ -209,33 +209,33 @@
         this.#push(node, effect.peer, effect.root, effect.delta);
         return;
       default:
-        this.#askStore(node, effect);
+        this.#callStore(node, effect);
     }
   }
 
   #recordApplied(node: SimulatedNode, revision: number): void {
-    node.applied.push(revision);
+    node.appliedRevisions.push(revision);
     const expected = this.#store.digestAt(revision);
-    if (expected !== node.agent.replica.digest().hash) node.torn.push(revision);
+    if (expected !== node.agent.replica.digest().hash) node.tornRevisions.push(revision);
   }
 
   #call(
     node: SimulatedNode,
     member: ConfigurationMember,
-    ask: (peer: SimulatedNode) => ConfigurationAgentEvent,
+    exchange: (peer: SimulatedNode) => ConfigurationAgentEvent,
   ): void {
-    this.#schedule.after(this.#callTime(), () => {
-      const peer = this.live.find((other) => other.member.nodeId === member.nodeId);
-      const silent = peer === undefined || peer.pausedUntil > this.now;
-      const lost = silent || this.random() < this.lossShare;
-      const event: ConfigurationAgentEvent = lost
+    this.#schedule.after(this.#drawCallDelay(), () => {
+      const peer = this.liveNodes.find((other) => other.member.nodeId === member.nodeId);
+      const isUnresponsive = peer === undefined || peer.pausedUntil > this.now;
+      const isLost = isUnresponsive || this.random() < this.peerLossProbability;
+      const event: ConfigurationAgentEvent = isLost
         ? { type: 'peer-failed', nodeId: member.nodeId }
-        : ask(peer);
-      this.#later(node, () => event, lost ? CALL_TIMEOUT_MS : this.#callTime());
+        : exchange(peer);
+      this.#deliverLater(node, () => event, isLost ? CALL_TIMEOUT_MS : this.#drawCallDelay());
     });
   }
 
-  #askDigest(node: SimulatedNode, peer: SimulatedNode): ConfigurationAgentEvent {
+  #exchangeDigests(node: SimulatedNode, peer: SimulatedNode): ConfigurationAgentEvent {
     const answer = peer.agent.digestResponse();
     const { nodeId } = node.member;
     const digest = node.agent.replica.digest();
@@ -249,42 +249,42 @@
     root: string,
     delta: ConfigurationDelta,
   ): void {
-    if (this.random() < this.lossShare) return;
-    this.#schedule.after(this.#callTime(), () => {
-      const peer = this.live.find((other) => other.member.nodeId === member.nodeId);
+    if (this.random() < this.peerLossProbability) return;
+    this.#schedule.after(this.#drawCallDelay(), () => {
+      const peer = this.liveNodes.find((other) => other.member.nodeId === member.nodeId);
       if (peer === undefined) return;
       this.#deliver(peer, { type: 'push-received', nodeId: node.member.nodeId, root, delta });
     });
   }
 
-  #askStore(node: SimulatedNode, effect: ConfigurationAgentEffect): void {
+  #callStore(node: SimulatedNode, effect: ConfigurationAgentEffect): void {
     node.storeRequests += 1;
-    this.#schedule.after(this.#callTime(), () => {
+    this.#schedule.after(this.#drawCallDelay(), () => {
       const { nodeId, zone } = node.member;
       const isLive = (id: string): boolean =>
-        this.#seen().some(({ member }) => member.nodeId === id);
-      const event = this.#store.answer({ nodeId, zone, isLive }, effect, this.now);
+        this.#unsuspectedNodes().some(({ member }) => member.nodeId === id);
+      const event = this.#store.handle({ nodeId, zone, isLive }, effect, this.now);
       if (event === undefined) return;
-      const lost = this.random() < this.storeLossShare ? failureOf(effect) : undefined;
-      if (lost === undefined) this.#later(node, () => event);
-      else this.#later(node, () => lost, CALL_TIMEOUT_MS);
+      const lost = this.random() < this.storeLossProbability ? toFailureEvent(effect) : undefined;
+      if (lost === undefined) this.#deliverLater(node, () => event);
+      else this.#deliverLater(node, () => lost, CALL_TIMEOUT_MS);
     });
   }
 
   #openWatch(node: SimulatedNode, sinceRevision: number): void {
-    if (this.storeDown) {
-      this.#later(node, () => ({ type: 'watch-ended' }));
+    if (this.isStoreDown) {
+      this.#deliverLater(node, () => ({ type: 'watch-ended' }));
       return;
     }
-    node.watching = { sinceRevision };
+    node.watch = { sinceRevision };
     if (this.headRevision > sinceRevision) this.#sendWatch(node, this.headRevision);
   }
 
   #sendWatch(node: SimulatedNode, revision: number): void {
-    const watch = node.watching;
+    const watch = node.watch;
     if (watch === undefined || watch.sinceRevision >= revision) return;
     const delta = this.#store.changesSince(watch.sinceRevision);
     watch.sinceRevision = delta.revision;
-    this.#later(node, () => ({ type: 'watch-delta', delta }));
+    this.#deliverLater(node, () => ({ type: 'watch-delta', delta }));
   }
 }
--- a/bench/simulation/fleet/context.ts
+++ b/bench/simulation/fleet/context.ts
@@ -1,4 +1,4 @@
-/** What the parts of one simulated fleet share. */
+/** State shared by the parts of one simulated cluster. */
 import type { DatabaseGroupOptions } from '../../../src/core/group/options.js';
 import type { SessionKeys } from '../../../src/core/session/index.js';
 import type { SimulatedGroup } from '../group.js';
@@ -8,15 +8,15 @@
 import type { FleetNode } from './node.js';
 
 export const GROUP = 'orders';
-/** A link that is silent for this long is given up. */
+/** A link is closed after this time without a message. */
 export const LINK_TIMEOUT_MS = 300;
 
 export interface FleetContext extends HomeContext {
   readonly group: SimulatedGroup;
   readonly history: SimulatedHistory;
-  readonly machineWithout: DatabaseGroupOptions['disabledMechanisms'];
+  readonly disabledOwnerMechanisms: DatabaseGroupOptions['disabledMechanisms'];
   readonly sessionKeys: SessionKeys;
-  nodeNamed(nodeId: string): FleetNode;
-  /** An owner started: it is to be told the instances. */
-  ownerStarted(owner: SimulatedOwner): void;
+  nodeById(nodeId: string): FleetNode;
+  /** Called when an owner has started, to send it the instances. */
+  handleOwnerStarted(owner: SimulatedOwner): void;
 }
--- a/bench/simulation/fleet/fleet.ts
+++ b/bench/simulation/fleet/fleet.ts
@@ -1,4 +1,4 @@
-/** Four simulated proxies in front of one database group, each with its own view of the others. */
+/** Four simulated proxies for one database group, each with its own view of the others. */
 import type { DatabaseGroupOptions } from '../../../src/core/group/options.js';
 import type { OwnerCandidate } from '../../../src/core/ownership/rendezvous.js';
 import type { SessionKeys } from '../../../src/core/session/index.js';
@@ -14,9 +14,9 @@
 
 const NODES = ['p0', 'p1', 'p2', 'p3'];
 const ZONES = ['a', 'b', 'c'];
-/** The instances let in two owners' budgets and a little more. */
+/** Slightly more than the connection budgets of two owners. */
 const MAX_CONNECTIONS = 8;
-/** Replicas are behind by so much that a session's position matters. */
+/** Replication lags, of which one is long enough for a session's position to matter. */
 const LAGS_MS = [5, 15, 600];
 const MIN_VIEW_DELAY_MS = 20;
 const MAX_VIEW_DELAY_MS = 600;
@@ -27,19 +27,25 @@
   readonly clock: SimulatedClock;
   readonly group: SimulatedGroup;
   readonly history: SimulatedHistory;
-  readonly without: ReadonlySet<FleetMechanism>;
-  readonly machineWithout: DatabaseGroupOptions['disabledMechanisms'];
+  readonly disabledMechanisms: ReadonlySet<FleetMechanism>;
+  readonly disabledOwnerMechanisms: DatabaseGroupOptions['disabledMechanisms'];
 }
 
 export class Fleet {
   readonly network: FleetNetwork;
   readonly context: FleetContext;
-  readonly leaving = new Set<string>();
+  readonly leavingInstances = new Set<string>();
   readonly #clock: SimulatedClock;
   readonly #nodes = new Map<string, FleetNode>();
   readonly #owners = new Set<SimulatedOwner>();
 
-  constructor({ clock, group, history, without, machineWithout }: FleetOptions) {
+  constructor({
+    clock,
+    group,
+    history,
+    disabledMechanisms,
+    disabledOwnerMechanisms,
+  }: FleetOptions) {
     this.#clock = clock;
     this.network = new FleetNetwork(clock);
     this.context = {
@@ -47,22 +53,22 @@
       group,
       network: this.network,
       history,
-      without,
-      machineWithout,
+      disabledMechanisms,
+      disabledOwnerMechanisms,
       sessionKeys: SESSION_KEYS,
       nodeIds: NODES,
-      nodeNamed: (nodeId) => this.#nodeNamed(nodeId),
-      homeNamed: (nodeId) => this.#nodeNamed(nodeId).home,
-      ownerStarted: (owner) => {
+      nodeById: (nodeId) => this.#nodeNamed(nodeId),
+      homeNodeById: (nodeId) => this.#nodeNamed(nodeId).home,
+      handleOwnerStarted: (owner) => {
         this.#owners.add(owner);
-        this.#describeTo(owner);
+        this.#sendInstances(owner);
       },
     };
     for (const [index, instance] of group.instances.entries()) {
       instance.maxConnections = MAX_CONNECTIONS;
       instance.lagMs = LAGS_MS[index] ?? 0;
     }
-    const members = NODES.map((nodeId, index) => candidate(nodeId, index));
+    const members = NODES.map((nodeId, index) => createCandidate(nodeId, index));
     for (const { nodeId, zone } of members) {
       this.#nodes.set(nodeId, new FleetNode(this.context, nodeId, zone, members));
     }
@@ -76,88 +82,90 @@
     return [...this.#nodes.values()].flatMap((node) => node.plannedStops);
   }
 
-  /** Tells all owners the instances, with their leaving marks. */
-  describe(): void {
-    for (const owner of this.#owners) this.#describeTo(owner);
+  /** Sends all owners the instances with their leaving marks. */
+  updateInstances(): void {
+    for (const owner of this.#owners) this.#sendInstances(owner);
   }
 
-  /** Kills a proxy without a word; it comes back with nothing in memory. */
-  kill(nodeId: string, lasts: number): void {
+  /** Kills a proxy; it restarts later with empty memory. */
+  kill(nodeId: string, durationMs: number): void {
     const node = this.#nodeNamed(nodeId);
-    if (!node.process.alive) return;
+    if (!node.process.isAlive) return;
     node.kill();
-    this.#gone(nodeId, lasts);
+    this.#handleNodeExit(nodeId, durationMs);
   }
 
-  /** Planned stop; it comes back some time after its end. */
-  stop(nodeId: string, lasts: number): void {
+  /** Starts a graceful shutdown; the proxy restarts some time after its exit. */
+  stop(nodeId: string, durationMs: number): void {
     const node = this.#nodeNamed(nodeId);
-    if (!node.accepting) return;
+    if (!node.isAccepting) return;
     const { process } = node;
-    this.#tellOthers(nodeId, (other) => other.role.memberGone(nodeId));
-    process.run(() => node.stop(() => this.#gone(nodeId, lasts)));
+    this.#notifyOthers(nodeId, (other) => other.role.removeMember(nodeId));
+    process.run(() => node.stop(() => this.#handleNodeExit(nodeId, durationMs)));
   }
 
-  freeze(nodeId: string, lasts: number): void {
+  freeze(nodeId: string, durationMs: number): void {
     const node = this.#nodeNamed(nodeId);
-    if (!node.process.alive) return;
-    node.freeze(lasts);
-    if (lasts <= LINK_TIMEOUT_MS) return;
+    if (!node.process.isAlive) return;
+    node.freeze(durationMs);
+    if (durationMs <= LINK_TIMEOUT_MS) return;
     this.#clock.after(LINK_TIMEOUT_MS, () => this.#breakLinksOf(nodeId));
   }
 
-  cut(from: string, to: string, lasts: number): void {
+  cut(from: string, to: string, durationMs: number): void {
     if (from === to) return;
-    this.network.cut(from, to, lasts);
-    if (lasts <= LINK_TIMEOUT_MS) return;
+    this.network.cut(from, to, durationMs);
+    if (durationMs <= LINK_TIMEOUT_MS) return;
     this.#clock.after(LINK_TIMEOUT_MS, () => this.#breakLink(from, to));
   }
 
-  /** One owner alone does not reach an instance. */
-  cutFromInstance(nodeId: string, instance: string, lasts: number): void {
+  /** Cuts the link between one owner and one instance. */
+  cutFromInstance(nodeId: string, instance: string, durationMs: number): void {
     for (const owner of this.#nodeNamed(nodeId).role.owners) {
-      owner.cutOff.add(instance);
-      this.#clock.after(lasts, () => owner.cutOff.delete(instance));
+      owner.unreachableInstances.add(instance);
+      this.#clock.after(durationMs, () => owner.unreachableInstances.delete(instance));
     }
   }
 
-  /** One node alone takes another one for dead, for a while. */
-  doubt(nodeId: string, doubted: string, lasts: number): void {
-    if (nodeId === doubted) return;
+  /** Makes a single node consider another one dead for a while. */
+  suspect(nodeId: string, suspectedId: string, durationMs: number): void {
+    if (nodeId === suspectedId) return;
     const { process, role } = this.#nodeNamed(nodeId);
-    process.run(() => role.memberGone(doubted));
-    process.after(lasts, () => {
-      const { accepting, zone } = this.#nodeNamed(doubted);
-      if (accepting) role.memberCame({ nodeId: doubted, zone });
+    process.run(() => role.removeMember(suspectedId));
+    process.after(durationMs, () => {
+      const { isAccepting, zone } = this.#nodeNamed(suspectedId);
+      if (isAccepting) role.addMember({ nodeId: suspectedId, zone });
     });
   }
 
-  #describeTo(owner: SimulatedOwner): void {
-    owner.setInstances(ZONES.map((name) => describeInstance(name, this.leaving.has(name))));
+  #sendInstances(owner: SimulatedOwner): void {
+    owner.setInstances(
+      ZONES.map((name) => describeInstance(name, this.leavingInstances.has(name))),
+    );
   }
 
-  #gone(nodeId: string, lasts: number): void {
+  #handleNodeExit(nodeId: string, durationMs: number): void {
     this.#clock.after(this.#clock.between(0, MAX_RESET_DELAY_MS), () => this.#breakLinksOf(nodeId));
-    this.#tellOthers(nodeId, (other) => other.role.memberGone(nodeId));
-    this.#clock.after(lasts, () => this.#restart(nodeId));
+    this.#notifyOthers(nodeId, (other) => other.role.removeMember(nodeId));
+    this.#clock.after(durationMs, () => this.#restart(nodeId));
   }
 
   #restart(nodeId: string): void {
-    const members = [...this.#nodes.values()].filter((one) => one.accepting);
+    const members = [...this.#nodes.values()].filter((one) => one.isAccepting);
     const node = this.#nodeNamed(nodeId);
     node.restart([...members, node].map(({ nodeId: id, zone }) => ({ nodeId: id, zone })));
-    this.#tellOthers(nodeId, (other) => {
-      if (node.accepting) other.role.memberCame({ nodeId, zone: node.zone });
+    this.#notifyOthers(nodeId, (other) => {
+      if (node.isAccepting) other.role.addMember({ nodeId, zone: node.zone });
     });
   }
 
-  /** Each of the others learns it in its own time. */
-  #tellOthers(nodeId: string, tell: (other: FleetNode) => void): void {
+  /** Notifies each of the other nodes after a random delay of its own. */
+  #notifyOthers(nodeId: string, notify: (other: FleetNode) => void): void {
     for (const other of this.#nodes.values()) {
       if (other.nodeId === nodeId) continue;
       const { process } = other;
       const delay = this.#clock.between(MIN_VIEW_DELAY_MS, MAX_VIEW_DELAY_MS);
-      this.#clock.after(delay, () => process.run(() => tell(other)));
+      this.#clock.after(delay, () => process.run(() => notify(other)));
     }
   }
 
@@ -166,14 +174,14 @@
   }
 
   #breakLink(left: string, right: string): void {
-    this.#breakEnd(left, right);
-    this.#breakEnd(right, left);
+    this.#breakLinkAt(left, right);
+    this.#breakLinkAt(right, left);
   }
 
-  #breakEnd(here: string, there: string): void {
+  #breakLinkAt(here: string, there: string): void {
     const { process, connections } = this.#nodeNamed(here);
     process.run(() => {
-      for (const connection of [...connections]) connection.linkBroken(there);
+      for (const connection of [...connections]) connection.handleLinkBroken(there);
     });
   }
 
@@ -184,6 +192,6 @@
   }
 }
 
-function candidate(nodeId: string, index: number): OwnerCandidate {
+function createCandidate(nodeId: string, index: number): OwnerCandidate {
   return { nodeId, zone: ZONES[index % ZONES.length] ?? 'a' };
 }
--- a/bench/simulation/fleet/gateway-call.ts
+++ b/bench/simulation/fleet/gateway-call.ts
@@ -1,7 +1,6 @@
 /**
- * One statement or transaction on its way from a gateway to an owner and back. Decides as the
- * gateway's group client does: another owner is asked only if nothing of the request can have run,
- * or if it is a read.
+ * One statement or transaction that a gateway sends to an owner. Follows the rules of the gateway's
+ * group client: it tries another owner only if no part of the request can have run, or for a read.
  */
 import {
   NotRunError,
@@ -15,13 +14,13 @@
 import type { FleetContext } from './context.js';
 import type { FleetNode } from './node.js';
 
-const RETRY_STEP_MS = 5;
+const RETRY_PAUSE_STEP_MS = 5;
 const MAX_RETRY_PAUSE_MS = 100;
-const REFUSED_CONNECT_MS = 1;
+const CONNECT_REFUSED_DELAY_MS = 1;
 const MAX_ABANDON_DELAY_MS = 5;
 const OWNER_REASONS: ReadonlySet<NotRunReason> = new Set(['owner-unreachable', 'owner-stopping']);
 
-/** What an owner said, or what is known without its word. */
+/** Result of a call: the owner's answer, or the gateway's own error. */
 export interface CallEnd {
   readonly error: RequestError | undefined;
   /** The owner's record, if it ended the request. */
@@ -32,54 +31,54 @@
   readonly context: FleetContext;
   readonly node: FleetNode;
   readonly session: number;
-  /** Its id is the attempt's; each sending to an owner adds its number. */
+  /** Its id is the attempt's id; each send attempt appends its number. */
   readonly request: GroupRequest;
   readonly onceKey: string | undefined;
   readonly retryBudget: RetryBudget;
   readonly onEnd: (end: CallEnd) => void;
 }
 
-/** One sending of the request to one owner. */
-interface Sending {
+/** One attempt to send the request to an owner. */
+interface SendAttempt {
   readonly ownerId: string;
   readonly requestId: string;
-  /** Time that the caller leaves from the sending on: clocks of two nodes are not compared. */
+  /** Time left until the deadline when it is sent; clocks of different nodes are not compared. */
   readonly remainingMs: number;
-  open: boolean;
+  isOpen: boolean;
 }
 
 export class GatewayCall {
-  #sending: Sending | undefined;
+  #currentSend: SendAttempt | undefined;
   #attempts = 0;
-  #finished = false;
+  #isFinished = false;
 
   constructor(private readonly options: GatewayCallOptions) {
     options.retryBudget.recordAttempt();
     this.#start();
   }
 
-  /** The link to a node was given up, or the node's end of it is gone. */
-  linkBroken(ownerId: string): void {
-    const sending = this.#sending;
-    if (this.#finished || sending?.ownerId !== ownerId || !sending.open) return;
+  /** Handles a link to a node that was closed by either side. */
+  handleLinkBroken(ownerId: string): void {
+    const sending = this.#currentSend;
+    if (this.#isFinished || sending?.ownerId !== ownerId || !sending.isOpen) return;
     this.#close(sending);
     const { request, context } = this.options;
-    const resends = context.without.has('no-resend');
+    const mayResend = context.disabledMechanisms.has('no-resend');
     const isRead = request.access === 'read' && request.hold === 'statement';
     const message = 'the owner was lost before it told the outcome';
     const error = new UnknownOutcomeError('owner-lost', message);
-    if (isRead || resends) this.#retryOrFail(error);
-    else this.#end({ error, record: undefined });
+    if (isRead || mayResend) this.#retryOrFail(error);
+    else this.#finish({ error, record: undefined });
   }
 
-  /** The caller or this gateway has gone. */
+  /** Handles the disconnection of the caller or the exit of this gateway. */
   abandon(): void {
-    this.#finished = true;
-    if (this.#sending !== undefined) this.#close(this.#sending);
+    this.#isFinished = true;
+    if (this.#currentSend !== undefined) this.#close(this.#currentSend);
   }
 
   #start(): void {
-    if (this.#finished) return;
+    if (this.#isFinished) return;
     const owners = this.#owners();
     const ownerId = owners[this.#attempts % Math.max(1, owners.length)];
     this.#attempts += 1;
@@ -90,7 +89,7 @@
     this.#send(ownerId);
   }
 
-  /** Gateways begin with different owners, so that all owners are in use. */
+  /** Gateways start with different owners, so that all owners are used. */
   #owners(): readonly string[] {
     const { node, context } = this.options;
     const { route } = node.role;
@@ -102,13 +101,13 @@
     const { context, node, request } = this.options;
     const { nodeId } = node;
     const requestId = `${request.id}#${this.#attempts}`;
-    const owner = context.nodeNamed(ownerId);
+    const owner = context.nodeById(ownerId);
     const remainingMs = Math.max(0, request.deadline - context.clock.now);
-    const sending: Sending = { ownerId, requestId, remainingMs, open: true };
-    this.#sending = sending;
+    const sending: SendAttempt = { ownerId, requestId, remainingMs, isOpen: true };
+    this.#currentSend = sending;
     if (this.#isUnreachable(owner)) {
-      node.process.after(REFUSED_CONNECT_MS, () => {
-        sending.open = false;
+      node.process.after(CONNECT_REFUSED_DELAY_MS, () => {
+        sending.isOpen = false;
         const message = 'the owner could not be reached';
         this.#retryOrFail(new NotRunError('owner-unreachable', message));
       });
@@ -116,84 +115,87 @@
     }
     const { process } = owner;
     context.network.send(nodeId, ownerId, () => {
-      process.run(() => this.#arrive(owner, sending));
+      process.run(() => this.#handleArrival(owner, sending));
     });
   }
 
-  /** Known before anything is written: such a request never left. */
+  /** True if no link can be opened, so that no byte of the request was written. */
   #isUnreachable(owner: FleetNode): boolean {
     const { context, node } = this.options;
     if (owner.nodeId === node.nodeId) return false;
-    return !owner.process.alive || context.network.isDown(node.nodeId, owner.nodeId);
+    return !owner.process.isAlive || context.network.isDown(node.nodeId, owner.nodeId);
   }
 
-  #arrive(owner: FleetNode, sending: Sending): void {
+  #handleArrival(owner: FleetNode, sending: SendAttempt): void {
     const { context, request, session, onceKey } = this.options;
     const deadline = context.clock.now + sending.remainingMs;
     const refusal = owner.role.submit(
       { ...request, id: sending.requestId, deadline },
       {
         session,
-        ...(onceKey === undefined || context.without.has('once-claim') ? {} : { onceKey }),
-        onFinal: (record) => {
-          const [final] = record.finals;
-          this.#answer(owner, sending, { error: final?.error, record });
+        ...(onceKey === undefined || context.disabledMechanisms.has('once-claim')
+          ? {}
+          : { onceKey }),
+        onCompleted: (record) => {
+          const [final] = record.completions;
+          this.#sendAnswer(owner, sending, { error: final?.error, record });
         },
       },
     );
-    if (refusal !== undefined) this.#answer(owner, sending, { error: refusal, record: undefined });
-    else if (!sending.open) this.#abandonAt(sending);
+    if (refusal !== undefined)
+      this.#sendAnswer(owner, sending, { error: refusal, record: undefined });
+    else if (!sending.isOpen) this.#abandonAt(sending);
   }
 
-  #answer(owner: FleetNode, sending: Sending, end: CallEnd): void {
+  #sendAnswer(owner: FleetNode, sending: SendAttempt, end: CallEnd): void {
     const { context, node } = this.options;
     const { process } = node;
     context.network.send(owner.nodeId, node.nodeId, () => {
-      process.run(() => this.#onAnswer(sending, end));
+      process.run(() => this.#handleAnswer(sending, end));
     });
   }
 
-  #onAnswer(sending: Sending, end: CallEnd): void {
-    if (this.#finished || sending !== this.#sending || !sending.open) return;
-    sending.open = false;
+  #handleAnswer(sending: SendAttempt, end: CallEnd): void {
+    if (this.#isFinished || sending !== this.#currentSend || !sending.isOpen) return;
+    sending.isOpen = false;
     const { error } = end;
-    const refused = error instanceof NotRunError && OWNER_REASONS.has(error.reason);
-    if (refused) this.#retryOrFail(error);
-    else this.#end(end);
+    const isRefused = error instanceof NotRunError && OWNER_REASONS.has(error.reason);
+    if (isRefused) this.#retryOrFail(error);
+    else this.#finish(end);
   }
 
   #retryOrFail(error: RequestError): void {
-    if (this.#finished) return;
+    if (this.#isFinished) return;
     const { context, node, request, retryBudget } = this.options;
-    const pause = Math.min(MAX_RETRY_PAUSE_MS, RETRY_STEP_MS * this.#attempts);
-    const firstLap = this.#attempts <= node.role.route.length;
-    const affordable = firstLap || retryBudget.tryTake();
-    if (context.clock.now + pause >= request.deadline || !affordable) {
-      this.#end({ error, record: undefined });
+    const pause = Math.min(MAX_RETRY_PAUSE_MS, RETRY_PAUSE_STEP_MS * this.#attempts);
+    const isFirstRound = this.#attempts <= node.role.route.length;
+    const mayRetry = isFirstRound || retryBudget.tryTake();
+    if (context.clock.now + pause >= request.deadline || !mayRetry) {
+      this.#finish({ error, record: undefined });
       return;
     }
-    this.#sending = undefined;
+    this.#currentSend = undefined;
     node.process.after(pause, () => this.#start());
   }
 
-  #close(sending: Sending): void {
-    if (!sending.open) return;
-    sending.open = false;
+  #close(sending: SendAttempt): void {
+    if (!sending.isOpen) return;
+    sending.isOpen = false;
     this.#abandonAt(sending);
   }
 
-  /** The owner learns that the other end of the stream is gone. */
-  #abandonAt({ ownerId, requestId }: Sending): void {
-    const { clock, nodeNamed } = this.options.context;
-    const { process, role } = nodeNamed(ownerId);
+  /** Notifies the owner that the gateway closed the stream. */
+  #abandonAt({ ownerId, requestId }: SendAttempt): void {
+    const { clock, nodeById } = this.options.context;
+    const { process, role } = nodeById(ownerId);
     clock.after(clock.between(0, MAX_ABANDON_DELAY_MS), () => {
       process.run(() => role.abandon(requestId));
     });
   }
 
-  #end(end: CallEnd): void {
-    if (this.#finished) return;
-    this.#finished = true;
+  #finish(end: CallEnd): void {
+    if (this.#isFinished) return;
+    this.#isFinished = true;
     this.options.onEnd(end);
   }
 }
--- a/bench/simulation/fleet/gateway.ts
+++ b/bench/simulation/fleet/gateway.ts
@@ -1,6 +1,6 @@
 /**
- * One caller's connection to a gateway: what the gateway knows of the session, and what it makes of
- * answers. Decides as the gateway's session does, with the core's functions.
+ * One caller's connection to a gateway: the gateway's session state and its handling of answers.
+ * Follows the rules of the gateway's session, with the core's functions.
  */
 import type { RequestError } from '../../../src/core/errors.js';
 import { UnknownOutcomeError } from '../../../src/core/errors.js';
@@ -28,16 +28,16 @@
 const MIN_ANSWER_DELAY_MS = 0.05;
 const MAX_ANSWER_DELAY_MS = 0.5;
 
-/** What a caller sends. */
+/** A request as a caller sends it. */
 export interface CallerRequest {
   /** The attempt's id. */
   readonly id: string;
-  /** Everything that the owner is told but what the session requires. */
-  readonly terms: Omit<GroupRequest, 'session' | 'id'>;
+  /** The request to the owner, without the requirement of the session. */
+  readonly ownerRequest: Omit<GroupRequest, 'session' | 'id'>;
   readonly onceKey: string | undefined;
 }
 
-/** What a caller gets. */
+/** An answer as a caller receives it. */
 export interface CallerAnswer {
   readonly error: RequestError | undefined;
   readonly record: RequestRecord | undefined;
@@ -45,19 +45,19 @@
 
 export interface CallerHandlers {
   onAnswer(answer: CallerAnswer): void;
-  /** A new token came, before the answer that it goes with. */
+  /** Receives a new token, before the answer to which it belongs. */
   onToken(token: string): void;
-  /** The connection is lost without a word. */
-  onBroken(): void;
-  /** The gateway ended the session between two requests. */
-  onGoodbye(): void;
+  /** The connection was lost without a message. */
+  onConnectionLost(): void;
+  /** The gateway ended the session between requests. */
+  onSessionEnded(): void;
 }
 
-/** The session as its caller names it. */
+/** A caller's session and how it identifies itself. */
 export interface CallerIdentity {
   readonly index: number;
   readonly key: SessionIdentity;
-  /** What moves with the session; with `nothing` each connection is a session of its own. */
+  /** Carries the session between connections; with `nothing` each connection is a new session. */
   readonly carrier: 'token' | 'id' | 'nothing';
   readonly writes: 'half' | 'few' | 'none';
 }
@@ -65,12 +65,12 @@
 export class GatewayConnection {
   wasFrozen = false;
   #state: SessionState = freshSession();
-  #begun = false;
-  #waiting: CallerRequest | undefined;
-  #running: CallerRequest | undefined;
+  #isReady = false;
+  #queuedRequest: CallerRequest | undefined;
+  #currentRequest: CallerRequest | undefined;
   #call: GatewayCall | undefined;
-  #stopping = false;
-  #open = true;
+  #isStopping = false;
+  #isOpen = true;
   readonly #directory: SimulatedDirectory;
   readonly #retryBudget = new RetryBudget(RETRY_BUDGET);
 
@@ -80,13 +80,13 @@
     private readonly identity: CallerIdentity,
     private readonly handlers: CallerHandlers,
   ) {
-    this.wasFrozen = node.process.frozen;
+    this.wasFrozen = node.process.isFrozen;
     this.#directory = new SimulatedDirectory(context, node.process);
     node.connections.add(this);
   }
 
-  /** Takes in the token, or looks up the session's id. */
-  begin(token: string | undefined): void {
+  /** Decodes the token, or looks up the session id. */
+  start(token: string | undefined): void {
     const { tenant } = this.identity.key;
     if (token !== undefined) {
       decodeSessionToken(token, tenant, this.context.sessionKeys).match(
@@ -97,106 +97,107 @@
       );
     }
     if (this.identity.carrier !== 'id') {
-      this.#begin();
+      this.#startQueuedRequest();
       return;
     }
     this.node.process.run(() => {
       this.#directory.lookUp(this.identity.key, (known) => {
         this.#state = mergeSessions(this.#state, known);
-        this.#begin();
+        this.#startQueuedRequest();
       });
     });
   }
 
   send(request: CallerRequest): void {
-    if (!this.#open) return;
-    this.#running = request;
-    if (!this.#begun) this.#waiting = request;
-    else this.node.process.run(() => this.#start(request));
+    if (!this.#isOpen) return;
+    this.#currentRequest = request;
+    if (!this.#isReady) this.#queuedRequest = request;
+    else this.node.process.run(() => this.#sendToOwner(request));
   }
 
-  /** Planned stop: ends the session as soon as no request is in progress. */
-  stop(): void {
-    this.#stopping = true;
-    if (this.#running === undefined) this.#goodbye();
+  /** Graceful shutdown: ends the session as soon as no request is in progress. */
+  endWhenIdle(): void {
+    this.#isStopping = true;
+    if (this.#currentRequest === undefined) this.#endSession();
   }
 
-  /** The caller hangs up. */
+  /** The caller closes the connection. */
   close(): void {
-    this.#open = false;
+    this.#isOpen = false;
     this.#call?.abandon();
     this.node.connections.delete(this);
   }
 
-  /** The process has died. */
-  broken(): void {
-    if (!this.#open) return;
+  /** The gateway's process was killed. */
+  handleProcessExit(): void {
+    if (!this.#isOpen) return;
     this.close();
-    this.context.clock.after(this.#answerDelay(), () => this.handlers.onBroken());
+    this.context.clock.after(this.#answerDelay(), () => this.handlers.onConnectionLost());
   }
 
-  linkBroken(nodeId: string): void {
-    this.#call?.linkBroken(nodeId);
+  handleLinkBroken(nodeId: string): void {
+    this.#call?.handleLinkBroken(nodeId);
   }
 
-  #begin(): void {
-    this.#begun = true;
-    const waiting = this.#waiting;
-    this.#waiting = undefined;
-    if (waiting !== undefined) this.node.process.run(() => this.#start(waiting));
+  #startQueuedRequest(): void {
+    this.#isReady = true;
+    const waiting = this.#queuedRequest;
+    this.#queuedRequest = undefined;
+    if (waiting !== undefined) this.node.process.run(() => this.#sendToOwner(waiting));
   }
 
-  #start(request: CallerRequest): void {
-    if (!this.#open) return;
+  #sendToOwner(request: CallerRequest): void {
+    if (!this.#isOpen) return;
     this.#call = new GatewayCall({
       context: this.context,
       node: this.node,
       session: this.identity.index,
-      request: { ...request.terms, id: request.id, session: this.#requirement() },
+      request: { ...request.ownerRequest, id: request.id, session: this.#requirement() },
       onceKey: request.onceKey,
       retryBudget: this.#retryBudget,
-      onEnd: (end) => this.#onEnd(request, end),
+      onEnd: (end) => this.#handleCallEnd(request, end),
     });
   }
 
   #requirement(): SessionRequirement {
-    if (this.context.without.has('gateway-session-position')) {
+    if (this.context.disabledMechanisms.has('gateway-session-position')) {
       return { type: 'known', position: ZERO_POSITION };
     }
     return requirementFor(this.#state, GROUP);
   }
 
-  #onEnd(request: CallerRequest, { error, record }: CallEnd): void {
-    if (!this.#open) return;
+  #handleCallEnd(request: CallerRequest, { error, record }: CallEnd): void {
+    if (!this.#isOpen) return;
     if (error !== undefined) {
-      this.#onError(error, record);
+      this.#handleError(error, record);
       return;
     }
-    const [final] = record?.finals ?? [];
+    const [final] = record?.completions ?? [];
     const answer = { error, record };
     if (final?.position === undefined) {
-      this.#answer(answer);
+      this.#sendAnswer(answer);
       return;
     }
     const { position } = final;
     const wasUnknown = requirementFor(this.#state, GROUP).type === 'unknown';
     this.#observe(position, final.fromReplica);
-    const keeps = request.terms.access === 'write' || wasUnknown;
-    if (keeps) this.#recordThen(position, answer);
-    else this.#answer(answer);
+    const mustRecord = request.ownerRequest.access === 'write' || wasUnknown;
+    if (mustRecord) this.#recordThenAnswer(position, answer);
+    else this.#sendAnswer(answer);
   }
 
-  #onError(error: RequestError, record: RequestRecord | undefined): void {
-    const position = record?.finals[0]?.position;
-    const tells = error.outcome === 'done' && !this.context.without.has('once-position');
-    if (tells && position !== undefined) {
+  #handleError(error: RequestError, record: RequestRecord | undefined): void {
+    const position = record?.completions[0]?.position;
+    const hasPosition =
+      error.outcome === 'done' && !this.context.disabledMechanisms.has('once-position');
+    if (hasPosition && position !== undefined) {
       this.#observe(position, false);
-      this.#recordThen(position, { error, record });
+      this.#recordThenAnswer(position, { error, record });
       return;
     }
-    const mayLast = error.outcome === 'unknown' || error.outcome === 'done';
-    if (mayLast) this.#state = markUnknown(this.#state, GROUP);
-    this.#answer({ error, record });
+    const mayHaveTakenEffect = error.outcome === 'unknown' || error.outcome === 'done';
+    if (mayHaveTakenEffect) this.#state = markUnknown(this.#state, GROUP);
+    this.#sendAnswer({ error, record });
   }
 
   #observe(position: Position, fromReplica: boolean): void {
@@ -208,36 +209,36 @@
     this.handlers.onToken(encodeSessionToken(this.#state, tenant, this.context.sessionKeys));
   }
 
-  /** What a session that moves by its id must see is kept by other nodes before it is told. */
-  #recordThen(position: Position, answer: CallerAnswer): void {
+  /** A session that moves by its id gets its answer only after its home nodes recorded the position. */
+  #recordThenAnswer(position: Position, answer: CallerAnswer): void {
     if (this.identity.carrier !== 'id') {
-      this.#answer(answer);
+      this.#sendAnswer(answer);
       return;
     }
     this.#directory.record(this.identity.key, { group: GROUP, position }, (kept) => {
-      if (kept) this.#answer(answer);
-      else this.#answer({ error: notRecorded(), record: answer.record });
+      if (kept) this.#sendAnswer(answer);
+      else this.#sendAnswer({ error: createNotRecordedError(), record: answer.record });
     });
   }
 
-  #answer(answer: CallerAnswer): void {
+  #sendAnswer(answer: CallerAnswer): void {
     this.context.clock.after(this.#answerDelay(), () => {
-      if (!this.#open) return;
-      this.#running = undefined;
+      if (!this.#isOpen) return;
+      this.#currentRequest = undefined;
       this.#call = undefined;
-      if (this.#stopping) this.#leave();
+      if (this.#isStopping) this.#detach();
       this.handlers.onAnswer(answer);
-      if (this.#stopping) this.handlers.onGoodbye();
+      if (this.#isStopping) this.handlers.onSessionEnded();
     });
   }
 
-  #goodbye(): void {
-    this.#leave();
-    this.context.clock.after(this.#answerDelay(), () => this.handlers.onGoodbye());
+  #endSession(): void {
+    this.#detach();
+    this.context.clock.after(this.#answerDelay(), () => this.handlers.onSessionEnded());
   }
 
-  #leave(): void {
-    this.#open = false;
+  #detach(): void {
+    this.#isOpen = false;
     this.node.connections.delete(this);
   }
 
@@ -246,7 +247,7 @@
   }
 }
 
-function notRecorded(): UnknownOutcomeError {
+function createNotRecordedError(): UnknownOutcomeError {
   const message = 'the home nodes of the session id could not be reached';
   return new UnknownOutcomeError('session-not-recorded', message);
 }
--- a/bench/simulation/fleet/home-nodes.ts
+++ b/bench/simulation/fleet/home-nodes.ts
@@ -1,6 +1,6 @@
 /**
- * Where gateways keep the positions of sessions that move with nothing but their id: the core's
- * tables and quorum, with calls that are lost, late or repeated.
+ * Home nodes, which store the positions of sessions that move between gateways by their id alone:
+ * the core's tables and quorum, with calls that are lost, late or repeated.
  */
 import { createHash } from 'node:crypto';
 import {
@@ -18,32 +18,32 @@
 import type { FleetNetwork } from './network.js';
 import type { SimulatedProcess } from './process.js';
 
-/** Sessions live shorter than real ones, so that node restarts matter to them. */
-export const SESSION_LIFE_MS = 2500;
+/** Shorter than in production, so that node restarts affect sessions within a run. */
+export const SESSION_IDLE_TIMEOUT_MS = 2500;
 
 const CALL_TIMEOUT_MS = 250;
-const REPEATED_SHARE = 0.05;
-/** A message that is repeated comes at most this much later. */
-const MAX_REPETITION_MS = 200;
+const REPEATED_CALL_PROBABILITY = 0.05;
+/** Maximum delay of a repeated message. */
+const MAX_REPEAT_DELAY_MS = 200;
 
-/** Orders nodes by preference for a key, the same everywhere. */
+/** Orders nodes by preference for a key; the order is the same on every node. */
 export function rankNodes(key: string, nodeIds: readonly string[]): readonly string[] {
   const scoreOf = (nodeId: string): string =>
     createHash('sha1').update(`${key}\0${nodeId}`).digest('hex');
   return [...nodeIds].sort((left, right) => (scoreOf(left) < scoreOf(right) ? -1 : 1));
 }
 
-/** What home nodes and those who ask them share. */
+/** State shared by home nodes and the gateways that call them. */
 export interface HomeContext {
   readonly clock: SimulatedClock;
   readonly network: FleetNetwork;
-  readonly without: ReadonlySet<FleetMechanism>;
+  readonly disabledMechanisms: ReadonlySet<FleetMechanism>;
   /** All nodes of the machine list. */
   readonly nodeIds: readonly string[];
-  homeNamed(nodeId: string): SimulatedHomeNode;
+  homeNodeById(nodeId: string): SimulatedHomeNode;
 }
 
-/** One node's table, through the node's lives. */
+/** One node's session table, across restarts of the node. */
 export class SimulatedHomeNode {
   #table: SessionPositionTable;
 
@@ -51,32 +51,33 @@
     private readonly context: HomeContext,
     public process: SimulatedProcess,
   ) {
-    // It runs for longer than any session.
-    this.#table = newTable(-SESSION_LIFE_MS);
+    // Counts as running for longer than any session, so its table is complete.
+    this.#table = newTable(-SESSION_IDLE_TIMEOUT_MS);
   }
 
-  /** A new life with nothing in memory. */
+  /** Starts a new incarnation with empty memory. */
   restart(process: SimulatedProcess): void {
     this.process = process;
     this.#table = newTable(this.context.clock.now);
   }
 
-  keep(session: SessionIdentity, entry: GroupPosition): true {
+  recordPosition(session: SessionIdentity, entry: GroupPosition): true {
     const event = { type: 'record', session, positions: [entry] } as const;
     this.#table.handle(event, this.context.clock.now);
     return true;
   }
 
-  answerLookUp(session: SessionIdentity): HomeNodeAnswer {
+  lookUpPositions(session: SessionIdentity): HomeNodeAnswer {
     const found = this.#table.handle({ type: 'look-up', session }, this.context.clock.now);
     if (found.type !== 'found') return { positions: new Map(), complete: false };
-    if (this.context.without.has('home-completeness')) return { ...found.answer, complete: true };
+    if (this.context.disabledMechanisms.has('home-completeness'))
+      return { ...found.answer, complete: true };
     return found.answer;
   }
 }
 
 function newTable(startedAt: number): SessionPositionTable {
-  return new SessionPositionTable({ startedAt, sessionIdleTimeoutMs: SESSION_LIFE_MS });
+  return new SessionPositionTable({ startedAt, sessionIdleTimeoutMs: SESSION_IDLE_TIMEOUT_MS });
 }
 
 /** One gateway's access to the home nodes. */
@@ -95,28 +96,29 @@
       if (answer !== undefined) answers.push(answer);
       if (outstanding === 0) take(this.#combine(answers, homes.length));
     };
-    for (const home of homes) this.#call(home, (asked) => asked.answerLookUp(session), settle);
+    for (const home of homes) this.#call(home, (asked) => asked.lookUpPositions(session), settle);
   }
 
   record(session: SessionIdentity, entry: GroupPosition, take: (kept: boolean) => void): void {
     const homes = this.#homesOf(session);
     let outstanding = homes.length;
     let acknowledged = 0;
-    let taken = false;
+    let isSettled = false;
     const settle = (kept: true | undefined): void => {
       outstanding -= 1;
       if (kept) acknowledged += 1;
-      const recorded = isRecorded(acknowledged, this.#countFor(homes.length));
-      if (taken || (!recorded && outstanding > 0)) return;
-      taken = true;
+      const recorded = isRecorded(acknowledged, this.#assumedHomeNodeCount(homes.length));
+      if (isSettled || (!recorded && outstanding > 0)) return;
+      isSettled = true;
       take(recorded);
     };
-    for (const home of homes) this.#call(home, (asked) => asked.keep(session, entry), settle);
+    for (const home of homes)
+      this.#call(home, (asked) => asked.recordPosition(session, entry), settle);
   }
 
   #combine(answers: readonly HomeNodeAnswer[], homeNodeCount: number): SessionState {
-    const state = combineAnswers(answers, this.#countFor(homeNodeCount));
-    if (!this.context.without.has('unknown-session')) return state;
+    const state = combineAnswers(answers, this.#assumedHomeNodeCount(homeNodeCount));
+    if (!this.context.disabledMechanisms.has('unknown-session')) return state;
     return { ...state, unlistedGroups: 'untouched' };
   }
 
@@ -124,14 +126,16 @@
     return homeNodesOf(session, this.context.nodeIds, rankNodes);
   }
 
-  /** With one home node as far as the quorum knows, one answer is enough. */
-  #countFor(homeNodeCount: number): number {
-    return this.context.without.has('home-quorum') ? Math.min(1, homeNodeCount) : homeNodeCount;
+  /** Without the quorum, pretends that there is one home node, so that one answer is enough. */
+  #assumedHomeNodeCount(homeNodeCount: number): number {
+    return this.context.disabledMechanisms.has('home-quorum')
+      ? Math.min(1, homeNodeCount)
+      : homeNodeCount;
   }
 
   #call<Answer>(
     home: string,
-    ask: (asked: SimulatedHomeNode) => Answer,
+    query: (asked: SimulatedHomeNode) => Answer,
     settle: (answer: Answer | undefined) => void,
   ): void {
     const { clock, network } = this.context;
@@ -145,14 +149,15 @@
     };
     const send = (): void =>
       network.sendCall(nodeId, home, () => {
-        const asked = this.context.homeNamed(home);
+        const asked = this.context.homeNodeById(home);
         asked.process.run(() => {
-          const answer = ask(asked);
+          const answer = query(asked);
           network.sendCall(home, nodeId, () => process.run(() => settleOnce(answer)));
         });
       });
     send();
-    if (clock.chance(REPEATED_SHARE)) clock.after(clock.between(0, MAX_REPETITION_MS), send);
+    if (clock.chance(REPEATED_CALL_PROBABILITY))
+      clock.after(clock.between(0, MAX_REPEAT_DELAY_MS), send);
     process.after(CALL_TIMEOUT_MS, () => settleOnce(undefined));
   }
 }
--- a/bench/simulation/fleet/mechanisms.ts
+++ b/bench/simulation/fleet/mechanisms.ts
@@ -1,26 +1,26 @@
-/** Mechanisms between callers and owners that a run may turn off, beside those of the owner's machine. */
+/** Mechanisms between callers and owners that a run may disable, besides those of the owner's state machine. */
 
-/** Of the home nodes of sessions that move with nothing but their id. */
+/** Mechanisms of the home nodes of sessions that move by their id alone. */
 export const HOME_MECHANISMS = [
-  /** A session that its home nodes don't know needs a confirmed primary. */
+  /** A session that is unknown to its home nodes requires a confirmed primary. */
   'unknown-session',
-  /** A position is kept by two home nodes, and read from two. */
+  /** A position is written to and read from two home nodes. */
   'home-quorum',
-  /** A home node that restarted says that it may have lost records. */
+  /** A restarted home node reports that it may have lost records. */
   'home-completeness',
 ] as const;
 
-/** Of gateways, keyed requests and planned stops. */
+/** Mechanisms of gateways, idempotency keys and graceful shutdown. */
 export const GATEWAY_MECHANISMS = [
-  /** The gateway asks for data as new as the session's position. */
+  /** The gateway requires data at least as new as the session's position. */
   'gateway-session-position',
-  /** A keyed request claims its key in its own transaction. */
+  /** A request claims its idempotency key in its own transaction. */
   'once-claim',
-  /** "Done earlier" comes with the position that the session must see from then on. */
+  /** "Done earlier" carries the position that later reads of the session must see. */
   'once-position',
-  /** A gateway sends a write to another owner only if it never left or was refused. */
+  /** A gateway sends a write to another owner only if it was never sent or was refused. */
   'no-resend',
-  /** A planned stop waits for what is in progress. */
+  /** A graceful shutdown waits for requests in progress. */
   'drain',
 ] as const;
 
--- a/bench/simulation/fleet/network.ts
+++ b/bench/simulation/fleet/network.ts
@@ -1,6 +1,6 @@
 /**
- * Links between simulated proxies: messages take time, are held up by cuts and come late or never;
- * a link that is silent for too long is given up by both sides, each on its own.
+ * Links between simulated proxies: messages are delayed, and during a cut they arrive late or are
+ * lost. Each side closes a link on its own after too long a silence.
  */
 import type { SimulatedClock } from '../clock.js';
 import { LINK_TIMEOUT_MS } from './context.js';
@@ -9,12 +9,12 @@
 const MAX_DELAY_MS = 2;
 const SLOW_DELAY_MS = 60;
 const LOCAL_DELAY_MS = 0;
-/** What was held up by a cut for which the link is given up is lost or comes late. */
-const LATE_SHARE = 0.5;
-const LOST_CALL_SHARE = 0.5;
-const RETRANSMISSION_MS = 10;
+/** Probability that a message arrives late, rather than never, after a cut that closed the link. */
+const LATE_DELIVERY_PROBABILITY = 0.5;
+const LOST_CALL_PROBABILITY = 0.5;
+const MAX_RETRANSMISSION_DELAY_MS = 10;
 
-/** Which direction of which link. */
+/** Names one direction of a link. */
 function linkName(from: string, to: string): string {
   return `${from}>${to}`;
 }
@@ -31,13 +31,13 @@
 
   constructor(private readonly clock: SimulatedClock) {}
 
-  /** Nothing goes from `from` to `to` for a while. */
-  cut(from: string, to: string, lasts: number): void {
+  /** Stops messages from `from` to `to` for a while. */
+  cut(from: string, to: string, durationMs: number): void {
     const { now } = this.clock;
-    this.#cuts.set(linkName(from, to), { since: now, until: now + lasts });
+    this.#cuts.set(linkName(from, to), { since: now, until: now + durationMs });
   }
 
-  /** The link was given up and can't be opened again yet: nothing that is sent leaves the sender. */
+  /** True if the link was closed and can't be opened again yet, so that no message leaves the sender. */
   isDown(from: string, to: string): boolean {
     return [linkName(from, to), linkName(to, from)].some((name) => {
       const cut = this.#cuts.get(name);
@@ -46,42 +46,44 @@
     });
   }
 
-  slowDown(from: string, to: string, lasts: number): void {
-    this.#slow.set(linkName(from, to), this.clock.now + lasts);
+  slowDown(from: string, to: string, durationMs: number): void {
+    this.#slow.set(linkName(from, to), this.clock.now + durationMs);
   }
 
   isCut(from: string, to: string): boolean {
     return this.#cutUntil(from, to) > this.clock.now;
   }
 
-  /** Calls between home nodes and gateways are lost for a while, half of them. */
-  loseCalls(lasts: number): void {
-    this.#callsLostUntil = this.clock.now + lasts;
+  /** Loses half of the calls between home nodes and gateways for a while. */
+  loseCalls(durationMs: number): void {
+    this.#callsLostUntil = this.clock.now + durationMs;
   }
 
-  /** Carries a message of a call. */
+  /** Sends a message of a call between home nodes and gateways. */
   sendCall(from: string, to: string, action: () => void): void {
-    const loses = this.clock.now < this.#callsLostUntil && from !== to;
-    if (loses && this.clock.chance(LOST_CALL_SHARE)) return;
+    const mayBeLost = this.clock.now < this.#callsLostUntil && from !== to;
+    if (mayBeLost && this.clock.chance(LOST_CALL_PROBABILITY)) return;
     this.send(from, to, action);
   }
 
-  /** Carries a message; what a cut holds up comes late, or not at all. */
+  /** Sends a message; during a cut it arrives late or never. */
   send(from: string, to: string, action: () => void): void {
     if (from === to) this.clock.after(LOCAL_DELAY_MS, action);
-    else this.#travel(from, to, this.#delay(from, to), action);
+    else this.#deliver(from, to, this.#delay(from, to), action);
   }
 
-  #travel(from: string, to: string, delay: number, action: () => void): void {
+  #deliver(from: string, to: string, delay: number, action: () => void): void {
     this.clock.after(delay, () => {
       if (!this.isCut(from, to)) {
         action();
         return;
       }
-      if (this.#breaksLink(from, to) && !this.clock.chance(LATE_SHARE)) return;
+      if (this.#breaksLink(from, to) && !this.clock.chance(LATE_DELIVERY_PROBABILITY)) return;
       const wait =
-        this.#cutUntil(from, to) - this.clock.now + this.clock.between(0, RETRANSMISSION_MS);
-      this.#travel(from, to, wait, action);
+        this.#cutUntil(from, to) -
+        this.clock.now +
+        this.clock.between(0, MAX_RETRANSMISSION_DELAY_MS);
+      this.#deliver(from, to, wait, action);
     });
   }
 
--- a/bench/simulation/fleet/node.ts
+++ b/bench/simulation/fleet/node.ts
@@ -1,4 +1,4 @@
-/** One proxy of the simulated fleet through its lives: home node of sessions, owner, gateway. */
+/** One simulated proxy across its restarts: home node of sessions, owner and gateway. */
 import type { OwnerCandidate } from '../../../src/core/ownership/rendezvous.js';
 import type { FleetContext } from './context.js';
 import type { GatewayConnection } from './gateway.js';
@@ -6,25 +6,25 @@
 import { OwnerRole } from './owner-role.js';
 import { SimulatedProcess } from './process.js';
 
-const STOP_POLL_MS = 5;
+const STOP_POLL_PERIOD_MS = 5;
 
-/** When a planned stop was asked for and over. */
+/** Times and result of a graceful shutdown. */
 export interface PlannedStop {
   readonly nodeId: string;
   readonly requestedAt: number;
   exitedAt: number | undefined;
-  /** Requests in progress that it cut. */
-  cut: number;
+  /** Requests in progress that it interrupted. */
+  cutCount: number;
 }
 
 export class FleetNode {
   process: SimulatedProcess;
   role: OwnerRole;
-  stopping = false;
+  isStopping = false;
   readonly connections = new Set<GatewayConnection>();
   readonly plannedStops: PlannedStop[] = [];
   readonly home: SimulatedHomeNode;
-  #lives = 1;
+  #incarnationCount = 1;
 
   constructor(
     private readonly context: FleetContext,
@@ -37,52 +37,60 @@
     this.home = new SimulatedHomeNode(context, this.process);
   }
 
-  get accepting(): boolean {
-    return this.process.alive && !this.stopping;
+  get isAccepting(): boolean {
+    return this.process.isAlive && !this.isStopping;
   }
 
-  /** Ends the process; what it had in memory is gone. */
+  /** Ends the process, which loses its memory. */
   kill(): void {
-    this.process.alive = false;
-    this.role.die();
-    for (const connection of [...this.connections]) connection.broken();
+    this.process.isAlive = false;
+    this.role.terminate();
+    for (const connection of [...this.connections]) connection.handleProcessExit();
     this.connections.clear();
   }
 
-  freeze(lasts: number): void {
+  freeze(durationMs: number): void {
     this.process.frozenSince = this.context.clock.now;
-    this.process.frozenUntil = Math.max(this.process.frozenUntil, this.context.clock.now + lasts);
-    this.role.excuse();
+    this.process.frozenUntil = Math.max(
+      this.process.frozenUntil,
+      this.context.clock.now + durationMs,
+    );
+    this.role.markOwnerFailed();
     for (const connection of this.connections) connection.wasFrozen = true;
   }
 
   restart(members: readonly OwnerCandidate[]): void {
-    this.#lives += 1;
-    this.stopping = false;
-    const name = `${this.nodeId}.${this.#lives}`;
+    this.#incarnationCount += 1;
+    this.isStopping = false;
+    const name = `${this.nodeId}.${this.#incarnationCount}`;
     this.process = new SimulatedProcess(this.context.clock, this.nodeId, name);
     this.home.restart(this.process);
     this.role = new OwnerRole(this.context, this.process, members, this.zone);
   }
 
-  /** Planned stop: sessions end between requests, then the owner drains; `exited` comes last. */
-  stop(exited: () => void): void {
+  /** Graceful shutdown: sessions end between requests, then the owner drains, then `onExited` runs. */
+  stop(onExited: () => void): void {
     const requestedAt = this.context.clock.now;
-    const stop: PlannedStop = { nodeId: this.nodeId, requestedAt, exitedAt: undefined, cut: 0 };
+    const stop: PlannedStop = {
+      nodeId: this.nodeId,
+      requestedAt,
+      exitedAt: undefined,
+      cutCount: 0,
+    };
     this.plannedStops.push(stop);
-    this.stopping = true;
-    if (this.context.without.has('drain')) {
-      this.#exit(stop, exited);
+    this.isStopping = true;
+    if (this.context.disabledMechanisms.has('drain')) {
+      this.#exit(stop, onExited);
       return;
     }
-    for (const connection of [...this.connections]) connection.stop();
-    this.#waitForCallers(stop, exited);
+    for (const connection of [...this.connections]) connection.endWhenIdle();
+    this.#waitForCallers(stop, onExited);
   }
 
   #waitForCallers(stop: PlannedStop, exited: () => void): void {
     const again = (): void => this.#waitForCallers(stop, exited);
     if (this.connections.size > 0) {
-      this.process.after(STOP_POLL_MS, again);
+      this.process.after(STOP_POLL_PERIOD_MS, again);
       return;
     }
     this.role.drain();
@@ -91,13 +99,13 @@
 
   #waitForOwner(stop: PlannedStop, exited: () => void): void {
     const again = (): void => this.#waitForOwner(stop, exited);
-    if (this.role.unfinished > 0) this.process.after(STOP_POLL_MS, again);
+    if (this.role.unfinishedCount > 0) this.process.after(STOP_POLL_PERIOD_MS, again);
     else this.#exit(stop, exited);
   }
 
   #exit(stop: PlannedStop, exited: () => void): void {
     stop.exitedAt = this.context.clock.now;
-    stop.cut = this.role.unfinished;
+    stop.cutCount = this.role.unfinishedCount;
     this.kill();
     exited();
   }
--- a/bench/simulation/fleet/owner-role.ts
+++ b/bench/simulation/fleet/owner-role.ts
@@ -1,6 +1,6 @@
 /**
- * One node as an owner of the group: the core's ownership, hand-over and routes by this node's own
- * view of the members, and the group's machine while the node serves or retires.
+ * One node as an owner of the group: the core's ownership, hand-over and routes according to this
+ * node's view of the members, and the group state machine while the node serves or retires.
  */
 import { createHash } from 'node:crypto';
 import { NotRunError, type RequestError } from '../../../src/core/errors.js';
@@ -18,10 +18,10 @@
 import type { SimulatedProcess } from './process.js';
 
 const HAND_OVER_MS = 600;
-const MIN_WARM_MS = 20;
-const MAX_WARM_MS = 250;
-const RETIRE_POLL_MS = 20;
-const OPTIONS = { warmTimeoutMs: 300, retireTimeoutMs: 500 };
+const MIN_WARM_UP_MS = 20;
+const MAX_WARM_UP_MS = 250;
+const RETIRE_POLL_PERIOD_MS = 20;
+const HAND_OVER_OPTIONS = { warmTimeoutMs: 300, retireTimeoutMs: 500 };
 
 export class OwnerRole {
   readonly #context: FleetContext;
@@ -30,10 +30,10 @@
   readonly #index = new OwnerIndex(hash64);
   readonly #handOver: OwnerHandOver;
   readonly #routes: GroupRoutes;
-  readonly #live = new Set<string>();
-  /** The machines of this life: the last one serves, earlier ones finish what they run. */
+  readonly #liveNodes = new Set<string>();
+  /** Owners of this incarnation: the last one serves, earlier ones finish their requests. */
   readonly owners: SimulatedOwner[] = [];
-  #serving: SimulatedOwner | undefined;
+  #servingOwner: SimulatedOwner | undefined;
   #stopping = false;
 
   constructor(
@@ -45,43 +45,43 @@
     this.#context = context;
     this.#process = process;
     this.#zone = zone;
-    this.#handOver = new OwnerHandOver(process.nodeId, OPTIONS);
-    this.#routes = new GroupRoutes(HAND_OVER_MS, (nodeId) => this.#live.has(nodeId));
-    for (const member of members) this.memberCame(member);
-    this.#take(this.#index.setGroup({ group: GROUP, zones: ['a', 'b', 'c'] }));
+    this.#handOver = new OwnerHandOver(process.nodeId, HAND_OVER_OPTIONS);
+    this.#routes = new GroupRoutes(HAND_OVER_MS, (nodeId) => this.#liveNodes.has(nodeId));
+    for (const member of members) this.addMember(member);
+    this.#applyOwnersChanges(this.#index.setGroup({ group: GROUP, zones: ['a', 'b', 'c'] }));
   }
 
-  /** Owners to try, best first, by this node's view. */
+  /** Owners to try, in order of preference, according to this node's view. */
   get route(): readonly string[] {
     return this.#routes.routeOf(GROUP, this.#context.clock.now);
   }
 
-  memberCame(member: OwnerCandidate): void {
-    this.#live.add(member.nodeId);
-    this.#take(this.#index.addMember(member));
+  addMember(member: OwnerCandidate): void {
+    this.#liveNodes.add(member.nodeId);
+    this.#applyOwnersChanges(this.#index.addMember(member));
   }
 
-  memberGone(nodeId: string): void {
-    this.#live.delete(nodeId);
-    this.#take(this.#index.removeMember(nodeId));
-    this.#tell({ type: 'member-gone', nodeId });
+  removeMember(nodeId: string): void {
+    this.#liveNodes.delete(nodeId);
+    this.#applyOwnersChanges(this.#index.removeMember(nodeId));
+    this.#handleEvent({ type: 'member-gone', nodeId });
   }
 
-  onServingAnnounced(from: string): void {
-    this.#tell({ type: 'serving-announced', group: GROUP, from });
+  handleServingAnnounced(from: string): void {
+    this.#handleEvent({ type: 'serving-announced', group: GROUP, from });
   }
 
-  onRedirect(): void {
+  handleRedirect(): void {
     this.#routes.handleRedirect(GROUP);
   }
 
-  /** Hands a request to the machine, or says why not. */
+  /** Submits a request to the serving owner; returns an error if it is refused. */
   submit(request: GroupRequest, work: SubmittedWork): RequestError | undefined {
     if (this.#stopping) return new NotRunError('owner-stopping', 'the owner is stopping', 0);
-    if (this.#serving === undefined) {
+    if (this.#servingOwner === undefined) {
       return new NotRunError('owner-unreachable', 'not an owner of the group', 0);
     }
-    this.#serving.submit(request, work);
+    this.#servingOwner.submit(request, work);
     return undefined;
   }
 
@@ -89,62 +89,63 @@
     for (const owner of this.owners) owner.send({ type: 'request-abandoned', requestId });
   }
 
-  get unfinished(): number {
-    return this.owners.reduce((sum, owner) => sum + owner.unfinished.length, 0);
+  get unfinishedCount(): number {
+    return this.owners.reduce((sum, owner) => sum + owner.unfinishedRequests.length, 0);
   }
 
-  /** Planned stop, after the node's own callers have gone. */
+  /** Graceful shutdown, after the node's own callers have disconnected. */
   drain(): void {
     this.#stopping = true;
     for (const owner of this.owners) owner.send({ type: 'drain-started' });
   }
 
-  /** The process has ended, or is frozen: what becomes of its requests is excused. */
-  excuse(): void {
+  /** Exempts unfinished requests from checks of their result, since the process ended or is frozen. */
+  markOwnerFailed(): void {
     for (const owner of this.owners) {
-      for (const record of owner.unfinished) record.excused = true;
+      for (const record of owner.unfinishedRequests) record.ownerFailed = true;
     }
   }
 
-  die(): void {
-    this.excuse();
-    for (const owner of this.owners) owner.die();
+  terminate(): void {
+    this.markOwnerFailed();
+    for (const owner of this.owners) owner.terminate();
   }
 
-  #take(changes: readonly OwnersChange[]): void {
+  #applyOwnersChanges(changes: readonly OwnersChange[]): void {
     for (const change of changes) {
       this.#routes.handleOwnersChanged(change, this.#context.clock.now);
-      this.#tell({ type: 'owners-changed', change });
+      this.#handleEvent({ type: 'owners-changed', change });
     }
   }
 
-  #tell(event: HandOverEvent): void {
+  #handleEvent(event: HandOverEvent): void {
     const { clock } = this.#context;
-    for (const effect of this.#handOver.handle(event, clock.now)) this.#carryOut(effect);
+    for (const effect of this.#handOver.handle(event, clock.now)) this.#executeEffect(effect);
     const due = this.#handOver.nextDeadline();
-    if (due !== undefined) this.#process.after(due - clock.now, () => this.#tell({ type: 'tick' }));
+    if (due !== undefined)
+      this.#process.after(due - clock.now, () => this.#handleEvent({ type: 'tick' }));
   }
 
-  #carryOut(effect: HandOverEffect): void {
+  #executeEffect(effect: HandOverEffect): void {
     const { clock, nodeIds } = this.#context;
     const { nodeId } = this.#process;
     switch (effect.type) {
       case 'warm':
-        this.#start();
-        this.#process.after(clock.between(MIN_WARM_MS, MAX_WARM_MS), () =>
-          this.#tell({ type: 'warmed', group: GROUP }),
+        this.#startOwner();
+        this.#process.after(clock.between(MIN_WARM_UP_MS, MAX_WARM_UP_MS), () =>
+          this.#handleEvent({ type: 'warmed', group: GROUP }),
         );
         return;
       case 'serve':
-        this.#start();
+        this.#startOwner();
         return;
       case 'announce-serving':
         for (const to of effect.to) {
-          this.#post(to, (node) => node.role.onServingAnnounced(nodeId));
+          this.#send(to, (node) => node.role.handleServingAnnounced(nodeId));
         }
         return;
       case 'redirect':
-        for (const to of nodeIds) this.#post(to, (node) => node.role.onRedirect());
+        for (const to of nodeIds) this.#send(to, (node) => node.role.handleRedirect());
         return;
       case 'retire':
         this.#retire();
@@ -152,38 +153,40 @@
     }
   }
 
-  #post(to: string, action: (node: ReturnType<FleetContext['nodeNamed']>) => void): void {
-    const { network, nodeNamed } = this.#context;
+  #send(to: string, action: (node: ReturnType<FleetContext['nodeById']>) => void): void {
+    const { network, nodeById } = this.#context;
     network.send(this.#process.nodeId, to, () => {
-      const node = nodeNamed(to);
+      const node = nodeById(to);
       node.process.run(() => action(node));
     });
   }
 
-  #start(): void {
-    if (this.#serving !== undefined) return;
-    const { clock, group, history, machineWithout } = this.#context;
+  #startOwner(): void {
+    if (this.#servingOwner !== undefined) return;
+    const { clock, group, history, disabledOwnerMechanisms } = this.#context;
     const owner = new SimulatedOwner(clock, group, {
       group: GROUP,
       ownZone: this.#zone,
       history,
-      process: this.#process.run,
-      ...(machineWithout === undefined ? {} : { disabledMechanisms: machineWithout }),
+      runInProcess: this.#process.run,
+      ...(disabledOwnerMechanisms === undefined
+        ? {}
+        : { disabledMechanisms: disabledOwnerMechanisms }),
     });
     this.owners.push(owner);
-    this.#serving = owner;
-    this.#context.ownerStarted(owner);
+    this.#servingOwner = owner;
+    this.#context.handleOwnerStarted(owner);
   }
 
-  /** Finishes what runs, then closes the connections. */
+  /** Finishes running requests, then closes the connections. */
   #retire(): void {
-    const owner = this.#serving;
+    const owner = this.#servingOwner;
     if (owner === undefined) return;
-    this.#serving = undefined;
+    this.#servingOwner = undefined;
     owner.send({ type: 'drain-started' });
     const closeIfIdle = (): void => {
-      if (owner.unfinished.length === 0) owner.die();
-      else this.#process.after(RETIRE_POLL_MS, closeIfIdle);
+      if (owner.unfinishedRequests.length === 0) owner.terminate();
+      else this.#process.after(RETIRE_POLL_PERIOD_MS, closeIfIdle);
     };
     closeIfIdle();
   }
--- a/bench/simulation/fleet/process.ts
+++ b/bench/simulation/fleet/process.ts
@@ -1,30 +1,30 @@
-/** One life of a simulated process: what happens in it waits while it is frozen, and ends with it. */
+/** One incarnation of a simulated process: its actions wait while it is frozen and end when it is killed. */
 import type { SimulatedClock } from '../clock.js';
 
 export class SimulatedProcess {
-  alive = true;
+  isAlive = true;
   frozenSince = 0;
   frozenUntil = 0;
 
   constructor(
     private readonly clock: SimulatedClock,
     readonly nodeId: string,
-    /** Unique among all lives. */
+    /** Unique among all incarnations. */
     readonly name: string,
   ) {}
 
-  get frozen(): boolean {
+  get isFrozen(): boolean {
     return this.clock.now < this.frozenUntil;
   }
 
-  /** Runs the action now, when the process goes on, or never. */
+  /** Runs the action now, when the process resumes, or never if it was killed. */
   readonly run = (action: () => void): void => {
-    if (!this.alive) return;
-    if (this.frozen) this.clock.after(this.frozenUntil - this.clock.now, () => this.run(action));
+    if (!this.isAlive) return;
+    if (this.isFrozen) this.clock.after(this.frozenUntil - this.clock.now, () => this.run(action));
     else action();
   };
 
-  /** A timer of the process. */
+  /** Runs the action in the process after a delay. */
   after(milliseconds: number, action: () => void): void {
     this.clock.after(milliseconds, () => this.run(action));
   }
--- a/bench/simulation/fleet/sessions-scenario.ts
+++ b/bench/simulation/fleet/sessions-scenario.ts
@@ -1,7 +1,7 @@
 /**
- * Scenario `sessions`: only the home nodes of sessions that move with nothing but their id, and
- * gateways that record and look up; many sessions in little time. Promise: what a gateway learns of
- * a session is "unknown" or no earlier than the last position that was acknowledged to it.
+ * Scenario `sessions`: only home nodes of sessions that move by their id alone, and gateways that
+ * record and look up positions. Checked promise: a look-up returns "unknown" or a position not
+ * earlier than the last one that was acknowledged for the session.
  */
 import { comparePositions, type Position, ZERO_POSITION } from '../../../src/core/position.js';
 import { requirementFor, type SessionIdentity } from '../../../src/core/session/index.js';
@@ -11,7 +11,7 @@
 import { GROUP } from './context.js';
 import {
   type HomeContext,
-  SESSION_LIFE_MS,
+  SESSION_IDLE_TIMEOUT_MS,
   SimulatedDirectory,
   SimulatedHomeNode,
 } from './home-nodes.js';
@@ -20,15 +20,15 @@
 import { SimulatedProcess } from './process.js';
 
 const NODES = ['p0', 'p1', 'p2', 'p3'];
-const SESSIONS = 10;
+const SESSION_COUNT = 10;
 const RUN_MS = 6000;
-const QUIET_END_MS = 500;
+const SETTLING_MS = 500;
 const MIN_STEP_MS = 5;
 const MAX_STEP_MS = 120;
-const WRITE_SHARE = 0.5;
-const PROMOTION_SHARE = 0.01;
+const WRITE_PROBABILITY = 0.5;
+const PROMOTION_PROBABILITY = 0.01;
 const MAX_FAULTS = 16;
-const LONGEST_FAULT_MS = 1200;
+const MAX_FAULT_DURATION_MS = 1200;
 const FAULTS = ['kill', 'freeze', 'cut', 'cut-one-way', 'slow', 'lose-calls'] as const;
 
 interface HomeFault {
@@ -36,22 +36,24 @@
   readonly node: string;
   readonly other: string;
   readonly at: number;
-  readonly lasts: number;
+  readonly durationMs: number;
 }
 
 export const SESSIONS_SCENARIO: Scenario = {
   name: 'sessions',
   summary: 'home nodes of sessions that move with their id: restarts, freezes, cuts, lost calls',
   mechanisms: HOME_MECHANISMS,
-  plan(seed, without) {
+  plan(seed, disabledMechanisms) {
     const faults = drawFaults(new SeededRandom(seed));
-    const off = new Set(HOME_MECHANISMS.filter((mechanism) => without.has(mechanism)));
+    const disabledHomeMechanisms = new Set(
+      HOME_MECHANISMS.filter((mechanism) => disabledMechanisms.has(mechanism)),
+    );
     return {
-      events: faults.map(({ name, node, other, at, lasts }) => {
-        return `${at} ms: ${name}, ${node} (and ${other}), for ${lasts} ms`;
+      events: faults.map(({ name, node, other, at, durationMs }) => {
+        return `${at} ms: ${name}, ${node} (and ${other}), for ${durationMs} ms`;
       }),
       run: (kept) => {
-        const simulation = new SessionsSimulation(seed, off);
+        const simulation = new SessionsSimulation(seed, disabledHomeMechanisms);
         return simulation.run(faults.filter((_, index) => kept.has(index)));
       },
     };
@@ -61,12 +63,12 @@
 function drawFaults(random: SeededRandom): HomeFault[] {
   const drawOne = (): HomeFault => ({
     name: random.pick(FAULTS),
-    node: `p${random.whole(0, NODES.length - 1)}`,
-    other: `p${random.whole(0, NODES.length - 1)}`,
-    at: random.whole(0, RUN_MS),
-    lasts: random.whole(1, LONGEST_FAULT_MS),
+    node: `p${random.integer(0, NODES.length - 1)}`,
+    other: `p${random.integer(0, NODES.length - 1)}`,
+    at: random.integer(0, RUN_MS),
+    durationMs: random.integer(1, MAX_FAULT_DURATION_MS),
   });
-  const faults = Array.from({ length: random.whole(0, MAX_FAULTS) }, drawOne);
+  const faults = Array.from({ length: random.integer(0, MAX_FAULTS) }, drawOne);
   return faults.sort((left, right) => left.at - right.at);
 }
 
@@ -76,9 +78,9 @@
   readonly #context: HomeContext;
   readonly #homes = new Map<string, SimulatedHomeNode>();
   readonly #violations: string[] = [];
-  readonly #account: string[] = [];
-  #end: Position = { timeline: 1, lsn: 1n };
-  #lives = 0;
+  readonly #summaries: string[] = [];
+  #lastPosition: Position = { timeline: 1, lsn: 1n };
+  #incarnationCount = 0;
 
   constructor(seed: number, without: ReadonlySet<FleetMechanism>) {
     this.#clock = new SimulatedClock(seed);
@@ -86,41 +88,41 @@
     this.#context = {
       clock: this.#clock,
       network: this.#network,
-      without,
+      disabledMechanisms: without,
       nodeIds: NODES,
-      homeNamed: (nodeId) => this.#home(nodeId),
+      homeNodeById: (nodeId) => this.#homeNode(nodeId),
     };
     for (const nodeId of NODES) {
-      this.#homes.set(nodeId, new SimulatedHomeNode(this.#context, this.#newLife(nodeId)));
+      this.#homes.set(nodeId, new SimulatedHomeNode(this.#context, this.#createProcess(nodeId)));
     }
   }
 
   run(faults: readonly HomeFault[]): ScenarioOutcome {
     for (const fault of faults) this.#clock.after(fault.at, () => this.#apply(fault));
-    for (let index = 0; index < SESSIONS; index += 1) {
+    for (let index = 0; index < SESSION_COUNT; index += 1) {
       const key = { tenant: 'bureau', sessionId: `s${index}` };
       this.#step({ key, acknowledged: ZERO_POSITION, acknowledgedAt: 0 });
     }
-    this.#clock.runUntil(RUN_MS + QUIET_END_MS);
-    return { violations: this.#violations, account: this.#account };
+    this.#clock.runUntil(RUN_MS + SETTLING_MS);
+    return { violations: this.#violations, summaries: this.#summaries };
   }
 
   #step(session: MovingSession): void {
     this.#clock.after(this.#clock.between(MIN_STEP_MS, MAX_STEP_MS), () => {
       const { now } = this.#clock;
-      if (now >= RUN_MS || now - session.acknowledgedAt > SESSION_LIFE_MS) return;
-      const home = this.#anyHome();
+      if (now >= RUN_MS || now - session.acknowledgedAt > SESSION_IDLE_TIMEOUT_MS) return;
+      const home = this.#pickLiveHomeNode();
       const again = (): void => this.#step(session);
       if (home === undefined) again();
-      else if (this.#clock.chance(WRITE_SHARE)) this.#write(session, home, again);
-      else this.#move(session, home, again);
+      else if (this.#clock.chance(WRITE_PROBABILITY)) this.#write(session, home, again);
+      else this.#lookUp(session, home, again);
     });
   }
 
   #write(session: MovingSession, home: SimulatedHomeNode, then: () => void): void {
     const position = this.#nextPosition();
     const directory = new SimulatedDirectory(this.#context, home.process);
-    const next = once(then);
+    const next = callOnce(then);
     home.process.run(() => {
       directory.record(session.key, { group: GROUP, position }, (kept) => {
         if (kept)
@@ -128,78 +130,88 @@
         next();
       });
     });
-    this.#clock.after(LONGEST_FAULT_MS, next);
+    this.#clock.after(MAX_FAULT_DURATION_MS, next);
   }
 
-  #move(session: MovingSession, home: SimulatedHomeNode, then: () => void): void {
+  #lookUp(session: MovingSession, home: SimulatedHomeNode, then: () => void): void {
     const { acknowledged } = session;
     const { now } = this.#clock;
     const directory = new SimulatedDirectory(this.#context, home.process);
-    const next = once(then);
+    const next = callOnce(then);
     home.process.run(() => {
       directory.lookUp(session.key, (state) => {
         const required = requirementFor(state, GROUP);
-        const tooEarly =
+        const isTooEarly =
           required.type === 'known' && comparePositions(required.position, acknowledged) < 0;
-        if (tooEarly) this.#report(session, required.position, acknowledged, now);
+        if (isTooEarly) this.#report(session, required.position, acknowledged, now);
         next();
       });
     });
-    this.#clock.after(LONGEST_FAULT_MS, next);
+    this.#clock.after(MAX_FAULT_DURATION_MS, next);
   }
 
-  #report(session: MovingSession, known: Position, acknowledged: Position, askedAt: number): void {
+  #report(
+    session: MovingSession,
+    known: Position,
+    acknowledged: Position,
+    lookedUpAt: number,
+  ): void {
     const { sessionId } = session.key;
-    const told = `${known.timeline}/${known.lsn}`;
-    const due = `${acknowledged.timeline}/${acknowledged.lsn}`;
-    this.#violations.push(`homeNodesRemember: ${sessionId} is told ${told}, acknowledged ${due}`);
+    const knownText = `${known.timeline}/${known.lsn}`;
+    const acknowledgedText = `${acknowledged.timeline}/${acknowledged.lsn}`;
+    this.#violations.push(
+      `homeNodesRemember: ${sessionId} is told ${knownText}, acknowledged ${acknowledgedText}`,
+    );
     const at = session.acknowledgedAt.toFixed(1);
-    this.#account.push(`${sessionId}: ${due} kept at ${at}, looked up from ${askedAt.toFixed(1)}`);
+    this.#summaries.push(
+      `${sessionId}: ${acknowledgedText} kept at ${at}, looked up from ${lookedUpAt.toFixed(1)}`,
+    );
   }
 
   #nextPosition(): Position {
-    const timeline = this.#end.timeline + (this.#clock.chance(PROMOTION_SHARE) ? 1 : 0);
-    this.#end = { timeline, lsn: this.#end.lsn + 8n };
-    return this.#end;
+    const timeline =
+      this.#lastPosition.timeline + (this.#clock.chance(PROMOTION_PROBABILITY) ? 1 : 0);
+    this.#lastPosition = { timeline, lsn: this.#lastPosition.lsn + 8n };
+    return this.#lastPosition;
   }
 
-  #anyHome(): SimulatedHomeNode | undefined {
-    const live = [...this.#homes.values()].filter(({ process }) => process.alive);
+  #pickLiveHomeNode(): SimulatedHomeNode | undefined {
+    const live = [...this.#homes.values()].filter(({ process }) => process.isAlive);
     return live[Math.floor(this.#clock.random() * live.length)];
   }
 
-  #apply({ name, node, other, lasts }: HomeFault): void {
-    const home = this.#home(node);
+  #apply({ name, node, other, durationMs }: HomeFault): void {
+    const home = this.#homeNode(node);
     switch (name) {
       case 'kill':
-        home.process.alive = false;
-        this.#clock.after(lasts, () => home.restart(this.#newLife(node)));
+        home.process.isAlive = false;
+        this.#clock.after(durationMs, () => home.restart(this.#createProcess(node)));
         return;
       case 'freeze':
-        home.process.frozenUntil = this.#clock.now + lasts;
+        home.process.frozenUntil = this.#clock.now + durationMs;
         return;
       case 'cut':
-        this.#network.cut(node, other, lasts);
-        this.#network.cut(other, node, lasts);
+        this.#network.cut(node, other, durationMs);
+        this.#network.cut(other, node, durationMs);
         return;
       case 'cut-one-way':
-        this.#network.cut(node, other, lasts);
+        this.#network.cut(node, other, durationMs);
         return;
       case 'slow':
-        this.#network.slowDown(node, other, lasts);
+        this.#network.slowDown(node, other, durationMs);
         return;
       case 'lose-calls':
-        this.#network.loseCalls(lasts);
+        this.#network.loseCalls(durationMs);
         return;
     }
   }
 
-  #newLife(nodeId: string): SimulatedProcess {
-    this.#lives += 1;
-    return new SimulatedProcess(this.#clock, nodeId, `${nodeId}.${this.#lives}`);
+  #createProcess(nodeId: string): SimulatedProcess {
+    this.#incarnationCount += 1;
+    return new SimulatedProcess(this.#clock, nodeId, `${nodeId}.${this.#incarnationCount}`);
   }
 
-  #home(nodeId: string): SimulatedHomeNode {
+  #homeNode(nodeId: string): SimulatedHomeNode {
     const home = this.#homes.get(nodeId);
     if (home === undefined) throw new RangeError(`no node ${nodeId}`);
     return home;
@@ -212,8 +224,8 @@
   acknowledgedAt: number;
 }
 
-/** The action, the first time only: a gateway that died meanwhile answers never. */
-function once(action: () => void): () => void {
+/** Runs the action at the first call only: a timer also calls it, in case a killed gateway never does. */
+function callOnce(action: () => void): () => void {
   let done = false;
   return () => {
     if (done) return;
--- a/bench/simulation/group-run.ts
+++ b/bench/simulation/group-run.ts
@@ -1,4 +1,4 @@
-/** One simulated run: sessions, faults and the machine, from a seed to a history. */
+/** One simulated run of sessions, faults and the group state machine: from a seed to a history. */
 import type { ConfirmationMode, InstanceDescription } from '../../src/core/group/contract.js';
 import type { Mechanism } from '../../src/core/group/options.js';
 import { ZERO_POSITION } from '../../src/core/position.js';
@@ -32,36 +32,36 @@
   'break-connections',
 ];
 
-/** One fault: to whom, when and for how long, in ms. */
+/** One fault: its target, start and duration in milliseconds. */
 export interface Fault {
   readonly name: FaultName;
-  /** Index of the instance; `primary` is whoever leads by then. */
+  /** Index of the instance; `primary` is the primary at the time of the fault. */
   readonly target: 0 | 1 | 2 | 'primary';
   readonly at: number;
-  readonly lasts: number;
+  readonly durationMs: number;
 }
 
-/** What a run is made of. */
+/** Inputs of a run. */
 export interface RunPlan {
   readonly seed: number;
   readonly faults: readonly Fault[];
   readonly mode: ConfirmationMode;
-  readonly voteShowsTimeline: boolean;
-  readonly without?: ReadonlySet<Mechanism>;
+  readonly votersReportTimeline: boolean;
+  readonly disabledMechanisms?: ReadonlySet<Mechanism>;
 }
 
-const BROKEN_LOSS_PROBABILITY = 0.4;
+const FAULTY_LOSS_PROBABILITY = 0.4;
 const LOAD_MS = 1500;
-const QUIET_END_MS = 5000;
-const SESSIONS = 12;
-/** The first sessions only read, so that their position does not force fresh data on them. */
-const READ_ONLY_SESSIONS = 3;
-/** Of the rest, this one never knows its position. */
-const UNKNOWN_SESSION = 3;
+const SETTLING_MS = 5000;
+const SESSION_COUNT = 12;
+/** These sessions only read, so that their position never requires fresh data. */
+const READ_ONLY_SESSION_COUNT = 3;
+/** Index of a session that writes and whose position is never known. */
+const UNKNOWN_POSITION_SESSION = 3;
 const TENANTS = ['bureau', 'trust', 'trust-kiosk'];
 const STALENESS_BOUNDS_MS = [0, 60, 300];
-/** Bounds of the sessions that only read: never strict, so that they stay on replicas. */
-const LOOKUP_BOUNDS_MS = [60, 300];
+/** Bounds of the sessions that only read; none is 0, so that replicas serve them. */
+const READ_ONLY_STALENESS_BOUNDS_MS = [60, 300];
 
 interface Session {
   readonly index: number;
@@ -70,7 +70,7 @@
   count: number;
 }
 
-/** Runs a plan to its end. */
+/** Runs a plan and returns its history. */
 export function simulate(plan: RunPlan): {
   history: SimulatedHistory;
   owner: SimulatedOwner;
@@ -78,43 +78,53 @@
   const clock = new SimulatedClock(plan.seed);
   const group = new SimulatedGroup(clock, {
     electionTimeoutMs: clock.between(60, 200),
-    voteShowsTimeline: plan.voteShowsTimeline,
+    votersReportTimeline: plan.votersReportTimeline,
   });
   const owner = new SimulatedOwner(clock, group, {
     group: 'orders',
     ownZone: 'a',
     confirmationMode: plan.mode,
     bounds: { retryCapacity: RETRY_CAPACITY },
-    ...(plan.without === undefined ? {} : { disabledMechanisms: plan.without }),
+    ...(plan.disabledMechanisms === undefined
+      ? {}
+      : { disabledMechanisms: plan.disabledMechanisms }),
   });
-  const leaving = new Set<string>();
-  const describe = (): void => {
-    owner.setInstances(['a', 'b', 'c'].map((name) => describeInstance(name, leaving.has(name))));
+  const leavingInstances = new Set<string>();
+  const updateInstances = (): void => {
+    owner.setInstances(
+      ['a', 'b', 'c'].map((name) => describeInstance(name, leavingInstances.has(name))),
+    );
   };
-  describe();
+  updateInstances();
   for (const fault of plan.faults) {
     clock.after(fault.at, () =>
-      applyFault(fault, { clock, group, owners: () => [owner], leaving, describe }),
+      applyFault(fault, {
+        clock,
+        group,
+        owners: () => [owner],
+        leaving: leavingInstances,
+        describe: updateInstances,
+      }),
     );
   }
   startSessions(clock, owner);
-  clock.runUntil(LOAD_MS + QUIET_END_MS);
+  clock.runUntil(LOAD_MS + SETTLING_MS);
   owner.history.finalLog = group.latestPrimary()?.log ?? [];
   return { history: owner.history, owner };
 }
 
-/** An instance with little room, so that limits are met. */
+/** An instance with few slots and connections, so that the limits are reached. */
 export function describeInstance(name: string, leaving: boolean): InstanceDescription {
   return { name, zone: name, slots: 2, connectionBudget: 3, leaving };
 }
 
-/** What faults act on. */
+/** State that faults change. */
 export interface FaultScope {
   readonly clock: SimulatedClock;
   readonly group: SimulatedGroup;
   readonly owners: () => readonly SimulatedOwner[];
   readonly leaving: Set<string>;
-  /** Tells the owners the instances anew. */
+  /** Sends the current list of instances to the owners. */
   readonly describe: () => void;
 }
 
@@ -124,58 +134,58 @@
   const chosen = typeof fault.target === 'number' ? group.instances[fault.target] : undefined;
   const target = chosen ?? group.latestPrimary();
   if (target === undefined) return;
-  const undo = (action: () => void): void => clock.after(fault.lasts, action);
+  const scheduleEnd = (action: () => void): void => clock.after(fault.durationMs, action);
   switch (fault.name) {
     case 'crash':
       group.crash(target);
       for (const owner of owners()) owner.breakConnections(target);
-      undo(() => group.restart(target));
+      scheduleEnd(() => group.restart(target));
       break;
     case 'isolate':
       target.ownerCut = 'both-ways';
-      target.peersCut = true;
-      undo(() => {
+      target.isCutFromPeers = true;
+      scheduleEnd(() => {
         target.ownerCut = 'none';
-        target.peersCut = false;
+        target.isCutFromPeers = false;
       });
       break;
     case 'cut-from-owner':
       target.ownerCut = 'both-ways';
-      undo(() => {
+      scheduleEnd(() => {
         target.ownerCut = 'none';
       });
       break;
     case 'lose-answers':
       target.ownerCut = 'answers';
-      undo(() => {
+      scheduleEnd(() => {
         target.ownerCut = 'none';
       });
       break;
     case 'cut-from-peers':
-      target.peersCut = true;
-      undo(() => {
-        target.peersCut = false;
+      target.isCutFromPeers = true;
+      scheduleEnd(() => {
+        target.isCutFromPeers = false;
       });
       break;
     case 'pause':
-      target.pausedUntil = clock.now + fault.lasts;
+      target.pausedUntil = clock.now + fault.durationMs;
       break;
     case 'lag':
       target.lagMs = 400;
-      undo(() => {
+      scheduleEnd(() => {
         target.lagMs = 2;
       });
       break;
     case 'break-connections':
-      target.lossProbability = BROKEN_LOSS_PROBABILITY;
-      undo(() => {
+      target.lossProbability = FAULTY_LOSS_PROBABILITY;
+      scheduleEnd(() => {
         target.lossProbability = LOSS_PROBABILITY;
       });
       break;
     case 'leave':
       leaving.add(target.name);
       describe();
-      undo(() => {
+      scheduleEnd(() => {
         leaving.delete(target.name);
         describe();
       });
@@ -188,23 +198,23 @@
   const next = (session: Session): void => {
     if (clock.now >= LOAD_MS) return;
     session.count += 1;
-    owner.submit(makeRequest(clock, session), { session: session.index, onFinal });
+    owner.submit(makeRequest(clock, session), { session: session.index, onCompleted });
   };
-  const onFinal = (record: RequestRecord): void => {
+  const onCompleted = (record: RequestRecord): void => {
     const session = sessions.get(record.session);
-    const [final] = record.finals;
+    const [final] = record.completions;
     if (session === undefined || final === undefined) return;
     if (final.position !== undefined && session.requirement.type === 'known') {
       session.requirement = { type: 'known', position: final.position };
     }
     clock.after(clock.between(0, 8), () => next(session));
   };
-  for (let index = 0; index < SESSIONS; index += 1) {
+  for (let index = 0; index < SESSION_COUNT; index += 1) {
     const session: Session = {
       index,
       tenant: TENANTS[index % TENANTS.length] ?? 'bureau',
       requirement:
-        index === UNKNOWN_SESSION
+        index === UNKNOWN_POSITION_SESSION
           ? { type: 'unknown' }
           : { type: 'known', position: ZERO_POSITION },
       count: 0,
@@ -215,9 +225,9 @@
 }
 
 function makeRequest(clock: SimulatedClock, session: Session): GroupRequest {
-  const readOnly = session.index < READ_ONLY_SESSIONS;
+  const readOnly = session.index < READ_ONLY_SESSION_COUNT;
   const access = readOnly || clock.chance(0.5) ? 'read' : 'write';
-  const bounds = readOnly ? LOOKUP_BOUNDS_MS : STALENESS_BOUNDS_MS;
+  const bounds = readOnly ? READ_ONLY_STALENESS_BOUNDS_MS : STALENESS_BOUNDS_MS;
   const bound = bounds[Math.floor(clock.random() * bounds.length)] ?? 0;
   const unlock = clock.chance(0.3);
   return {
--- a/bench/simulation/group.ts
+++ b/bench/simulation/group.ts
@@ -1,6 +1,6 @@
 /**
- * A simulated database group: instances with a log each, replication with lag, election by
- * majority, and the faults that the tests switch on and off.
+ * A simulated database group: instances with one log each, replication with lag, election by
+ * majority, and faults that tests turn on and off.
  */
 import type { InstanceState } from '../../src/core/group/contract.js';
 import type { Position } from '../../src/core/position.js';
@@ -11,64 +11,64 @@
   readonly requestId: string;
   readonly timeline: number;
   readonly committedAt: number;
-  /** Key that the same transaction claimed, if it is a request that runs at most once. */
+  /** Idempotency key that the same transaction claimed, if the request has one. */
   readonly onceKey?: string;
 }
 
-/** A commit as an instance logged it, whether it lasts or not. */
+/** A commit as an instance logged it, also if it was discarded later. */
 export interface SimulatedCommit {
   readonly entry: LogEntry;
   readonly position: Position;
 }
 
-/** An instance was promoted. */
+/** A promotion of an instance. */
 export interface SimulatedElection {
   readonly instance: string;
   readonly timeline: number;
   readonly at: number;
 }
 
-/** One instance. All fields are the truth, not what anybody knows. */
+/** One instance. The fields are its actual state, not what proxies have observed of it. */
 export interface SimulatedInstance {
   readonly name: string;
   timeline: number;
-  /** Latest timeline it has voted for: it takes no log of an earlier one any more. */
+  /** Latest timeline that it has voted for; it rejects log entries from earlier timelines. */
   votedTimeline: number;
   writable: boolean;
   log: LogEntry[];
   replayedLength: number;
   lagMs: number;
-  up: boolean;
+  isUp: boolean;
   pausedUntil: number;
-  /** Cut off from the other instances. */
-  peersCut: boolean;
-  /** Cut off from the owner: nothing arrives, or only its answers are lost. */
+  /** No link to the other instances works. */
+  isCutFromPeers: boolean;
+  /** Link to the owner: cut in both directions, or for answers only. */
   ownerCut: 'none' | 'both-ways' | 'answers';
-  /** Of a request: its connection breaks before it is sent; as often, after it has run. */
+  /** Probability that a request's connection breaks before the request is sent; same again after it ran. */
   lossProbability: number;
-  /** Rises with every crash: connections of an earlier life are broken. */
+  /** Rises with each crash; connections of an earlier incarnation are broken. */
   incarnation: number;
-  /** Connections that all owners hold, and how many it lets in. */
+  /** Connections open from all owners, and the limit. */
   connections: number;
   maxConnections: number;
-  /** Keys claimed by transactions that are still open, with their holders. */
+  /** Idempotency keys claimed by open transactions, with the run that holds each. */
   readonly claims: Map<string, object>;
 }
 
-/** How a group behaves. */
+/** Behaviour of a group. */
 export interface SimulatedGroupOptions {
   readonly electionTimeoutMs: number;
-  /** True if voters report the new timeline at once; else only when they follow it. */
-  readonly voteShowsTimeline: boolean;
+  /** Voters report the new timeline from the vote on; otherwise from when they replicate it. */
+  readonly votersReportTimeline: boolean;
 }
 
 export const LOSS_PROBABILITY = 0.01;
 const LSN_PER_ENTRY = 8n;
-const REPLICATION_STEP_MS = 2;
-const ELECTION_STEP_MS = 5;
+const REPLICATION_PERIOD_MS = 2;
+const ELECTION_CHECK_PERIOD_MS = 5;
 const FIRST_TIMELINE = 1;
 
-/** Three instances. */
+/** A group of three instances. */
 export class SimulatedGroup {
   readonly instances: SimulatedInstance[];
   readonly commits: SimulatedCommit[] = [];
@@ -79,7 +79,7 @@
     private readonly clock: SimulatedClock,
     private readonly options: SimulatedGroupOptions,
   ) {
-    this.instances = ['a', 'b', 'c'].map((name) => newInstance(name));
+    this.instances = ['a', 'b', 'c'].map((name) => createInstance(name));
     this.scheduleReplication();
     this.scheduleElection();
   }
@@ -90,15 +90,15 @@
     return found;
   }
 
-  /** The instance on the latest timeline that was promoted. */
+  /** The writable instance with the latest timeline. */
   latestPrimary(): SimulatedInstance | undefined {
     return this.instances
       .filter((instance) => instance.writable)
       .sort((left, right) => right.timeline - left.timeline)[0];
   }
 
-  /** True if another instance was promoted after this one. */
-  isDeposed(instance: SimulatedInstance): boolean {
+  /** True if another instance is writable on a later timeline. */
+  isReplaced(instance: SimulatedInstance): boolean {
     return this.instances.some((other) => {
       return other.writable && other.timeline > instance.timeline;
     });
@@ -129,25 +129,25 @@
   }
 
   crash(instance: SimulatedInstance): void {
-    instance.up = false;
+    instance.isUp = false;
     breakConnections(instance);
   }
 
-  /** Two crashes that overlap end with the first restart. */
+  /** Restarts a crashed instance; the first restart ends two crashes that overlap. */
   restart(instance: SimulatedInstance): void {
-    if (instance.up) return;
-    instance.up = true;
-    if (this.isDeposed(instance)) instance.writable = false;
-    // A restarted replica replays again from its last restart point.
+    if (instance.isUp) return;
+    instance.isUp = true;
+    if (this.isReplaced(instance)) instance.writable = false;
+    // A restarted replica replays from its last restart point.
     if (!instance.writable) instance.replayedLength = Math.floor(instance.replayedLength / 2);
   }
 
-  private talks(instance: SimulatedInstance): boolean {
-    return instance.up && !instance.peersCut && !this.isPaused(instance);
+  private canReachPeers(instance: SimulatedInstance): boolean {
+    return instance.isUp && !instance.isCutFromPeers && !this.isPaused(instance);
   }
 
   private scheduleReplication(): void {
-    this.clock.after(REPLICATION_STEP_MS * this.clock.between(0.5, 1.5), () => {
+    this.clock.after(REPLICATION_PERIOD_MS * this.clock.between(0.5, 1.5), () => {
       for (const instance of this.instances) this.replicate(instance);
       this.scheduleReplication();
     });
@@ -155,34 +155,34 @@
 
   private replicate(replica: SimulatedInstance): void {
     const primary = this.latestPrimary();
-    if (!this.talks(replica)) return;
-    if (primary !== undefined && primary !== replica && this.talks(primary)) {
-      if (primary.timeline >= replica.votedTimeline) follow(replica, primary);
+    if (!this.canReachPeers(replica)) return;
+    if (primary !== undefined && primary !== replica && this.canReachPeers(primary)) {
+      if (primary.timeline >= replica.votedTimeline) copyLog(replica, primary);
     }
     if (replica.writable) return;
-    const replayableUntil = this.clock.now - replica.lagMs;
+    const latestReplayableAt = this.clock.now - replica.lagMs;
     for (let next = replica.log[replica.replayedLength]; next !== undefined; ) {
-      if (next.committedAt > replayableUntil) break;
+      if (next.committedAt > latestReplayableAt) break;
       replica.replayedLength += 1;
       next = replica.log[replica.replayedLength];
     }
   }
 
   private scheduleElection(): void {
-    this.clock.after(ELECTION_STEP_MS, () => {
-      this.considerElection();
+    this.clock.after(ELECTION_CHECK_PERIOD_MS, () => {
+      this.electIfPrimaryIsMissing();
       this.scheduleElection();
     });
   }
 
-  private considerElection(): void {
+  private electIfPrimaryIsMissing(): void {
     const primary = this.latestPrimary();
-    if (primary !== undefined && this.talks(primary)) {
+    if (primary !== undefined && this.canReachPeers(primary)) {
       this.primaryMissingSince = undefined;
       return;
     }
     this.primaryMissingSince ??= this.clock.now;
-    const voters = this.instances.filter((instance) => this.talks(instance));
+    const voters = this.instances.filter((instance) => this.canReachPeers(instance));
     if (voters.length <= this.instances.length / 2) return;
     if (this.clock.now - this.primaryMissingSince < this.options.electionTimeoutMs) return;
     this.promote(voters);
@@ -190,8 +190,8 @@
   }
 
   private promote(voters: readonly SimulatedInstance[]): void {
-    const known = this.instances.map((one) => Math.max(one.timeline, one.votedTimeline));
-    const timeline = Math.max(...known) + 1;
+    const timelines = this.instances.map((one) => Math.max(one.timeline, one.votedTimeline));
+    const timeline = Math.max(...timelines) + 1;
     const [winner] = [...voters].sort((left, right) => {
       const byTimeline = lastTimeline(right) - lastTimeline(left);
       return byTimeline !== 0 ? byTimeline : right.log.length - left.log.length;
@@ -200,7 +200,7 @@
     for (const voter of voters) {
       voter.votedTimeline = timeline;
       voter.writable = false;
-      if (this.options.voteShowsTimeline && voter !== winner) voter.timeline = timeline;
+      if (this.options.votersReportTimeline && voter !== winner) voter.timeline = timeline;
     }
     winner.timeline = timeline;
     winner.writable = true;
@@ -209,12 +209,12 @@
   }
 }
 
-/** The position after `length` entries. */
+/** The log position after `length` entries. */
 export function positionOf(timeline: number, length: number): { timeline: number; lsn: bigint } {
   return { timeline, lsn: BigInt(length) * LSN_PER_ENTRY };
 }
 
-function newInstance(name: string): SimulatedInstance {
+function createInstance(name: string): SimulatedInstance {
   return {
     name,
     timeline: FIRST_TIMELINE,
@@ -223,9 +223,9 @@
     log: [],
     replayedLength: 0,
     lagMs: 2,
-    up: true,
+    isUp: true,
     pausedUntil: 0,
-    peersCut: false,
+    isCutFromPeers: false,
     ownerCut: 'none',
     lossProbability: LOSS_PROBABILITY,
     incarnation: 0,
@@ -239,27 +239,27 @@
   return instance.log[instance.log.length - 1]?.timeline ?? 0;
 }
 
-/** Takes the primary's log; what it does not have is dropped, as pg_rewind does. */
-function follow(replica: SimulatedInstance, primary: SimulatedInstance): void {
-  const common = commonLength(replica.log, primary.log);
-  const rewound = common < replica.log.length;
+/** Copies the primary's log and discards entries that the primary lacks, like pg_rewind. */
+function copyLog(replica: SimulatedInstance, primary: SimulatedInstance): void {
+  const commonCount = commonPrefixLength(replica.log, primary.log);
+  const isRewound = commonCount < replica.log.length;
   replica.writable = false;
   replica.timeline = primary.timeline;
   replica.votedTimeline = primary.timeline;
-  if (rewound) breakConnections(replica);
-  replica.log.length = common;
-  for (const entry of primary.log.slice(common)) replica.log.push(entry);
-  replica.replayedLength = Math.min(replica.replayedLength, common);
+  if (isRewound) breakConnections(replica);
+  replica.log.length = commonCount;
+  for (const entry of primary.log.slice(commonCount)) replica.log.push(entry);
+  replica.replayedLength = Math.min(replica.replayedLength, commonCount);
 }
 
-/** What was open on the instance's connections is rolled back with them. */
+/** Breaks all connections, which rolls back their open transactions. */
 function breakConnections(instance: SimulatedInstance): void {
   instance.incarnation += 1;
   instance.claims.clear();
 }
 
-/** An entry is in one place of one history: logs with the same entry are the same up to it. */
-function commonLength(left: readonly LogEntry[], right: readonly LogEntry[]): number {
+/** Logs that share an entry are equal up to that entry, so the search runs backwards. */
+function commonPrefixLength(left: readonly LogEntry[], right: readonly LogEntry[]): number {
   let common = Math.min(left.length, right.length);
   while (common > 0 && left[common - 1] !== right[common - 1]) common -= 1;
   return common;
--- a/bench/simulation/history-checks.ts
+++ b/bench/simulation/history-checks.ts
@@ -1,42 +1,45 @@
-/** Checks of a simulated history: each returns the violations that it found, in words. */
+/** Checks of a simulated history; each returns descriptions of the violations it found. */
 import { NotRunError } from '../../src/core/errors.js';
 import type { Execution, RequestRecord, SimulatedHistory } from './history.js';
 
 const CLOCK_TOLERANCE_MS = 0.001;
-const TRANSACTION_CONFIRMATION_MS = 1000;
-/** Retries that the budget starts with, and its share of first attempts. */
+const MAX_TRANSACTION_CONFIRMATION_MS = 1000;
+/** Retries allowed at the start; each request allows `RETRY_RATIO` more. */
 export const RETRY_CAPACITY = 10;
 const RETRY_RATIO = 0.1;
 
 type Check = (history: SimulatedHistory) => string[];
 
-function released(record: RequestRecord): boolean {
-  return record.finals[0] !== undefined && record.finals[0].error === undefined;
+function wasReleased(record: RequestRecord): boolean {
+  return record.completions[0] !== undefined && record.completions[0].error === undefined;
 }
 
-/** The execution whose answer the caller got. */
-export function servedBy(record: RequestRecord): Execution | undefined {
+/** The execution whose answer the caller received. */
+export function servingExecutionOf(record: RequestRecord): Execution | undefined {
   return record.executions.find((execution) => execution.attempt === record.sentAt.length);
 }
 
 const oneFinalEach: Check = ({ records }) =>
   records
-    .filter(({ finals, excused }) => finals.length > 1 || (finals.length === 0 && !excused))
-    .map((record) => `${record.request.id} ended ${record.finals.length} times`);
+    .filter(
+      ({ completions, ownerFailed }) =>
+        completions.length > 1 || (completions.length === 0 && !ownerFailed),
+    )
+    .map((record) => `${record.request.id} ended ${record.completions.length} times`);
 
 const noneHangs: Check = ({ records }) =>
   records.flatMap((record) => {
-    const [final] = record.finals;
-    if (final === undefined || record.excused) return [];
+    const [final] = record.completions;
+    if (final === undefined || record.ownerFailed) return [];
     const { deadline, hold } = record.request;
-    const ended = (record.endedAt ?? 0) + TRANSACTION_CONFIRMATION_MS;
+    const ended = (record.endedAt ?? 0) + MAX_TRANSACTION_CONFIRMATION_MS;
     const latest = hold === 'statement' ? deadline : Math.max(deadline, ended);
     return final.at <= latest + CLOCK_TOLERANCE_MS ? [] : [`${record.request.id} hung`];
   });
 
 const notRunNeverExecuted: Check = ({ records }) =>
   records
-    .filter((record) => record.finals[0]?.error instanceof NotRunError)
+    .filter((record) => record.completions[0]?.error instanceof NotRunError)
     .filter((record) => record.executions.length > 0)
     .map((record) => `${record.request.id} was refused as not run, but ran`);
 
@@ -47,45 +50,47 @@
 
 const noAckFromDeposedPrimary: Check = ({ records }) =>
   records
-    .filter((record) => record.request.access === 'write' && released(record))
-    .filter((record) => servedBy(record)?.onDeposed === true)
+    .filter((record) => record.request.access === 'write' && wasReleased(record))
+    .filter((record) => servingExecutionOf(record)?.onReplacedPrimary === true)
     .map((record) => `${record.request.id} was acknowledged from a deposed primary`);
 
 const ackedWritesLast: Check = ({ records, finalLog }) => {
   const lasting = new Set(finalLog.map((entry) => entry.requestId));
   return records
-    .filter((record) => released(record) && servedBy(record)?.written !== undefined)
+    .filter((record) => wasReleased(record) && servingExecutionOf(record)?.written !== undefined)
     .filter((record) => !lasting.has(record.request.id))
     .map((record) => `${record.request.id} was acknowledged and lost`);
 };
 
-/** Acknowledged writes, with the time of their acknowledgement. */
-function ackedWrites(history: SimulatedHistory): Map<string, { at: number; session: number }> {
+/** Acknowledged writes by request id, with the time of acknowledgement and the session. */
+function acknowledgedWrites(
+  history: SimulatedHistory,
+): Map<string, { at: number; session: number }> {
   const acked = new Map<string, { at: number; session: number }>();
   for (const record of history.records) {
-    const [final] = record.finals;
-    if (!released(record) || final === undefined) continue;
-    if (servedBy(record)?.written === undefined) continue;
+    const [final] = record.completions;
+    if (!wasReleased(record) || final === undefined) continue;
+    if (servingExecutionOf(record)?.written === undefined) continue;
     acked.set(record.request.id, { at: final.at, session: record.session });
   }
   return acked;
 }
 
 const readsAreFreshEnough: Check = (history) => {
-  const acked = ackedWrites(history);
+  const acked = acknowledgedWrites(history);
   return releasedReads(history).flatMap((record) => {
     const sentAt = record.sentAt[record.sentAt.length - 1] ?? 0;
     const limit = sentAt - record.request.stalenessBoundMs;
-    const seen = new Set(servedBy(record)?.snapshot.map((entry) => entry.requestId));
+    const seen = new Set(servingExecutionOf(record)?.snapshot.map((entry) => entry.requestId));
     const missed = [...acked].filter(([id, write]) => write.at < limit && !seen.has(id));
     return missed.map(([id]) => `${record.request.id} was too stale: it missed ${id}`);
   });
 };
 
 const sessionsSeeTheirWrites: Check = (history) => {
-  const acked = ackedWrites(history);
+  const acked = acknowledgedWrites(history);
   return releasedReads(history).flatMap((record) => {
-    const seen = new Set(servedBy(record)?.snapshot.map((entry) => entry.requestId));
+    const seen = new Set(servingExecutionOf(record)?.snapshot.map((entry) => entry.requestId));
     const own = [...acked].filter(([, write]) => write.session === record.session);
     const missed = own.filter(([id, write]) => write.at < record.arrivedAt && !seen.has(id));
     return missed.map(([id]) => `${record.request.id} did not see its session's ${id}`);
@@ -93,11 +98,11 @@
 };
 
 const sessionsNeverGoBack: Check = (history) => {
-  const acked = ackedWrites(history);
+  const acked = acknowledgedWrites(history);
   const seenBySession = new Map<number, Set<string>>();
   return releasedReads(history).flatMap((record) => {
     if (record.request.session.type === 'unknown') return [];
-    const snapshot = servedBy(record)?.snapshot ?? [];
+    const snapshot = servingExecutionOf(record)?.snapshot ?? [];
     const now = new Set(snapshot.map((entry) => entry.requestId));
     const before = seenBySession.get(record.session) ?? new Set();
     const missed = [...before].filter((id) => !now.has(id));
@@ -108,7 +113,7 @@
 
 function releasedReads(history: SimulatedHistory): RequestRecord[] {
   return history.records.filter((record) => {
-    return record.request.access === 'read' && released(record) && record.executions.length > 0;
+    return record.request.access === 'read' && wasReleased(record) && record.executions.length > 0;
   });
 }
 
@@ -137,7 +142,7 @@
 
 export type CheckName = keyof typeof CHECKS;
 
-/** Checks of what owners do, whatever becomes of it on the way to the caller. */
+/** Checks of the owners' results, which hold independently of the path to the caller. */
 export const OWNER_CHECKS: readonly CheckName[] = [
   'oneFinalEach',
   'noneHangs',
@@ -152,7 +157,7 @@
 const ALL_CHECKS = Object.keys(CHECKS) as CheckName[];
 
 /** All violations found in a history, each with the name of its check. */
-export function violationsOf(
+export function findViolations(
   history: SimulatedHistory,
   names: readonly CheckName[] = ALL_CHECKS,
 ): string[] {
--- a/bench/simulation/history.ts
+++ b/bench/simulation/history.ts
@@ -1,4 +1,4 @@
-/** What happened in a simulated run, as seen from outside the machine, for the history checks. */
+/** Record of a simulated run, observed from outside the state machine, for the history checks. */
 import type { RequestError } from '../../src/core/errors.js';
 import type { Position } from '../../src/core/position.js';
 import type { GroupRequest } from '../../src/core/request.js';
@@ -6,51 +6,51 @@
 
 /** One execution of a request on an instance. */
 export interface Execution {
-  /** Which sending of the request this was, from 1. */
+  /** Number of the attempt to send the request, from 1. */
   readonly attempt: number;
   readonly instance: string;
   readonly at: number;
-  /** Another instance had been promoted by then. */
-  readonly onDeposed: boolean;
-  /** What it wrote, if it wrote. */
+  /** Another instance had been promoted before this execution. */
+  readonly onReplacedPrimary: boolean;
+  /** The log entry it wrote; undefined for a read. */
   readonly written: LogEntry | undefined;
-  /** What it read from. */
+  /** The log entries visible to it. */
   readonly snapshot: readonly LogEntry[];
 }
 
-/** How a request ended for its caller. */
-export interface FinalRecord {
+/** Result of a request as its caller received it. */
+export interface CompletionRecord {
   readonly at: number;
   readonly error: RequestError | undefined;
   readonly position: Position | undefined;
   readonly fromReplica: boolean;
 }
 
-/** One request with everything that became of it. */
+/** One request with all its attempts, executions and results. */
 export interface RequestRecord {
   readonly request: GroupRequest;
   readonly session: number;
   readonly arrivedAt: number;
-  /** When the machine sent it, each time. */
+  /** Time of each attempt to send it. */
   readonly sentAt: number[];
   readonly executions: Execution[];
-  readonly finals: FinalRecord[];
-  /** When the transaction ended on its connection, if it is one. */
+  readonly completions: CompletionRecord[];
+  /** Time at which its latest run ended on its connection. */
   endedAt: number | undefined;
   servedByReplica: boolean;
-  /** SQLSTATE of the database's own error, if that is the answer. */
+  /** SQLSTATE, if the answer is an error of the database itself. */
   databaseError: string | undefined;
-  /** Reported in place of the answer once the run is released: a key that was used earlier. */
+  /** Reported instead of the answer when the run is released, such as for a key used earlier. */
   refusal: RequestError | undefined;
-  /** Its owner was killed or frozen meanwhile: no end, or a late one, is no fault. */
-  excused: boolean;
+  /** Its owner was killed or frozen before its end, so a missing or late result is allowed. */
+  ownerFailed: boolean;
 }
 
-/** Everything that the checks look at. */
+/** Input of the checks. */
 export interface SimulatedHistory {
   readonly records: RequestRecord[];
-  /** Breaches of limits that were seen as they happened. */
+  /** Violations of limits, recorded as they occurred. */
   readonly breaches: string[];
-  /** The log that lasted. */
+  /** Log of the latest primary at the end of the run. */
   finalLog: readonly LogEntry[];
 }
--- a/bench/simulation/once-run.ts
+++ b/bench/simulation/once-run.ts
@@ -1,6 +1,7 @@
 /**
- * A keyed request on a simulated connection: the core's state machine on the owner's side, claims
- * that wait for one another on the instance's side, and a message lost or late between any two steps.
+ * A request with an idempotency key on a simulated connection: the core's state machine on the
+ * owner's side, claims that wait for each other on the instance's side, and messages that can be
+ * lost or late between any two steps.
  */
 import {
   continueOnce,
@@ -19,21 +20,21 @@
 
 const UNIQUE_VIOLATION = '23505';
 export const READ_ONLY_SQL_STATE = '25006';
-const LOCK_POLL_MS = 1;
-/** Of each step: the connection breaks before it is sent, or after the server has done it. */
+const CLAIM_POLL_PERIOD_MS = 1;
+/** Probability for each step that the connection breaks before it is sent; same again after it ran. */
 const LOSS_PROBABILITY = 0.01;
-/** Higher for the answer to COMMIT: the outcome that callers have to ask for again. */
+/** Higher for the answer to COMMIT, since callers must then query the outcome with a retry. */
 const COMMIT_LOSS_PROBABILITY = 0.15;
 
 export interface OnceRunOptions {
   readonly requestId: string;
   readonly claim: OnceClaim;
-  /** The server has not broken the connection. */
+  /** True while the server keeps the connection open. */
   readonly isOpen: () => boolean;
-  readonly process: (action: () => void) => void;
+  readonly runInProcess: (action: () => void) => void;
   readonly deliver: (direction: 'both-ways' | 'answers', action: () => void) => void;
   readonly onCommit: (written: LogEntry) => void;
-  /** `databaseError`: SQLSTATE of the database's own error, if that is the answer. */
+  /** `databaseError`: SQLSTATE, if the answer is an error of the database itself. */
   readonly onFinished: (
     result: RunResult,
     refusal: RequestError | undefined,
@@ -41,16 +42,16 @@
   ) => void;
 }
 
-interface ServerAnswer {
+interface ServerResponse {
   readonly status: 'I' | 'T' | 'E';
   readonly errorSqlState: string | undefined;
 }
 
-/** One execution on one connection. */
+/** One execution of the request on one connection. */
 export class SimulatedOnceRun {
   #transition: OnceTransition;
   #finished = false;
-  #sessionEnded = false;
+  #isSessionEnded = false;
   #position: Position | undefined;
 
   constructor(
@@ -66,14 +67,16 @@
     this.#step();
   }
 
-  /** The owner's connection is gone. */
-  lost(bytesWritten: boolean): void {
-    this.options.process(() => this.#take({ type: 'lost', anyBytesWritten: bytesWritten }));
+  /** The owner lost its connection. */
+  handleConnectionLost(bytesWritten: boolean): void {
+    this.options.runInProcess(() =>
+      this.#handleAnswer({ type: 'lost', anyBytesWritten: bytesWritten }),
+    );
   }
 
-  /** The server rolls back what is open. */
-  sessionEnded(): void {
-    this.#sessionEnded = true;
+  /** The server rolls back the open transaction. */
+  handleSessionEnded(): void {
+    this.#isSessionEnded = true;
     this.#releaseClaim();
   }
 
@@ -85,18 +88,18 @@
     }
     if (this.clock.chance(LOSS_PROBABILITY)) {
       this.clock.after(0.2, () => {
-        this.sessionEnded();
-        this.lost(false);
+        this.handleSessionEnded();
+        this.handleConnectionLost(false);
       });
       return;
     }
-    this.options.deliver('both-ways', () => this.#serve());
+    this.options.deliver('both-ways', () => this.#startExecution());
   }
 
-  #serve(): void {
-    if (this.#sessionEnded) return;
+  #startExecution(): void {
+    if (this.#isSessionEnded) return;
     if (!this.options.isOpen()) {
-      this.lost(true);
+      this.handleConnectionLost(true);
       return;
     }
     const wait = Math.max(0, this.instance.pausedUntil - this.clock.now);
@@ -104,30 +107,30 @@
   }
 
   #execute(): void {
-    if (this.#sessionEnded) return;
+    if (this.#isSessionEnded) return;
     if (!this.options.isOpen()) {
-      this.lost(true);
+      this.handleConnectionLost(true);
       return;
     }
-    if (this.#mustWait()) {
-      this.clock.after(LOCK_POLL_MS, () => this.#execute());
+    if (this.#mustWaitForClaim()) {
+      this.clock.after(CLAIM_POLL_PERIOD_MS, () => this.#execute());
       return;
     }
-    this.#answer(this.#executePhase());
+    this.#sendAnswer(this.#executePhase());
   }
 
-  #mustWait(): boolean {
+  #mustWaitForClaim(): boolean {
     if (this.#transition.execution.phase !== 'claim') return false;
     const holder = this.instance.claims.get(this.#key);
     return holder !== undefined && holder !== this;
   }
 
-  #executePhase(): ServerAnswer {
+  #executePhase(): ServerResponse {
     const { writable } = this.instance;
     switch (this.#transition.execution.phase) {
       case 'claim':
         if (!writable) return { status: 'E', errorSqlState: READ_ONLY_SQL_STATE };
-        if (this.#isUsed()) return { status: 'E', errorSqlState: UNIQUE_VIOLATION };
+        if (this.#isKeyUsed()) return { status: 'E', errorSqlState: UNIQUE_VIOLATION };
         this.instance.claims.set(this.#key, this);
         return { status: 'T', errorSqlState: undefined };
       case 'commit':
@@ -143,10 +146,10 @@
     }
   }
 
-  #commit(): ServerAnswer {
-    const holds = this.instance.claims.get(this.#key) === this;
+  #commit(): ServerResponse {
+    const holdsClaim = this.instance.claims.get(this.#key) === this;
     this.#releaseClaim();
-    if (!this.instance.writable || !holds)
+    if (!this.instance.writable || !holdsClaim)
       return { status: 'I', errorSqlState: READ_ONLY_SQL_STATE };
     const { requestId } = this.options;
     this.options.onCommit(this.group.commit(this.instance, requestId, this.#key));
@@ -154,7 +157,7 @@
     return { status: 'I', errorSqlState: undefined };
   }
 
-  #isUsed(): boolean {
+  #isKeyUsed(): boolean {
     return this.instance.log.some(({ onceKey }) => onceKey === this.#key);
   }
 
@@ -171,42 +174,42 @@
     return `${tenant}/${onceKey}`;
   }
 
-  #answer(answer: ServerAnswer): void {
+  #sendAnswer(answer: ServerResponse): void {
     const commits = this.#transition.execution.phase === 'commit';
     if (this.clock.chance(commits ? COMMIT_LOSS_PROBABILITY : LOSS_PROBABILITY)) {
-      this.sessionEnded();
-      this.lost(true);
+      this.handleSessionEnded();
+      this.handleConnectionLost(true);
       return;
     }
     this.options.deliver('answers', () => {
-      if (this.options.isOpen()) this.#takeLater({ type: 'ready', ...answer });
-      else this.lost(true);
+      if (this.options.isOpen()) this.#handleAnswerLater({ type: 'ready', ...answer });
+      else this.handleConnectionLost(true);
     });
   }
 
-  #takeLater(answer: OnceAnswer): void {
-    this.options.process(() => this.#take(answer));
+  #handleAnswerLater(answer: OnceAnswer): void {
+    this.options.runInProcess(() => this.#handleAnswer(answer));
   }
 
-  #take(answer: OnceAnswer): void {
+  #handleAnswer(answer: OnceAnswer): void {
     if (this.#finished) return;
     this.#transition = continueOnce(this.#transition.execution, answer);
     if (answer.type === 'lost') this.#finishLost(answer.anyBytesWritten);
     else this.#step();
   }
 
-  /** As the owner reports it: only a COMMIT that was sent may have lasted. */
+  /** Finishes as the owner reports it: only a COMMIT that was sent may have taken effect. */
   #finishLost(bytesWritten: boolean): void {
     this.#finished = true;
     const mayHaveCommitted = bytesWritten && this.#transition.execution.phase === 'commit';
-    // The transaction's connection counts as used whatever was lost.
+    // The transaction's connection counts as used, whichever message was lost.
     const result = { anyBytesWritten: true, anyBytesRelayed: false, mayHaveCommitted };
     this.options.onFinished({ type: 'connection-lost', ...result }, undefined, undefined);
   }
 
   #finish(result: OnceResult): void {
     this.#finished = true;
-    const refusal = errorOf(result);
+    const refusal = toRequestError(result);
     const position = this.#position;
     const type = needsConfirmation(result) ? 'completed' : 'database-error';
     const databaseError = result.type === 'database-error' ? READ_ONLY_SQL_STATE : undefined;
@@ -214,8 +217,8 @@
   }
 }
 
-/** The database's own error, at the statement or at COMMIT, reaches the caller as one of ours does. */
-function errorOf(result: OnceResult): RequestError | undefined {
+/** An error of the database, at the statement or at COMMIT, is reported like an error of the proxy. */
+function toRequestError(result: OnceResult): RequestError | undefined {
   if (result.type === 'refused') return result.error;
   if (result.type === 'done') return undefined;
   return new TransactionAbortedError('the database refused the statement or its COMMIT');
--- a/bench/simulation/owner.ts
+++ b/bench/simulation/owner.ts
@@ -1,6 +1,6 @@
 /**
- * Carries out a group machine's effects against a simulated group, with delays and losses, and
- * records what happened. Keeps its own count of what runs where, apart from the machine's.
+ * Executes the effects of a group state machine on a simulated group, with delays and losses, and
+ * records the history. Counts connections and running requests independently of the state machine.
  */
 import type {
   ConnectionId,
@@ -22,42 +22,42 @@
   readonly incarnation: number;
   lastTenant: string | undefined;
   running: string | undefined;
-  /** The keyed request that runs on it. */
-  once: SimulatedOnceRun | undefined;
+  /** The run of a request with an idempotency key, if there is one. */
+  onceRun: SimulatedOnceRun | undefined;
 }
 
-/** What an owner is made of beside its machine's options. */
+/** Options of an owner in addition to those of its state machine. */
 export interface SimulatedOwnerOptions extends Omit<DatabaseGroupOptions, 'random'> {
-  /** Where it records; owners of one group may share one. */
+  /** Receives the records; owners of one group may share a history. */
   readonly history?: SimulatedHistory;
-  /** Carries out what the process does on an event: later if it is frozen, never if it is dead. */
-  readonly process?: (action: () => void) => void;
+  /** Runs an action of the process: later if the process is frozen, never if it is dead. */
+  readonly runInProcess?: (action: () => void) => void;
 }
 
-/** What goes with a request beyond what the machine is told. */
+/** Data about a request that the state machine does not receive. */
 export interface SubmittedWork {
   readonly session: number;
-  /** The request runs at most once under this key. */
+  /** Idempotency key: the request runs at most once under it. */
   readonly onceKey?: string;
-  /** Called when it has ended. */
-  readonly onFinal?: (record: RequestRecord) => void;
+  /** Called when the request has ended. */
+  readonly onCompleted?: (record: RequestRecord) => void;
 }
 
 type RunEffect = Extract<GroupEffect, { type: 'run' }>;
 
-const OPEN_TIMEOUT_MS = 400;
-const RETRANSMISSION_MS = 10;
+const CONNECT_TIMEOUT_MS = 400;
+const RETRANSMISSION_PERIOD_MS = 10;
 
-/** One owner with one group machine. */
+/** One owner with one group state machine. */
 export class SimulatedOwner {
   readonly history: SimulatedHistory;
   readonly machine: DatabaseGroup;
-  /** Instances that this owner alone is cut off from. */
-  readonly cutOff = new Set<string>();
+  /** Names of instances that this owner alone can't reach. */
+  readonly unreachableInstances = new Set<string>();
   private readonly connections = new Map<ConnectionId, OpenConnection>();
   private readonly records = new Map<string, RequestRecord>();
-  /** Lost while idle; the machine may not know yet. */
-  private readonly broken = new Set<ConnectionId>();
+  /** Connections lost while idle, of which the state machine may not have been notified yet. */
+  private readonly brokenConnections = new Set<ConnectionId>();
   private descriptions = new Map<string, InstanceDescription>();
   private tickAt = Number.POSITIVE_INFINITY;
   private readonly work = new Map<string, SubmittedWork>();
@@ -69,7 +69,7 @@
     options: SimulatedOwnerOptions,
   ) {
     this.history = options.history ?? { records: [], breaches: [], finalLog: [] };
-    this.process = options.process ?? ((action) => action());
+    this.process = options.runInProcess ?? ((action) => action());
     this.machine = new DatabaseGroup({ ...options, random: clock.random });
   }
 
@@ -80,9 +80,9 @@
     this.send({ type: 'instances-changed', instances });
   }
 
-  /** Requests that have not ended. */
-  get unfinished(): readonly RequestRecord[] {
-    return [...this.records.values()].filter(({ finals }) => finals.length === 0);
+  /** Requests without a result. */
+  get unfinishedRequests(): readonly RequestRecord[] {
+    return [...this.records.values()].filter(({ completions }) => completions.length === 0);
   }
 
   submit(request: GroupRequest, work: SubmittedWork): void {
@@ -92,12 +92,12 @@
       arrivedAt: this.clock.now,
       sentAt: [],
       executions: [],
-      finals: [],
+      completions: [],
       endedAt: undefined,
       servedByReplica: false,
       databaseError: undefined,
       refusal: undefined,
-      excused: false,
+      ownerFailed: false,
     };
     this.work.set(request.id, work);
     this.records.set(request.id, record);
@@ -107,25 +107,25 @@
 
   send(event: GroupEvent): void {
     this.process(() => {
-      for (const effect of this.machine.handle(event, this.clock.now)) this.carryOut(effect);
+      for (const effect of this.machine.handle(event, this.clock.now)) this.executeEffect(effect);
       this.scheduleTick();
     });
   }
 
-  /** The process has died: its connections close, what runs on the instances runs on. */
-  die(): void {
+  /** Ends the process: its connections close, and requests on the instances run to their end. */
+  terminate(): void {
     for (const [id, connection] of this.connections) {
-      this.forget(id);
-      if (connection.once !== undefined) this.endSession(connection);
+      this.removeConnection(id);
+      if (connection.onceRun !== undefined) this.endSession(connection);
     }
   }
 
-  /** Breaks all connections to an instance, as a crash does. */
+  /** Breaks all idle connections to an instance, as a crash does. */
   breakConnections(instance: SimulatedInstance): void {
     for (const [id, connection] of this.connections) {
       if (connection.instance !== instance || connection.running !== undefined) continue;
-      this.forget(id);
-      this.broken.add(id);
+      this.removeConnection(id);
+      this.brokenConnections.add(id);
       this.clock.after(1, () => this.send({ type: 'connection-closed', connectionId: id }));
     }
   }
@@ -141,15 +141,15 @@
     });
   }
 
-  private carryOut(effect: GroupEffect): void {
+  private executeEffect(effect: GroupEffect): void {
     if (effect.type === 'open-connection') this.open(effect.connectionId, effect.instance);
     else if (effect.type === 'close-connection') this.close(effect.connectionId);
     else if (effect.type === 'interrupt-if-silent') this.interrupt(effect.requestId);
     else if (effect.type === 'reset-connection') this.reset(effect.connectionId);
     else if (effect.type === 'run') this.run(effect);
     else if (effect.type === 'probe') this.probe(effect.probeId, effect.instance);
-    else if (effect.type === 'release') this.final(effect.requestId, undefined, effect.position);
-    else if (effect.type === 'fail') this.final(effect.requestId, effect.error, undefined);
+    else if (effect.type === 'release') this.complete(effect.requestId, undefined, effect.position);
+    else if (effect.type === 'fail') this.complete(effect.requestId, effect.error, undefined);
   }
 
   private open(id: ConnectionId, name: string): void {
@@ -159,7 +159,7 @@
       incarnation: instance.incarnation,
       lastTenant: undefined,
       running: undefined,
-      once: undefined,
+      onceRun: undefined,
     };
     const refusedByLimit = instance.connections >= instance.maxConnections;
     this.connections.set(id, connection);
@@ -167,28 +167,29 @@
     this.checkBudget(name);
     const answer = (ok: boolean): void => {
       if (this.connections.get(id) !== connection) return;
-      if (!ok) this.forget(id);
+      if (!ok) this.removeConnection(id);
       if (ok) this.send({ type: 'connection-opened', connectionId: id });
       else this.send({ type: 'connection-open-failed', connectionId: id, refusedByLimit });
     };
     if (refusedByLimit) this.clock.after(1, () => answer(false));
-    else if (!instance.up) this.clock.after(1, () => answer(false));
-    else if (this.isSilent(instance)) this.clock.after(OPEN_TIMEOUT_MS, () => answer(false));
-    else this.clock.after(this.clock.between(5, 30), () => answer(this.isWhole(connection)));
+    else if (!instance.isUp) this.clock.after(1, () => answer(false));
+    else if (this.isUnresponsive(instance))
+      this.clock.after(CONNECT_TIMEOUT_MS, () => answer(false));
+    else this.clock.after(this.clock.between(5, 30), () => answer(this.isUsable(connection)));
   }
 
   private close(id: ConnectionId): void {
     const connection = this.connections.get(id);
-    this.forget(id);
+    this.removeConnection(id);
     if (connection?.running === undefined) return;
-    if (connection.once !== undefined) {
+    if (connection.onceRun !== undefined) {
       this.endSession(connection);
-      const { once } = connection;
-      this.clock.after(0.1, () => once.lost(true));
+      const { onceRun } = connection;
+      this.clock.after(0.1, () => onceRun.handleConnectionLost(true));
       return;
     }
     const requestId = connection.running;
-    this.clock.after(0.1, () => this.lost(requestId, true, true));
+    this.clock.after(0.1, () => this.finishLostRun(requestId, true, true));
   }
 
   private interrupt(requestId: string): void {
@@ -203,10 +204,10 @@
     connection.lastTenant = undefined;
     this.clock.after(this.clock.between(0.5, 3), () => {
       if (this.connections.get(id) !== connection) return;
-      const whole = this.isWhole(connection) && !this.isSilent(connection.instance);
-      if (whole) this.send({ type: 'connection-reset', connectionId: id });
+      const isUsableNow = this.isUsable(connection) && !this.isUnresponsive(connection.instance);
+      if (isUsableNow) this.send({ type: 'connection-reset', connectionId: id });
       else {
-        this.forget(id);
+        this.removeConnection(id);
         this.send({ type: 'connection-closed', connectionId: id });
       }
     });
@@ -215,29 +216,30 @@
   private run(effect: RunEffect): void {
     const record = this.records.get(effect.requestId);
     const connection = this.connections.get(effect.connectionId);
-    if (record !== undefined && this.broken.has(effect.connectionId)) {
+    if (record !== undefined && this.brokenConnections.has(effect.connectionId)) {
       record.sentAt.push(this.clock.now);
-      this.clock.after(0.1, () => this.lost(effect.requestId, false, false));
+      this.clock.after(0.1, () => this.finishLostRun(effect.requestId, false, false));
       return;
     }
     if (record === undefined || connection === undefined) {
-      this.breach(`run of ${effect.requestId} on a connection that is not open`);
+      this.recordBreach(`run of ${effect.requestId} on a connection that is not open`);
       return;
     }
     const { request } = record;
     record.sentAt.push(this.clock.now);
-    if (connection.running !== undefined) this.breach('two requests on one connection');
+    if (connection.running !== undefined) this.recordBreach('two requests on one connection');
     if (connection.lastTenant !== undefined && connection.lastTenant !== request.tenant) {
-      this.breach('a connection passed to another tenant without a reset');
+      this.recordBreach('a connection passed to another tenant without a reset');
     }
     connection.lastTenant = request.tenant;
     connection.running = request.id;
     this.checkSlots(effect.instance);
     const description = this.descriptions.get(effect.instance);
-    if (description?.leaving && !effect.onPrimary) this.breach('new work on a leaving replica');
+    if (description?.leaving && !effect.onPrimary)
+      this.recordBreach('new work on a leaving replica');
     record.servedByReplica = !effect.onPrimary;
     const onceKey = this.work.get(request.id)?.onceKey;
-    if (onceKey === undefined) this.travel(effect, record, connection);
+    if (onceKey === undefined) this.executeOverNetwork(effect, record, connection);
     else this.runOnce(record, connection, effect.connectionId, onceKey);
   }
 
@@ -250,82 +252,95 @@
     const { request } = record;
     const attempt = record.sentAt.length;
     const { instance } = connection;
-    const isOpen = (): boolean => this.isWhole(connection);
-    connection.once = new SimulatedOnceRun(this.clock, this.group, instance, {
+    const isOpen = (): boolean => this.isUsable(connection);
+    connection.onceRun = new SimulatedOnceRun(this.clock, this.group, instance, {
       requestId: request.id,
       claim: { tenant: request.tenant, onceKey },
       isOpen,
-      process: this.process,
+      runInProcess: this.process,
       deliver: (direction, action) => {
         this.deliver(this.clock.between(0.3, 2), instance, direction, action);
       },
       onCommit: (written) => {
-        const onDeposed = this.group.isDeposed(instance);
+        const onReplacedPrimary = this.group.isReplaced(instance);
         const at = this.clock.now;
         const { name } = instance;
-        record.executions.push({ attempt, instance: name, at, onDeposed, written, snapshot: [] });
+        record.executions.push({
+          attempt,
+          instance: name,
+          at,
+          onReplacedPrimary,
+          written,
+          snapshot: [],
+        });
       },
       onFinished: (result, refusal, databaseError) => {
-        connection.once = undefined;
+        connection.onceRun = undefined;
         connection.running = undefined;
         record.endedAt = this.clock.now;
         record.refusal = refusal;
         record.databaseError = databaseError;
-        if (result.type === 'connection-lost') this.forget(id);
+        if (result.type === 'connection-lost') this.removeConnection(id);
         this.send({ type: 'run-finished', requestId: request.id, result });
       },
     });
-    connection.once.start();
+    connection.onceRun.start();
   }
 
-  /** The server learns that the connection is gone, and rolls back what was open on it. */
+  /** Notifies the server that the connection is closed, so that it rolls back the open transaction. */
   private endSession(connection: OpenConnection): void {
-    const { once, instance } = connection;
-    this.deliver(this.clock.between(0.3, 2), instance, 'both-ways', () => once?.sessionEnded());
+    const { onceRun, instance } = connection;
+    this.deliver(this.clock.between(0.3, 2), instance, 'both-ways', () =>
+      onceRun?.handleSessionEnded(),
+    );
   }
 
-  private forget(id: ConnectionId): void {
+  private removeConnection(id: ConnectionId): void {
     const connection = this.connections.get(id);
     if (connection === undefined) return;
     this.connections.delete(id);
     connection.instance.connections -= 1;
   }
 
-  private travel(effect: RunEffect, record: RequestRecord, connection: OpenConnection): void {
+  private executeOverNetwork(
+    effect: RunEffect,
+    record: RequestRecord,
+    connection: OpenConnection,
+  ): void {
     const { clock } = this;
     const attempt = record.sentAt.length;
-    const fate = clock.random();
+    const lossDraw = clock.random();
     const { lossProbability } = connection.instance;
     const finish = (result: RunResult): void => {
       if (this.connections.get(effect.connectionId) !== connection) return;
       connection.running = undefined;
-      if (result.type === 'connection-lost') this.forget(effect.connectionId);
+      if (result.type === 'connection-lost') this.removeConnection(effect.connectionId);
       record.endedAt = clock.now;
       this.send({ type: 'run-finished', requestId: effect.requestId, result });
     };
-    const lose = (bytesWritten: boolean): void => finish(lostResult(bytesWritten));
-    if (fate < lossProbability) {
-      clock.after(0.2, () => lose(false));
+    const finishLost = (bytesWritten: boolean): void => finish(createLostResult(bytesWritten));
+    if (lossDraw < lossProbability) {
+      clock.after(0.2, () => finishLost(false));
       return;
     }
     const arrival = clock.between(0.3, 2);
     this.deliver(arrival, connection.instance, 'both-ways', () => {
-      if (!this.isWhole(connection)) return lose(true);
+      if (!this.isUsable(connection)) return finishLost(true);
       const wait = Math.max(0, connection.instance.pausedUntil - clock.now);
       const service = record.request.hold === 'statement' ? [0.5, 5] : [5, 60];
       clock.after(wait + clock.between(service[0] ?? 0, service[1] ?? 0), () => {
-        if (!this.isWhole(connection)) return lose(true);
+        if (!this.isUsable(connection)) return finishLost(true);
         const result = this.execute(record, attempt, connection.instance);
-        if (fate < 2 * lossProbability) return lose(true);
+        if (lossDraw < 2 * lossProbability) return finishLost(true);
         this.deliver(clock.between(0.3, 2), connection.instance, 'answers', () => {
-          if (this.isWhole(connection)) finish(result);
-          else lose(true);
+          if (this.isUsable(connection)) finish(result);
+          else finishLost(true);
         });
       });
     });
   }
 
-  /** Carries a message; what is cut off arrives when the cut is over, as TCP sends it again. */
+  /** Delivers a message; during a cut it is delayed until the cut ends, like a TCP retransmission. */
   private deliver(
     delayMs: number,
     instance: SimulatedInstance,
@@ -333,18 +348,18 @@
     action: () => void,
   ): void {
     this.clock.after(delayMs, () => {
-      const cut = direction === 'answers' ? this.isSilenced(instance) : this.isCutOff(instance);
-      if (cut && instance.up) this.deliver(RETRANSMISSION_MS, instance, direction, action);
+      const cut = direction === 'answers' ? this.areAnswersCut(instance) : this.isCutOff(instance);
+      if (cut && instance.isUp) this.deliver(RETRANSMISSION_PERIOD_MS, instance, direction, action);
       else action();
     });
   }
 
   private isCutOff(instance: SimulatedInstance): boolean {
-    return instance.ownerCut === 'both-ways' || this.cutOff.has(instance.name);
+    return instance.ownerCut === 'both-ways' || this.unreachableInstances.has(instance.name);
   }
 
-  private isSilenced(instance: SimulatedInstance): boolean {
-    return instance.ownerCut !== 'none' || this.cutOff.has(instance.name);
+  private areAnswersCut(instance: SimulatedInstance): boolean {
+    return instance.ownerCut !== 'none' || this.unreachableInstances.has(instance.name);
   }
 
   private execute(record: RequestRecord, attempt: number, instance: SimulatedInstance): RunResult {
@@ -356,14 +371,14 @@
       written = this.group.commit(instance, request.id);
     }
     const refused = request.access === 'write' && written === undefined;
-    const onDeposed = this.group.isDeposed(instance);
+    const onReplacedPrimary = this.group.isReplaced(instance);
     const at = this.clock.now;
     if (!refused)
       record.executions.push({
         attempt,
         instance: instance.name,
         at,
-        onDeposed,
+        onReplacedPrimary,
         written,
         snapshot,
       });
@@ -377,7 +392,7 @@
   private probe(probeId: string, name: string): void {
     const instance = this.group.get(name);
     this.deliver(this.clock.between(0.3, 3), instance, 'both-ways', () => {
-      if (!instance.up) return this.send({ type: 'probe-failed', probeId });
+      if (!instance.isUp) return this.send({ type: 'probe-failed', probeId });
       const wait = Math.max(0, instance.pausedUntil - this.clock.now);
       this.clock.after(wait, () => {
         const state = this.group.stateOf(instance);
@@ -389,40 +404,40 @@
     });
   }
 
-  private lost(requestId: string, bytesWritten: boolean, mayHaveCommitted: boolean): void {
-    const result: RunResult = { ...lostResult(bytesWritten), mayHaveCommitted };
+  private finishLostRun(requestId: string, bytesWritten: boolean, mayHaveCommitted: boolean): void {
+    const result: RunResult = { ...createLostResult(bytesWritten), mayHaveCommitted };
     const record = this.records.get(requestId);
     if (record !== undefined) record.endedAt = this.clock.now;
     this.send({ type: 'run-finished', requestId, result });
   }
 
-  private final(
+  private complete(
     requestId: string,
-    error: RequestRecord['finals'][number]['error'],
-    position: RequestRecord['finals'][number]['position'],
+    error: RequestRecord['completions'][number]['error'],
+    position: RequestRecord['completions'][number]['position'],
   ): void {
     const record = this.records.get(requestId);
     if (record === undefined) return;
     const reported = error ?? record.refusal;
     const fromReplica = record.servedByReplica;
-    record.finals.push({ at: this.clock.now, error: reported, position, fromReplica });
-    const { onFinal } = this.work.get(requestId) ?? {};
-    if (record.finals.length === 1) this.clock.after(0, () => onFinal?.(record));
+    record.completions.push({ at: this.clock.now, error: reported, position, fromReplica });
+    const { onCompleted } = this.work.get(requestId) ?? {};
+    if (record.completions.length === 1) this.clock.after(0, () => onCompleted?.(record));
   }
 
-  private isWhole(connection: OpenConnection): boolean {
+  private isUsable(connection: OpenConnection): boolean {
     const { instance, incarnation } = connection;
-    return instance.up && instance.incarnation === incarnation;
+    return instance.isUp && instance.incarnation === incarnation;
   }
 
-  private isSilent(instance: SimulatedInstance): boolean {
-    return this.isSilenced(instance) || this.group.isPaused(instance);
+  private isUnresponsive(instance: SimulatedInstance): boolean {
+    return this.areAnswersCut(instance) || this.group.isPaused(instance);
   }
 
   private checkBudget(name: string): void {
     const open = [...this.connections.values()].filter((one) => one.instance.name === name);
     const budget = this.descriptions.get(name)?.connectionBudget ?? 0;
-    if (open.length > budget) this.breach(`${open.length} connections to ${name}`);
+    if (open.length > budget) this.recordBreach(`${open.length} connections to ${name}`);
   }
 
   private checkSlots(name: string): void {
@@ -432,15 +447,15 @@
       running += 1;
     }
     const slots = this.descriptions.get(name)?.slots ?? 0;
-    if (running > slots) this.breach(`${running} requests at once on ${name}`);
+    if (running > slots) this.recordBreach(`${running} requests at once on ${name}`);
   }
 
-  private breach(message: string): void {
+  private recordBreach(message: string): void {
     this.history.breaches.push(message);
   }
 }
 
-function lostResult(bytesWritten: boolean): Extract<RunResult, { type: 'connection-lost' }> {
+function createLostResult(bytesWritten: boolean): Extract<RunResult, { type: 'connection-lost' }> {
   return {
     type: 'connection-lost',
     anyBytesWritten: bytesWritten,
--- a/bench/simulation/random.ts
+++ b/bench/simulation/random.ts
@@ -1,9 +1,9 @@
-/** Draws from seeded random numbers. */
+/** Seeded random numbers. */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
 const RANGE = 2 ** 32;
 
-/** Random numbers that follow from a seed. */
+/** A random number generator; the seed determines its sequence. */
 export class SeededRandom {
   readonly #generator;
 
@@ -18,8 +18,8 @@
     return low + this.next() * (high - low);
   }
 
-  /** A whole number from `low` to `high`, both included. */
-  whole(low: number, high: number): number {
+  /** An integer from `low` to `high`, both included. */
+  integer(low: number, high: number): number {
     return low + Math.floor(this.next() * (high - low + 1));
   }
 
@@ -27,7 +27,7 @@
     return this.next() < probability;
   }
 
-  /** One of the items; there must be one. */
+  /** A random item. */
   pick<Item>(items: readonly [Item, ...Item[]]): Item {
     return items[Math.floor(this.next() * items.length)] ?? items[0];
   }
--- a/bench/simulation/registry.ts
+++ b/bench/simulation/registry.ts
@@ -12,6 +12,6 @@
   CONFIGURATION_SCENARIO,
 ];
 
-export function scenarioNamed(name: string): Scenario | undefined {
+export function findScenario(name: string): Scenario | undefined {
   return SCENARIOS.find((scenario) => scenario.name === name);
 }
--- a/bench/simulation/scenario.ts
+++ b/bench/simulation/scenario.ts
@@ -1,21 +1,21 @@
 /**
- * What the fuzz and the tests run: a scenario draws a plan from a seed and runs it, whole or
- * without some of its events, so that a violation can be told with the few events that it needs.
+ * Scenarios that fuzzing and tests run. A scenario draws a plan from a seed and runs it with all or
+ * some of its events, so that a violation can be reduced to the events that cause it.
  */
 
-/** What a run found. */
+/** Result of a run. */
 export interface ScenarioOutcome {
-  /** Each starts with the name of its check and a colon. */
+  /** Each begins with the name of its check and a colon. */
   readonly violations: readonly string[];
-  /** What became of the requests that the violations name, one line each. */
-  readonly account: readonly string[];
+  /** One line for each request or node that the violations concern. */
+  readonly summaries: readonly string[];
 }
 
-/** What is going to happen in one run. */
+/** The events of one run. */
 export interface ScenarioPlan {
-  /** Faults and other events in order of time, in words. */
+  /** Descriptions of faults and other events, in order of time. */
   readonly events: readonly string[];
-  /** Runs with the events of these indices only; the same indices give the same outcome. */
+  /** Runs only the events with these indexes; the outcome depends on the indexes alone. */
   run(kept: ReadonlySet<number>): ScenarioOutcome;
 }
 
@@ -23,17 +23,17 @@
 export interface Scenario {
   readonly name: string;
   readonly summary: string;
-  /** Mechanisms that a run may turn off, for the mutation checks. */
+  /** Mechanisms that a run may disable, to check that their absence is detected. */
   readonly mechanisms: readonly string[];
-  plan(seed: number, without: ReadonlySet<string>): ScenarioPlan;
+  plan(seed: number, disabledMechanisms: ReadonlySet<string>): ScenarioPlan;
 }
 
 /** Name of the check that found a violation. */
-export function checkOf(violation: string): string {
+export function checkNameOf(violation: string): string {
   return violation.slice(0, violation.indexOf(':'));
 }
 
-/** All events of a plan. */
-export function allEventsOf(plan: ScenarioPlan): ReadonlySet<number> {
+/** Indexes of all events of a plan. */
+export function allEventIndexes(plan: ScenarioPlan): ReadonlySet<number> {
   return new Set(plan.events.keys());
 }
--- a/bench/simulation/schedule.ts
+++ b/bench/simulation/schedule.ts
@@ -1,4 +1,4 @@
-/** Simulated time: runs scheduled actions in order of time, and of scheduling at equal times. */
+/** Simulated time: runs actions in order of their time, and of scheduling if times are equal. */
 
 interface ScheduledAction {
   readonly at: number;
@@ -10,7 +10,7 @@
   now = 0;
   readonly #actions: ScheduledAction[] = [];
 
-  /** Runs an action after a time; at the earliest after the action that runs now. */
+  /** Schedules an action after a delay; it never runs before the current action has returned. */
   after(milliseconds: number, action: () => void): void {
     const at = this.now + Math.max(0, milliseconds);
     let low = 0;
@@ -24,7 +24,7 @@
     this.#actions.splice(low, 0, { at, action });
   }
 
-  /** Runs everything scheduled up to `until`. */
+  /** Runs all actions scheduled up to `until`. */
   runUntil(until: number): void {
     for (let next = this.#actions[0]; next !== undefined; next = this.#actions[0]) {
       if (next.at > until) break;
--- a/test/property/configuration-agent.test.ts
+++ b/test/property/configuration-agent.test.ts
@@ -26,18 +26,18 @@
 }
 
 function assertNeverReverted(nodes: readonly SimulatedNode[]): void {
-  for (const { applied, member } of nodes) {
+  for (const { appliedRevisions: applied, member } of nodes) {
     const sorted = [...applied].sort((left, right) => left - right);
     assert.equal(applied, sorted, `${member.nodeId} went back`);
   }
 }
 
 function assertInForce(simulation: ConfigurationSimulation): void {
-  for (const { agent, member } of simulation.live) {
+  for (const { agent, member } of simulation.liveNodes) {
     assert.is(agent.replica.revision, simulation.headRevision, member.nodeId);
     assert.is(agent.status(simulation.now).digestMismatches, 0);
   }
-  assert.is(new Set(simulation.live.map(({ agent }) => agent.replica.digest().hash)).size, 1);
+  assert.is(new Set(simulation.liveNodes.map(({ agent }) => agent.replica.digest().hash)).size, 1);
 }
 
 const publishArbitrary = fc.uniqueArray(fc.constantFrom('t1', 't2', 't3', 't4'), {
@@ -136,7 +136,7 @@
 function carryOut(simulation: ConfigurationSimulation, step: Step): void {
   switch (step.type) {
     case 'publish':
-      if (!simulation.storeDown) simulation.publish(...step.names);
+      if (!simulation.isStoreDown) simulation.publish(...step.names);
       return;
     case 'store':
       simulation.setStoreDown(step.down);
@@ -148,7 +148,7 @@
       pause(simulation, step.index, step.ms);
       return;
     case 'loss':
-      simulation.lossShare = step.share;
+      simulation.peerLossProbability = step.share;
       return;
     case 'pass':
       simulation.runUntil(simulation.now + step.ms);
@@ -156,14 +156,14 @@
 }
 
 function restart(simulation: ConfigurationSimulation, index: number): void {
-  const node = simulation.live[index % simulation.live.length];
+  const node = simulation.liveNodes[index % simulation.liveNodes.length];
   if (node === undefined) return;
   simulation.kill(node);
   simulation.add(node.member.nodeId, node.member.zone);
 }
 
 function pause(simulation: ConfigurationSimulation, index: number, ms: number): void {
-  const node = simulation.live[index % simulation.live.length];
+  const node = simulation.liveNodes[index % simulation.liveNodes.length];
   if (node !== undefined) node.pausedUntil = simulation.now + ms;
 }
 
@@ -179,13 +179,13 @@
         grow(simulation, count);
         simulation.runUntil(5000);
         for (const step of steps) carryOut(simulation, step);
-        simulation.lossShare = 0;
+        simulation.peerLossProbability = 0;
         simulation.setStoreDown(false);
         simulation.runUntil(simulation.now + 60_000);
         assertInForce(simulation);
         assertNeverReverted(simulation.nodes);
         for (const node of simulation.nodes) {
-          if (node.readyAt !== undefined) assert.ok(node.applied.length > 0);
+          if (node.readyAt !== undefined) assert.ok(node.appliedRevisions.length > 0);
         }
       },
     ),
@@ -207,7 +207,7 @@
       simulation.runUntil(simulation.now + 10_000);
       const restarted = simulation.nodes.at(-1);
       assert.is.not(restarted?.readyAt, undefined);
-      assert.equal(restarted?.applied.at(-1), simulation.headRevision);
+      assert.equal(restarted?.appliedRevisions.at(-1), simulation.headRevision);
       assert.is(restarted?.agent.status(simulation.now).source, 'peer');
     }),
     { seed: SEED, numRuns: 100 },
@@ -221,8 +221,8 @@
       simulation.publish('t1');
       grow(simulation, 30);
       simulation.runUntil(30_000);
-      assert.is(simulation.live.filter(({ watching }) => watching !== undefined).length, 6);
-      simulation.lossShare = lossShare;
+      assert.is(simulation.liveNodes.filter(({ watch }) => watch !== undefined).length, 6);
+      simulation.peerLossProbability = lossShare;
       simulation.publish('t2');
       simulation.runUntil(simulation.now + IN_FORCE_MS);
       assertInForce(simulation);
@@ -235,7 +235,7 @@
 function publishInTime(simulation: ConfigurationSimulation, name: string): void {
   simulation.publish(name);
   simulation.runUntil(simulation.now + CONFIGURATION_GRACE_MS);
-  const awake = simulation.live.filter(({ pausedUntil }) => pausedUntil <= simulation.now);
+  const awake = simulation.liveNodes.filter(({ pausedUntil }) => pausedUntil <= simulation.now);
   for (const { agent, member } of awake) {
     assert.is(agent.replica.revision, simulation.headRevision, member.nodeId);
   }
@@ -248,7 +248,7 @@
       simulation.publish('t1');
       for (let index = 0; index < count; index += 1) simulation.add(`n${index}`, 'a');
       simulation.runUntil(30_000);
-      simulation.storeLossShare = 0.4;
+      simulation.storeLossProbability = 0.4;
       for (const name of ['t1', 't2', 't3']) publishInTime(simulation, name);
       assertNeverReverted(simulation.nodes);
     }),
@@ -263,7 +263,7 @@
       simulation.publish('t1');
       for (let index = 0; index < count; index += 1) simulation.add(`n${index}`, 'a');
       simulation.runUntil(30_000);
-      const relays = simulation.live.filter(({ watching }) => watching !== undefined);
+      const relays = simulation.liveNodes.filter(({ watch }) => watch !== undefined);
       for (const relay of relays) relay.pausedUntil = simulation.now + 3 * CONFIGURATION_GRACE_MS;
       simulation.after(SUSPECTED_AFTER_MS, () => simulation.suspect(relays));
       for (const name of ['t2', 't3']) publishInTime(simulation, name);
@@ -281,7 +281,7 @@
   simulation.publish('t1');
   grow(simulation, 9);
   simulation.runUntil(30_000);
-  simulation.watchesSilent = true;
+  simulation.areWatchesSilent = true;
   simulation.publish('t2');
   simulation.runUntil(simulation.now + 20_000);
   assertInForce(simulation);
--- a/test/property/database-group.property.test.ts
+++ b/test/property/database-group.property.test.ts
@@ -7,7 +7,7 @@
   type RunPlan,
   simulate,
 } from '../../bench/simulation/group-run.js';
-import { violationsOf } from '../../bench/simulation/history-checks.js';
+import { findViolations } from '../../bench/simulation/history-checks.js';
 
 const FAST_CHECK_SEED = 20_261_202;
 const RUNS = 100;
@@ -16,21 +16,21 @@
   name: fc.constantFrom(...FAULT_NAMES),
   target: fc.constantFrom<Fault['target'][]>(0, 1, 2, 'primary', 'primary', 'primary'),
   at: fc.integer({ min: 50, max: 1300 }),
-  lasts: fc.integer({ min: 20, max: 900 }),
+  durationMs: fc.integer({ min: 20, max: 900 }),
 });
 
 const plan: fc.Arbitrary<RunPlan> = fc.record({
   seed: fc.integer({ min: 1, max: 1_000_000 }),
   faults: fc.array(fault, { maxLength: 4 }),
   mode: fc.constant('received' as const),
-  voteShowsTimeline: fc.boolean(),
+  votersReportTimeline: fc.boolean(),
 });
 
 test('mode received: no promise is broken under any schedule of faults', () => {
   fc.assert(
     fc.property(plan, (chosen) => {
       const { history } = simulate(chosen);
-      assert.equal(violationsOf(history), []);
+      assert.equal(findViolations(history), []);
       assert.ok(history.records.length > 0);
     }),
     { seed: FAST_CHECK_SEED, numRuns: RUNS },
--- a/test/property/fuzz-mechanisms.property.test.ts
+++ b/test/property/fuzz-mechanisms.property.test.ts
@@ -4,8 +4,8 @@
  */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { SCENARIOS, scenarioNamed } from '../../bench/simulation/registry.js';
-import { allEventsOf, checkOf, type Scenario } from '../../bench/simulation/scenario.js';
+import { findScenario, SCENARIOS } from '../../bench/simulation/registry.js';
+import { allEventIndexes, checkNameOf, type Scenario } from '../../bench/simulation/scenario.js';
 
 const FIRST_SEED = 1;
 const MAX_SEEDS = 60;
@@ -48,15 +48,15 @@
 function noticedAt(scenario: Scenario, without: string, check: string): number | undefined {
   for (let seed = FIRST_SEED; seed < FIRST_SEED + MAX_SEEDS; seed += 1) {
     const plan = scenario.plan(seed, new Set([without]));
-    const { violations } = plan.run(allEventsOf(plan));
-    if (violations.some((violation) => checkOf(violation) === check)) return seed;
+    const { violations } = plan.run(allEventIndexes(plan));
+    if (violations.some((violation) => checkNameOf(violation) === check)) return seed;
   }
   return undefined;
 }
 
 for (const [name, without, check] of PAIRS) {
   test(`${name} without ${without}: ${check} notices`, () => {
-    const scenario = scenarioNamed(name);
+    const scenario = findScenario(name);
     assert.ok(scenario);
     assert.is.not(scenario && noticedAt(scenario, without, check), undefined);
   });
--- a/test/property/fuzz.property.test.ts
+++ b/test/property/fuzz.property.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { SCENARIOS } from '../../bench/simulation/registry.js';
-import { allEventsOf } from '../../bench/simulation/scenario.js';
+import { allEventIndexes } from '../../bench/simulation/scenario.js';
 
 const FIRST_SEED = 20_261_202;
 /** As many as take about a second. */
@@ -20,7 +20,7 @@
     assert.ok(seeds > 0);
     for (let seed = FIRST_SEED; seed < FIRST_SEED + seeds; seed += 1) {
       const drawn = plan(seed, new Set());
-      assert.equal(drawn.run(allEventsOf(drawn)).violations, [], `seed ${seed}`);
+      assert.equal(drawn.run(allEventIndexes(drawn)).violations, [], `seed ${seed}`);
     }
   });
 }
--- a/test/property/mechanisms.property.test.ts
+++ b/test/property/mechanisms.property.test.ts
@@ -7,7 +7,7 @@
   type RunPlan,
   simulate,
 } from '../../bench/simulation/group-run.js';
-import { violationsOf } from '../../bench/simulation/history-checks.js';
+import { findViolations } from '../../bench/simulation/history-checks.js';
 import type { Mechanism } from '../../src/core/group/options.js';
 
 const SEEDS = [11, 12, 13, 14, 15, 16];
@@ -19,8 +19,8 @@
   readonly noticedBy: string;
 }
 
-function fault(name: FaultName, target: Fault['target'], at = 400, lasts = 600): Fault {
-  return { name, target, at, lasts };
+function fault(name: FaultName, target: Fault['target'], at = 400, durationMs = 600): Fault {
+  return { name, target, at, durationMs };
 }
 
 const CHECKS: readonly MutationCheck[] = [
@@ -48,22 +48,22 @@
 ];
 
 function violationsOver(plan: Omit<RunPlan, 'seed'>): string[] {
-  return SEEDS.flatMap((seed) => violationsOf(simulate({ ...plan, seed }).history));
+  return SEEDS.flatMap((seed) => findViolations(simulate({ ...plan, seed }).history));
 }
 
 for (const { without, faults, noticedBy } of CHECKS) {
-  const plan = { faults, mode: 'received' as const, voteShowsTimeline: false };
+  const plan = { faults, mode: 'received' as const, votersReportTimeline: false };
 
   test(`without ${without}, ${noticedBy} notices; with it, nothing is wrong`, () => {
     assert.equal(violationsOver(plan), []);
-    const violations = violationsOver({ ...plan, without: new Set([without]) });
+    const violations = violationsOver({ ...plan, disabledMechanisms: new Set([without]) });
     assert.ok(violations.some((violation) => violation.startsWith(noticedBy)));
   });
 }
 
 test('mode term: no acknowledgement from a deposed primary if votes show in the timeline', () => {
   const faults = [fault('cut-from-peers', 'primary'), fault('pause', 'primary', 900, 300)];
-  const plan: Omit<RunPlan, 'seed'> = { faults, mode: 'term', voteShowsTimeline: true };
+  const plan: Omit<RunPlan, 'seed'> = { faults, mode: 'term', votersReportTimeline: true };
   const violations = violationsOver(plan);
   assert.not.ok(violations.some((one) => one.startsWith('noAckFromDeposedPrimary')));
 });
--- a/test/unit/fuzz.test.ts
+++ b/test/unit/fuzz.test.ts
@@ -3,7 +3,7 @@
 import { FuzzUsageError, parseFuzzArguments } from '../../bench/fuzz/options.js';
 import { search } from '../../bench/fuzz/search.js';
 import { shrink } from '../../bench/fuzz/shrink.js';
-import { allEventsOf, type Scenario } from '../../bench/simulation/scenario.js';
+import { allEventIndexes, type Scenario } from '../../bench/simulation/scenario.js';
 
 const EVENTS = ['crash', 'pause', 'cut', 'lag'];
 const FAILING_SEED = 7;
@@ -17,7 +17,7 @@
     events: EVENTS,
     run: (kept) => {
       const fails = seed === FAILING_SEED && kept.has(0) && kept.has(2);
-      return { violations: fails ? ['check: broken'] : [], account: [] };
+      return { violations: fails ? ['check: broken'] : [], summaries: [] };
     },
   }),
 };
@@ -36,7 +36,7 @@
 
 test('a violation is told with just the events that it needs', () => {
   const plan = SCENARIO.plan(FAILING_SEED, new Set());
-  const { kept, outcome } = shrink(plan, plan.run(allEventsOf(plan)));
+  const { kept, outcome } = shrink(plan, plan.run(allEventIndexes(plan)));
   assert.equal([...kept], [0, 2]);
   assert.equal(outcome.violations, ['check: broken']);
 });
