--- a/bench/fuzz/main.ts
+++ b/bench/fuzz/main.ts
@@ -1,7 +1,7 @@
 /**
- * `npm run fuzz`: runs the simulations over seed after seed, open-ended. For a violation it prints
- * the seed, the few events that it needs and what became of the requests concerned, and ends with
- * exit code 1.
+ * `npm run fuzz`: runs the simulations with consecutive seeds until a limit. On a violation it prints
+ * the seed, a minimal set of events that causes it and a summary of the requests concerned, and exits
+ * with code 1.
  */
 import { FUZZ_HELP, type FuzzOptions, FuzzUsageError, parseFuzzArguments } from './options.js';
 import { type FailedRun, type SearchResult, search } from './search.js';
@@ -9,7 +9,7 @@
 
 const EXIT_VIOLATION = 1;
 const EXIT_USAGE = 2;
-const DRAWN_SEEDS = 1_000_000_000;
+const RANDOM_SEED_RANGE = 1_000_000_000;
 const MAX_VIOLATION_LINES = 10;
 
 function main(args: readonly string[]): number {
@@ -27,15 +27,15 @@
 }
 
 function runFuzz(options: FuzzOptions): number {
-  const firstSeed = options.seed ?? Math.floor(Math.random() * DRAWN_SEEDS);
+  const firstSeed = options.seed ?? Math.floor(Math.random() * RANDOM_SEED_RANGE);
   const names = options.scenarios.map(({ name }) => name).join(', ');
   console.log(`first seed ${firstSeed}, scenarios ${names}`);
   const startedAt = performance.now();
   const result = search({
     scenarios: options.scenarios,
     firstSeed,
-    without: options.without,
-    goesOn: (runs) => {
+    disabledMechanisms: options.disabledMechanisms,
+    shouldContinue: (runs) => {
       const seeds = runs / options.scenarios.length;
       const inTime = performance.now() - startedAt < options.durationMs;
       return inTime && seeds < (options.seeds ?? Number.POSITIVE_INFINITY);
@@ -51,24 +51,27 @@
     console.log('no violation');
     return 0;
   }
-  for (const line of linesOf(failed, options)) console.log(line);
+  for (const line of formatFailure(failed, options)) console.log(line);
   return EXIT_VIOLATION;
 }
 
-function linesOf(failed: FailedRun, options: FuzzOptions): string[] {
+function formatFailure(failed: FailedRun, options: FuzzOptions): string[] {
   const { scenario, seed, plan } = failed;
   const { kept, outcome } = shrink(plan, failed.outcome);
   const events = plan.events.filter((_, index) => kept.has(index));
-  const off = options.without.size === 0 ? '' : ` --without ${[...options.without].join(',')}`;
+  const withoutFlag =
+    options.disabledMechanisms.size === 0
+      ? ''
+      : ` --without ${[...options.disabledMechanisms].join(',')}`;
   const { violations } = outcome;
   return [
     `VIOLATION in scenario ${scenario.name}, seed ${seed}`,
-    `again: npm run fuzz -- --scenario ${scenario.name} --seed ${seed} --seeds 1${off}`,
-    `events that it needs (${events.length} of ${plan.events.length}):`,
+    `to repeat: npm run fuzz -- --scenario ${scenario.name} --seed ${seed} --seeds 1${withoutFlag}`,
+    `events that cause it (${events.length} of ${plan.events.length}):`,
     ...events.map((event) => `  ${event}`),
     `violations (${violations.length}):`,
     ...violations.slice(0, MAX_VIOLATION_LINES).map((violation) => `  ${violation}`),
-    'account:',
+    'requests or nodes concerned:',
     ...outcome.summaries.map((line) => `  ${line}`),
   ];
 }
--- a/bench/fuzz/search.ts
+++ b/bench/fuzz/search.ts
@@ -1,4 +1,4 @@
-/** Runs scenarios over seeds until one violates something or the time is over. */
+/** Runs scenarios with consecutive seeds until a run has a violation or a limit is reached. */
 import {
   allEventIndexes,
   type Scenario,
@@ -6,7 +6,7 @@
   type ScenarioPlan,
 } from '../simulation/scenario.js';
 
-/** A run that violated something. */
+/** A run with violations. */
 export interface FailedRun {
   readonly scenario: Scenario;
   readonly seed: number;
@@ -17,10 +17,10 @@
 export interface SearchOptions {
   readonly scenarios: readonly Scenario[];
   readonly firstSeed: number;
-  /** Mechanisms turned off. */
-  readonly without: ReadonlySet<string>;
-  /** Asked before each seed. */
-  readonly goesOn: (runs: number) => boolean;
+  /** Names of mechanisms to disable. */
+  readonly disabledMechanisms: ReadonlySet<string>;
+  /** Called before each seed with the number of runs so far. */
+  readonly shouldContinue: (runs: number) => boolean;
 }
 
 export interface SearchResult {
@@ -29,13 +29,13 @@
   readonly failed: FailedRun | undefined;
 }
 
-/** Each seed runs through all scenarios before the next one. */
+/** Runs all scenarios with each seed before the next seed. */
 export function search(options: SearchOptions): SearchResult {
   let runs = 0;
   let seed = options.firstSeed;
-  for (; options.goesOn(runs); seed += 1) {
+  for (; options.shouldContinue(runs); seed += 1) {
     for (const scenario of options.scenarios) {
-      const plan = scenario.plan(seed, options.without);
+      const plan = scenario.plan(seed, options.disabledMechanisms);
       const outcome = plan.run(allEventIndexes(plan));
       runs += 1;
       if (outcome.violations.length > 0) {
--- a/bench/fuzz/shrink.ts
+++ b/bench/fuzz/shrink.ts
@@ -1,4 +1,4 @@
-/** Finds a violation's own few events: leaves out whatever it happens without. */
+/** Reduces a violating run to the events that cause the violation. */
 import {
   allEventIndexes,
   checkNameOf,
@@ -6,23 +6,23 @@
   type ScenarioPlan,
 } from '../simulation/scenario.js';
 
-/** A violation with the events that it needs. */
+/** A reduced run: the events that remain, and its outcome. */
 export interface MinimalRun {
   readonly kept: ReadonlySet<number>;
   readonly outcome: ScenarioOutcome;
 }
 
-/** Longest search; a run that takes long is told less minimally. */
+/** Limits the search, so that the result for a long plan may not be minimal. */
 const MAX_RUNS = 60;
 
-/** The plan must violate something when it is run whole. */
-export function shrink(plan: ScenarioPlan, whole: ScenarioOutcome): MinimalRun {
-  const check = checkNameOf(whole.violations[0] ?? '');
-  let minimal: MinimalRun = { kept: allEventIndexes(plan), outcome: whole };
+/** Removes each event without which the same check still fails; the full plan must have a violation. */
+export function shrink(plan: ScenarioPlan, fullOutcome: ScenarioOutcome): MinimalRun {
+  const check = checkNameOf(fullOutcome.violations[0] ?? '');
+  let minimal: MinimalRun = { kept: allEventIndexes(plan), outcome: fullOutcome };
   let runs = 0;
-  let smaller = true;
-  while (smaller && runs < MAX_RUNS) {
-    smaller = false;
+  let isReduced = true;
+  while (isReduced && runs < MAX_RUNS) {
+    isReduced = false;
     for (const index of [...minimal.kept].reverse()) {
       const kept = new Set(minimal.kept);
       kept.delete(index);
@@ -30,7 +30,7 @@
       runs += 1;
       if (!outcome.violations.some((violation) => checkNameOf(violation) === check)) continue;
       minimal = { kept, outcome };
-      smaller = true;
+      isReduced = true;
     }
   }
   return minimal;
--- a/test/unit/fuzz.test.ts
+++ b/test/unit/fuzz.test.ts
@@ -24,7 +24,12 @@
 
 function searchFor(seeds: number) {
   const goesOn = (runs: number): boolean => runs < seeds;
-  return search({ scenarios: [SCENARIO], firstSeed: 1, without: new Set(), goesOn });
+  return search({
+    scenarios: [SCENARIO],
+    firstSeed: 1,
+    disabledMechanisms: new Set(),
+    shouldContinue: goesOn,
+  });
 }
 
 test('a search goes on over seeds and stops at the first violation', () => {
