--- a/bench/checkers/acknowledgements.ts
+++ b/bench/checkers/acknowledgements.ts
@@ -1,7 +1,7 @@
 /**
- * Promise 2: no write is acknowledged by a primary that has already been replaced. Checked by the
- * databases' own logs: an acknowledged write must not have run on a timeline after a later one had
- * begun, and must be in the log that survived.
+ * Promise 2: no write is acknowledged by a primary that has already been replaced. Checked with the
+ * databases' own logs: an acknowledged write must not have run on a timeline after a later timeline
+ * began, and must be in the surviving log.
  */
 import { groupBy } from '../history/group-by.js';
 import type { CommitRecord, ElectionRecord, History, RequestRecord } from '../history/model.js';
@@ -18,37 +18,37 @@
       ? (attemptsByRequest.get(request.logicalId) ?? [])
       : [request];
     const commits = attempts.flatMap((attempt) => commitsOf(attempt, commitsByRow));
-    const reason = reasonAgainst(commits, history.elections);
-    if (reason !== undefined) violations.push(violationOf(request, reason));
+    const reason = findReason(commits, history.elections);
+    if (reason !== undefined) violations.push(createViolation(request, reason));
   }
   return violations;
 }
 
-/** "Done earlier" acknowledges whichever attempt ran. */
+/** "Done earlier" acknowledges an earlier attempt, any of which may have run. */
 function isDoneEarlier(request: RequestRecord): boolean {
   return request.errorCode === 'MS-ALREADY-DONE';
 }
 
-function reasonAgainst(
+function findReason(
   commits: readonly CommitRecord[],
   elections: readonly ElectionRecord[],
 ): ViolationReason | undefined {
   const survivor = commits.find((commit) => commit.survived);
   if (survivor !== undefined) return undefined;
-  const replaced = commits.some((commit) =>
-    elections.some((election) => replacedBefore(election, commit)),
+  const isReplaced = commits.some((commit) =>
+    elections.some((election) => isReplacedBefore(election, commit)),
   );
-  return replaced ? 'ran-on-replaced-primary' : 'acknowledged-write-lost';
+  return isReplaced ? 'ran-on-replaced-primary' : 'acknowledged-write-lost';
 }
 
-function replacedBefore(election: ElectionRecord, commit: CommitRecord): boolean {
-  const sameGroup = election.group === commit.group;
+function isReplacedBefore(election: ElectionRecord, commit: CommitRecord): boolean {
+  const isSameGroup = election.group === commit.group;
   return (
-    sameGroup && election.timeline > commit.position.timeline && election.at < commit.committedAt
+    isSameGroup && election.timeline > commit.position.timeline && election.at < commit.committedAt
   );
 }
 
-function violationOf(request: RequestRecord, reason: ViolationReason): Violation {
+function createViolation(request: RequestRecord, reason: ViolationReason): Violation {
   return {
     promise: 'noAckByReplacedPrimary',
     reason,
--- a/bench/checkers/answers.ts
+++ b/bench/checkers/answers.ts
@@ -1,6 +1,6 @@
 /**
- * Promise 4: each caller receives the whole answer to its own request, and only that answer. Each
- * request asks for a value of its own to be echoed in every row.
+ * Promise 4: each caller receives the complete answer to its own request, and only that answer. Each
+ * request selects a unique value that every row of its answer repeats (the echo).
  */
 import type { AnswerRecord, History, RequestRecord } from '../history/model.js';
 import type { Violation, ViolationReason } from './violation.js';
@@ -12,24 +12,24 @@
 function checkRequest(request: RequestRecord): Violation[] {
   const { answer } = request;
   if (answer === undefined) return [];
-  const reasons = [...reasonsOfContent(answer)];
-  const whole = request.outcome === 'done' && request.errorCode === undefined;
+  const reasons = [...findContentReasons(answer)];
+  const isComplete = request.outcome === 'done' && request.errorCode === undefined;
   const { expectedRows, receivedRows } = answer;
-  if (whole && expectedRows !== undefined && receivedRows !== expectedRows) {
+  if (isComplete && expectedRows !== undefined && receivedRows !== expectedRows) {
     reasons.push('incomplete-answer');
   }
-  return reasons.map((reason) => violationOf(request, answer, reason));
+  return reasons.map((reason) => createViolation(request, answer, reason));
 }
 
-function reasonsOfContent(answer: AnswerRecord): ViolationReason[] {
+function findContentReasons(answer: AnswerRecord): ViolationReason[] {
   const reasons: ViolationReason[] = [];
-  const foreign = answer.receivedEchoes.some((echo) => echo !== answer.expectedEcho);
-  if (foreign) reasons.push('foreign-answer');
+  const hasForeignEcho = answer.receivedEchoes.some((echo) => echo !== answer.expectedEcho);
+  if (hasForeignEcho) reasons.push('foreign-answer');
   if (answer.answerCount > 1) reasons.push('repeated-answer');
   return reasons;
 }
 
-function violationOf(
+function createViolation(
   request: RequestRecord,
   answer: AnswerRecord,
   reason: ViolationReason,
--- a/bench/checkers/commits.ts
+++ b/bench/checkers/commits.ts
@@ -1,9 +1,9 @@
-/** Finds commits by the rows they hold. */
+/** Finds commits by the rows they contain. */
 import type { GroupName } from '../../src/core/request.js';
 import type { CommitRecord, RequestRecord } from '../history/model.js';
 
-/** Names a row across groups. */
-export function effectKey(group: GroupName, row: string): string {
+/** Identifies a row across groups. */
+export function rowKey(group: GroupName, row: string): string {
   return `${group}/${row}`;
 }
 
@@ -12,18 +12,18 @@
 export function groupCommitsByRow(commits: readonly CommitRecord[]): CommitsByRow {
   const byRow = new Map<string, CommitRecord[]>();
   for (const commit of commits) {
-    for (const row of commit.rows) addTo(byRow, effectKey(commit.group, row), commit);
+    for (const row of commit.rows) addTo(byRow, rowKey(commit.group, row), commit);
   }
   return byRow;
 }
 
-/** Commits, surviving or not, that hold what this attempt inserts. */
+/** Commits, surviving or not, that contain the row that this attempt inserts. */
 export function commitsOf(
   request: RequestRecord,
   commitsByRow: CommitsByRow,
 ): readonly CommitRecord[] {
   if (request.effectRow === undefined) return [];
-  return commitsByRow.get(effectKey(request.group, request.effectRow)) ?? [];
+  return commitsByRow.get(rowKey(request.group, request.effectRow)) ?? [];
 }
 
 function addTo(byRow: Map<string, CommitRecord[]>, key: string, commit: CommitRecord): void {
--- a/bench/checkers/departures.ts
+++ b/bench/checkers/departures.ts
@@ -1,18 +1,22 @@
 /**
- * Promises 7 and 8: a leaving back end receives no new work once a few seconds have passed, and a
- * planned stop of a proxy cuts no request in progress.
+ * Promises 7 and 8: a leaving back end receives no new work after a few seconds, and a graceful
+ * shutdown of a proxy interrupts no request in progress.
  */
 import type { History, LeavingRecord, PlannedStopRecord } from '../history/model.js';
 import type { Violation } from './violation.js';
 
-/** Time after which a leaving mark must be heeded: "a few seconds". */
+/** Time after which a leaving mark must be respected; the promise says "a few seconds". */
 export const LEAVING_GRACE_MS = 3_000;
 
 export function checkLeaving(history: History, graceMs = LEAVING_GRACE_MS): Violation[] {
-  return history.leavings.flatMap((leaving) => workAfter(history, leaving, graceMs));
+  return history.leavings.flatMap((leaving) => findWorkAfterLeaving(history, leaving, graceMs));
 }
 
-function workAfter(history: History, leaving: LeavingRecord, graceMs: number): Violation[] {
+function findWorkAfterLeaving(
+  history: History,
+  leaving: LeavingRecord,
+  graceMs: number,
+): Violation[] {
   const from = leaving.visibleAt + graceMs;
   const until = leaving.endedAt ?? Number.POSITIVE_INFINITY;
   const late = history.work.filter(
@@ -29,12 +33,12 @@
 
 export function checkPlannedStops(history: History): Violation[] {
   return history.plannedStops.flatMap((stop) => [
-    ...requestsCutBy(history, stop),
-    ...failedStop(stop),
+    ...findRequestsCutBy(history, stop),
+    ...findFailedStop(stop),
   ]);
 }
 
-function requestsCutBy(history: History, stop: PlannedStopRecord): Violation[] {
+function findRequestsCutBy(history: History, stop: PlannedStopRecord): Violation[] {
   const cut = history.requests.filter(
     (request) =>
       request.proxy === stop.proxy &&
@@ -50,7 +54,7 @@
   }));
 }
 
-function failedStop(stop: PlannedStopRecord): Violation[] {
+function findFailedStop(stop: PlannedStopRecord): Violation[] {
   if (stop.exitCode === 0) return [];
   return [
     {
--- a/bench/checkers/executions.ts
+++ b/bench/checkers/executions.ts
@@ -1,7 +1,7 @@
 /**
- * Promises 5 and 6, by the databases' logs: what was refused as "not run" left no commit, also not on a
- * branch that was thrown away; what isn't repeatable is in the surviving log at most once,
- * whatever the number of attempts.
+ * Promises 5 and 6, checked with the databases' logs: a request refused as "not run" has no commit,
+ * not even on a discarded branch of the log; a request that isn't repeatable is in the surviving log
+ * at most once, regardless of the number of attempts.
  */
 import { groupBy } from '../history/group-by.js';
 import type { History } from '../history/model.js';
--- a/bench/checkers/index.ts
+++ b/bench/checkers/index.ts
@@ -1,4 +1,4 @@
-/** The history checkers of the nine promises. */
+/** Checkers of the nine promises. */
 import type { History } from '../history/model.js';
 import { checkAcknowledgements } from './acknowledgements.js';
 import { checkAnswers } from './answers.js';
@@ -25,7 +25,7 @@
   configurationInForce: (history) => checkConfiguration(history),
 };
 
-/** All breaches in a history. */
+/** Finds all violations in a history. */
 export function checkHistory(history: History): Violation[] {
   return Object.values(CHECKERS).flatMap((check) => check(history));
 }
--- a/bench/checkers/session-reads.ts
+++ b/bench/checkers/session-reads.ts
@@ -1,18 +1,19 @@
 /**
- * Promise 1: after a session writes, its later reads see that write. Requests of a session follow
- * one another. Beside it, not promised: reads that go back behind what the session read before.
+ * Promise 1: after a session writes, its later reads see that write. Requests of a session run one
+ * after another. Also finds reads that return older data than an earlier read of the session, which
+ * no promise excludes.
  */
 import { groupBy } from '../history/group-by.js';
 import type { History, RequestRecord, VersionedKey } from '../history/model.js';
 import type { Finding, Violation } from './violation.js';
 
-/** A version that the session has to see at least, and whence. */
+/** Minimum version that the session must see, and the attempt that requires it. */
 interface RequiredVersion {
   readonly version: number;
   readonly attemptId: string;
 }
 
-/** A read that saw less than it had to. */
+/** A read that returned an older version than required. */
 interface OutdatedRead {
   readonly request: RequestRecord;
   readonly seen: VersionedKey;
@@ -24,33 +25,33 @@
   return outdated.map((read) => ({
     promise: 'sessionReadsOwnWrites',
     reason: 'own-write-not-seen',
-    detail: detailOf(read),
+    detail: describeOutdatedRead(read),
     at: read.request.endedAt,
   }));
 }
 
-/** Stale reads may do this; a caller may still want to know how often. */
+/** Allowed for stale reads, but their number may be of interest. */
 export function findNonMonotonicReads(history: History): Finding[] {
   const outdated = findOutdatedReads(history, (request) => request.saw);
   return outdated.map((read) => ({
     reason: 'read-went-back',
-    detail: detailOf(read),
+    detail: describeOutdatedRead(read),
     at: read.request.endedAt,
   }));
 }
 
 function findOutdatedReads(
   history: History,
-  requiredBy: (request: RequestRecord) => readonly VersionedKey[],
+  versionsRequiredBy: (request: RequestRecord) => readonly VersionedKey[],
 ): OutdatedRead[] {
   const done = history.requests.filter((request) => request.outcome === 'done');
   const bySession = groupBy(done, (request) => `${request.tenant}/${request.sessionId}`);
-  return [...bySession.values()].flatMap((requests) => checkSession(requests, requiredBy));
+  return [...bySession.values()].flatMap((requests) => checkSession(requests, versionsRequiredBy));
 }
 
 function checkSession(
   requests: readonly RequestRecord[],
-  requiredBy: (request: RequestRecord) => readonly VersionedKey[],
+  versionsRequiredBy: (request: RequestRecord) => readonly VersionedKey[],
 ): OutdatedRead[] {
   const ordered = [...requests].sort((left, right) => left.sentAt - right.sentAt);
   const requiredVersions = new Map<string, RequiredVersion>();
@@ -62,12 +63,12 @@
         outdated.push({ request, seen, required });
       }
     }
-    raise(requiredVersions, request, requiredBy(request));
+    raiseRequiredVersions(requiredVersions, request, versionsRequiredBy(request));
   }
   return outdated;
 }
 
-function raise(
+function raiseRequiredVersions(
   requiredVersions: Map<string, RequiredVersion>,
   request: RequestRecord,
   versions: readonly VersionedKey[],
@@ -83,7 +84,7 @@
   return `${request.group}/${key}`;
 }
 
-function detailOf({ request, seen, required }: OutdatedRead): string {
+function describeOutdatedRead({ request, seen, required }: OutdatedRead): string {
   const saw = `${request.attemptId} saw ${seen.key} at ${seen.version}`;
   return `${saw}; ${required.attemptId} had ${required.version}`;
 }
--- a/bench/checkers/violation.ts
+++ b/bench/checkers/violation.ts
@@ -1,4 +1,4 @@
-/** What a checker finds. */
+/** Results of the checkers. */
 
 /** The nine promises, in the order in which the users list them. */
 export const PROMISES = [
@@ -34,24 +34,24 @@
   | 'configuration-never-seen'
   | 'configuration-reverted';
 
-/** Something worth knowing that breaks none of the promises. */
+/** An observation that violates no promise. */
 export interface Finding {
   readonly reason: 'read-went-back';
   readonly detail: string;
   readonly at: number;
 }
 
-/** One breach of one promise. */
+/** One violation of one promise. */
 export interface Violation {
   readonly promise: PromiseName;
   readonly reason: ViolationReason;
-  /** What happened, with the ids to find it in the history. */
+  /** Description with the ids of the records in the history. */
   readonly detail: string;
   /** Milliseconds since the Unix epoch. */
   readonly at: number;
 }
 
-/** Number of breaches of each promise. */
+/** Number of violations of each promise. */
 export type ViolationCounts = Readonly<Record<PromiseName, number>>;
 
 export function countViolations(violations: readonly Violation[]): ViolationCounts {
--- a/bench/history/group-by.ts
+++ b/bench/history/group-by.ts
@@ -1,4 +1,4 @@
-/** Groups items by a key, in order of first appearance (`Map.groupBy` came after Node.js 20). */
+/** Groups items by a key, in order of first appearance (Node.js 20 has no `Map.groupBy`). */
 export function groupBy<Key, Item>(
   items: readonly Item[],
   keyOf: (item: Item) => Key,
--- a/bench/history/model.ts
+++ b/bench/history/model.ts
@@ -1,43 +1,42 @@
 /**
- * What a run leaves behind for the checkers: requests as callers saw them, and what databases,
- * proxies and operators did meanwhile. All times are milliseconds since the Unix epoch by one
- * machine's clock.
+ * Record of a run for the checkers: requests as observed by callers, and events of databases, proxies
+ * and operators. All times are milliseconds since the Unix epoch by one machine's clock.
  */
 import type { Position } from '../../src/core/position.js';
 import type { GroupName, InstanceName, TenantName } from '../../src/core/request.js';
 
-/** How a request ended in the four outcomes that callers are told. */
+/** Outcome of a request, one of the four that callers distinguish. */
 export type RequestOutcome = 'done' | 'not-run' | 'unknown' | 'failed';
 
-/** How the answer ended on the caller's connection. */
+/** How a request ended on the caller's connection. */
 export type RequestEnding =
-  /** ReadyForQuery arrived, or a whole error answer. */
+  /** ReadyForQuery or a complete error answer arrived. */
   | 'answered'
-  /** The proxy said goodbye (57P01) before it took the request. */
+  /** The proxy closed the session (57P01) before it accepted the request. */
   | 'terminated'
-  /** The connection was lost before the whole answer was there. */
+  /** The connection was lost before the complete answer arrived. */
   | 'cut'
-  /** The caller waited far beyond its deadline and closed the connection. */
+  /** The caller closed the connection long after its deadline. */
   | 'abandoned';
 
-/** A row's version as a statement returned it; versions of a key only grow. */
+/** A row's version as a statement returned it; the versions of a key only increase. */
 export interface VersionedKey {
   /** `<table>/<primary key>`. */
   readonly key: string;
-  /** Zero if the row was not there. */
+  /** Zero if the row did not exist. */
   readonly version: number;
 }
 
-/** What came back, to be told from someone else's answer. */
+/** The received answer, with data to distinguish it from the answer to another request. */
 export interface AnswerRecord {
-  /** Value that the request asked to have echoed in its rows. */
+  /** Unique value that each row of the answer must repeat. */
   readonly expectedEcho: string;
-  /** Different echoes found in the rows. */
+  /** Distinct echoes in the received rows. */
   readonly receivedEchoes: readonly string[];
-  /** Rows that a whole answer has; undefined if that can't be told beforehand. */
+  /** Number of rows in a complete answer; undefined if unknown in advance. */
   readonly expectedRows: number | undefined;
   readonly receivedRows: number;
-  /** Answers that came for this one request. */
+  /** Number of answers received for this request. */
   readonly answerCount: number;
 }
 
@@ -45,7 +44,7 @@
 export interface RequestRecord {
   /** Unique among all attempts. */
   readonly attemptId: string;
-  /** The same for each retry of one request. */
+  /** The same for all attempts of one request. */
   readonly logicalId: string;
   readonly tenant: TenantName;
   readonly sessionId: string;
@@ -53,9 +52,9 @@
   readonly group: GroupName;
   readonly kind: string;
   readonly access: 'read' | 'write';
-  /** False: may run at most once, whatever the number of attempts. */
+  /** False: may run at most once, regardless of the number of attempts. */
   readonly repeatable: boolean;
-  /** When the open-loop schedule meant the request to start. */
+  /** Start time in the open-loop schedule. */
   readonly intendedAt: number;
   readonly sentAt: number;
   readonly endedAt: number;
@@ -68,21 +67,21 @@
   readonly wrote: readonly VersionedKey[];
   /** Versions that the request's reads returned. */
   readonly saw: readonly VersionedKey[];
-  /** Row (`<table>/<primary key>`) that is committed exactly if this attempt ran. */
+  /** Row (`<table>/<primary key>`) that is committed if and only if this attempt ran. */
   readonly effectRow: string | undefined;
   readonly answer: AnswerRecord | undefined;
-  /** By which kind of instance a read was served, as its answer says. */
+  /** Role of the instance that served a read, according to its answer. */
   readonly servedBy: 'primary' | 'replica' | undefined;
-  /** The read was marked to tolerate stale data. */
+  /** The read was marked as tolerating stale data. */
   readonly toleratesStaleness: boolean;
 }
 
-/** A transaction as its caller meant it. */
+/** A transaction as its caller sent it. */
 export interface TransactionRecord {
   readonly attemptId: string;
   readonly tenant: TenantName;
   readonly group: GroupName;
-  /** Rows unique to this transaction that it inserts, all in one commit or none. */
+  /** Unique rows that the transaction inserts, all in one commit or none. */
   readonly rows: readonly string[];
   readonly outcome: RequestOutcome;
 }
@@ -92,13 +91,13 @@
   readonly group: GroupName;
   readonly position: Position;
   readonly committedAt: number;
-  /** `<table>/<primary key>` of each row put. */
+  /** `<table>/<primary key>` of each inserted or updated row. */
   readonly rows: readonly string[];
-  /** False: the commit is on a branch of the log that the group threw away. */
+  /** False: the commit is on a branch of the log that the group discarded. */
   readonly survived: boolean;
 }
 
-/** A primary took over on a new timeline. */
+/** Promotion of a primary on a new timeline. */
 export interface ElectionRecord {
   readonly group: GroupName;
   readonly instance: InstanceName;
@@ -106,21 +105,21 @@
   readonly at: number;
 }
 
-/** A back end's leaving mark became visible. */
+/** A period in which a back end's leaving mark was visible. */
 export interface LeavingRecord {
   readonly instance: InstanceName;
   readonly visibleAt: number;
-  /** The mark was taken back; undefined if it was not. */
+  /** Time at which the mark was removed; undefined if it was not. */
   readonly endedAt: number | undefined;
 }
 
-/** New work reached a back end: a statement or transaction of a caller started there. */
+/** Start of a caller's statement or transaction on a back end. */
 export interface WorkRecord {
   readonly instance: InstanceName;
   readonly startedAt: number;
 }
 
-/** A proxy was asked to stop and did. */
+/** A graceful shutdown of a proxy. */
 export interface PlannedStopRecord {
   readonly proxy: string;
   readonly requestedAt: number;
@@ -128,28 +127,28 @@
   readonly exitCode: number | undefined;
 }
 
-/** The store accepted a configuration. */
+/** A configuration that the store accepted. */
 export interface AcceptedConfigurationRecord {
   readonly revision: number;
   readonly acceptedAt: number;
 }
 
-/** A proxy was seen to have this revision in force. */
+/** Observation of the revision in force on a proxy. */
 export interface ConfigurationSampleRecord {
   readonly proxy: string;
   readonly revision: number;
   readonly at: number;
 }
 
-/** Time in which a proxy served callers. */
-export interface ProxyLifeRecord {
+/** Period in which a proxy served callers. */
+export interface ProxyServingPeriod {
   readonly proxy: string;
   readonly servingFrom: number;
-  /** Undefined: to the end of the run. */
+  /** Undefined: until the end of the run. */
   readonly servingUntil: number | undefined;
 }
 
-/** Everything that the checkers look at. */
+/** Input of the checkers. */
 export interface History {
   readonly requests: readonly RequestRecord[];
   readonly transactions: readonly TransactionRecord[];
@@ -160,12 +159,12 @@
   readonly plannedStops: readonly PlannedStopRecord[];
   readonly acceptedConfigurations: readonly AcceptedConfigurationRecord[];
   readonly configurationSamples: readonly ConfigurationSampleRecord[];
-  readonly proxyLives: readonly ProxyLifeRecord[];
-  /** End of the observation. */
+  readonly proxyLives: readonly ProxyServingPeriod[];
+  /** Time at which the observation ended. */
   readonly endedAt: number;
 }
 
-/** A history in which nothing happened. */
+/** A history without events. */
 export const EMPTY_HISTORY: History = {
   requests: [],
   transactions: [],
--- a/bench/recorders/run-recorder.ts
+++ b/bench/recorders/run-recorder.ts
@@ -9,7 +9,7 @@
   History,
   LeavingRecord,
   PlannedStopRecord,
-  ProxyLifeRecord,
+  ProxyServingPeriod,
   WorkRecord,
 } from '../history/model.js';
 import { nowMs } from '../load/clock.js';
@@ -131,7 +131,7 @@
 
   /** The part of the history that is recorded here. */
   history(): RecordedHistory {
-    const proxyLives: readonly ProxyLifeRecord[] = this.#lives;
+    const proxyLives: readonly ProxyServingPeriod[] = this.#lives;
     const leavings: readonly LeavingRecord[] = this.#leavings;
     return {
       leavings,
