--- a/bench/soak/conditions.ts
+++ b/bench/soak/conditions.ts
@@ -1,4 +1,4 @@
-/** Notes what was done to the gateways while a round is played, for the checks of what is owed. */
+/** Records faults and pauses of gateways during a round, for the checks of missing answers. */
 import type { Milliseconds } from '../../src/core/units.js';
 import { monotonicMs } from '../../standins/direct/monotonic.js';
 import type { Conditions, GatewaySpan } from '../../test/support/direct-answers.js';
@@ -6,9 +6,9 @@
 /** Ends a span. */
 export type EndSpan = () => void;
 
-/** The soak's own process is looked at so often; it counts as paused from so long a gap on. */
-const LOOK_EVERY_MS: Milliseconds = 20;
-const OBSERVER_GAP_MS: Milliseconds = 60;
+/** Timer period of the soak's own process, and the gap between two timers that counts as a pause. */
+const OBSERVER_POLL_PERIOD_MS: Milliseconds = 20;
+const OBSERVER_PAUSE_THRESHOLD_MS: Milliseconds = 60;
 
 type OpenSpan = { -readonly [Key in keyof GatewaySpan]: GatewaySpan[Key] };
 
@@ -16,36 +16,36 @@
   readonly #disruptions: OpenSpan[] = [];
   readonly #pauses: OpenSpan[] = [];
 
-  /** An unplanned fault begins, at one gateway or at all. */
-  disrupted(kind: string, gateway: string | undefined): EndSpan {
-    return open(this.#disruptions, kind, gateway);
+  /** Records the start of an unplanned fault at one gateway, or at all if undefined. */
+  startDisruption(kind: string, gateway: string | undefined): EndSpan {
+    return openSpan(this.#disruptions, kind, gateway);
   }
 
-  /** A gateway does not run for a while. */
-  paused(kind: string, gateway: string): EndSpan {
-    return open(this.#pauses, kind, gateway);
+  /** Records the start of a pause of a gateway's process. */
+  startPause(kind: string, gateway: string): EndSpan {
+    return openSpan(this.#pauses, kind, gateway);
   }
 
-  /** Notes when this process runs late itself: what it sees then, it sees too late. */
-  watchObserver(): EndSpan {
+  /** Records pauses of this process, during which its observations are late. */
+  watchOwnProcess(): EndSpan {
     let lastAt = monotonicMs();
     const timer = setInterval(() => {
       const now = monotonicMs();
-      if (now - lastAt > OBSERVER_GAP_MS) {
+      if (now - lastAt > OBSERVER_PAUSE_THRESHOLD_MS) {
         this.#pauses.push({ kind: 'observer', gateway: undefined, from: lastAt, until: now });
       }
       lastAt = now;
-    }, LOOK_EVERY_MS);
+    }, OBSERVER_POLL_PERIOD_MS);
     return () => clearInterval(timer);
   }
 
-  /** Everything so far. */
+  /** All spans recorded so far. */
   get conditions(): Conditions {
     return { disruptions: this.#disruptions, pauses: this.#pauses };
   }
 }
 
-function open(spans: OpenSpan[], kind: string, gateway: string | undefined): EndSpan {
+function openSpan(spans: OpenSpan[], kind: string, gateway: string | undefined): EndSpan {
   const span: OpenSpan = { kind, gateway, from: monotonicMs(), until: Number.POSITIVE_INFINITY };
   spans.push(span);
   return () => {
--- a/bench/soak/configuration.ts
+++ b/bench/soak/configuration.ts
@@ -1,4 +1,4 @@
-/** The operator's configuration in a soak: one change after the other, and what was acknowledged of it. */
+/** The operator's configuration in a soak: publishes changes one by one and checks acknowledged versions. */
 import type { Milliseconds } from '../../src/core/units.js';
 import {
   type ConfigurationProbe,
@@ -13,117 +13,127 @@
 
 const SERVICE = 'orders';
 const OTHER_SERVICE = 'ledger';
-/** The stand-in's flags for the services that routes lead to. */
+/** Flags of the stand-in for the services to which routes lead. */
 export const SERVICE_FLAGS = ['--service', `${SERVICE}=3`, '--service', `${OTHER_SERVICE}=3`];
-/** Time-outs rise from here with each change, so that each version differs. */
-const FIRST_TIMEOUT_MS: Milliseconds = 2000;
-/** A version that was acknowledged is in force everywhere after so long, also where gateways start first. */
-const IN_FORCE_MS: Milliseconds = 15_000;
+/** Timeout of the first version; it rises with changes, so that versions differ. */
+const INITIAL_TIMEOUT_MS: Milliseconds = 2000;
+/** Time limit for an acknowledged version to be in force everywhere, including gateways that must start first. */
+const MAX_PROPAGATION_MS: Milliseconds = 15_000;
 
 const ARCHIVE: TestRoute = { database: 'archive', service: SERVICE, routeType: 'primary' };
 const ROAM: TestRoute = {
   ...{ database: 'roam', service: SERVICE, routeType: 'primary', mayMove: true },
 };
 
-/** Callers compete, so that instances admit by priority. */
+/** Different priorities, so that instances admit requests by priority. */
 const PRIORITIES: Readonly<Record<TestRoute['routeType'], number>> = {
   ...{ primary: 0, read_your_writes: 1, bounded_staleness: 2 },
 };
 
-interface Wanted {
+interface DesiredConfiguration {
   readonly timeoutMs: Milliseconds;
   readonly hasArchive: boolean;
-  readonly roamAt: string;
-  /** Databases that were only added to tell versions apart. */
-  readonly marks: readonly string[];
+  readonly roamService: string;
+  /** Databases whose only purpose is to distinguish versions. */
+  readonly markerDatabases: readonly string[];
 }
 
-const CHANGES: { readonly [Change in ConfigurationChange]: (wanted: Wanted) => Wanted } = {
-  'add-route': (wanted) => ({ ...wanted, hasArchive: true }),
-  'remove-route': (wanted) => ({ ...wanted, hasArchive: false }),
-  'move-route': (wanted) => ({
-    ...wanted,
-    roamAt: wanted.roamAt === SERVICE ? OTHER_SERVICE : SERVICE,
+const CHANGES: {
+  readonly [Change in ConfigurationChange]: (desired: DesiredConfiguration) => DesiredConfiguration;
+} = {
+  'add-route': (desired) => ({ ...desired, hasArchive: true }),
+  'remove-route': (desired) => ({ ...desired, hasArchive: false }),
+  'move-route': (desired) => ({
+    ...desired,
+    roamService: desired.roamService === SERVICE ? OTHER_SERVICE : SERVICE,
   }),
-  'set-timeouts': (wanted) => ({ ...wanted, timeoutMs: wanted.timeoutMs + 1 }),
+  'set-timeouts': (desired) => ({ ...desired, timeoutMs: desired.timeoutMs + 1 }),
 };
 
-function routesOf({ timeoutMs, hasArchive, roamAt, marks }: Wanted): readonly TestRoute[] {
-  const marked = marks.map((database) => ({ ...ARCHIVE, database }));
-  const routes = [...ROUTES, { ...ROAM, service: roamAt }, ...marked];
+function routesOf({
+  timeoutMs,
+  hasArchive,
+  roamService,
+  markerDatabases,
+}: DesiredConfiguration): readonly TestRoute[] {
+  const marked = markerDatabases.map((database) => ({ ...ARCHIVE, database }));
+  const routes = [...ROUTES, { ...ROAM, service: roamService }, ...marked];
   return [...routes, ...(hasArchive ? [ARCHIVE] : [])].map((route) => ({
     ...{ ...route, timeoutMs },
     priority: PRIORITIES[route.routeType],
   }));
 }
 
-const FIRST: Wanted = {
-  ...{ timeoutMs: FIRST_TIMEOUT_MS, hasArchive: true, roamAt: SERVICE, marks: [] },
+const INITIAL_CONFIGURATION: DesiredConfiguration = {
+  ...{ timeoutMs: INITIAL_TIMEOUT_MS, hasArchive: true, roamService: SERVICE, markerDatabases: [] },
 };
-/** Routes that a round begins with. */
-export const FIRST_ROUTES = routesOf(FIRST);
+/** Routes at the start of a round. */
+export const INITIAL_ROUTES = routesOf(INITIAL_CONFIGURATION);
 
 export class OperatorConfiguration {
-  #wanted = FIRST;
-  /** What the store acknowledged last. */
-  #acknowledged = FIRST;
-  #last: Promise<unknown> = Promise.resolve();
+  #desired = INITIAL_CONFIGURATION;
+  /** Version that the store acknowledged last. */
+  #acknowledged = INITIAL_CONFIGURATION;
+  #lastTask: Promise<unknown> = Promise.resolve();
 
   constructor(private readonly cluster: DirectCluster) {}
 
-  /** Publishes a change after those that were asked for before; false while the store takes nothing. */
+  /** Publishes a change after all earlier ones; false if the store doesn't accept it. */
   change(change: ConfigurationChange): Promise<boolean> {
-    return this.#next(() => this.#publish(CHANGES[change](this.#wanted)));
+    return this.#enqueue(() => this.#publish(CHANGES[change](this.#desired)));
   }
 
   /**
-   * Publishes a version and does this right after it was acknowledged; no other version is published
-   * until it is in force again at every gateway. Returns what a gateway lacks of it.
+   * Publishes a version and runs the task right after the acknowledgement. Publishes no other version
+   * until this one is in force at every gateway. Returns the parts that a gateway lacks.
    */
-  publishAndDo(task: () => Promise<void>): Promise<readonly string[]> {
-    return this.#next(async () => {
-      const marks = [...this.#wanted.marks, `mark-${this.#wanted.marks.length + 1}`];
-      if (!(await this.#publish({ ...this.#wanted, marks }))) return [];
+  publishThen(task: () => Promise<void>): Promise<readonly string[]> {
+    return this.#enqueue(async () => {
+      const markerDatabases = [
+        ...this.#desired.markerDatabases,
+        `mark-${this.#desired.markerDatabases.length + 1}`,
+      ];
+      if (!(await this.#publish({ ...this.#desired, markerDatabases }))) return [];
       await task();
-      return this.inForce();
+      return this.waitUntilInForce();
     });
   }
 
-  /** Waits until what was acknowledged is in force at every gateway; returns what a gateway lacks of it. */
-  async inForce(): Promise<readonly string[]> {
-    let lacking: readonly string[] = [];
-    const look = async (): Promise<boolean> => {
+  /** Waits until the acknowledged version is in force at every gateway; returns the parts that one lacks. */
+  async waitUntilInForce(): Promise<readonly string[]> {
+    let missing: readonly string[] = [];
+    const isInForce = async (): Promise<boolean> => {
       const probes = await Promise.all(this.cluster.gateways.map((one) => this.#probe(one)));
-      lacking = checkConfigurationKept(probes.flat()).map(({ detail }) => detail);
-      return lacking.length === 0 && probes.every((one) => one.length > 0);
+      missing = checkConfigurationKept(probes.flat()).map(({ detail }) => detail);
+      return missing.length === 0 && probes.every((one) => one.length > 0);
     };
     try {
-      await until('the acknowledged configuration is in force', look, IN_FORCE_MS);
+      await until('the acknowledged configuration is in force', isInForce, MAX_PROPAGATION_MS);
       return [];
     } catch (error) {
-      return lacking.length > 0 ? lacking : [String(error)];
+      return missing.length > 0 ? missing : [String(error)];
     }
   }
 
-  async #publish(wanted: Wanted): Promise<boolean> {
-    this.#wanted = wanted;
+  async #publish(desired: DesiredConfiguration): Promise<boolean> {
+    this.#desired = desired;
     try {
-      await this.cluster.publish(routesOf(wanted));
+      await this.cluster.publish(routesOf(desired));
     } catch (error) {
       if (error instanceof ControlCallError) return false;
       throw error;
     }
-    this.#acknowledged = wanted;
+    this.#acknowledged = desired;
     return true;
   }
 
-  #next<Result>(task: () => Promise<Result>): Promise<Result> {
-    const result = this.#last.then(task);
-    this.#last = result.catch(() => undefined);
+  #enqueue<Result>(task: () => Promise<Result>): Promise<Result> {
+    const result = this.#lastTask.then(task);
+    this.#lastTask = result.catch(() => undefined);
     return result;
   }
 
-  /** Nothing while the gateway takes no connections. */
+  /** Empty while the gateway accepts no connections. */
   async #probe(gateway: DirectGatewayProcess): Promise<readonly ConfigurationProbe[]> {
     const expected = routesOf(this.#acknowledged).map(({ database }) => database);
     const databases = new Set([...expected, ARCHIVE.database]);
--- a/bench/soak/draw.ts
+++ b/bench/soak/draw.ts
@@ -1,14 +1,14 @@
-/** Draws of a schedule. */
+/** Random choices for a schedule. */
 
-/** Draws in [0, 1). */
+/** Returns a random number in [0, 1). */
 export type Draw = () => number;
 
-/** A whole number from 0 on, below this. */
-export function whole(draw: Draw, below = 1000): number {
+/** An integer from 0 up to, but not including, `below`. */
+export function drawInteger(draw: Draw, below = 1000): number {
   return Math.floor(draw() * below);
 }
 
-/** One of these. */
+/** A random item. */
 export function pick<Item>(draw: Draw, items: readonly Item[]): Item {
-  return items[whole(draw, items.length)] as Item;
+  return items[drawInteger(draw, items.length)] as Item;
 }
--- a/bench/soak/faults.ts
+++ b/bench/soak/faults.ts
@@ -1,16 +1,16 @@
-/** Injects the faults of a schedule into a running cluster, from outside its processes, and heals them. */
+/** Injects the faults of a schedule into a running cluster, from outside its processes, and ends them. */
 import type { Milliseconds } from '../../src/core/units.js';
 import type { DirectCluster } from '../../test/support/direct-cluster.js';
 import type { Violation } from '../../test/support/direct-history.js';
 import { ControlCallError } from '../harness/control-client.js';
 import type { ConditionLog } from './conditions.js';
 import type { OperatorConfiguration } from './configuration.js';
-import { type Heal, nothing, type Operator } from './operator.js';
+import { doNothing, type Heal, type Operator } from './operator.js';
 import {
   type Disruption,
   type DisruptionKind,
   type DisruptionOf,
-  WRITTEN_AGAIN_MS,
+  MAX_REWRITE_MS,
 } from './schedule.js';
 
 const STORE_LINK_DELAY_MS: Milliseconds = 150;
@@ -18,50 +18,59 @@
 const LOST_CALLS = 8;
 const FAILED_STATEMENTS = 30;
 
-/** Whom a fault strikes: gateways by their numbers, all of them, or none, as with planned work. */
-type Struck = readonly number[] | 'all' | 'none';
-const all = (): Struck => 'all';
-const one = ({ gateway }: { readonly gateway: number }): Struck => [gateway];
+/** Gateways that a fault disrupts: some by number, all, or none (as with planned work). */
+type FaultTarget = readonly number[] | 'all' | 'none';
+const allGateways = (): FaultTarget => 'all';
+const oneGateway = ({ gateway }: { readonly gateway: number }): FaultTarget => [gateway];
 
-const STRUCK: {
-  readonly [Kind in DisruptionKind]: (fault: DisruptionOf<Kind>) => Struck;
+const TARGETS: {
+  readonly [Kind in DisruptionKind]: (fault: DisruptionOf<Kind>) => FaultTarget;
 } = {
-  kill: one,
-  pause: one,
-  'cut-from-store': one,
-  'slow-store-link': one,
-  'reset-store-link': one,
+  kill: oneGateway,
+  pause: oneGateway,
+  'cut-from-store': oneGateway,
+  'slow-store-link': oneGateway,
+  'reset-store-link': oneGateway,
   'kill-many': ({ gateway, count }) => Array.from({ length: count }, (_, index) => gateway + index),
-  ...{ 'kill-leader': all, 'publish-kill-all': all },
-  ...{ 'store-down': all, 'store-slow': all, 'store-loses': all, 'store-forgets': all },
-  ...{ 'leases-lapse': all, 'promotion-silent': all, 'store-returns': all },
-  ...{ 'primary-crash': all, 'primary-dark': all, 'primary-cut': all },
-  ...{ 'primary-loses-answers': all, 'replica-deaf': all, 'replica-behind': all },
-  'replica-fails': all,
+  ...{ 'kill-leader': allGateways, 'publish-kill-all': allGateways },
+  ...{
+    'store-down': allGateways,
+    'store-slow': allGateways,
+    'store-loses': allGateways,
+    'store-forgets': allGateways,
+  },
+  ...{ 'leases-lapse': allGateways, 'promotion-silent': allGateways, 'store-returns': allGateways },
+  ...{ 'primary-crash': allGateways, 'primary-dark': allGateways, 'primary-cut': allGateways },
+  ...{
+    'primary-loses-answers': allGateways,
+    'replica-deaf': allGateways,
+    'replica-behind': allGateways,
+  },
+  'replica-fails': allGateways,
   // Replacing an instance is planned work.
   'primary-drain': () => 'none',
 };
 
-/** What faults are done to. */
+/** Starts and ends faults of a running cluster. */
 export class FaultInjector {
-  /** What was found while a fault was on. */
+  /** Violations found during a fault. */
   readonly violations: Violation[] = [];
-  #replaced = 0;
+  #replacementCount = 0;
 
   constructor(
     private readonly cluster: DirectCluster,
-    /** The service whose instances are struck. */
+    /** The service whose instances the faults affect. */
     private readonly service: string,
     private readonly operator: Operator,
     private readonly configuration: OperatorConfiguration,
     private readonly conditions: ConditionLog,
   ) {}
 
-  /** Begins a fault; the answer ends it. */
+  /** Starts a fault; returns a function that ends it. */
   async begin(fault: Disruption): Promise<Heal> {
     const begin = this.#handlers[fault.kind] as (fault: Disruption) => Promise<Heal>;
-    const ends = this.#struckBy(fault).map((gateway) =>
-      this.conditions.disrupted(fault.kind, gateway),
+    const ends = this.#targetsOf(fault).map((gateway) =>
+      this.conditions.startDisruption(fault.kind, gateway),
     );
     const heal = await begin(fault);
     return async () => {
@@ -70,13 +79,13 @@
     };
   }
 
-  /** Names of gateways; undefined stands for all. */
-  #struckBy(fault: Disruption): readonly (string | undefined)[] {
-    const struckBy = STRUCK[fault.kind] as (fault: Disruption) => Struck;
-    const struck = struckBy(fault);
-    if (struck === 'none') return [];
-    if (struck === 'all') return [undefined];
-    return struck.map((number) => this.cluster.gateway(this.#gatewayAt(number)).name);
+  /** Names of the disrupted gateways; undefined stands for all. */
+  #targetsOf(fault: Disruption): readonly (string | undefined)[] {
+    const targetOf = TARGETS[fault.kind] as (fault: Disruption) => FaultTarget;
+    const target = targetOf(fault);
+    if (target === 'none') return [];
+    if (target === 'all') return [undefined];
+    return target.map((number) => this.cluster.gateway(this.#gatewayAt(number)).name);
   }
 
   readonly #handlers: {
@@ -85,7 +94,7 @@
     kill: ({ gateway }) => this.#kill([this.#gatewayAt(gateway)]),
     'kill-many': ({ gateway, count }) =>
       this.#kill(Array.from({ length: count }, (_, index) => this.#gatewayAt(gateway + index))),
-    'kill-leader': () => this.#kill([this.#leader()]),
+    'kill-leader': () => this.#kill([this.#leaderIndex()]),
     pause: ({ gateway }) => this.#pause(this.#gatewayAt(gateway)),
     'cut-from-store': async ({ gateway }) => {
       const index = this.#gatewayAt(gateway);
@@ -99,58 +108,59 @@
     },
     'reset-store-link': async ({ gateway }) => {
       await this.cluster.resetStoreLink(this.#gatewayAt(gateway));
-      return nothing;
+      return doNothing;
     },
     'store-down': ({ isSilent, doLeasesWait }) =>
-      this.#set(
+      this.#setFault(
         '/store/faults',
         { down: isSilent ? 'silent' : 'unavailable', leasesWait: doLeasesWait },
         { down: 'no', leasesWait: true },
       ),
     'store-slow': ({ factor }) =>
-      this.#set('/store/faults', { slowFactor: factor }, { slowFactor: 1 }),
+      this.#setFault('/store/faults', { slowFactor: factor }, { slowFactor: 1 }),
     'store-loses': ({ mode }) =>
-      this.#set('/store/faults', { loseNext: LOST_CALLS, loseMode: mode }, { loseNext: 0 }),
-    'store-forgets': () => this.#set('/store/compact'),
+      this.#setFault('/store/faults', { loseNext: LOST_CALLS, loseMode: mode }, { loseNext: 0 }),
+    'store-forgets': () => this.#setFault('/store/compact'),
     'store-returns': ({ ageMs, awayMs }) =>
-      this.#set('/store/return-from-copy', { ageMs, awayMs, rewriteMs: WRITTEN_AGAIN_MS / 2 }),
-    'leases-lapse': () => this.#set('/store/leases/expire'),
-    'promotion-silent': () => this.#set('/promotion/faults', { down: 'silent' }, { down: 'no' }),
-    'primary-crash': () => this.#take('crash'),
-    'primary-dark': () => this.#take('dark'),
+      this.#setFault('/store/return-from-copy', { ageMs, awayMs, rewriteMs: MAX_REWRITE_MS / 2 }),
+    'leases-lapse': () => this.#setFault('/store/leases/expire'),
+    'promotion-silent': () =>
+      this.#setFault('/promotion/faults', { down: 'silent' }, { down: 'no' }),
+    'primary-crash': () => this.#takeDownPrimary('crash'),
+    'primary-dark': () => this.#takeDownPrimary('dark'),
     'primary-drain': async () => {
       const primary = await this.#primary();
-      this.#replaced += 1;
-      const replacementId = `i-${this.service}-next-${this.#replaced}`;
+      this.#replacementCount += 1;
+      const replacementId = `i-${this.service}-next-${this.#replacementCount}`;
       const body = { extraMs: 200, replaceAfterMs: 100, replacementId };
-      return this.#set(`/instances/${primary}/drain`, body);
+      return this.#setFault(`/instances/${primary}/drain`, body);
     },
     'primary-cut': async () => {
       const primary = await this.#primary();
-      const others = await this.#othersThan(primary);
+      const others = await this.#instancesExcept(primary);
       const path = `/groups/${this.service}/cuts`;
-      return this.#set(path, { pairs: others.map((id) => [primary, id]) }, { pairs: [] });
+      return this.#setFault(path, { pairs: others.map((id) => [primary, id]) }, { pairs: [] });
     },
     'primary-loses-answers': async ({ count }) =>
-      this.#set(
+      this.#setFault(
         `/instances/${await this.#primary()}/faults`,
         { loseAnswers: count },
         { loseAnswers: 0 },
       ),
     'replica-deaf': ({ instance }) =>
-      this.#replica(instance, { isStalled: true }, { isStalled: false }),
+      this.#setReplicaFault(instance, { isStalled: true }, { isStalled: false }),
     'replica-behind': ({ instance }) =>
-      this.#replica(instance, { lagMs: REPLICA_LAG_MS }, { lagMs: 0 }),
+      this.#setReplicaFault(instance, { lagMs: REPLICA_LAG_MS }, { lagMs: 0 }),
     'replica-fails': ({ instance }) =>
-      this.#replica(instance, { failNext: FAILED_STATEMENTS }, { failNext: 0 }),
+      this.#setReplicaFault(instance, { failNext: FAILED_STATEMENTS }, { failNext: 0 }),
     'publish-kill-all': async () => {
-      const lacking = await this.configuration.publishAndDo(async () => {
-        const everyone = [...this.cluster.gateways.keys()];
-        await Promise.all(everyone.map((index) => this.cluster.kill(index)));
-        this.operator.restart(everyone);
+      const lacking = await this.configuration.publishThen(async () => {
+        const allIndexes = [...this.cluster.gateways.keys()];
+        await Promise.all(allIndexes.map((index) => this.cluster.kill(index)));
+        this.operator.restart(allIndexes);
       });
       this.violations.push(...lacking.map((detail) => ({ rule: 'LOST', detail }) as const));
-      return nothing;
+      return doNothing;
     },
   };
 
@@ -158,13 +168,13 @@
     return number % this.cluster.gateways.length;
   }
 
-  /** The gateway that took the lead last, as its log tells. */
-  #leader(): number {
-    const since = this.cluster.gateways.map((gateway) => {
+  /** Index of the gateway that became leader last, according to the logs. */
+  #leaderIndex(): number {
+    const leadingSince = this.cluster.gateways.map((gateway) => {
       const taken = /"time":"([^"]+)"[^\n]*"event":"leadership taken"/g;
       return [...gateway.output().matchAll(taken)].at(-1)?.[1] ?? '';
     });
-    return since.indexOf([...since].sort().at(-1) ?? '');
+    return leadingSince.indexOf([...leadingSince].sort().at(-1) ?? '');
   }
 
   async #kill(indexes: readonly number[]): Promise<Heal> {
@@ -179,27 +189,27 @@
     return async () => void child.kill('SIGCONT');
   }
 
-  async #take(how: 'crash' | 'dark'): Promise<Heal> {
+  async #takeDownPrimary(how: 'crash' | 'dark'): Promise<Heal> {
     const primary = await this.#primary();
-    return this.#set(`/instances/${primary}/${how}`, {}, {}, `/instances/${primary}/return`);
+    return this.#setFault(`/instances/${primary}/${how}`, {}, {}, `/instances/${primary}/return`);
   }
 
-  async #replica(number: number, begin: object, end: object): Promise<Heal> {
+  async #setReplicaFault(number: number, begin: object, end: object): Promise<Heal> {
     const primary = await this.#primary();
-    const others = await this.#othersThan(primary);
+    const others = await this.#instancesExcept(primary);
     const id = others[number % others.length] ?? primary;
-    return this.#set(`/instances/${id}/faults`, begin, end);
+    return this.#setFault(`/instances/${id}/faults`, begin, end);
   }
 
-  /** The instance that leads, or the first one while none does. */
+  /** Id of the primary, or of the first instance while there is none. */
   async #primary(): Promise<string> {
     const instances = await this.#instances();
-    const leads = instances.find(({ role }) => role === 'primary') ?? instances[0];
-    if (leads === undefined) throw new Error(`no instance of ${this.service}`);
-    return leads.id;
+    const primary = instances.find(({ role }) => role === 'primary') ?? instances[0];
+    if (primary === undefined) throw new Error(`no instance of ${this.service}`);
+    return primary.id;
   }
 
-  async #othersThan(id: string): Promise<string[]> {
+  async #instancesExcept(id: string): Promise<string[]> {
     return (await this.#instances()).map((one) => one.id).filter((other) => other !== id);
   }
 
@@ -208,13 +218,13 @@
     return instances.filter(({ service }) => service === this.service);
   }
 
-  async #set(path: string, begin?: object, end?: object, endPath = path): Promise<Heal> {
-    await this.#tell(path, begin);
-    return end === undefined ? nothing : () => this.#tell(endPath, end);
+  async #setFault(path: string, begin?: object, end?: object, endPath = path): Promise<Heal> {
+    await this.#callPlatform(path, begin);
+    return end === undefined ? doNothing : () => this.#callPlatform(endPath, end);
   }
 
-  /** An instance that is struck may have ended meanwhile, and another may have followed it. */
-  async #tell(path: string, body: object | undefined): Promise<void> {
+  /** Ignores refusals for an instance, which may have stopped or been replaced in the meantime. */
+  async #callPlatform(path: string, body: object | undefined): Promise<void> {
     try {
       await this.cluster.platform.set(path, body);
     } catch (error) {
--- a/bench/soak/main.ts
+++ b/bench/soak/main.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run soak`: rounds of real gateways, database groups and a store as separate processes, with faults
- * drawn from a seed, until the time is over or a rule is broken.
+ * `npm run soak`: rounds of real gateways, database groups and a store as separate processes, with
+ * faults drawn from a seed, until the time limit or a violation.
  */
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { availableParallelism, loadavg, tmpdir } from 'node:os';
@@ -10,32 +10,32 @@
 import { seededRandom } from '../../test/support/random.js';
 import { renderSoakPage } from './page.js';
 import { REGRESSIONS } from './regressions.js';
-import { FAULT_SPAN_MS, type Finding, playRound, type RoundResult } from './round.js';
+import { FAULT_SPAN_MS, type Finding, type RoundResult, runRound } from './round.js';
 import { drawSchedule, type PlannedFault, type Schedule, withStoreReturns } from './schedule.js';
 
 const USAGE = `npm run soak -- [options]
-  --minutes N     plays rounds with fresh seeds for so long (default 5)
-  --seed S        first seed; the next rounds count up (default: drawn)
-  --replay S      plays the round of one seed
-  --regressions   plays all seeds that ever failed
-  --store-returns the store comes back from a copy once or twice in each round
+  --minutes N     runs rounds with new seeds for this time (default 5)
+  --seed S        first seed; later rounds count up (default: random)
+  --replay S      runs the round of one seed
+  --regressions   runs all seeds that failed in the past
+  --store-returns restores the store from a backup once or twice in each round
   --gateways N    gateways of each round, at most 40 (default 5)
-  --json FILE     writes what each round came to
-  --html FILE     writes a page: all rounds, and plots of those that served least
+  --json FILE     writes the result of each round
+  --html FILE     writes a page: all rounds, and plots of those with the most failures
 
 Exit codes:
-  0  no rule was broken, and service came back after each round's faults
-  1  a finding: seed and faults are printed, logs of the gateways are kept in a folder that is named
+  0  no rule was violated, and service recovered after each round's faults
+  1  a finding: prints the seed, the faults and the folder with the gateways' logs
   2  wrong usage`;
 const EXIT_FINDING = 1;
 const EXIT_USAGE = 2;
-const DRAWN_SEEDS = 1_000_000_000;
-/** Seeds of rounds lie apart, since each client of a round has a seed of its own. */
+const RANDOM_SEED_RANGE = 1_000_000_000;
+/** Distance between the seeds of two rounds, since each client of a round has a seed of its own. */
 const SEED_STEP = 1000;
 const MS_PER_MINUTE = 60_000;
-const MOST_FINDINGS_SHOWN = 5;
-/** Each is a process of some 60 MB. */
-const MOST_GATEWAYS = 40;
+const MAX_FINDINGS_SHOWN = 5;
+/** Limited because each gateway is a process of about 60 MB. */
+const MAX_GATEWAYS = 40;
 
 const optionsSchema = z.object({
   minutes: z.coerce.number().positive().default(5),
@@ -43,7 +43,7 @@
   replay: z.coerce.number().int().min(0).optional(),
   regressions: z.boolean().default(false),
   'store-returns': z.boolean().default(false),
-  gateways: z.coerce.number().int().min(1).max(MOST_GATEWAYS).optional(),
+  gateways: z.coerce.number().int().min(1).max(MAX_GATEWAYS).optional(),
   json: z.string().optional(),
   html: z.string().optional(),
 });
@@ -73,17 +73,17 @@
     return EXIT_USAGE;
   }
   const results: RoundResult[] = [];
-  for (const seed of seedsOf(options.data)) {
-    const result = await playRound(scheduleOf(seed, options.data), options.data);
+  for (const seed of generateSeeds(options.data)) {
+    const result = await runRound(createSchedule(seed, options.data), options.data);
     results.push(result);
     report(result);
     if (result.findings.length > 0 && !options.data.regressions) break;
   }
-  return conclude(results, options.data);
+  return writeReports(results, options.data);
 }
 
-/** Seeds in their order; for fresh ones, until the time is over. */
-function* seedsOf({ minutes, seed, replay, regressions }: SoakOptions): Generator<number> {
+/** The seeds to run, in order; new seeds until the time limit. */
+function* generateSeeds({ minutes, seed, replay, regressions }: SoakOptions): Generator<number> {
   if (replay !== undefined) {
     yield replay;
     return;
@@ -93,14 +93,14 @@
     return;
   }
   const endsAt = performance.now() + minutes * MS_PER_MINUTE;
-  let next = seed ?? Math.floor(Math.random() * DRAWN_SEEDS);
+  let next = seed ?? Math.floor(Math.random() * RANDOM_SEED_RANGE);
   while (performance.now() < endsAt) {
     yield next;
     next += SEED_STEP;
   }
 }
 
-function scheduleOf(seed: number, options: SoakOptions): Schedule {
+function createSchedule(seed: number, options: SoakOptions): Schedule {
   const draw = seededRandom(seed);
   const schedule = drawSchedule(seed, draw, FAULT_SPAN_MS);
   return options['store-returns'] ? withStoreReturns(schedule, draw, FAULT_SPAN_MS) : schedule;
@@ -108,17 +108,17 @@
 
 function report({ schedule, findings, late, statements, failed, tookMs }: RoundResult): void {
   const { seed, hasOwners, faults } = schedule;
-  const way = hasOwners ? 'owners' : 'direct';
+  const routing = hasOwners ? 'owners' : 'direct';
   const failures = Object.values(failed).reduce((sum, count) => sum + count, 0);
   const verdict = findings.length === 0 ? 'ok' : `${findings.length} findings`;
   const kinds = faults.map(({ fault }) => fault.kind).join(', ');
   const seconds = Math.round(tookMs / 1000);
   const figures = `${statements} statements, ${failures} failed, ${late.length} late, ${seconds} s`;
-  console.log(`seed ${seed} (${way}): ${verdict}; ${figures}; ${kinds}`);
-  for (const one of late.slice(0, MOST_FINDINGS_SHOWN)) console.log(`  late: ${one}`);
+  console.log(`seed ${seed} (${routing}): ${verdict}; ${figures}; ${kinds}`);
+  for (const one of late.slice(0, MAX_FINDINGS_SHOWN)) console.log(`  late: ${one}`);
 }
 
-async function conclude(
+async function writeReports(
   results: readonly RoundResult[],
   { json, html }: SoakOptions,
 ): Promise<number> {
@@ -128,19 +128,19 @@
     writeFileSync(json, `${JSON.stringify({ machine, rounds }, null, 2)}\n`);
   }
   if (html !== undefined) writeFileSync(html, await renderSoakPage(results, machine));
-  const bad = results.filter(({ findings }) => findings.length > 0);
+  const roundsWithFindings = results.filter(({ findings }) => findings.length > 0);
   const statements = results.reduce((sum, result) => sum + result.statements, 0);
   const late = results.reduce((sum, result) => sum + result.late.length, 0);
-  const counted = `${statements} statements, ${late} late, ${bad.length} with findings`;
+  const counted = `${statements} statements, ${late} late, ${roundsWithFindings.length} with findings`;
   console.log(`${results.length} rounds, ${counted}`);
-  for (const result of bad) showFindings(result);
-  return bad.length === 0 ? 0 : EXIT_FINDING;
+  for (const result of roundsWithFindings) showFindings(result);
+  return roundsWithFindings.length === 0 ? 0 : EXIT_FINDING;
 }
 
-/** Flags that play a schedule again. */
-function replayOf({ seed, faults }: Schedule): string {
-  const hasReturns = faults.some(({ fault }) => fault.kind === 'store-returns');
-  return `--replay ${seed}${hasReturns ? ' --store-returns' : ''}`;
+/** Flags that run a schedule again. */
+function replayFlags({ seed, faults }: Schedule): string {
+  const hasStoreReturns = faults.some(({ fault }) => fault.kind === 'store-returns');
+  return `--replay ${seed}${hasStoreReturns ? ' --store-returns' : ''}`;
 }
 
 function showFindings({ schedule, findings, logs }: RoundResult): void {
@@ -148,18 +148,18 @@
   mkdirSync(folder, { recursive: true });
   for (const [name, text] of logs) writeFileSync(join(folder, `${name}.log`), text);
   console.log(
-    `seed ${schedule.seed}: logs in ${folder}; again: npm run soak -- ${replayOf(schedule)}`,
+    `seed ${schedule.seed}: logs in ${folder}; to repeat: npm run soak -- ${replayFlags(schedule)}`,
   );
-  for (const planned of schedule.faults) console.log(`  ${faultText(planned)}`);
-  for (const finding of findings.slice(0, MOST_FINDINGS_SHOWN))
-    console.log(`  ${findingText(finding)}`);
+  for (const planned of schedule.faults) console.log(`  ${formatFault(planned)}`);
+  for (const finding of findings.slice(0, MAX_FINDINGS_SHOWN))
+    console.log(`  ${formatFinding(finding)}`);
 }
 
-function faultText({ atMs, forMs, fault }: PlannedFault): string {
+function formatFault({ atMs, forMs, fault }: PlannedFault): string {
   return `${atMs} ms, for ${forMs} ms: ${JSON.stringify(fault)}`;
 }
 
-const FINDING_TEXTS: {
+const FINDING_FORMATTERS: {
   readonly [Type in Finding['type']]: (finding: Extract<Finding, { type: Type }>) => string;
 } = {
   violation: ({ violation }) => `${violation.rule}: ${violation.detail}`,
@@ -167,8 +167,8 @@
   'ended-by-itself': ({ gateway, how }) => `${gateway} ended by itself: ${how}`,
 };
 
-function findingText(finding: Finding): string {
-  return (FINDING_TEXTS[finding.type] as (finding: Finding) => string)(finding);
+function formatFinding(finding: Finding): string {
+  return (FINDING_FORMATTERS[finding.type] as (finding: Finding) => string)(finding);
 }
 
 process.exitCode = await main();
--- a/bench/soak/operator.ts
+++ b/bench/soak/operator.ts
@@ -1,4 +1,4 @@
-/** Does the planned work of a schedule: stops, signals and changes of the configuration. */
+/** Carries out the planned work of a schedule: graceful shutdowns, signals and configuration changes. */
 import { setTimeout as pause } from 'node:timers/promises';
 import type { Milliseconds } from '../../src/core/units.js';
 import { monotonicMs } from '../../standins/direct/monotonic.js';
@@ -10,25 +10,25 @@
 import type { OperatorConfiguration } from './configuration.js';
 import type { PlannedKind, PlannedWork, Stall } from './planned-schedule.js';
 
-/** Undoes what was done. */
+/** Ends a fault or planned work. */
 export type Heal = () => Promise<void>;
 
-/** A stop with the times of the further signals to the same process. */
+/** A graceful shutdown with the times of further signals to the same process. */
 type OpenStop = { -readonly [Key in keyof PlannedStop]: PlannedStop[Key] } & {
   readonly againAt: number[];
 };
 type WorkOf<Kind extends PlannedKind> = PlannedWork & { readonly kind: Kind };
 
-/** Stalls begin so long before the signal. */
+/** Time between the start of the stalls and the signal. */
 const STALL_LEAD_MS: Milliseconds = 500;
-/** A process that was told to stop is given up after this. */
-const STOP_PATIENCE_MS: Milliseconds = 12_000;
-/** Written once a process handles signals. */
-const STARTED = '"starting"';
+/** Time limit for a process to exit after SIGTERM. */
+const STOP_TIMEOUT_MS: Milliseconds = 12_000;
+/** Event that a process logs when it handles signals. */
+const STARTING_EVENT = '"starting"';
 
 export class Operator {
   readonly #stops: OpenStop[] = [];
-  readonly #stopOf = new Map<DirectGatewayProcess, OpenStop>();
+  readonly #stopByProcess = new Map<DirectGatewayProcess, OpenStop>();
 
   constructor(
     private readonly cluster: DirectCluster,
@@ -41,7 +41,7 @@
     return this.#stops;
   }
 
-  /** Begins some work; the answer ends it. */
+  /** Starts some work; returns a function that ends it. */
   begin(work: PlannedWork): Promise<Heal> {
     const begin = this.#handlers[work.kind] as (work: PlannedWork) => Promise<Heal>;
     return begin(work);
@@ -50,25 +50,25 @@
   readonly #handlers: {
     readonly [Kind in PlannedKind]: (work: WorkOf<Kind>) => Promise<Heal>;
   } = {
-    stop: ({ gateway }) => this.#stop(this.#indexes(gateway, 1)),
+    stop: ({ gateway }) => this.#stop(this.#gatewayIndexes(gateway, 1)),
     'stop-twice': async ({ gateway, againAfterMs }) => {
-      const [index = 0] = this.#indexes(gateway, 1);
+      const [index = 0] = this.#gatewayIndexes(gateway, 1);
       const heal = await this.#stop([index]);
-      const life = this.cluster.gateway(index);
-      await Promise.race([pause(againAfterMs), life.ended]);
-      this.#sendStop(life);
+      const gatewayProcess = this.cluster.gateway(index);
+      await Promise.race([pause(againAfterMs), gatewayProcess.ended]);
+      this.#sendStop(gatewayProcess);
       return heal;
     },
     'rolling-stop': async ({ gateway, count, everyMs }) => {
       const heals: Heal[] = [];
-      for (const index of this.#indexes(gateway, count)) {
+      for (const index of this.#gatewayIndexes(gateway, count)) {
         heals.push(await this.#stop([index]));
         await pause(everyMs);
       }
       return async () => void (await Promise.all(heals.map((heal) => heal())));
     },
     'late-stop': async ({ gateway, count, stalls }) => {
-      const indexes = this.#indexes(gateway, count);
+      const indexes = this.#gatewayIndexes(gateway, count);
       const stalled = Promise.all(indexes.map((index) => this.#stall(index, stalls)));
       await pause(STALL_LEAD_MS);
       const heal = await this.#stop(indexes);
@@ -78,72 +78,75 @@
       };
     },
     reload: async ({ gateway, count, everyMs }) => {
-      const [index = 0] = this.#indexes(gateway, 1);
+      const [index = 0] = this.#gatewayIndexes(gateway, 1);
       for (let signal = 0; signal < count; signal += 1) {
         await this.#signal(index, 'SIGHUP');
         await pause(everyMs);
       }
-      return nothing;
+      return doNothing;
     },
     configure: async ({ changes, everyMs }) => {
       for (const change of changes) {
         await this.configuration.change(change);
         await pause(everyMs);
       }
-      return () => this.#publishAtLast();
+      return () => this.#publishWhenStoreAccepts();
     },
     publish: async () => {
       const isPublished = await this.configuration.change('set-timeouts');
-      return isPublished ? nothing : () => this.#publishAtLast();
+      return isPublished ? doNothing : () => this.#publishWhenStoreAccepts();
     },
   };
 
-  /** What the store did not take while it was down, it takes with the next version. */
-  #publishAtLast(): Promise<void> {
+  /** Publishes one more version once the store accepts it; it contains the changes refused before. */
+  #publishWhenStoreAccepts(): Promise<void> {
     return until('the store takes a configuration', () =>
       this.configuration.change('set-timeouts'),
     );
   }
 
-  #indexes(gateway: number, count: number): readonly number[] {
+  #gatewayIndexes(gateway: number, count: number): readonly number[] {
     const total = this.cluster.gateways.length;
     return Array.from({ length: Math.min(count, total) }, (_, one) => (gateway + one) % total);
   }
 
   async #stop(indexes: readonly number[]): Promise<Heal> {
-    const lives = await Promise.all(indexes.map((index) => this.#terminate(index)));
+    const gatewayProcesses = await Promise.all(indexes.map((index) => this.#terminate(index)));
     return async () => {
-      await Promise.race([Promise.all(lives.map(({ ended }) => ended)), pause(STOP_PATIENCE_MS)]);
+      await Promise.race([
+        Promise.all(gatewayProcesses.map(({ ended }) => ended)),
+        pause(STOP_TIMEOUT_MS),
+      ]);
       this.restart(indexes);
     };
   }
 
   async #terminate(index: number): Promise<DirectGatewayProcess> {
-    const life = this.cluster.gateway(index);
-    await hasStarted(life);
-    this.#sendStop(life);
-    return life;
+    const gatewayProcess = this.cluster.gateway(index);
+    await hasStarted(gatewayProcess);
+    this.#sendStop(gatewayProcess);
+    return gatewayProcess;
   }
 
-  #sendStop(life: DirectGatewayProcess): void {
-    if (hasEnded(life)) return;
+  #sendStop(gatewayProcess: DirectGatewayProcess): void {
+    if (hasEnded(gatewayProcess)) return;
     const at = monotonicMs();
-    const before = this.#stopOf.get(life);
-    if (before === undefined) this.#noteStop(life, at);
+    const before = this.#stopByProcess.get(gatewayProcess);
+    if (before === undefined) this.#recordStop(gatewayProcess, at);
     else before.againAt.push(at);
-    life.process.kill('SIGTERM');
+    gatewayProcess.process.kill('SIGTERM');
   }
 
-  #noteStop(life: DirectGatewayProcess, at: number): void {
-    const stop: OpenStop = { gateway: life.name, at, againAt: [], ended: undefined };
+  #recordStop(gatewayProcess: DirectGatewayProcess, at: number): void {
+    const stop: OpenStop = { gateway: gatewayProcess.name, at, againAt: [], ended: undefined };
     this.#stops.push(stop);
-    this.#stopOf.set(life, stop);
-    void life.ended.then((how) => {
+    this.#stopByProcess.set(gatewayProcess, stop);
+    void gatewayProcess.ended.then((how) => {
       stop.ended = { at: monotonicMs(), how };
     });
   }
 
-  /** Gateways may be ended by more than one: each is started once. */
+  /** Restarts the stopped ones among these gateways; several faults may have stopped the same gateway. */
   restart(indexes: readonly number[]): void {
     for (const index of indexes) {
       if (hasEnded(this.cluster.gateway(index))) this.cluster.restart(index);
@@ -151,31 +154,34 @@
   }
 
   async #stall(index: number, stalls: readonly Stall[]): Promise<void> {
-    const life = this.cluster.gateway(index);
+    const gatewayProcess = this.cluster.gateway(index);
     for (const { stoppedMs, runsMs } of stalls) {
-      if (hasEnded(life)) return;
-      const endPause = this.conditions.paused('late', life.name);
-      life.process.kill('SIGSTOP');
+      if (hasEnded(gatewayProcess)) return;
+      const endPause = this.conditions.startPause('late', gatewayProcess.name);
+      gatewayProcess.process.kill('SIGSTOP');
       await pause(stoppedMs);
-      life.process.kill('SIGCONT');
+      gatewayProcess.process.kill('SIGCONT');
       endPause();
       await pause(runsMs);
     }
   }
 
   async #signal(index: number, signal: NodeJS.Signals): Promise<void> {
-    const life = this.cluster.gateway(index);
-    await hasStarted(life);
-    life.process.kill(signal);
+    const gatewayProcess = this.cluster.gateway(index);
+    await hasStarted(gatewayProcess);
+    gatewayProcess.process.kill(signal);
   }
 }
 
-/** Until then a process ends on signals that it handles later. */
-function hasStarted(life: DirectGatewayProcess): Promise<void> {
-  return until(`${life.name} starts`, () => hasEnded(life) || life.output().includes(STARTED));
+/** Waits until the process handles signals; before that, any signal ends it. */
+function hasStarted(gatewayProcess: DirectGatewayProcess): Promise<void> {
+  return until(
+    `${gatewayProcess.name} starts`,
+    () => hasEnded(gatewayProcess) || gatewayProcess.output().includes(STARTING_EVENT),
+  );
 }
 
-/** For work that has nothing to undo. */
-export async function nothing(): Promise<void> {
+/** Ends work that leaves nothing to undo. */
+export async function doNothing(): Promise<void> {
   await pause(0);
 }
--- a/bench/soak/page.ts
+++ b/bench/soak/page.ts
@@ -1,69 +1,71 @@
-/** One self-contained page of a soak: a table of all rounds, and plots of those worth a look. */
+/** A self-contained HTML page of a soak: a table of all rounds, and plots of selected rounds. */
 import { latencyChart, levelChart, serviceChart } from '../report/charts.js';
 import { escapeHtml, page, plot, table, tile, tiles } from '../report/html.js';
 import type { RoundResult } from './round.js';
 
-/** Rounds whose plots are shown: those with findings, then those that served least. */
-const MOST_PLOTTED = 6;
+/** Maximum number of plotted rounds; rounds with findings are always plotted. */
+const MAX_PLOTTED_ROUNDS = 6;
 const PERCENT = 100;
 
-/** Cores of the machine and its load when the soak ended. */
+/** Number of cores and load averages of the machine at the end of the soak. */
 export interface SoakMachine {
   readonly cores: number;
   readonly load: readonly number[];
 }
 
-/** The page of these rounds. */
+/** Renders the page. */
 export async function renderSoakPage(
   rounds: readonly RoundResult[],
   { cores, load }: SoakMachine,
 ): Promise<string> {
   const loads = load.map((value) => value.toFixed(1)).join(', ');
-  const plotted = await Promise.all(worthPlotting(rounds).map(roundPlots));
+  const plotted = await Promise.all(selectRoundsToPlot(rounds).map(renderRoundPlots));
   return page('soak', `${cores} cores, load ${loads}`, [
-    figures(rounds),
+    renderTotals(rounds),
     table(
       ['seed', 'way', 'statements', 'failed', 'runs per statement', 'findings', 'faults'],
-      rounds.map(rowOf),
+      rounds.map(renderRow),
     ),
     ...plotted,
   ]);
 }
 
-/** Those that broke something first, then by the share of statements that failed. */
-export function worthPlotting(rounds: readonly RoundResult[]): readonly RoundResult[] {
-  const byFailures = [...rounds].sort((left, right) => failedShare(right) - failedShare(left));
+/** Rounds with findings, then the others; both by descending fraction of failed statements. */
+export function selectRoundsToPlot(rounds: readonly RoundResult[]): readonly RoundResult[] {
+  const byFailures = [...rounds].sort(
+    (left, right) => failedFraction(right) - failedFraction(left),
+  );
   const bad = byFailures.filter(({ findings }) => findings.length > 0);
   const good = byFailures.filter(({ findings }) => findings.length === 0);
-  return [...bad, ...good].slice(0, Math.max(MOST_PLOTTED, bad.length));
+  return [...bad, ...good].slice(0, Math.max(MAX_PLOTTED_ROUNDS, bad.length));
 }
 
-function figures(rounds: readonly RoundResult[]): string {
+function renderTotals(rounds: readonly RoundResult[]): string {
   const statements = rounds.reduce((sum, round) => sum + round.statements, 0);
-  const failed = rounds.reduce((sum, round) => sum + failures(round), 0);
+  const failed = rounds.reduce((sum, round) => sum + countFailures(round), 0);
   const findings = rounds.reduce((sum, round) => sum + round.findings.length, 0);
   return tiles([
     tile('rounds', String(rounds.length)),
     tile('statements', String(statements)),
-    tile('failed', percent(statements === 0 ? 0 : failed / statements)),
+    tile('failed', formatPercent(statements === 0 ? 0 : failed / statements)),
     tile('findings', String(findings), findings > 0),
   ]);
 }
 
-function rowOf(round: RoundResult): readonly string[] {
+function renderRow(round: RoundResult): readonly string[] {
   const { schedule, statements, findings, plots } = round;
   return [
     String(schedule.seed),
     schedule.hasOwners ? 'owners' : 'direct',
     String(statements),
-    percent(failedShare(round)),
+    formatPercent(failedFraction(round)),
     plots.amplification.toFixed(2),
     String(findings.length),
     schedule.faults.map(({ fault }) => fault.kind).join(', '),
   ];
 }
 
-async function roundPlots({ schedule, plots }: RoundResult): Promise<string> {
+async function renderRoundPlots({ schedule, plots }: RoundResult): Promise<string> {
   const { seconds, faults, service, latency, load } = plots;
   const charts = [
     serviceChart(service, faults, seconds),
@@ -80,14 +82,14 @@
   return `<h1>${escapeHtml(`seed ${schedule.seed}`)}</h1>${drawn.join('')}`;
 }
 
-function failures({ failed }: RoundResult): number {
+function countFailures({ failed }: RoundResult): number {
   return Object.values(failed).reduce((sum, count) => sum + count, 0);
 }
 
-function failedShare(round: RoundResult): number {
-  return round.statements === 0 ? 0 : failures(round) / round.statements;
+function failedFraction(round: RoundResult): number {
+  return round.statements === 0 ? 0 : countFailures(round) / round.statements;
 }
 
-function percent(share: number): string {
+function formatPercent(share: number): string {
   return `${(share * PERCENT).toFixed(1)} %`;
 }
--- a/bench/soak/regressions.ts
+++ b/bench/soak/regressions.ts
@@ -1,9 +1,9 @@
-/** Seeds that ever failed, each with its cause and the commit that mended it. */
+/** A seed that failed, with its cause and the commit that fixed it. */
 export interface Regression {
   readonly seed: number;
   readonly found: string;
   readonly cause: string;
-  /** First line of the commit; undefined while it is open. */
+  /** Subject line of the commit; undefined while the fault is open. */
   readonly mendedBy: string | undefined;
 }
 
--- a/bench/soak/round.ts
+++ b/bench/soak/round.ts
@@ -1,4 +1,4 @@
-/** One round of the soak: a cluster of real processes, load, the faults of one seed, and the checks. */
+/** One round of the soak: a cluster of real processes with load, the faults of one seed, and the checks. */
 import { setTimeout as pause } from 'node:timers/promises';
 import type { Milliseconds } from '../../src/core/units.js';
 import { monotonicMs } from '../../standins/direct/monotonic.js';
@@ -15,54 +15,54 @@
 import { until } from '../../test/support/until.js';
 import { startClients } from './clients.js';
 import { ConditionLog } from './conditions.js';
-import { FIRST_ROUTES, OperatorConfiguration, SERVICE_FLAGS } from './configuration.js';
+import { INITIAL_ROUTES, OperatorConfiguration, SERVICE_FLAGS } from './configuration.js';
 import { FaultInjector } from './faults.js';
 import { Operator } from './operator.js';
 import { isPlannedWork } from './planned-schedule.js';
 import type { PlannedFault, Schedule } from './schedule.js';
-import { plotsOf, type RoundPlots } from './series.js';
+import { createPlots, type RoundPlots } from './series.js';
 
-/** Faults are drawn within this time. */
+/** Period within which all faults of a round take place. */
 export const FAULT_SPAN_MS: Milliseconds = 8000;
-const GATEWAYS = 5;
-/** Each client must succeed again within so long after the last fault has ended. */
-const RECOVERY_MS: Milliseconds = 15_000;
-const AFTER_RECOVERY = 3;
+const DEFAULT_GATEWAY_COUNT = 5;
+/** Time limit for each client to succeed again after the last fault. */
+const RECOVERY_TIMEOUT_MS: Milliseconds = 15_000;
+const REQUIRED_SUCCESSES = 3;
 const SERVICE = 'orders';
 
-/** Something that went wrong: a rule that was broken, or no service after the faults. */
+/** A violated rule, no service after the faults, or a gateway that exited on its own. */
 export type Finding =
   | { readonly type: 'violation'; readonly violation: Violation }
   | { readonly type: 'no-recovery'; readonly detail: string }
   | { readonly type: 'ended-by-itself'; readonly gateway: string; readonly how: string };
 
-/** What a round came to. */
+/** Result of a round. */
 export interface RoundResult {
   readonly schedule: Schedule;
   readonly findings: readonly Finding[];
-  /** Answers that may be missing because a gateway was paused. */
+  /** Missing answers that a pause of a gateway may explain. */
   readonly late: readonly string[];
   readonly statements: number;
   readonly failed: Readonly<Record<string, number>>;
   readonly tookMs: Milliseconds;
   readonly plots: RoundPlots;
-  /** Output of each process, oldest first, and what was seen from outside. */
+  /** Output of each gateway process, oldest first, and observations of the clients and the operator. */
   readonly logs: ReadonlyMap<string, string>;
 }
 
-/** How rounds are played. */
+/** Options of a round. */
 export interface RoundOptions {
   readonly gateways?: number | undefined;
 }
 
-/** Plays a schedule. */
-export async function playRound(
+/** Runs one round according to a schedule. */
+export async function runRound(
   schedule: Schedule,
-  { gateways = GATEWAYS }: RoundOptions = {},
+  { gateways = DEFAULT_GATEWAY_COUNT }: RoundOptions = {},
 ): Promise<RoundResult> {
   const startedAt = performance.now();
   const cluster = await DirectCluster.start({
-    ...{ gateways, cuttable: true, looksWhetherTaken: true, routes: FIRST_ROUTES },
+    ...{ gateways, cuttable: true, looksWhetherTaken: true, routes: INITIAL_ROUTES },
     gatewayFlags: schedule.hasOwners ? ['--largest-direct-fleet', '1'] : [],
     ...{ flags: SERVICE_FLAGS, keptOutput: Number.POSITIVE_INFINITY },
   });
@@ -93,47 +93,51 @@
   }
 
   async play(): Promise<Omit<RoundResult, 'schedule' | 'tookMs'>> {
-    const endWatch = this.#conditions.watchObserver();
-    const { steady, others } = startClients(this.cluster, this.schedule.seed);
+    const stopWatching = this.#conditions.watchOwnProcess();
+    const { required, optional } = startClients(this.cluster, this.schedule.seed);
     let faultsFrom = monotonicMs();
     try {
-      await Promise.all(steady.map((client) => succeedsAgain(client, 1)));
+      await Promise.all(required.map((client) => waitForSuccesses(client, 1)));
       faultsFrom = monotonicMs();
-      await this.#inject();
-      await Promise.all(steady.map((client) => succeedsAgain(client, AFTER_RECOVERY)));
-      this.#add('LOST', await this.#configuration.inForce());
+      await this.#injectFaults();
+      await Promise.all(required.map((client) => waitForSuccesses(client, REQUIRED_SUCCESSES)));
+      this.#addViolations('LOST', await this.#configuration.waitUntilInForce());
     } catch (error) {
       this.#findings.push({ type: 'no-recovery', detail: String(error) });
     }
-    // A client rejects where it met what no client may.
-    const ends = await Promise.allSettled([...steady, ...others].map((client) => client.stop()));
+    // A client rejects if it observed something that no client may observe.
+    const ends = await Promise.allSettled(
+      [...required, ...optional].map((client) => client.stop()),
+    );
     const rejected = ends.flatMap((end) => (end.status === 'rejected' ? [String(end.reason)] : []));
-    this.#add('MIXED', rejected);
-    endWatch();
+    this.#addViolations('MIXED', rejected);
+    stopWatching();
     const endedAt = monotonicMs();
     const log = await this.cluster.platform.settledLog();
-    const late = this.#judge(log);
+    const late = this.#checkHistory(log);
     const { statements } = this.cluster.recorder;
     const { faults } = this.schedule;
     return {
       findings: this.#findings,
       late,
       statements: statements.length,
-      failed: failuresOf(statements),
-      plots: plotsOf({ faults, faultsFrom, endedAt, statements, runs: log.runs }),
-      logs: this.#logs(log),
+      failed: countErrors(statements),
+      plots: createPlots({ faults, faultsFrom, endedAt, statements, runs: log.runs }),
+      logs: this.#collectLogs(log),
     };
   }
 
-  /** Resolves once all faults have ended and all planned work is done. */
-  async #inject(): Promise<void> {
+  /** Resolves when all faults and all planned work have ended. */
+  async #injectFaults(): Promise<void> {
     const startedAt = performance.now();
     const { faults } = this.schedule;
-    const ends = await Promise.allSettled(faults.map((planned) => this.#do(planned, startedAt)));
+    const ends = await Promise.allSettled(
+      faults.map((planned) => this.#runFault(planned, startedAt)),
+    );
     for (const end of ends) if (end.status === 'rejected') throw end.reason;
   }
 
-  async #do({ atMs, forMs, fault }: PlannedFault, startedAt: Milliseconds): Promise<void> {
+  async #runFault({ atMs, forMs, fault }: PlannedFault, startedAt: Milliseconds): Promise<void> {
     await pause(Math.max(0, startedAt + atMs - performance.now()));
     const heal = isPlannedWork(fault)
       ? await this.#operator.begin(fault)
@@ -142,8 +146,8 @@
     await heal();
   }
 
-  /** Adds what breaks a rule; the answers that only may are returned. */
-  #judge(log: DirectLog): readonly string[] {
+  /** Adds the violations to the findings; returns the missing answers that a pause may explain. */
+  #checkHistory(log: DirectLog): readonly string[] {
     const { statements } = this.cluster.recorder;
     const { conditions } = this.#conditions;
     const owed = checkOwedAnswers(statements, log.runs, conditions);
@@ -164,35 +168,35 @@
     return owed.late;
   }
 
-  #add(rule: Rule, details: readonly string[]): void {
+  #addViolations(rule: Rule, details: readonly string[]): void {
     for (const detail of details) {
       this.#findings.push({ type: 'violation', violation: { rule, detail } });
     }
   }
 
-  /** What each gateway wrote, and what the clients and the operator saw. */
-  #logs(log: DirectLog): ReadonlyMap<string, string> {
+  /** Output of each gateway process, and observations of the clients and the operator. */
+  #collectLogs(log: DirectLog): ReadonlyMap<string, string> {
     const outputs = this.cluster.lives.map(
       ({ name, output }, life) => [`${name}-life-${life + 1}`, output()] as const,
     );
     const lost = this.cluster.recorder.statements.filter((one) => one.lost !== undefined);
     const ids = new Set(lost.map(({ id }) => id));
     const runs = log.runs.filter(({ id }) => ids.has(id));
-    const seen = { lost, runs, stops: this.#operator.stops, ...this.#conditions.conditions };
-    return new Map([...outputs, ['observed', JSON.stringify(seen, null, 1)]]);
+    const observed = { lost, runs, stops: this.#operator.stops, ...this.#conditions.conditions };
+    return new Map([...outputs, ['observed', JSON.stringify(observed, null, 1)]]);
   }
 }
 
-function failuresOf(statements: readonly ClientStatement[]): Readonly<Record<string, number>> {
+function countErrors(statements: readonly ClientStatement[]): Readonly<Record<string, number>> {
   const failed: Record<string, number> = {};
   for (const { error } of statements) if (error) failed[error] = (failed[error] ?? 0) + 1;
   return failed;
 }
 
-/** Every client must be served, at each gateway and on each kind of route. */
-async function succeedsAgain(client: LoadClient, count: number): Promise<void> {
+/** Waits until the client has succeeded `count` more times. */
+async function waitForSuccesses(client: LoadClient, count: number): Promise<void> {
   const total = (): number => client.done.reads + client.done.writes + client.done.transactions;
-  const wanted = total() + count;
+  const requiredTotal = total() + count;
   const what = `${client.database} is served again: ${JSON.stringify(client.errors)}`;
-  await until(what, () => total() >= wanted, RECOVERY_MS);
+  await until(what, () => total() >= requiredTotal, RECOVERY_TIMEOUT_MS);
 }
--- a/bench/soak/schedule.ts
+++ b/bench/soak/schedule.ts
@@ -1,9 +1,9 @@
-/** Which faults a round injects, and when: all of it follows from the seed. */
+/** Faults of a round and their times, all determined by the seed. */
 import type { Milliseconds } from '../../src/core/units.js';
-import { type Draw, pick, whole } from './draw.js';
-import { DRAWN_WORK, PLANNED_KINDS, type PlannedWork } from './planned-schedule.js';
+import { type Draw, drawInteger, pick } from './draw.js';
+import { PLANNED_KINDS, PLANNED_WORK_GENERATORS, type PlannedWork } from './planned-schedule.js';
 
-/** An unplanned fault, and what it is done to; `gateway` and `instance` are numbers, taken modulo how many there are. */
+/** An unplanned fault and its target; `gateway` and `instance` are numbers modulo their count. */
 export type Disruption =
   | { readonly kind: 'kill' | 'pause' | 'cut-from-store'; readonly gateway: number }
   | { readonly kind: 'slow-store-link' | 'reset-store-link'; readonly gateway: number }
@@ -25,17 +25,17 @@
 /** A disruption of this kind. */
 export type DisruptionOf<Kind extends DisruptionKind> = Disruption & { readonly kind: Kind };
 
-/** Whatever is done to the cluster, planned or not. */
+/** An unplanned fault or planned work. */
 export type Fault = Disruption | PlannedWork;
 
-/** A fault from `atMs` on, for so long; both from the start of the faults. */
+/** A fault, its start (after the start of the first possible fault) and its duration. */
 export interface PlannedFault {
   readonly atMs: Milliseconds;
   readonly forMs: Milliseconds;
   readonly fault: Fault;
 }
 
-/** What one round does. */
+/** The faults of one round. */
 export interface Schedule {
   readonly seed: number;
   /** Gateways reach instances through owners. */
@@ -43,35 +43,39 @@
   readonly faults: readonly PlannedFault[];
 }
 
-/** A generator's first numbers are alike for seeds that lie near each other. */
-const MIXING_DRAWS = 16;
-/** How many of each there are in a round. */
-const DISRUPTIONS = { fewest: 2, most: 5 } as const;
-const PLANNED_WORK = { fewest: 3, most: 8 } as const;
-/** Shares of the rounds: planned work alone, unplanned faults alone; both in all others. */
-const PLANNED_ONLY_SHARE = 0.45;
-const UNPLANNED_ONLY_SHARE = 0.15;
-const STORE_RETURNS = { fewest: 1, most: 2 } as const;
-const OLDEST_COPY_MS: Milliseconds = 10_000;
-const LONGEST_ABSENCE_MS: Milliseconds = 3000;
-/** The operator writes again what is gone within so long. */
-export const WRITTEN_AGAIN_MS: Milliseconds = 1000;
-const SHORTEST_MS: Milliseconds = 300;
-const LONGEST_MS: Milliseconds = 3500;
+/** Draws discarded at the start, since the first numbers of a generator are similar for close seeds. */
+const DISCARDED_DRAWS = 16;
+/** Number of faults of each sort in a round. */
+const DISRUPTION_COUNT = { min: 2, max: 5 } as const;
+const PLANNED_WORK_COUNT = { min: 3, max: 8 } as const;
+/** Fractions of rounds with planned work only and unplanned faults only; other rounds have both. */
+const PLANNED_ONLY_FRACTION = 0.45;
+const UNPLANNED_ONLY_FRACTION = 0.15;
+const STORE_RETURN_COUNT = { min: 1, max: 2 } as const;
+const MAX_BACKUP_AGE_MS: Milliseconds = 10_000;
+const MAX_STORE_OUTAGE_MS: Milliseconds = 3000;
+/** Time limit for the operator to write again the records that a restore has lost. */
+export const MAX_REWRITE_MS: Milliseconds = 1000;
+const MIN_FAULT_DURATION_MS: Milliseconds = 300;
+const MAX_FAULT_DURATION_MS: Milliseconds = 3500;
 
-/** Drawn where a round asks for them: seeds that ever failed stay what they were. */
-type AskedKind = 'store-returns';
+/** Kinds that are drawn only on request, so that schedules of stored seeds stay the same. */
+type OptInKind = 'store-returns';
 
-/** How each other kind is drawn. */
-const DRAWN: {
-  readonly [Kind in Exclude<DisruptionKind, AskedKind>]: (draw: Draw) => DisruptionOf<Kind>;
+/** Draws faults of each other kind. Stored seeds depend on the order of the keys. */
+const DISRUPTION_GENERATORS: {
+  readonly [Kind in Exclude<DisruptionKind, OptInKind>]: (draw: Draw) => DisruptionOf<Kind>;
 } = {
-  kill: (draw) => ({ kind: 'kill', gateway: whole(draw) }),
-  pause: (draw) => ({ kind: 'pause', gateway: whole(draw) }),
-  'cut-from-store': (draw) => ({ kind: 'cut-from-store', gateway: whole(draw) }),
-  'slow-store-link': (draw) => ({ kind: 'slow-store-link', gateway: whole(draw) }),
-  'reset-store-link': (draw) => ({ kind: 'reset-store-link', gateway: whole(draw) }),
-  'kill-many': (draw) => ({ kind: 'kill-many', gateway: whole(draw), count: 2 + whole(draw, 2) }),
+  kill: (draw) => ({ kind: 'kill', gateway: drawInteger(draw) }),
+  pause: (draw) => ({ kind: 'pause', gateway: drawInteger(draw) }),
+  'cut-from-store': (draw) => ({ kind: 'cut-from-store', gateway: drawInteger(draw) }),
+  'slow-store-link': (draw) => ({ kind: 'slow-store-link', gateway: drawInteger(draw) }),
+  'reset-store-link': (draw) => ({ kind: 'reset-store-link', gateway: drawInteger(draw) }),
+  'kill-many': (draw) => ({
+    kind: 'kill-many',
+    gateway: drawInteger(draw),
+    count: 2 + drawInteger(draw, 2),
+  }),
   'kill-leader': () => ({ kind: 'kill-leader' }),
   'publish-kill-all': () => ({ kind: 'publish-kill-all' }),
   'store-down': (draw) => ({
@@ -88,50 +92,62 @@
   'primary-cut': () => ({ kind: 'primary-cut' }),
   'primary-loses-answers': (draw) => ({
     kind: 'primary-loses-answers',
-    count: 1 + whole(draw, 20),
+    count: 1 + drawInteger(draw, 20),
   }),
-  'replica-deaf': (draw) => ({ kind: 'replica-deaf', instance: whole(draw) }),
-  'replica-behind': (draw) => ({ kind: 'replica-behind', instance: whole(draw) }),
-  'replica-fails': (draw) => ({ kind: 'replica-fails', instance: whole(draw) }),
+  'replica-deaf': (draw) => ({ kind: 'replica-deaf', instance: drawInteger(draw) }),
+  'replica-behind': (draw) => ({ kind: 'replica-behind', instance: drawInteger(draw) }),
+  'replica-fails': (draw) => ({ kind: 'replica-fails', instance: drawInteger(draw) }),
 };
 const LOSE_MODES = ['done', 'late', 'dropped'] as const;
 /** Every kind of unplanned fault. */
-export const DISRUPTION_KINDS = Object.keys(DRAWN) as readonly Exclude<DisruptionKind, AskedKind>[];
+export const DISRUPTION_KINDS = Object.keys(DISRUPTION_GENERATORS) as readonly Exclude<
+  DisruptionKind,
+  OptInKind
+>[];
 
 /** The schedule of a seed, within `spanMs`. */
 export function drawSchedule(seed: number, draw: Draw, spanMs: Milliseconds): Schedule {
-  for (let number = 0; number < MIXING_DRAWS; number += 1) draw();
+  for (let number = 0; number < DISCARDED_DRAWS; number += 1) draw();
   const hasOwners = draw() < 0.5;
-  const mix = draw();
-  const isPlannedOnly = mix < PLANNED_ONLY_SHARE;
-  const isUnplannedOnly = mix >= 1 - UNPLANNED_ONLY_SHARE;
-  const planned = isUnplannedOnly ? 0 : between(draw, PLANNED_WORK);
-  const unplanned = isPlannedOnly ? 0 : between(draw, DISRUPTIONS);
+  const kindDraw = draw();
+  const isPlannedOnly = kindDraw < PLANNED_ONLY_FRACTION;
+  const isUnplannedOnly = kindDraw >= 1 - UNPLANNED_ONLY_FRACTION;
+  const planned = isUnplannedOnly ? 0 : drawBetween(draw, PLANNED_WORK_COUNT);
+  const unplanned = isPlannedOnly ? 0 : drawBetween(draw, DISRUPTION_COUNT);
   const faults = [
-    ...Array.from({ length: planned }, () => DRAWN_WORK[pick(draw, PLANNED_KINDS)](draw)),
-    ...Array.from({ length: unplanned }, () => DRAWN[pick(draw, DISRUPTION_KINDS)](draw)),
-  ].map((fault) => place(draw, fault, spanMs));
+    ...Array.from({ length: planned }, () =>
+      PLANNED_WORK_GENERATORS[pick(draw, PLANNED_KINDS)](draw),
+    ),
+    ...Array.from({ length: unplanned }, () =>
+      DISRUPTION_GENERATORS[pick(draw, DISRUPTION_KINDS)](draw),
+    ),
+  ].map((fault) => placeInTime(draw, fault, spanMs));
   return { seed, hasOwners, faults: faults.sort((left, right) => left.atMs - right.atMs) };
 }
 
-/** The same with returns of the store from a copy beside all else. */
+/** Adds restores of the store from a backup to a schedule. */
 export function withStoreReturns(schedule: Schedule, draw: Draw, spanMs: Milliseconds): Schedule {
-  const returns = Array.from({ length: between(draw, STORE_RETURNS) }, (): PlannedFault => {
-    const ageMs = Math.round(OLDEST_COPY_MS * draw());
-    const awayMs = Math.round(LONGEST_ABSENCE_MS * draw() * draw());
-    const forMs = awayMs + WRITTEN_AGAIN_MS;
-    const atMs = Math.round(draw() * (spanMs - forMs));
-    return { atMs, forMs, fault: { kind: 'store-returns', ageMs, awayMs } };
-  });
+  const returns = Array.from(
+    { length: drawBetween(draw, STORE_RETURN_COUNT) },
+    (): PlannedFault => {
+      const ageMs = Math.round(MAX_BACKUP_AGE_MS * draw());
+      const awayMs = Math.round(MAX_STORE_OUTAGE_MS * draw() * draw());
+      const forMs = awayMs + MAX_REWRITE_MS;
+      const atMs = Math.round(draw() * (spanMs - forMs));
+      return { atMs, forMs, fault: { kind: 'store-returns', ageMs, awayMs } };
+    },
+  );
   const faults = [...schedule.faults, ...returns];
   return { ...schedule, faults: faults.sort((left, right) => left.atMs - right.atMs) };
 }
 
-function between(draw: Draw, { fewest, most }: { fewest: number; most: number }): number {
-  return fewest + whole(draw, most - fewest + 1);
+function drawBetween(draw: Draw, { min, max }: { min: number; max: number }): number {
+  return min + drawInteger(draw, max - min + 1);
 }
 
-function place(draw: Draw, fault: Fault, spanMs: Milliseconds): PlannedFault {
-  const forMs = Math.round(SHORTEST_MS + draw() * (LONGEST_MS - SHORTEST_MS));
+function placeInTime(draw: Draw, fault: Fault, spanMs: Milliseconds): PlannedFault {
+  const forMs = Math.round(
+    MIN_FAULT_DURATION_MS + draw() * (MAX_FAULT_DURATION_MS - MIN_FAULT_DURATION_MS),
+  );
   return { atMs: Math.round(draw() * (spanMs - forMs)), forMs, fault };
 }
--- a/bench/soak/series.ts
+++ b/bench/soak/series.ts
@@ -1,4 +1,4 @@
-/** The rows behind the plots of a round: what its clients were told, and what the instances ran. Pure. */
+/** Data of the plots of a round: results of the clients, and statements run by the instances. No I/O. */
 import type { RunRecord } from '../../standins/direct/run-log.js';
 import { type ClientStatement, isDone } from '../../test/support/direct-history.js';
 import { groupBy } from '../history/group-by.js';
@@ -7,27 +7,27 @@
 import type { PlannedFault } from './schedule.js';
 
 const MS_PER_SECOND = 1000;
-const STRETCH_MS = 500;
+const INTERVAL_MS = 500;
 const PERCENTILES = { p50: 0.5, p99: 0.99 } as const;
 
-/** A statement as far as the plots need it. */
+/** The fields of a statement that the plots use. */
 export type PlottedStatement = Pick<
   ClientStatement,
   'id' | 'kind' | 'routeType' | 'sentAt' | 'answeredAt' | 'error'
 >;
 
-/** Everything that the plots of one round show. */
+/** Data of the plots of one round. */
 export interface RoundPlots {
   readonly seconds: number;
   readonly faults: readonly FaultBand[];
   readonly service: readonly ServicePoint[];
   readonly latency: readonly LatencyPoint[];
   readonly load: readonly LevelPoint[];
-  /** Runs at instances for each statement that was asked. */
+  /** Runs at instances per statement sent. */
   readonly amplification: number;
 }
 
-/** What a round leaves behind; times are of the machine's monotonic clock. */
+/** Record of a round; times are of the machine's monotonic clock. */
 export interface RoundHistory {
   readonly faults: readonly PlannedFault[];
   readonly faultsFrom: number;
@@ -36,8 +36,8 @@
   readonly runs: readonly Pick<RunRecord, 'startedAt'>[];
 }
 
-/** The plots of a round, from its first statement on. */
-export function plotsOf(history: RoundHistory): RoundPlots {
+/** Data of the plots of a round, starting at its first statement. */
+export function createPlots(history: RoundHistory): RoundPlots {
   const { faults, faultsFrom, endedAt, statements, runs } = history;
   const startedAt = statements[0]?.sentAt ?? faultsFrom;
   return {
@@ -50,32 +50,32 @@
   };
 }
 
-/** Share of the statements sent in each stretch that were answered without an error. */
+/** Fraction of the statements sent in each interval that were answered without an error. */
 export function servicePoints(
   statements: readonly PlottedStatement[],
   startedAt: number,
 ): readonly ServicePoint[] {
-  return byRouteAndStretch(statements, startedAt, (second, kind, members) => {
+  return pointsByRouteAndInterval(statements, startedAt, (second, kind, members) => {
     const done = members.filter(isDone).length;
     return [{ second, kind, served: done / members.length }];
   });
 }
 
-/** Time to the answer of statements that were done. */
+/** Latency of successful statements. */
 export function latencyPoints(
   statements: readonly PlottedStatement[],
   startedAt: number,
 ): readonly LatencyPoint[] {
-  return byRouteAndStretch(statements.filter(isDone), startedAt, (second, kind, members) => {
+  return pointsByRouteAndInterval(statements.filter(isDone), startedAt, (second, kind, members) => {
     const sorted = members.map(latencyOf).sort((left, right) => left - right);
-    return Object.entries(PERCENTILES).map(([name, wanted]) => {
+    return Object.entries(PERCENTILES).map(([name, fraction]) => {
       const percentile = name as keyof typeof PERCENTILES;
-      return { second, kind, percentile, latencyMs: quantile(sorted, wanted) };
+      return { second, kind, percentile, latencyMs: quantile(sorted, fraction) };
     });
   });
 }
 
-/** Reads, writes and commits: sent by clients, and run by instances. */
+/** Rates of reads, writes and commits: sent by clients, and run by instances. */
 export function loadPoints(
   statements: readonly PlottedStatement[],
   runs: readonly Pick<RunRecord, 'startedAt'>[],
@@ -86,7 +86,7 @@
   return [...ratePoints('sent by clients', asked, startedAt), ...ratePoints('run', ran, startedAt)];
 }
 
-/** Runs at instances for each statement that was asked; above 1 where statements were run again. */
+/** Runs at instances per statement sent; above 1 if statements were retried. */
 export function amplification(
   statements: readonly PlottedStatement[],
   runs: readonly unknown[],
@@ -95,7 +95,7 @@
   return asked === 0 ? 0 : runs.length / asked;
 }
 
-/** A band for each fault, on the axis of the round. */
+/** A band for each fault on the time axis of the round. */
 export function faultBands(
   faults: readonly PlannedFault[],
   faultsFrom: number,
@@ -108,26 +108,26 @@
 }
 
 function ratePoints(measure: string, times: readonly number[], startedAt: number): LevelPoint[] {
-  const stretches = groupBy(times, (at) => stretchOf(at, startedAt));
-  return [...stretches].map(([second, members]) => ({
-    ...{ second, measure, value: members.length * (MS_PER_SECOND / STRETCH_MS) },
+  const intervals = groupBy(times, (at) => intervalStartOf(at, startedAt));
+  return [...intervals].map(([second, members]) => ({
+    ...{ second, measure, value: members.length * (MS_PER_SECOND / INTERVAL_MS) },
   }));
 }
 
-function byRouteAndStretch<Point>(
+function pointsByRouteAndInterval<Point>(
   statements: readonly PlottedStatement[],
   startedAt: number,
   pointsOf: (second: number, kind: string, members: readonly PlottedStatement[]) => Point[],
 ): Point[] {
   const routes = groupBy(statements, ({ routeType }) => routeType);
   return [...routes].flatMap(([kind, ofRoute]) => {
-    const stretches = groupBy(ofRoute, ({ sentAt }) => stretchOf(sentAt, startedAt));
-    return [...stretches].flatMap(([second, members]) => pointsOf(second, kind, members));
+    const intervals = groupBy(ofRoute, ({ sentAt }) => intervalStartOf(sentAt, startedAt));
+    return [...intervals].flatMap(([second, members]) => pointsOf(second, kind, members));
   });
 }
 
-function stretchOf(at: number, startedAt: number): number {
-  return (Math.floor((at - startedAt) / STRETCH_MS) * STRETCH_MS) / MS_PER_SECOND;
+function intervalStartOf(at: number, startedAt: number): number {
+  return (Math.floor((at - startedAt) / INTERVAL_MS) * INTERVAL_MS) / MS_PER_SECOND;
 }
 
 function latencyOf({ sentAt, answeredAt }: PlottedStatement): number {
--- a/test/integration/direct/soak.test.ts
+++ b/test/integration/direct/soak.test.ts
@@ -1,7 +1,7 @@
 /** A few rounds of the soak, each with planned work: signals, stops and configurations in series. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { FAULT_SPAN_MS, playRound } from '../../../bench/soak/round.js';
+import { FAULT_SPAN_MS, runRound } from '../../../bench/soak/round.js';
 import { drawSchedule } from '../../../bench/soak/schedule.js';
 import { seededRandom } from '../../support/random.js';
 
@@ -14,7 +14,7 @@
 
 for (const { seed, what } of ROUNDS) {
   test(`${what}: no rule is broken`, async () => {
-    const { findings, statements } = await playRound(
+    const { findings, statements } = await runRound(
       drawSchedule(seed, seededRandom(seed), FAULT_SPAN_MS),
     );
     assert.equal(findings, []);
--- a/test/unit/bench/soak-page.test.ts
+++ b/test/unit/bench/soak-page.test.ts
@@ -1,9 +1,9 @@
 /** Plots and page of a soak, from what clients were told. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { renderSoakPage, worthPlotting } from '../../../bench/soak/page.js';
+import { renderSoakPage, selectRoundsToPlot } from '../../../bench/soak/page.js';
 import type { RoundResult } from '../../../bench/soak/round.js';
-import { type PlottedStatement, plotsOf } from '../../../bench/soak/series.js';
+import { createPlots, type PlottedStatement } from '../../../bench/soak/series.js';
 
 const START = 50_000;
 const FAULTS_FROM = START + 1000;
@@ -17,7 +17,7 @@
 const STATEMENTS = [statement(0, 10), statement(100, 20), statement(600, 30, 'BUSY')];
 const RUNS = [{ startedAt: START + 1 }, { startedAt: START + 101 }, { startedAt: START + 102 }];
 
-const PLOTS = plotsOf({
+const PLOTS = createPlots({
   ...{ faults: [FAULT], faultsFrom: FAULTS_FROM, endedAt: START + 4200 },
   ...{ statements: STATEMENTS, runs: RUNS },
 });
@@ -64,7 +64,7 @@
 test('rounds with findings come first, and all of them; then those that served least', () => {
   const finding = { type: 'no-recovery', detail: 'none' } as const;
   const quiet = Array.from({ length: 8 }, (_, index) => round(index, index));
-  const shown = worthPlotting([...quiet, round(99, 1, [finding])]);
+  const shown = selectRoundsToPlot([...quiet, round(99, 1, [finding])]);
   assert.equal(
     shown.map(({ schedule }) => schedule.seed),
     [99, 7, 6, 5, 4, 3],
