--- a/bench/harness/child-process.ts
+++ b/bench/harness/child-process.ts
@@ -1,6 +1,6 @@
 /**
  * Spawns a process of this repository, reads the JSON object on its first line of stdout, and ends
- * it. The child ends with its stdin, so none outlives the harness, however that ends.
+ * the process. A child exits when its stdin closes, so that none outlives the harness.
  */
 import { type ChildProcess, spawn } from 'node:child_process';
 import { createInterface } from 'node:readline';
@@ -9,27 +9,27 @@
 import { MeadowstackError } from '../../src/core/errors.js';
 
 const START_TIMEOUT_MS = 20_000;
-const KEPT_STDERR_CHARACTERS = 4000;
+const MAX_STDERR_CHARACTERS = 4000;
 
-/** A child did not start, or its first line is not as expected. */
+/** A child did not start, or its first line is invalid. */
 export class ChildStartError extends MeadowstackError {
   readonly code = 'MS-HARNESS-CHILD';
 }
 
-/** A child process that has announced itself. */
+/** A child process whose first line has been read. */
 export interface StartedChild<Announcement> {
   readonly pid: number;
   readonly announcement: Announcement;
   readonly process: ChildProcess;
-  /** Closes its stdin and resolves when it has ended. */
+  /** Closes its stdin and resolves when it has exited. */
   stop(): Promise<void>;
-  /** Ends it with a signal and resolves when it has ended. */
+  /** Sends it a signal and resolves when it has exited. */
   kill(signal?: NodeJS.Signals): Promise<void>;
 }
 
 /**
  * Starts `dist/<modulePath>` under node.
- * @throws ChildStartError (as a rejection) if it ends or stays silent before its first line.
+ * @throws ChildStartError (as a rejection) if it exits or times out before its first line.
  */
 export async function startChild<Schema extends z.ZodType>(
   modulePath: string,
@@ -40,14 +40,14 @@
   const child = spawn(process.execPath, ['--enable-source-maps', path, ...flags], {
     stdio: ['pipe', 'pipe', 'pipe'],
   });
-  const ended = new Promise<void>((resolve) => child.once('exit', () => resolve()));
+  const exited = new Promise<void>((resolve) => child.once('exit', () => resolve()));
   const stop = (): Promise<void> => {
     child.stdin.end();
-    return ended;
+    return exited;
   };
   const kill = (signal: NodeJS.Signals = 'SIGKILL'): Promise<void> => {
     child.kill(signal);
-    return ended;
+    return exited;
   };
   child.stdin.on('error', () => {});
   try {
@@ -56,7 +56,7 @@
   } catch (cause) {
     await kill();
     if (cause instanceof ChildStartError) throw cause;
-    throw new ChildStartError(`${modulePath} announced itself wrongly`, { cause });
+    throw new ChildStartError(`the first line of ${modulePath} is invalid`, { cause });
   }
 }
 
@@ -65,12 +65,12 @@
   if (stdout === null || stderr === null) throw new ChildStartError(`${name} has no pipes`);
   let errors = '';
   stderr.on('data', (chunk: Buffer) => {
-    errors = (errors + chunk.toString()).slice(-KEPT_STDERR_CHARACTERS);
+    errors = (errors + chunk.toString()).slice(-MAX_STDERR_CHARACTERS);
   });
   return new Promise((resolve, reject) => {
     const fail = (reason: string): void => reject(new ChildStartError(`${name}: ${reason}`));
-    const silent = (): void => fail(`silent for ${START_TIMEOUT_MS} ms: ${errors}`);
-    const timer = setTimeout(silent, START_TIMEOUT_MS);
+    const failAsSilent = (): void => fail(`no output within ${START_TIMEOUT_MS} ms: ${errors}`);
+    const timer = setTimeout(failAsSilent, START_TIMEOUT_MS);
     const lines = createInterface({ input: stdout });
     lines.once('line', (line) => {
       clearTimeout(timer);
@@ -79,7 +79,7 @@
     child.once('error', (error) => fail(error.message));
     child.once('exit', (code) => {
       clearTimeout(timer);
-      fail(`ended with code ${code}: ${errors}`);
+      fail(`exited with code ${code}: ${errors}`);
     });
   });
 }
--- a/bench/harness/cluster.ts
+++ b/bench/harness/cluster.ts
@@ -1,6 +1,6 @@
 /**
- * A whole cluster of real processes on loopback: store, machine list, database groups, fault proxy
- * in front of every instance, and proxies; with templates and tenants published.
+ * A complete cluster of real processes on loopback: store, machine list, database groups, a fault
+ * proxy in front of all instances, and proxies, with templates and tenants published.
  */
 import { randomBytes, randomUUID } from 'node:crypto';
 import { parseDeclarations } from '../../src/core/configuration/declaration.js';
@@ -26,10 +26,10 @@
 
 const LOOPBACK = '127.0.0.1';
 const SECRET_BYTES = 32;
-/** Password of every role on the back ends. */
+/** Password of all roles on the back ends. */
 export const BACKEND_PASSWORD = 'backend-password';
 
-/** The cluster could not be set up. */
+/** The cluster could not be started, or has no part with a given name. */
 export class ClusterError extends MeadowstackError {
   readonly code = 'MS-HARNESS-CLUSTER';
 }
@@ -45,9 +45,9 @@
 export interface ClusterTenant {
   readonly name: string;
   readonly password: string;
-  /** Database names; each is also the group's name. */
+  /** Database names; each is also the name of its group. */
   readonly databases: readonly string[];
-  /** YAML of the tenant's `parameters`, indented by two; may be empty. */
+  /** YAML of further `parameters`, indented by two spaces; may be empty. */
   readonly parameters?: string;
   readonly template: string;
 }
@@ -57,7 +57,7 @@
   readonly zone: string;
 }
 
-/** Where callers reach a proxy. */
+/** Address at which callers reach a proxy. */
 export interface CallerAddress {
   readonly name: string;
   readonly host: string;
@@ -73,14 +73,14 @@
   /** One-way latency in ms of the route to an instance. */
   readonly instanceLatencyMs?: number;
   /**
-   * One-way latency in ms between callers and proxies. If given (also as 0), callers connect through
-   * routes of a fault proxy of their own, whose addresses stay when a proxy is replaced.
+   * One-way latency in ms between callers and proxies. If defined (even 0), callers connect through a
+   * second fault proxy, whose addresses stay the same when a proxy is replaced.
    */
   readonly callerLatencyMs?: number;
   readonly proxyFlags?: readonly string[];
-  /** Proxies reach the instances without the fault proxy in between: for measuring overhead. */
-  readonly withoutFaultProxy?: boolean;
-  /** Told of each part that is up. */
+  /** Proxies connect to the instances directly instead of through the fault proxy, to measure overhead. */
+  readonly bypassesFaultProxy?: boolean;
+  /** Called with a message when a part of the cluster has started. */
   readonly onStep?: (step: string) => void;
 }
 
@@ -96,7 +96,7 @@
     readonly store: RunningStore,
     readonly machines: RunningMachines,
     readonly faults: RunningFaultProxy,
-    /** Routes between callers and proxies, by node id; undefined if callers connect directly. */
+    /** Fault proxy with a route for each node id; undefined if callers connect directly. */
     readonly callerFaults: RunningFaultProxy | undefined,
   ) {
     this.#options = options;
@@ -124,7 +124,7 @@
     }
   }
 
-  /** Publishes YAML documents with fresh expectations. */
+  /** Publishes YAML documents without expected revisions; returns the revision. */
   async publishTexts(texts: readonly string[]): Promise<number> {
     const client = new StoreClient({
       ...DEFAULT_STORE_CLIENT_OPTIONS,
@@ -133,19 +133,19 @@
     });
     const publisher = new Publisher({ store: client, random: Math.random, wait: pause });
     try {
-      return await publishWith(publisher, texts);
+      return await publishDeclarations(publisher, texts);
     } finally {
       client.close();
     }
   }
 
-  /** Where callers connect to, in the order of the proxies' names. */
+  /** Addresses for callers, sorted by name of the proxy. */
   get callerAddresses(): readonly CallerAddress[] {
     const addresses = [...this.#callerAddresses.values()];
     return addresses.sort((left, right) => left.name.localeCompare(right.name));
   }
 
-  /** Starts a proxy, or its replacement under the same node id, and lists it as a machine. */
+  /** Starts a proxy, or its replacement with the same node id, and adds it to the machine list. */
   async startProxy(proxy: ClusterProxy): Promise<RunningProxy> {
     const running = await startProxy({
       ...proxy,
@@ -153,7 +153,7 @@
       machinesPort: this.machines.port,
       sessionKeyHex: this.#sessionKeyHex,
       backendPassword: BACKEND_PASSWORD,
-      extra: this.#options.proxyFlags ?? [],
+      extraFlags: this.#options.proxyFlags ?? [],
     });
     this.#options.onStep?.(`${proxy.nodeId} serves`);
     this.proxies.set(proxy.nodeId, running);
@@ -181,7 +181,7 @@
     return group;
   }
 
-  /** Ends every process. */
+  /** Ends all processes. */
   async stop(): Promise<void> {
     await Promise.all([...this.proxies.values()].map((proxy) => proxy.kill()));
     await Promise.all([
@@ -217,7 +217,7 @@
     this.groups.set(options.group, group);
     this.#options.onStep?.(`group ${options.group} is up`);
     for (const instance of group.instances) {
-      const address = await this.#routeTo(instance);
+      const address = await this.#addInstanceRoute(instance);
       await this.machines.upsert({
         role: 'database',
         name: instance.name,
@@ -232,9 +232,11 @@
     }
   }
 
-  /** Where the proxies find an instance. */
-  async #routeTo(instance: DatabaseInstanceHandle): Promise<{ host: string; port: number }> {
-    if (this.#options.withoutFaultProxy === true) {
+  /** Adds the route to an instance; returns the address that proxies connect to. */
+  async #addInstanceRoute(
+    instance: DatabaseInstanceHandle,
+  ): Promise<{ host: string; port: number }> {
+    if (this.#options.bypassesFaultProxy === true) {
       return { host: instance.host, port: instance.pgPort };
     }
     const route = await this.faults.addRoute({
@@ -251,7 +253,7 @@
   }
 }
 
-/** The tenant's declaration. */
+/** YAML of the tenant's declaration. */
 export function tenantYaml(tenant: ClusterTenant): string {
   const databases = tenant.databases
     .map((database) => `    - { database: ${database}, group: ${database} }`)
@@ -268,7 +270,10 @@
   ].join('\n');
 }
 
-async function publishWith(publisher: Publisher, texts: readonly string[]): Promise<number> {
+async function publishDeclarations(
+  publisher: Publisher,
+  texts: readonly string[],
+): Promise<number> {
   const parsed = parseDeclarations(
     texts.map((text, index) => ({ source: `declaration-${index + 1}.yaml`, text })),
   );
--- a/bench/harness/control-client.ts
+++ b/bench/harness/control-client.ts
@@ -1,8 +1,8 @@
-/** Calls a stand-in's control port: JSON over HTTP, each answer checked by zod. */
+/** Calls a stand-in's control port: JSON over HTTP, with responses validated by zod. */
 import type { z } from 'zod';
 import { MeadowstackError } from '../../src/core/errors.js';
 
-/** A control port refused a call. */
+/** A control port returned an HTTP error status. */
 export class ControlCallError extends MeadowstackError {
   readonly code = 'MS-HARNESS-CONTROL';
 
@@ -21,7 +21,7 @@
     this.#origin = `http://${host}:${port}`;
   }
 
-  /** @throws ControlCallError (as a rejection) if the call is refused. */
+  /** @throws ControlCallError (as a rejection) if the status is an error. */
   async call<Schema extends z.ZodType>(
     method: 'GET' | 'POST' | 'DELETE',
     path: string,
--- a/bench/harness/database-group.ts
+++ b/bench/harness/database-group.ts
@@ -1,6 +1,6 @@
 /**
- * Starts a database group of stand-in instances for benches and tests, and ends it again. The
- * instances exit when this process's end of their standard input closes, so none is left behind.
+ * Starts and stops a database group of stand-in instances for benches and tests. The instances exit
+ * when their standard input closes, so that none outlives this process.
  */
 import { type ChildProcess, spawn } from 'node:child_process';
 import { once } from 'node:events';
@@ -14,7 +14,7 @@
 import type { LogEntry } from '../../standins/database/storage/commit-record.js';
 
 const MAIN_PATH = fileURLToPath(new URL('../../standins/database/main.js', import.meta.url));
-const POLL_MS = 10;
+const POLL_PERIOD_MS = 10;
 const START_TIMEOUT_MS = 30_000;
 
 export class DatabaseGroupError extends MeadowstackError {
@@ -23,9 +23,9 @@
 
 export interface DatabaseGroupOptions {
   readonly group?: string;
-  /** One instance for each zone name; default three zones `a`, `b`, `c`. */
+  /** One instance starts in each zone; default `a`, `b`, `c`. */
   readonly zones?: readonly string[];
-  /** One address for each instance, or one for all; default 127.0.0.1. */
+  /** One address per instance, or one for all; default 127.0.0.1. */
   readonly hosts?: readonly string[];
   readonly slots?: number;
   readonly maxConnections?: number;
@@ -34,7 +34,7 @@
   readonly electionTimeoutMs?: number;
   readonly heartbeatMs?: number;
   readonly seed?: number;
-  /** Comma-separated roles; default any. */
+  /** Accepted roles, separated by commas; default any. */
   readonly user?: string;
   readonly password?: string;
   readonly tls?: { readonly keyFile: string; readonly certFile: string };
@@ -50,9 +50,9 @@
   readonly pid: number;
 }
 
-export interface CommitLogAnswer {
+export interface CommitLogResponse {
   readonly entries: readonly LogEntry[];
-  /** Entries lost by a rewind. */
+  /** Entries that the instance discarded in a rewind. */
   readonly discarded: readonly LogEntry[];
 }
 
@@ -63,7 +63,7 @@
 }
 
 export class DatabaseGroup {
-  private readonly wakers = new Map<string, ChildProcess>();
+  private readonly resumers = new Map<string, ChildProcess>();
 
   constructor(private readonly running: readonly RunningInstance[]) {}
 
@@ -75,12 +75,12 @@
     return this.find(name).handle;
   }
 
-  /** Ends an instance with SIGKILL; resolves when it is gone. */
+  /** Sends SIGKILL to an instance; resolves when it has exited. */
   async kill(name: string): Promise<void> {
-    await end(this.find(name).child);
+    await killAndWait(this.find(name).child);
   }
 
-  /** Starts a killed instance again: empty, on the same ports, as a replica. */
+  /** Restarts a killed instance as an empty replica on the same ports. */
   async restart(name: string): Promise<void> {
     const instance = this.find(name);
     const { zone, pgPort, controlPort, replicationPort } = instance.handle;
@@ -96,23 +96,23 @@
     Object.assign(instance, { handle, child });
   }
 
-  /** SIGSTOP: the process keeps its sockets and answers nothing. */
+  /** Sends SIGSTOP: the process keeps its sockets open and doesn't respond. */
   pause(name: string): void {
     const { child } = this.find(name);
-    if (child.pid === undefined || this.wakers.has(name)) return;
-    this.wakers.set(name, spawnWaker(child.pid));
+    if (child.pid === undefined || this.resumers.has(name)) return;
+    this.resumers.set(name, spawnResumer(child.pid));
     child.kill('SIGSTOP');
   }
 
   resume(name: string): void {
     this.find(name).child.kill('SIGCONT');
-    this.wakers.get(name)?.stdin?.end();
-    this.wakers.delete(name);
+    this.resumers.get(name)?.stdin?.end();
+    this.resumers.delete(name);
   }
 
   async stop(): Promise<void> {
-    for (const name of [...this.wakers.keys()]) this.resume(name);
-    await Promise.all(this.running.map(({ child }) => end(child)));
+    for (const name of [...this.resumers.keys()]) this.resume(name);
+    await Promise.all(this.running.map(({ child }) => killAndWait(child)));
   }
 
   state(name: string): Promise<InstanceState> {
@@ -127,18 +127,18 @@
     return this.request(name, 'POST', '/promote', {});
   }
 
-  /** Committed transactions after the position `from` (a `pg_lsn` text). */
-  commitLog(name: string, from = '0/0'): Promise<CommitLogAnswer> {
+  /** Committed transactions after the position `from` (in `pg_lsn` format). */
+  commitLog(name: string, from = '0/0'): Promise<CommitLogResponse> {
     return this.request(name, 'GET', `/log?from=${encodeURIComponent(from)}`);
   }
 
-  /** Cuts all replication traffic between an instance and the rest, or mends it. */
+  /** Cuts or restores all replication traffic between an instance and the other instances. */
   async isolate(name: string, cut: boolean): Promise<void> {
     const others = this.running.map(({ handle }) => handle.name).filter((other) => other !== name);
     await this.setFaults(name, { cutPeers: cut ? others : [] });
   }
 
-  /** Resolves with an instance's state once it satisfies `condition`. */
+  /** Resolves with the instance's state when it satisfies `condition`. */
   async waitForState(
     name: string,
     condition: (state: InstanceState) => boolean,
@@ -146,11 +146,11 @@
     for (;;) {
       const state = await this.state(name);
       if (condition(state)) return state;
-      await delay(POLL_MS);
+      await delay(POLL_PERIOD_MS);
     }
   }
 
-  /** Resolves with the first instance that leads a timeline of at least `minTimeline`. */
+  /** Resolves with the first instance found to be primary on a timeline of at least `minTimeline`. */
   async waitForPrimary(minTimeline = 1): Promise<DatabaseInstanceHandle> {
     for (;;) {
       for (const { handle, child } of this.running) {
@@ -158,7 +158,7 @@
         const state = await this.state(handle.name);
         if (state.role === 'primary' && state.timeline >= minTimeline) return handle;
       }
-      await delay(POLL_MS);
+      await delay(POLL_PERIOD_MS);
     }
   }
 
@@ -189,22 +189,23 @@
 }
 
 /**
- * A stopped process can't see that its standard input closed. This helper sees it in its place,
- * when the harness dies or resumes the process, and lets the process run (and so end) then.
+ * A process paused by SIGSTOP doesn't notice that its standard input closed. This helper process
+ * waits for its own standard input to close, when the harness exits or resumes the paused process,
+ * and then sends SIGCONT, so that the paused process continues and can exit.
  */
-function spawnWaker(pid: number): ChildProcess {
+function spawnResumer(pid: number): ChildProcess {
   const script = 'read -r line; kill -CONT "$1"';
   return spawn('sh', ['-c', script, 'sh', String(pid)], { stdio: ['pipe', 'ignore', 'ignore'] });
 }
 
-async function end(child: ChildProcess): Promise<void> {
+async function killAndWait(child: ChildProcess): Promise<void> {
   if (child.exitCode !== null || child.signalCode !== null) return;
   const gone = once(child, 'exit');
   child.kill('SIGKILL');
   await gone;
 }
 
-function flags(
+function buildArguments(
   options: DatabaseGroupOptions,
   group: string,
   names: readonly string[],
@@ -248,14 +249,14 @@
   const [line] = await Promise.race([
     once(lines, 'line') as Promise<[string]>,
     once(child, 'exit').then(() => {
-      throw new DatabaseGroupError(`the stand-in ended at its start: ${args.join(' ')}`);
+      throw new DatabaseGroupError(`the stand-in exited during its start: ${args.join(' ')}`);
     }),
   ]);
   const ports = JSON.parse(line) as BoundPorts;
   return { handle: { ...ports, zone }, child, args };
 }
 
-/** Starts one instance a zone; the first leads. Resolves when all follow it. */
+/** Starts one instance per zone, the first as primary. Resolves when the others replicate from it. */
 export async function startDatabaseGroup(
   options: DatabaseGroupOptions = {},
 ): Promise<DatabaseGroup> {
@@ -263,13 +264,15 @@
   const zones = zonesOf(options);
   const names = zones.map((zone) => `${group}-${zone}`);
   const started = await Promise.allSettled(
-    zones.map((zone, position) => startInstance(flags(options, group, names, position), zone)),
+    zones.map((zone, position) =>
+      startInstance(buildArguments(options, group, names, position), zone),
+    ),
   );
   const running = started.flatMap((one) => (one.status === 'fulfilled' ? [one.value] : []));
   const database = new DatabaseGroup(running);
   try {
     for (const one of started) if (one.status === 'rejected') throw one.reason;
-    await wire(database);
+    await connectPeers(database);
   } catch (error) {
     await database.stop();
     throw error;
@@ -277,7 +280,7 @@
   return database;
 }
 
-async function wire(database: DatabaseGroup): Promise<void> {
+async function connectPeers(database: DatabaseGroup): Promise<void> {
   const peers = database.instances.map(({ name, host, replicationPort }) => ({
     name,
     host,
@@ -291,7 +294,7 @@
   );
   const timer = new AbortController();
   const timeout = delay(START_TIMEOUT_MS, undefined, { signal: timer.signal }).then(() => {
-    throw new DatabaseGroupError('the group did not come up');
+    throw new DatabaseGroupError('the group did not start in time');
   });
   try {
     await Promise.race([joined, timeout]);
--- a/bench/harness/platform.ts
+++ b/bench/harness/platform.ts
@@ -1,6 +1,6 @@
 /**
- * The platform's stand-ins as child processes with typed control calls: the store, the machine list
- * and the fault proxy. For benches and integration tests.
+ * Starts stand-ins of the platform as child processes for benches and integration tests: the store,
+ * the machine list and the fault proxy, each with typed control calls.
  */
 import { z } from 'zod';
 import type { Machine } from '../../src/platform/contract.js';
@@ -17,14 +17,14 @@
 const port = z.int().positive();
 const serviceAnnouncement = z.object({ host: z.string(), port, controlPort: port });
 const proxyAnnouncement = z.object({ host: z.string(), controlPort: port });
-const nothing = z.object({});
+const emptyResponse = z.object({});
 
-/** What every stand-in that runs as a child has. */
+/** A stand-in that runs as a child process. */
 export interface RunningStandin {
   readonly pid: number;
   readonly host: string;
   readonly controlPort: number;
-  /** Ends the process and resolves when it is gone. */
+  /** Ends the process and resolves when it has exited. */
   stop(): Promise<void>;
 }
 
@@ -53,13 +53,13 @@
 
 /** The store stand-in. */
 export interface RunningStore extends RunningService {
-  /** Changes the faults that are given; the others stay. */
+  /** Changes the given settings; others stay the same. */
   setFaults(settings: StoreFaultSettings): Promise<void>;
-  /** Takes all faults away. */
+  /** Ends all faults. */
   heal(): Promise<void>;
-  /** Compacts up to a revision, by default the newest. */
+  /** Compacts the store's history up to a revision, by default the latest. */
   compact(revision?: number): Promise<void>;
-  /** Makes a lease lapse now, by default all. */
+  /** Expires a lease now, by default all leases. */
   expireLeases(id?: string): Promise<void>;
   counters(): Promise<readonly StoreRequestCounter[]>;
   resetCounters(): Promise<void>;
@@ -68,7 +68,7 @@
 
 export interface StoreFlags {
   readonly port?: number;
-  /** How often watches hear of progress. */
+  /** Interval between progress notifications of watches. */
   readonly progressIntervalMs?: number;
 }
 
@@ -76,15 +76,15 @@
 export async function startStore(flags: StoreFlags = {}): Promise<RunningStore> {
   const child = await startChild(
     'standins/store/main.js',
-    flagList({ port: flags.port, 'progress-interval-ms': flags.progressIntervalMs }),
+    toArguments({ port: flags.port, 'progress-interval-ms': flags.progressIntervalMs }),
     serviceAnnouncement,
   );
-  const control = controlOf(child);
+  const control = createControlClient(child);
   const setFaults = async (settings: StoreFaultSettings): Promise<void> => {
-    await control.call('POST', '/faults', nothing, settings);
+    await control.call('POST', '/faults', emptyResponse, settings);
   };
   return {
-    ...standinOf(child),
+    ...toRunningStandin(child),
     port: child.announcement.port,
     setFaults,
     heal: () =>
@@ -96,17 +96,17 @@
         loseAnswerProbability: 0,
       }),
     compact: async (revision) => {
-      await control.call('POST', '/compact', nothing, { revision });
+      await control.call('POST', '/compact', emptyResponse, { revision });
     },
     expireLeases: async (id) => {
-      await control.call('POST', '/leases/expire', nothing, { id });
+      await control.call('POST', '/leases/expire', emptyResponse, { id });
     },
     counters: async () => {
       const schema = z.object({ counters: z.array(requestCounter) });
       return (await control.call('GET', '/counters', schema)).counters;
     },
     resetCounters: async () => {
-      await control.call('POST', '/counters/reset', nothing);
+      await control.call('POST', '/counters/reset', emptyResponse);
     },
     state: () => control.call('GET', '/state', storeState),
   };
@@ -125,9 +125,9 @@
   upsert(machine: Machine): Promise<void>;
   markLeaving(machine: MachineKey): Promise<void>;
   remove(machine: MachineKey): Promise<void>;
-  /** Makes the list claim a state whatever is true; `null` withdraws the claim. */
+  /** Makes the list report a given state instead of the true one; `null` ends this. */
   claim(machine: MachineKey, state: ClaimedState | null): Promise<void>;
-  /** Entries that each answer carries besides, as they are. */
+  /** Sets entries that each response contains in addition, unchecked. */
   setMalformed(entries: readonly unknown[]): Promise<void>;
   setLag(lagMs: number): Promise<void>;
   setFrozen(frozen: boolean): Promise<void>;
@@ -144,15 +144,15 @@
 export async function startMachines(flags: MachinesFlags = {}): Promise<RunningMachines> {
   const child = await startChild(
     'standins/machines/main.js',
-    flagList({ port: flags.port, 'lag-ms': flags.lagMs }),
+    toArguments({ port: flags.port, 'lag-ms': flags.lagMs }),
     serviceAnnouncement,
   );
-  const control = controlOf(child);
+  const control = createControlClient(child);
   const post = async (path: string, body: unknown): Promise<void> => {
-    await control.call('POST', path, nothing, body);
+    await control.call('POST', path, emptyResponse, body);
   };
   return {
-    ...standinOf(child),
+    ...toRunningStandin(child),
     port: child.announcement.port,
     upsert: (machine) => post('/machines', machine),
     markLeaving: ({ role, name }) => post('/machines/leaving', { role, name }),
@@ -191,25 +191,25 @@
 
 /** The fault proxy. */
 export interface RunningFaultProxy extends RunningStandin {
-  /** Adds a route; listen port 0 (the default) chooses one, which the answer gives. */
+  /** Adds a route. With listen port 0 (the default) a free port is chosen, which the result contains. */
   addRoute(route: RouteRequest): Promise<RouteState>;
   removeRoute(name: string): Promise<void>;
-  /** Changes the faults that are given; the others stay. */
+  /** Changes the given settings; others stay the same. */
   setFaults(name: string, settings: RouteFaultSettings): Promise<RouteState>;
-  /** A black hole both ways. */
+  /** Drops all traffic in both directions. */
   cut(name: string): Promise<RouteState>;
-  /** Takes all faults away; held bytes flow on in order. */
+  /** Ends all faults; held bytes are delivered in order. */
   heal(name: string): Promise<RouteState>;
-  /** Resets the open connections; gives their number. */
+  /** Resets the open connections; returns their number. */
   reset(name: string): Promise<number>;
-  /** Closes one side of the open connections and does not tell the other; gives their number. */
+  /** Closes one side of the open connections without notice to the other; returns their number. */
   halfOpen(name: string, closedSide: Side): Promise<number>;
   route(name: string): Promise<RouteState>;
   routes(): Promise<readonly RouteState[]>;
 }
 
 export interface FaultProxyFlags {
-  /** `precise`: latencies true to a fraction of a millisecond, for up to a core. */
+  /** `precise`: latencies accurate to a fraction of a millisecond, for up to one core of CPU time. */
   readonly timing?: 'coarse' | 'precise';
 }
 
@@ -217,10 +217,10 @@
 export async function startFaultProxy(flags: FaultProxyFlags = {}): Promise<RunningFaultProxy> {
   const child = await startChild(
     'standins/fault-proxy/main.js',
-    flagList({ timing: flags.timing }),
+    toArguments({ timing: flags.timing }),
     proxyAnnouncement,
   );
-  const control = controlOf(child);
+  const control = createControlClient(child);
   const pathOf = (name: string): string => `/routes/${encodeURIComponent(name)}`;
   const setFaults = (name: string, settings: RouteFaultSettings): Promise<RouteState> => {
     return control.call('POST', `${pathOf(name)}/faults`, routeState, settings);
@@ -230,10 +230,10 @@
     return (await control.call('POST', path, schema, body)).connections;
   };
   return {
-    ...standinOf(child),
+    ...toRunningStandin(child),
     addRoute: (route) => control.call('POST', '/routes', routeState, route),
     removeRoute: async (name) => {
-      await control.call('DELETE', pathOf(name), nothing);
+      await control.call('DELETE', pathOf(name), emptyResponse);
     },
     setFaults,
     cut: (name) => setFaults(name, { up: { cut: true }, down: { cut: true } }),
@@ -250,17 +250,17 @@
 
 type Announcement = z.output<typeof proxyAnnouncement>;
 
-function controlOf(child: StartedChild<Announcement>): ControlClient {
+function createControlClient(child: StartedChild<Announcement>): ControlClient {
   return new ControlClient(child.announcement.host, child.announcement.controlPort);
 }
 
-function standinOf(child: StartedChild<Announcement>): RunningStandin {
+function toRunningStandin(child: StartedChild<Announcement>): RunningStandin {
   const { host, controlPort } = child.announcement;
   return { pid: child.pid, host, controlPort, stop: child.stop };
 }
 
-/** Flags as arguments; those that are undefined are left out. */
-function flagList(flags: Readonly<Record<string, number | string | undefined>>): string[] {
+/** Converts flags to arguments and omits undefined ones. */
+function toArguments(flags: Readonly<Record<string, number | string | undefined>>): string[] {
   return Object.entries(flags).flatMap(([name, value]) => {
     return value === undefined ? [] : [`--${name}`, String(value)];
   });
--- a/bench/harness/proxy-process.ts
+++ b/bench/harness/proxy-process.ts
@@ -1,4 +1,4 @@
-/** Starts `meadowstack proxy` as a process and ends it: planned, at once, or paused. */
+/** Runs `meadowstack proxy` as a process that can be stopped gracefully, killed or paused. */
 import { z } from 'zod';
 import { startChild } from './child-process.js';
 
@@ -18,10 +18,10 @@
   readonly sessionKeyHex: string;
   readonly backendPassword: string;
   /** Further flags, such as `--drain-limit-ms=500`. */
-  readonly extra?: readonly string[];
+  readonly extraFlags?: readonly string[];
 }
 
-/** A proxy process that serves. */
+/** A proxy process that accepts callers. */
 export interface RunningProxy {
   readonly nodeId: string;
   readonly zone: string;
@@ -35,7 +35,7 @@
   pause(): void;
   /** SIGCONT. */
   resume(): void;
-  /** SIGTERM: a planned stop; resolves with the exit code. */
+  /** SIGTERM: a graceful shutdown; resolves with the exit code. */
   stop(): Promise<number | null>;
 }
 
@@ -57,7 +57,7 @@
       `--backend-default-password=${flags.backendPassword}`,
       '--log-level=info',
       '--stop-with-stdin',
-      ...(flags.extra ?? []),
+      ...(flags.extraFlags ?? []),
     ],
     announcementSchema,
   );
--- a/bench/overhead/targets.ts
+++ b/bench/overhead/targets.ts
@@ -57,7 +57,7 @@
       { nodeId: 'proxy-2', zone: 'b' },
     ],
     templates: TEMPLATE,
-    withoutFaultProxy: true,
+    bypassesFaultProxy: true,
     tenants: [{ ...TENANT, databases: [GROUP], template: 'overhead' }],
   });
   const primary = await cluster.group(GROUP).waitForPrimary();
