--- a/bench/dev/control-server.ts
+++ b/bench/dev/control-server.ts
@@ -2,7 +2,7 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { Deployment } from '../deployments.js';
 import type { FaultContext, InjectedFault } from '../faults/fault.js';
-import { FAULTS, faultNamed, UnknownFaultError } from '../faults/registry.js';
+import { FAULTS, findFault, UnknownFaultError } from '../faults/registry.js';
 import { NoTargetError } from '../faults/targets.js';
 import type { Cluster } from '../harness/cluster.js';
 import { createRandom } from '../load/random.js';
@@ -76,7 +76,7 @@
   }
 
   async #begin(name: string, deploymentName: string | null): Promise<ControlAnswer> {
-    const fault = faultNamed(name);
+    const fault = findFault(name);
     if (this.#active.has(name)) return { status: STATUS_CONFLICT, body: { error: 'has begun' } };
     const injected = await fault.begin(this.#context(deploymentName));
     this.#active.set(name, injected);
--- a/bench/faults/injector.ts
+++ b/bench/faults/injector.ts
@@ -1,4 +1,4 @@
-/** Carries out a run's planned faults at their times and keeps what became of them. */
+/** Injects the planned faults of a run at their times and records them. */
 import { setTimeout as delay } from 'node:timers/promises';
 import { nowMs } from '../load/clock.js';
 import type { PrimaryFailure } from '../load/failover-gap.js';
@@ -7,10 +7,10 @@
 import type { PlannedFault } from './schedule.js';
 import { NoTargetError } from './targets.js';
 
-/** A fault as it took place; times since the Unix epoch. */
+/** A fault that was injected; times in milliseconds since the Unix epoch. */
 export interface FaultRecord {
   readonly name: string;
-  /** What was hit; undefined if there was nothing left to hit, so that the fault did not take place. */
+  /** The affected part; undefined if none was available, so that the fault was not injected. */
   readonly target: string | undefined;
   readonly beganAt: number;
   readonly endedAt: number;
@@ -20,10 +20,10 @@
 export interface InjectionOptions {
   readonly planned: readonly PlannedFault[];
   readonly context: Omit<FaultContext, 'random'>;
-  /** Each fault draws from a sequence of its own, so that their order does not matter. */
+  /** Each fault has a random sequence of its own, so that their order does not matter. */
   readonly seed: number;
   readonly startedAt: number;
-  /** Told of each beginning and end. */
+  /** Called with a message when a fault starts or ends. */
   readonly onChange: (text: string) => void;
 }
 
--- a/bench/faults/machine-list-late.ts
+++ b/bench/faults/machine-list-late.ts
@@ -1,4 +1,4 @@
-/** The machine list tells of changes seconds late, among them that a replica is leaving. */
+/** The machine list reports changes late, including the leaving mark of a replica. */
 import { nowMs } from '../load/clock.js';
 import type { Fault } from './fault.js';
 import { pick, pickReplicas } from './targets.js';
@@ -8,8 +8,8 @@
 export const MACHINE_LIST_LATE: Fault = {
   name: 'machine-list-late',
   summary: 'the machine list lags by 1 s while a replica is marked as leaving',
-  // The promise is judged seconds after the mark: the rest of the run has to show it.
-  lengthMs: Number.POSITIVE_INFINITY,
+  // The promise is checked from seconds after the mark on, so the fault lasts until the end of the run.
+  durationMs: Number.POSITIVE_INFINITY,
   begin: async (context) => {
     const { machines } = context.cluster;
     const { replica } = pick(await pickReplicas(context), context.random);
--- a/bench/faults/operators-racing.ts
+++ b/bench/faults/operators-racing.ts
@@ -1,15 +1,15 @@
-/** Several operators publish changes to the same tenant at the same time. */
+/** Several operators publish changes to one tenant concurrently. */
 import type { Fault } from './fault.js';
-import { publishUntil } from './publishing.js';
+import { startPublishing } from './publishing.js';
 
 const OPERATORS = ['operator-1', 'operator-2', 'operator-3'];
 
 export const OPERATORS_RACING: Fault = {
   name: 'operators-racing',
   summary: 'three operators publish changes to the same tenant at once',
-  lengthMs: 3_000,
+  durationMs: 3_000,
   begin: async (context) => {
-    const stops = OPERATORS.map((operator) => publishUntil(context, operator));
+    const stops = OPERATORS.map((operator) => startPublishing(context, operator));
     return {
       target: context.tenant.name,
       primaryFailures: [],
--- a/bench/faults/primary-cut-off.ts
+++ b/bench/faults/primary-cut-off.ts
@@ -1,38 +1,38 @@
-/** A primary is cut off from its group and goes on to believe that it leads. */
+/** A primary is cut off from its group and continues to act as primary. */
 import type { DatabaseGroup } from '../harness/database-group.js';
 import type { Fault, FaultContext, InjectedFault } from './fault.js';
-import { failureOf, type PrimaryTarget, pickPrimary } from './targets.js';
+import { createPrimaryFailure, type PrimaryTarget, pickPrimary } from './targets.js';
 
 const CUT_MS = 3_000;
 
-/** The proxies still reach it, which is what makes it dangerous. */
+/** The proxies still reach the old primary, so they could send it writes. */
 export const PRIMARY_CUT_OFF: Fault = {
   name: 'primary-cut-off',
   summary: 'a primary is cut from its peers both ways but still reachable by proxies',
-  lengthMs: CUT_MS,
+  durationMs: CUT_MS,
   begin: (context) => cutOff(context, (target) => cutPeers(target, 'both')),
 };
 
 export const PRIMARY_CUT_OFF_OUTBOUND: Fault = {
   name: 'primary-cut-off-outbound',
-  summary: 'as primary-cut-off, but it still hears its peers',
-  lengthMs: CUT_MS,
+  summary: 'as primary-cut-off, but it still receives from its peers',
+  durationMs: CUT_MS,
   begin: (context) => cutOff(context, (target) => cutPeers(target, 'out')),
 };
 
 export const PRIMARY_UNREACHABLE: Fault = {
   name: 'primary-unreachable',
   summary: 'a primary is cut from its peers and from the proxies, both ways',
-  lengthMs: CUT_MS,
+  durationMs: CUT_MS,
   begin: (context) =>
     cutOff(context, async (target) => {
       const { faults } = context.cluster;
       const { name } = target.primary;
       const cut = { cut: true };
-      const healed = { cut: false };
+      const restored = { cut: false };
       await Promise.all([cutPeers(target, 'both'), faults.setFaults(name, { up: cut, down: cut })]);
       return async () => {
-        await faults.setFaults(name, { up: healed, down: healed });
+        await faults.setFaults(name, { up: restored, down: restored });
       };
     }),
 };
@@ -41,7 +41,7 @@
 
 async function cutOff(context: FaultContext, cut: Cut): Promise<InjectedFault> {
   const target = await pickPrimary(context);
-  const failure = failureOf(target.group);
+  const failure = createPrimaryFailure(target.group);
   const heal = await cut(target);
   return {
     target: target.primary.name,
--- a/bench/faults/primary-paused.ts
+++ b/bench/faults/primary-paused.ts
@@ -1,14 +1,14 @@
-/** A primary is stopped by SIGSTOP, is replaced meanwhile, and wakes up unaware of it. */
+/** A primary is paused by SIGSTOP and resumes, unaware of it, after its group has replaced it. */
 import type { Fault } from './fault.js';
-import { failureOf, pickPrimary } from './targets.js';
+import { createPrimaryFailure, pickPrimary } from './targets.js';
 
 export const PRIMARY_PAUSED: Fault = {
   name: 'primary-paused',
   summary: 'SIGSTOP to a primary, SIGCONT after its group has replaced it',
-  lengthMs: 2_500,
+  durationMs: 2_500,
   begin: async (context) => {
     const { group, database, primary } = await pickPrimary(context);
-    const failure = failureOf(group);
+    const failure = createPrimaryFailure(group);
     database.pause(primary.name);
     return {
       target: primary.name,
--- a/bench/faults/proxy-faults.ts
+++ b/bench/faults/proxy-faults.ts
@@ -1,4 +1,4 @@
-/** Proxies that die, that stop as planned, and that are paused while they hold leases and groups. */
+/** Proxies that are killed, shut down gracefully, or paused while they hold leases and groups. */
 import { nowMs } from '../load/clock.js';
 import type { Fault } from './fault.js';
 import { pickProxy } from './targets.js';
@@ -8,7 +8,7 @@
 export const PROXY_KILLED: Fault = {
   name: 'proxy-killed',
   summary: 'SIGKILL to a proxy; another takes its place when the fault ends',
-  lengthMs: 1_500,
+  durationMs: 1_500,
   begin: async (context) => {
     const { cluster, recorder } = context;
     const { nodeId, zone, kill } = pickProxy(context);
@@ -28,7 +28,7 @@
 export const PROXY_PLANNED_STOP: Fault = {
   name: 'proxy-planned-stop',
   summary: 'SIGTERM to a proxy; another takes its place once it has left',
-  lengthMs: 1_500,
+  durationMs: 1_500,
   begin: async (context) => {
     const { cluster, recorder } = context;
     const { nodeId, zone, stop } = pickProxy(context);
@@ -58,7 +58,7 @@
 export const LEASE_HOLDER_PAUSED: Fault = {
   name: 'lease-holder-paused',
   summary: 'SIGSTOP to a proxy that relays the configuration, SIGCONT after its lease has lapsed',
-  lengthMs: PAUSE_MS,
+  durationMs: PAUSE_MS,
   begin: async (context) => {
     const { cluster, recorder } = context;
     const serving = recorder.servingProxies;
--- a/bench/faults/publishing.ts
+++ b/bench/faults/publishing.ts
@@ -1,4 +1,4 @@
-/** Operators who publish while a run goes on, racing one another or not. */
+/** Operators that publish during a run. */
 import { setTimeout as delay } from 'node:timers/promises';
 import {
   PublishConflictError,
@@ -8,14 +8,15 @@
 import type { FaultContext } from './fault.js';
 
 const PUBLISH_PERIOD_MS = 250;
-const FIRST_CONNECTIONS = 1_000;
+const MIN_CONNECTIONS = 1_000;
 const CONNECTIONS_RANGE = 1_000;
 
 /**
- * Publishes changed parameters of the tenant again and again; the result ends it and resolves when
- * the last publish has ended. Lost races are part of it; any other error rejects.
+ * Publishes changed parameters of the tenant repeatedly. The returned function stops this and
+ * resolves when the last publish has ended. Conflicts with other operators are expected and
+ * ignored; it rejects with any other error.
  */
-export function publishUntil(context: FaultContext, operator: string): () => Promise<void> {
+export function startPublishing(context: FaultContext, operator: string): () => Promise<void> {
   const stopped = new AbortController();
   const running = publishRepeatedly(context, operator, stopped.signal);
   running.catch(() => undefined);
@@ -32,7 +33,7 @@
 ): Promise<void> {
   const { cluster, recorder, random, tenant } = context;
   while (!signal.aborted) {
-    const connections = FIRST_CONNECTIONS + random.below(CONNECTIONS_RANGE);
+    const connections = MIN_CONNECTIONS + random.below(CONNECTIONS_RANGE);
     const parameters = `  connections: ${connections} # ${operator}`;
     try {
       const text = tenantYaml({ ...tenant, parameters });
--- a/bench/faults/registry.ts
+++ b/bench/faults/registry.ts
@@ -20,7 +20,7 @@
   readonly code = 'MS-BENCH-FAULT';
 }
 
-/** The faults of the matrix, alone and in pairs. */
+/** Faults that are run alone and in pairs. */
 export const MATRIX_FAULTS: readonly Fault[] = [
   PRIMARY_KILLED,
   PRIMARY_CUT_OFF,
@@ -37,7 +37,7 @@
   ZONE_CUT,
 ];
 
-/** The matrix and the variants of its faults. */
+/** The faults of the matrix and variants of them. */
 export const FAULTS: readonly Fault[] = [
   ...MATRIX_FAULTS,
   PRIMARY_CUT_OFF_OUTBOUND,
@@ -45,7 +45,7 @@
 ];
 
 /** @throws UnknownFaultError */
-export function faultNamed(name: string): Fault {
+export function findFault(name: string): Fault {
   const fault = FAULTS.find((candidate) => candidate.name === name);
   if (fault === undefined) {
     const known = FAULTS.map((candidate) => candidate.name).join(', ');
--- a/bench/faults/replica-far-behind.ts
+++ b/bench/faults/replica-far-behind.ts
@@ -1,4 +1,4 @@
-/** In every group one replica replays nothing new for the time of the fault. */
+/** In each group one replica replays with a lag longer than the fault, so that it sees nothing new. */
 import type { Fault } from './fault.js';
 import { pickReplicas } from './targets.js';
 
@@ -7,7 +7,7 @@
 export const REPLICA_FAR_BEHIND: Fault = {
   name: 'replica-far-behind',
   summary: 'one replica of each group replays a minute late',
-  lengthMs: 4_000,
+  durationMs: 4_000,
   begin: async (context) => {
     const picked = await pickReplicas(context);
     const setLag = async (replayLagMs: number): Promise<void> => {
--- a/bench/faults/schedule.ts
+++ b/bench/faults/schedule.ts
@@ -1,4 +1,4 @@
-/** When the faults of a run begin and end: seeded, within the middle of the run. Pure. */
+/** Draws the times of the faults of a run from a seed, within the middle of the run. No I/O. */
 import type { Random } from '../load/random.js';
 import type { Fault } from './fault.js';
 
@@ -9,21 +9,23 @@
   readonly endMs: number;
 }
 
-/** Faults begin between the first two; those with a length have ended by the third. */
-const FIRST_BEGIN_SHARE = 0.15;
-const LAST_BEGIN_SHARE = 0.4;
-const LAST_END_SHARE = 0.8;
+/** Faults start between the first two; those with a finite duration have ended by the third. */
+const MIN_BEGIN_FRACTION = 0.15;
+const MAX_BEGIN_FRACTION = 0.4;
+const MAX_END_FRACTION = 0.8;
 
 export function planFaults(
   faults: readonly Fault[],
-  durationMs: number,
+  runDurationMs: number,
   random: Random,
 ): PlannedFault[] {
   const planned = faults.map((fault) => {
-    const span = LAST_BEGIN_SHARE - FIRST_BEGIN_SHARE;
-    const beginMs = durationMs * (FIRST_BEGIN_SHARE + span * random.fraction());
-    const lastEndMs = Number.isFinite(fault.lengthMs) ? durationMs * LAST_END_SHARE : durationMs;
-    const endMs = Math.min(beginMs + fault.lengthMs, lastEndMs);
+    const span = MAX_BEGIN_FRACTION - MIN_BEGIN_FRACTION;
+    const beginMs = runDurationMs * (MIN_BEGIN_FRACTION + span * random.fraction());
+    const lastEndMs = Number.isFinite(fault.durationMs)
+      ? runDurationMs * MAX_END_FRACTION
+      : runDurationMs;
+    const endMs = Math.min(beginMs + fault.durationMs, lastEndMs);
     return { fault, beginMs, endMs };
   });
   return planned.sort((left, right) => left.beginMs - right.beginMs);
--- a/bench/faults/store-faults.ts
+++ b/bench/faults/store-faults.ts
@@ -1,7 +1,7 @@
-/** The store is down, slow, or loses the answers of changes that it made. */
+/** The store is down, slow, or loses responses to changes that took effect. */
 import type { StoreFaultSettings } from '../../standins/store/faults.js';
 import type { Fault, FaultContext } from './fault.js';
-import { publishUntil } from './publishing.js';
+import { startPublishing } from './publishing.js';
 
 const STORE_FAULT_MS = 4_000;
 const SLOW_ANSWER_MS = 1_500;
@@ -15,16 +15,16 @@
   answerDelayMs: SLOW_ANSWER_MS,
 });
 
-/** With publishes under way, so that there are answers to lose. */
+/** Publishes continuously, so that there are responses to lose. */
 export const STORE_ANSWERS_LOST: Fault = {
   name: 'store-answers-lost',
   summary: 'half of the answers to changes of the store are lost after the change took effect',
-  lengthMs: STORE_FAULT_MS,
+  durationMs: STORE_FAULT_MS,
   begin: async (context) => {
     const { store } = context.cluster;
     const seed = context.random.below(2 ** 31);
     await store.setFaults({ loseAnswerProbability: LOST_ANSWER_PROBABILITY, seed });
-    const stopPublishing = publishUntil(context, 'answers-lost');
+    const stopPublishing = startPublishing(context, 'answers-lost');
     return {
       target: 'store',
       primaryFailures: [],
@@ -40,7 +40,7 @@
   return {
     name,
     summary,
-    lengthMs: STORE_FAULT_MS,
+    durationMs: STORE_FAULT_MS,
     begin: async ({ cluster }: FaultContext) => {
       await cluster.store.setFaults(settings);
       return {
--- a/bench/faults/targets.ts
+++ b/bench/faults/targets.ts
@@ -1,4 +1,4 @@
-/** Picks what a fault hits; the same seed picks the same. */
+/** Selects the targets of faults; the seed determines the selection. */
 import { setTimeout as delay } from 'node:timers/promises';
 import { MeadowstackError } from '../../src/core/errors.js';
 import type { InstanceState } from '../../standins/database/instance.js';
@@ -9,20 +9,20 @@
 import type { Random } from '../load/random.js';
 import type { FaultContext } from './fault.js';
 
-/** There is nothing that the fault could hit. */
+/** No target is available for the fault. */
 export class NoTargetError extends MeadowstackError {
   readonly code = 'MS-BENCH-TARGET';
 }
 
-/** A group with the instance that leads it now. */
+/** A group with its current primary. */
 export interface PrimaryTarget {
   readonly group: string;
   readonly database: DatabaseGroup;
   readonly primary: DatabaseInstanceHandle;
 }
 
-const PRIMARY_LIMIT_MS = 3_000;
-const PRIMARY_POLL_MS = 20;
+const PRIMARY_TIMEOUT_MS = 3_000;
+const PRIMARY_POLL_PERIOD_MS = 20;
 const STATE_TIMEOUT_MS = 300;
 
 /** @throws NoTargetError if there are no items. */
@@ -32,7 +32,7 @@
   return item;
 }
 
-/** Picks a group; its primary may be a while in coming if another fault has just hit the group. */
+/** Selects a group and waits for its primary, which another fault may just have removed. */
 export async function pickPrimary({
   cluster,
   deployment,
@@ -40,10 +40,10 @@
 }: FaultContext): Promise<PrimaryTarget> {
   const group = pick(deployment.groups, random);
   const database = cluster.group(group);
-  return { group, database, primary: await awaitPrimary(database) };
+  return { group, database, primary: await waitForPrimary(database) };
 }
 
-/** The leader of the latest timeline among the instances that answer; undefined if there is none. */
+/** The primary on the latest timeline among the instances that respond; undefined if there is none. */
 export async function currentPrimary(
   database: DatabaseGroup,
 ): Promise<DatabaseInstanceHandle | undefined> {
@@ -59,23 +59,23 @@
   return latest?.instance;
 }
 
-async function awaitPrimary(database: DatabaseGroup): Promise<DatabaseInstanceHandle> {
-  const until = Date.now() + PRIMARY_LIMIT_MS;
+async function waitForPrimary(database: DatabaseGroup): Promise<DatabaseInstanceHandle> {
+  const until = Date.now() + PRIMARY_TIMEOUT_MS;
   while (Date.now() < until) {
     const primary = await currentPrimary(database);
     if (primary !== undefined) return primary;
-    await delay(PRIMARY_POLL_MS);
+    await delay(PRIMARY_POLL_PERIOD_MS);
   }
   throw new NoTargetError('the group has no primary');
 }
 
-/** Undefined if the instance is killed or paused. */
+/** Undefined if the instance doesn't respond in time, such as when it is killed or paused. */
 async function readState(
   database: DatabaseGroup,
   name: string,
 ): Promise<InstanceState | undefined> {
-  const silent = delay(STATE_TIMEOUT_MS, undefined, { ref: false });
-  return Promise.race([database.state(name).catch(() => undefined), silent]);
+  const timeout = delay(STATE_TIMEOUT_MS, undefined, { ref: false });
+  return Promise.race([database.state(name).catch(() => undefined), timeout]);
 }
 
 /** One replica of every group of the deployment. */
@@ -87,19 +87,19 @@
   const picked = [];
   for (const group of deployment.groups) {
     const database = cluster.group(group);
-    const primary = await awaitPrimary(database);
+    const primary = await waitForPrimary(database);
     const replicas = database.instances.filter(({ name }) => name !== primary.name);
     picked.push({ database, replica: pick(replicas, random) });
   }
   return picked;
 }
 
-/** A proxy that no other fault has taken out of service. */
+/** Selects a proxy that no other fault has stopped or paused. */
 export function pickProxy({ cluster, random, recorder }: FaultContext): RunningProxy {
   return cluster.proxy(pick(recorder.servingProxies, random));
 }
 
-/** The group's primary fails from now on. */
-export function failureOf(group: string): PrimaryFailure {
+/** Records that the group's primary fails now. */
+export function createPrimaryFailure(group: string): PrimaryFailure {
   return { group, at: nowMs() };
 }
--- a/bench/faults/zone-cut.ts
+++ b/bench/faults/zone-cut.ts
@@ -1,12 +1,12 @@
 /**
- * A whole zone is dark: its instances are cut from their peers and from all proxies, its proxies
- * from callers. Links between proxies go on, since they don't pass through the fault proxy.
+ * A whole zone is unreachable: its instances are cut off from their peers and all proxies, its
+ * proxies from callers. Links between proxies work, since they don't pass through the fault proxy.
  */
 import type { Cluster } from '../harness/cluster.js';
 import type { DatabaseGroup, DatabaseInstanceHandle } from '../harness/database-group.js';
 import type { PrimaryFailure } from '../load/failover-gap.js';
 import type { Fault } from './fault.js';
-import { currentPrimary, failureOf, pick } from './targets.js';
+import { createPrimaryFailure, currentPrimary, pick } from './targets.js';
 
 interface ZoneInstance {
   readonly group: string;
@@ -17,12 +17,12 @@
 export const ZONE_CUT: Fault = {
   name: 'zone-cut',
   summary: 'the instances of a zone are cut from all, its proxies from callers',
-  lengthMs: 3_000,
+  durationMs: 3_000,
   begin: async ({ cluster, deployment, random, recorder }) => {
     const zone = pick(deployment.zones, random);
     const instances = instancesOf(cluster, zone);
     const proxies = [...cluster.proxies.values()].filter((proxy) => proxy.zone === zone);
-    const primaryFailures = await failuresIn(instances);
+    const primaryFailures = await findPrimaryFailures(instances);
     const setCut = async (cut: boolean): Promise<void> => {
       await Promise.all([
         ...instances.map((one) => cutInstance(cluster, one, cut)),
@@ -50,14 +50,14 @@
   );
 }
 
-async function failuresIn(instances: readonly ZoneInstance[]): Promise<PrimaryFailure[]> {
-  const leading = await Promise.all(
+async function findPrimaryFailures(instances: readonly ZoneInstance[]): Promise<PrimaryFailure[]> {
+  const failures = await Promise.all(
     instances.map(async ({ group, database, instance }) => {
       const primary = await currentPrimary(database);
-      return primary?.name === instance.name ? [failureOf(group)] : [];
+      return primary?.name === instance.name ? [createPrimaryFailure(group)] : [];
     }),
   );
-  return leading.flat();
+  return failures.flat();
 }
 
 async function cutInstance(
@@ -67,7 +67,7 @@
 ): Promise<void> {
   await Promise.all([
     cluster.faults.setFaults(instance.name, { up: { cut }, down: { cut } }),
-    // A killed instance has no control port any more.
+    // A killed instance has no control port.
     database.isolate(instance.name, cut).catch(() => undefined),
   ]);
 }
--- a/bench/options.ts
+++ b/bench/options.ts
@@ -4,7 +4,7 @@
 import { TEST_POLICIES } from '../src/node/test-policy.js';
 import { DEPLOYMENTS } from './deployments.js';
 import type { Fault } from './faults/fault.js';
-import { FAULTS, faultNamed } from './faults/registry.js';
+import { FAULTS, findFault } from './faults/registry.js';
 import { readFlags } from './flags.js';
 import type { BenchOptions } from './run/run-bench.js';
 
@@ -107,5 +107,5 @@
 
 function faultsOf(list: string): Fault[] {
   const names = list.split(',').filter((name) => name !== '');
-  return names.map(faultNamed);
+  return names.map(findFault);
 }
--- a/test/integration/bench/deployment-run.test.ts
+++ b/test/integration/bench/deployment-run.test.ts
@@ -58,7 +58,7 @@
 const REPLICAS_FAR_BEHIND: Fault = {
   name: 'replicas-far-behind',
   summary: 'all replicas of all groups replay a minute late',
-  lengthMs: Number.POSITIVE_INFINITY,
+  durationMs: Number.POSITIVE_INFINITY,
   begin: async ({ cluster }) => {
     const setLag = async (replayLagMs: number): Promise<void> => {
       const instances = [...cluster.groups.values()].flatMap((group) =>
--- a/test/unit/bench/faults.test.ts
+++ b/test/unit/bench/faults.test.ts
@@ -4,7 +4,7 @@
 import {
   allPairs,
   FAULTS,
-  faultNamed,
+  findFault,
   MATRIX_FAULTS,
   UnknownFaultError,
 } from '../../../bench/faults/registry.js';
@@ -27,9 +27,9 @@
 test('faults have unique names, and each is found by its name', () => {
   const names = FAULTS.map(({ name }) => name);
   assert.is(new Set(names).size, names.length);
-  for (const fault of FAULTS) assert.is(faultNamed(fault.name), fault);
+  for (const fault of FAULTS) assert.is(findFault(fault.name), fault);
   assert.throws(
-    () => faultNamed('none'),
+    () => findFault('none'),
     (error: unknown) => error instanceof UnknownFaultError,
   );
 });
@@ -52,7 +52,7 @@
   assert.not.equal(plan(1), plan(2));
   for (const { fault, beginMs, endMs } of plan(1)) {
     assert.ok(beginMs >= 1_500 && beginMs <= 4_000);
-    assert.ok(endMs > beginMs && endMs <= (Number.isFinite(fault.lengthMs) ? 8_000 : 10_000));
+    assert.ok(endMs > beginMs && endMs <= (Number.isFinite(fault.durationMs) ? 8_000 : 10_000));
   }
 });
 
