--- a/bench/simulation/configuration-scenario.ts
+++ b/bench/simulation/configuration-scenario.ts
@@ -81,9 +81,9 @@
   seed: number,
   nodes: number,
   steps: readonly Step[],
-  without: ReadonlySet<ConfigurationMechanism>,
+  disabledMechanisms: ReadonlySet<ConfigurationMechanism>,
 ): ScenarioOutcome {
-  const simulation = new ConfigurationSimulation(new SeededRandom(seed).next, without);
+  const simulation = new ConfigurationSimulation(new SeededRandom(seed).next, disabledMechanisms);
   simulation.publish('t1');
   for (let index = 0; index < nodes; index += 1) {
     simulation.add(`n${index}`, ZONES[index % ZONES.length] ?? 'a');
--- a/bench/simulation/fleet/gateway-call.ts
+++ b/bench/simulation/fleet/gateway-call.ts
@@ -59,13 +59,13 @@
 
   /** Handles a link to a node that was closed by either side. */
   handleLinkBroken(ownerId: string): void {
-    const sending = this.#currentSend;
-    if (this.#isFinished || sending?.ownerId !== ownerId || !sending.isOpen) return;
-    this.#close(sending);
+    const sendAttempt = this.#currentSend;
+    if (this.#isFinished || sendAttempt?.ownerId !== ownerId || !sendAttempt.isOpen) return;
+    this.#close(sendAttempt);
     const { request, context } = this.options;
     const mayResend = context.disabledMechanisms.has('no-resend');
     const isRead = request.access === 'read' && request.hold === 'statement';
-    const message = 'the owner was lost before it told the outcome';
+    const message = 'the owner was lost before it reported the outcome';
     const error = new UnknownOutcomeError('owner-lost', message);
     if (isRead || mayResend) this.#retryOrFail(error);
     else this.#finish({ error, record: undefined });
@@ -103,11 +103,11 @@
     const requestId = `${request.id}#${this.#attempts}`;
     const owner = context.nodeById(ownerId);
     const remainingMs = Math.max(0, request.deadline - context.clock.now);
-    const sending: SendAttempt = { ownerId, requestId, remainingMs, isOpen: true };
-    this.#currentSend = sending;
+    const sendAttempt: SendAttempt = { ownerId, requestId, remainingMs, isOpen: true };
+    this.#currentSend = sendAttempt;
     if (this.#isUnreachable(owner)) {
       node.process.after(CONNECT_REFUSED_DELAY_MS, () => {
-        sending.isOpen = false;
+        sendAttempt.isOpen = false;
         const message = 'the owner could not be reached';
         this.#retryOrFail(new NotRunError('owner-unreachable', message));
       });
@@ -115,7 +115,7 @@
     }
     const { process } = owner;
     context.network.send(nodeId, ownerId, () => {
-      process.run(() => this.#handleArrival(owner, sending));
+      process.run(() => this.#handleArrival(owner, sendAttempt));
     });
   }
 
@@ -126,38 +126,38 @@
     return !owner.process.isAlive || context.network.isDown(node.nodeId, owner.nodeId);
   }
 
-  #handleArrival(owner: FleetNode, sending: SendAttempt): void {
+  #handleArrival(owner: FleetNode, sendAttempt: SendAttempt): void {
     const { context, request, session, onceKey } = this.options;
-    const deadline = context.clock.now + sending.remainingMs;
+    const deadline = context.clock.now + sendAttempt.remainingMs;
     const refusal = owner.role.submit(
-      { ...request, id: sending.requestId, deadline },
+      { ...request, id: sendAttempt.requestId, deadline },
       {
         session,
         ...(onceKey === undefined || context.disabledMechanisms.has('once-claim')
           ? {}
           : { onceKey }),
         onCompleted: (record) => {
-          const [final] = record.completions;
-          this.#sendAnswer(owner, sending, { error: final?.error, record });
+          const [completion] = record.completions;
+          this.#sendAnswer(owner, sendAttempt, { error: completion?.error, record });
         },
       },
     );
     if (refusal !== undefined)
-      this.#sendAnswer(owner, sending, { error: refusal, record: undefined });
-    else if (!sending.isOpen) this.#abandonAt(sending);
+      this.#sendAnswer(owner, sendAttempt, { error: refusal, record: undefined });
+    else if (!sendAttempt.isOpen) this.#abandonAt(sendAttempt);
   }
 
-  #sendAnswer(owner: FleetNode, sending: SendAttempt, end: CallEnd): void {
+  #sendAnswer(owner: FleetNode, sendAttempt: SendAttempt, end: CallEnd): void {
     const { context, node } = this.options;
     const { process } = node;
     context.network.send(owner.nodeId, node.nodeId, () => {
-      process.run(() => this.#handleAnswer(sending, end));
+      process.run(() => this.#handleAnswer(sendAttempt, end));
     });
   }
 
-  #handleAnswer(sending: SendAttempt, end: CallEnd): void {
-    if (this.#isFinished || sending !== this.#currentSend || !sending.isOpen) return;
-    sending.isOpen = false;
+  #handleAnswer(sendAttempt: SendAttempt, end: CallEnd): void {
+    if (this.#isFinished || sendAttempt !== this.#currentSend || !sendAttempt.isOpen) return;
+    sendAttempt.isOpen = false;
     const { error } = end;
     const isRefused = error instanceof NotRunError && OWNER_REASONS.has(error.reason);
     if (isRefused) this.#retryOrFail(error);
@@ -178,10 +178,10 @@
     node.process.after(pause, () => this.#start());
   }
 
-  #close(sending: SendAttempt): void {
-    if (!sending.isOpen) return;
-    sending.isOpen = false;
-    this.#abandonAt(sending);
+  #close(sendAttempt: SendAttempt): void {
+    if (!sendAttempt.isOpen) return;
+    sendAttempt.isOpen = false;
+    this.#abandonAt(sendAttempt);
   }
 
   /** Notifies the owner that the gateway closed the stream. */
--- a/bench/simulation/fleet/gateway.ts
+++ b/bench/simulation/fleet/gateway.ts
@@ -172,15 +172,15 @@
       this.#handleError(error, record);
       return;
     }
-    const [final] = record?.completions ?? [];
+    const [completion] = record?.completions ?? [];
     const answer = { error, record };
-    if (final?.position === undefined) {
+    if (completion?.position === undefined) {
       this.#sendAnswer(answer);
       return;
     }
-    const { position } = final;
+    const { position } = completion;
     const wasUnknown = requirementFor(this.#state, GROUP).type === 'unknown';
-    this.#observe(position, final.fromReplica);
+    this.#observe(position, completion.fromReplica);
     const mustRecord = request.ownerRequest.access === 'write' || wasUnknown;
     if (mustRecord) this.#recordThenAnswer(position, answer);
     else this.#sendAnswer(answer);
@@ -215,8 +215,8 @@
       this.#sendAnswer(answer);
       return;
     }
-    this.#directory.record(this.identity.key, { group: GROUP, position }, (kept) => {
-      if (kept) this.#sendAnswer(answer);
+    this.#directory.record(this.identity.key, { group: GROUP, position }, (isRecorded) => {
+      if (isRecorded) this.#sendAnswer(answer);
       else this.#sendAnswer({ error: createNotRecordedError(), record: answer.record });
     });
   }
--- a/bench/simulation/fleet/home-nodes.ts
+++ b/bench/simulation/fleet/home-nodes.ts
@@ -87,33 +87,38 @@
     private readonly process: SimulatedProcess,
   ) {}
 
-  lookUp(session: SessionIdentity, take: (state: SessionState) => void): void {
-    const homes = this.#homesOf(session);
+  lookUp(session: SessionIdentity, onResult: (state: SessionState) => void): void {
+    const homeNodeIds = this.#homesOf(session);
     const answers: HomeNodeAnswer[] = [];
-    let outstanding = homes.length;
+    let outstanding = homeNodeIds.length;
     const settle = (answer: HomeNodeAnswer | undefined): void => {
       outstanding -= 1;
       if (answer !== undefined) answers.push(answer);
-      if (outstanding === 0) take(this.#combine(answers, homes.length));
+      if (outstanding === 0) onResult(this.#combine(answers, homeNodeIds.length));
     };
-    for (const home of homes) this.#call(home, (asked) => asked.lookUpPositions(session), settle);
+    for (const homeNodeId of homeNodeIds)
+      this.#call(homeNodeId, (homeNode) => homeNode.lookUpPositions(session), settle);
   }
 
-  record(session: SessionIdentity, entry: GroupPosition, take: (kept: boolean) => void): void {
-    const homes = this.#homesOf(session);
-    let outstanding = homes.length;
+  record(
+    session: SessionIdentity,
+    entry: GroupPosition,
+    onResult: (isKept: boolean) => void,
+  ): void {
+    const homeNodeIds = this.#homesOf(session);
+    let outstanding = homeNodeIds.length;
     let acknowledged = 0;
     let isSettled = false;
-    const settle = (kept: true | undefined): void => {
+    const settle = (acknowledgement: true | undefined): void => {
       outstanding -= 1;
-      if (kept) acknowledged += 1;
-      const recorded = isRecorded(acknowledged, this.#assumedHomeNodeCount(homes.length));
+      if (acknowledgement) acknowledged += 1;
+      const recorded = isRecorded(acknowledged, this.#assumedHomeNodeCount(homeNodeIds.length));
       if (isSettled || (!recorded && outstanding > 0)) return;
       isSettled = true;
-      take(recorded);
+      onResult(recorded);
     };
-    for (const home of homes)
-      this.#call(home, (asked) => asked.recordPosition(session, entry), settle);
+    for (const homeNodeId of homeNodeIds)
+      this.#call(homeNodeId, (homeNode) => homeNode.recordPosition(session, entry), settle);
   }
 
   #combine(answers: readonly HomeNodeAnswer[], homeNodeCount: number): SessionState {
@@ -134,25 +139,25 @@
   }
 
   #call<Answer>(
-    home: string,
-    query: (asked: SimulatedHomeNode) => Answer,
+    homeNodeId: string,
+    query: (homeNode: SimulatedHomeNode) => Answer,
     settle: (answer: Answer | undefined) => void,
   ): void {
     const { clock, network } = this.context;
     const { process } = this;
     const { nodeId } = process;
-    let settled = false;
+    let isSettled = false;
     const settleOnce = (answer: Answer | undefined): void => {
-      if (settled) return;
-      settled = true;
+      if (isSettled) return;
+      isSettled = true;
       settle(answer);
     };
     const send = (): void =>
-      network.sendCall(nodeId, home, () => {
-        const asked = this.context.homeNodeById(home);
-        asked.process.run(() => {
-          const answer = query(asked);
-          network.sendCall(home, nodeId, () => process.run(() => settleOnce(answer)));
+      network.sendCall(nodeId, homeNodeId, () => {
+        const homeNode = this.context.homeNodeById(homeNodeId);
+        homeNode.process.run(() => {
+          const answer = query(homeNode);
+          network.sendCall(homeNodeId, nodeId, () => process.run(() => settleOnce(answer)));
         });
       });
     send();
--- a/bench/simulation/fleet/scenario.ts
+++ b/bench/simulation/fleet/scenario.ts
@@ -54,7 +54,7 @@
 export function simulateFleet(
   seed: number,
   faults: readonly FleetFault[],
-  without: ReadonlySet<string>,
+  disabledMechanisms: ReadonlySet<string>,
 ): FleetRun {
   const clock = new SimulatedClock(seed);
   const group = new SimulatedGroup(clock, {
@@ -66,9 +66,11 @@
     clock,
     group,
     history: owners,
-    disabledMechanisms: new Set(GATEWAY_MECHANISMS.filter((mechanism) => without.has(mechanism))),
+    disabledMechanisms: new Set(
+      GATEWAY_MECHANISMS.filter((mechanism) => disabledMechanisms.has(mechanism)),
+    ),
     disabledOwnerMechanisms: new Set(
-      STATE_MACHINE_MECHANISMS.filter((mechanism) => without.has(mechanism)),
+      STATE_MACHINE_MECHANISMS.filter((mechanism) => disabledMechanisms.has(mechanism)),
     ),
   });
   const scope = {
--- a/bench/simulation/fleet/sessions-scenario.ts
+++ b/bench/simulation/fleet/sessions-scenario.ts
@@ -82,13 +82,13 @@
   #lastPosition: Position = { timeline: 1, lsn: 1n };
   #incarnationCount = 0;
 
-  constructor(seed: number, without: ReadonlySet<FleetMechanism>) {
+  constructor(seed: number, disabledMechanisms: ReadonlySet<FleetMechanism>) {
     this.#clock = new SimulatedClock(seed);
     this.#network = new FleetNetwork(this.#clock);
     this.#context = {
       clock: this.#clock,
       network: this.#network,
-      disabledMechanisms: without,
+      disabledMechanisms,
       nodeIds: NODES,
       homeNodeById: (nodeId) => this.#homeNode(nodeId),
     };
@@ -124,8 +124,8 @@
     const directory = new SimulatedDirectory(this.#context, home.process);
     const next = callOnce(then);
     home.process.run(() => {
-      directory.record(session.key, { group: GROUP, position }, (kept) => {
-        if (kept)
+      directory.record(session.key, { group: GROUP, position }, (isRecorded) => {
+        if (isRecorded)
           Object.assign(session, { acknowledged: position, acknowledgedAt: this.#clock.now });
         next();
       });
@@ -160,7 +160,7 @@
     const knownText = `${known.timeline}/${known.lsn}`;
     const acknowledgedText = `${acknowledged.timeline}/${acknowledged.lsn}`;
     this.#violations.push(
-      `homeNodesRemember: ${sessionId} is told ${knownText}, acknowledged ${acknowledgedText}`,
+      `homeNodesRemember: ${sessionId} looked up ${knownText}, acknowledged ${acknowledgedText}`,
     );
     const at = session.acknowledgedAt.toFixed(1);
     this.#summaries.push(
--- a/bench/simulation/group-run.ts
+++ b/bench/simulation/group-run.ts
@@ -202,10 +202,10 @@
   };
   const onCompleted = (record: RequestRecord): void => {
     const session = sessions.get(record.session);
-    const [final] = record.completions;
-    if (session === undefined || final === undefined) return;
-    if (final.position !== undefined && session.requirement.type === 'known') {
-      session.requirement = { type: 'known', position: final.position };
+    const [completion] = record.completions;
+    if (session === undefined || completion === undefined) return;
+    if (completion.position !== undefined && session.requirement.type === 'known') {
+      session.requirement = { type: 'known', position: completion.position };
     }
     clock.after(clock.between(0, 8), () => next(session));
   };
--- a/bench/simulation/history-checks.ts
+++ b/bench/simulation/history-checks.ts
@@ -29,12 +29,12 @@
 
 const noneHangs: Check = ({ records }) =>
   records.flatMap((record) => {
-    const [final] = record.completions;
-    if (final === undefined || record.ownerFailed) return [];
+    const [completion] = record.completions;
+    if (completion === undefined || record.ownerFailed) return [];
     const { deadline, hold } = record.request;
     const ended = (record.endedAt ?? 0) + MAX_TRANSACTION_CONFIRMATION_MS;
     const latest = hold === 'statement' ? deadline : Math.max(deadline, ended);
-    return final.at <= latest + CLOCK_TOLERANCE_MS ? [] : [`${record.request.id} hung`];
+    return completion.at <= latest + CLOCK_TOLERANCE_MS ? [] : [`${record.request.id} hung`];
   });
 
 const notRunNeverExecuted: Check = ({ records }) =>
@@ -68,10 +68,10 @@
 ): Map<string, { at: number; session: number }> {
   const acked = new Map<string, { at: number; session: number }>();
   for (const record of history.records) {
-    const [final] = record.completions;
-    if (!wasReleased(record) || final === undefined) continue;
+    const [completion] = record.completions;
+    if (!wasReleased(record) || completion === undefined) continue;
     if (servingExecutionOf(record)?.written === undefined) continue;
-    acked.set(record.request.id, { at: final.at, session: record.session });
+    acked.set(record.request.id, { at: completion.at, session: record.session });
   }
   return acked;
 }
--- a/bench/soak/faults.ts
+++ b/bench/soak/faults.ts
@@ -154,12 +154,12 @@
     'replica-fails': ({ instance }) =>
       this.#setReplicaFault(instance, { failNext: FAILED_STATEMENTS }, { failNext: 0 }),
     'publish-kill-all': async () => {
-      const lacking = await this.configuration.publishThen(async () => {
+      const missing = await this.configuration.publishThen(async () => {
         const allIndexes = [...this.cluster.gateways.keys()];
         await Promise.all(allIndexes.map((index) => this.cluster.kill(index)));
         this.operator.restart(allIndexes);
       });
-      this.violations.push(...lacking.map((detail) => ({ rule: 'LOST', detail }) as const));
+      this.violations.push(...missing.map((detail) => ({ rule: 'LOST', detail }) as const));
       return doNothing;
     },
   };
