--- a/src/direct/readers/followed-prefix.ts
+++ b/src/direct/readers/followed-prefix.ts
@@ -2,8 +2,8 @@
  * One watched prefix of the store. The node watches it at the store directly if it reads the store for other nodes or if
  * its readers don't serve it, and through its readers otherwise. The watcher sees one watch without gaps.
  */
-import { ReaderTracker } from '../../core/directory/reader-evidence.js';
-import { type FreshnessTimes, RelayedFreshness } from '../../core/directory/relayed-word.js';
+import { ReaderTracker } from '../../core/directory/reader-tracker.js';
+import { type FreshnessTimes, RelayedFreshness } from '../../core/directory/relayed-freshness.js';
 import { revisionOf, WatchHistory, type WatchRange } from '../../core/directory/watch-history.js';
 import type { MeadowstackError } from '../../core/errors.js';
 import type { ReachableNode } from '../../core/ownership/owner-roster.js';
--- a/src/direct/target-chooser.ts
+++ b/src/direct/target-chooser.ts
@@ -2,7 +2,7 @@
 import { laterPosition, type Position } from '../core/position.js';
 import type { Access } from '../core/request.js';
 import { rankInstances } from '../core/statements/instance-choice.js';
-import { LaggingReplicas } from '../core/statements/lag-memory.js';
+import { LaggingReplicas } from '../core/statements/lagging-replicas.js';
 import type { StatementErrorCode } from '../core/statements/statement.js';
 import type { Milliseconds } from '../core/units.js';
 import type { RouteDescription } from './contract.js';
--- a/test/unit/lag-memory.test.ts
+++ b/test/unit/lag-memory.test.ts
@@ -3,7 +3,7 @@
 import * as assert from 'uvu/assert';
 import type { Position } from '../../src/core/position.js';
 import { statementRetryPause } from '../../src/core/retry/statement-pause.js';
-import { LaggingReplicas } from '../../src/core/statements/lag-memory.js';
+import { LaggingReplicas } from '../../src/core/statements/lagging-replicas.js';
 
 const at = (lsn: bigint): Position => ({ timeline: 1, lsn });
 
--- a/test/unit/store-return.test.ts
+++ b/test/unit/store-return.test.ts
@@ -2,7 +2,7 @@
 import { errAsync } from 'neverthrow';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { StoreOutageDetector } from '../../src/core/directory/store-return.js';
+import { StoreOutageDetector } from '../../src/core/directory/store-outage-detector.js';
 import type { PromotionEvent, RequestAnswer } from '../../src/core/promotion/contract.js';
 import { PromotionStateMachine } from '../../src/core/promotion/machine.js';
 import { DEFAULT_PROMOTION_TIMINGS } from '../../src/core/promotion/options.js';
--- a/test/unit/watch-readers.test.ts
+++ b/test/unit/watch-readers.test.ts
@@ -1,8 +1,8 @@
 /** Which nodes read the store for the others, which changes a reader keeps for them, and when a node relies on its readers. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { READER_TIMEOUT_MS, ReaderTracker } from '../../src/core/directory/reader-evidence.js';
-import { RelayedFreshness } from '../../src/core/directory/relayed-word.js';
+import { READER_TIMEOUT_MS, ReaderTracker } from '../../src/core/directory/reader-tracker.js';
+import { RelayedFreshness } from '../../src/core/directory/relayed-freshness.js';
 import { WatchHistory } from '../../src/core/directory/watch-history.js';
 import type { ReachableNode } from '../../src/core/ownership/owner-roster.js';
 import {
