--- a/bench/demo/postgres.ts
+++ b/bench/demo/postgres.ts
@@ -11,7 +11,7 @@
 import type { Cluster } from '../harness/cluster.js';
 import { EMPTY_HISTORY, type History, type RequestRecord } from '../history/model.js';
 import { nowMs } from '../load/clock.js';
-import { figuresOf, type RunFigures } from '../load/figures.js';
+import { computeFigures, type RunFigures } from '../load/figures.js';
 import { type LoadResult, runLoad } from '../load/generator.js';
 import { RunRecorder } from '../recorders/run-recorder.js';
 import { collectLogs } from '../run/collect-logs.js';
@@ -105,7 +105,7 @@
   const violations = checkHistory(history);
   const failures = faults.flatMap(({ primaryFailures }) => primaryFailures);
   const figures = SMALL_DEPLOYMENTS.map((deployment, index) =>
-    figuresOf({
+    computeFigures({
       deployment,
       seed: SEED,
       policy: 'ours',
--- a/bench/deployments.ts
+++ b/bench/deployments.ts
@@ -19,7 +19,7 @@
   readonly operation: Operation;
   readonly access: 'read' | 'write';
   /** Share of all requests; the shares of a deployment sum to 1. */
-  readonly share: number;
+  readonly requestFraction: number;
   /** Weight in the service figure. */
   readonly weight: number;
   /** Greatest age of data that a read tolerates; 0 for none. */
@@ -69,7 +69,7 @@
       kind: 'order',
       operation: 'insert-order',
       access: 'write',
-      share: 0.05,
+      requestFraction: 0.05,
       weight: 1,
       stalenessBoundMs: 0,
       repeatable: false,
@@ -79,7 +79,7 @@
       kind: 'revision',
       operation: 'revise-document',
       access: 'write',
-      share: 0.15,
+      requestFraction: 0.15,
       weight: 1,
       stalenessBoundMs: 0,
       repeatable: false,
@@ -89,7 +89,7 @@
       kind: 'glossary',
       operation: 'read-glossary',
       access: 'read',
-      share: 0.4,
+      requestFraction: 0.4,
       weight: 1,
       stalenessBoundMs: 5_000,
       repeatable: true,
@@ -99,7 +99,7 @@
       kind: 'status',
       operation: 'read-status',
       access: 'read',
-      share: 0.4,
+      requestFraction: 0.4,
       weight: 1,
       stalenessBoundMs: 1_000,
       repeatable: true,
@@ -125,7 +125,7 @@
       kind: 'unlock',
       operation: 'insert-unlock',
       access: 'write',
-      share: 0.2,
+      requestFraction: 0.2,
       weight: 2,
       stalenessBoundMs: 0,
       repeatable: false,
@@ -135,7 +135,7 @@
       kind: 'hire',
       operation: 'insert-hire',
       access: 'write',
-      share: 0.2,
+      requestFraction: 0.2,
       weight: 1,
       stalenessBoundMs: 0,
       repeatable: false,
@@ -145,7 +145,7 @@
       kind: 'dock-lookup',
       operation: 'read-docks',
       access: 'read',
-      share: 0.6,
+      requestFraction: 0.6,
       weight: 1,
       stalenessBoundMs: 500,
       repeatable: true,
--- a/bench/direct-isolation/quiet-load.ts
+++ b/bench/direct-isolation/quiet-load.ts
@@ -58,7 +58,7 @@
 
   async #send(startedAt: number, offsetMs: number): Promise<QuietRequest> {
     const kind = this.#random.fraction() < WRITE_SHARE ? 'write' : 'read';
-    const thing = `q${this.#random.below(THINGS)}`;
+    const thing = `q${this.#random.integerBelow(THINGS)}`;
     const client = this.#idle.shift();
     if (client === undefined) return { kind, offsetMs, latencyMs: 0, error: 'no session' };
     const text = kind === 'write' ? `WRITE ${thing} value` : `READ ${thing}`;
--- a/bench/faults/publishing.ts
+++ b/bench/faults/publishing.ts
@@ -32,7 +32,7 @@
 ): Promise<void> {
   const { cluster, recorder, random, tenant } = context;
   while (!signal.aborted) {
-    const connections = FIRST_CONNECTIONS + random.below(CONNECTIONS_RANGE);
+    const connections = FIRST_CONNECTIONS + random.integerBelow(CONNECTIONS_RANGE);
     const parameters = `  connections: ${connections} # ${operator}`;
     try {
       const text = tenantYaml({ ...tenant, parameters });
--- a/bench/faults/store-faults.ts
+++ b/bench/faults/store-faults.ts
@@ -22,7 +22,7 @@
   lengthMs: STORE_FAULT_MS,
   begin: async (context) => {
     const { store } = context.cluster;
-    const seed = context.random.below(2 ** 31);
+    const seed = context.random.integerBelow(2 ** 31);
     await store.setFaults({ loseAnswerProbability: LOST_ANSWER_PROBABILITY, seed });
     const stopPublishing = publishUntil(context, 'answers-lost');
     return {
--- a/bench/faults/targets.ts
+++ b/bench/faults/targets.ts
@@ -27,7 +27,7 @@
 
 /** @throws NoTargetError if there are no items. */
 export function pick<Item>(items: readonly Item[], random: Random): Item {
-  const item = items[random.below(items.length)];
+  const item = items[random.integerBelow(items.length)];
   if (item === undefined) throw new NoTargetError('nothing to pick from');
   return item;
 }
--- a/bench/isolation/flood-process.ts
+++ b/bench/isolation/flood-process.ts
@@ -100,7 +100,7 @@
 }
 
 function runStatement(client: pg.Client): Promise<unknown> {
-  const id = random.below(ROWS);
+  const id = random.integerBelow(ROWS);
   const isWrite = random.fraction() < 0.5;
   return client.query(
     isWrite
@@ -112,7 +112,7 @@
 async function runIdleTransaction(client: pg.Client): Promise<void> {
   await client.query('BEGIN');
   try {
-    await client.query(`SELECT version FROM items WHERE id = ${random.below(ROWS)}`);
+    await client.query(`SELECT version FROM items WHERE id = ${random.integerBelow(ROWS)}`);
     await delay(IDLE_MS);
   } finally {
     await client.query('ROLLBACK');
--- a/bench/isolation/quiet-load.ts
+++ b/bench/isolation/quiet-load.ts
@@ -51,7 +51,7 @@
 
   #send(startedAt: number, offsetMs: number): Promise<QuietRequest> {
     const kind = this.#pickKind();
-    const text = statementOf(kind, this.#random.below(ROWS));
+    const text = statementOf(kind, this.#random.integerBelow(ROWS));
     return new Promise((resolve) => {
       this.#sessions.submit(async (client) => {
         const error = await client.query(text).then(
--- a/bench/load/attempt.ts
+++ b/bench/load/attempt.ts
@@ -1,13 +1,13 @@
-/** Runs one attempt on a connection and reports what came back. */
+/** Runs one attempt of a request on a connection and collects its result. */
 import type { QueryResult } from 'pg';
 import type { AnswerRecord, VersionedKey } from '../history/model.js';
-import { type AttemptFailure, failureOf } from './outcome.js';
+import { type AttemptFailure, toAttemptFailure } from './outcome.js';
 import type { SessionClient } from './session-client.js';
 import type { AttemptPlan, Statement } from './statements.js';
 
-/** What one attempt gave. */
+/** Result of one attempt. */
 export interface AttemptResult {
-  /** Undefined: done. */
+  /** Undefined if the attempt succeeded. */
   readonly failure: AttemptFailure | undefined;
   readonly wrote: readonly VersionedKey[];
   readonly saw: readonly VersionedKey[];
@@ -22,13 +22,13 @@
   readonly on_replica?: boolean;
 }
 
-interface StatementAnswer {
+interface StatementResult {
   readonly statement: Statement;
   readonly rows: readonly AnswerRow[];
-  readonly answerCount: number;
+  readonly resultCount: number;
 }
 
-/** The transaction was rolled back, or its connection lost before COMMIT was sent. */
+/** The transaction was rolled back, or the connection was lost before COMMIT was sent. */
 const ROLLED_BACK_CODE = 'MS-TRANSACTION-ABORTED';
 
 export async function runAttempt(
@@ -36,42 +36,42 @@
   plan: AttemptPlan,
   attemptId: string,
 ): Promise<AttemptResult> {
-  const answers: StatementAnswer[] = [];
-  const failure = plan.transaction
+  const answers: StatementResult[] = [];
+  const failure = plan.isTransaction
     ? await runTransaction(client, plan, answers)
     : await runStatements(client, plan, answers);
-  return resultOf(plan, attemptId, answers, failure);
+  return toAttemptResult(plan, attemptId, answers, failure);
 }
 
 async function runStatements(
   client: SessionClient,
   plan: AttemptPlan,
-  answers: StatementAnswer[],
+  answers: StatementResult[],
 ): Promise<AttemptFailure | undefined> {
   try {
     for (const statement of plan.statements) answers.push(await runStatement(client, statement));
     return undefined;
   } catch (error) {
-    return failureOf(error);
+    return toAttemptFailure(error);
   }
 }
 
 async function runTransaction(
   client: SessionClient,
   plan: AttemptPlan,
-  answers: StatementAnswer[],
+  answers: StatementResult[],
 ): Promise<AttemptFailure | undefined> {
-  const refused = await runControl(client, `BEGIN${plan.markers}`);
-  if (refused !== undefined) return refused;
+  const beginFailure = await runControl(client, `BEGIN${plan.markers}`);
+  if (beginFailure !== undefined) return beginFailure;
   const failure = await runStatements(client, plan, answers);
   if (failure === undefined) return runControl(client, 'COMMIT');
   if (failure.ending === 'answered') await runControl(client, 'ROLLBACK');
-  // Nothing was committed, whatever became of the statement.
-  return { ...failure, outcome: 'failed', errorCode: rolledBackCode(failure) };
+  // COMMIT was not sent, so nothing was committed, even if the statement's outcome is unknown.
+  return { ...failure, outcome: 'failed', errorCode: rollbackErrorCode(failure) };
 }
 
-/** A statement refused as not run inside of a transaction leaves the whole to be tried again. */
-function rolledBackCode(failure: AttemptFailure): string {
+/** A statement that failed keeps its own code; any other failure lets the whole transaction be retried. */
+function rollbackErrorCode(failure: AttemptFailure): string {
   return failure.outcome === 'failed' ? failure.errorCode : ROLLED_BACK_CODE;
 }
 
@@ -84,11 +84,11 @@
     if (text === 'COMMIT' && result.command === 'ROLLBACK') return COMMIT_ROLLED_BACK;
     return undefined;
   } catch (error) {
-    return failureOf(error);
+    return toAttemptFailure(error);
   }
 }
 
-/** COMMIT of a failed transaction is answered by ROLLBACK. */
+/** PostgreSQL answers COMMIT of a failed transaction with the command tag ROLLBACK. */
 const COMMIT_ROLLED_BACK: AttemptFailure = {
   ending: 'answered',
   outcome: 'failed',
@@ -96,37 +96,37 @@
   retryAfterMs: undefined,
 };
 
-async function runStatement(client: SessionClient, statement: Statement): Promise<StatementAnswer> {
+async function runStatement(client: SessionClient, statement: Statement): Promise<StatementResult> {
   const answer: QueryResult<AnswerRow> | QueryResult<AnswerRow>[] = await client.query<AnswerRow>(
     statement.text,
     [...statement.values],
   );
   const results = Array.isArray(answer) ? answer : [answer];
   const rows = results.flatMap((result) => result.rows);
-  return { statement, rows, answerCount: results.length };
+  return { statement, rows, resultCount: results.length };
 }
 
-function resultOf(
+function toAttemptResult(
   plan: AttemptPlan,
   attemptId: string,
-  answers: readonly StatementAnswer[],
+  answers: readonly StatementResult[],
   failure: AttemptFailure | undefined,
 ): AttemptResult {
   const done = failure === undefined;
   const inserted = plan.effectRows.map((key) => ({ key, version: 1 }));
-  const wrote = answers.filter(({ statement }) => statement.writes).flatMap(versionsOf);
-  const saw = answers.filter(({ statement }) => !statement.writes).flatMap(versionsOf);
+  const wrote = answers.filter(({ statement }) => statement.isWrite).flatMap(toVersionedKeys);
+  const saw = answers.filter(({ statement }) => !statement.isWrite).flatMap(toVersionedKeys);
   const onReplica = answers.flatMap(({ rows }) => rows).find((row) => row.on_replica !== undefined);
   return {
     failure,
     wrote: done ? [...inserted, ...wrote] : [],
     saw: done ? saw : [],
-    answer: answers.length === 0 ? undefined : answerRecordOf(attemptId, answers),
+    answer: answers.length === 0 ? undefined : toAnswerRecord(attemptId, answers),
     servedBy: onReplica === undefined ? undefined : onReplica.on_replica ? 'replica' : 'primary',
   };
 }
 
-function versionsOf({ statement, rows }: StatementAnswer): VersionedKey[] {
+function toVersionedKeys({ statement, rows }: StatementResult): VersionedKey[] {
   if (statement.table === undefined) return [];
   if (rows.length === 0 && statement.pointKey !== undefined) {
     return [{ key: statement.pointKey, version: 0 }];
@@ -134,7 +134,7 @@
   return rows.map((row) => ({ key: `${statement.table}/${row.key}`, version: row.version ?? 0 }));
 }
 
-function answerRecordOf(attemptId: string, answers: readonly StatementAnswer[]): AnswerRecord {
+function toAnswerRecord(attemptId: string, answers: readonly StatementResult[]): AnswerRecord {
   const withRows = answers.filter(({ statement }) => statement.table !== undefined);
   const rows = withRows.flatMap((answer) => answer.rows);
   const expected = withRows.map(({ statement }) => statement.expectedRows);
@@ -145,6 +145,6 @@
     receivedEchoes: [...new Set(rows.map((row) => row.echo ?? 'none'))],
     expectedRows: countable.length === expected.length ? total : undefined,
     receivedRows: rows.length,
-    answerCount: Math.max(...answers.map((answer) => answer.answerCount)),
+    answerCount: Math.max(...answers.map((answer) => answer.resultCount)),
   };
 }
--- a/bench/load/caller-session.ts
+++ b/bench/load/caller-session.ts
@@ -1,9 +1,9 @@
 /**
- * One caller's session: a connection to one proxy at a time, and what the session carries when it
- * goes on at another. Runs one request after the other.
+ * One caller's session: a connection to one proxy at a time, and the token or id with which the
+ * session continues on another proxy. Requests run one at a time.
  */
 import { MeadowstackError } from '../../src/core/errors.js';
-import type { SessionCarriage } from './schedule.js';
+import type { SessionIdentification } from './schedule.js';
 import { SESSION_ID_PARAMETER, SESSION_TOKEN_PARAMETER, SessionClient } from './session-client.js';
 
 /** Where callers can reach a proxy. */
@@ -22,14 +22,14 @@
 
 export interface CallerSessionOptions {
   readonly sessionId: string;
-  readonly carriage: SessionCarriage;
+  readonly identification: SessionIdentification;
   readonly credentials: Credentials;
   readonly proxies: readonly ProxyAddress[];
   /** Index of the first proxy. */
-  readonly firstProxy: number;
+  readonly firstProxyIndex: number;
 }
 
-/** The proxy ended the connection before anything was sent on it. */
+/** The proxy closed the connection before the caller sent a request. */
 export class ConnectionEndedError extends MeadowstackError {
   readonly code = 'MS-BENCH-CONNECTION-ENDED';
 }
@@ -41,38 +41,38 @@
   #proxyIndex: number;
   #client: SessionClient | undefined;
   #token: string | undefined;
-  #turn: Promise<void> = Promise.resolve();
+  #previousWork: Promise<void> = Promise.resolve();
 
   constructor(options: CallerSessionOptions) {
     this.#options = options;
-    this.#proxyIndex = options.firstProxy;
+    this.#proxyIndex = options.firstProxyIndex;
   }
 
   get sessionId(): string {
     return this.#options.sessionId;
   }
 
-  /** The proxy that the session is at. */
+  /** Name of the proxy that the session uses now. */
   get proxy(): string {
     return this.#address.name;
   }
 
-  /** Runs `work` when all that was asked before has ended. */
-  inTurn(work: () => Promise<void>): Promise<void> {
-    this.#turn = this.#turn.then(work, work);
-    return this.#turn;
+  /** Runs `work` after all work that was added before has ended. */
+  runInOrder(work: () => Promise<void>): Promise<void> {
+    this.#previousWork = this.#previousWork.then(work, work);
+    return this.#previousWork;
   }
 
-  /** Goes on at the next proxy, with a new connection. */
-  async move(): Promise<void> {
+  /** Closes the connection; the next one goes to the next proxy. */
+  async moveToNextProxy(): Promise<void> {
     await this.disconnect();
     this.#proxyIndex += 1;
   }
 
-  /** The open connection, or a new one. Rejects if the proxy can't be reached or sends the caller away. */
-  async connected(): Promise<SessionClient> {
-    if (this.#client !== undefined && !this.#client.closed) return this.#client;
-    this.#keepToken();
+  /** The open connection, or a new one. Rejects if the proxy can't be reached or refuses the caller. */
+  async ensureConnected(): Promise<SessionClient> {
+    if (this.#client !== undefined && !this.#client.isClosed) return this.#client;
+    this.#storeToken();
     const { host, port } = this.#address;
     const client = new SessionClient({
       ...this.#options.credentials,
@@ -82,8 +82,12 @@
       startupParameters: this.#startupParameters(),
     });
     await client.connect();
-    // A proxy that is being stopped may say farewell in the same packet that it accepts with.
-    if (client.closed) throw client.closedBy ?? new ConnectionEndedError('ended once accepted');
+    // A proxy that is shutting down may send its shutdown error in the same packet as its ReadyForQuery.
+    if (client.isClosed)
+      throw (
+        client.closeError ??
+        new ConnectionEndedError('the proxy accepted the connection and closed it at once')
+      );
     this.#client = client;
     return client;
   }
@@ -91,20 +95,20 @@
   /** Closes the connection; the token is kept. */
   async disconnect(): Promise<void> {
     const client = this.#client;
-    this.#keepToken();
+    this.#storeToken();
     this.#client = undefined;
-    if (client !== undefined && !client.closed) await client.end().catch(() => undefined);
+    if (client !== undefined && !client.isClosed) await client.end().catch(() => undefined);
   }
 
-  /** Goes on without the token, which the proxies refuse. */
-  forgetToken(): void {
+  /** Drops the token after a proxy has refused it. */
+  removeToken(): void {
     this.#token = undefined;
   }
 
-  /** Cuts the connection without a farewell. */
-  abandon(): void {
+  /** Destroys the socket without a Terminate message. */
+  destroyConnection(): void {
     const client = this.#client;
-    this.#keepToken();
+    this.#storeToken();
     this.#client = undefined;
     client?.destroy();
   }
@@ -116,12 +120,12 @@
     return address;
   }
 
-  #keepToken(): void {
+  #storeToken(): void {
     this.#token = this.#client?.sessionToken ?? this.#token;
   }
 
   #startupParameters(): Readonly<Record<string, string>> {
-    const { carriage, sessionId } = this.#options;
+    const { identification: carriage, sessionId } = this.#options;
     if (carriage === 'session-id') return { [SESSION_ID_PARAMETER]: sessionId };
     return this.#token === undefined ? {} : { [SESSION_TOKEN_PARAMETER]: this.#token };
   }
--- a/bench/load/clock.ts
+++ b/bench/load/clock.ts
@@ -1,4 +1,4 @@
-/** Wall time with sub-millisecond steps: comparable with the stand-ins' stamps on this machine. */
+/** Wall-clock time with sub-millisecond resolution, comparable with the stand-ins' timestamps on this machine. */
 const OFFSET_MS = Date.now() - performance.now();
 
 /** Milliseconds since the Unix epoch; never goes back. */
--- a/bench/load/failover-gap.ts
+++ b/bench/load/failover-gap.ts
@@ -1,4 +1,4 @@
-/** The failover gap: how long no write succeeded around a failure of a primary, as callers saw it. */
+/** The failover gap: the time without a successful write around the failure of a primary, measured at the callers. */
 import type { GroupName } from '../../src/core/request.js';
 import type { RequestRecord } from '../history/model.js';
 
@@ -12,16 +12,16 @@
 export interface FailoverGap {
   readonly failure: PrimaryFailure;
   readonly gapMs: number;
-  /** False: no write of the group succeeded any more; the gap lasted to the end of the run. */
+  /** False if no write of the group succeeded after the failure: the gap lasted until the end of the run. */
   readonly ended: boolean;
 }
 
-/** Time after a failure within which its gap has to begin. */
-const WINDOW_MS = 10_000;
+/** A gap that begins later than this after a failure is not attributed to it. */
+const MAX_GAP_START_DELAY_MS = 10_000;
 
 /**
- * The longest time between two successive successes of writes of the group that overlaps the
- * window after the failure. Its floor is the time between writes: a low rate can't show a short gap.
+ * The longest time between two successive successful writes of the group that overlaps the window
+ * after the failure. At a low rate, gaps shorter than the time between writes can't be measured.
  */
 export function measureFailoverGap(
   requests: readonly RequestRecord[],
@@ -31,14 +31,14 @@
   const successes = successTimes(requests, failure.group);
   const lastSuccess = successes.at(-1) ?? failure.at;
   if (lastSuccess <= failure.at) return { failure, gapMs: endedAt - lastSuccess, ended: false };
-  let longest = 0;
+  let longestMs = 0;
   let previous = successes[0] ?? failure.at;
   for (const success of successes) {
-    const overlaps = success > failure.at && previous < failure.at + WINDOW_MS;
-    if (overlaps) longest = Math.max(longest, success - previous);
+    const overlaps = success > failure.at && previous < failure.at + MAX_GAP_START_DELAY_MS;
+    if (overlaps) longestMs = Math.max(longestMs, success - previous);
     previous = success;
   }
-  return { failure, gapMs: longest, ended: true };
+  return { failure, gapMs: longestMs, ended: true };
 }
 
 function successTimes(requests: readonly RequestRecord[], group: GroupName): number[] {
--- a/bench/load/figures.ts
+++ b/bench/load/figures.ts
@@ -1,4 +1,4 @@
-/** The figures of a run, as one JSON object. */
+/** Computes the figures of a run, which are written as one JSON object. */
 import { build, type Histogram } from 'hdr-histogram-js';
 import { countViolations, type Violation, type ViolationCounts } from '../checkers/index.js';
 import type { Deployment } from '../deployments.js';
@@ -21,11 +21,11 @@
 }
 
 export interface FailoverGapFigures {
-  /** Null if no primary failed; gaps that never ended count as the rest of the run. */
+  /** Null if no primary failed. A gap that never ended lasts until the end of the run. */
   readonly p50: number | null;
   readonly max: number | null;
   readonly each: readonly number[];
-  /** Failures after which no write succeeded any more. */
+  /** Number of failures after which no write succeeded. */
   readonly neverEnded: number;
 }
 
@@ -33,28 +33,28 @@
   readonly deployment: string;
   readonly seed: number;
   readonly policy: string;
-  /** Requests; each of them may have had several attempts. */
+  /** Number of requests; each may have had several attempts. */
   readonly requests: number;
-  /** Last outcome of each request. */
+  /** Requests by the outcome of their last attempt. */
   readonly outcomes: OutcomeCounts;
-  /** Share of all reads that a replica served; null if no read told. */
+  /** Fraction of all reads that a replica served; null if no result names its server. */
   readonly replicaReadShare: number | null;
-  /** The same of reads that tolerate stale data. */
+  /** The same for reads that tolerate stale data. */
   readonly eligibleReplicaReadShare: number | null;
   readonly failoverGapMs: FailoverGapFigures;
-  /** From the intended start to the end of the last attempt, of requests that were done. */
+  /** From the intended start to the end of the last attempt, for requests that succeeded. */
   readonly latencyMs: { readonly byKind: Readonly<Record<string, LatencyFigures>> };
-  /** Share of requests done within their deadline. */
+  /** Fraction of requests that succeeded within their deadline. */
   readonly serviceByKind: Readonly<Record<string, number>>;
-  /** Mean of service over requests, weighted by kind. */
+  /** Fraction of requests that succeeded within their deadline, weighted by kind. */
   readonly weightedService: number;
-  /** Attempts for each request. */
+  /** Attempts per request. */
   readonly amplification: number;
-  /** Attempts that were not done, by `<outcome> <code>`. */
+  /** Number of unsuccessful attempts by `<outcome> <code>`. */
   readonly errors: Readonly<Record<string, number>>;
   readonly connectionsOpened: number;
   readonly violations: ViolationCounts;
-  /** Not promised: reads that saw less than an earlier read of their session. */
+  /** Reads that returned an older version than an earlier read of their session; the proxies don't guarantee otherwise. */
   readonly nonMonotonicReads: number;
 }
 
@@ -72,19 +72,19 @@
   readonly endedAt: number;
 }
 
-/** One request with all of its attempts. */
+/** The first and the last attempt of one request. */
 export interface LogicalRequest {
   readonly first: RequestRecord;
   readonly last: RequestRecord;
 }
 
 const MICROSECONDS_PER_MS = 1_000;
-const HIGHEST_LATENCY_MICROSECONDS = 600_000_000;
-const SHARE_DIGITS = 4;
+const MAX_LATENCY_MICROSECONDS = 600_000_000;
+const FRACTION_DIGITS = 4;
 const LATENCY_DIGITS = 3;
 
-export function figuresOf(input: FiguresInput): RunFigures {
-  const logical = logicalRequests(input.requests);
+export function computeFigures(input: FiguresInput): RunFigures {
+  const logical = groupAttempts(input.requests);
   const byKind = groupBy(logical, ({ first }) => first.kind);
   const reads = input.requests.filter(({ access }) => access === 'read');
   return {
@@ -93,11 +93,11 @@
     policy: input.policy,
     requests: logical.length,
     outcomes: countOutcomes(logical),
-    replicaReadShare: replicaShare(reads),
-    eligibleReplicaReadShare: replicaShare(reads.filter((read) => read.toleratesStaleness)),
-    failoverGapMs: failoverGapFigures(input),
-    latencyMs: { byKind: mapValues(byKind, latencyFigures) },
-    serviceByKind: mapValues(byKind, (requests) => serviceOf(requests, input.deployment)),
+    replicaReadShare: replicaReadFraction(reads),
+    eligibleReplicaReadShare: replicaReadFraction(reads.filter((read) => read.toleratesStaleness)),
+    failoverGapMs: computeFailoverGapFigures(input),
+    latencyMs: { byKind: mapValues(byKind, computeLatencyFigures) },
+    serviceByKind: mapValues(byKind, (requests) => servedFraction(requests, input.deployment)),
     weightedService: weightedService(byKind, input.deployment),
     amplification: ratio(input.requests.length, logical.length),
     errors: countErrors(input.requests),
@@ -108,7 +108,7 @@
 }
 
 /** Groups attempts into requests. */
-export function logicalRequests(requests: readonly RequestRecord[]): LogicalRequest[] {
+export function groupAttempts(requests: readonly RequestRecord[]): LogicalRequest[] {
   const attempts = [...groupBy(requests, (request) => request.logicalId).values()];
   return attempts.flatMap((group) => {
     const ordered = [...group].sort((left, right) => left.sentAt - right.sentAt);
@@ -135,14 +135,21 @@
   return mapValues(byCode, (attempts) => attempts.length);
 }
 
-/** Among reads whose answer tells where they were served. */
-function replicaShare(reads: readonly RequestRecord[]): number | null {
-  const told = reads.filter(({ servedBy }) => servedBy !== undefined);
-  if (told.length === 0) return null;
-  return ratio(told.filter(({ servedBy }) => servedBy === 'replica').length, told.length);
+/** Fraction among the reads whose result names its server. */
+function replicaReadFraction(reads: readonly RequestRecord[]): number | null {
+  const readsWithServer = reads.filter(({ servedBy }) => servedBy !== undefined);
+  if (readsWithServer.length === 0) return null;
+  return ratio(
+    readsWithServer.filter(({ servedBy }) => servedBy === 'replica').length,
+    readsWithServer.length,
+  );
 }
 
-function failoverGapFigures({ requests, failures, endedAt }: FiguresInput): FailoverGapFigures {
+function computeFailoverGapFigures({
+  requests,
+  failures,
+  endedAt,
+}: FiguresInput): FailoverGapFigures {
   const gaps = failures.map((failure) => measureFailoverGap(requests, failure, endedAt));
   const each = gaps.map(({ gapMs }) => round(gapMs, LATENCY_DIGITS));
   const sorted = [...each].sort((left, right) => left - right);
@@ -154,12 +161,12 @@
   };
 }
 
-function latencyFigures(requests: readonly LogicalRequest[]): LatencyFigures {
-  const histogram = build({ highestTrackableValue: HIGHEST_LATENCY_MICROSECONDS });
+function computeLatencyFigures(requests: readonly LogicalRequest[]): LatencyFigures {
+  const histogram = build({ highestTrackableValue: MAX_LATENCY_MICROSECONDS });
   for (const { first, last } of requests) {
     if (last.outcome !== 'done') continue;
     const microseconds = Math.round((last.endedAt - first.intendedAt) * MICROSECONDS_PER_MS);
-    histogram.recordValue(Math.min(Math.max(microseconds, 0), HIGHEST_LATENCY_MICROSECONDS));
+    histogram.recordValue(Math.min(Math.max(microseconds, 0), MAX_LATENCY_MICROSECONDS));
   }
   const at = (percentile: number): number => percentileMs(histogram, percentile);
   return { p50: at(50), p99: at(99), p999: at(99.9), max: at(100) };
@@ -169,16 +176,16 @@
   return histogram.getValueAtPercentile(percentile) / MICROSECONDS_PER_MS;
 }
 
-function serviceOf(requests: readonly LogicalRequest[], deployment: Deployment): number {
+function servedFraction(requests: readonly LogicalRequest[], deployment: Deployment): number {
   const served = requests.filter((request) => isServed(request, deployment));
   return ratio(served.length, requests.length);
 }
 
-/** Done within the deadline of its kind, counted from the intended start. */
+/** True if the request succeeded within the deadline of its kind, counted from the intended start. */
 export function isServed({ first, last }: LogicalRequest, deployment: Deployment): boolean {
   const kind = deployment.kinds.find((candidate) => candidate.kind === first.kind);
-  const withinMs = kind?.deadlineMs ?? Number.POSITIVE_INFINITY;
-  return last.outcome === 'done' && last.endedAt - first.intendedAt <= withinMs;
+  const deadlineMs = kind?.deadlineMs ?? Number.POSITIVE_INFINITY;
+  return last.outcome === 'done' && last.endedAt - first.intendedAt <= deadlineMs;
 }
 
 function weightedService(
@@ -197,13 +204,13 @@
 
 function mapValues<Input, Output>(
   map: ReadonlyMap<string, Input>,
-  change: (value: Input) => Output,
+  transform: (value: Input) => Output,
 ): Readonly<Record<string, Output>> {
-  return Object.fromEntries([...map].map(([key, value]) => [key, change(value)] as const));
+  return Object.fromEntries([...map].map(([key, value]) => [key, transform(value)] as const));
 }
 
 function ratio(part: number, whole: number): number {
-  return whole === 0 ? 0 : round(part / whole, SHARE_DIGITS);
+  return whole === 0 ? 0 : round(part / whole, FRACTION_DIGITS);
 }
 
 function round(value: number, digits: number): number {
--- a/bench/load/generator.ts
+++ b/bench/load/generator.ts
@@ -1,6 +1,6 @@
 /**
- * The load generator: starts each planned request at its intended time, whatever became of the
- * others (open loop), and records the history. Latency counts from the intended time, also when
+ * The load generator: starts each planned request at its intended time, regardless of the progress of
+ * the others (open loop), and records the history. Latency counts from the intended time, also if
  * the session was still busy (no coordinated omission).
  */
 import { setTimeout as delay } from 'node:timers/promises';
@@ -12,15 +12,15 @@
 import {
   ABANDONED,
   type AttemptFailure,
-  connectFailure,
   isTokenRefused,
   NOT_SENT,
+  toConnectFailure,
 } from './outcome.js';
 import { createRandom, type Random } from './random.js';
 import { retryDelayMs } from './retry-policy.js';
 import {
-  carriageOfSession,
   groupOfSession,
+  identificationOfSession,
   type PlannedRequest,
   planRequests,
   type ScheduleOptions,
@@ -31,11 +31,11 @@
   readonly proxies: readonly ProxyAddress[];
   /** Credentials of the tenant for the database of a group. */
   readonly credentialsOf: (group: string) => Credentials;
-  /** Told of each attempt as it ends, for a progress line. */
-  readonly onRecord?: (record: RequestRecord) => void;
+  /** Called after each attempt. */
+  readonly onAttempt?: (record: RequestRecord) => void;
 }
 
-/** What the callers saw. */
+/** The attempts as recorded by the callers. */
 export interface LoadResult {
   readonly startedAt: number;
   readonly endedAt: number;
@@ -43,16 +43,16 @@
   readonly transactions: readonly TransactionRecord[];
 }
 
-interface SessionMemory {
+interface SessionState {
   readonly session: CallerSession;
   readonly group: string;
-  /** Rows that the session wrote last, the newest first. */
-  ownRows: readonly string[];
+  /** Keys of the rows that the session wrote last, newest first. */
+  recentlyWrittenRows: readonly string[];
 }
 
-/** An attempt that takes so much longer than its deadline is given up. */
-const ABANDON_GRACE_MS = 5_000;
-const KEPT_OWN_ROWS = 4;
+/** Time after its deadline at which an attempt is abandoned. */
+const ABANDON_DELAY_MS = 5_000;
+const MAX_RECENT_ROWS = 4;
 const EMPTY_RESULT: Omit<AttemptResult, 'failure'> = {
   wrote: [],
   saw: [],
@@ -60,7 +60,7 @@
   servedBy: undefined,
 };
 
-/** Runs the whole schedule; resolves when the last answer is there or was given up. */
+/** Runs the whole schedule; resolves when the last request has been answered or abandoned. */
 export async function runLoad(options: LoadOptions): Promise<LoadResult> {
   const run = new LoadRun(options);
   return run.execute();
@@ -69,7 +69,7 @@
 class LoadRun {
   readonly #options: LoadOptions;
   readonly #random: Random;
-  readonly #sessions: readonly SessionMemory[];
+  readonly #sessions: readonly SessionState[];
   readonly #requests: RequestRecord[] = [];
   readonly #transactions: TransactionRecord[] = [];
   #startedAt = 0;
@@ -84,13 +84,15 @@
 
   async execute(): Promise<LoadResult> {
     const planned = planRequests(this.#options);
-    await Promise.all(this.#sessions.map(({ session }) => session.connected().catch(() => null)));
+    await Promise.all(
+      this.#sessions.map(({ session }) => session.ensureConnected().catch(() => null)),
+    );
     this.#startedAt = nowMs();
     const running: Promise<void>[] = [];
     for (const request of planned) {
       const waitMs = this.#startedAt + request.offsetMs - nowMs();
       if (waitMs >= 1) await delay(waitMs);
-      running.push(this.#start(request));
+      running.push(this.#startRequest(request));
     }
     await Promise.all(running);
     await Promise.all(this.#sessions.map(({ session }) => session.disconnect()));
@@ -102,66 +104,67 @@
     };
   }
 
-  #start(planned: PlannedRequest): Promise<void> {
-    const memory = this.#sessions[planned.session];
-    if (memory === undefined) return Promise.resolve();
-    return memory.session.inTurn(() => this.#perform(planned, memory));
+  #startRequest(planned: PlannedRequest): Promise<void> {
+    const state = this.#sessions[planned.session];
+    if (state === undefined) return Promise.resolve();
+    return state.session.runInOrder(() => this.#runRequest(planned, state));
   }
 
-  async #perform(planned: PlannedRequest, memory: SessionMemory): Promise<void> {
-    if (planned.moves) await memory.session.move();
+  async #runRequest(planned: PlannedRequest, state: SessionState): Promise<void> {
+    if (planned.changesProxy) await state.session.moveToNextProxy();
     const deadlineAt = this.#startedAt + planned.offsetMs + planned.kind.deadlineMs;
     for (let attempt = 1; ; attempt += 1) {
       const remainingMs = deadlineAt - nowMs();
-      const plan = this.#planAttempt(planned, memory, attempt, remainingMs);
-      const record = await this.#attempt(planned, memory, plan, attempt);
-      this.#remember(record, plan, memory);
+      const plan = this.#planAttempt(planned, state, attempt, remainingMs);
+      const record = await this.#runRecordedAttempt(planned, state, plan, attempt);
+      this.#recordAttempt(record, plan, state);
       const jitter = this.#random.fraction();
-      const delayMs = retryDelayMs({ record, plan, attempts: attempt, deadlineAt, jitter });
+      const delayMs = retryDelayMs({ record, plan, attemptCount: attempt, deadlineAt, jitter });
       if (delayMs === undefined) return;
-      if (record.ending !== 'answered') await memory.session.move();
+      if (record.ending !== 'answered') await state.session.moveToNextProxy();
       await delay(delayMs);
     }
   }
 
   #planAttempt(
     planned: PlannedRequest,
-    memory: SessionMemory,
+    state: SessionState,
     attempt: number,
     remainingMs: number,
   ): AttemptPlan {
     const logicalId = this.#logicalId(planned);
-    const ownRow = memory.ownRows[planned.index % KEPT_OWN_ROWS] ?? memory.ownRows[0];
+    const ownRow =
+      state.recentlyWrittenRows[planned.index % MAX_RECENT_ROWS] ?? state.recentlyWrittenRows[0];
     return planAttempt({
       deployment: this.#options.deployment,
       kind: planned.kind,
-      attemptId: attemptIdOf(logicalId, attempt),
+      attemptId: formatAttemptId(logicalId, attempt),
       onceKey: logicalId,
       keyRank: planned.keyRank,
       remainingMs,
-      ownRow: planned.readOwnWrite ? ownRow : undefined,
+      ownRow: planned.readsOwnWrite ? ownRow : undefined,
     });
   }
 
-  async #attempt(
+  async #runRecordedAttempt(
     planned: PlannedRequest,
-    memory: SessionMemory,
+    state: SessionState,
     plan: AttemptPlan,
     attempt: number,
   ): Promise<RequestRecord> {
     const { kind } = planned;
     const { deployment } = this.#options;
     const logicalId = this.#logicalId(planned);
-    const attemptId = attemptIdOf(logicalId, attempt);
+    const attemptId = formatAttemptId(logicalId, attempt);
     const sentAt = nowMs();
-    const result = await this.#run(planned, memory, plan, attemptId);
+    const result = await this.#runWithTimeout(planned, state, plan, attemptId);
     return {
       attemptId,
       logicalId,
       tenant: deployment.tenant,
-      sessionId: memory.session.sessionId,
-      proxy: memory.session.proxy,
-      group: memory.group,
+      sessionId: state.session.sessionId,
+      proxy: state.session.proxy,
+      group: state.group,
       kind: kind.kind,
       access: kind.access,
       repeatable: kind.repeatable,
@@ -181,27 +184,27 @@
     };
   }
 
-  async #run(
+  async #runWithTimeout(
     planned: PlannedRequest,
-    { session }: SessionMemory,
+    { session }: SessionState,
     plan: AttemptPlan,
     attemptId: string,
   ): Promise<AttemptResult> {
     if (plan.remainingMs <= 0) return failed(NOT_SENT);
     const timer = new AbortController();
-    const limitMs = planned.kind.deadlineMs + ABANDON_GRACE_MS;
-    const abandoned = delay(limitMs, undefined, { signal: timer.signal, ref: false }).then(
+    const timeoutMs = planned.kind.deadlineMs + ABANDON_DELAY_MS;
+    const abandoned = delay(timeoutMs, undefined, { signal: timer.signal, ref: false }).then(
       () => {
-        session.abandon();
+        session.destroyConnection();
         return failed(ABANDONED);
       },
       () => failed(ABANDONED),
     );
-    const ran = session.connected().then(
+    const ran = session.ensureConnected().then(
       (client) => runAttempt(client, plan, attemptId),
       (error: unknown) => {
-        const failure = connectFailure(error);
-        if (isTokenRefused(failure)) session.forgetToken();
+        const failure = toConnectFailure(error);
+        if (isTokenRefused(failure)) session.removeToken();
         return failed(failure);
       },
     );
@@ -210,14 +213,14 @@
     return result;
   }
 
-  #remember(record: RequestRecord, plan: AttemptPlan, memory: SessionMemory): void {
+  #recordAttempt(record: RequestRecord, plan: AttemptPlan, state: SessionState): void {
     this.#requests.push(record);
-    this.#options.onRecord?.(record);
+    this.#options.onAttempt?.(record);
     const { attemptId, tenant, group, outcome } = record;
-    if (plan.transaction) {
+    if (plan.isTransaction) {
       this.#transactions.push({ attemptId, tenant, group, rows: plan.effectRows, outcome });
     }
-    memory.ownRows = newestRows(record.wrote, memory.ownRows);
+    state.recentlyWrittenRows = mergeRecentRows(record.wrote, state.recentlyWrittenRows);
   }
 
   #logicalId(planned: PlannedRequest): string {
@@ -229,24 +232,27 @@
   return { ...EMPTY_RESULT, failure };
 }
 
-function attemptIdOf(logicalId: string, attempt: number): string {
+function formatAttemptId(logicalId: string, attempt: number): string {
   return `${logicalId}-try${attempt}`;
 }
 
-function newestRows(wrote: readonly VersionedKey[], earlier: readonly string[]): readonly string[] {
+function mergeRecentRows(
+  wrote: readonly VersionedKey[],
+  earlier: readonly string[],
+): readonly string[] {
   const keys = wrote.map(({ key }) => key);
-  return [...new Set([...keys, ...earlier])].slice(0, KEPT_OWN_ROWS);
+  return [...new Set([...keys, ...earlier])].slice(0, MAX_RECENT_ROWS);
 }
 
-function createSession(options: LoadOptions, index: number): SessionMemory {
+function createSession(options: LoadOptions, index: number): SessionState {
   const deployment: Deployment = options.deployment;
   const group = groupOfSession(deployment, index);
   const session = new CallerSession({
     sessionId: `${deployment.name}-${options.seed}-session-${index}`,
-    carriage: carriageOfSession(deployment, index),
+    identification: identificationOfSession(deployment, index),
     credentials: options.credentialsOf(group),
     proxies: options.proxies,
-    firstProxy: index,
+    firstProxyIndex: index,
   });
-  return { session, group, ownRows: [] };
+  return { session, group, recentlyWrittenRows: [] };
 }
--- a/bench/load/outcome.ts
+++ b/bench/load/outcome.ts
@@ -1,4 +1,4 @@
-/** What a failed attempt tells its caller: ending, outcome, code and retry hint. */
+/** Derives ending, outcome, code and retry delay of a failed attempt from its error. */
 import pg from 'pg';
 import type { RequestEnding, RequestOutcome } from '../history/model.js';
 
@@ -21,8 +21,8 @@
 ]);
 
 /** Reads the outcome from the error's detail (`<code>: <outcome>`) and the delay from its hint. */
-export function failureOf(error: unknown): AttemptFailure {
-  if (error instanceof pg.DatabaseError) return databaseFailure(error);
+export function toAttemptFailure(error: unknown): AttemptFailure {
+  if (error instanceof pg.DatabaseError) return toDatabaseFailure(error);
   const cause = error instanceof Error ? error.message : String(error);
   return {
     ending: 'cut',
@@ -32,23 +32,23 @@
   };
 }
 
-/** The proxy could not be connected to, so nothing was sent. */
-export function connectFailure(error: unknown): AttemptFailure {
-  const told = error instanceof pg.DatabaseError ? databaseFailure(error) : undefined;
+/** The connection to the proxy could not be opened, so nothing was sent. */
+export function toConnectFailure(error: unknown): AttemptFailure {
+  const failure = error instanceof pg.DatabaseError ? toDatabaseFailure(error) : undefined;
   return {
     ending: 'terminated',
     outcome: 'not-run',
-    errorCode: told?.errorCode ?? 'CONNECT',
-    retryAfterMs: told?.retryAfterMs,
+    errorCode: failure?.errorCode ?? 'CONNECT',
+    retryAfterMs: failure?.retryAfterMs,
   };
 }
 
-/** The proxy did not take the session's token, for example because its key went out of force. */
+/** True if the proxy refused the session's token, for example because its key is no longer configured. */
 export function isTokenRefused(failure: AttemptFailure): boolean {
   return failure.errorCode.startsWith('MS-SESSION-TOKEN-');
 }
 
-/** The caller's time ran out while its session was busy: the request was never sent. */
+/** The request's deadline passed while its session was busy: it was never sent. */
 export const NOT_SENT: AttemptFailure = {
   ending: 'terminated',
   outcome: 'not-run',
@@ -56,7 +56,7 @@
   retryAfterMs: undefined,
 };
 
-/** The caller gave up. */
+/** The caller stopped waiting for the response. */
 export const ABANDONED: AttemptFailure = {
   ending: 'abandoned',
   outcome: 'unknown',
@@ -64,23 +64,23 @@
   retryAfterMs: undefined,
 };
 
-function databaseFailure(error: pg.DatabaseError): AttemptFailure {
+function toDatabaseFailure(error: pg.DatabaseError): AttemptFailure {
   const [, code, outcomeText] = DETAIL_PATTERN.exec(error.detail ?? '') ?? [];
-  const told = OUTCOMES.get(outcomeText ?? '');
-  const farewell = error.code === ADMIN_SHUTDOWN;
-  const untold = error.code === RESOLUTION_UNKNOWN ? 'unknown' : 'failed';
-  // A farewell without a word on the request comes between requests: it was not taken.
-  const outcome = told ?? (farewell ? 'not-run' : untold);
+  const statedOutcome = OUTCOMES.get(outcomeText ?? '');
+  const isShutdown = error.code === ADMIN_SHUTDOWN;
+  const defaultOutcome = error.code === RESOLUTION_UNKNOWN ? 'unknown' : 'failed';
+  // A shutdown error that states no outcome was sent between requests: this request was not accepted.
+  const outcome = statedOutcome ?? (isShutdown ? 'not-run' : defaultOutcome);
   const [, delay] = RETRY_HINT_PATTERN.exec(error.hint ?? '') ?? [];
   return {
-    ending: farewell || error.severity === 'FATAL' ? endingOfFatal(outcome) : 'answered',
+    ending: isShutdown || error.severity === 'FATAL' ? toFatalEnding(outcome) : 'answered',
     outcome,
     errorCode: code ?? error.code ?? 'UNKNOWN',
     retryAfterMs: delay === undefined ? undefined : Number(delay),
   };
 }
 
-/** The connection ends with the error: before the request was taken, or in the middle of it. */
-function endingOfFatal(outcome: RequestOutcome): RequestEnding {
+/** The error ends the connection, either before the proxy accepted the request or during it. */
+function toFatalEnding(outcome: RequestOutcome): RequestEnding {
   return outcome === 'not-run' ? 'terminated' : 'cut';
 }
--- a/bench/load/session-client.ts
+++ b/bench/load/session-client.ts
@@ -1,6 +1,6 @@
 /**
  * A `pg` client that sends this project's start-up parameters and keeps the session token that the
- * proxy reports. `pg` has no public way for either, so two of its internals are used here only.
+ * proxy reports. `pg` has no public API for either, so this file, and no other, uses two of its internals.
  */
 import type { EventEmitter } from 'node:events';
 import type { Duplex } from 'node:stream';
@@ -24,7 +24,7 @@
   readonly parameterValue: string;
 }
 
-/** The internals of `pg` 8 that are used. */
+/** The internals of `pg` 8 that are used here. */
 interface ClientInternals {
   readonly connection: EventEmitter & { readonly stream: Duplex };
   getStartupConf(): Record<string, string>;
@@ -35,12 +35,12 @@
 ) => pg.Client & ClientInternals;
 
 export class SessionClient extends ClientWithInternals {
-  /** The token reported last. */
+  /** The most recently reported token. */
   sessionToken: string | undefined;
   /** The connection has ended or is broken. */
-  closed = false;
-  /** Why the connection broke or was ended by the proxy, if it was. */
-  closedBy: Error | undefined;
+  isClosed = false;
+  /** The error with which the connection broke or the proxy closed it, if there was one. */
+  closeError: Error | undefined;
   readonly #startupParameters: Readonly<Record<string, string>>;
 
   constructor(options: SessionClientOptions) {
@@ -54,17 +54,17 @@
       }
     });
     this.on('error', (error) => {
-      this.closed = true;
-      this.closedBy ??= error;
+      this.isClosed = true;
+      this.closeError ??= error;
     });
     this.on('end', () => {
-      this.closed = true;
+      this.isClosed = true;
     });
   }
 
-  /** Cuts the connection without a farewell. */
+  /** Destroys the socket without a Terminate message. */
   destroy(): void {
-    this.closed = true;
+    this.isClosed = true;
     this.connection.stream.destroy();
   }
 
--- a/bench/load/statements.ts
+++ b/bench/load/statements.ts
@@ -1,29 +1,29 @@
-/** The SQL of each operation, within the subset that the stand-ins serve, and what its answer shows. */
+/** The SQL of each operation, within the subset that the stand-ins support, and how to read its results. */
 import type { Deployment, Operation, RequestKind } from '../deployments.js';
 
 /** One statement with its parameters. */
 export interface Statement {
   readonly text: string;
   readonly values: readonly (string | number)[];
-  /** Table whose rows come back, with columns `key` and `version`; undefined: no such rows. */
+  /** Table whose rows are returned with the columns `key` and `version`; undefined if none are. */
   readonly table: string | undefined;
-  /** The rows tell versions that this statement made, not versions that it found. */
-  readonly writes: boolean;
-  /** Rows of a whole answer; undefined if that can't be told beforehand. */
+  /** True if the returned versions were written by this statement; false if it only read them. */
+  readonly isWrite: boolean;
+  /** Number of rows of a complete result; undefined if it isn't known in advance. */
   readonly expectedRows: number | undefined;
-  /** Key asked for by a point read: an answer without rows means version 0. */
+  /** Key of a point read: a result without rows means version 0. */
   readonly pointKey: string | undefined;
 }
 
-/** What one attempt runs: one statement, or several between BEGIN and COMMIT. */
+/** The statements of one attempt: a single one, or several between BEGIN and COMMIT. */
 export interface AttemptPlan {
-  readonly transaction: boolean;
-  /** What is left of the caller's time; not sent if there is nothing left. */
+  readonly isTransaction: boolean;
+  /** Time until the request's deadline; an attempt without time left is not sent. */
   readonly remainingMs: number;
-  /** Markers of BEGIN. */
+  /** Comment with markers, appended to BEGIN. */
   readonly markers: string;
   readonly statements: readonly Statement[];
-  /** Rows that are there exactly if the attempt ran. */
+  /** Keys of the rows that exist if and only if the attempt ran. */
   readonly effectRows: readonly string[];
 }
 
@@ -31,19 +31,19 @@
   readonly deployment: Deployment;
   readonly kind: RequestKind;
   readonly attemptId: string;
-  /** Key for at-most-once; the same for all attempts of a request. */
+  /** Idempotency key; the same for all attempts of a request. */
   readonly onceKey: string;
   readonly keyRank: number;
-  /** What is left of the caller's time, in milliseconds. */
+  /** Time until the request's deadline. */
   readonly remainingMs: number;
-  /** Row that the session wrote last (`<table>/<key>`), if it is to be read. */
+  /** Row that the session wrote recently (`<table>/<key>`), if this attempt reads it. */
   readonly ownRow: string | undefined;
 }
 
-export const GLOSSARY_RANGE = 20;
-export const DOCK_RANGE = 10;
+export const GLOSSARY_RANGE_ROWS = 20;
+export const DOCK_RANGE_ROWS = 10;
 
-/** Tables of a group; `meadowstack_once` is made by the proxies. */
+/** Tables of a group; the proxies create `meadowstack_once` themselves. */
 export const TABLES: readonly string[] = [
   'CREATE TABLE IF NOT EXISTS orders (order_id text PRIMARY KEY, document int, version int)',
   'CREATE TABLE IF NOT EXISTS documents (document int PRIMARY KEY, status text, version int)',
@@ -68,26 +68,27 @@
 };
 
 const PLANNERS: Readonly<Record<Operation, (context: AttemptContext) => AttemptPlan>> = {
-  'insert-order': (context) => insertOnce(context, 'orders', 'document'),
-  'insert-unlock': (context) => insertOnce(context, 'unlocks', 'dock'),
+  'insert-order': (context) => planInsertOnce(context, 'orders', 'document'),
+  'insert-unlock': (context) => planInsertOnce(context, 'unlocks', 'dock'),
   'revise-document': (context) =>
-    changeInTransaction(context, 'documents', 'document', 'revisions', 'revision_id'),
-  'insert-hire': (context) => changeInTransaction(context, 'docks', 'dock', 'hires', 'hire_id'),
-  'read-glossary': (context) => readRange(context, 'glossary', GLOSSARY_RANGE),
+    planTransaction(context, 'documents', 'document', 'revisions', 'revision_id'),
+  'insert-hire': (context) => planTransaction(context, 'docks', 'dock', 'hires', 'hire_id'),
+  'read-glossary': (context) => planRangeRead(context, 'glossary', GLOSSARY_RANGE_ROWS),
   'read-status': (context) =>
-    readOwnRow(context) ?? readPoint(context, 'documents', keyOf(context)),
-  'read-docks': (context) => readOwnRow(context) ?? readRange(context, 'docks', DOCK_RANGE),
+    planOwnRowRead(context) ?? planPointRead(context, 'documents', keyFromRank(context)),
+  'read-docks': (context) =>
+    planOwnRowRead(context) ?? planRangeRead(context, 'docks', DOCK_RANGE_ROWS),
 };
 
 export function planAttempt(context: AttemptContext): AttemptPlan {
   return PLANNERS[context.kind.operation](context);
 }
 
-/** Deadlines are rounded up to this, so that the texts of statements stay few. */
+/** Deadlines are rounded up to a multiple of this, so that there are few distinct statement texts. */
 const DEADLINE_STEP_MS = 50;
 
-/** Markers in sqlcommenter form, to be put behind a statement. */
-export function markersOf(
+/** Formats markers as a sqlcommenter comment that is appended to a statement. */
+export function formatMarkers(
   kind: RequestKind,
   remainingMs: number,
   onceKey: string | undefined,
@@ -99,21 +100,21 @@
   return ` /*${markers.join(',')}*/`;
 }
 
-function insertOnce(context: AttemptContext, table: string, keyColumn: string): AttemptPlan {
+function planInsertOnce(context: AttemptContext, table: string, keyColumn: string): AttemptPlan {
   const idColumn = KEY_COLUMNS[table] ?? '';
   const text =
     `INSERT INTO ${table} (${idColumn}, ${keyColumn}, version) VALUES ($1, $2, 1) ` +
     `RETURNING ${idColumn} AS "key", version, ${idColumn} AS echo`;
   const statement: Statement = {
-    text: text + markersOf(context.kind, context.remainingMs, context.onceKey),
-    values: [context.attemptId, keyOf(context)],
+    text: text + formatMarkers(context.kind, context.remainingMs, context.onceKey),
+    values: [context.attemptId, keyFromRank(context)],
     table,
-    writes: true,
+    isWrite: true,
     expectedRows: 1,
     pointKey: undefined,
   };
   return {
-    transaction: false,
+    isTransaction: false,
     remainingMs: context.remainingMs,
     markers: '',
     statements: [statement],
@@ -121,8 +122,8 @@
   };
 }
 
-/** Two rows of its own around a change of a shared row, so that mixing and splitting would show. */
-function changeInTransaction(
+/** Inserts two rows of its own around an update of a shared row, so that mixed or split transactions are detected. */
+function planTransaction(
   context: AttemptContext,
   sharedTable: string,
   sharedKey: string,
@@ -130,65 +131,65 @@
   ownKey: string,
 ): AttemptPlan {
   const { attemptId } = context;
-  const markers = markersOf(context.kind, context.remainingMs, undefined);
-  const own: Statement = {
+  const markers = formatMarkers(context.kind, context.remainingMs, undefined);
+  const ownInsert: Statement = {
     text: `INSERT INTO ${ownTable} (${ownKey}, ${sharedKey}, version) VALUES ($1, $2, 1)${markers}`,
-    values: [attemptId, keyOf(context)],
+    values: [attemptId, keyFromRank(context)],
     table: undefined,
-    writes: true,
+    isWrite: true,
     expectedRows: undefined,
     pointKey: undefined,
   };
-  const shared: Statement = {
+  const sharedUpdate: Statement = {
     text:
       `UPDATE ${sharedTable} SET version = version + 1 WHERE ${sharedKey} = $1 ` +
       `RETURNING ${sharedKey} AS "key", version, $2::text AS echo${markers}`,
-    values: [keyOf(context), attemptId],
+    values: [keyFromRank(context), attemptId],
     table: sharedTable,
-    writes: true,
+    isWrite: true,
     expectedRows: 1,
     pointKey: undefined,
   };
-  const audit: Statement = {
-    ...own,
+  const auditInsert: Statement = {
+    ...ownInsert,
     text: `INSERT INTO audit (entry_id, version) VALUES ($1, 1)${markers}`,
     values: [attemptId],
   };
   return {
-    transaction: true,
+    isTransaction: true,
     remainingMs: context.remainingMs,
     markers,
-    statements: [own, shared, audit],
+    statements: [ownInsert, sharedUpdate, auditInsert],
     effectRows: [`${ownTable}/${attemptId}`, `audit/${attemptId}`],
   };
 }
 
-function readOwnRow(context: AttemptContext): AttemptPlan | undefined {
+function planOwnRowRead(context: AttemptContext): AttemptPlan | undefined {
   const separator = context.ownRow?.indexOf('/') ?? -1;
   if (context.ownRow === undefined || separator < 0) return undefined;
   const table = context.ownRow.slice(0, separator);
-  return readPoint(context, table, context.ownRow.slice(separator + 1));
+  return planPointRead(context, table, context.ownRow.slice(separator + 1));
 }
 
-function readPoint(context: AttemptContext, table: string, key: string | number): AttemptPlan {
+function planPointRead(context: AttemptContext, table: string, key: string | number): AttemptPlan {
   const column = KEY_COLUMNS[table] ?? '';
   const text = `SELECT ${readColumns(column)} FROM ${table} WHERE ${column} = $1`;
-  return read(context, table, text, [key, context.attemptId], undefined, `${table}/${key}`);
+  return planRead(context, table, text, [key, context.attemptId], undefined, `${table}/${key}`);
 }
 
-function readRange(context: AttemptContext, table: string, length: number): AttemptPlan {
+function planRangeRead(context: AttemptContext, table: string, length: number): AttemptPlan {
   const column = KEY_COLUMNS[table] ?? '';
-  const first = Math.min(keyOf(context), rowsOf(context) - length + 1);
+  const first = Math.min(keyFromRank(context), initialRowCount(context) - length + 1);
   const text = `SELECT ${readColumns(column)} FROM ${table} WHERE ${column} BETWEEN $1 AND $3`;
   const values = [first, context.attemptId, first + length - 1];
-  return read(context, table, text, values, length, undefined);
+  return planRead(context, table, text, values, length, undefined);
 }
 
 function readColumns(keyColumn: string): string {
   return `${keyColumn} AS "key", version, $2::text AS echo, pg_is_in_recovery() AS on_replica`;
 }
 
-function read(
+function planRead(
   context: AttemptContext,
   table: string,
   text: string,
@@ -196,10 +197,10 @@
   expectedRows: number | undefined,
   pointKey: string | undefined,
 ): AttemptPlan {
-  const marked = text + markersOf(context.kind, context.remainingMs, undefined);
-  const statement = { text: marked, values, table, writes: false, expectedRows, pointKey };
+  const marked = text + formatMarkers(context.kind, context.remainingMs, undefined);
+  const statement = { text: marked, values, table, isWrite: false, expectedRows, pointKey };
   return {
-    transaction: false,
+    isTransaction: false,
     remainingMs: context.remainingMs,
     markers: '',
     statements: [statement],
@@ -207,13 +208,13 @@
   };
 }
 
-/** Rows that the operation's shared table starts with; keys are 1 … rows. */
-function rowsOf({ deployment, kind }: AttemptContext): number {
+/** Number of initial rows in the operation's shared table; their keys are 1 … this number. */
+function initialRowCount({ deployment, kind }: AttemptContext): number {
   const { initialRows } = deployment;
   if (kind.operation === 'read-glossary') return initialRows.terms;
   return deployment.name === 'bureau' ? initialRows.documents : initialRows.docks;
 }
 
-function keyOf(context: AttemptContext): number {
-  return 1 + (context.keyRank % rowsOf(context));
+function keyFromRank(context: AttemptContext): number {
+  return 1 + (context.keyRank % initialRowCount(context));
 }
--- a/bench/report/page.ts
+++ b/bench/report/page.ts
@@ -1,7 +1,7 @@
 /** One self-contained page of a run: figures, plots rendered to SVG, faults, promises. */
 import { PROMISES } from '../checkers/index.js';
 import { DEPLOYMENTS } from '../deployments.js';
-import { logicalRequests } from '../load/figures.js';
+import { groupAttempts } from '../load/figures.js';
 import type { BenchReport, BenchRun } from '../run/run-bench.js';
 import {
   type Chart,
@@ -43,7 +43,7 @@
 function chartsOf({ report, measured, samples }: BenchRun, faults: readonly FaultBand[]): Chart[] {
   const { startedAt } = measured;
   const deployment = DEPLOYMENTS[report.deployment === 'trust' ? 'trust' : 'bureau'];
-  const requests = logicalRequests(measured.requests);
+  const requests = groupAttempts(measured.requests);
   const during = samples.filter(({ at }) => at >= startedAt && at <= measured.endedAt);
   const seconds = Math.ceil((measured.endedAt - startedAt) / MS_PER_SECOND);
   return [
--- a/bench/run/run-bench.ts
+++ b/bench/run/run-bench.ts
@@ -10,7 +10,7 @@
 import type { Cluster } from '../harness/cluster.js';
 import type { History } from '../history/model.js';
 import { nowMs } from '../load/clock.js';
-import { figuresOf, type RunFigures } from '../load/figures.js';
+import { computeFigures, type RunFigures } from '../load/figures.js';
 import { type LoadOptions, type LoadResult, runLoad } from '../load/generator.js';
 import { createRandom } from '../load/random.js';
 import { ClusterSampler } from '../recorders/cluster-sampler.js';
@@ -111,7 +111,7 @@
     const warmUp = await runLoad(warmUpOptions(cluster, options));
     progress.note('measured part');
     const [measured, faults] = await Promise.all([
-      runLoad({ ...loadOptions(cluster, options), onRecord: (record) => progress.record(record) }),
+      runLoad({ ...loadOptions(cluster, options), onAttempt: (record) => progress.record(record) }),
       runFaults(cluster, options, recorder, progress),
     ]);
     await sampler.stop();
@@ -192,7 +192,7 @@
   const { statementMs, electionTimeoutMs } = options;
   const violations = checkHistory(history);
   const failures = faults.flatMap(({ primaryFailures }) => primaryFailures);
-  const figures = figuresOf({
+  const figures = computeFigures({
     deployment: options.deployment,
     seed: options.seed,
     policy: options.policy,
--- a/scale/faults.ts
+++ b/scale/faults.ts
@@ -95,7 +95,7 @@
 /** A relay stands still past its lease, and goes on as if nothing had been. */
 function runRelayPause(fleet: HollowFleet, durationMs: Milliseconds): boolean {
   const relays = fleet.running.filter(({ configuration }) => configuration.isRelay);
-  const paused = relays[fleet.random.below(Math.max(1, relays.length))];
+  const paused = relays[fleet.random.integerBelow(Math.max(1, relays.length))];
   if (paused === undefined) return false;
   paused.pause();
   const { nodeId } = paused.identity;
@@ -135,7 +135,7 @@
   const candidates = fleet.running.filter(
     (node) => !node.isLeaving && !node.isPaused && node.ownership === undefined,
   );
-  const chosen = candidates[fleet.random.below(Math.max(1, candidates.length))];
+  const chosen = candidates[fleet.random.integerBelow(Math.max(1, candidates.length))];
   return chosen?.place;
 }
 
--- a/scale/fleet.ts
+++ b/scale/fleet.ts
@@ -232,7 +232,10 @@
   #publish(): void {
     if (this.store.isDown) return;
     this.#published += 1;
-    const tenant = storedTenant(this.random.below(this.#options.tenants), this.#published + 1);
+    const tenant = storedTenant(
+      this.random.integerBelow(this.#options.tenants),
+      this.#published + 1,
+    );
     const cutOff = new Set(this.running.filter((node) => this.#isCutOff(node)));
     const revision = this.store.publish([tenant]);
     this.observer.onPublished(revision, cutOff);
--- a/test/integration/bench/load-generator.test.ts
+++ b/test/integration/bench/load-generator.test.ts
@@ -10,7 +10,7 @@
 import { collectCommits, type InstanceLog } from '../../../bench/history/collect.js';
 import { EMPTY_HISTORY, type History } from '../../../bench/history/model.js';
 import { prepareDatabase } from '../../../bench/load/database-setup.js';
-import { figuresOf } from '../../../bench/load/figures.js';
+import { computeFigures } from '../../../bench/load/figures.js';
 import { type LoadResult, runLoad } from '../../../bench/load/generator.js';
 
 const SEED = 7;
@@ -75,7 +75,7 @@
       const answered = load.requests.filter(({ errorCode }) => errorCode !== 'NOT-SENT');
       const failures = answered.filter(({ outcome }) => outcome !== 'done');
       assert.equal(failures, []);
-      const figures = figuresOf({
+      const figures = computeFigures({
         deployment,
         seed: SEED,
         policy: 'direct',
--- a/test/support/loaded-cluster.ts
+++ b/test/support/loaded-cluster.ts
@@ -154,7 +154,7 @@
     sessions: run.sessions ?? 24,
     proxies: run.cluster.callerAddresses,
     credentialsOf: (group) => credentialsOf(LOADED_DEPLOYMENT, group),
-    onRecord: (record) => progress.records.push(record),
+    onAttempt: (record) => progress.records.push(record),
   });
 }
 
--- a/test/unit/bench/caller-session.test.ts
+++ b/test/unit/bench/caller-session.test.ts
@@ -4,7 +4,7 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { CallerSession } from '../../../bench/load/caller-session.js';
-import { connectFailure } from '../../../bench/load/outcome.js';
+import { toConnectFailure } from '../../../bench/load/outcome.js';
 
 const AUTHENTICATION_OK = Buffer.from('R\0\0\0\x08\0\0\0\0', 'latin1');
 const READY = Buffer.from('Z\0\0\0\x05I', 'latin1');
@@ -32,16 +32,16 @@
   const { port } = server.address() as AddressInfo;
   const session = new CallerSession({
     sessionId: 'session',
-    carriage: 'session-id',
+    identification: 'session-id',
     credentials: { user: 'app', password: '', database: 'app' },
     proxies: [{ name: 'proxy-1', host: '127.0.0.1', port }],
-    firstProxy: 0,
+    firstProxyIndex: 0,
   });
-  const refused = await session.connected().then(
+  const refused = await session.ensureConnected().then(
     () => undefined,
-    (error: unknown) => connectFailure(error),
+    (error: unknown) => toConnectFailure(error),
   );
-  session.abandon();
+  session.destroyConnection();
   server.close();
   await once(server, 'close');
   assert.equal(refused, {
--- a/test/unit/bench/series.test.ts
+++ b/test/unit/bench/series.test.ts
@@ -2,7 +2,7 @@
 import * as assert from 'uvu/assert';
 import { DEPLOYMENTS } from '../../../bench/deployments.js';
 import type { RequestRecord } from '../../../bench/history/model.js';
-import { logicalRequests } from '../../../bench/load/figures.js';
+import { groupAttempts } from '../../../bench/load/figures.js';
 import {
   faultBands,
   latencyPoints,
@@ -29,7 +29,7 @@
   });
 }
 
-const REQUESTS = logicalRequests([
+const REQUESTS = groupAttempts([
   request('a', 100, { servedBy: 'replica' }),
   request('b', 120, { servedBy: 'primary', endedAt: STARTED_AT + 120 + 5_000 }),
   request('c', 130, { outcome: 'not-run' }),
--- a/test/unit/load.test.ts
+++ b/test/unit/load.test.ts
@@ -10,8 +10,8 @@
 } from '../../bench/history/collect.js';
 import type { RequestRecord } from '../../bench/history/model.js';
 import { measureFailoverGap } from '../../bench/load/failover-gap.js';
-import { figuresOf } from '../../bench/load/figures.js';
-import { connectFailure, failureOf, isTokenRefused } from '../../bench/load/outcome.js';
+import { computeFigures } from '../../bench/load/figures.js';
+import { isTokenRefused, toAttemptFailure, toConnectFailure } from '../../bench/load/outcome.js';
 import { retryDelayMs } from '../../bench/load/retry-policy.js';
 import { isInBurst, planRequests } from '../../bench/load/schedule.js';
 import { type AttemptPlan, planAttempt } from '../../bench/load/statements.js';
@@ -28,7 +28,7 @@
 
 test('the shares of each deployment sum to one', () => {
   for (const { kinds } of Object.values(DEPLOYMENTS)) {
-    const sum = kinds.reduce((total, { share }) => total + share, 0);
+    const sum = kinds.reduce((total, { requestFraction: share }) => total + share, 0);
     assert.ok(Math.abs(sum - 1) < 1e-9);
   }
 });
@@ -45,7 +45,7 @@
   assert.ok(Math.abs(unlocks / planned.length - 0.2) < 0.03);
   const mostWanted = planned.filter(({ keyRank }) => keyRank === 0).length;
   assert.ok(mostWanted / planned.length > 0.08);
-  const moves = planned.filter((request) => request.moves).length;
+  const moves = planned.filter((request) => request.changesProxy).length;
   assert.ok(moves > 0.03 * planned.length && moves < 0.07 * planned.length);
 });
 
@@ -75,7 +75,7 @@
   assert.equal(glossary?.values, [981, 'x-try1', 1000]);
   assert.match(glossary?.text ?? '', /meadowstack_stale_ms='5000'/);
   const hire = planOf('insert-hire');
-  assert.ok(hire.transaction);
+  assert.ok(hire.isTransaction);
   assert.equal(hire.effectRows, ['hires/x-try1', 'audit/x-try1']);
 });
 
@@ -84,7 +84,7 @@
 }
 
 test('outcome, code and delay are read from an error', () => {
-  const refused = failureOf(
+  const refused = toAttemptFailure(
     databaseError('57P03', 'MS-NOT-RUN-NO-PRIMARY: not-run', 'retry after 30 ms'),
   );
   assert.equal(refused, {
@@ -93,19 +93,22 @@
     errorCode: 'MS-NOT-RUN-NO-PRIMARY',
     retryAfterMs: 30,
   });
-  assert.is(failureOf(databaseError('23505', 'MS-ALREADY-DONE: done')).outcome, 'done');
-  assert.is(failureOf(databaseError('23505', 'Key (id)=(1) already exists.')).outcome, 'failed');
-  assert.is(failureOf(databaseError('08007')).outcome, 'unknown');
-  assert.is(failureOf(databaseError('57P01')).ending, 'terminated');
+  assert.is(toAttemptFailure(databaseError('23505', 'MS-ALREADY-DONE: done')).outcome, 'done');
+  assert.is(
+    toAttemptFailure(databaseError('23505', 'Key (id)=(1) already exists.')).outcome,
+    'failed',
+  );
+  assert.is(toAttemptFailure(databaseError('08007')).outcome, 'unknown');
+  assert.is(toAttemptFailure(databaseError('57P01')).ending, 'terminated');
   const fatal = (detail: string) =>
-    failureOf(Object.assign(databaseError('57P03', detail), { severity: 'FATAL' })).ending;
+    toAttemptFailure(Object.assign(databaseError('57P03', detail), { severity: 'FATAL' })).ending;
   assert.is(fatal('MS-NOT-RUN-OWNER-STOPPING: not-run'), 'terminated');
   assert.is(fatal('MS-UNKNOWN-OWNER-LOST: unknown'), 'cut');
-  const badToken = connectFailure(databaseError('28000', 'MS-SESSION-TOKEN-KEY: not-run'));
+  const badToken = toConnectFailure(databaseError('28000', 'MS-SESSION-TOKEN-KEY: not-run'));
   assert.ok(isTokenRefused(badToken));
   assert.is(badToken.outcome, 'not-run');
-  assert.is(connectFailure(new Error('refused')).errorCode, 'CONNECT');
-  assert.is(failureOf(new Error('Connection terminated unexpectedly')).ending, 'cut');
+  assert.is(toConnectFailure(new Error('refused')).errorCode, 'CONNECT');
+  assert.is(toAttemptFailure(new Error('Connection terminated unexpectedly')).ending, 'cut');
 });
 
 test('a caller retries what is safe, after the hint, within its deadline, a few times', () => {
@@ -114,7 +117,7 @@
     retryDelayMs({
       record: requestRecord(changes),
       plan: retried,
-      attempts,
+      attemptCount: attempts,
       deadlineAt: 1000,
       jitter: 0,
     });
@@ -152,7 +155,7 @@
     requestRecord({ logicalId: 'd', kind: 'dock-lookup', access: 'read', servedBy: 'replica' }),
     requestRecord({ logicalId: 'e', kind: 'dock-lookup', access: 'read', servedBy: 'primary' }),
   ];
-  const figures = figuresOf({
+  const figures = computeFigures({
     deployment: TRUST,
     seed: 1,
     policy: 'ours',
