--- a/bench/dev/control-server.ts
+++ b/bench/dev/control-server.ts
@@ -31,7 +31,7 @@
     private readonly cluster: Cluster,
     private readonly deployments: readonly Deployment[],
   ) {
-    for (const nodeId of cluster.proxies.keys()) this.#recorder.proxyStarted(nodeId);
+    for (const nodeId of cluster.proxies.keys()) this.#recorder.recordProxyStart(nodeId);
     this.#server = createServer((request, response) => void this.#answer(request, response));
   }
 
--- a/bench/faults/machine-list-late.ts
+++ b/bench/faults/machine-list-late.ts
@@ -17,7 +17,7 @@
     const machine = actual.find(({ role, name }) => role === 'database' && name === replica.name);
     await machines.setLag(LAG_MS);
     await machines.markLeaving({ role: 'database', name: replica.name });
-    const marked = context.recorder.leaving(replica.name, nowMs() + LAG_MS);
+    const marked = context.recorder.recordLeavingMark(replica.name, nowMs() + LAG_MS);
     return {
       target: replica.name,
       primaryFailures: [],
--- a/bench/faults/proxy-faults.ts
+++ b/bench/faults/proxy-faults.ts
@@ -12,14 +12,14 @@
   begin: async (context) => {
     const { cluster, recorder } = context;
     const { nodeId, zone, kill } = pickProxy(context);
-    recorder.proxyStopped(nodeId);
+    recorder.recordProxyStop(nodeId);
     await kill();
     return {
       target: nodeId,
       primaryFailures: [],
       end: async () => {
         await cluster.startProxy({ nodeId, zone });
-        recorder.proxyStarted(nodeId);
+        recorder.recordProxyStart(nodeId);
       },
     };
   },
@@ -33,10 +33,10 @@
     const { cluster, recorder } = context;
     const { nodeId, zone, stop } = pickProxy(context);
     const requestedAt = nowMs();
-    recorder.proxyStopped(nodeId);
+    recorder.recordProxyStop(nodeId);
     await cluster.machines.markLeaving({ role: 'proxy', name: nodeId });
     const exited = stop().then((exitCode) => {
-      recorder.plannedStop({
+      recorder.recordPlannedStop({
         proxy: nodeId,
         requestedAt,
         exitedAt: nowMs(),
@@ -49,7 +49,7 @@
       end: async () => {
         await exited;
         await cluster.startProxy({ nodeId, zone });
-        recorder.proxyStarted(nodeId);
+        recorder.recordProxyStart(nodeId);
       },
     };
   },
@@ -62,17 +62,17 @@
   begin: async (context) => {
     const { cluster, recorder } = context;
     const serving = recorder.servingProxies;
-    const relay = recorder.relays.find((nodeId) => serving.includes(nodeId));
+    const relay = recorder.relayProxies.find((nodeId) => serving.includes(nodeId));
     const proxy = relay === undefined ? pickProxy(context) : cluster.proxy(relay);
     proxy.pause();
-    recorder.proxyStopped(proxy.nodeId);
+    recorder.recordProxyStop(proxy.nodeId);
     await cluster.store.expireLeases();
     return {
       target: proxy.nodeId,
       primaryFailures: [],
       end: async () => {
         proxy.resume();
-        recorder.proxyStarted(proxy.nodeId);
+        recorder.recordProxyStart(proxy.nodeId);
       },
     };
   },
--- a/bench/faults/publishing.ts
+++ b/bench/faults/publishing.ts
@@ -36,7 +36,7 @@
     const parameters = `  connections: ${connections} # ${operator}`;
     try {
       const text = tenantYaml({ ...tenant, parameters });
-      recorder.configurationAccepted(await cluster.publishTexts([text]));
+      recorder.recordAcceptedConfiguration(await cluster.publishTexts([text]));
     } catch (error) {
       if (!isLostRace(error)) throw error;
     }
--- a/bench/faults/zone-cut.ts
+++ b/bench/faults/zone-cut.ts
@@ -29,14 +29,14 @@
         ...proxies.map(({ nodeId }) => cutCallers(cluster, nodeId, cut)),
       ]);
     };
-    for (const { nodeId } of proxies) recorder.proxyStopped(nodeId);
+    for (const { nodeId } of proxies) recorder.recordProxyStop(nodeId);
     await setCut(true);
     return {
       target: zone,
       primaryFailures,
       end: async () => {
         await setCut(false);
-        for (const { nodeId } of proxies) recorder.proxyStarted(nodeId);
+        for (const { nodeId } of proxies) recorder.recordProxyStart(nodeId);
       },
     };
   },
--- a/bench/recorders/cluster-sampler.ts
+++ b/bench/recorders/cluster-sampler.ts
@@ -1,4 +1,4 @@
-/** Samples the whole cluster at a fixed period while a run goes on. */
+/** Samples all instances and proxies of the cluster periodically during a run. */
 import { setTimeout as delay } from 'node:timers/promises';
 import type { Cluster } from '../harness/cluster.js';
 import { nowMs } from '../load/clock.js';
@@ -24,12 +24,12 @@
     this.#running = this.#run();
   }
 
-  /** Share of reads sent to replicas by the proxies' own counts. */
-  get replicaReadShare(): number | null {
-    return this.#proxies.replicaReadShare;
+  /** Fraction of reads that the proxies sent to replicas, by their own counts; null without such counts. */
+  get replicaReadFraction(): number | null {
+    return this.#proxies.replicaReadFraction;
   }
 
-  /** Ends the sampling with one last sample. */
+  /** Takes a last sample and stops. */
   async stop(): Promise<void> {
     this.#stopped.abort();
     await this.#running;
@@ -50,7 +50,7 @@
       this.#instances.sample(),
       this.#proxies.sample(),
     ]);
-    this.recorder.clusterSample({
+    this.recorder.recordClusterSample({
       at,
       queuedAtProxies,
       queuedAtInstances: instances.queued,
--- a/bench/recorders/instance-sampler.ts
+++ b/bench/recorders/instance-sampler.ts
@@ -1,16 +1,16 @@
-/** Asks the instances for queues and connections, and for work that reaches leaving ones. */
+/** Reads queue lengths and connections from the instances, and records work that reaches leaving instances. */
 import type { InstanceState } from '../../standins/database/instance.js';
 import type { Cluster } from '../harness/cluster.js';
 import { nowMs } from '../load/clock.js';
 import type { RunRecorder } from './run-recorder.js';
 
-/** Statements of callers on one instance, as of a time. */
+/** Number of callers' statements that an instance had started by a given time. */
 interface StatementCount {
   readonly at: number;
   readonly statements: number;
 }
 
-/** What all instances together showed at one time. */
+/** Totals over all instances at one time. */
 export interface InstanceTotals {
   readonly queued: number;
   readonly connections: number;
@@ -19,27 +19,27 @@
 const CONTROL_TIMEOUT_MS = 1_000;
 
 export class InstanceSampler {
-  readonly #counts = new Map<string, StatementCount>();
+  readonly #lastCounts = new Map<string, StatementCount>();
 
   constructor(
     private readonly cluster: Cluster,
     private readonly recorder: RunRecorder,
-    /** Role of callers' statements; probes have another. */
+    /** Database role of callers' statements; probes use another. */
     private readonly callerRole: string,
   ) {}
 
-  /** Instances that don't answer in time count as empty. */
+  /** Instances that don't respond in time are left out of the totals. */
   async sample(): Promise<InstanceTotals> {
-    const askedAt = nowMs();
-    const states = await this.#states();
-    for (const state of states) this.#recordWork(state, askedAt);
+    const requestedAt = nowMs();
+    const states = await this.#readStates();
+    for (const state of states) this.#recordWork(state, requestedAt);
     return {
       queued: states.reduce((sum, state) => sum + state.queuedStatements, 0),
       connections: states.reduce((sum, state) => sum + state.connections, 0),
     };
   }
 
-  async #states(): Promise<InstanceState[]> {
+  async #readStates(): Promise<InstanceState[]> {
     const instances = [...this.cluster.groups.values()].flatMap((group) => group.instances);
     const states = await Promise.all(
       instances.map(({ host, controlPort }) => readState(host, controlPort)),
@@ -47,14 +47,14 @@
     return states.filter((state) => state !== undefined);
   }
 
-  /** Work that came between two samples is dated to the first: no sooner could it have come. */
-  #recordWork({ name, statementsByRole }: InstanceState, askedAt: number): void {
+  /** Work between two samples gets the time of the first sample, the earliest time at which it can have arrived. */
+  #recordWork({ name, statementsByRole }: InstanceState, requestedAt: number): void {
     const statements = statementsByRole[this.callerRole] ?? 0;
-    const earlier = this.#counts.get(name);
-    this.#counts.set(name, { at: askedAt, statements });
+    const earlier = this.#lastCounts.get(name);
+    this.#lastCounts.set(name, { at: requestedAt, statements });
     if (earlier === undefined || statements <= earlier.statements) return;
     if (!this.recorder.leavingInstances.includes(name)) return;
-    this.recorder.work({ instance: name, startedAt: earlier.at });
+    this.recorder.recordWork({ instance: name, startedAt: earlier.at });
   }
 }
 
@@ -64,7 +64,7 @@
     const response = await fetch(`http://${host}:${port}/state`, { signal });
     return (await response.json()) as InstanceState;
   } catch {
-    // Killed or paused: the fault is on record elsewhere.
+    // The instance is killed or paused; the fault itself is recorded elsewhere.
     return undefined;
   }
 }
--- a/bench/recorders/proxy-sampler.ts
+++ b/bench/recorders/proxy-sampler.ts
@@ -1,4 +1,4 @@
-/** Asks the proxies' admin ports for configuration, queues and their own counts of reads. */
+/** Reads configuration revisions, queue lengths and read counts from the proxies' admin ports. */
 import { z } from 'zod';
 import type { Cluster } from '../harness/cluster.js';
 import type { RunningProxy } from '../harness/proxy-process.js';
@@ -12,14 +12,14 @@
   primaryReads: z.number(),
 });
 
-/** The part of `GET /status` that is read here. */
+/** The part of the response to `GET /status` that is used here. */
 const statusSchema = z.object({
   configuration: z.object({ revision: z.number(), relay: z.boolean() }),
   groups: z.array(groupSchema),
 });
 type ProxyStatus = z.output<typeof statusSchema>;
 
-/** Reads that the owners of one proxy process have sent. */
+/** Reads that one proxy process, as owner of groups, has sent. */
 interface ReadCounts {
   readonly replicaReads: number;
   readonly primaryReads: number;
@@ -28,26 +28,26 @@
 const STATUS_TIMEOUT_MS = 1_000;
 
 export class ProxySampler {
-  /** By process: a replaced proxy counts anew. */
-  readonly #reads = new Map<number, ReadCounts>();
+  /** By process id, because a replaced proxy counts from zero. */
+  readonly #readCountsByPid = new Map<number, ReadCounts>();
 
   constructor(
     private readonly cluster: Cluster,
     private readonly recorder: RunRecorder,
   ) {}
 
-  /** Requests queued in all proxies that answered in time. */
+  /** Number of requests queued in all proxies that responded in time. */
   async sample(): Promise<number> {
     const proxies = [...this.cluster.proxies.values()];
     const queued = await Promise.all(proxies.map((proxy) => this.#sampleProxy(proxy)));
     return queued.reduce((sum, count) => sum + count, 0);
   }
 
-  /** Share of reads sent to replicas by the proxies' own counts; null if none told. */
-  get replicaReadShare(): number | null {
+  /** Fraction of reads that the proxies sent to replicas, by their own counts; null if they counted no reads. */
+  get replicaReadFraction(): number | null {
     let replicaReads = 0;
     let reads = 0;
-    for (const counts of this.#reads.values()) {
+    for (const counts of this.#readCountsByPid.values()) {
       replicaReads += counts.replicaReads;
       reads += counts.replicaReads + counts.primaryReads;
     }
@@ -59,8 +59,8 @@
     const status = await readStatus(proxy);
     if (status === undefined) return 0;
     const { revision: configurationRevision, relay } = status.configuration;
-    this.recorder.proxySample({ proxy: proxy.nodeId, at, configurationRevision, relay });
-    this.#reads.set(proxy.pid, {
+    this.recorder.recordProxySample({ proxy: proxy.nodeId, at, configurationRevision, relay });
+    this.#readCountsByPid.set(proxy.pid, {
       replicaReads: status.groups.reduce((sum, group) => sum + group.replicaReads, 0),
       primaryReads: status.groups.reduce((sum, group) => sum + group.primaryReads, 0),
     });
@@ -75,7 +75,7 @@
     const response = await fetch(`http://${admin.host}:${admin.port}/status`, { signal });
     return statusSchema.parse(await response.json());
   } catch {
-    // Killed, paused or leaving: the fault is on record elsewhere.
+    // The proxy is killed, paused or shutting down; the fault itself is recorded elsewhere.
     return undefined;
   }
 }
--- a/bench/recorders/run-recorder.ts
+++ b/bench/recorders/run-recorder.ts
@@ -1,7 +1,8 @@
 /**
- * What happens during a run beside the callers' requests: proxies' lives, planned stops, accepted
- * configurations, leaving marks; and samples of configurations in force, work on leaving back ends,
- * queues and connections. The checkers of promises 7 to 9 and the report read it.
+ * Records what happens during a run besides the callers' requests: times in which each proxy serves,
+ * planned stops, accepted configurations and leaving marks; and samples of the proxies' configuration
+ * revisions, work on leaving back ends, queues and connections. The checkers of configurations, planned
+ * stops and leaving back ends use it, and so does the report.
  */
 import type {
   AcceptedConfigurationRecord,
@@ -14,18 +15,18 @@
 } from '../history/model.js';
 import { nowMs } from '../load/clock.js';
 
-/** The state of the cluster at one time. */
+/** State of the cluster at one time. */
 export interface ClusterSample {
   readonly at: number;
-  /** Requests that wait in the proxies' queues. */
+  /** Requests in the proxies' queues. */
   readonly queuedAtProxies: number;
-  /** Statements that wait for a slot of an instance. */
+  /** Statements that wait for a free slot of an instance. */
   readonly queuedAtInstances: number;
   /** Connections that the instances hold open. */
   readonly connections: number;
 }
 
-/** What one proxy told of itself. */
+/** Status of one proxy, as reported by itself. */
 export interface ProxySample {
   readonly proxy: string;
   readonly at: number;
@@ -33,13 +34,13 @@
   readonly relay: boolean;
 }
 
-interface ProxyLife {
+interface ProxyServicePeriod {
   readonly proxy: string;
   readonly servingFrom: number;
   servingUntil: number | undefined;
 }
 
-interface Leaving {
+interface LeavingMark {
   readonly instance: string;
   readonly visibleAt: number;
   endedAt: number | undefined;
@@ -56,72 +57,72 @@
 >;
 
 export class RunRecorder {
-  readonly #lives: ProxyLife[] = [];
+  readonly #servicePeriods: ProxyServicePeriod[] = [];
   readonly #plannedStops: PlannedStopRecord[] = [];
-  readonly #accepted: AcceptedConfigurationRecord[] = [];
-  readonly #configurations: ConfigurationSampleRecord[] = [];
-  readonly #leavings: Leaving[] = [];
+  readonly #acceptedConfigurations: AcceptedConfigurationRecord[] = [];
+  readonly #configurationSamples: ConfigurationSampleRecord[] = [];
+  readonly #leavingMarks: LeavingMark[] = [];
   readonly #work: WorkRecord[] = [];
   readonly #clusterSamples: ClusterSample[] = [];
-  readonly #relays = new Set<string>();
+  readonly #relayProxies = new Set<string>();
 
-  proxyStarted(proxy: string): void {
-    this.#lives.push({ proxy, servingFrom: nowMs(), servingUntil: undefined });
+  recordProxyStart(proxy: string): void {
+    this.#servicePeriods.push({ proxy, servingFrom: nowMs(), servingUntil: undefined });
   }
 
-  /** From now on the proxy need not serve: it is killed, paused or asked to stop. */
-  proxyStopped(proxy: string): void {
-    this.#relays.delete(proxy);
-    const life = this.#lives.findLast((candidate) => candidate.proxy === proxy);
-    if (life !== undefined) life.servingUntil ??= nowMs();
+  /** From now on the proxy isn't expected to serve: it is killed, paused or requested to stop. */
+  recordProxyStop(proxy: string): void {
+    this.#relayProxies.delete(proxy);
+    const servicePeriod = this.#servicePeriods.findLast((candidate) => candidate.proxy === proxy);
+    if (servicePeriod !== undefined) servicePeriod.servingUntil ??= nowMs();
   }
 
-  /** Proxies that are meant to serve now. */
+  /** Proxies that are expected to serve now. */
   get servingProxies(): readonly string[] {
-    const serving = this.#lives.filter(({ servingUntil }) => servingUntil === undefined);
-    return serving.map(({ proxy }) => proxy);
+    const current = this.#servicePeriods.filter(({ servingUntil }) => servingUntil === undefined);
+    return current.map(({ proxy }) => proxy);
   }
 
-  /** Proxies that relayed the configuration when they were last asked. */
-  get relays(): readonly string[] {
-    return [...this.#relays];
+  /** Proxies that were configuration relays when last sampled. */
+  get relayProxies(): readonly string[] {
+    return [...this.#relayProxies];
   }
 
-  plannedStop(record: PlannedStopRecord): void {
+  recordPlannedStop(record: PlannedStopRecord): void {
     this.#plannedStops.push(record);
   }
 
-  /** The store has accepted a configuration. */
-  configurationAccepted(revision: number): void {
-    this.#accepted.push({ revision, acceptedAt: nowMs() });
+  /** Records that the store has accepted a configuration. */
+  recordAcceptedConfiguration(revision: number): void {
+    this.#acceptedConfigurations.push({ revision, acceptedAt: nowMs() });
   }
 
-  /** The back end's leaving mark shows from `visibleAt` on; the result is called when it is off. */
-  leaving(instance: string, visibleAt: number): () => void {
-    const leaving: Leaving = { instance, visibleAt, endedAt: undefined };
-    this.#leavings.push(leaving);
+  /** Records that the back end's leaving mark is visible from `visibleAt`; call the result once the mark is removed. */
+  recordLeavingMark(instance: string, visibleAt: number): () => void {
+    const leaving: LeavingMark = { instance, visibleAt, endedAt: undefined };
+    this.#leavingMarks.push(leaving);
     return () => {
       leaving.endedAt = nowMs();
     };
   }
 
-  /** Instances whose leaving mark is on. */
+  /** Instances with a leaving mark that has not been removed. */
   get leavingInstances(): readonly string[] {
-    const marked = this.#leavings.filter(({ endedAt }) => endedAt === undefined);
+    const marked = this.#leavingMarks.filter(({ endedAt }) => endedAt === undefined);
     return marked.map(({ instance }) => instance);
   }
 
-  work(record: WorkRecord): void {
+  recordWork(record: WorkRecord): void {
     this.#work.push(record);
   }
 
-  proxySample({ proxy, at, configurationRevision: revision, relay }: ProxySample): void {
-    this.#configurations.push({ proxy, at, revision });
-    if (relay) this.#relays.add(proxy);
-    else this.#relays.delete(proxy);
+  recordProxySample({ proxy, at, configurationRevision: revision, relay }: ProxySample): void {
+    this.#configurationSamples.push({ proxy, at, revision });
+    if (relay) this.#relayProxies.add(proxy);
+    else this.#relayProxies.delete(proxy);
   }
 
-  clusterSample(sample: ClusterSample): void {
+  recordClusterSample(sample: ClusterSample): void {
     this.#clusterSamples.push(sample);
   }
 
@@ -129,16 +130,16 @@
     return this.#clusterSamples;
   }
 
-  /** The part of the history that is recorded here. */
-  history(): RecordedHistory {
-    const proxyLives: readonly ProxyLifeRecord[] = this.#lives;
-    const leavings: readonly LeavingRecord[] = this.#leavings;
+  /** The recorded part of the history. */
+  toHistory(): RecordedHistory {
+    const proxyLives: readonly ProxyLifeRecord[] = this.#servicePeriods;
+    const leavings: readonly LeavingRecord[] = this.#leavingMarks;
     return {
       leavings,
       work: this.#work,
       plannedStops: this.#plannedStops,
-      acceptedConfigurations: this.#accepted,
-      configurationSamples: this.#configurations,
+      acceptedConfigurations: this.#acceptedConfigurations,
+      configurationSamples: this.#configurationSamples,
       proxyLives,
     };
   }
--- a/bench/run/run-bench.ts
+++ b/bench/run/run-bench.ts
@@ -103,7 +103,7 @@
   machine: () => MachineFigures,
 ): Promise<BenchRun> {
   const recorder = new RunRecorder();
-  for (const nodeId of [...cluster.proxies.keys()].sort()) recorder.proxyStarted(nodeId);
+  for (const nodeId of [...cluster.proxies.keys()].sort()) recorder.recordProxyStart(nodeId);
   const sampler = new ClusterSampler(cluster, recorder, DATABASE_ROLE);
   const progress = new Progress(`${options.deployment.name} ${options.policy}`);
   try {
@@ -118,7 +118,7 @@
     const logs = await collectLogs(cluster);
     const history = historyOf(recorder, [warmUp, measured], logs);
     const samples = recorder.clusterSamples;
-    const { replicaReadShare } = sampler;
+    const { replicaReadFraction: replicaReadShare } = sampler;
     const run = { options, measured, faults, history, logs, replicaReadShare, machine: machine() };
     return { report: reportOf(run), history, measured, samples };
   } finally {
@@ -167,7 +167,7 @@
   { commits, elections }: CollectedLogs,
 ): History {
   return {
-    ...recorder.history(),
+    ...recorder.toHistory(),
     requests: loads.flatMap(({ requests }) => requests),
     transactions: loads.flatMap(({ transactions }) => transactions),
     commits,
--- a/test/integration/cluster/configuration-faults.test.ts
+++ b/test/integration/cluster/configuration-faults.test.ts
@@ -52,7 +52,7 @@
   const proxies = NODES.map((nodeId) => ({ nodeId, zone: ZONE }));
   context.cluster = await startSmallCluster({ proxies });
   context.recorder = new RunRecorder();
-  for (const nodeId of NODES) context.recorder.proxyStarted(nodeId);
+  for (const nodeId of NODES) context.recorder.recordProxyStart(nodeId);
   context.sampler = new ClusterSampler(context.cluster, context.recorder, 'app');
 });
 
@@ -69,12 +69,12 @@
  * in virtual time (property/configuration-agent.test.ts) and in longer runs in real time.
  */
 function assertNotReverted({ recorder }: Context): void {
-  const history = { ...EMPTY_HISTORY, ...recorder.history(), endedAt: Date.now() };
+  const history = { ...EMPTY_HISTORY, ...recorder.toHistory(), endedAt: Date.now() };
   assert.equal(checkConfiguration(history, Number.POSITIVE_INFINITY), []);
 }
 
 async function relaysKnown({ recorder }: Context): Promise<void> {
-  await until('the relays are known', () => recorder.relays.length === RELAYS_A_ZONE);
+  await until('the relays are known', () => recorder.relayProxies.length === RELAYS_A_ZONE);
 }
 
 function declarationText(connections: number): string {
@@ -89,7 +89,7 @@
 /** Publishes a connection limit and resolves with the accepted revision. */
 async function publish({ cluster, recorder }: Context, connections: number): Promise<number> {
   const revision = await cluster.publishTexts([declarationText(connections)]);
-  recorder.configurationAccepted(revision);
+  recorder.recordAcceptedConfiguration(revision);
   return revision;
 }
 
@@ -131,7 +131,7 @@
       });
       outcome.match(
         ({ revision }) => {
-          recorder.configurationAccepted(revision);
+          recorder.recordAcceptedConfiguration(revision);
           accepted.set(publishId, revision);
         },
         (error) => {
@@ -172,11 +172,11 @@
   // silent-from-start.test.ts covers relays that become silent before any node heard from them.
   await allHeard(cluster, NODES);
   await relaysKnown(context);
-  const { relays } = recorder;
+  const { relayProxies: relays } = recorder;
   const others = NODES.filter((nodeId) => !relays.includes(nodeId));
   for (const relay of relays) {
     cluster.proxy(relay).pause();
-    recorder.proxyStopped(relay);
+    recorder.recordProxyStop(relay);
   }
   let second: number;
   try {
@@ -188,7 +188,7 @@
     // The next tests need all proxies running, also if this test fails.
     for (const relay of relays) {
       cluster.proxy(relay).resume();
-      recorder.proxyStarted(relay);
+      recorder.recordProxyStart(relay);
     }
   }
   await inForce(cluster, second);
@@ -206,10 +206,10 @@
     await cluster.store.setFaults(faults);
     for (const nodeId of NODES) {
       const { zone, kill } = cluster.proxy(nodeId);
-      recorder.proxyStopped(nodeId);
+      recorder.recordProxyStop(nodeId);
       await kill();
       await cluster.startProxy({ nodeId, zone });
-      recorder.proxyStarted(nodeId);
+      recorder.recordProxyStart(nodeId);
       assert.ok((await revisionOf(cluster, nodeId)) >= revision, `${nodeId} has an older version`);
     }
     assertNotReverted(context);
--- a/test/integration/cluster/departures.test.ts
+++ b/test/integration/cluster/departures.test.ts
@@ -55,7 +55,7 @@
   assert.ok(machine);
   await cluster.machines.markLeaving({ role: 'database', name });
   const visibleAt = nowMs();
-  const marked = recorder.leaving(name, visibleAt);
+  const marked = recorder.recordLeavingMark(name, visibleAt);
   await meanwhile();
   await until('observed beyond the grace', () => nowMs() > visibleAt + OBSERVED_MS);
   marked();
@@ -120,11 +120,11 @@
       for (const { nodeId, zone, stop } of [...cluster.proxies.values()]) {
         await progress.writesDone(WRITES_BETWEEN);
         const requestedAt = nowMs();
-        recorder.proxyStopped(nodeId);
+        recorder.recordProxyStop(nodeId);
         const exitCode = (await stop()) ?? undefined;
-        recorder.plannedStop({ proxy: nodeId, requestedAt, exitedAt: nowMs(), exitCode });
+        recorder.recordPlannedStop({ proxy: nodeId, requestedAt, exitedAt: nowMs(), exitCode });
         await cluster.startProxy({ nodeId, zone });
-        recorder.proxyStarted(nodeId);
+        recorder.recordProxyStart(nodeId);
       }
       await progress.writesDone(WRITES_BETWEEN);
     },
--- a/test/support/loaded-cluster.ts
+++ b/test/support/loaded-cluster.ts
@@ -109,7 +109,7 @@
 export async function loadUnderFault(run: LoadUnderFault): Promise<History> {
   const progress = new LoadProgress();
   const recorder = new RunRecorder();
-  for (const nodeId of run.cluster.proxies.keys()) recorder.proxyStarted(nodeId);
+  for (const nodeId of run.cluster.proxies.keys()) recorder.recordProxyStart(nodeId);
   const sampler = new ClusterSampler(run.cluster, recorder, DATABASE_ROLE);
   const fault = new PendingWork(run.fault(progress, recorder));
   const parts: LoadResult[] = [];
@@ -119,7 +119,7 @@
   await fault.done;
   const { commits, elections } = await collectLogs(run.cluster);
   return {
-    ...recorder.history(),
+    ...recorder.toHistory(),
     requests: parts.flatMap(({ requests }) => requests),
     transactions: parts.flatMap(({ transactions }) => transactions),
     commits,
--- a/test/unit/bench/recorder.test.ts
+++ b/test/unit/bench/recorder.test.ts
@@ -7,17 +7,17 @@
 
 test('a proxy serves from its start until it is stopped, and again once replaced', () => {
   const recorder = new RunRecorder();
-  recorder.proxyStarted('a');
-  recorder.proxyStarted('b');
-  recorder.proxySample({ proxy: 'a', at: 1, configurationRevision: 3, relay: true });
+  recorder.recordProxyStart('a');
+  recorder.recordProxyStart('b');
+  recorder.recordProxySample({ proxy: 'a', at: 1, configurationRevision: 3, relay: true });
   assert.equal(recorder.servingProxies, ['a', 'b']);
-  assert.equal(recorder.relays, ['a']);
-  recorder.proxyStopped('a');
+  assert.equal(recorder.relayProxies, ['a']);
+  recorder.recordProxyStop('a');
   assert.equal(recorder.servingProxies, ['b']);
-  assert.equal(recorder.relays, []);
-  recorder.proxyStarted('a');
+  assert.equal(recorder.relayProxies, []);
+  recorder.recordProxyStart('a');
   assert.equal(recorder.servingProxies, ['b', 'a']);
-  const lives = recorder.history().proxyLives.map(({ proxy, servingUntil }) => {
+  const lives = recorder.toHistory().proxyLives.map(({ proxy, servingUntil }) => {
     return [proxy, servingUntil === undefined];
   });
   assert.equal(lives, [
@@ -30,15 +30,15 @@
 test('what is recorded is what the checkers of promises 7 to 9 judge', () => {
   const recorder = new RunRecorder();
   const visibleAt = nowMs() - 20_000;
-  const markOff = recorder.leaving('db-1', visibleAt);
+  const markOff = recorder.recordLeavingMark('db-1', visibleAt);
   assert.equal(recorder.leavingInstances, ['db-1']);
-  recorder.work({ instance: 'db-1', startedAt: visibleAt + 10_000 });
+  recorder.recordWork({ instance: 'db-1', startedAt: visibleAt + 10_000 });
   markOff();
   assert.equal(recorder.leavingInstances, []);
-  recorder.plannedStop({ proxy: 'a', requestedAt: 1, exitedAt: 2, exitCode: 1 });
-  recorder.proxySample({ proxy: 'a', at: 5, configurationRevision: 7, relay: false });
-  recorder.proxySample({ proxy: 'a', at: 6, configurationRevision: 6, relay: false });
-  const violations = checkHistory({ ...EMPTY_HISTORY, ...recorder.history(), endedAt: nowMs() });
+  recorder.recordPlannedStop({ proxy: 'a', requestedAt: 1, exitedAt: 2, exitCode: 1 });
+  recorder.recordProxySample({ proxy: 'a', at: 5, configurationRevision: 7, relay: false });
+  recorder.recordProxySample({ proxy: 'a', at: 6, configurationRevision: 6, relay: false });
+  const violations = checkHistory({ ...EMPTY_HISTORY, ...recorder.toHistory(), endedAt: nowMs() });
   assert.equal(
     violations.map(({ reason }) => reason),
     ['work-after-leaving', 'stop-failed', 'configuration-reverted'],
