--- a/bench/demo/postgres.ts
+++ b/bench/demo/postgres.ts
@@ -15,8 +15,12 @@
 import { type LoadResult, runLoad } from '../load/generator.js';
 import { RunRecorder } from '../recorders/run-recorder.js';
 import { collectLogs } from '../run/collect-logs.js';
-import { credentialsOf, startDeploymentCluster, tenantOf } from '../run/deployment-cluster.js';
-import { endOnSignal } from '../run/interruption.js';
+import {
+  credentialsOf,
+  startDeploymentCluster,
+  toClusterTenant,
+} from '../run/deployment-cluster.js';
+import { stopClusterOnSignal } from '../run/interruption.js';
 import { Account, countMoves } from './account.js';
 
 const SEED = 1;
@@ -34,9 +38,9 @@
   seed: SEED,
   statementMs: 1,
   electionTimeoutMs: 300,
-  delays: true,
+  hasNetworkDelays: true,
 });
-const release = endOnSignal(cluster);
+const release = stopClusterOnSignal(cluster);
 try {
   await demonstrate(cluster);
 } finally {
@@ -86,7 +90,7 @@
       cluster: running,
       deployment,
       recorder: new RunRecorder(),
-      tenant: tenantOf(deployment),
+      tenant: toClusterTenant(deployment),
     },
     seed: SEED,
     startedAt: nowMs(),
--- a/bench/deployment-bench.ts
+++ b/bench/deployment-bench.ts
@@ -3,7 +3,12 @@
 import { MeadowstackError } from '../src/core/errors.js';
 import { BENCH_HELP, type BenchCommand, parseBenchArguments } from './options.js';
 import { renderPage } from './report/page.js';
-import { type MatrixCell, matrixTable, runMatrix, violationsIn } from './run/fault-matrix.js';
+import {
+  countCellViolations,
+  formatMatrixTable,
+  type MatrixCell,
+  runMatrix,
+} from './run/fault-matrix.js';
 import { type BenchRun, runBench } from './run/run-bench.js';
 
 const EXIT_DONE = 0;
@@ -41,14 +46,14 @@
     const last = soFar.at(-1);
     if (last !== undefined) process.stderr.write(`${cellLine(last)}\n`);
     if (jsonFile !== undefined) await writeFile(jsonFile, jsonText(soFar));
-    if (markdownFile !== undefined) await writeFile(markdownFile, matrixTable(soFar));
+    if (markdownFile !== undefined) await writeFile(markdownFile, formatMatrixTable(soFar));
   });
   if (jsonFile === undefined) process.stdout.write(jsonText(cells));
-  if (markdownFile === undefined) process.stderr.write(matrixTable(cells));
+  if (markdownFile === undefined) process.stderr.write(formatMatrixTable(cells));
 }
 
 function cellLine(cell: MatrixCell): string {
-  const violations = violationsIn(cell);
+  const violations = countCellViolations(cell);
   const result = violations === undefined ? `failed: ${cell.error}` : `${violations} violations`;
   return `seed ${cell.seed}  ${cell.faults.join(' + ')}: ${result}`;
 }
--- a/bench/dev/control-server.ts
+++ b/bench/dev/control-server.ts
@@ -7,7 +7,7 @@
 import type { Cluster } from '../harness/cluster.js';
 import { createRandom } from '../load/random.js';
 import { RunRecorder } from '../recorders/run-recorder.js';
-import { tenantOf } from '../run/deployment-cluster.js';
+import { toClusterTenant } from '../run/deployment-cluster.js';
 
 const LOOPBACK = '127.0.0.1';
 const DEFAULT_SEED = 1;
@@ -97,7 +97,7 @@
     const deployment = named ?? first;
     if (deployment === undefined) throw new NoTargetError('no deployment');
     const { cluster } = this;
-    const tenant = tenantOf(deployment);
+    const tenant = toClusterTenant(deployment);
     return { cluster, deployment, random: this.#random, recorder: this.#recorder, tenant };
   }
 }
--- a/bench/dev/main.ts
+++ b/bench/dev/main.ts
@@ -12,7 +12,7 @@
   seed: 1,
   statementMs: 0,
   electionTimeoutMs: 300,
-  delays: false,
+  hasNetworkDelays: false,
   onStep: (step: string): void => void process.stderr.write(`${step}\n`),
 } as const;
 
--- a/bench/options.ts
+++ b/bench/options.ts
@@ -94,7 +94,7 @@
     sessions: data.sessions,
     statementMs: data['statement-ms'],
     electionTimeoutMs: data['election-ms'],
-    delays: !data['no-delays'],
+    hasNetworkDelays: !data['no-delays'],
   };
   return {
     run,
--- a/bench/run/deployment-cluster.ts
+++ b/bench/run/deployment-cluster.ts
@@ -1,6 +1,6 @@
 /**
- * The cluster of one or more deployments with the brief's sizes: groups, zones, delays, templates,
- * tenants, proxies spread over the zones, and databases with their tables and first rows.
+ * Starts the cluster of one or more deployments: groups, zones, delays, templates, tenants, proxies
+ * spread over the zones, and databases with their tables and initial rows.
  */
 import { setTimeout as delay } from 'node:timers/promises';
 import type { InstanceState } from '../../standins/database/instance.js';
@@ -24,24 +24,24 @@
   readonly seed: number;
   /** Service time of one statement on an instance. */
   readonly statementMs: number;
-  /** Silence after which a group elects a new primary. */
+  /** Time without messages from its primary after which a group elects a new one. */
   readonly electionTimeoutMs: number;
-  /** Delays of the deployments' places; false for the shortest ways that there are. */
-  readonly delays: boolean;
+  /** True to add the network delays of the deployments; false for none. */
+  readonly hasNetworkDelays: boolean;
   readonly proxyFlags?: readonly string[];
-  /** Told of each part that is up. */
+  /** Called with a description of each part that has started. */
   readonly onStep?: (step: string) => void;
 }
 
-/** The role that all tenants of a deployment have on its back ends. */
+/** The database role that all tenants of a deployment use on its back ends. */
 export const DATABASE_ROLE = 'app';
 
 const PREPARE_ATTEMPTS = 5;
-const POLL_MS = 10;
+const POLL_PERIOD_MS = 10;
 
-/** Starts it all; resolves when callers are served and every replica has the tables. */
+/** Starts the cluster; resolves when callers are served and every replica has the tables. */
 export async function startDeploymentCluster(options: DeploymentClusterOptions): Promise<Cluster> {
-  const cluster = await Cluster.start(clusterOptionsOf(options));
+  const cluster = await Cluster.start(toClusterOptions(options));
   try {
     await Promise.all(
       options.deployments.flatMap((deployment) =>
@@ -58,12 +58,12 @@
   }
 }
 
-/** What callers of a deployment log in with. */
+/** Credentials of a deployment's callers for the database of a group. */
 export function credentialsOf(deployment: Deployment, group: string): Credentials {
   return { user: deployment.tenant, password: passwordOf(deployment), database: group };
 }
 
-export function tenantOf(deployment: Deployment): ClusterTenant {
+export function toClusterTenant(deployment: Deployment): ClusterTenant {
   return {
     name: deployment.tenant,
     password: passwordOf(deployment),
@@ -72,8 +72,8 @@
   };
 }
 
-/** The template of a deployment; `connections` is what its tenants can set. */
-export function templateYaml(deployment: Deployment): string {
+/** The template of a deployment; its tenants can set the parameter `connections`. */
+export function formatTemplateYaml(deployment: Deployment): string {
   return [
     'kind: Template',
     `name: ${deployment.name}`,
@@ -100,25 +100,25 @@
   ].join('\n');
 }
 
-function clusterOptionsOf(options: DeploymentClusterOptions): ClusterOptions {
-  const { deployments, delays, onStep } = options;
+function toClusterOptions(options: DeploymentClusterOptions): ClusterOptions {
+  const { deployments, hasNetworkDelays, onStep } = options;
   const zoneDelayMs = Math.max(...deployments.map((deployment) => deployment.zoneDelayMs));
   const callerLatencyMs = Math.max(...deployments.map((deployment) => deployment.clientDelayMs));
   return {
     groups: deployments.flatMap((deployment) =>
-      deployment.groups.map((_, index) => groupOptions(options, deployment, index)),
+      deployment.groups.map((_, index) => toClusterGroup(options, deployment, index)),
     ),
-    proxies: proxiesOf(options),
-    templates: deployments.map(templateYaml).join('---\n'),
-    tenants: deployments.map(tenantOf),
+    proxies: toClusterProxies(options),
+    templates: deployments.map(formatTemplateYaml).join('---\n'),
+    tenants: deployments.map(toClusterTenant),
     proxyFlags: options.proxyFlags ?? [],
     ...(onStep === undefined ? {} : { onStep }),
-    ...(delays ? { instanceLatencyMs: zoneDelayMs, callerLatencyMs } : {}),
+    ...(hasNetworkDelays ? { instanceLatencyMs: zoneDelayMs, callerLatencyMs } : {}),
   };
 }
 
-/** Instances of a group stand in zones of their own; the groups start in different ones. */
-function groupOptions(
+/** Places the instances of a group in different zones; each group begins with another zone. */
+function toClusterGroup(
   { seed, statementMs, electionTimeoutMs }: DeploymentClusterOptions,
   deployment: Deployment,
   index: number,
@@ -137,7 +137,7 @@
   };
 }
 
-function proxiesOf({ deployments, proxies }: DeploymentClusterOptions): ClusterProxy[] {
+function toClusterProxies({ deployments, proxies }: DeploymentClusterOptions): ClusterProxy[] {
   const zones = [...new Set(deployments.flatMap((deployment) => deployment.zones))];
   return Array.from({ length: proxies }, (_, index) => ({
     nodeId: `proxy-${index + 1}`,
@@ -149,7 +149,10 @@
   return `${deployment.tenant}-password`;
 }
 
-/** The group may elect another primary meanwhile, on a busy machine, which may lack rows: then it is done again. */
+/**
+ * Creates the tables and rows of a group. On a busy machine the group may elect a new primary during
+ * this, which may lack rows; the preparation is then repeated.
+ */
 async function prepareGroup(group: DatabaseGroup, deployment: Deployment): Promise<void> {
   const credentials = { user: DATABASE_ROLE, password: BACKEND_PASSWORD, database: 'postgres' };
   let cause: unknown;
@@ -158,23 +161,23 @@
     const { timeline } = await group.state(name);
     try {
       await prepareDatabase({ host, port }, credentials, deployment);
-      if (await haveAllReplayed(group, timeline)) return;
+      if (await waitUntilAllReplayed(group, timeline)) return;
     } catch (error) {
       cause = error;
     }
   }
-  throw new ClusterError('the tables of a group could not be made', { cause });
+  throw new ClusterError('the tables of a group could not be created', { cause });
 }
 
-/** Waits until every replica has what the primary of this timeline has; false if a later one has begun. */
-async function haveAllReplayed(group: DatabaseGroup, timeline: number): Promise<boolean> {
+/** Waits until every replica has replayed the log of this timeline's primary; false if a later timeline has begun. */
+async function waitUntilAllReplayed(group: DatabaseGroup, timeline: number): Promise<boolean> {
   for (;;) {
     const states = await Promise.all(group.instances.map(({ name }) => group.state(name)));
     if (states.some((state) => state.timeline > timeline)) return false;
-    const wanted = states.find(({ role }) => role === 'primary')?.lsn;
-    const hasIt = (state: InstanceState): boolean =>
-      state.timeline === timeline && state.replayed === wanted;
-    if (states.every(hasIt)) return true;
-    await delay(POLL_MS);
+    const primaryLsn = states.find(({ role }) => role === 'primary')?.lsn;
+    const hasReplayed = (state: InstanceState): boolean =>
+      state.timeline === timeline && state.replayed === primaryLsn;
+    if (states.every(hasReplayed)) return true;
+    await delay(POLL_PERIOD_MS);
   }
 }
--- a/bench/run/fault-matrix.ts
+++ b/bench/run/fault-matrix.ts
@@ -1,4 +1,4 @@
-/** The matrix of faults: each alone and each pair, one short run for each, and a table of the results. */
+/** The fault matrix: one run for each fault alone and for each pair of faults, and a table of the results. */
 import { MeadowstackError } from '../../src/core/errors.js';
 import type { Violation, ViolationCounts } from '../checkers/index.js';
 import type { Fault } from '../faults/fault.js';
@@ -8,61 +8,61 @@
 
 /** One run of the matrix. */
 export interface MatrixCell {
-  /** One name, or two. */
+  /** Names of one or two faults. */
   readonly faults: readonly string[];
   readonly seed: number;
-  /** Undefined if the run could not be carried out. */
+  /** Undefined if the run failed. */
   readonly violations: ViolationCounts | undefined;
   readonly outcomes: OutcomeCounts | undefined;
-  /** To begin looking from. */
+  /** The first violations, as a starting point for diagnosis. */
   readonly firstViolations: readonly Violation[];
   readonly failoverGapMs: readonly number[];
-  /** Faults that found nothing to hit, such as a second proxy to kill. */
+  /** Faults that had no target, for example because there was no second proxy to kill. */
   readonly withoutTarget: readonly string[];
-  /** Why the run could not be carried out. */
+  /** Why the run failed; undefined if it didn't. */
   readonly error: string | undefined;
 }
 
-export type RunOne = (options: BenchOptions) => Promise<BenchRun>;
+export type RunBench = (options: BenchOptions) => Promise<BenchRun>;
 
-/** Combinations in the order in which they run: first each fault alone. */
-export function combinations(): readonly (readonly Fault[])[] {
+/** Fault combinations in the order in which they run: first the single faults, then the pairs. */
+export function listCombinations(): readonly (readonly Fault[])[] {
   return [...MATRIX_FAULTS.map((fault) => [fault]), ...allPairs()];
 }
 
-/** Runs all combinations one after the other; each has a seed of its own. */
+/** Runs all combinations one after the other, each with its own seed. */
 export async function runMatrix(
   options: BenchOptions,
-  runOne: RunOne,
+  runBench: RunBench,
   onCell: (cells: readonly MatrixCell[]) => Promise<void>,
 ): Promise<readonly MatrixCell[]> {
   const cells: MatrixCell[] = [];
-  for (const [index, faults] of combinations().entries()) {
-    cells.push(await runCell({ ...options, faults, seed: options.seed + index }, runOne));
+  for (const [index, faults] of listCombinations().entries()) {
+    cells.push(await runCell({ ...options, faults, seed: options.seed + index }, runBench));
     await onCell(cells);
   }
   return cells;
 }
 
-/** Number of violations; undefined if the run could not be carried out. */
-export function violationsIn({ violations }: MatrixCell): number | undefined {
+/** Number of violations; undefined if the run failed. */
+export function countCellViolations({ violations }: MatrixCell): number | undefined {
   if (violations === undefined) return undefined;
   return Object.values(violations).reduce((sum, count) => sum + count, 0);
 }
 
-/** A table of violations: on the diagonal a fault alone, elsewhere a pair. */
-export function matrixTable(cells: readonly MatrixCell[]): string {
+/** A Markdown table of violation counts: single faults on the diagonal, pairs elsewhere. */
+export function formatMatrixTable(cells: readonly MatrixCell[]): string {
   const names = MATRIX_FAULTS.map(({ name }) => name);
   const header = `| | ${names.map((_, index) => index + 1).join(' | ')} |`;
   const rule = `|---|${names.map(() => '---|').join('')}`;
   const rows = names.map((row, index) => {
-    const entries = names.map((column) => entryOf(cells, row, column));
+    const entries = names.map((column) => formatEntry(cells, row, column));
     return `| ${index + 1} ${row} | ${entries.join(' | ')} |`;
   });
-  return [header, rule, ...rows, '', ...problemLines(cells), ''].join('\n');
+  return [header, rule, ...rows, '', ...formatProblems(cells), ''].join('\n');
 }
 
-async function runCell(options: BenchOptions, runOne: RunOne): Promise<MatrixCell> {
+async function runCell(options: BenchOptions, runOne: RunBench): Promise<MatrixCell> {
   const faults = options.faults.map(({ name }) => name);
   const { seed } = options;
   try {
@@ -94,24 +94,24 @@
   }
 }
 
-function entryOf(cells: readonly MatrixCell[], row: string, column: string): string {
+function formatEntry(cells: readonly MatrixCell[], row: string, column: string): string {
   const wanted = new Set([row, column]);
   const cell = cells.find(
     ({ faults }) => faults.length === wanted.size && faults.every((name) => wanted.has(name)),
   );
   if (cell === undefined) return '';
-  return String(violationsIn(cell) ?? 'failed');
+  return String(countCellViolations(cell) ?? 'failed');
 }
 
-/** What to run again to see each problem. */
-function problemLines(cells: readonly MatrixCell[]): string[] {
+/** One line for each run with a problem, with the flags that repeat the run. */
+function formatProblems(cells: readonly MatrixCell[]): string[] {
   return cells.flatMap((cell) => {
     const name = `\`--seed ${cell.seed} --fault ${cell.faults.join(',')}\``;
     if (cell.error !== undefined) return [`- ${name}: the run failed: ${cell.error}`];
-    const broken = Object.entries(cell.violations ?? {}).filter(([, count]) => count > 0);
-    const counts = broken.map(([promise, count]) => `${promise} ${count}`).join(', ');
-    const skipped = cell.withoutTarget.map((fault) => `${fault} found nothing to hit`);
-    const remarks = counts === '' ? skipped : [counts, ...skipped];
+    const violated = Object.entries(cell.violations ?? {}).filter(([, count]) => count > 0);
+    const counts = violated.map(([promise, count]) => `${promise} ${count}`).join(', ');
+    const targetless = cell.withoutTarget.map((fault) => `${fault} had no target`);
+    const remarks = counts === '' ? targetless : [counts, ...targetless];
     return remarks.length === 0 ? [] : [`- ${name}: ${remarks.join('; ')}`];
   });
 }
--- a/bench/run/progress.ts
+++ b/bench/run/progress.ts
@@ -1,4 +1,4 @@
-/** A progress line on standard error: one that is rewritten on a terminal, one a few seconds else. */
+/** Progress on standard error: on a terminal one line that is rewritten, otherwise a new line every few seconds. */
 import type { RequestRecord } from '../history/model.js';
 
 const TERMINAL_PERIOD_MS = 500;
@@ -6,42 +6,44 @@
 const MS_PER_SECOND = 1_000;
 
 export class Progress {
-  readonly #counts = new Map<string, number>();
+  readonly #countByOutcome = new Map<string, number>();
   readonly #timer: NodeJS.Timeout;
   readonly #startedAt = performance.now();
 
   constructor(private readonly label: string) {
-    const period = process.stderr.isTTY ? TERMINAL_PERIOD_MS : PLAIN_PERIOD_MS;
-    this.#timer = setInterval(() => this.#write(), period);
+    const periodMs = process.stderr.isTTY ? TERMINAL_PERIOD_MS : PLAIN_PERIOD_MS;
+    this.#timer = setInterval(() => this.#writeProgress(), periodMs);
   }
 
-  record({ outcome }: RequestRecord): void {
-    this.#counts.set(outcome, (this.#counts.get(outcome) ?? 0) + 1);
+  recordAttempt({ outcome }: RequestRecord): void {
+    this.#countByOutcome.set(outcome, (this.#countByOutcome.get(outcome) ?? 0) + 1);
   }
 
-  /** A line of its own. */
-  note(text: string): void {
-    this.#clear();
-    process.stderr.write(`${this.#seconds()} s  ${text}\n`);
+  /** Writes a message on a separate line. */
+  writeMessage(text: string): void {
+    this.#clearLine();
+    process.stderr.write(`${this.#elapsedSeconds()} s  ${text}\n`);
   }
 
   stop(): void {
     clearInterval(this.#timer);
-    this.#clear();
+    this.#clearLine();
   }
 
-  #write(): void {
-    this.#clear();
-    const counts = [...this.#counts].map(([outcome, count]) => `${outcome} ${count}`).join('  ');
+  #writeProgress(): void {
+    this.#clearLine();
+    const counts = [...this.#countByOutcome]
+      .map(([outcome, count]) => `${outcome} ${count}`)
+      .join('  ');
     const end = process.stderr.isTTY ? '' : '\n';
-    process.stderr.write(`${this.#seconds()} s  ${this.label}  ${counts}${end}`);
+    process.stderr.write(`${this.#elapsedSeconds()} s  ${this.label}  ${counts}${end}`);
   }
 
-  #clear(): void {
+  #clearLine(): void {
     if (process.stderr.isTTY) process.stderr.write('\r\u001b[K');
   }
 
-  #seconds(): string {
+  #elapsedSeconds(): string {
     return ((performance.now() - this.#startedAt) / MS_PER_SECOND).toFixed(1).padStart(6);
   }
 }
--- a/bench/run/run-bench.ts
+++ b/bench/run/run-bench.ts
@@ -1,6 +1,6 @@
 /**
- * One run: starts a cluster, warms it up, runs the load with its faults, collects what databases and
- * proxies recorded, checks the history, and gives the figures.
+ * One run: starts a cluster, warms it up, runs the load with its faults, collects the records of
+ * databases and proxies, checks the history, and computes the figures.
  */
 import { checkHistory, findNonMonotonicReads, type Violation } from '../checkers/index.js';
 import type { Deployment } from '../deployments.js';
@@ -20,12 +20,12 @@
   credentialsOf,
   DATABASE_ROLE,
   startDeploymentCluster,
-  tenantOf,
+  toClusterTenant,
 } from './deployment-cluster.js';
-import { endOnSignal } from './interruption.js';
+import { stopClusterOnSignal } from './interruption.js';
 import { type MachineFigures, observeMachine } from './machine.js';
 import { Progress } from './progress.js';
-import { unobservedPromises } from './unobserved.js';
+import { listUnobservedPromises } from './unobserved.js';
 
 export interface BenchOptions {
   readonly deployment: Deployment;
@@ -39,10 +39,10 @@
   readonly sessions: number;
   readonly statementMs: number;
   readonly electionTimeoutMs: number;
-  readonly delays: boolean;
+  readonly hasNetworkDelays: boolean;
 }
 
-/** What `--json` writes. */
+/** The report that `--json` writes. */
 export interface BenchReport extends RunFigures {
   readonly settings: {
     readonly durationMs: number;
@@ -53,18 +53,18 @@
     readonly electionTimeoutMs: number;
   };
   readonly faults: readonly FaultRecord[];
-  /** From the failure of a primary to the take-over of the next, by the databases' own account. */
+  /** From the failure of a primary to the election of the next, as recorded by the databases; null if none was elected. */
   readonly electionMs: readonly (number | null)[];
-  /** Share of reads sent to replicas by the proxies' own counts; null if none told. */
+  /** Fraction of reads that the proxies sent to replicas, by their own counts; null if they counted no reads. */
   readonly replicaReadShareByProxies: number | null;
-  /** Promises that this run could not observe; their count of violations says nothing. */
+  /** Promises that this run could not test; their violation counts are meaningless. */
   readonly unobserved: readonly string[];
-  /** The first violations, to begin looking from. */
+  /** The first violations, as a starting point for diagnosis. */
   readonly firstViolations: readonly Violation[];
   readonly machine: MachineFigures;
 }
 
-/** A run with what the page needs beside its figures. */
+/** A run's report, with the data from which the page's plots are made. */
 export interface BenchRun {
   readonly report: BenchReport;
   readonly history: History;
@@ -72,10 +72,10 @@
   readonly samples: readonly ClusterSample[];
 }
 
-/** Keeps the ids and the schedule of the warm-up apart from those of the measured part. */
+/** Makes the request ids and the schedule of the warm-up differ from those of the measured part. */
 const WARM_UP_SEED_OFFSET = 1_000_000;
 const FAULT_SEED_OFFSET = 2_000_000;
-const SHOWN_VIOLATIONS = 20;
+const MAX_LISTED_VIOLATIONS = 20;
 
 export async function runBench(options: BenchOptions): Promise<BenchRun> {
   const machine = observeMachine();
@@ -85,19 +85,19 @@
     seed: options.seed,
     statementMs: options.statementMs,
     electionTimeoutMs: options.electionTimeoutMs,
-    delays: options.delays,
+    hasNetworkDelays: options.hasNetworkDelays,
     proxyFlags: options.policy === 'ours' ? [] : [`--test-policy=${options.policy}`],
   });
-  const release = endOnSignal(cluster);
+  const removeSignalHandlers = stopClusterOnSignal(cluster);
   try {
-    return await runOn(cluster, options, machine);
+    return await runOnCluster(cluster, options, machine);
   } finally {
-    release();
+    removeSignalHandlers();
     await cluster.stop();
   }
 }
 
-async function runOn(
+async function runOnCluster(
   cluster: Cluster,
   options: BenchOptions,
   machine: () => MachineFigures,
@@ -107,27 +107,38 @@
   const sampler = new ClusterSampler(cluster, recorder, DATABASE_ROLE);
   const progress = new Progress(`${options.deployment.name} ${options.policy}`);
   try {
-    progress.note('warm-up');
-    const warmUp = await runLoad(warmUpOptions(cluster, options));
-    progress.note('measured part');
+    progress.writeMessage('warm-up');
+    const warmUp = await runLoad(toWarmUpOptions(cluster, options));
+    progress.writeMessage('measured part');
     const [measured, faults] = await Promise.all([
-      runLoad({ ...loadOptions(cluster, options), onAttempt: (record) => progress.record(record) }),
+      runLoad({
+        ...toLoadOptions(cluster, options),
+        onAttempt: (record) => progress.recordAttempt(record),
+      }),
       runFaults(cluster, options, recorder, progress),
     ]);
     await sampler.stop();
     const logs = await collectLogs(cluster);
-    const history = historyOf(recorder, [warmUp, measured], logs);
+    const history = buildHistory(recorder, [warmUp, measured], logs);
     const samples = recorder.clusterSamples;
-    const { replicaReadFraction: replicaReadShare } = sampler;
-    const run = { options, measured, faults, history, logs, replicaReadShare, machine: machine() };
-    return { report: reportOf(run), history, measured, samples };
+    const { replicaReadFraction } = sampler;
+    const run = {
+      options,
+      measured,
+      faults,
+      history,
+      logs,
+      replicaReadFraction,
+      machine: machine(),
+    };
+    return { report: buildReport(run), history, measured, samples };
   } finally {
     progress.stop();
     await sampler.stop();
   }
 }
 
-function loadOptions(cluster: Cluster, options: BenchOptions): LoadOptions {
+function toLoadOptions(cluster: Cluster, options: BenchOptions): LoadOptions {
   const { deployment, seed, durationMs, requestsPerSecond, sessions } = options;
   return {
     deployment,
@@ -140,9 +151,9 @@
   };
 }
 
-function warmUpOptions(cluster: Cluster, options: BenchOptions): LoadOptions {
+function toWarmUpOptions(cluster: Cluster, options: BenchOptions): LoadOptions {
   const { seed, warmUpMs: durationMs } = options;
-  return { ...loadOptions(cluster, options), seed: seed + WARM_UP_SEED_OFFSET, durationMs };
+  return { ...toLoadOptions(cluster, options), seed: seed + WARM_UP_SEED_OFFSET, durationMs };
 }
 
 async function runFaults(
@@ -154,14 +165,14 @@
   const faultSeed = seed + FAULT_SEED_OFFSET;
   return injectFaults({
     planned: planFaults(faults, durationMs, createRandom(faultSeed)),
-    context: { cluster, deployment, recorder, tenant: tenantOf(deployment) },
+    context: { cluster, deployment, recorder, tenant: toClusterTenant(deployment) },
     seed: faultSeed,
     startedAt: nowMs(),
-    onChange: (text) => progress.note(text),
+    onChange: (text) => progress.writeMessage(text),
   });
 }
 
-function historyOf(
+function buildHistory(
   recorder: RunRecorder,
   loads: readonly LoadResult[],
   { commits, elections }: CollectedLogs,
@@ -182,11 +193,11 @@
   readonly faults: readonly FaultRecord[];
   readonly history: History;
   readonly logs: CollectedLogs;
-  readonly replicaReadShare: number | null;
+  readonly replicaReadFraction: number | null;
   readonly machine: MachineFigures;
 }
 
-function reportOf(run: FinishedRun): BenchReport {
+function buildReport(run: FinishedRun): BenchReport {
   const { options, measured, faults, history, logs } = run;
   const { durationMs, requestsPerSecond, sessions, proxies } = options;
   const { statementMs, electionTimeoutMs } = options;
@@ -218,9 +229,9 @@
       const next = history.elections.filter((one) => one.group === group && one.at >= at);
       return next.length === 0 ? null : Math.min(...next.map((one) => one.at)) - at;
     }),
-    replicaReadShareByProxies: run.replicaReadShare,
-    unobserved: unobservedPromises(history),
-    firstViolations: violations.slice(0, SHOWN_VIOLATIONS),
+    replicaReadShareByProxies: run.replicaReadFraction,
+    unobserved: listUnobservedPromises(history),
+    firstViolations: violations.slice(0, MAX_LISTED_VIOLATIONS),
     machine: run.machine,
   };
 }
--- a/test/integration/bench/deployment-run.test.ts
+++ b/test/integration/bench/deployment-run.test.ts
@@ -28,7 +28,7 @@
   sessions: 24,
   statementMs: 0,
   electionTimeoutMs: ELECTION_TIMEOUT_MS,
-  delays: false,
+  hasNetworkDelays: false,
 };
 
 function ownWritesMissed({ report }: BenchRun): number {
--- a/test/support/loaded-cluster.ts
+++ b/test/support/loaded-cluster.ts
@@ -48,7 +48,7 @@
     seed: options.seed,
     statementMs: 1,
     electionTimeoutMs: options.electionTimeoutMs ?? ELECTION_TIMEOUT_MS,
-    delays: false,
+    hasNetworkDelays: false,
     proxyFlags: options.proxyFlags ?? [],
   });
 }
--- a/test/unit/bench/faults.test.ts
+++ b/test/unit/bench/faults.test.ts
@@ -13,11 +13,11 @@
 import { BenchUsageError, parseBenchArguments } from '../../../bench/options.js';
 import { GroupNotSettledError } from '../../../bench/run/collect-logs.js';
 import {
-  combinations,
+  countCellViolations,
+  formatMatrixTable,
+  listCombinations,
   type MatrixCell,
-  matrixTable,
   runMatrix,
-  violationsIn,
 } from '../../../bench/run/fault-matrix.js';
 
 const NO_VIOLATIONS = Object.fromEntries(
@@ -37,7 +37,7 @@
 test('the matrix has each fault alone and each pair once', () => {
   const count = MATRIX_FAULTS.length;
   assert.is(allPairs().length, (count * (count - 1)) / 2);
-  const keys = combinations().map((faults) =>
+  const keys = listCombinations().map((faults) =>
     faults
       .map(({ name }) => name)
       .sort()
@@ -95,9 +95,9 @@
   const pair = ['primary-killed', 'zone-cut'];
   const bad = cellOf(pair, { violations: { ...NO_VIOLATIONS, atMostOnce: 2 } });
   const failed = cellOf(['store-down'], { violations: undefined, error: 'no primary' });
-  assert.is(violationsIn(bad), 2);
-  assert.is(violationsIn(failed), undefined);
-  const table = matrixTable([cellOf(['primary-killed'], {}), bad, failed]);
+  assert.is(countCellViolations(bad), 2);
+  assert.is(countCellViolations(failed), undefined);
+  const table = formatMatrixTable([cellOf(['primary-killed'], {}), bad, failed]);
   const rows = table.split('\n');
   assert.match(
     rows.find((line) => line.startsWith('| 1 primary-killed')) ?? '',
@@ -117,7 +117,7 @@
       told += 1;
     },
   );
-  assert.is(cells.length, combinations().length);
+  assert.is(cells.length, listCombinations().length);
   assert.is(told, cells.length);
   assert.is(cells[2]?.seed, 12);
   assert.ok(cells.every(({ error }) => error === 'no primary'));
--- a/test/unit/bench/unobserved.test.ts
+++ b/test/unit/bench/unobserved.test.ts
@@ -1,7 +1,7 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { EMPTY_HISTORY, type History } from '../../../bench/history/model.js';
-import { unobservedPromises } from '../../../bench/run/unobserved.js';
+import { listUnobservedPromises } from '../../../bench/run/unobserved.js';
 
 test('a run observes a promise only if it lasted long enough for it to be judged', () => {
   const sample = { proxy: 'a', revision: 1, at: 0 };
@@ -12,13 +12,13 @@
     configurationSamples: [sample],
     endedAt: 2_000,
   };
-  assert.equal(unobservedPromises(history), [
+  assert.equal(listUnobservedPromises(history), [
     'leavingBackEndGetsNoWork',
     'plannedStopCutsNothing',
     'configurationInForce',
   ]);
   const plannedStops = [{ proxy: 'a', requestedAt: 0, exitedAt: 1, exitCode: 0 }];
-  assert.equal(unobservedPromises({ ...history, plannedStops, endedAt: 7_000 }), []);
+  assert.equal(listUnobservedPromises({ ...history, plannedStops, endedAt: 7_000 }), []);
 });
 
 test.run();
