--- a/bench/report/charts.ts
+++ b/bench/report/charts.ts
@@ -1,4 +1,4 @@
-/** The plots as vega-lite specifications, rendered to SVG when the page is made. */
+/** The plots as vega-lite specifications, and their rendering to SVG. */
 import { parse, View } from 'vega';
 import { compile, type TopLevelSpec } from 'vega-lite';
 import {
@@ -12,23 +12,23 @@
   type SharePoint,
 } from './series.js';
 
-/** A plot with what it shows. */
+/** A plot with its title and caption. */
 export interface Chart {
   readonly title: string;
-  /** How to read it. */
+  /** Explains the plot to its reader. */
   readonly caption: string;
   readonly spec: TopLevelSpec;
 }
 
-const WIDTH = 880;
-const HEIGHT = 190;
-/** The same on all plots, so that their times stand below one another. */
-const AXIS_WIDTH = 52;
-const LABEL_HEIGHT = 12;
-const INK = '#24303f';
-const MUTED = '#6a7686';
-const GRID = '#e6eaef';
-const FAULT = '#c2410c';
+const PLOT_WIDTH_PX = 880;
+const PLOT_HEIGHT_PX = 190;
+/** The same for all plots, so that their time axes are aligned. */
+const AXIS_WIDTH_PX = 52;
+const LABEL_HEIGHT_PX = 12;
+const TEXT_COLOUR = '#24303f';
+const MUTED_COLOUR = '#6a7686';
+const GRID_COLOUR = '#e6eaef';
+const FAULT_COLOUR = '#c2410c';
 const ENDING_COLOURS = ['#2f6f9f', '#9cc3dd', '#e3a008', '#7c3aed', '#c81e1e'];
 const KIND_COLOURS = ['#2f6f9f', '#d97706', '#0f766e', '#9333ea', '#be123c'];
 
@@ -37,15 +37,21 @@
   background: 'transparent',
   view: { stroke: null },
   axis: {
-    gridColor: GRID,
-    domainColor: MUTED,
-    tickColor: MUTED,
-    labelColor: MUTED,
-    titleColor: INK,
+    gridColor: GRID_COLOUR,
+    domainColor: MUTED_COLOUR,
+    tickColor: MUTED_COLOUR,
+    labelColor: MUTED_COLOUR,
+    titleColor: TEXT_COLOUR,
     titleFontWeight: 'normal',
   },
-  axisY: { minExtent: AXIS_WIDTH, maxExtent: AXIS_WIDTH },
-  legend: { labelColor: INK, title: null, orient: 'top', symbolStrokeWidth: 3, labelLimit: 0 },
+  axisY: { minExtent: AXIS_WIDTH_PX, maxExtent: AXIS_WIDTH_PX },
+  legend: {
+    labelColor: TEXT_COLOUR,
+    title: null,
+    orient: 'top',
+    symbolStrokeWidth: 3,
+    labelLimit: 0,
+  },
   line: { strokeWidth: 2 },
 } as const;
 
@@ -59,7 +65,7 @@
   }
 }
 
-export function outcomeChart(
+export function createOutcomeChart(
   points: readonly OutcomePoint[],
   faults: readonly FaultBand[],
   seconds: number,
@@ -67,13 +73,13 @@
   return {
     title: 'Requests by outcome',
     caption:
-      'By the time at which each was due. Bursts are part of the load; blue is served in time.',
-    spec: overTime(faults, seconds, {
+      'By the intended start of each request. Bursts are part of the load; blue is served in time.',
+    spec: withFaultBands(faults, seconds, {
       data: { values: [...points] },
       mark: { type: 'bar', width: { band: 1 } },
       encoding: {
-        x: secondAxis(seconds),
-        y: { field: 'requestsPerSecond', type: 'quantitative', title: 'requests a second' },
+        x: createTimeAxis(seconds),
+        y: { field: 'requestsPerSecond', type: 'quantitative', title: 'requests per second' },
         color: {
           field: 'ending',
           type: 'nominal',
@@ -85,19 +91,20 @@
   };
 }
 
-export function serviceChart(
+export function createServiceChart(
   points: readonly ServicePoint[],
   faults: readonly FaultBand[],
   seconds: number,
 ): Chart {
   return {
     title: 'Service by kind',
-    caption: 'Share of the requests due in each half second that were done within their deadline.',
-    spec: overTime(faults, seconds, {
+    caption:
+      'Fraction of the requests due in each half second that succeeded within their deadline.',
+    spec: withFaultBands(faults, seconds, {
       data: { values: [...points] },
       mark: { type: 'line', interpolate: 'step-after' },
       encoding: {
-        x: secondAxis(seconds),
+        x: createTimeAxis(seconds),
         y: {
           field: 'served',
           type: 'quantitative',
@@ -105,27 +112,27 @@
           axis: { format: '%' },
           scale: { domain: [0, 1] },
         },
-        color: kindColour(),
+        color: createKindColour(),
       },
     }),
   };
 }
 
-export function latencyChart(
+export function createLatencyChart(
   points: readonly LatencyPoint[],
   faults: readonly FaultBand[],
   seconds: number,
 ): Chart {
   return {
     title: 'Latency over time',
-    caption: 'From the time at which a request was due; solid p99, dashed p50 of each half second.',
-    spec: overTime(faults, seconds, {
+    caption: 'From the intended start of a request; solid p99, dashed p50 of each half second.',
+    spec: withFaultBands(faults, seconds, {
       data: { values: [...points] },
       mark: { type: 'line' },
       encoding: {
-        x: secondAxis(seconds),
-        y: latencyAxis(),
-        color: kindColour(),
+        x: createTimeAxis(seconds),
+        y: createLatencyAxis(),
+        color: createKindColour(),
         strokeDash: {
           field: 'percentile',
           type: 'nominal',
@@ -142,13 +149,13 @@
   };
 }
 
-export function percentileChart(points: readonly PercentilePoint[]): Chart {
+export function createPercentileChart(points: readonly PercentilePoint[]): Chart {
   return {
     title: 'Latency percentiles by kind',
-    caption: 'Of requests that were done, over the whole measured part.',
+    caption: 'Of successful requests, over the whole measured part.',
     spec: {
-      width: WIDTH,
-      height: HEIGHT,
+      width: PLOT_WIDTH_PX,
+      height: PLOT_HEIGHT_PX,
       config: CONFIG,
       data: { values: [...points] },
       mark: { type: 'line', point: { filled: true, size: 40 } },
@@ -163,31 +170,31 @@
             labelExpr: "'p' + format(100 - 100 / datum.value, '.3~f')",
           },
         },
-        y: latencyAxis(),
-        color: kindColour(),
+        y: createLatencyAxis(),
+        color: createKindColour(),
       },
     },
   };
 }
 
-export function replicaShareChart(
+export function createReplicaShareChart(
   points: readonly SharePoint[],
   faults: readonly FaultBand[],
   seconds: number,
 ): Chart {
   return {
     title: 'Reads served by replicas',
-    caption: 'Share of the reads due in each half second, as the databases themselves answered.',
-    spec: overTime(faults, seconds, {
+    caption: 'Fraction of the reads due in each half second, as reported by the databases.',
+    spec: withFaultBands(faults, seconds, {
       data: { values: [...points] },
       mark: {
         type: 'area',
         interpolate: 'step-after',
-        color: KIND_COLOURS[0] ?? INK,
+        color: KIND_COLOURS[0] ?? TEXT_COLOUR,
         opacity: 0.75,
       },
       encoding: {
-        x: secondAxis(seconds),
+        x: createTimeAxis(seconds),
         y: {
           field: 'share',
           type: 'quantitative',
@@ -200,7 +207,7 @@
   };
 }
 
-export function levelChart(
+export function createLevelChart(
   title: string,
   caption: string,
   points: readonly LevelPoint[],
@@ -210,11 +217,11 @@
   return {
     title,
     caption,
-    spec: overTime(faults, seconds, {
+    spec: withFaultBands(faults, seconds, {
       data: { values: [...points] },
       mark: { type: 'line', interpolate: 'step-after' },
       encoding: {
-        x: secondAxis(seconds),
+        x: createTimeAxis(seconds),
         y: { field: 'value', type: 'quantitative', title: title.toLowerCase() },
         color: { field: 'measure', type: 'nominal', scale: { range: KIND_COLOURS } },
       },
@@ -225,22 +232,29 @@
 type Layer = Extract<TopLevelSpec, { layer: unknown }>['layer'][number];
 
 /** A plot over time with a band for each fault. */
-function overTime(faults: readonly FaultBand[], seconds: number, layer: Layer): TopLevelSpec {
+function withFaultBands(faults: readonly FaultBand[], seconds: number, layer: Layer): TopLevelSpec {
   const data = { values: [...faults] };
-  const x = secondAxis(seconds, 'from');
+  const x = createTimeAxis(seconds, 'from');
   const band: Layer = {
     data,
-    mark: { type: 'rect', color: FAULT, opacity: 0.1 },
+    mark: { type: 'rect', color: FAULT_COLOUR, opacity: 0.1 },
     encoding: { x, x2: { field: 'to' } },
   };
   const edge: Layer = {
     data,
-    mark: { type: 'rule', color: FAULT, strokeWidth: 1.5 },
+    mark: { type: 'rule', color: FAULT_COLOUR, strokeWidth: 1.5 },
     encoding: { x },
   };
   const label: Layer = {
-    data: { values: faults.map((fault, row) => ({ ...fault, y: (row + 1) * LABEL_HEIGHT })) },
-    mark: { type: 'text', align: 'left', baseline: 'bottom', dx: 2, fontSize: 10, color: FAULT },
+    data: { values: faults.map((fault, row) => ({ ...fault, y: (row + 1) * LABEL_HEIGHT_PX })) },
+    mark: {
+      type: 'text',
+      align: 'left',
+      baseline: 'bottom',
+      dx: 2,
+      fontSize: 10,
+      color: FAULT_COLOUR,
+    },
     encoding: {
       x,
       y: { field: 'y', type: 'quantitative', scale: null, axis: null },
@@ -249,10 +263,10 @@
   };
   const resolve = { scale: { y: 'independent' } } as const;
   const layers = faults.length === 0 ? [layer] : [band, layer, edge, label];
-  return { width: WIDTH, height: HEIGHT, config: CONFIG, layer: layers, resolve };
+  return { width: PLOT_WIDTH_PX, height: PLOT_HEIGHT_PX, config: CONFIG, layer: layers, resolve };
 }
 
-function secondAxis(seconds: number, field = 'second') {
+function createTimeAxis(seconds: number, field = 'second') {
   return {
     field,
     type: 'quantitative' as const,
@@ -262,7 +276,7 @@
   };
 }
 
-function latencyAxis() {
+function createLatencyAxis() {
   return {
     field: 'latencyMs',
     type: 'quantitative' as const,
@@ -272,6 +286,6 @@
   };
 }
 
-function kindColour() {
+function createKindColour() {
   return { field: 'kind', type: 'nominal' as const, scale: { range: KIND_COLOURS } };
 }
--- a/bench/report/html.ts
+++ b/bench/report/html.ts
@@ -1,4 +1,4 @@
-/** Parts of a self-contained report page. */
+/** Building blocks of a self-contained HTML report. */
 import { type Chart, renderSvg } from './charts.js';
 
 const STYLE = `
@@ -14,8 +14,8 @@
 th { font-weight: 500; color: #6a7686; } svg { max-width: 100%; height: auto; }
 `;
 
-/** A whole page; `parts` are HTML already. */
-export function page(title: string, caption: string, parts: readonly string[]): string {
+/** Renders a whole page; `parts` are HTML. */
+export function renderHtmlPage(title: string, caption: string, parts: readonly string[]): string {
   return [
     '<!doctype html><html lang="en"><head><meta charset="utf-8">',
     `<title>meadowstack ${escapeHtml(title)}</title><style>${STYLE}</style></head><body>`,
@@ -26,24 +26,24 @@
   ].join('\n');
 }
 
-/** A plot rendered to SVG, under its title and caption. */
-export async function plot({ title, caption, spec }: Chart): Promise<string> {
+/** Renders a plot to SVG, below its title and caption. */
+export async function renderPlot({ title, caption, spec }: Chart): Promise<string> {
   const svg = await renderSvg(spec);
   return `<h2>${escapeHtml(title)}</h2><p class="caption">${escapeHtml(caption)}</p>${svg}`;
 }
 
-/** A row of figures. */
-export function tiles(told: readonly string[]): string {
-  return `<div class="tiles">${told.join('')}</div>`;
+/** Renders a row of tiles. */
+export function renderTiles(renderedTiles: readonly string[]): string {
+  return `<div class="tiles">${renderedTiles.join('')}</div>`;
 }
 
-/** One figure; `bad` marks it. */
-export function tile(label: string, value: string, bad = false): string {
-  const classes = bad ? 'tile bad' : 'tile';
+/** Renders one figure; `isBad` highlights it. */
+export function renderTile(label: string, value: string, isBad = false): string {
+  const classes = isBad ? 'tile bad' : 'tile';
   return `<div class="${classes}"><b>${escapeHtml(value)}</b><span>${escapeHtml(label)}</span></div>`;
 }
 
-export function table(head: readonly string[], rows: readonly (readonly string[])[]): string {
+export function renderTable(head: readonly string[], rows: readonly (readonly string[])[]): string {
   const cells = (tag: string, texts: readonly string[]): string =>
     `<tr>${texts.map((text) => `<${tag}>${escapeHtml(text)}</${tag}>`).join('')}</tr>`;
   return `<table>${cells('th', head)}${rows.map((row) => cells('td', row)).join('')}</table>`;
--- a/bench/report/quantile.ts
+++ b/bench/report/quantile.ts
@@ -1,6 +1,6 @@
-/** Quantiles of figures that are all kept. */
+/** Exact quantiles of a sorted list of values. */
 
-/** The least value that is not exceeded by this share of the values, which are sorted; 0 if there are none. */
-export function quantile(sorted: readonly number[], wanted: number): number {
-  return sorted[Math.max(0, Math.ceil(sorted.length * wanted) - 1)] ?? 0;
+/** The smallest value that at least this fraction of the sorted values does not exceed; 0 without values. */
+export function quantile(sorted: readonly number[], fraction: number): number {
+  return sorted[Math.max(0, Math.ceil(sorted.length * fraction) - 1)] ?? 0;
 }
--- a/bench/report/series.ts
+++ b/bench/report/series.ts
@@ -1,4 +1,4 @@
-/** The rows behind the plots: what happened in each stretch of the measured part. Pure. */
+/** Computes the data of the plots: figures for each time interval of the measured part. Pure. */
 import type { Deployment } from '../deployments.js';
 import type { FaultRecord } from '../faults/injector.js';
 import { groupBy } from '../history/group-by.js';
@@ -6,12 +6,12 @@
 import type { ClusterSample } from '../recorders/run-recorder.js';
 import { quantile } from './quantile.js';
 
-/** How a request went, as the plot of outcomes tells it. */
+/** Result of a request in the plot of outcomes. */
 export type Ending = 'in time' | 'late' | 'not run' | 'unknown' | 'failed';
 
 export const ENDINGS: readonly Ending[] = ['in time', 'late', 'not run', 'unknown', 'failed'];
 
-/** `second`: seconds after the start of the measured part, the beginning of the stretch. */
+/** `second`: start of the interval, in seconds after the start of the measured part. */
 export interface OutcomePoint {
   readonly second: number;
   readonly ending: Ending;
@@ -21,7 +21,7 @@
 export interface ServicePoint {
   readonly second: number;
   readonly kind: string;
-  /** Share of the requests due in the stretch that were done within their deadline. */
+  /** Fraction of the requests due in the interval that succeeded within their deadline. */
   readonly served: number;
 }
 
@@ -57,44 +57,44 @@
 }
 
 const MS_PER_SECOND = 1_000;
-const OUTCOME_STRETCH_MS = 250;
-const SERVICE_STRETCH_MS = 500;
+const OUTCOME_INTERVAL_MS = 250;
+const SERVICE_INTERVAL_MS = 500;
 const QUANTILES = [0.5, 0.75, 0.9, 0.95, 0.99, 0.995, 0.999];
 
-export function outcomePoints(
+export function computeOutcomePoints(
   requests: readonly LogicalRequest[],
   startedAt: number,
   deployment: Deployment,
 ): OutcomePoint[] {
-  const stretches = inStretches(requests, startedAt, OUTCOME_STRETCH_MS);
-  return [...stretches].flatMap(([second, members]) =>
+  const intervals = groupByInterval(requests, startedAt, OUTCOME_INTERVAL_MS);
+  return [...intervals].flatMap(([second, members]) =>
     ENDINGS.map((ending) => ({
       second,
       ending,
       requestsPerSecond:
         members.filter((request) => endingOf(request, deployment) === ending).length *
-        (MS_PER_SECOND / OUTCOME_STRETCH_MS),
+        (MS_PER_SECOND / OUTCOME_INTERVAL_MS),
     })),
   );
 }
 
-export function servicePoints(
+export function computeServicePoints(
   requests: readonly LogicalRequest[],
   startedAt: number,
   deployment: Deployment,
 ): ServicePoint[] {
-  return byKindAndStretch(requests, startedAt, (second, kind, members) => {
+  return mapByKindAndInterval(requests, startedAt, (second, kind, members) => {
     const served = members.filter((request) => isServed(request, deployment)).length;
     return [{ second, kind, served: served / members.length }];
   });
 }
 
-export function latencyPoints(
+export function computeLatencyPoints(
   requests: readonly LogicalRequest[],
   startedAt: number,
 ): LatencyPoint[] {
-  return byKindAndStretch(doneOf(requests), startedAt, (second, kind, members) => {
-    const sorted = sortedLatencies(members);
+  return mapByKindAndInterval(selectDone(requests), startedAt, (second, kind, members) => {
+    const sorted = sortLatencies(members);
     return [
       { second, kind, percentile: 'p50', latencyMs: quantile(sorted, 0.5) },
       { second, kind, percentile: 'p99', latencyMs: quantile(sorted, 0.99) },
@@ -102,10 +102,10 @@
   });
 }
 
-export function percentilePoints(requests: readonly LogicalRequest[]): PercentilePoint[] {
-  const byKind = groupBy(doneOf(requests), ({ first }) => first.kind);
+export function computePercentilePoints(requests: readonly LogicalRequest[]): PercentilePoint[] {
+  const byKind = groupBy(selectDone(requests), ({ first }) => first.kind);
   return [...byKind].flatMap(([kind, members]) => {
-    const sorted = sortedLatencies(members);
+    const sorted = sortLatencies(members);
     return QUANTILES.map((wanted) => ({
       kind,
       oneIn: 1 / (1 - wanted),
@@ -114,48 +114,53 @@
   });
 }
 
-/** Of reads whose answer told where they were served. */
-export function replicaSharePoints(
+/** Counts only reads whose result names its server. */
+export function computeReplicaSharePoints(
   requests: readonly LogicalRequest[],
   startedAt: number,
 ): SharePoint[] {
-  const told = requests.filter(({ last }) => last.servedBy !== undefined);
-  return [...inStretches(told, startedAt, SERVICE_STRETCH_MS)].map(([second, members]) => ({
-    second,
-    share: members.filter(({ last }) => last.servedBy === 'replica').length / members.length,
-  }));
+  const requestsWithServer = requests.filter(({ last }) => last.servedBy !== undefined);
+  return [...groupByInterval(requestsWithServer, startedAt, SERVICE_INTERVAL_MS)].map(
+    ([second, members]) => ({
+      second,
+      share: members.filter(({ last }) => last.servedBy === 'replica').length / members.length,
+    }),
+  );
 }
 
-/** `samples` of the measured part. */
-export function queuePoints(samples: readonly ClusterSample[], startedAt: number): LevelPoint[] {
+/** `samples` are those of the measured part. */
+export function computeQueuePoints(
+  samples: readonly ClusterSample[],
+  startedAt: number,
+): LevelPoint[] {
   return samples.flatMap(({ at, queuedAtProxies, queuedAtInstances }) => [
-    { second: secondOf(at, startedAt), measure: 'in proxies', value: queuedAtProxies },
+    { second: toSecond(at, startedAt), measure: 'in proxies', value: queuedAtProxies },
     {
-      second: secondOf(at, startedAt),
+      second: toSecond(at, startedAt),
       measure: 'for slots of instances',
       value: queuedAtInstances,
     },
   ]);
 }
 
-export function connectionPoints(
+export function computeConnectionPoints(
   samples: readonly ClusterSample[],
   startedAt: number,
 ): LevelPoint[] {
   return samples.map(({ at, connections }) => ({
-    second: secondOf(at, startedAt),
+    second: toSecond(at, startedAt),
     measure: 'open on all instances',
     value: connections,
   }));
 }
 
-/** Faults that took place. */
-export function faultBands(faults: readonly FaultRecord[], startedAt: number): FaultBand[] {
-  const hit = faults.filter(({ target }) => target !== undefined);
-  return hit.map(({ name, beganAt, endedAt }) => ({
+/** Bands of the faults that had a target. */
+export function computeFaultBands(faults: readonly FaultRecord[], startedAt: number): FaultBand[] {
+  const faultsWithTarget = faults.filter(({ target }) => target !== undefined);
+  return faultsWithTarget.map(({ name, beganAt, endedAt }) => ({
     name,
-    from: secondOf(beganAt, startedAt),
-    to: secondOf(endedAt, startedAt),
+    from: toSecond(beganAt, startedAt),
+    to: toSecond(endedAt, startedAt),
   }));
 }
 
@@ -165,40 +170,40 @@
   return outcome === 'not-run' ? 'not run' : outcome;
 }
 
-function byKindAndStretch<Point>(
+function mapByKindAndInterval<Point>(
   requests: readonly LogicalRequest[],
   startedAt: number,
   pointsOf: (second: number, kind: string, members: readonly LogicalRequest[]) => Point[],
 ): Point[] {
   return [...groupBy(requests, ({ first }) => first.kind)].flatMap(([kind, members]) =>
-    [...inStretches(members, startedAt, SERVICE_STRETCH_MS)].flatMap(([second, some]) =>
-      pointsOf(second, kind, some),
+    [...groupByInterval(members, startedAt, SERVICE_INTERVAL_MS)].flatMap(
+      ([second, intervalMembers]) => pointsOf(second, kind, intervalMembers),
     ),
   );
 }
 
-/** By the intended start, in order of time. */
-function inStretches(
+/** Groups requests by the interval of their intended start, in order of time. */
+function groupByInterval(
   requests: readonly LogicalRequest[],
   startedAt: number,
   lengthMs: number,
 ): ReadonlyMap<number, readonly LogicalRequest[]> {
   const ordered = [...requests].sort((a, b) => a.first.intendedAt - b.first.intendedAt);
   return groupBy(ordered, ({ first }) => {
-    const stretch = Math.floor((first.intendedAt - startedAt) / lengthMs);
-    return (stretch * lengthMs) / MS_PER_SECOND;
+    const intervalIndex = Math.floor((first.intendedAt - startedAt) / lengthMs);
+    return (intervalIndex * lengthMs) / MS_PER_SECOND;
   });
 }
 
-function doneOf(requests: readonly LogicalRequest[]): LogicalRequest[] {
+function selectDone(requests: readonly LogicalRequest[]): LogicalRequest[] {
   return requests.filter(({ last }) => last.outcome === 'done');
 }
 
-function sortedLatencies(requests: readonly LogicalRequest[]): number[] {
+function sortLatencies(requests: readonly LogicalRequest[]): number[] {
   const latencies = requests.map(({ first, last }) => last.endedAt - first.intendedAt);
   return latencies.sort((left, right) => left - right);
 }
 
-function secondOf(at: number, startedAt: number): number {
+function toSecond(at: number, startedAt: number): number {
   return (at - startedAt) / MS_PER_SECOND;
 }
--- a/bench/soak/page.ts
+++ b/bench/soak/page.ts
@@ -1,6 +1,13 @@
 /** One self-contained page of a soak: a table of all rounds, and plots of those worth a look. */
-import { latencyChart, levelChart, serviceChart } from '../report/charts.js';
-import { escapeHtml, page, plot, table, tile, tiles } from '../report/html.js';
+import { createLatencyChart, createLevelChart, createServiceChart } from '../report/charts.js';
+import {
+  escapeHtml,
+  renderHtmlPage,
+  renderPlot,
+  renderTable,
+  renderTile,
+  renderTiles,
+} from '../report/html.js';
 import type { RoundResult } from './round.js';
 
 /** Rounds whose plots are shown: those with findings, then those that served least. */
@@ -20,9 +27,9 @@
 ): Promise<string> {
   const loads = load.map((value) => value.toFixed(1)).join(', ');
   const plotted = await Promise.all(worthPlotting(rounds).map(roundPlots));
-  return page('soak', `${cores} cores, load ${loads}`, [
+  return renderHtmlPage('soak', `${cores} cores, load ${loads}`, [
     figures(rounds),
-    table(
+    renderTable(
       ['seed', 'way', 'statements', 'failed', 'runs per statement', 'findings', 'faults'],
       rounds.map(rowOf),
     ),
@@ -42,11 +49,11 @@
   const statements = rounds.reduce((sum, round) => sum + round.statements, 0);
   const failed = rounds.reduce((sum, round) => sum + failures(round), 0);
   const findings = rounds.reduce((sum, round) => sum + round.findings.length, 0);
-  return tiles([
-    tile('rounds', String(rounds.length)),
-    tile('statements', String(statements)),
-    tile('failed', percent(statements === 0 ? 0 : failed / statements)),
-    tile('findings', String(findings), findings > 0),
+  return renderTiles([
+    renderTile('rounds', String(rounds.length)),
+    renderTile('statements', String(statements)),
+    renderTile('failed', percent(statements === 0 ? 0 : failed / statements)),
+    renderTile('findings', String(findings), findings > 0),
   ]);
 }
 
@@ -66,9 +73,9 @@
 async function roundPlots({ schedule, plots }: RoundResult): Promise<string> {
   const { seconds, faults, service, latency, load } = plots;
   const charts = [
-    serviceChart(service, faults, seconds),
-    latencyChart(latency, faults, seconds),
-    levelChart(
+    createServiceChart(service, faults, seconds),
+    createLatencyChart(latency, faults, seconds),
+    createLevelChart(
       'Load',
       'Reads, writes and commits a second: what clients sent, and what instances ran of it.',
       load,
@@ -76,7 +83,7 @@
       seconds,
     ),
   ];
-  const drawn = await Promise.all(charts.map(plot));
+  const drawn = await Promise.all(charts.map(renderPlot));
   return `<h1>${escapeHtml(`seed ${schedule.seed}`)}</h1>${drawn.join('')}`;
 }
 
--- a/test/unit/bench/series.test.ts
+++ b/test/unit/bench/series.test.ts
@@ -4,12 +4,12 @@
 import type { RequestRecord } from '../../../bench/history/model.js';
 import { groupAttempts } from '../../../bench/load/figures.js';
 import {
-  faultBands,
-  latencyPoints,
-  outcomePoints,
-  percentilePoints,
-  replicaSharePoints,
-  servicePoints,
+  computeFaultBands,
+  computeLatencyPoints,
+  computeOutcomePoints,
+  computePercentilePoints,
+  computeReplicaSharePoints,
+  computeServicePoints,
 } from '../../../bench/report/series.js';
 import { requestRecord } from '../../support/request-record.js';
 
@@ -37,7 +37,7 @@
 ]);
 
 test('requests are counted in the stretch in which they were due', () => {
-  const points = outcomePoints(REQUESTS, STARTED_AT, DEPLOYMENTS.bureau);
+  const points = computeOutcomePoints(REQUESTS, STARTED_AT, DEPLOYMENTS.bureau);
   const rateOf = (second: number, ending: string): number | undefined =>
     points.find((point) => point.second === second && point.ending === ending)?.requestsPerSecond;
   assert.is(rateOf(0, 'in time'), 4);
@@ -47,14 +47,14 @@
 });
 
 test('service, replica share and latency by stretch', () => {
-  const service = servicePoints(REQUESTS, STARTED_AT, DEPLOYMENTS.bureau);
+  const service = computeServicePoints(REQUESTS, STARTED_AT, DEPLOYMENTS.bureau);
   assert.equal(service, [
     { second: 0, kind: 'status', served: 1 / 3 },
     { second: 0.5, kind: 'status', served: 1 },
   ]);
-  const shares = replicaSharePoints(REQUESTS, STARTED_AT).map(({ share }) => share);
+  const shares = computeReplicaSharePoints(REQUESTS, STARTED_AT).map(({ share }) => share);
   assert.equal(shares, [0.5, 1]);
-  const latencies = latencyPoints(REQUESTS, STARTED_AT).filter(({ second }) => second === 0);
+  const latencies = computeLatencyPoints(REQUESTS, STARTED_AT).filter(({ second }) => second === 0);
   assert.equal(
     latencies.map(({ percentile, latencyMs }) => [percentile, latencyMs]),
     [
@@ -62,12 +62,12 @@
       ['p99', 5_000],
     ],
   );
-  assert.is(percentilePoints(REQUESTS).at(-1)?.latencyMs, 5_000);
+  assert.is(computePercentilePoints(REQUESTS).at(-1)?.latencyMs, 5_000);
 });
 
 test('faults that hit nothing have no band', () => {
   const fault = { name: 'zone-cut', beganAt: STARTED_AT + 500, endedAt: STARTED_AT + 2_000 };
-  const bands = faultBands(
+  const bands = computeFaultBands(
     [
       { ...fault, target: 'a', primaryFailures: [] },
       { ...fault, target: undefined, primaryFailures: [] },
