--- a/bench/direct-isolation/main.ts
+++ b/bench/direct-isolation/main.ts
@@ -1,28 +1,29 @@
 /**
- * `npm run bench -- direct-isolation`: one tenant of a direct gateway floods the group that another
- * one uses, in short phases that alternate with phases without a flood. `--json FILE` writes the figures.
+ * `npm run bench -- direct-isolation`: a noisy tenant of a direct gateway floods a database group that a
+ * quiet tenant also uses. Short phases with a flood alternate with phases without one. `--json FILE`
+ * writes the figures.
  */
 import { z } from 'zod';
 import { DirectCluster, type TestRoute } from '../../test/support/direct-cluster.js';
 import type { Phase } from '../isolation/figures.js';
 import { Flood } from '../isolation/flood.js';
 import {
+  createIsolationFlags,
   type IsolationBench,
-  isolationFlags,
-  isolationOptions,
-  playPhases,
-  runIsolation,
+  isolationOptionsSchema,
+  runIsolationCommand,
+  runPhases,
 } from '../isolation/frame.js';
-import { QuietSessions } from './quiet-load.js';
+import { QuietLoad } from './quiet-load.js';
 
 const USAGE = `npm run bench -- direct-isolation [options]
-  --seed N          of the load (default 1)
-  --cycles N        times each phase is run (default 8)
-  --phase S         seconds of a phase (default 4)
-  --rate R          requests a second of the quiet tenant (default 20)
-  --statement-ms N  work of a statement on an instance (default 10)
-  --gateways N      gateways; all load goes to the first (default 1)
-  --json FILE       write the figures there`;
+  --seed N          seed of the load (default 1)
+  --cycles N        times that each phase is run (default 8)
+  --phase S         length of a phase in seconds (default 4)
+  --rate R          requests per second of the quiet tenant (default 20)
+  --statement-ms N  service time of a statement on an instance (default 10)
+  --gateways N      number of gateways; all load goes to the first (default 1)
+  --json FILE       write the figures to this file`;
 
 const FLOODS = ['requests', 'idle-transactions'] as const;
 const FLOOD_PROGRAM = 'bench/direct-isolation/flood-process.js';
@@ -30,12 +31,12 @@
   { database: 'flood', service: 'orders', routeType: 'primary' },
   { database: 'quiet', service: 'orders', routeType: 'primary' },
 ];
-const QUIET_SESSIONS = 200;
-const SLOTS = 5;
-/** A gateway that sees no others shares the connections with eight for its first 30 s. */
+const QUIET_SESSION_COUNT = 200;
+const SLOTS_PER_INSTANCE = 5;
+/** In its first 30 s, a gateway that sees no other gateways assumes a fleet of eight and uses a share of the connections only. */
 const WARM_UP_MS = 35_000;
 
-const schema = isolationOptions.extend({ gateways: z.coerce.number().int().min(1) });
+const schema = isolationOptionsSchema.extend({ gateways: z.coerce.number().int().min(1) });
 type DirectIsolationOptions = z.output<typeof schema>;
 
 const BENCH: IsolationBench<DirectIsolationOptions> = {
@@ -43,20 +44,20 @@
   usage: USAGE,
   schema,
   flags: {
-    ...isolationFlags({ rate: 20, statementMs: 10 }),
+    ...createIsolationFlags({ rate: 20, statementMs: 10 }),
     gateways: { type: 'string', default: '1' },
   },
-  play,
-  tables: (phases) => [errorsOf(phases)],
+  runAllPhases,
+  createTables: (phases) => [countErrors(phases)],
 };
 
-/** Gives the exit code: 0 within the bar, 1 beyond it, 2 wrong flags. */
+/** Resolves with the exit code: 0 if p99 rises within the limit, 1 if beyond it, 2 for invalid flags. */
 export function runDirectIsolationBench(args: readonly string[]): Promise<number> {
-  return runIsolation(BENCH, args);
+  return runIsolationCommand(BENCH, args);
 }
 
-/** Errors of the quiet tenant by flood and code. */
-function errorsOf(phases: readonly Phase[]): Readonly<Record<string, number>> {
+/** Number of the quiet tenant's errors by flood and error code. */
+function countErrors(phases: readonly Phase[]): Readonly<Record<string, number>> {
   const counts: Record<string, number> = {};
   for (const { kind, requests } of phases) {
     for (const { error } of requests) {
@@ -68,19 +69,24 @@
   return counts;
 }
 
-async function play(options: DirectIsolationOptions): Promise<readonly Phase[]> {
+async function runAllPhases(options: DirectIsolationOptions): Promise<readonly Phase[]> {
   const { seed, rate, gateways } = options;
-  const flags = ['--slots', String(SLOTS), '--work-ms', String(options['statement-ms'])];
+  const flags = [
+    '--slots',
+    String(SLOTS_PER_INSTANCE),
+    '--work-ms',
+    String(options['statement-ms']),
+  ];
   const cluster = await DirectCluster.start({ gateways, routes: ROUTES, flags });
   try {
     const port = cluster.gateway(0).callersPort;
-    const load = await QuietSessions.open(port, QUIET_SESSIONS, seed, rate);
+    const load = await QuietLoad.open(port, QUIET_SESSION_COUNT, seed, rate);
     const flood = await Flood.start([{ host: '127.0.0.1', port }], seed + 1, FLOOD_PROGRAM);
     try {
       await load.run(WARM_UP_MS);
-      const phases = await playPhases(load, flood, FLOODS, options);
+      const phases = await runPhases(load, flood, FLOODS, options);
       const { promotions } = await cluster.platform.log();
-      // The quiet tenant is refused while its primary changes, which a busy machine may cause.
+      // On a busy machine the primary may change, and the quiet tenant is refused meanwhile.
       console.log(`${promotions.length} changes of the primary`);
       return phases;
     } finally {
--- a/bench/direct-isolation/quiet-load.ts
+++ b/bench/direct-isolation/quiet-load.ts
@@ -1,46 +1,50 @@
-/** The tenant of the direct gateway that is to be left alone: open loop, seeded, as in isolation/. */
+/** The seeded open-loop load of the direct gateway's quiet tenant, whose latency is measured. */
 import { setTimeout as delay } from 'node:timers/promises';
 import { LineClient } from '../../test/support/line-client.js';
 import type { QuietRequest } from '../isolation/quiet-load.js';
 import { createRandom, type Random } from '../load/random.js';
 
 const MS_PER_SECOND = 1000;
-const WRITE_SHARE = 0.3;
-const THINGS = 50;
+const WRITE_PROBABILITY = 0.3;
+const KEY_COUNT = 50;
 
-export class QuietSessions {
+export class QuietLoad {
   readonly #idle: LineClient[];
   readonly #random: Random;
 
   private constructor(
-    clients: LineClient[],
+    idleClients: LineClient[],
     seed: number,
     private readonly ratePerSecond: number,
   ) {
-    this.#idle = clients;
+    this.#idle = idleClients;
     this.#random = createRandom(seed);
   }
 
-  /** Sessions enough that no request waits for one. */
+  /** Opens sessions; `count` must be so high that every request finds a free one. */
   static async open(
     port: number,
     count: number,
     seed: number,
     ratePerSecond: number,
-  ): Promise<QuietSessions> {
+  ): Promise<QuietLoad> {
     const opened = Array.from({ length: count }, async () => {
       const client = await LineClient.connect('127.0.0.1', port);
       await client.start('quiet', 'quiet');
       return client;
     });
-    return new QuietSessions(await Promise.all(opened), seed, ratePerSecond);
+    return new QuietLoad(await Promise.all(opened), seed, ratePerSecond);
   }
 
-  /** Runs for so long and resolves with all answers. */
+  /** Runs for `durationMs` and resolves once all requests have been answered. */
   async run(durationMs: number): Promise<readonly QuietRequest[]> {
     const startedAt = performance.now();
     const requests: Promise<QuietRequest>[] = [];
-    for (let offsetMs = this.#pauseMs(); offsetMs < durationMs; offsetMs += this.#pauseMs()) {
+    for (
+      let offsetMs = this.#nextIntervalMs();
+      offsetMs < durationMs;
+      offsetMs += this.#nextIntervalMs()
+    ) {
       const waitMs = startedAt + offsetMs - performance.now();
       if (waitMs >= 1) await delay(waitMs);
       requests.push(this.#send(startedAt, offsetMs));
@@ -52,16 +56,16 @@
     for (const client of this.#idle) client.close();
   }
 
-  #pauseMs(): number {
+  #nextIntervalMs(): number {
     return this.#random.exponential(MS_PER_SECOND / this.ratePerSecond);
   }
 
   async #send(startedAt: number, offsetMs: number): Promise<QuietRequest> {
-    const kind = this.#random.fraction() < WRITE_SHARE ? 'write' : 'read';
-    const thing = `q${this.#random.integerBelow(THINGS)}`;
+    const kind = this.#random.fraction() < WRITE_PROBABILITY ? 'write' : 'read';
+    const key = `q${this.#random.integerBelow(KEY_COUNT)}`;
     const client = this.#idle.shift();
     if (client === undefined) return { kind, offsetMs, latencyMs: 0, error: 'no session' };
-    const text = kind === 'write' ? `WRITE ${thing} value` : `READ ${thing}`;
+    const text = kind === 'write' ? `WRITE ${key} value` : `READ ${key}`;
     const { error } = await client.query('q', text);
     const latencyMs = performance.now() - startedAt - offsetMs;
     this.#idle.push(client);
--- a/bench/isolation/figures.ts
+++ b/bench/isolation/figures.ts
@@ -1,11 +1,11 @@
-/** Figures of the quiet tenant with and without a flood, and how far apart they are. */
+/** Compares the quiet tenant's figures with and without a flood. */
 import { build } from 'hdr-histogram-js';
 import type { FloodCounts, FloodKind } from './flood.js';
 import type { QuietRequest } from './quiet-load.js';
 
 export type PhaseKind = 'none' | FloodKind;
 
-/** One phase: the quiet tenant's requests while this flood went on. */
+/** One phase: the quiet tenant's requests during a flood, or without one. */
 export interface Phase {
   readonly kind: PhaseKind;
   readonly requests: readonly QuietRequest[];
@@ -19,11 +19,11 @@
   readonly p50Ms: number;
   readonly p99Ms: number;
   readonly maxMs: number;
-  /** p99 of all phases together above that without a flood, as a share of it. */
+  /** Relative increase of the p99 over all phases of this flood against that without a flood. */
   readonly p99Moved: number | undefined;
-  /** Median of the p99 of the single phases: a stall of the machine spoils one phase, not all. */
+  /** Median of the phases' p99, since a stall of the machine distorts only the phase that it falls into. */
   readonly phaseP99Ms: number;
-  /** How far that median lies above the one without a flood, as a share of it. */
+  /** Relative increase of that median against the one without a flood. */
   readonly phaseP99Moved: number | undefined;
   readonly floodOffered: number;
   readonly floodDone: number;
@@ -31,18 +31,21 @@
 }
 
 const MICROSECONDS_PER_MS = 1000;
-const HIGHEST_MICROSECONDS = 60_000_000;
-const DIGITS = 3;
+const MAX_LATENCY_MICROSECONDS = 60_000_000;
+const DECIMAL_DIGITS = 3;
 
-/** `settleMs`: requests this early in a phase are left out; the phase before still echoes. */
-export function figuresOf(phases: readonly Phase[], settleMs: number): readonly PhaseFigures[] {
+/** Requests in the first `settleMs` of a phase are left out, because the previous phase still affects them. */
+export function computeFigures(
+  phases: readonly Phase[],
+  settleMs: number,
+): readonly PhaseFigures[] {
   const kinds = [...new Set(phases.map(({ kind }) => kind))];
-  const baseline = percentilesOf(requestsOf(phases, 'none', settleMs));
-  const phaseBaselineMs = medianPhaseP99(phases, 'none', settleMs);
+  const baseline = computePercentiles(selectRequests(phases, 'none', settleMs));
+  const phaseBaselineMs = computeMedianPhaseP99Ms(phases, 'none', settleMs);
   return kinds.map((kind) => {
-    const requests = requestsOf(phases, kind, settleMs);
-    const { p50Ms, p99Ms, maxMs } = percentilesOf(requests);
-    const phaseP99Ms = medianPhaseP99(phases, kind, settleMs);
+    const requests = selectRequests(phases, kind, settleMs);
+    const { p50Ms, p99Ms, maxMs } = computePercentiles(requests);
+    const phaseP99Ms = computeMedianPhaseP99Ms(phases, kind, settleMs);
     const floods = phases.flatMap((phase) => (phase.kind === kind ? (phase.flood ?? []) : []));
     return {
       flood: kind,
@@ -61,28 +64,36 @@
   });
 }
 
-function requestsOf(phases: readonly Phase[], kind: PhaseKind, settleMs: number): QuietRequest[] {
+function selectRequests(
+  phases: readonly Phase[],
+  kind: PhaseKind,
+  settleMs: number,
+): QuietRequest[] {
   const requests = phases.filter((phase) => phase.kind === kind).flatMap((one) => one.requests);
   return requests.filter(({ offsetMs }) => offsetMs >= settleMs);
 }
 
-function medianPhaseP99(phases: readonly Phase[], kind: PhaseKind, settleMs: number): number {
-  const each = phases
+function computeMedianPhaseP99Ms(
+  phases: readonly Phase[],
+  kind: PhaseKind,
+  settleMs: number,
+): number {
+  const phaseP99sMs = phases
     .filter((phase) => phase.kind === kind)
-    .map((phase) => percentilesOf(requestsOf([phase], kind, settleMs)).p99Ms)
+    .map((phase) => computePercentiles(selectRequests([phase], kind, settleMs)).p99Ms)
     .sort((left, right) => left - right);
-  return each[Math.floor((each.length - 1) / 2)] ?? 0;
+  return phaseP99sMs[Math.floor((phaseP99sMs.length - 1) / 2)] ?? 0;
 }
 
-function percentilesOf(requests: readonly QuietRequest[]): {
+function computePercentiles(requests: readonly QuietRequest[]): {
   readonly p50Ms: number;
   readonly p99Ms: number;
   readonly maxMs: number;
 } {
-  const histogram = build({ highestTrackableValue: HIGHEST_MICROSECONDS });
+  const histogram = build({ highestTrackableValue: MAX_LATENCY_MICROSECONDS });
   for (const { latencyMs } of requests) {
     const microseconds = Math.round(latencyMs * MICROSECONDS_PER_MS);
-    histogram.recordValue(Math.min(Math.max(microseconds, 0), HIGHEST_MICROSECONDS));
+    histogram.recordValue(Math.min(Math.max(microseconds, 0), MAX_LATENCY_MICROSECONDS));
   }
   const at = (percentile: number): number =>
     round(histogram.getValueAtPercentile(percentile) / MICROSECONDS_PER_MS);
@@ -94,5 +105,5 @@
 }
 
 function round(value: number): number {
-  return Number(value.toFixed(DIGITS));
+  return Number(value.toFixed(DECIMAL_DIGITS));
 }
--- a/bench/isolation/flood.ts
+++ b/bench/isolation/flood.ts
@@ -1,4 +1,4 @@
-/** What the noisy tenant does, and the process that does it. */
+/** The kinds of flood of the noisy tenant, and a client of the process that runs them. */
 import { once } from 'node:events';
 import { createInterface, type Interface } from 'node:readline';
 import { z } from 'zod';
@@ -9,7 +9,7 @@
 export type FloodKind = (typeof FLOOD_KINDS)[number];
 
 export const floodCountsSchema = z.object({
-  /** Requests that were meant to start. */
+  /** Requests that were due, whether or not they were sent. */
   offered: z.number(),
   done: z.number(),
   refused: z.number(),
@@ -19,10 +19,10 @@
 const begunSchema = z.object({ begun: z.literal(true) });
 const readySchema = z.object({ ready: z.literal(true) });
 
-/** Floods `meadowstack proxy`. */
-const POSTGRES_FLOOD = 'bench/isolation/flood-process.js';
+/** Program that floods `meadowstack proxy`. */
+const POSTGRES_FLOOD_PROGRAM = 'bench/isolation/flood-process.js';
 
-/** A process of its own, so that its work is not on the clock of the quiet tenant's load. */
+/** Runs the flood in a separate process, so that it doesn't delay the quiet tenant's load generator. */
 export class Flood {
   private constructor(
     private readonly child: StartedChild<z.output<typeof readySchema>>,
@@ -32,31 +32,31 @@
   static async start(
     proxies: readonly ProxyEndpoint[],
     seed: number,
-    program = POSTGRES_FLOOD,
+    program = POSTGRES_FLOOD_PROGRAM,
   ): Promise<Flood> {
     const addresses = proxies.map(({ host, port }) => `${host}:${port}`).join(',');
     const flags = [`--proxies=${addresses}`, `--seed=${seed}`];
     const child = await startChild(program, flags, readySchema);
     const { stdout } = child.process;
-    if (stdout === null) throw new RangeError('the flood has no output');
+    if (stdout === null) throw new RangeError('the flood process has no standard output');
     return new Flood(child, createInterface({ input: stdout }));
   }
 
-  /** Resolves once the noisy tenant is connected and floods. */
+  /** Starts a flood; resolves once the noisy tenant is connected and the flood runs. */
   async begin(kind: FloodKind): Promise<void> {
-    begunSchema.parse(await this.#ask(kind));
+    begunSchema.parse(await this.#sendCommand(kind));
   }
 
-  /** Ends what goes on and resolves with its counts. */
+  /** Ends the running flood and resolves with its counts. */
   async end(): Promise<FloodCounts> {
-    return floodCountsSchema.parse(await this.#ask('end'));
+    return floodCountsSchema.parse(await this.#sendCommand('end'));
   }
 
   stop(): Promise<void> {
     return this.child.stop();
   }
 
-  async #ask(line: string): Promise<unknown> {
+  async #sendCommand(line: string): Promise<unknown> {
     const answer = once(this.lines, 'line') as Promise<[string]>;
     this.child.process.stdin?.write(`${line}\n`);
     const [text] = await answer;
--- a/bench/isolation/frame.ts
+++ b/bench/isolation/frame.ts
@@ -1,25 +1,25 @@
-/** What the benches of tenant isolation share: flags, phases with and without a flood, report and verdict. */
+/** Common parts of the tenant isolation benches: flags, phases with and without a flood, report and exit code. */
 import { writeFileSync } from 'node:fs';
 import { availableParallelism, loadavg } from 'node:os';
 import { type ParseArgsConfig, parseArgs } from 'node:util';
 import { z } from 'zod';
 import { BenchUsageError } from '../options.js';
-import { figuresOf, type Phase, type PhaseKind } from './figures.js';
+import { computeFigures, type Phase, type PhaseKind } from './figures.js';
 import type { Flood, FloodKind } from './flood.js';
 
 const SETTLE_MS = 500;
 const MS_PER_SECOND = 1000;
-/** The bar: p99 of the quiet tenant may move by no more than this. */
-const MOST_MOVED = 0.2;
+/** Maximum relative increase of the quiet tenant's p99 during a flood. */
+const MAX_P99_INCREASE = 0.2;
 
-const EXIT_WITHIN_BAR = 0;
-const EXIT_BEYOND_BAR = 1;
+const EXIT_WITHIN_LIMIT = 0;
+const EXIT_BEYOND_LIMIT = 1;
 const EXIT_USAGE = 2;
 
 type Flags = NonNullable<ParseArgsConfig['options']>;
 
-/** Options of every such bench. */
-export const isolationOptions = z.object({
+/** Options that all isolation benches have. */
+export const isolationOptionsSchema = z.object({
   seed: z.coerce.number().int().min(0),
   cycles: z.coerce.number().int().min(1),
   phase: z.coerce.number().positive(),
@@ -27,10 +27,13 @@
   'statement-ms': z.coerce.number().min(0),
   json: z.string().optional(),
 });
-export type IsolationOptions = z.output<typeof isolationOptions>;
+export type IsolationOptions = z.output<typeof isolationOptionsSchema>;
 
-/** Their flags, with the defaults that differ. */
-export function isolationFlags(defaults: { readonly rate: number; readonly statementMs: number }) {
+/** The flags of these options; `defaults` are the values in which the benches differ. */
+export function createIsolationFlags(defaults: {
+  readonly rate: number;
+  readonly statementMs: number;
+}) {
   return {
     seed: { type: 'string', default: '1' },
     cycles: { type: 'string', default: '8' },
@@ -41,27 +44,27 @@
   } satisfies Flags;
 }
 
-/** One bench. */
+/** Description of one isolation bench. */
 export interface IsolationBench<Options extends IsolationOptions> {
   readonly name: string;
   readonly usage: string;
   readonly flags: Flags;
   readonly schema: z.ZodType<Options>;
-  play(options: Options): Promise<readonly Phase[]>;
-  /** Further tables of the report. */
-  readonly more?: (options: Options) => Promise<Readonly<Record<string, unknown>>>;
-  /** Tables that follow from the phases; printed only. */
-  readonly tables?: (phases: readonly Phase[]) => readonly unknown[];
+  runAllPhases(options: Options): Promise<readonly Phase[]>;
+  /** Makes further measurements, added to the report by name. */
+  readonly measureFurther?: (options: Options) => Promise<Readonly<Record<string, unknown>>>;
+  /** Tables computed from the phases, which are printed but not part of the report. */
+  readonly createTables?: (phases: readonly Phase[]) => readonly unknown[];
 }
 
-/** Gives the exit code: 0 within the bar, 1 beyond it, 2 wrong flags. */
-export async function runIsolation<Options extends IsolationOptions>(
+/** Resolves with the exit code: 0 if p99 rises within the limit, 1 if beyond it, 2 for invalid flags. */
+export async function runIsolationCommand<Options extends IsolationOptions>(
   bench: IsolationBench<Options>,
   args: readonly string[],
 ): Promise<number> {
   if (args.includes('--help')) {
     console.log(bench.usage);
-    return EXIT_WITHIN_BAR;
+    return EXIT_WITHIN_LIMIT;
   }
   const options = bench.schema.safeParse(readFlags(bench, args));
   if (!options.success) {
@@ -69,17 +72,21 @@
     return EXIT_USAGE;
   }
   const loadBefore = loadavg();
-  const phases = await bench.play(options.data);
-  const figures = figuresOf(phases, SETTLE_MS);
+  const phases = await bench.runAllPhases(options.data);
+  const figures = computeFigures(phases, SETTLE_MS);
   const machine = { cores: availableParallelism(), loadBefore, loadAfter: loadavg() };
-  const more = (await bench.more?.(options.data)) ?? {};
-  const report = { bench: bench.name, options: options.data, machine, figures, ...more };
-  const shown = [figures, ...(bench.tables?.(phases) ?? []), ...Object.values(more)];
-  for (const table of shown) console.table(table);
+  const furtherTables = (await bench.measureFurther?.(options.data)) ?? {};
+  const report = { bench: bench.name, options: options.data, machine, figures, ...furtherTables };
+  const printedTables = [
+    figures,
+    ...(bench.createTables?.(phases) ?? []),
+    ...Object.values(furtherTables),
+  ];
+  for (const table of printedTables) console.table(table);
   const { json } = options.data;
   if (json !== undefined) writeFileSync(json, `${JSON.stringify(report, null, 2)}\n`);
-  const isWithin = figures.every(({ phaseP99Moved = 0 }) => phaseP99Moved <= MOST_MOVED);
-  return isWithin ? EXIT_WITHIN_BAR : EXIT_BEYOND_BAR;
+  const isWithin = figures.every(({ phaseP99Moved = 0 }) => phaseP99Moved <= MAX_P99_INCREASE);
+  return isWithin ? EXIT_WITHIN_LIMIT : EXIT_BEYOND_LIMIT;
 }
 
 /** @throws BenchUsageError */
@@ -94,13 +101,13 @@
   }
 }
 
-/** The quiet tenant's load. */
+/** The load of the quiet tenant. */
 interface QuietTenant {
   run(durationMs: number): Promise<Phase['requests']>;
 }
 
-/** Phases without and with each flood, so many times. */
-export async function playPhases(
+/** Runs a phase without a flood and one with each kind of flood, `cycles` times. */
+export async function runPhases(
   load: QuietTenant,
   flood: Flood,
   floods: readonly FloodKind[],
@@ -109,13 +116,13 @@
   const phases: Phase[] = [];
   for (let cycle = 0; cycle < cycles; cycle += 1) {
     for (const kind of ['none' as const, ...floods]) {
-      phases.push(await playPhase(kind, load, flood, phase * MS_PER_SECOND));
+      phases.push(await runPhase(kind, load, flood, phase * MS_PER_SECOND));
     }
   }
   return phases;
 }
 
-async function playPhase(
+async function runPhase(
   kind: PhaseKind,
   load: QuietTenant,
   flood: Flood,
--- a/bench/isolation/outage.ts
+++ b/bench/isolation/outage.ts
@@ -1,6 +1,6 @@
 /**
- * What an outage of a primary makes of the load: requests that the owners send to the database for
- * each request of a caller, before, during and after it.
+ * Measures how an outage of a primary amplifies the load: requests that the owners send to the database
+ * for each request of a caller, before, during and after the outage.
  */
 import { setTimeout as delay } from 'node:timers/promises';
 import { z } from 'zod';
@@ -18,12 +18,12 @@
 
 export interface OutageWindow {
   readonly window: 'before' | 'outage' | 'after';
-  /** Requests that callers were to start in the window. */
+  /** Callers' requests that were due in the window. */
   readonly callerRequests: number;
   readonly sentToDatabase: number;
-  /** Sent to the database for each request of a caller. */
+  /** Requests sent to the database per request of a caller. */
   readonly amplification: number;
-  /** Most sent in one sample, a second. */
+  /** Highest rate between two successive samples. */
   readonly peakSentPerSecond: number;
   readonly retries: number;
   readonly errors: number;
@@ -46,29 +46,29 @@
   ),
 });
 
-const SESSIONS = 200;
-const ELECTION_MS = 500;
-const SAMPLE_MS = 100;
+const SESSION_COUNT = 200;
+const ELECTION_TIMEOUT_MS = 500;
+const SAMPLE_PERIOD_MS = 100;
 const KILL_AT_MS = 5000;
-/** Part of the run that counts as outage: election, adoption, and the queue's drain. */
+/** Part of the run that counts as the outage: election, discovery of the new primary, and draining of the queue. */
 const OUTAGE_MS = 3000;
 const RUN_MS = 16_000;
 const WARM_UP_MS = 2000;
 const MS_PER_SECOND = 1000;
-const DIGITS = 3;
+const DECIMAL_DIGITS = 3;
 
-/** Kills the primary of a group under load. */
+/** Kills the primary of a group under load, and computes the figures of each window. */
 export async function measureOutage(options: OutageOptions): Promise<readonly OutageWindow[]> {
   const { seed, statementMs, slots, ratePerSecond } = options;
   const cluster = await startSharedCluster({
     seed,
     statementMs,
     slots,
-    electionTimeoutMs: ELECTION_MS,
+    electionTimeoutMs: ELECTION_TIMEOUT_MS,
   });
   try {
     const proxies = cluster.callerAddresses;
-    const sessions = await TenantSessions.open(proxies, QUIET_TENANT, GROUP, SESSIONS);
+    const sessions = await TenantSessions.open(proxies, QUIET_TENANT, GROUP, SESSION_COUNT);
     const load = new QuietLoad(sessions, seed, ratePerSecond);
     await load.run(WARM_UP_MS);
     const startedAt = performance.now();
@@ -78,7 +78,7 @@
       killPrimary(cluster),
     ]);
     await sessions.close();
-    return windowsOf(requests, samples);
+    return computeWindows(requests, samples);
   } finally {
     await cluster.stop();
   }
@@ -99,13 +99,13 @@
   const samples: Sample[] = [];
   for (;;) {
     const atMs = performance.now() - startedAt;
-    samples.push({ atMs, ...(await countSent(cluster)) });
+    samples.push({ atMs, ...(await readSentCounts(cluster)) });
     if (atMs > durationMs) return samples;
-    await delay(SAMPLE_MS);
+    await delay(SAMPLE_PERIOD_MS);
   }
 }
 
-async function countSent(cluster: Cluster): Promise<Omit<Sample, 'atMs'>> {
+async function readSentCounts(cluster: Cluster): Promise<Omit<Sample, 'atMs'>> {
   let sent = 0;
   let retries = 0;
   for (const { admin } of cluster.proxies.values()) {
@@ -119,37 +119,37 @@
   return { sent, retries };
 }
 
-function windowsOf(
+function computeWindows(
   requests: readonly QuietRequest[],
   samples: readonly Sample[],
 ): readonly OutageWindow[] {
-  const outageEnds = KILL_AT_MS + OUTAGE_MS;
+  const outageEndMs = KILL_AT_MS + OUTAGE_MS;
   const windows = [
     ['before', 0, KILL_AT_MS],
-    ['outage', KILL_AT_MS, outageEnds],
-    ['after', outageEnds, RUN_MS],
+    ['outage', KILL_AT_MS, outageEndMs],
+    ['after', outageEndMs, RUN_MS],
   ] as const;
   return windows.map(([window, from, to]) => {
     const own = requests.filter(({ offsetMs }) => offsetMs >= from && offsetMs < to);
-    const inside = samples.filter(({ atMs }) => atMs >= from && atMs < to);
-    const [first] = inside;
-    const last = inside.at(-1);
-    // From the last sample before the window on, so that windows meet.
+    const samplesInWindow = samples.filter(({ atMs }) => atMs >= from && atMs < to);
+    const [first] = samplesInWindow;
+    const last = samplesInWindow.at(-1);
+    // Counts from the last sample before the window, so that the windows are contiguous.
     const start = samples.filter(({ atMs }) => atMs < from).at(-1) ?? first;
     const sentToDatabase = (last?.sent ?? 0) - (start?.sent ?? 0);
     return {
       window,
       callerRequests: own.length,
       sentToDatabase,
-      amplification: Number((sentToDatabase / own.length).toFixed(DIGITS)),
-      peakSentPerSecond: Math.round(peakRate(inside)),
+      amplification: Number((sentToDatabase / own.length).toFixed(DECIMAL_DIGITS)),
+      peakSentPerSecond: Math.round(computePeakRate(samplesInWindow)),
       retries: (last?.retries ?? 0) - (start?.retries ?? 0),
       errors: own.filter(({ error }) => error !== undefined).length,
     };
   });
 }
 
-function peakRate(samples: readonly Sample[]): number {
+function computePeakRate(samples: readonly Sample[]): number {
   let peak = 0;
   samples.forEach((sample, index) => {
     const before = samples[index - 1];
--- a/bench/isolation/quiet-load.ts
+++ b/bench/isolation/quiet-load.ts
@@ -1,26 +1,26 @@
 /**
- * The load of the tenant that is to be left alone: open loop, seeded. Latency counts from the time at
- * which a request was meant to start.
+ * The seeded open-loop load of the quiet tenant, whose latency is measured. Latency counts from the
+ * intended start of a request.
  */
 import { setTimeout as delay } from 'node:timers/promises';
 import { createRandom, type Random } from '../load/random.js';
-import { ROWS } from './shared-cluster.js';
+import { ROW_COUNT } from './shared-cluster.js';
 import type { TenantSessions } from './tenant-sessions.js';
 
 export interface QuietRequest {
   readonly kind: QuietKind;
-  /** From the start of the phase to the intended start of the request. */
+  /** Intended start of the request, relative to the start of the phase. */
   readonly offsetMs: number;
   readonly latencyMs: number;
-  /** SQLSTATE, or undefined if it was answered. */
+  /** SQLSTATE or `connection lost`; undefined if the request succeeded. */
   readonly error: string | undefined;
 }
 
 export type QuietKind = 'lookup' | 'read' | 'write';
 
 const MS_PER_SECOND = 1000;
-const LOOKUP_SHARE = 0.4;
-const READ_SHARE = 0.4;
+const LOOKUP_PROBABILITY = 0.4;
+const READ_PROBABILITY = 0.4;
 
 export class QuietLoad {
   readonly #sessions: TenantSessions;
@@ -33,11 +33,15 @@
     this.#ratePerSecond = ratePerSecond;
   }
 
-  /** Runs for so long and resolves with all answers. */
+  /** Runs for `durationMs` and resolves once all requests have been answered. */
   async run(durationMs: number): Promise<readonly QuietRequest[]> {
     const startedAt = performance.now();
     const requests: Promise<QuietRequest>[] = [];
-    for (let offsetMs = this.#pauseMs(); offsetMs < durationMs; offsetMs += this.#pauseMs()) {
+    for (
+      let offsetMs = this.#nextIntervalMs();
+      offsetMs < durationMs;
+      offsetMs += this.#nextIntervalMs()
+    ) {
       const waitMs = startedAt + offsetMs - performance.now();
       if (waitMs >= 1) await delay(waitMs);
       requests.push(this.#send(startedAt, offsetMs));
@@ -45,13 +49,13 @@
     return Promise.all(requests);
   }
 
-  #pauseMs(): number {
+  #nextIntervalMs(): number {
     return this.#random.exponential(MS_PER_SECOND / this.#ratePerSecond);
   }
 
   #send(startedAt: number, offsetMs: number): Promise<QuietRequest> {
     const kind = this.#pickKind();
-    const text = statementOf(kind, this.#random.integerBelow(ROWS));
+    const text = createStatement(kind, this.#random.integerBelow(ROW_COUNT));
     return new Promise((resolve) => {
       this.#sessions.submit(async (client) => {
         const error = await client.query(text).then(
@@ -66,12 +70,12 @@
 
   #pickKind(): QuietKind {
     const pick = this.#random.fraction();
-    if (pick < LOOKUP_SHARE) return 'lookup';
-    return pick < LOOKUP_SHARE + READ_SHARE ? 'read' : 'write';
+    if (pick < LOOKUP_PROBABILITY) return 'lookup';
+    return pick < LOOKUP_PROBABILITY + READ_PROBABILITY ? 'read' : 'write';
   }
 }
 
-function statementOf(kind: QuietKind, id: number): string {
+function createStatement(kind: QuietKind, id: number): string {
   if (kind === 'write') return `UPDATE items SET version = version + 1 WHERE id = ${id}`;
   const read = `SELECT version FROM items WHERE id = ${id}`;
   return kind === 'read' ? read : `${read} /*meadowstack_kind='lookup'*/`;
--- a/bench/isolation/shared-cluster.ts
+++ b/bench/isolation/shared-cluster.ts
@@ -1,16 +1,16 @@
-/** One database group that two tenants of one template share, behind two proxies. */
+/** A cluster of two proxies and one database group, which two tenants of one template share. */
 import pg from 'pg';
 import { BACKEND_PASSWORD, Cluster, type ClusterTenant } from '../harness/cluster.js';
 
 export const GROUP = 'shared';
 export const DATABASE_ROLE = 'app';
-/** Rows of the table that the load reads and changes. */
-export const ROWS = 1000;
+/** Number of rows of the table that the load reads and updates. */
+export const ROW_COUNT = 1000;
 
-export const QUIET_TENANT = tenantNamed('quiet');
-export const NOISY_TENANT = tenantNamed('noisy');
+export const QUIET_TENANT = createTenant('quiet');
+export const NOISY_TENANT = createTenant('noisy');
 
-/** Limits are wide on purpose: the fair queue, slots and connections have to keep the tenants apart. */
+/** The tenants' limits are high, so that only the fair queue, slots and connections isolate the tenants. */
 const TEMPLATE = `kind: Template
 name: shared
 parameters:
@@ -33,7 +33,7 @@
   readonly seed: number;
   readonly statementMs: number;
   readonly slots: number;
-  /** Silence after which the group elects; long where a busy machine must not cause elections. */
+  /** Time without messages from its primary after which the group elects; long if a busy machine must not cause elections. */
   readonly electionTimeoutMs: number;
 }
 
@@ -71,11 +71,11 @@
   });
   await client.connect();
   await client.query('CREATE TABLE items (id int PRIMARY KEY, version int)');
-  const rows = Array.from({ length: ROWS }, (_, id) => `(${id}, 1)`);
+  const rows = Array.from({ length: ROW_COUNT }, (_, id) => `(${id}, 1)`);
   await client.query(`INSERT INTO items VALUES ${rows.join(', ')}`);
   await client.end();
 }
 
-function tenantNamed(name: string): ClusterTenant {
+function createTenant(name: string): ClusterTenant {
   return { name, password: `${name} password`, databases: [GROUP], template: 'shared' };
 }
--- a/bench/isolation/tenant-sessions.ts
+++ b/bench/isolation/tenant-sessions.ts
@@ -1,4 +1,4 @@
-/** Connections of one tenant, spread over the proxies, that run one request at a time each. */
+/** Connections of one tenant, spread over the proxies; each runs one request at a time. */
 import pg from 'pg';
 import type { ClusterTenant } from '../harness/cluster.js';
 
@@ -9,12 +9,12 @@
 
 export type TenantIdentity = Pick<ClusterTenant, 'name' | 'password'>;
 
-/** Work for one connection. */
+/** Work to run on one connection. */
 export type SessionWork = (client: pg.Client) => Promise<void>;
 
 export class TenantSessions {
   readonly #idle: pg.Client[] = [];
-  readonly #waiting: SessionWork[] = [];
+  readonly #queue: SessionWork[] = [];
   readonly #clients: pg.Client[];
 
   private constructor(clients: pg.Client[]) {
@@ -39,30 +39,30 @@
     return new TenantSessions(await Promise.all(opened));
   }
 
-  get waiting(): number {
-    return this.#waiting.length;
+  get queuedCount(): number {
+    return this.#queue.length;
   }
 
-  /** Runs the work on the next connection that is free. */
+  /** Runs the work on a free connection, or queues it for the next one. */
   submit(work: SessionWork): void {
     const client = this.#idle.pop();
-    if (client === undefined) this.#waiting.push(work);
+    if (client === undefined) this.#queue.push(work);
     else void this.#run(client, work);
   }
 
-  /** Forgets what has not begun. */
-  dropWaiting(): void {
-    this.#waiting.length = 0;
+  /** Drops all work that has not begun. */
+  clearQueue(): void {
+    this.#queue.length = 0;
   }
 
   async close(): Promise<void> {
-    this.dropWaiting();
+    this.clearQueue();
     await Promise.allSettled(this.#clients.map((client) => client.end()));
   }
 
   async #run(client: pg.Client, work: SessionWork): Promise<void> {
     await work(client);
-    const next = this.#waiting.shift();
+    const next = this.#queue.shift();
     if (next === undefined) this.#idle.push(client);
     else void this.#run(client, next);
   }
--- a/bench/report/page.ts
+++ b/bench/report/page.ts
@@ -136,6 +136,6 @@
   return Object.values(violations).reduce((sum, count) => sum + count, 0);
 }
 
-function formatPercent(share: number | null): string {
-  return share === null ? 'unknown' : `${(share * PERCENT).toFixed(1)} %`;
+function formatPercent(fraction: number | null): string {
+  return fraction === null ? 'unknown' : `${(fraction * PERCENT).toFixed(1)} %`;
 }
