--- a/bench/demo/main.ts
+++ b/bench/demo/main.ts
@@ -1,4 +1,4 @@
-/** `npm run demo`: shows one of the two programs at work, against stand-ins, with a primary killed. */
+/** `npm run demo`: runs one of the two programs against stand-ins while a primary is killed. */
 import { parseArgs } from 'node:util';
 
 const USAGE = `npm run demo -- [--direct]
@@ -8,9 +8,9 @@
 The last line on standard output is JSON with the figures.
 
 Exit codes:
-  0  everything ran, and no promise was broken
-  1  a promise was broken
-  2  wrong usage`;
+  0  everything ran, and no promise was violated
+  1  a promise was violated
+  2  invalid flags`;
 const EXIT_USAGE = 2;
 
 const DEMOS = {
--- a/bench/demo/postgres.ts
+++ b/bench/demo/postgres.ts
@@ -1,7 +1,7 @@
 /**
- * The demonstration of `meadowstack proxy`: both deployments on one cluster of real processes, callers whose sessions move
- * between proxies, and one primary killed. The last line on standard output is JSON with the
- * figures; exit code 0 if everything ran and no promise was broken.
+ * The demo of `meadowstack proxy`: a cluster of real processes serves both deployments, whose callers'
+ * sessions move between proxies, while one primary is killed. The last line on standard output is JSON
+ * with the figures; the exit code is 0 if everything ran and no promise was violated.
  */
 import { checkHistory } from '../checkers/index.js';
 import type { Deployment } from '../deployments.js';
@@ -21,17 +21,17 @@
   toClusterTenant,
 } from '../run/deployment-cluster.js';
 import { stopClusterOnSignal } from '../run/interruption.js';
-import { Account, countMoves } from './account.js';
+import { countProxyChanges, DemoOutput } from './demo-output.js';
 
 const SEED = 1;
 const DURATION_MS = 8_000;
 const REQUESTS_PER_SECOND = 100;
-const SESSIONS = 20;
+const SESSION_COUNT = 20;
 const KILL_AT_MS = 3_000;
-const SHOWN_VIOLATIONS = 5;
+const MAX_SHOWN_VIOLATIONS = 5;
 
-const account = new Account();
-account.tell('starting store, machine list, two database groups of three, and two proxies');
+const output = new DemoOutput();
+output.writeLine('starting store, machine list, two database groups of three, and two proxies');
 const cluster = await startDeploymentCluster({
   deployments: SMALL_DEPLOYMENTS,
   proxies: 2,
@@ -42,19 +42,21 @@
 });
 const release = stopClusterOnSignal(cluster);
 try {
-  await demonstrate(cluster);
+  await runDemo(cluster);
 } finally {
   release();
   await cluster.stop();
 }
 
-async function demonstrate(running: Cluster): Promise<void> {
-  account.tell(`${SMALL_DEPLOYMENTS.length} tenants send orders, look-ups and unlocks`);
+async function runDemo(running: Cluster): Promise<void> {
+  output.writeLine(`${SMALL_DEPLOYMENTS.length} tenants send orders, look-ups and unlocks`);
   const [loads, faults] = await Promise.all([
     Promise.all(SMALL_DEPLOYMENTS.map((deployment) => sendLoad(running, deployment))),
     killPrimary(running),
   ]);
-  account.tell('all callers have ended; comparing what they saw with the logs of the databases');
+  output.writeLine(
+    'all callers have ended; checking their results against the logs of the databases',
+  );
   const logs = await collectLogs(running);
   const requests = loads.flatMap((load) => load.requests);
   const history: History = {
@@ -65,8 +67,8 @@
     elections: logs.elections,
     endedAt: nowMs(),
   };
-  account.tell(`${countMoves(requests)} times a session went on at the other proxy`);
-  report(loads, faults, history, logs.connectionsOpened);
+  output.writeLine(`${countProxyChanges(requests)} times a session moved to the other proxy`);
+  writeResults(loads, faults, history, logs.connectionsOpened);
 }
 
 function sendLoad(running: Cluster, deployment: Deployment): Promise<LoadResult> {
@@ -75,7 +77,7 @@
     seed: SEED,
     durationMs: DURATION_MS,
     requestsPerSecond: REQUESTS_PER_SECOND,
-    sessions: SESSIONS,
+    sessions: SESSION_COUNT,
     proxies: running.callerAddresses,
     credentialsOf: (group) => credentialsOf(deployment, group),
   });
@@ -96,11 +98,11 @@
     startedAt: nowMs(),
     onChange: () => undefined,
   });
-  for (const fault of faults) account.tellFault(fault);
+  for (const fault of faults) output.writeFault(fault);
   return faults;
 }
 
-function report(
+function writeResults(
   loads: readonly LoadResult[],
   faults: readonly FaultRecord[],
   history: History,
@@ -121,13 +123,14 @@
       endedAt: loads[index]?.endedAt ?? history.endedAt,
     }),
   );
-  for (const one of figures) account.tellFigures(one);
-  for (const violation of violations.slice(0, SHOWN_VIOLATIONS)) account.tell(violation.detail);
-  process.stdout.write(`${JSON.stringify(summaryOf(figures, history, violations.length))}\n`);
+  for (const one of figures) output.writeFigures(one);
+  for (const violation of violations.slice(0, MAX_SHOWN_VIOLATIONS))
+    output.writeLine(violation.detail);
+  process.stdout.write(`${JSON.stringify(createSummary(figures, history, violations.length))}\n`);
   if (violations.length > 0) process.exitCode = 1;
 }
 
-/** The last line. */
+/** The JSON of the last line. */
 interface DemoSummary {
   readonly requests: number;
   readonly writes: number;
@@ -136,7 +139,7 @@
   readonly violations: number;
 }
 
-function summaryOf(
+function createSummary(
   figures: readonly RunFigures[],
   history: History,
   violations: number,
--- a/bench/deployment-bench.ts
+++ b/bench/deployment-bench.ts
@@ -1,4 +1,4 @@
-/** The bench of a deployment, as a command: flags in, JSON and page out. */
+/** The command that benches a deployment: parses flags, and writes the JSON report and the HTML page. */
 import { writeFile } from 'node:fs/promises';
 import { MeadowstackError } from '../src/core/errors.js';
 import { BENCH_HELP, type BenchCommand, parseBenchArguments } from './options.js';
@@ -15,7 +15,7 @@
 const EXIT_FAILED = 1;
 const EXIT_USAGE = 2;
 
-/** Resolves with the exit code: 0 a finished run, 1 it could not be carried out, 2 wrong flags. */
+/** Resolves with the exit code: 0 if the run finished, 1 if it failed, 2 for invalid flags. */
 export async function runDeploymentBench(args: readonly string[]): Promise<number> {
   if (args.includes('--help')) {
     process.stdout.write(BENCH_HELP);
@@ -25,50 +25,50 @@
   try {
     command = parseBenchArguments(args);
   } catch (error) {
-    return fail(error, EXIT_USAGE);
+    return reportFailure(error, EXIT_USAGE);
   }
   try {
-    await carryOut(command);
+    await executeCommand(command);
     return EXIT_DONE;
   } catch (error) {
-    return fail(error, EXIT_FAILED);
+    return reportFailure(error, EXIT_FAILED);
   }
 }
 
-async function carryOut(command: BenchCommand): Promise<void> {
-  if (command.allPairs) await carryOutMatrix(command);
+async function executeCommand(command: BenchCommand): Promise<void> {
+  if (command.allPairs) await runFaultMatrix(command);
   else await writeReports(command, await runBench(command.run));
 }
 
-/** The files are written after each run, so that a matrix can be followed and broken off. */
-async function carryOutMatrix({ run, jsonFile, markdownFile }: BenchCommand): Promise<void> {
-  const cells = await runMatrix(run, runBench, async (soFar) => {
-    const last = soFar.at(-1);
-    if (last !== undefined) process.stderr.write(`${cellLine(last)}\n`);
-    if (jsonFile !== undefined) await writeFile(jsonFile, jsonText(soFar));
-    if (markdownFile !== undefined) await writeFile(markdownFile, formatMatrixTable(soFar));
+/** The files are written after each run, so that the results so far can be read during the matrix or after its interruption. */
+async function runFaultMatrix({ run, jsonFile, markdownFile }: BenchCommand): Promise<void> {
+  const cells = await runMatrix(run, runBench, async (finishedCells) => {
+    const last = finishedCells.at(-1);
+    if (last !== undefined) process.stderr.write(`${formatCell(last)}\n`);
+    if (jsonFile !== undefined) await writeFile(jsonFile, formatJson(finishedCells));
+    if (markdownFile !== undefined) await writeFile(markdownFile, formatMatrixTable(finishedCells));
   });
-  if (jsonFile === undefined) process.stdout.write(jsonText(cells));
+  if (jsonFile === undefined) process.stdout.write(formatJson(cells));
   if (markdownFile === undefined) process.stderr.write(formatMatrixTable(cells));
 }
 
-function cellLine(cell: MatrixCell): string {
+function formatCell(cell: MatrixCell): string {
   const violations = countCellViolations(cell);
   const result = violations === undefined ? `failed: ${cell.error}` : `${violations} violations`;
   return `seed ${cell.seed}  ${cell.faults.join(' + ')}: ${result}`;
 }
 
 async function writeReports({ jsonFile, htmlFile }: BenchCommand, run: BenchRun): Promise<void> {
-  if (jsonFile === undefined) process.stdout.write(jsonText(run.report));
-  else await writeFile(jsonFile, jsonText(run.report));
+  if (jsonFile === undefined) process.stdout.write(formatJson(run.report));
+  else await writeFile(jsonFile, formatJson(run.report));
   if (htmlFile !== undefined) await writeFile(htmlFile, await renderPage(run));
 }
 
-function jsonText(value: unknown): string {
+function formatJson(value: unknown): string {
   return `${JSON.stringify(value, null, 2)}\n`;
 }
 
-function fail(error: unknown, exitCode: number): number {
+function reportFailure(error: unknown, exitCode: number): number {
   if (!(error instanceof MeadowstackError)) throw error;
   process.stderr.write(`${error.message}\n`);
   return exitCode;
--- a/bench/deployments.ts
+++ b/bench/deployments.ts
@@ -1,9 +1,9 @@
-/** The two deployments of the brief, as data: places, groups, instances, and kinds of requests. */
+/** The two benched deployments, as data: zones, delays, groups, instances, and kinds of requests. */
 import type { GroupName, TenantName } from '../src/core/request.js';
 
 export type DeploymentName = 'bureau' | 'trust';
 
-/** Shape of the statements of one kind; see load/statements.ts. */
+/** The statements of one kind of request, see load/statements.ts. */
 export type Operation =
   | 'insert-order'
   | 'revise-document'
@@ -18,18 +18,18 @@
   readonly kind: string;
   readonly operation: Operation;
   readonly access: 'read' | 'write';
-  /** Share of all requests; the shares of a deployment sum to 1. */
+  /** Fraction of all requests; the fractions of a deployment add up to 1. */
   readonly requestFraction: number;
-  /** Weight in the service figure. */
+  /** Weight in the weighted service figure. */
   readonly weight: number;
-  /** Greatest age of data that a read tolerates; 0 for none. */
+  /** Maximum age of the data that a read may return; 0 if it must not be stale. */
   readonly stalenessBoundMs: number;
-  /** False: carries a key and may run at most once. */
+  /** False if the request must run at most once, and therefore carries an idempotency key. */
   readonly repeatable: boolean;
   readonly deadlineMs: number;
 }
 
-/** Rows that each group starts with. */
+/** Number of initial rows in each group's tables. */
 export interface InitialRows {
   readonly documents: number;
   readonly terms: number;
@@ -42,8 +42,8 @@
   readonly zones: readonly string[];
   /** One-way delay between two zones. */
   readonly zoneDelayMs: number;
-  /** One-way delay between clients and proxies. */
-  readonly clientDelayMs: number;
+  /** One-way delay between callers and proxies. */
+  readonly callerDelayMs: number;
   readonly groups: readonly GroupName[];
   readonly instancesPerGroup: number;
   readonly slotsPerInstance: number;
@@ -58,7 +58,7 @@
   tenant: 'salish',
   zones: ['van-west-a', 'van-west-b', 'van-west-c'],
   zoneDelayMs: 1.5,
-  clientDelayMs: 1,
+  callerDelayMs: 1,
   groups: ['bureau-1', 'bureau-2', 'bureau-3'],
   instancesPerGroup: 3,
   slotsPerInstance: 5,
@@ -114,7 +114,7 @@
   tenant: 'dockline',
   zones: ['kingston-a', 'kingston-b', 'kingston-c', 'kingston-d'],
   zoneDelayMs: 1.5,
-  clientDelayMs: 3,
+  callerDelayMs: 3,
   groups: ['trust-1', 'trust-2', 'trust-3'],
   instancesPerGroup: 3,
   slotsPerInstance: 4,
--- a/bench/dev/cluster-description.ts
+++ b/bench/dev/cluster-description.ts
@@ -1,4 +1,4 @@
-/** The first line of `npm run dev`: where everything of the cluster is to be found. */
+/** The first line of output of `npm run dev`: the addresses and credentials of the cluster. */
 import { DEPLOYMENTS, type Deployment } from '../deployments.js';
 import type { Cluster } from '../harness/cluster.js';
 import { credentialsOf } from '../run/deployment-cluster.js';
@@ -9,7 +9,7 @@
   readonly instances: readonly InstanceDescription[];
   readonly store: string;
   readonly machines: string;
-  /** Starts and ends faults by name: GET /faults, POST and DELETE /faults/NAME. */
+  /** Lists, begins and ends faults: GET /faults, POST and DELETE /faults/NAME. */
   readonly control: string;
   readonly tenants: readonly TenantDescription[];
 }
@@ -17,13 +17,13 @@
 interface InstanceDescription {
   readonly name: string;
   readonly group: string;
-  /** Without the fault proxy. */
+  /** Direct address, which bypasses the fault proxy. */
   readonly pg: string;
   /** The stand-in's own control port. */
   readonly control: string;
 }
 
-/** One entry for each database that a tenant may reach. */
+/** One entry per tenant and database that it may use. */
 interface TenantDescription {
   readonly name: string;
   readonly user: string;
@@ -31,7 +31,7 @@
   readonly database: string;
 }
 
-/** Both deployments, one group each: enough to work with, quick to start. */
+/** Both deployments with only one group each, so that the cluster starts quickly. */
 export const SMALL_DEPLOYMENTS: readonly Deployment[] = Object.values(DEPLOYMENTS).map(
   (deployment) => ({ ...deployment, groups: deployment.groups.slice(0, 1) }),
 );
@@ -43,19 +43,19 @@
 ): ClusterDescription {
   return {
     proxies: [...cluster.proxies.values()].map(({ callers, admin }) => ({
-      pg: addressOf(callers),
-      admin: admin === undefined ? '' : addressOf(admin),
+      pg: formatAddress(callers),
+      admin: admin === undefined ? '' : formatAddress(admin),
     })),
     instances: [...cluster.groups].flatMap(([group, database]) =>
       database.instances.map(({ name, host, pgPort, controlPort }) => ({
         name,
         group,
-        pg: addressOf({ host, port: pgPort }),
-        control: addressOf({ host, port: controlPort }),
+        pg: formatAddress({ host, port: pgPort }),
+        control: formatAddress({ host, port: controlPort }),
       })),
     ),
-    store: addressOf(cluster.store),
-    machines: addressOf(cluster.machines),
+    store: formatAddress(cluster.store),
+    machines: formatAddress(cluster.machines),
     control,
     tenants: deployments.flatMap((deployment) =>
       deployment.groups.map((group) => {
@@ -66,6 +66,6 @@
   };
 }
 
-function addressOf({ host, port }: { readonly host: string; readonly port: number }): string {
+function formatAddress({ host, port }: { readonly host: string; readonly port: number }): string {
   return `${host}:${port}`;
 }
--- a/bench/dev/control-server.ts
+++ b/bench/dev/control-server.ts
@@ -1,4 +1,4 @@
-/** Control port of `npm run dev`: lists the faults, and begins and ends them by name, as JSON over HTTP. */
+/** Control port of `npm run dev`: lists, begins and ends faults by name, with JSON over HTTP. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { Deployment } from '../deployments.js';
 import type { FaultContext, InjectedFault } from '../faults/fault.js';
@@ -14,9 +14,9 @@
 const STATUS_OK = 200;
 const STATUS_NOT_FOUND = 404;
 const STATUS_CONFLICT = 409;
-const STATUS_FAILED = 500;
+const STATUS_INTERNAL_ERROR = 500;
 
-interface ControlAnswer {
+interface ControlResponse {
   readonly status: number;
   readonly body: unknown;
 }
@@ -25,14 +25,14 @@
   readonly #server: Server;
   readonly #recorder = new RunRecorder();
   readonly #random = createRandom(DEFAULT_SEED);
-  readonly #active = new Map<string, InjectedFault>();
+  readonly #activeFaults = new Map<string, InjectedFault>();
 
   constructor(
     private readonly cluster: Cluster,
     private readonly deployments: readonly Deployment[],
   ) {
     for (const nodeId of cluster.proxies.keys()) this.#recorder.recordProxyStart(nodeId);
-    this.#server = createServer((request, response) => void this.#answer(request, response));
+    this.#server = createServer((request, response) => void this.#respond(request, response));
   }
 
   /** Resolves with `host:port`. */
@@ -52,46 +52,50 @@
     this.#server.closeAllConnections();
   }
 
-  async #answer(request: IncomingMessage, response: ServerResponse): Promise<void> {
+  async #respond(request: IncomingMessage, response: ServerResponse): Promise<void> {
     request.resume();
     const url = new URL(request.url ?? '/', 'http://control');
-    const { status, body } = await this.#handle(request.method ?? '', url).catch(failureAnswer);
+    const { status, body } = await this.#handle(request.method ?? '', url).catch(toFailureResponse);
     response.writeHead(status, { 'content-type': 'application/json' });
     response.end(`${JSON.stringify(body)}\n`);
   }
 
-  async #handle(method: string, url: URL): Promise<ControlAnswer> {
+  async #handle(method: string, url: URL): Promise<ControlResponse> {
     const [, root, name] = url.pathname.split('/');
     if (root !== 'faults') return { status: STATUS_NOT_FOUND, body: { error: 'see /faults' } };
-    if (name === undefined || name === '') return { status: STATUS_OK, body: this.#list() };
-    if (method === 'POST') return this.#begin(name, url.searchParams.get('deployment'));
-    if (method === 'DELETE') return this.#end(name);
-    return { status: STATUS_OK, body: { name, target: this.#active.get(name)?.target ?? null } };
+    if (name === undefined || name === '') return { status: STATUS_OK, body: this.#listFaults() };
+    if (method === 'POST') return this.#beginFault(name, url.searchParams.get('deployment'));
+    if (method === 'DELETE') return this.#endFault(name);
+    return {
+      status: STATUS_OK,
+      body: { name, target: this.#activeFaults.get(name)?.target ?? null },
+    };
   }
 
-  #list(): unknown {
+  #listFaults(): unknown {
     return FAULTS.map(({ name, summary }) => {
-      return { name, summary, target: this.#active.get(name)?.target ?? null };
+      return { name, summary, target: this.#activeFaults.get(name)?.target ?? null };
     });
   }
 
-  async #begin(name: string, deploymentName: string | null): Promise<ControlAnswer> {
+  async #beginFault(name: string, deploymentName: string | null): Promise<ControlResponse> {
     const fault = faultNamed(name);
-    if (this.#active.has(name)) return { status: STATUS_CONFLICT, body: { error: 'has begun' } };
-    const injected = await fault.begin(this.#context(deploymentName));
-    this.#active.set(name, injected);
+    if (this.#activeFaults.has(name))
+      return { status: STATUS_CONFLICT, body: { error: 'has begun' } };
+    const injected = await fault.begin(this.#createContext(deploymentName));
+    this.#activeFaults.set(name, injected);
     return { status: STATUS_OK, body: { name, target: injected.target } };
   }
 
-  async #end(name: string): Promise<ControlAnswer> {
-    const injected = this.#active.get(name);
+  async #endFault(name: string): Promise<ControlResponse> {
+    const injected = this.#activeFaults.get(name);
     if (injected === undefined) return { status: STATUS_CONFLICT, body: { error: 'not begun' } };
-    this.#active.delete(name);
+    this.#activeFaults.delete(name);
     await injected.end();
     return { status: STATUS_OK, body: { name, target: null } };
   }
 
-  #context(deploymentName: string | null): FaultContext {
+  #createContext(deploymentName: string | null): FaultContext {
     const [first] = this.deployments;
     const named = this.deployments.find(({ name }) => name === deploymentName);
     const deployment = named ?? first;
@@ -102,11 +106,11 @@
   }
 }
 
-function failureAnswer(error: unknown): ControlAnswer {
+function toFailureResponse(error: unknown): ControlResponse {
   const message = error instanceof Error ? error.message : String(error);
   if (error instanceof UnknownFaultError) {
     return { status: STATUS_NOT_FOUND, body: { error: message } };
   }
-  const status = error instanceof NoTargetError ? STATUS_CONFLICT : STATUS_FAILED;
+  const status = error instanceof NoTargetError ? STATUS_CONFLICT : STATUS_INTERNAL_ERROR;
   return { status, body: { error: message } };
 }
--- a/bench/dev/main.ts
+++ b/bench/dev/main.ts
@@ -1,12 +1,12 @@
 /**
- * `npm run dev`: a cluster with both deployments' tenants, kept up until SIGINT or SIGTERM. The
- * first line on standard output is JSON that tells all addresses; what people need goes to stderr.
+ * `npm run dev`: a cluster with the tenants of both deployments, which runs until SIGINT or SIGTERM. The
+ * first line on standard output is JSON with all addresses; messages for people go to standard error.
  */
 import { startDeploymentCluster } from '../run/deployment-cluster.js';
 import { describeCluster, SMALL_DEPLOYMENTS } from './cluster-description.js';
 import { ControlServer } from './control-server.js';
 
-const SETTINGS = {
+const CLUSTER_OPTIONS = {
   deployments: SMALL_DEPLOYMENTS,
   proxies: 2,
   seed: 1,
@@ -16,7 +16,7 @@
   onStep: (step: string): void => void process.stderr.write(`${step}\n`),
 } as const;
 
-const cluster = await startDeploymentCluster(SETTINGS);
+const cluster = await startDeploymentCluster(CLUSTER_OPTIONS);
 const control = new ControlServer(cluster, SMALL_DEPLOYMENTS);
 const description = describeCluster(cluster, SMALL_DEPLOYMENTS, await control.listen());
 process.stdout.write(`${JSON.stringify(description)}\n`);
@@ -39,7 +39,7 @@
     `psql 'postgresql://${user}:${password}@${proxy.pg}/${database}'`,
     `curl http://${description.control}/faults`,
     `curl -X POST 'http://${description.control}/faults/primary-killed?deployment=trust'`,
-    'Ctrl-C ends everything.',
+    'Ctrl-C stops the cluster.',
   ];
   process.stderr.write(`${lines.join('\n')}\n`);
 }
--- a/bench/direct-isolation/main.ts
+++ b/bench/direct-isolation/main.ts
@@ -33,7 +33,7 @@
 ];
 const QUIET_SESSION_COUNT = 200;
 const SLOTS_PER_INSTANCE = 5;
-/** In its first 30 s, a gateway that sees no other gateways assumes a fleet of eight and uses a share of the connections only. */
+/** In its first 30 s, a gateway divides the connections among eight gateways, even if it is alone. */
 const WARM_UP_MS = 35_000;
 
 const schema = isolationOptionsSchema.extend({ gateways: z.coerce.number().int().min(1) });
--- a/bench/flags.ts
+++ b/bench/flags.ts
@@ -1,25 +1,27 @@
-/** Reads the flags of this folder's and the scale run's commands. */
+/** Parses the flags of the bench and scale commands. */
 import { parseArgs } from 'node:util';
 import type { MeadowstackError } from '../src/core/errors.js';
 
-/** The error that a command throws if its flags do not fit. */
+/** Class of the error that a command throws for invalid flags. */
 type UsageErrorClass = new (message: string, options?: ErrorOptions) => MeadowstackError;
 
 /**
- * The values of the named flags, unchecked; those in `switches` take no value.
- * @throws UsageError if the arguments are no such flags
+ * Returns the values of the named flags, not validated. Flags in `booleanNames` take no value.
+ * @throws UsageError for unknown flags or missing values
  */
 export function readFlags(
   args: readonly string[],
   names: readonly string[],
-  switches: readonly string[],
+  booleanNames: readonly string[],
   UsageError: UsageErrorClass,
 ): unknown {
-  const typeOf = (name: string) => (switches.includes(name) ? 'boolean' : 'string');
+  const typeOf = (name: string) => (booleanNames.includes(name) ? 'boolean' : 'string');
   const options = Object.fromEntries(names.map((name) => [name, { type: typeOf(name) }] as const));
   try {
     return parseArgs({ args: [...args], options }).values;
   } catch (cause) {
-    throw new UsageError(cause instanceof Error ? cause.message : 'unreadable', { cause });
+    throw new UsageError(cause instanceof Error ? cause.message : 'the flags can not be parsed', {
+      cause,
+    });
   }
 }
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -1,4 +1,4 @@
-/** `npm run bench`: dispatches on the sub-command; without one it benches a deployment. */
+/** `npm run bench`: runs a sub-command; without one, benches a deployment. */
 import { runDeploymentBench } from './deployment-bench.js';
 import { runDirectIsolationBench } from './direct-isolation/main.js';
 import { runIsolationBench } from './isolation/main.js';
--- a/bench/options.ts
+++ b/bench/options.ts
@@ -10,15 +10,15 @@
 
 export const ALL_PAIRS = 'all-pairs';
 
-/** The flags do not fit. */
+/** The flags are invalid. */
 export class BenchUsageError extends MeadowstackError {
   readonly code = 'MS-BENCH-USAGE';
 }
 
-/** What the command is to do. */
+/** The parsed command line. */
 export interface BenchCommand {
   readonly run: BenchOptions;
-  /** Run the matrix of faults in place of one run. */
+  /** True to run the fault matrix instead of a single run. */
   readonly allPairs: boolean;
   readonly jsonFile: string | undefined;
   readonly htmlFile: string | undefined;
@@ -30,20 +30,20 @@
 export const BENCH_HELP = `npm run bench -- --deployment bureau|trust --seed N --duration SECONDS [flags]
 
   --deployment NAME   bureau or trust                              [bureau]
-  --seed N            of schedule, keys and faults                 [1]
-  --duration SECONDS  of the measured part                         [20]
-  --warm-up SECONDS   before it, not in the figures                [2]
+  --seed N            seed of schedule, keys and faults            [1]
+  --duration SECONDS  duration of the measured part                [20]
+  --warm-up SECONDS   duration of the warm-up, not in the figures  [2]
   --fault NAME,...    faults at seeded times, or ${ALL_PAIRS}
-  --proxies N         proxy processes                              [3]
+  --proxies N         number of proxy processes                    [3]
   --policy NAME       ${TEST_POLICIES.slice(0, 3).join(', ')} or without-MECHANISM  [ours]
-  --rate N            requests a second, over all groups           [300]
-  --sessions N        sessions that the requests belong to         [240]
+  --rate N            requests per second, over all groups         [300]
+  --sessions N        number of callers' sessions                  [240]
   --statement-ms N    service time of a statement on an instance   [4]
-  --election-ms N     silence before a group elects                [300]
-  --no-delays         leave the delays of the places out
-  --json FILE         the figures
-  --html FILE         a page with plots
-  --markdown FILE     the table of ${ALL_PAIRS}
+  --election-ms N     election timeout of a group                  [300]
+  --no-delays         run without the deployment's network delays
+  --json FILE         write the figures to this file
+  --html FILE         write a page with plots to this file
+  --markdown FILE     write the table of ${ALL_PAIRS} to this file
 
 Faults:
 ${FAULTS.map(({ name, summary }) => `  ${name.padEnd(26)} ${summary}`).join('\n')}
@@ -52,32 +52,32 @@
   ${TEST_POLICIES.slice(3).join('\n  ')}
 `;
 
-const wholeNumber = z.coerce.number().int();
+const integer = z.coerce.number().int();
 const schema = z.strictObject({
   deployment: z.enum(['bureau', 'trust']).default('bureau'),
-  seed: wholeNumber.min(0).default(1),
+  seed: integer.min(0).default(1),
   duration: z.coerce.number().positive().default(20),
   'warm-up': z.coerce.number().min(0).default(2),
   fault: z.string().default(''),
-  proxies: wholeNumber.min(1).default(3),
+  proxies: integer.min(1).default(3),
   policy: z.enum(TEST_POLICIES).default('ours'),
   rate: z.coerce.number().positive().default(300),
-  sessions: wholeNumber.min(1).default(240),
+  sessions: integer.min(1).default(240),
   'statement-ms': z.coerce.number().min(0).default(4),
-  'election-ms': wholeNumber.min(20).default(300),
+  'election-ms': integer.min(20).default(300),
   'no-delays': z.boolean().default(false),
   json: z.string().optional(),
   html: z.string().optional(),
   markdown: z.string().optional(),
 });
 
-/** Flags without a value. */
-const SWITCHES: readonly string[] = ['no-delays'];
+/** Flags that take no value. */
+const BOOLEAN_FLAGS: readonly string[] = ['no-delays'];
 
 /** @throws BenchUsageError */
 export function parseBenchArguments(args: readonly string[]): BenchCommand {
   const flags = schema.safeParse(
-    readFlags(args, Object.keys(schema.shape), SWITCHES, BenchUsageError),
+    readFlags(args, Object.keys(schema.shape), BOOLEAN_FLAGS, BenchUsageError),
   );
   if (!flags.success) throw new BenchUsageError(z.prettifyError(flags.error));
   const { data } = flags;
@@ -89,7 +89,7 @@
     warmUpMs: data['warm-up'] * MS_PER_SECOND,
     proxies: data.proxies,
     policy: data.policy,
-    faults: allPairs ? [] : faultsOf(data.fault),
+    faults: allPairs ? [] : parseFaults(data.fault),
     requestsPerSecond: data.rate,
     sessions: data.sessions,
     statementMs: data['statement-ms'],
@@ -105,7 +105,7 @@
   };
 }
 
-function faultsOf(list: string): Fault[] {
+function parseFaults(list: string): Fault[] {
   const names = list.split(',').filter((name) => name !== '');
   return names.map(faultNamed);
 }
--- a/bench/overhead/main.ts
+++ b/bench/overhead/main.ts
@@ -1,22 +1,22 @@
 /**
- * `npm run bench -- overhead`: point statements to a database direct, via a plain TCP pass-through,
- * and via the proxy (gateway and owner), in one run. Prints a table; `--json FILE` writes figures.
+ * `npm run bench -- overhead`: compares point reads sent to a database directly, through a plain TCP
+ * pass-through, and through the proxies. Prints a table; `--json FILE` writes the figures.
  */
 import { writeFileSync } from 'node:fs';
 import { availableParallelism, loadavg } from 'node:os';
 import { parseArgs } from 'node:util';
 import { parsePositive } from './address.js';
 import { type LoopResult, openConnections, runClosedLoop, runOpenLoop } from './point-load.js';
-import { processorSeconds } from './processor-time.js';
+import { readProcessorSeconds } from './processor-time.js';
 import { type OverheadTarget, startTargets } from './targets.js';
 
 const USAGE = `npm run bench -- overhead [options]
-  --connections N   connections of the load (default 16)
-  --seconds S       length of each loop (default 5)
-  --rate R          statements a second of the open loop (default 500)
-  --slots N         statements that an instance runs at once (default 16)
-  --only NAMES      of direct,pass-through,proxy-1,proxy-2 (default all)
-  --json FILE       write the figures there`;
+  --connections N   number of connections of the load (default 16)
+  --seconds S       duration of each loop (default 5)
+  --rate R          statements per second of the open loop (default 500)
+  --slots N         statements that an instance executes concurrently (default 16)
+  --only NAMES      targets, of direct,pass-through,proxy-1,proxy-2 (default all)
+  --json FILE       write the figures to this file`;
 
 interface Percentiles {
   readonly p50: number;
@@ -28,13 +28,13 @@
 interface TargetFigures {
   readonly target: string;
   readonly statementsPerSecond: number;
-  /** Cores used by the processes in between while the closed loop ran. */
+  /** Processor cores that the processes between client and database used during the closed loop. */
   readonly coresInBetween: number;
-  /** Statements a second for each core used in between; undefined if nothing is. */
+  /** Statements per second for each core used in between; undefined if there is no process in between. */
   readonly statementsPerSecondPerCore: number | undefined;
   readonly closedLoopMs: Percentiles;
   readonly openLoopMs: Percentiles;
-  /** Open loop, median, above that of `direct`. */
+  /** Median of the open loop minus that of `direct`. */
   readonly addedP50Ms: number | undefined;
   readonly statements: number;
   readonly errors: number;
@@ -46,10 +46,10 @@
   readonly ratePerSecond: number;
 }
 
-const MICROSECONDS_PER_MILLISECOND = 1000;
+const MICROSECONDS_PER_MS = 1000;
 const WARM_UP_SECONDS = 1;
 
-/** Runs the bench; gives the exit code: 1 if any statement failed. */
+/** Runs the bench; resolves with the exit code: 1 if any statement failed, else 0. */
 export async function runOverheadBench(args: readonly string[]): Promise<number> {
   const { values } = parseArgs({
     args: [...args],
@@ -74,19 +74,19 @@
   };
   const names = new Set(values.only.split(','));
   const loadBefore = loadavg();
-  const figures = await measureAll(shape, parsePositive('slots', values.slots), names);
+  const figures = await measureAllTargets(shape, parsePositive('slots', values.slots), names);
   const report = {
     bench: 'overhead',
     ...shape,
     machine: { cores: availableParallelism(), loadBefore, loadAfter: loadavg() },
     targets: figures,
   };
-  console.table(figures.map(tableRow));
+  console.table(figures.map(toTableRow));
   if (values.json !== undefined) writeFileSync(values.json, `${JSON.stringify(report, null, 2)}\n`);
   return figures.some(({ errors }) => errors > 0) ? 1 : 0;
 }
 
-async function measureAll(
+async function measureAllTargets(
   shape: LoadShape,
   slots: number,
   names: ReadonlySet<string>,
@@ -96,7 +96,7 @@
     const figures: TargetFigures[] = [];
     for (const target of targets.filter(({ name }) => names.has(name))) {
       const directP50 = figures.find((one) => one.target === 'direct')?.openLoopMs.p50;
-      figures.push(await measure(target, shape, directP50));
+      figures.push(await measureTarget(target, shape, directP50));
     }
     return figures;
   } finally {
@@ -104,42 +104,43 @@
   }
 }
 
-async function measure(
+async function measureTarget(
   target: OverheadTarget,
   shape: LoadShape,
   directP50: number | undefined,
 ): Promise<TargetFigures> {
   const connections = await openConnections(target.connect, shape.connections);
   await runClosedLoop(connections, WARM_UP_SECONDS);
-  const processorBefore = processorTotal(target.pids);
-  const closed = await runClosedLoop(connections, shape.seconds);
-  const processorUsed = processorTotal(target.pids) - processorBefore;
-  const open = await runOpenLoop(connections, shape.seconds, shape.ratePerSecond);
+  const processorSecondsBefore = totalProcessorSeconds(target.pids);
+  const closedLoop = await runClosedLoop(connections, shape.seconds);
+  const processorSecondsUsed = totalProcessorSeconds(target.pids) - processorSecondsBefore;
+  const openLoop = await runOpenLoop(connections, shape.seconds, shape.ratePerSecond);
   for (const connection of connections) connection.close();
-  const openLoopMs = percentilesOf(open);
-  const cores = processorUsed / closed.seconds;
+  const openLoopMs = computePercentiles(openLoop);
+  const cores = processorSecondsUsed / closedLoop.seconds;
   return {
     target: target.name,
-    statementsPerSecond: Math.round(closed.statements / closed.seconds),
+    statementsPerSecond: Math.round(closedLoop.statements / closedLoop.seconds),
     coresInBetween: Number(cores.toFixed(2)),
     statementsPerSecondPerCore:
-      processorUsed > 0 ? Math.round(closed.statements / processorUsed) : undefined,
-    closedLoopMs: percentilesOf(closed),
+      processorSecondsUsed > 0
+        ? Math.round(closedLoop.statements / processorSecondsUsed)
+        : undefined,
+    closedLoopMs: computePercentiles(closedLoop),
     openLoopMs,
     addedP50Ms:
       directP50 === undefined ? undefined : Number((openLoopMs.p50 - directP50).toFixed(3)),
-    statements: closed.statements + open.statements,
-    errors: closed.errors + open.errors,
+    statements: closedLoop.statements + openLoop.statements,
+    errors: closedLoop.errors + openLoop.errors,
   };
 }
 
-function processorTotal(pids: readonly number[]): number {
-  return pids.reduce((total, pid) => total + (processorSeconds(pid) ?? 0), 0);
+function totalProcessorSeconds(pids: readonly number[]): number {
+  return pids.reduce((total, pid) => total + (readProcessorSeconds(pid) ?? 0), 0);
 }
 
-function percentilesOf({ latency }: LoopResult): Percentiles {
-  const milliseconds = (microseconds: number): number =>
-    microseconds / MICROSECONDS_PER_MILLISECOND;
+function computePercentiles({ latency }: LoopResult): Percentiles {
+  const milliseconds = (microseconds: number): number => microseconds / MICROSECONDS_PER_MS;
   return {
     p50: milliseconds(latency.getValueAtPercentile(50)),
     p99: milliseconds(latency.getValueAtPercentile(99)),
@@ -147,7 +148,7 @@
   };
 }
 
-function tableRow(figures: TargetFigures): Readonly<Record<string, string | number | undefined>> {
+function toTableRow(figures: TargetFigures): Readonly<Record<string, string | number | undefined>> {
   return {
     target: figures.target,
     'statements/s': figures.statementsPerSecond,
--- a/bench/overhead/pass-through.ts
+++ b/bench/overhead/pass-through.ts
@@ -1,7 +1,7 @@
 /**
- * A plain TCP pass-through, the baseline that the proxy's overhead is measured beside. It knows
- * nothing of PostgreSQL: bytes go both ways as they come. Run as a process it prints its address as
- * JSON on its first line and ends with its standard input.
+ * A plain TCP pass-through, the baseline for the proxy's overhead. It forwards bytes in both directions
+ * without parsing the PostgreSQL protocol. Run as a process, it prints its address as one line of JSON
+ * and exits when its standard input closes.
  */
 import { once } from 'node:events';
 import { type AddressInfo, connect, createServer, type Socket } from 'node:net';
@@ -16,13 +16,13 @@
 const LOOPBACK = '127.0.0.1';
 
 export async function startPassThrough(target: NetworkAddress): Promise<PassThrough> {
-  const open = new Set<Socket>();
+  const openSockets = new Set<Socket>();
   const server = createServer({ noDelay: true }, (client) => {
     const upstream = connect({ ...target, noDelay: true });
-    join(client, upstream);
+    pipeBothWays(client, upstream);
     for (const socket of [client, upstream]) {
-      open.add(socket);
-      socket.once('close', () => open.delete(socket));
+      openSockets.add(socket);
+      socket.once('close', () => openSockets.delete(socket));
     }
   });
   server.listen(0, LOOPBACK);
@@ -30,13 +30,13 @@
   const { address, port } = server.address() as AddressInfo;
   const close = (): void => {
     server.close();
-    for (const socket of open) socket.destroy();
+    for (const socket of openSockets) socket.destroy();
   };
   return { host: address, port, close };
 }
 
-/** Pipes both ways; the end of one side ends the other. */
-function join(left: Socket, right: Socket): void {
+/** Pipes in both directions; if one socket closes, the other is destroyed. */
+function pipeBothWays(left: Socket, right: Socket): void {
   left.pipe(right);
   right.pipe(left);
   left.on('error', () => right.destroy());
--- a/bench/overhead/point-load.ts
+++ b/bench/overhead/point-load.ts
@@ -1,7 +1,7 @@
 /**
- * Point statements over the PostgreSQL wire, each a prepared statement by primary key: a closed
- * loop for throughput, an open loop at a fixed rate for latency. The client is the project's own
- * back-end connection, which is a lean client of the wire.
+ * Point reads by primary key with a prepared statement: a closed loop measures throughput, an open loop
+ * at a fixed rate measures latency. The client is the project's own back-end connection, because it
+ * adds little overhead of its own.
  */
 import { setTimeout as delay } from 'node:timers/promises';
 import { build, type Histogram } from 'hdr-histogram-js';
@@ -12,9 +12,9 @@
 import type { BackendBatchResult, BackendConnection } from '../../src/postgres/contract.js';
 
 export const POINT_TABLE = 'overhead_points';
-export const POINT_ROWS = 1000;
+export const POINT_ROW_COUNT = 1000;
 
-/** What one loop did. Latencies are in microseconds. */
+/** Result of one loop. Latencies are in microseconds. */
 export interface LoopResult {
   readonly statements: number;
   readonly errors: number;
@@ -22,7 +22,7 @@
   readonly latency: Histogram;
 }
 
-/** A loop could not run to its end. */
+/** The load could not be run to its end. */
 export class LoadError extends MeadowstackError {
   readonly code = 'MS-BENCH-LOAD';
 }
@@ -32,9 +32,9 @@
   text: `SELECT id, value FROM ${POINT_TABLE} WHERE id = $1`,
   parameterTypes: [],
 };
-const MICROSECONDS_PER_MILLISECOND = 1000;
-const MILLISECONDS_PER_SECOND = 1000;
-/** Coprime to the number of rows, so that all rows are met. */
+const MICROSECONDS_PER_MS = 1000;
+const MS_PER_SECOND = 1000;
+/** Coprime to the number of rows, so that all rows are read. */
 const KEY_STEP = 617;
 
 export async function openConnections(
@@ -50,9 +50,9 @@
   return connections;
 }
 
-/** Gives the messages of one point read after another. */
-function createPoints(): () => Buffer {
-  const batches = Array.from({ length: POINT_ROWS }, (_, id) =>
+/** Creates a function that returns the messages of the next point read. */
+function createPointReads(): () => Buffer {
+  const batches = Array.from({ length: POINT_ROW_COUNT }, (_, id) =>
     Buffer.concat([
       serialize.bind({ statement: POINT_STATEMENT.backendName, values: [String(id)] }),
       serialize.execute({}),
@@ -61,12 +61,12 @@
   );
   let next = 0;
   return () => {
-    next = (next + KEY_STEP) % POINT_ROWS;
+    next = (next + KEY_STEP) % POINT_ROW_COUNT;
     return batches[next] ?? Buffer.alloc(0);
   };
 }
 
-function runPoint(
+function runPointRead(
   connection: BackendConnection,
   messages: Buffer,
   onFinished: (end: BackendBatchResult) => void,
@@ -80,7 +80,7 @@
   });
 }
 
-/** Counts ends and latencies; a lost connection ends the loop with an error. */
+/** Records results and latencies; a lost connection ends the loop with an error. */
 class LoopRecorder {
   readonly latency = build({ numberOfSignificantValueDigits: 3 });
   statements = 0;
@@ -88,28 +88,28 @@
 
   record(end: BackendBatchResult, startedAt: number): void {
     if (end.type === 'lost') throw new LoadError(`connection lost: ${end.error.message}`);
-    const microseconds = (performance.now() - startedAt) * MICROSECONDS_PER_MILLISECOND;
+    const microseconds = (performance.now() - startedAt) * MICROSECONDS_PER_MS;
     this.latency.recordValue(Math.max(1, Math.round(microseconds)));
     this.statements += 1;
     if (end.errorSqlState !== undefined) this.errors += 1;
   }
 
-  result(startedAt: number): LoopResult {
-    const seconds = (performance.now() - startedAt) / MILLISECONDS_PER_SECOND;
+  toResult(startedAt: number): LoopResult {
+    const seconds = (performance.now() - startedAt) / MS_PER_SECOND;
     const { statements, errors, latency } = this;
     return { statements, errors, seconds, latency };
   }
 }
 
-/** Each connection sends its next statement as soon as the last was answered. */
+/** Each connection sends its next statement as soon as the previous one has ended. */
 export async function runClosedLoop(
   connections: readonly BackendConnection[],
   seconds: number,
 ): Promise<LoopResult> {
   const recorder = new LoopRecorder();
-  const nextPoint = createPoints();
+  const nextPointRead = createPointReads();
   const startedAt = performance.now();
-  const stopAt = startedAt + seconds * MILLISECONDS_PER_SECOND;
+  const stopAt = startedAt + seconds * MS_PER_SECOND;
   const loops = connections.map(
     (connection) =>
       new Promise<void>((resolve, reject) => {
@@ -119,7 +119,7 @@
             resolve();
             return;
           }
-          runPoint(connection, nextPoint(), (end) => {
+          runPointRead(connection, nextPointRead(), (end) => {
             try {
               recorder.record(end, sentAt);
               send();
@@ -132,12 +132,12 @@
       }),
   );
   await Promise.all(loops);
-  return recorder.result(startedAt);
+  return recorder.toResult(startedAt);
 }
 
 /**
- * Statements at a fixed rate, whether or not earlier ones were answered: latency counts from the
- * intended time, so that waiting for a free connection is part of it.
+ * Sends statements at a fixed rate, whether or not earlier ones have ended. Latency counts from the
+ * intended time, so it includes the wait for a free connection.
  */
 export async function runOpenLoop(
   connections: readonly BackendConnection[],
@@ -145,9 +145,9 @@
   ratePerSecond: number,
 ): Promise<LoopResult> {
   const recorder = new LoopRecorder();
-  const nextPoint = createPoints();
+  const nextPointRead = createPointReads();
   const total = Math.floor(seconds * ratePerSecond);
-  const intervalMs = MILLISECONDS_PER_SECOND / ratePerSecond;
+  const intervalMs = MS_PER_SECOND / ratePerSecond;
   const idle = [...connections];
   const startedAt = performance.now();
   let sent = 0;
@@ -159,7 +159,7 @@
       const connection = idle.pop();
       if (connection === undefined) return;
       sent += 1;
-      runPoint(connection, nextPoint(), (end) => {
+      runPointRead(connection, nextPointRead(), (end) => {
         try {
           recorder.record(end, intendedAt);
           idle.push(connection);
@@ -173,13 +173,13 @@
   while (recorder.statements < total) {
     if (failure !== undefined) throw failure;
     sendDue();
-    await untilDue(startedAt + sent * intervalMs);
+    await waitUntilDue(startedAt + sent * intervalMs);
   }
-  return recorder.result(startedAt);
+  return recorder.toResult(startedAt);
 }
 
-/** Timers are too coarse for sub-millisecond intervals: the last stretch turns the event loop. */
-async function untilDue(dueAt: number): Promise<void> {
+/** Timers are too coarse for sub-millisecond intervals, so the last 2 ms are spent in turns of the event loop. */
+async function waitUntilDue(dueAt: number): Promise<void> {
   const waitMs = dueAt - performance.now();
   if (waitMs > 2) await delay(waitMs - 1);
   else await new Promise<void>((resolve) => setImmediate(resolve));
--- a/bench/overhead/processor-time.ts
+++ b/bench/overhead/processor-time.ts
@@ -1,13 +1,13 @@
-/** Processor time of another process. Source: proc(5), `/proc/<pid>/stat`. */
+/** Reads the processor time of another process from `/proc/<pid>/stat`, see proc(5). */
 import { readFileSync } from 'node:fs';
 
 const TICKS_PER_SECOND = 100;
-/** Fields behind the command's closing parenthesis: state is the first, utime and stime follow. */
+/** Indexes of utime and stime among the fields after the command's closing parenthesis, of which the first is the state. */
 const USER_TICKS_FIELD = 11;
 const SYSTEM_TICKS_FIELD = 12;
 
-/** User and system time in seconds since the process's start; undefined if it can't be read. */
-export function processorSeconds(pid: number): number | undefined {
+/** User and system time of a process in seconds; undefined if it can't be read. */
+export function readProcessorSeconds(pid: number): number | undefined {
   try {
     const stat = readFileSync(`/proc/${pid}/stat`, 'latin1');
     const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
--- a/bench/overhead/targets.ts
+++ b/bench/overhead/targets.ts
@@ -1,18 +1,18 @@
-/** The addresses that are compared, started here as a small cluster of real processes. */
+/** The compared targets, started as a small cluster of real processes. */
 import { z } from 'zod';
 import { connectBackend } from '../../src/postgres/backend/connect.js';
 import type { BackendConnectOptions } from '../../src/postgres/backend/options.js';
 import { startChild } from '../harness/child-process.js';
 import { Cluster } from '../harness/cluster.js';
 import type { NetworkAddress } from './address.js';
-import { LoadError, POINT_ROWS, POINT_TABLE } from './point-load.js';
+import { LoadError, POINT_ROW_COUNT, POINT_TABLE } from './point-load.js';
 
-/** One way to the database. */
+/** One path to the database. */
 export interface OverheadTarget {
   /** `direct`, `pass-through`, or a proxy's node id. */
   readonly name: string;
   readonly connect: BackendConnectOptions;
-  /** Processes in between, whose processor time is counted. */
+  /** Processes between client and database, whose processor time is counted. */
   readonly pids: readonly number[];
 }
 
@@ -46,8 +46,8 @@
 const addressSchema = z.object({ host: z.string(), port: z.number().int() });
 
 /**
- * Starts a group, a pass-through before its primary, and two proxies. Each proxy is a target: one
- * that owns the group answers in one hop, one that doesn't in two.
+ * Starts a database group, a pass-through in front of its primary, and two proxies. Each proxy is a
+ * target: the owner of the group adds one hop, the other proxy adds two.
  */
 export async function startTargets(slots: number): Promise<OverheadTargets> {
   const cluster = await Cluster.start({
@@ -61,8 +61,8 @@
     tenants: [{ ...TENANT, databases: [GROUP], template: 'overhead' }],
   });
   const primary = await cluster.group(GROUP).waitForPrimary();
-  const direct = databaseOptions({ host: primary.host, port: primary.pgPort });
-  await fillTable(direct);
+  const direct = toConnectOptions({ host: primary.host, port: primary.pgPort });
+  await createPointTable(direct);
   const target = `--target=${primary.host}:${primary.pgPort}`;
   const passThrough = await startChild('bench/overhead/pass-through.js', [target], addressSchema);
   const proxies = [...cluster.proxies.values()];
@@ -70,12 +70,12 @@
     { name: 'direct', connect: direct, pids: [] },
     {
       name: 'pass-through',
-      connect: databaseOptions(passThrough.announcement),
+      connect: toConnectOptions(passThrough.announcement),
       pids: [passThrough.pid],
     },
     ...proxies.map(({ nodeId, callers }) => ({
       name: nodeId,
-      connect: { ...databaseOptions(callers), user: TENANT.name, password: TENANT.password },
+      connect: { ...toConnectOptions(callers), user: TENANT.name, password: TENANT.password },
       pids: proxies.map((proxy) => proxy.pid),
     })),
   ];
@@ -86,7 +86,7 @@
   return { targets, stop };
 }
 
-function databaseOptions({ host, port }: NetworkAddress): BackendConnectOptions {
+function toConnectOptions({ host, port }: NetworkAddress): BackendConnectOptions {
   return {
     host,
     port,
@@ -97,19 +97,19 @@
   };
 }
 
-/** Creates the table of points where it doesn't exist yet. */
-export async function fillTable(options: BackendConnectOptions): Promise<void> {
-  const opened = await connectBackend(options);
-  if (opened.isErr()) throw new LoadError(opened.error.message);
-  const connection = opened.value;
+/** Creates and fills the table for the point reads, which must not exist yet. */
+export async function createPointTable(options: BackendConnectOptions): Promise<void> {
+  const connectResult = await connectBackend(options);
+  if (connectResult.isErr()) throw new LoadError(connectResult.error.message);
+  const connection = connectResult.value;
   const statements = [`CREATE TABLE ${POINT_TABLE} (id int PRIMARY KEY, value text)`];
-  for (let first = 0; first < POINT_ROWS; first += ROWS_PER_INSERT) {
+  for (let first = 0; first < POINT_ROW_COUNT; first += ROWS_PER_INSERT) {
     const rows = Array.from({ length: ROWS_PER_INSERT }, (_, row) => `(${first + row}, 'value')`);
     statements.push(`INSERT INTO ${POINT_TABLE} (id, value) VALUES ${rows.join(', ')}`);
   }
   for (const statement of statements) {
-    const answer = await connection.query(statement);
-    if (answer.isErr()) throw new LoadError(answer.error.message);
+    const result = await connection.query(statement);
+    if (result.isErr()) throw new LoadError(result.error.message);
   }
   connection.close();
 }
--- a/bench/run/deployment-cluster.ts
+++ b/bench/run/deployment-cluster.ts
@@ -103,7 +103,7 @@
 function toClusterOptions(options: DeploymentClusterOptions): ClusterOptions {
   const { deployments, hasNetworkDelays, onStep } = options;
   const zoneDelayMs = Math.max(...deployments.map((deployment) => deployment.zoneDelayMs));
-  const callerLatencyMs = Math.max(...deployments.map((deployment) => deployment.clientDelayMs));
+  const callerLatencyMs = Math.max(...deployments.map((deployment) => deployment.callerDelayMs));
   return {
     groups: deployments.flatMap((deployment) =>
       deployment.groups.map((_, index) => toClusterGroup(options, deployment, index)),
--- a/scale/real-processes.ts
+++ b/scale/real-processes.ts
@@ -6,7 +6,7 @@
 import { readFileSync } from 'node:fs';
 import { setTimeout as pause } from 'node:timers/promises';
 import { Cluster } from '../bench/harness/cluster.js';
-import { processorSeconds } from '../bench/overhead/processor-time.js';
+import { readProcessorSeconds } from '../bench/overhead/processor-time.js';
 import { MILLISECONDS_PER_SECOND, type Milliseconds } from '../src/core/units.js';
 import type { NodeStatus } from '../src/node/node-status.js';
 import { rounded } from './distribution.js';
@@ -99,7 +99,7 @@
       const answer = await fetch(`http://${admin.host}:${admin.port}/status`);
       const { membership, peers, configuration } = (await answer.json()) as NodeStatus;
       return {
-        processorSeconds: processorSeconds(pid) ?? 0,
+        processorSeconds: readProcessorSeconds(pid) ?? 0,
         bytes:
           membership.bytesSent + membership.bytesReceived + peers.bytesSent + peers.bytesReceived,
         storeRequests: configuration.storeRequestsLastMinute,
--- a/test/unit/bench/direct-figures.test.ts
+++ b/test/unit/bench/direct-figures.test.ts
@@ -1,7 +1,7 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import {
-  figuresOf,
+  computeFigures,
   longestWriteGapMs,
   type MeasuredStatement,
 } from '../../../bench/demo/direct-figures.js';
@@ -18,11 +18,11 @@
 test('percentiles are of what was done, and the share of all', () => {
   const done = [10, 20, 30].map((tookMs) => statement(0, tookMs));
   const failed = statement(0, 900, { error: 'BUSY' });
-  assert.equal(figuresOf([...done, failed]), { p50Ms: 20, p99Ms: 30, doneShare: 0.75 });
+  assert.equal(computeFigures([...done, failed]), { p50Ms: 20, p99Ms: 30, doneFraction: 0.75 });
 });
 
 test('nothing at all gives zeros', () => {
-  assert.equal(figuresOf([]), { p50Ms: 0, p99Ms: 0, doneShare: 0 });
+  assert.equal(computeFigures([]), { p50Ms: 0, p99Ms: 0, doneFraction: 0 });
 });
 
 test('the gap counts from the fault, and only acknowledged writes end it', () => {
