--- a/bench/deployment-bench.ts
+++ b/bench/deployment-bench.ts
@@ -40,7 +40,7 @@
   else await writeReports(command, await runBench(command.run));
 }
 
-/** The files are written after each run, so that the results so far can be read during the matrix or after its interruption. */
+/** Writes the files after each run, so that they are useful during the matrix and if it is interrupted. */
 async function runFaultMatrix({ run, jsonFile, markdownFile }: BenchCommand): Promise<void> {
   const cells = await runMatrix(run, runBench, async (finishedCells) => {
     const last = finishedCells.at(-1);
--- a/bench/isolation/shared-cluster.ts
+++ b/bench/isolation/shared-cluster.ts
@@ -33,7 +33,7 @@
   readonly seed: number;
   readonly statementMs: number;
   readonly slots: number;
-  /** Time without messages from its primary after which the group elects; long if a busy machine must not cause elections. */
+  /** Time without messages from its primary after which the group elects; long to prevent elections on a busy machine. */
   readonly electionTimeoutMs: number;
 }
 
--- a/bench/load/caller-session.ts
+++ b/bench/load/caller-session.ts
@@ -125,8 +125,8 @@
   }
 
   #startupParameters(): Readonly<Record<string, string>> {
-    const { identification: carriage, sessionId } = this.#options;
-    if (carriage === 'session-id') return { [SESSION_ID_PARAMETER]: sessionId };
+    const { identification, sessionId } = this.#options;
+    if (identification === 'session-id') return { [SESSION_ID_PARAMETER]: sessionId };
     return this.#token === undefined ? {} : { [SESSION_TOKEN_PARAMETER]: this.#token };
   }
 }
--- a/bench/load/database-setup.ts
+++ b/bench/load/database-setup.ts
@@ -61,11 +61,11 @@
 
 async function insertInitialRows(
   client: pg.Client,
-  { table, columns, rows, otherValues: rest }: InitialTable,
+  { table, columns, rows, otherValues }: InitialTable,
 ): Promise<void> {
   for (let first = 1; first <= rows; first += ROWS_PER_INSERT) {
     const length = Math.min(ROWS_PER_INSERT, rows - first + 1);
-    const values = Array.from({ length }, (_, index) => `(${first + index}, ${rest})`);
+    const values = Array.from({ length }, (_, index) => `(${first + index}, ${otherValues})`);
     const rowsText = values.join(', ');
     // An earlier attempt may have inserted some of the rows.
     await client.query(
--- a/bench/load/generator.ts
+++ b/bench/load/generator.ts
@@ -50,7 +50,7 @@
   recentlyWrittenRows: readonly string[];
 }
 
-/** Time after its deadline at which an attempt is abandoned. */
+/** An attempt is abandoned when it takes longer than the deadline of its kind plus this. */
 const ABANDON_DELAY_MS = 5_000;
 const MAX_RECENT_ROWS = 4;
 const EMPTY_RESULT: Omit<AttemptResult, 'failure'> = {
--- a/bench/load/random.ts
+++ b/bench/load/random.ts
@@ -32,7 +32,7 @@
   return (random) => firstIndexAbove(cumulative, random.fraction() * total);
 }
 
-/** Index of the first element that is greater than `wanted`; the last one if none is. */
+/** Index of the first element that is greater than `threshold`; the last one if none is. */
 function firstIndexAbove(sorted: readonly number[], threshold: number): number {
   let low = 0;
   let high = sorted.length - 1;
--- a/bench/load/retry-policy.ts
+++ b/bench/load/retry-policy.ts
@@ -21,9 +21,9 @@
 
 /** Delay before the next attempt; undefined if the request is not retried. */
 export function retryDelayMs(input: RetryInput): number | undefined {
-  const { record, attemptCount: attempts } = input;
-  if (attempts >= MAX_ATTEMPTS || !isRetryable(input)) return undefined;
-  const backoffMs = BASE_DELAY_MS * 2 ** (attempts - 1) * input.jitter;
+  const { record, attemptCount } = input;
+  if (attemptCount >= MAX_ATTEMPTS || !isRetryable(input)) return undefined;
+  const backoffMs = BASE_DELAY_MS * 2 ** (attemptCount - 1) * input.jitter;
   const delayMs = (record.retryAfterMs ?? 0) + backoffMs;
   return record.endedAt + delayMs < input.deadlineAt ? delayMs : undefined;
 }
--- a/bench/overhead/processor-time.ts
+++ b/bench/overhead/processor-time.ts
@@ -2,7 +2,7 @@
 import { readFileSync } from 'node:fs';
 
 const TICKS_PER_SECOND = 100;
-/** Indexes of utime and stime among the fields after the command's closing parenthesis, of which the first is the state. */
+/** Indexes of utime and stime among the fields after the closing parenthesis of the command (0 is the state). */
 const USER_TICKS_FIELD = 11;
 const SYSTEM_TICKS_FIELD = 12;
 
--- a/bench/run/run-bench.ts
+++ b/bench/run/run-bench.ts
@@ -53,7 +53,7 @@
     readonly electionTimeoutMs: number;
   };
   readonly faults: readonly FaultRecord[];
-  /** From the failure of a primary to the election of the next, as recorded by the databases; null if none was elected. */
+  /** From a primary's failure to the election of the next, as recorded by the databases; null if none was elected. */
   readonly electionMs: readonly (number | null)[];
   /** Fraction of reads that the proxies sent to replicas, by their own counts; null if they counted no reads. */
   readonly replicaReadShareByProxies: number | null;
--- a/test/integration/cluster/configuration-faults.test.ts
+++ b/test/integration/cluster/configuration-faults.test.ts
@@ -172,9 +172,9 @@
   // silent-from-start.test.ts covers relays that become silent before any node heard from them.
   await allHeard(cluster, NODES);
   await relaysKnown(context);
-  const { relayProxies: relays } = recorder;
-  const others = NODES.filter((nodeId) => !relays.includes(nodeId));
-  for (const relay of relays) {
+  const { relayProxies } = recorder;
+  const others = NODES.filter((nodeId) => !relayProxies.includes(nodeId));
+  for (const relay of relayProxies) {
     cluster.proxy(relay).pause();
     recorder.recordProxyStop(relay);
   }
@@ -186,7 +186,7 @@
     await inForce(cluster, second, others);
   } finally {
     // The next tests need all proxies running, also if this test fails.
-    for (const relay of relays) {
+    for (const relay of relayProxies) {
       cluster.proxy(relay).resume();
       recorder.recordProxyStart(relay);
     }
--- a/test/unit/load.test.ts
+++ b/test/unit/load.test.ts
@@ -28,7 +28,7 @@
 
 test('the shares of each deployment sum to one', () => {
   for (const { kinds } of Object.values(DEPLOYMENTS)) {
-    const sum = kinds.reduce((total, { requestFraction: share }) => total + share, 0);
+    const sum = kinds.reduce((total, { requestFraction }) => total + requestFraction, 0);
     assert.ok(Math.abs(sum - 1) < 1e-9);
   }
 });
