--- a/bench/faults/publishing.ts
+++ b/bench/faults/publishing.ts
@@ -33,11 +33,11 @@
 ): Promise<void> {
   const { cluster, recorder, random, tenant } = context;
   while (!signal.aborted) {
-    const connections = MIN_CONNECTIONS + random.below(CONNECTIONS_RANGE);
+    const connections = MIN_CONNECTIONS + random.integerBelow(CONNECTIONS_RANGE);
     const parameters = `  connections: ${connections} # ${operator}`;
     try {
       const text = tenantYaml({ ...tenant, parameters });
-      recorder.configurationAccepted(await cluster.publishTexts([text]));
+      recorder.recordAcceptedConfiguration(await cluster.publishTexts([text]));
     } catch (error) {
       if (!isLostRace(error)) throw error;
     }
