--- a/test/unit/direct/caller-server.test.ts
+++ b/test/unit/direct/caller-server.test.ts
@@ -34,7 +34,7 @@
 }
 
 /** Resolves after the server has notified its sessions and before the client has read the notice. */
-async function sessionsToldToEnd(): Promise<void> {
+async function sessionsNotified(): Promise<void> {
   await turn();
   await turn();
 }
@@ -44,7 +44,7 @@
   return new Promise((resolve) => setImmediate(resolve));
 }
 
-test('a request that has arrived unread when the sessions end is answered', async () => {
+test('a request that has arrived but is unread when the planned stop begins is answered', async () => {
   const client = await open();
   const answer = client.query('1', 'SET role clerk');
   server.drain(false);
@@ -52,37 +52,37 @@
   await client.closed;
 });
 
-test('a request that crosses the end of its session is told that it has not run', async () => {
+test('a request sent before its client has read the stop notice is refused as not run', async () => {
   const client = await open();
   server.drain(false);
-  await sessionsToldToEnd();
+  await sessionsNotified();
   const { error, state } = await client.query('1', 'WRITE key value');
   assert.equal([error?.code, state], ['BUSY', 'I']);
   assert.match(error?.text ?? '', /retry after \d+ ms$/);
   await client.closed;
 });
 
-test('a commit that crosses the end of its session is told that nothing is kept', async () => {
+test('a COMMIT sent before its client has read the stop notice is answered with ABORTED', async () => {
   const client = await open();
   await client.query('1', 'BEGIN');
   server.drain(true);
-  await sessionsToldToEnd();
+  await sessionsNotified();
   const { error, state } = await client.query('2', 'COMMIT');
   assert.equal([error?.code, state], ['ABORTED', 'I']);
   await client.closed;
 });
 
-test('a statement that crosses the end of its transaction leaves it failed, and its end is answered', async () => {
+test('a statement in a transaction, sent before its client has read the stop notice, fails with ABORTED and leaves the transaction failed', async () => {
   const client = await open();
   await client.query('1', 'BEGIN');
   server.drain(true);
-  await sessionsToldToEnd();
+  await sessionsNotified();
   const { error, state } = await client.query('2', 'WRITE key value');
   assert.equal([error?.code, state], ['ABORTED', 'E']);
   await client.closed;
 });
 
-test('a caller that is owed an answer when the node ends is told that there is none', async () => {
+test('a caller that waits for a response when the server closes receives TIMEOUT', async () => {
   const { client, answer } = await waitingForInstance();
   server.close();
   const { error, state } = await answer;
@@ -90,7 +90,7 @@
   await client.closed;
 });
 
-test('one in a transaction is told too, and the transaction has failed', async () => {
+test('a caller that waits in a transaction when the server closes receives TIMEOUT, and the transaction has failed', async () => {
   const { client, answer } = await waitingForInstance('BEGIN');
   server.close();
   const { error, state } = await answer;
--- a/test/unit/direct/caller-session.test.ts
+++ b/test/unit/direct/caller-session.test.ts
@@ -54,8 +54,8 @@
   assert.equal(lines.slice(7), ['ERROR UNPREPARED s1', 'READY I -']);
 });
 
-test('what is refused for want of room comes back by its priority', async () => {
-  for (const [priority, told] of [
+test('a refusal for lack of capacity contains a retry delay that depends on the priority', async () => {
+  for (const [priority, delayMs] of [
     [0, 150],
     [2, 450],
   ] as const) {
@@ -77,11 +77,11 @@
       session.onAllAnswered = resolve;
       session.receive(lineWire.decodeCallerMessage('QUERY 1 READ key'));
     });
-    assert.is(lines.at(-2), `ERROR BUSY too many statements wait; retry after ${told} ms`);
+    assert.is(lines.at(-2), `ERROR BUSY too many statements wait; retry after ${delayMs} ms`);
   }
 });
 
-test('what has not run is refused with a time to ask again', async () => {
+test('a refused statement that has not run gets a retry delay', async () => {
   const { lines, send } = startSession();
   await send('START orders u1');
   await send('QUERY 1 WRITE key value');
@@ -89,7 +89,7 @@
   assert.is(lines[2], 'READY I -');
 });
 
-test('a tenant opens so many sessions and no more, until one of them closes', async () => {
+test('a tenant opens at most its maximum of sessions, and another one once one of them closes', async () => {
   const tenant = tenantWith({ maxSessions: 1 });
   const first = startSession(tenant);
   await first.send('START orders u1');
@@ -108,7 +108,7 @@
   assert.equal(third.lines, ['READY I -']);
 });
 
-test('a session holds as many values, and prepared statements, as its tenant may', async () => {
+test('a session holds at most the session values and prepared statements that its tenant may have', async () => {
   const { lines, send } = startSession(tenantWith({ maxSessionEntries: 1 }));
   await send('START orders u1');
   await send('QUERY 1 SET role clerk');
@@ -121,7 +121,7 @@
   assert.is(lines.filter((line) => line.startsWith('ERROR')).length, 2);
 });
 
-test('a transaction that failed takes only its end', async () => {
+test('a failed transaction accepts only its end', async () => {
   const { lines, send } = startSession();
   await send('START orders u1');
   await send('QUERY 1 BEGIN');
@@ -134,7 +134,7 @@
   assert.is(lines.at(-1), 'READY I -');
 });
 
-test('a caller that rests in a transaction when the node stops is told that nothing of it is kept', async () => {
+test('a caller that is idle in a transaction when the node stops receives ABORTED', async () => {
   const { session, lines, send } = startSession();
   await send('START orders u1');
   await send('QUERY 1 BEGIN');
@@ -146,7 +146,7 @@
  * The idle timeout aborts a transaction, which the caller learns with its next statement. If the node stops before that,
  * the stop notice must report it: the connection used to end without one, as if the transaction were still open.
  */
-test('a caller whose transaction was ended before the node stops is told so too', async () => {
+test('a caller whose transaction was aborted by the idle timeout before the node stops receives ABORTED too', async () => {
   const { session, lines, send } = startSession(tenantWith(), 1);
   await send('START orders u1');
   await send('QUERY 1 BEGIN');
@@ -155,7 +155,7 @@
   assert.match(lines.at(-1) ?? '', /^ERROR ABORTED .*retry after \d+ ms$/);
 });
 
-test('one that rests outside any transaction when the node stops is told once to go elsewhere', async () => {
+test('a caller that is idle outside any transaction when the node stops receives the stop notice once', async () => {
   const { session, lines, send } = startSession();
   await send('START orders u1');
   session.notifyStop();
@@ -164,7 +164,7 @@
   assert.match(lines[1] ?? '', /^ERROR BUSY .*retry after \d+ ms$/);
 });
 
-test('one that was told to leave, and asks all the same, is refused and told again', async () => {
+test('a caller that sends a request after the stop notice is answered and notified again', async () => {
   const { session, lines, send } = startSession();
   await send('START orders u1');
   session.notifyStop();
@@ -174,7 +174,7 @@
   assert.match(lines.at(-1) ?? '', /^ERROR BUSY /);
 });
 
-test('a rollback that crosses the word ends its transaction', async () => {
+test('a ROLLBACK that was already on its way when the stop notice was sent ends its transaction', async () => {
   const { session, lines, send } = startSession();
   await send('START orders u1');
   await send('QUERY 1 BEGIN');
@@ -184,14 +184,14 @@
   assert.is(lines.at(-1), 'READY I -');
 });
 
-test('a caller that has not started when the node stops is refused and its connection ended', () => {
+test('a caller that has not started a session when the node stops is refused, and its connection ends', () => {
   const { session, lines, ended } = startSession();
   session.notifyStop();
   assert.match(lines.join(), /^ERROR BUSY .*retry after \d+ ms$/);
   assert.equal(ended, [true]);
 });
 
-test('a caller whose answer is owed when the node ends is told that there is none, and nothing after that', async () => {
+test('a caller that waits for responses when its session is cut off receives TIMEOUT for each, and nothing after that', async () => {
   const { session, lines, ended } = startSession();
   const receive = (line: string) => session.receive(lineWire.decodeCallerMessage(line));
   receive('START orders u1');
@@ -199,17 +199,17 @@
   receive('QUERY 1 READ key');
   receive('QUERY 2 READ key');
   session.cutOff();
-  const toldThen = [...lines];
-  assert.match(toldThen[1] ?? '', /^ERROR TIMEOUT /);
-  assert.is(toldThen[2], 'READY I -');
-  assert.match(toldThen[3] ?? '', /^ERROR TIMEOUT /);
-  assert.is(toldThen[4], 'READY I -');
+  const linesAtCutOff = [...lines];
+  assert.match(linesAtCutOff[1] ?? '', /^ERROR TIMEOUT /);
+  assert.is(linesAtCutOff[2], 'READY I -');
+  assert.match(linesAtCutOff[3] ?? '', /^ERROR TIMEOUT /);
+  assert.is(linesAtCutOff[4], 'READY I -');
   await pause(ROUTE.timeoutMs * 2);
-  assert.equal(lines, toldThen);
+  assert.equal(lines, linesAtCutOff);
   assert.equal(ended, [true]);
 });
 
-test('a start that is owed when the node ends is refused', async () => {
+test('a session start that is unanswered when the session is cut off is refused', async () => {
   const { session, lines, ended } = startSession();
   session.receive(lineWire.decodeCallerMessage('START orders u1'));
   session.cutOff();
@@ -219,7 +219,7 @@
   assert.equal(ended, [true]);
 });
 
-test('a caller at rest when the node ends hears nothing', async () => {
+test('an idle caller receives nothing when its session is cut off', async () => {
   const { session, lines, ended, send } = startSession();
   await send('START orders u1');
   session.cutOff();
@@ -227,7 +227,7 @@
   assert.equal(ended, [true]);
 });
 
-test('an unknown database, and a statement before the start, end the session', async () => {
+test('an unknown database, or a statement before START, ends the session', async () => {
   const unknown = startSession();
   unknown.session.receive(lineWire.decodeCallerMessage('START other u1'));
   await new Promise((resolve) => setImmediate(resolve));
@@ -239,7 +239,7 @@
   assert.equal(early.ended, [true]);
 });
 
-test('a caller that sends too far ahead is cut off instead of filling the memory', () => {
+test('a caller that pipelines too many messages is cut off, which bounds the memory', () => {
   const { session, lines, ended } = startSession();
   const message = lineWire.decodeCallerMessage('START orders u1');
   for (let count = 0; count < 100; count += 1) session.receive(message);
--- a/test/unit/direct/commit-trust.test.ts
+++ b/test/unit/direct/commit-trust.test.ts
@@ -21,7 +21,7 @@
 const keepAlive = setInterval(() => {}, 1000);
 test.after(() => clearInterval(keepAlive));
 
-interface Said {
+interface TrustScenario {
   /** The instance that the lease confirms as primary. */
   readonly trusted?: string;
   readonly ahead?: CommitVerdict;
@@ -30,15 +30,15 @@
   readonly answers?: ProofRound['answers'][];
 }
 
-function trust({ trusted, ahead, commits, positions = 'unknown', answers = [] }: Said) {
-  const asked: unknown[] = [];
+function trust({ trusted, ahead, commits, positions = 'unknown', answers = [] }: TrustScenario) {
+  const queries: unknown[] = [];
   let time = 0;
   const nextAnswers = () => (answers.length > 1 ? answers.shift() : answers[0]) ?? [];
   const view = {
     mayTrustPrimary: (_service: string, _now: number, instance?: string) => instance === trusted,
     judgeWrite: () => Promise.resolve(ahead),
     judgeCommits: (...question: unknown[]) => {
-      asked.push(question);
+      queries.push(question);
       return Promise.resolve(commits);
     },
   } as unknown as PrimaryView;
@@ -51,21 +51,21 @@
     time += 50;
     return time;
   };
-  return { commits: new CommitTrust({ view, prover, now }), asked };
+  return { commits: new CommitTrust({ view, prover, now }), queries };
 }
 
 function codeOf(outcome: StatementOutcome): string {
   return outcome.type === 'refused' ? outcome.refusal.code : 'done';
 }
 
-test('with the lease nobody is asked', async () => {
-  const { commits, asked } = trust({ trusted: PRIMARY.id, ahead: 'held', commits: 'held' });
+test('while the lease confirms the primary no member is queried', async () => {
+  const { commits, queries } = trust({ trusted: PRIMARY.id, ahead: 'held', commits: 'held' });
   assert.ok(await commits.maySend(SERVICE, PRIMARY));
   assert.is(await commits.confirm(SERVICE, PRIMARY, DONE), DONE);
-  assert.equal(asked, []);
+  assert.equal(queries, []);
 });
 
-test('a write is withheld where members do not vouch for it, and told so in its steps', async () => {
+test('a write that the members do not confirm is withheld, and the request trace records the verdict', async () => {
   for (const ahead of ['held', 'deposed', 'unknown'] as const) {
     const trace = new RequestTrace(0, () => 0);
     assert.not(await trust({ ahead }).commits.maySend(SERVICE, PRIMARY, trace));
@@ -76,25 +76,25 @@
   }
 });
 
-test('a write goes where all members vouch for it', async () => {
+test('a write that all members confirm is sent', async () => {
   assert.ok(await trust({ ahead: 'safe' }).commits.maySend(SERVICE, PRIMARY));
 });
 
-test('a commit that the next primary may lack is told as in doubt', async () => {
+test('a commit that the next primary may lack is reported as in doubt', async () => {
   for (const commits of ['held', 'deposed', 'unknown'] as const) {
-    const { commits: asking, asked } = trust({ commits });
-    assert.is(codeOf(await asking.confirm(SERVICE, PRIMARY, DONE)), 'in-doubt');
-    assert.equal(asked, [[SERVICE.name, PRIMARY.id, POSITION]]);
+    const { commits: withQueries, queries } = trust({ commits });
+    assert.is(codeOf(await withQueries.confirm(SERVICE, PRIMARY, DONE)), 'in-doubt');
+    assert.equal(queries, [[SERVICE.name, PRIMARY.id, POSITION]]);
   }
 });
 
-test('what another instance than the present primary acknowledged is asked about too', async () => {
+test('a commit that was acknowledged by another instance than the present primary is checked too', async () => {
   const { commits } = trust({ trusted: 'successor', commits: 'deposed' });
   assert.is(codeOf(await commits.confirm(SERVICE, PRIMARY, DONE)), 'in-doubt');
 });
 
 /** Positions that the other members report in each round; the last round repeats. */
-function told(...rounds: readonly (readonly (bigint | undefined)[])[]) {
+function responseRounds(...rounds: readonly (readonly (bigint | undefined)[])[]) {
   return rounds.map((others) => [
     { instanceId: PRIMARY.id, position: POSITION },
     ...others.map((lsn, index) => ({
@@ -104,21 +104,21 @@
   ]);
 }
 
-test('where only positions can be asked for, a commit is told once every other member has it', async () => {
-  const { commits } = trust({ answers: told([9n, 8n], [9n, 9n]) });
+test('if only positions can be queried, a commit is reported once every other member has it', async () => {
+  const { commits } = trust({ answers: responseRounds([9n, 8n], [9n, 9n]) });
   assert.is(await commits.confirm(SERVICE, PRIMARY, DONE), DONE);
 });
 
-test('where only positions can be asked for, one that a member lacks for long is in doubt', async () => {
-  for (const answers of [told([9n, 8n]), told([9n, undefined])]) {
+test('if only positions can be queried, a commit that a member lacks until the timeout is in doubt', async () => {
+  for (const answers of [responseRounds([9n, 8n]), responseRounds([9n, undefined])]) {
     const { commits } = trust({ answers });
     assert.is(codeOf(await commits.confirm(SERVICE, PRIMARY, DONE)), 'in-doubt');
   }
-  const { commits } = trust({ positions: 'deposed', answers: told([9n, 9n]) });
+  const { commits } = trust({ positions: 'deposed', answers: responseRounds([9n, 9n]) });
   assert.is(codeOf(await commits.confirm(SERVICE, PRIMARY, DONE)), 'in-doubt');
 });
 
-test('where only positions can be asked for, a write goes where they prove the primary', async () => {
+test('if only positions can be queried, a write is sent only if they prove the primary', async () => {
   assert.ok(await trust({ positions: 'proven' }).commits.maySend(SERVICE, PRIMARY));
   assert.not(await trust({ positions: 'unknown' }).commits.maySend(SERVICE, PRIMARY));
 });
--- a/test/unit/direct/digest-exchange.test.ts
+++ b/test/unit/direct/digest-exchange.test.ts
@@ -29,7 +29,7 @@
   };
 }
 
-/** A node to which these instances are known. */
+/** A node that knows these instances. */
 function nodeOf(ids: readonly string[]) {
   const digests = new FleetDigests();
   const instances = () => ids.map(entryOf);
@@ -41,13 +41,13 @@
   return row ?? [];
 }
 
-test('what is told is what is heard', () => {
+test('an encoded digest is received unchanged', () => {
   const rows = parseDigests(encodeDigests([digestOf('i-1')]));
   const { instanceId, service: _service, ...told } = digestOf('i-1');
   assert.equal(rows, [{ key: instanceKey(instanceId), ...told }]);
 });
 
-test('a message stays below its bound of bytes, however many instances there are', () => {
+test('a message stays below its size limit, however many instances there are', () => {
   for (const count of [18, 60, 300]) {
     const ids = Array.from({ length: count }, (_, index) => `i-${index}@1780000000`);
     const large = { ageMs: 2400, answered: 1900, answerMs: 1234.5, waitMs: 99.9 };
@@ -57,7 +57,7 @@
   }
 });
 
-test('nonsense is counted and left out, and so is what is old or of an earlier life', () => {
+test('malformed, stale and implausible digests, and those of an earlier incarnation, are counted and ignored', () => {
   const { digests, exchange } = nodeOf(['i-1@2']);
   for (const nonsense of [17, 'x', {}, [3], [['a']], [[1, 2, 3]], [rowOf('i-1@2').map(String)]]) {
     exchange.receive(nonsense, 'n1');
@@ -97,7 +97,7 @@
   return { ...node, zone, world };
 }
 
-test('a node hears through its reader what another one saw, from each reader in turn', async () => {
+test('a node receives the observations of another node through its readers, each of which it queries in turn', async () => {
   const other = nodeOf(['i-1', 'i-2']);
   other.digests.recordOwn('ledger', 'i-2', { type: 'answered', answerMs: 80 }, NOW);
   const answer = (question: WireValue) =>
@@ -119,7 +119,7 @@
   assert.not(zone.isFleetSeen());
 });
 
-test('a reader of an earlier version answers without digests, and its positions count as before', async () => {
+test('a reader of an earlier version responds without digests, and its positions are used', async () => {
   const { zone } = zoneOf(() => [
     { service: 'ledger', instanceId: 'i-1', position: { timeline: 3, lsn: '17' }, ageMs: 20 },
   ]);
@@ -128,7 +128,7 @@
   assert.not(zone.isFleetSeen());
 });
 
-test('a node of an earlier version gets the answer that it knows', () => {
+test('a node of an earlier version gets a response in the format that it knows', () => {
   const { exchange } = nodeOf(['i-1']);
   const question = { services: ['ledger'] };
   const digests = { exchange, requesterId: 'n1' };
--- a/test/unit/direct/fleet-placement.test.ts
+++ b/test/unit/direct/fleet-placement.test.ts
@@ -52,7 +52,7 @@
   return { state, placement, instances, service, lines, counters, play };
 }
 
-test('a slow instance is ejected, tried after a pause, and used again, each with a line', () => {
+test('a slow instance is ejected, probed after a pause and used again, and each step is logged', () => {
   const { placement, instances, lines, counters, play } = world();
   play(10, 80);
   assert.is(placement.ejectedCount, 1);
@@ -67,7 +67,7 @@
   );
 });
 
-test('without the view of the fleet nothing is ranked, and ejections are dropped', () => {
+test('without the view of the fleet no instance is ranked, and ejections are dropped', () => {
   const { state, placement, instances, service, play } = world();
   play(10, 80);
   state.isFleetViewAvailable = false;
--- a/test/unit/direct/in-flight-statements.test.ts
+++ b/test/unit/direct/in-flight-statements.test.ts
@@ -7,30 +7,30 @@
 const keepAlive = setInterval(() => {}, 1000);
 test.after(() => clearInterval(keepAlive));
 
-test('nothing under way is over at once', async () => {
+test('without a statement in flight the wait ends at once', async () => {
   assert.ok(await new InFlightStatements().waitForEnd(0));
 });
 
-test('it is over when the last exchange has settled, failed ones too', async () => {
+test('the wait ends once the last exchange has settled, whether it succeeded or failed', async () => {
   const inFlight = new InFlightStatements();
   let answer: (() => void) | undefined;
   let fail: (() => void) | undefined;
   inFlight.add(new Promise<void>((resolve) => (answer = resolve)));
   inFlight.add(new Promise<void>((_resolve, reject) => (fail = () => reject(new Error('lost')))));
-  let isOver = false;
-  const ended = inFlight.waitForEnd(LONG_MS).then((over) => {
-    isOver = over;
+  let hasEnded = false;
+  const ended = inFlight.waitForEnd(LONG_MS).then((isEnded) => {
+    hasEnded = isEnded;
   });
   answer?.();
   await new Promise((resolve) => setImmediate(resolve));
-  assert.not(isOver);
+  assert.not(hasEnded);
   fail?.();
   await ended;
-  assert.ok(isOver);
+  assert.ok(hasEnded);
   assert.ok(await inFlight.waitForEnd(0));
 });
 
-test('what does not end is told', async () => {
+test('the wait reports that a statement has not ended within the timeout', async () => {
   const inFlight = new InFlightStatements();
   inFlight.add(new Promise(() => undefined));
   assert.not(await inFlight.waitForEnd(1));
--- a/test/unit/direct/instance-connection.test.ts
+++ b/test/unit/direct/instance-connection.test.ts
@@ -6,7 +6,7 @@
 import { lineWire } from '../../../platform/line-wire.js';
 import { openInstanceConnection } from '../../../src/direct/instance-connection.js';
 
-test('a statement without an answer is taken back when its connection is given up', async () => {
+test('an unanswered statement is withdrawn when its connection is abandoned', async () => {
   const server = createServer().listen(0, '127.0.0.1');
   await once(server, 'listening');
   const { port } = server.address() as AddressInfo;
--- a/test/unit/direct/instance-control.test.ts
+++ b/test/unit/direct/instance-control.test.ts
@@ -12,7 +12,7 @@
 
 const LONG_MS = 60_000;
 
-test('a control connection at rest is closed, so that others find room at the instance', async () => {
+test('an idle control connection is closed, which frees a connection slot of the instance', async () => {
   const instance = new StatusInstance();
   const entry = await instance.start();
   const control = new WireInstanceControl(lineWire, parseStatusRow, () => performance.now());
@@ -25,7 +25,7 @@
   instance.stop();
 });
 
-test('calls that follow one another share a connection', async () => {
+test('consecutive calls share a connection', async () => {
   const instance = new StatusInstance();
   const entry = await instance.start();
   const control = new WireInstanceControl(lineWire, parseStatusRow, () => performance.now());
@@ -37,7 +37,7 @@
   instance.stop();
 });
 
-test('an instance that takes no more connections is tried again only after a pause', async () => {
+test('an instance that accepts no more connections is tried again only after a pause', async () => {
   const instance = new StatusInstance();
   const entry = await instance.start();
   instance.isFull = true;
@@ -56,7 +56,7 @@
   instance.stop();
 });
 
-test('a connection that is reset while it opens tells of no death, and a port where nothing listens does', async () => {
+test('a connection that is reset while it opens does not prove that the instance has stopped; a port where nothing listens does', async () => {
   const instance = new StatusInstance();
   const entry = await instance.start();
   instance.resets = true;
--- a/test/unit/direct/instance-health.test.ts
+++ b/test/unit/direct/instance-health.test.ts
@@ -2,7 +2,7 @@
 import * as assert from 'uvu/assert';
 import { InstanceHealth } from '../../../src/direct/instance-health.js';
 
-test('a refusal for want of slots slows the pace, and a served statement speeds it up', () => {
+test('a refusal for lack of slots lowers the start rate, and a served statement raises it', () => {
   const health = new InstanceHealth({ now: () => 1000 });
   health.nodeCount = 10;
   health.recordOutcome('busy');
@@ -12,13 +12,13 @@
   assert.ok(health.pace.intervalMs < intervalMs);
 });
 
-test('other refusals say nothing of the slots', () => {
+test('other refusals do not change the start rate', () => {
   const health = new InstanceHealth({ now: () => 1000 });
   health.recordOutcome('lagging', 3);
   assert.is(health.pace.intervalMs, 0);
 });
 
-test('only what was served, and took its usual time, counts for how long an answer takes', () => {
+test('only served statements with a usual response time count towards the expected response time', () => {
   const health = new InstanceHealth({ now: () => 1000 });
   const { answerMs } = health;
   health.recordOutcome('failed', 9000);
--- a/test/unit/direct/instance-pool.test.ts
+++ b/test/unit/direct/instance-pool.test.ts
@@ -70,7 +70,7 @@
   }
 }
 
-test('openings begin with one and double as the instance takes them, however many wait', async () => {
+test('connections are opened one at first, then twice as many each time that the instance accepts them, however many statements wait', async () => {
   const instance = new SlowInstance();
   const pool = new InstancePool(await instance.start(), 20, {
     ...{ ...POOL_OPTIONS, now: () => performance.now() },
@@ -109,7 +109,7 @@
   return { tenant: 'orders', priority, policy, values, deadline, cancelledBy };
 }
 
-test('callers do not wait for an instance that answers nothing, and it is found when it is back', async () => {
+test('callers do not wait for an unresponsive instance, and it is used again once it responds', async () => {
   const entry = await deadAddress();
   const pool = new InstancePool(entry, 2, { ...POOL_OPTIONS, now: () => performance.now() });
   const counters = POOL_OPTIONS.counters;
@@ -141,7 +141,7 @@
   return { instance, pool, acquire };
 }
 
-test('who waits with every connection in use gets the place of one that comes to rest', async () => {
+test('a statement that waits while every connection is in use replaces a connection that becomes idle', async () => {
   const { instance, pool, acquire } = await accountPool(1);
   const first = (await acquire('one'))._unsafeUnwrap();
   let isServed = false;
@@ -159,7 +159,7 @@
   instance.stop();
 });
 
-test("a statement of a public route gets the place of a tenant's connection that rests, and the other way", async () => {
+test('a statement of a public route replaces an idle connection of a tenant, and the reverse', async () => {
   const { instance, pool, acquire } = await accountPool(1);
   const order: (string | undefined)[] = [];
   for (const account of ['one', undefined, 'two', undefined]) {
@@ -173,7 +173,7 @@
   instance.stop();
 });
 
-test('at the limit a connection that rests gives way to a statement of a higher priority', async () => {
+test('at the limit an idle connection is closed for a statement of a higher priority', async () => {
   for (const rules of [RULES, undefined]) {
     const { instance, pool, acquire } = await accountPool(1, rules);
     const first = (await acquire('one', { priority: 1 }))._unsafeUnwrap();
@@ -193,12 +193,12 @@
   }
 });
 
-test('with as many in flight as the instance can use, who waits starts by priority; the highest starts beside them', async () => {
+test('at the concurrency limit waiting statements start by priority, and those of the highest priority start above the limit', async () => {
   const { instance, pool, acquire } = await accountPool(20, RULES);
   // One and a half times the three slots.
-  const room = 5;
+  const concurrencyLimit = 5;
   const running = await Promise.all(
-    Array.from({ length: room }, () => acquire('one', { priority: 2 })),
+    Array.from({ length: concurrencyLimit }, () => acquire('one', { priority: 2 })),
   );
   const order: string[] = [];
   const take = async (name: string, priority: number): Promise<void> => {
@@ -218,7 +218,7 @@
   instance.stop();
 });
 
-test('a statement that can have no turn in time is refused at once, with rules only', async () => {
+test('with admission rules a statement that cannot start by its deadline is refused at once; without them it waits', async () => {
   for (const rules of [RULES, undefined]) {
     // One of the six connections is kept for other tenants.
     const { instance, pool, acquire } = await accountPool(6, rules);
@@ -243,7 +243,7 @@
   }
 });
 
-test('while the size of the fleet is unknown a node opens few connections', () => {
+test('while the size of the fleet is unknown a node opens only a few connections', () => {
   const service = new ServiceRuntime('orders', {
     ...{ zone: 'a', nodeCount: 8, isNodeCountKnown: false, drainTimeoutMs: 7000 },
     ownership: { roster: undefined, ownershipOf: () => undefined },
--- a/test/unit/direct/large-answer-at-stop.test.ts
+++ b/test/unit/direct/large-answer-at-stop.test.ts
@@ -25,7 +25,7 @@
  * Once the response to a large read is written to the socket, the session is idle, while most of the bytes still wait in
  * this process for a slow link. They must not be discarded when the leave timeout and the close timeout expire.
  */
-test('an answer that is still being sent when its caller is told to leave arrives whole', async () => {
+test('a response that is still being sent when the stop notice is due arrives whole', async () => {
   caller = connect(server.port, HOST);
   await new Promise((resolve) => caller.once('connect', resolve));
   let size = 0;
--- a/test/unit/direct/late-idle-transaction.test.ts
+++ b/test/unit/direct/late-idle-transaction.test.ts
@@ -15,7 +15,7 @@
 test.after(() => server.close());
 
 /** Guards against an overdue idle timer that aborts the transaction before a received statement is read. */
-test('a statement that came before its transaction rested too long, unread by a late process, is taken', async () => {
+test('a statement that arrived before the idle timeout of its transaction, and is read late by a delayed process, is accepted', async () => {
   const client = await LineClient.connect(HOST, server.port);
   await client.start('orders', 'u1');
   await client.query('1', 'BEGIN');
--- a/test/unit/direct/leave-time.test.ts
+++ b/test/unit/direct/leave-time.test.ts
@@ -32,7 +32,7 @@
  * The leave timeout is due when a request is read. The request is answered and the caller notified again, so the timeout
  * must start again as well.
  */
-test('a caller that asks as its time to leave runs out gets a new one', async () => {
+test('a request that arrives as the leave timeout expires restarts the timeout', async () => {
   server.drain(false);
   await caller.hears(/ERROR BUSY/);
   caller.send('QUERY 1 SET a b');
@@ -42,7 +42,7 @@
   await caller.ended;
 });
 
-test('a caller that stays all the same is closed', async () => {
+test('a caller that stays connected beyond the leave timeout is disconnected', async () => {
   server.drain(false);
   await caller.ended;
   assert.match(caller.text, /^READY I -\r\nERROR BUSY [^\n]*\r\n$/);
--- a/test/unit/direct/line-wire.test.ts
+++ b/test/unit/direct/line-wire.test.ts
@@ -4,7 +4,7 @@
 import { lineWire, parseStatusRow } from '../../../platform/line-wire.js';
 import { LineSplitter } from '../../../src/direct/line-splitter.js';
 
-test('statements of callers are told apart and keep their text', () => {
+test('statements of callers are classified and keep their text', () => {
   const read = lineWire.decodeCallerMessage('QUERY 5c0e READ 1a4');
   assert.equal(read, {
     type: 'statement',
@@ -21,7 +21,7 @@
   });
 });
 
-test('what only the system may say to an instance is refused from a caller', () => {
+test('commands that only the system may send to an instance are refused from a caller', () => {
   for (const text of ['STATUS', 'RESET', 'PAUSE 4', 'DEMOTE 4', 'RESUME', 'AFTER 3.1 READ a', '']) {
     const message = lineWire.decodeCallerMessage(`QUERY 1 ${text}`);
     assert.is(message.type === 'statement' && message.statement.type, 'invalid', text);
@@ -44,12 +44,12 @@
   assert.equal(splitter.push(Buffer.from('ERY 3\r\n')), ['QUERY 3']);
 });
 
-test('a message that is too long is told at once, not only at its end', () => {
+test('a message that is too long is reported as soon as it exceeds the limit, before its end', () => {
   const splitter = new LineSplitter(10);
   assert.equal(splitter.push(Buffer.from('12345678901')), [undefined]);
 });
 
-test('answers of instances carry state and position', () => {
+test('responses of instances contain the state and the position', () => {
   assert.equal(lineWire.decodeInstanceMessage('READY T 3.1209'), {
     type: 'ready',
     state: 'open',
@@ -67,13 +67,13 @@
   });
 });
 
-test('a condition stands before the unchanged text', () => {
+test('a condition is placed before the unchanged statement text', () => {
   const after = { timeline: 3, lsn: 7n };
   assert.is(lineWire.encodeStatement('9', 'READ 1a4', after), 'QUERY 9 AFTER 3.7 READ 1a4\r\n');
   assert.is(lineWire.encodeBegin(true, after), 'QUERY - AFTER 3.7 BEGIN READ\r\n');
 });
 
-test('a status row is read, and one of another form is not guessed', () => {
+test('a status row is parsed, and a malformed one is rejected', () => {
   assert.equal(parseStatusRow('replica 3 3.1209 0 12 2 17'), {
     role: 'replica',
     term: 3,
--- a/test/unit/direct/node-directory.test.ts
+++ b/test/unit/direct/node-directory.test.ts
@@ -56,13 +56,13 @@
   return { directory, told };
 }
 
-test('a node tells of the members that the records name, and of each once', () => {
+test('a node reports the departed members that the records name, each of them once', () => {
   const { directory } = nodeWith(['present', 'left-before', 'used-once']);
   const departed = directory.describe(NO_VERSIONS)?.instances?.departed ?? [];
   assert.equal(departed.map(({ id }) => id).sort(), ['left-before', 'used-once']);
 });
 
-test('members are all told only by a node that has read the records', () => {
+test('only the report of a node that has read the records counts as the complete list of members', () => {
   const { directory, told } = nodeWith([]);
   const instances = { revision: 9, instances: [instance('present')], departed: [instance('left')] };
   const snapshot = { configuration: undefined, instances, terms: [], ageMs: 0 };
--- a/test/unit/direct/planned-stop.test.ts
+++ b/test/unit/direct/planned-stop.test.ts
@@ -36,7 +36,7 @@
   return { relay, waiting, giveBack };
 }
 
-test('a stopping node that waits for what it has lent takes no more callers', async () => {
+test('a stopping node that waits for lent connections accepts no more callers', async () => {
   const dependencies = sessionDependencies();
   server = new CallerServer(dependencies);
   await server.listen({ host: HOST, port: 0 });
@@ -55,7 +55,7 @@
   await ended;
 });
 
-test('a caller that comes after the stop has begun is refused when it asks for a session', async () => {
+test('a caller that connects after the stop has begun is refused when it requests a session', async () => {
   server = new CallerServer(sessionDependencies());
   await server.listen({ host: HOST, port: 0 });
   server.drain(false);
--- a/test/unit/direct/pooled-status.test.ts
+++ b/test/unit/direct/pooled-status.test.ts
@@ -38,7 +38,7 @@
   return { instance, entry, pool, status, stop };
 }
 
-test('a question opens the connection that statements use afterwards', async () => {
+test('a status query opens the connection that statements use afterwards', async () => {
   const { instance, entry, pool, status, stop } = await setUp();
   const told = await status.status(entry, LONG_MS);
   assert.is(told.isOk() && told.value.role, 'replica');
@@ -48,7 +48,7 @@
   stop();
 });
 
-test('a question does not wait behind statements that hold every connection', async () => {
+test('a status query does not wait for statements that hold every connection', async () => {
   const { instance, entry, pool, status, stop } = await setUp();
   await pool.acquire(ownRequest(performance.now() + LONG_MS));
   assert.ok((await status.status(entry, LONG_MS)).isOk());
@@ -56,7 +56,7 @@
   stop();
 });
 
-test('an instance that takes no more connections is not tried by each question', async () => {
+test('an instance that accepts no more connections is not tried by each status query', async () => {
   const { instance, entry, status, stop } = await setUp();
   instance.isFull = true;
   for (let question = 0; question < 5; question += 1) {
--- a/test/unit/direct/relay-host.test.ts
+++ b/test/unit/direct/relay-host.test.ts
@@ -10,7 +10,7 @@
   ...{ readsAsked: 0, readsRun: 0, positionsTold: 0 },
 };
 
-test('owners are told as coming from the moment that they are named until they can be asked', async () => {
+test('owners are reported as pending from the publication of the roster until the links to them are ready', async () => {
   const host = new RelayHost({
     ...{ nodeName: 'n-1', listen: undefined, wire: lineWire, find: () => undefined },
     ...{ counters: { ...COUNTERS }, now: () => 0 },
@@ -26,7 +26,7 @@
   host.close();
 });
 
-test('a node that connects by itself is ready to lend to those that come back', async () => {
+test('a node that connects to instances itself prepares its links, and borrows once owners are in use', async () => {
   const host = new RelayHost({
     ...{ nodeName: 'n-1', listen: undefined, wire: lineWire, find: () => undefined },
     ...{ counters: { ...COUNTERS }, now: () => 0 },
@@ -48,7 +48,7 @@
   host.close();
 });
 
-test('a fleet without owners waits for none', () => {
+test('a fleet without owners has none pending', () => {
   const host = new RelayHost({
     ...{ nodeName: 'n-1', listen: undefined, wire: lineWire, find: () => undefined },
     ...{ counters: { ...COUNTERS }, now: () => 0 },
--- a/test/unit/direct/relay-messages.test.ts
+++ b/test/unit/direct/relay-messages.test.ts
@@ -91,7 +91,7 @@
   }),
 );
 
-test('every message is taken as it was sent', () => {
+test('every message is decoded as it was sent', () => {
   fc.assert(
     fc.property(requests, commands, events, position, (request, command, event, at) => {
       assert.equal(parseStreamRequest(carried(request)), request);
@@ -103,7 +103,7 @@
   );
 });
 
-test('a request with a priority or a weight that nothing has is not taken', () => {
+test('a request with an impossible priority or weight is rejected', () => {
   fc.assert(
     fc.property(requests, (request) => {
       const { policy } = request;
@@ -133,7 +133,7 @@
   }
 }
 
-test('a message that lacks a field, or has one of another kind, is not taken', () => {
+test('a message that lacks a field, or has a field of another type, is rejected', () => {
   const request: StreamRequest = {
     ...{ type: 'read', service: 's', instanceId: 'i', tenant: 't', priority: 1, waitMs: 5 },
     policy: { queueWeight: 1, maxWaiting: 2, inFlightShare: 1, inFlightFloor: 1 },
--- a/test/unit/direct/relay.test.ts
+++ b/test/unit/direct/relay.test.ts
@@ -62,7 +62,7 @@
   return (await exchange)._unsafeUnwrapErr();
 }
 
-test('a statement passes unchanged, and its answer comes back as the instance wrote it', async () => {
+test('a statement is forwarded unchanged, and so is the response of the instance', async () => {
   await start(1);
   const connection = await lease();
   const { payload, error, state, position } = await answerTo(connection, 'WRITE k \xe9\xff v');
@@ -73,7 +73,7 @@
   assert.equal(instance.heard, [{ connection: 1, text: 'WRITE k \xe9\xff v' }]);
 });
 
-test('what a request has left of its aim and whether it is a transaction reach the pool of the owner', async () => {
+test('the remaining time to the latency target and the transaction flag of a request reach the pool of the owner', async () => {
   await start(1);
   const { pool } = owner(0);
   const asked: ConnectionRequest[] = [];
@@ -101,7 +101,7 @@
   assert.is(plain?.latencyTargetAt, plain?.deadline);
 });
 
-test('those that wait at an owner that dies are served by the next one, and nothing has run twice', async () => {
+test('requests that wait at an owner that dies are served by the next owner, and nothing runs twice', async () => {
   await start(2);
   const { pool } = owner(0);
   owner(0).rules = { targetDelayMs: 50, highestPriority: 0, lowestPriority: 2 };
@@ -122,7 +122,7 @@
   );
 });
 
-test('at an owner that is full who waits is refused in half of its time, which blames nobody', async () => {
+test('a request that waits at a full owner is refused after half of its time, and the owner is not considered faulty', async () => {
   await start(1);
   owner(0).rules = { targetDelayMs: 50, highestPriority: 0, lowestPriority: 2 };
   const held = [await lease(), await lease()];
@@ -134,7 +134,7 @@
   borrower.pool.release(await lease());
 });
 
-test('values and prepared statements of a connection travel with the lease, both ways', async () => {
+test('session values and prepared statements of a connection are transferred with the lease, both ways', async () => {
   await start(1);
   const first = await lease();
   const prepared = { access: 'read', shape: 'q1', sharedName: 'p1' } as const;
@@ -153,7 +153,7 @@
   assert.is(instance.connectionCount, 1);
 });
 
-test('an owner that says nothing is passed over before anything was sent', async () => {
+test('an unresponsive owner is skipped before anything is sent', async () => {
   silent = await SilentNode.start('silent');
   await start(1);
   // Shorter than the link's handshake timeout.
@@ -165,7 +165,7 @@
   assert.is(borrower.counters.leasesAsked, 2);
 });
 
-test('an owner that is gone is passed over, and no owner at all is told as not sent', async () => {
+test('an owner that is gone is skipped, and without any owner the statement is reported as not sent', async () => {
   await start(2);
   await owner(0).stop();
   const connection = await lease();
@@ -177,7 +177,7 @@
   assert.is(instance.heard.length, 1);
 });
 
-test('a link that is lost after the grant and before the statement: nothing has run', async () => {
+test('if the link is lost after the grant and before the statement, nothing has run', async () => {
   await start(2);
   const connection = await lease();
   await owner(0).transport.close();
@@ -191,7 +191,7 @@
   assert.is(instance.heard.filter(({ text }) => text === 'WRITE k v').length, 1);
 });
 
-test('a link that is lost after the statement was handed over: it may have run', async () => {
+test('if the link is lost after the statement was sent, it may have run', async () => {
   await start(2);
   instance.hold = 'WRITE';
   const connection = await lease();
@@ -203,7 +203,7 @@
   await until('the instance is left', () => instance.ended.includes(1));
 });
 
-test('an open transaction ends with its link: the owner closes the connection', async () => {
+test('an open transaction ends with its link, since the owner closes the connection', async () => {
   await start(1);
   const connection = await lease();
   assert.is((await answerTo(connection, 'BEGIN')).state, 'open');
@@ -212,7 +212,7 @@
   assert.is(owner(0).server.size, 0);
 });
 
-test('a connection that is given back inside a transaction is not used again', async () => {
+test('a connection that is returned inside a transaction is not reused', async () => {
   await start(1);
   const connection = await lease();
   await answerTo(connection, 'BEGIN');
@@ -224,7 +224,7 @@
   assert.is((await instance.hears('READ a')).connection, 2);
 });
 
-test('an answer that comes after its lease was given up reaches nobody', async () => {
+test('a response that arrives after its lease was abandoned is discarded', async () => {
   await start(1);
   instance.hold = 'READ late';
   const first = await lease();
@@ -239,7 +239,7 @@
   borrower.pool.release(second);
 });
 
-test('a statement that comes together with the end of its lease is not handed over', async () => {
+test('a statement that arrives together with the end of its lease is not sent to the instance', async () => {
   await start(1);
   const { pool } = owner(0);
   const now = (): number => performance.now();
@@ -262,7 +262,7 @@
   );
 });
 
-test('an instance that ends its connection is told apart from an owner that is lost', async () => {
+test('the loss of the connection to an instance is distinguished from the loss of an owner', async () => {
   await start(1);
   instance.hold = 'WRITE';
   const connection = await lease();
@@ -273,7 +273,7 @@
   assert.not(borrower.health.isAvoided('owner-0'));
 });
 
-test('a stopping owner refuses new leases at once, and those in use finish', async () => {
+test('a stopping owner refuses new leases at once, and leases in use finish', async () => {
   await start(2);
   const connection = await lease();
   await answerTo(connection, 'BEGIN');
@@ -289,7 +289,7 @@
   assert.is(owner(0).pool.size, 1);
 });
 
-test('an owner that knows no such instance, or does not own it, is passed over', async () => {
+test('an owner that does not know the instance, or does not own it, is skipped', async () => {
   await start(3);
   owner(0).known = false;
   owner(1).isOwned = false;
@@ -302,14 +302,14 @@
   );
 });
 
-test('an owner that knows the instance to leave lends no connection', async () => {
+test('an owner that knows that the instance is leaving lends no connection', async () => {
   await start(2);
   owner(0).usable = false;
   assert.instance((await borrower.acquire())._unsafeUnwrapErr(), InstanceWaitTimeoutError);
   assert.is(instance.connectionCount, 0);
 });
 
-test('nothing new is handed over to a leaving instance, but an open transaction goes on', async () => {
+test('a leaving instance gets no new statement, but an open transaction continues', async () => {
   await start(1);
   const fresh = await lease();
   const inside = await lease();
@@ -321,7 +321,7 @@
   assert.not(instance.heard.some(({ text }) => text === 'WRITE k v'));
 });
 
-test('messages that are refused together end no connection before all of them are told', async () => {
+test('messages that are rejected together are all reported before a connection ends', async () => {
   await start(1);
   const connection = await lease();
   owner(0).usable = false;
@@ -332,7 +332,7 @@
   assert.is((await exchange)._unsafeUnwrap().error?.code, 'busy');
 });
 
-test('an instance that its owner can not reach is told as unreachable', async () => {
+test('an instance that its owner cannot reach is reported as unreachable', async () => {
   await start(2);
   await instance.stop();
   const failed = await borrower.acquire();
@@ -341,7 +341,7 @@
   instance = await ScriptedInstance.start('i-2');
 });
 
-test('leases wait their turn with the owner, and one that is given up leaves the queue', async () => {
+test('lease requests queue at the owner, and a cancelled one leaves the queue', async () => {
   await start(1);
   const held = [await lease(), await lease()];
   const soon = performance.now() + 100;
@@ -354,7 +354,7 @@
   assert.is(instance.connectionCount, 2);
 });
 
-test('one question to the instance tells its position to all who ask meanwhile', async () => {
+test('concurrent position requests share one query to the instance', async () => {
   await start(1);
   const asked = Array.from({ length: 20 }, () => borrower.pool.lender?.position(2000));
   const answers = await Promise.all(asked);
@@ -397,7 +397,7 @@
   );
 });
 
-test('names that an instance does not know are prepared again', async () => {
+test('prepared statements that an instance does not know are prepared again', async () => {
   await start(1);
   instance.fail = { text: 'EXECUTE', code: 'UNPREPARED' };
   const first = (await read('EXECUTE shared k', { prepared: PREPARED }))._unsafeUnwrap();
@@ -407,14 +407,14 @@
   assert.is(instance.heard.filter(({ text }) => text.startsWith('PREPARE')).length, 2);
 });
 
-test('an owner that is silent about a read is passed over', async () => {
+test('an owner that does not respond to a read is skipped', async () => {
   silent = await SilentNode.start('silent');
   await start(1);
   assert.match((await read('READ k'))._unsafeUnwrap().payload, 'ROW READ k');
   assert.ok(borrower.health.isAvoided('silent'));
 });
 
-test('a read that nobody waits for any more is not handed over', async () => {
+test('a cancelled read is not sent to the instance', async () => {
   await start(1);
   const { pool } = owner(0);
   const deadline = performance.now() + 5000;
@@ -440,7 +440,7 @@
   );
 });
 
-test('who waits for a connection leaves at once when that is cancelled, here and at the owner', async () => {
+test('a cancelled wait for a connection ends at once, at the borrower and at the owner', async () => {
   await start(1);
   const { pool } = owner(0);
   const held = [await lease(), await lease()];
@@ -456,7 +456,7 @@
   borrower.pool.release(await lease());
 });
 
-test('an instance that does not answer a read loses the connection, and its owner is not blamed', async () => {
+test('if an instance does not respond to a read its connection is closed, and the owner is not considered faulty', async () => {
   await start(1);
   instance.hold = 'READ';
   assert.instance((await read('READ k'))._unsafeUnwrapErr(), InstanceConnectionLostError);
@@ -466,14 +466,14 @@
   (await read('READ l'))._unsafeUnwrap();
 });
 
-test('no read is handed over to a leaving instance', async () => {
+test('no read is sent to a leaving instance', async () => {
   await start(1);
   owner(0).usable = false;
   assert.instance((await read('READ k'))._unsafeUnwrapErr(), InstanceWaitTimeoutError);
   assert.is(instance.connectionCount, 0);
 });
 
-test('what is no request for a lease is refused', async () => {
+test('a malformed lease request is refused', async () => {
   await start(1);
   const stream = borrower.transport.openStream(owner(0).node, { type: 'lease', service: 7 });
   const ended = new Promise((resolve) => {
--- a/test/unit/direct/reported-primaries.test.ts
+++ b/test/unit/direct/reported-primaries.test.ts
@@ -40,7 +40,7 @@
   return { revision, primaries: [{ service: SERVICE, instanceId }] };
 }
 
-test('how long a primary has been silent is passed on with its failure', () => {
+test('the report of a primary failure includes how long the primary has been silent', () => {
   const reported: unknown[][] = [];
   const view = {
     recordsRevision: 0,
@@ -50,7 +50,7 @@
   assert.equal(reported, [[SERVICE, 100, 'commit', 400]]);
 });
 
-test('without records the newest that was told is the primary, and it is not trusted', () => {
+test('without records the newest reported primary is used, and it is not trusted', () => {
   const view = recorded(0, undefined, false);
   assert.is(view.primaryOf(SERVICE), undefined);
   assert.is(view.describe([SERVICE]), undefined);
@@ -62,14 +62,14 @@
   assert.equal(view.describe([SERVICE]), part(7, 'i-1'));
 });
 
-test('records that are as new bind', () => {
+test('records take precedence over a report of the same revision', () => {
   const view = recorded(7, 'i-1', false);
   view.update(part(7, 'i-2'));
   assert.is(view.primaryOf(SERVICE)?.id, 'i-1');
   assert.equal(view.describe([SERVICE]), part(7, 'i-1'));
 });
 
-test('records bind a node that no promotion can pass by, whatever is told', () => {
+test('records take precedence over any report at a node that no promotion can bypass', () => {
   const view = recorded(7, 'i-1', true);
   view.update(part(9, 'i-2'));
   assert.is(view.primaryOf(SERVICE)?.id, 'i-1');
@@ -77,7 +77,7 @@
   assert.is(view.mayTrustPrimary(SERVICE, 0, 'i-2'), false);
 });
 
-test('of a node that was cut off, what is told is newer than its records', () => {
+test('at a node that was cut off from the store a newer report takes precedence over its records', () => {
   const view = recorded(7, 'i-1', false);
   view.update(part(9, 'i-2'));
   assert.is(view.primaryOf(SERVICE)?.id, 'i-2');
--- a/test/unit/direct/request-log.test.ts
+++ b/test/unit/direct/request-log.test.ts
@@ -33,7 +33,7 @@
   return { lines, logger, now, end, advance };
 }
 
-test('requests that went well are told for a sample of ids, in one line', () => {
+test('successful requests are logged for a sample of ids, in one line', () => {
   const { lines, end } = situation();
   end(SAMPLED, 5);
   end(OTHER, 5);
@@ -43,7 +43,7 @@
   );
 });
 
-test('those that failed or came late are told with each decision', () => {
+test('failed and late requests are logged with each decision', () => {
   const { lines, end } = situation();
   end(OTHER, 5, 'in-doubt');
   end(OTHER, TARGET_MS + 1);
@@ -56,7 +56,7 @@
   );
 });
 
-test('a flood of failures is told in part, and what was left out is counted', () => {
+test('a flood of failures is logged in part, and the omitted lines are counted', () => {
   const { lines, end, advance } = situation();
   for (let number = 0; number < 100; number += 1) end(OTHER, 0, 'busy');
   const told = lines.filter(({ event }) => event === 'request ended').length;
@@ -66,7 +66,7 @@
   assert.is(lines.at(-1)?.alikeLeftOut, 100 - told);
 });
 
-test('a request with very many decisions keeps the first of them and says so', () => {
+test('a request with very many decisions keeps the first of them and counts the omitted ones', () => {
   const trace = new RequestTrace(0, () => 0);
   for (let number = 0; number < 100; number += 1)
     trace.record({ step: 'budget-spent', attempts: 1 });
@@ -74,7 +74,7 @@
   assert.ok(trace.omittedSteps > 0);
 });
 
-test('a request that looks again and again for an instance says so once for each reason', () => {
+test('a request that finds no instance repeatedly records this once for each reason', () => {
   const trace = new RequestTrace(0, () => 0);
   const looks = [true, true, true, false, false];
   for (const isChanging of looks) {
@@ -83,7 +83,7 @@
   assert.is(trace.steps.length, 2);
 });
 
-test('each change of a belief is told once, with what was believed before and for how long', () => {
+test('each change of a belief is logged once, with the former belief and its duration', () => {
   const { lines, logger, now, advance } = situation();
   let primary = 'i-1';
   const view = {
--- a/test/unit/direct/sent-ahead-at-stop.test.ts
+++ b/test/unit/direct/sent-ahead-at-stop.test.ts
@@ -10,7 +10,7 @@
  * BEGIN, WRITE and COMMIT, sent in one piece, arrive after the stop notice was sent. The notice refuses BEGIN. If the
  * session then handled the next statements normally, the WRITE would run outside any transaction.
  */
-test('a write sent ahead behind a BEGIN that was refused at the stop does not run', async () => {
+test('a write that is pipelined after a BEGIN refused at the planned stop does not run', async () => {
   const ran: string[] = [];
   const lines: string[] = [];
   const session = new CallerSession({
--- a/test/unit/direct/service-runtime.test.ts
+++ b/test/unit/direct/service-runtime.test.ts
@@ -49,7 +49,7 @@
   return { world, service, usable, members };
 }
 
-test('one that the store does not have ends well before the drain time is over', () => {
+test('an instance that a peer reported and the store does not list is used for only a part of the drain timeout', () => {
   const { world, service, usable } = setUp();
   service.setInstances([entry('i-1'), entry('i-2')], 'peer');
   assert.equal(usable(), ['i-1', 'i-2']);
@@ -60,7 +60,7 @@
   assert.equal(usable(), ['i-1']);
 });
 
-test('one that the store has told of is used for the drain time less its margin', () => {
+test('an instance that the store listed before is used for the drain timeout less a margin', () => {
   const { world, service, usable } = setUp();
   world.isWell = true;
   service.setInstances([entry('i-1'), entry('i-2')]);
@@ -71,7 +71,7 @@
   assert.equal(usable(), ['i-1']);
 });
 
-test('one that was born again is another one: the life before gets nothing more, however the store is', () => {
+test('after a restart under its id an instance gets work only in its new incarnation, whether the store is reachable or not', () => {
   const { world, service, usable } = setUp();
   const first = { ...entry('i-1@100'), lifeOf: 'i-1' };
   const second = { ...entry('i-1@200'), lifeOf: 'i-1' };
@@ -79,14 +79,14 @@
   service.setInstances([first, entry('i-2')]);
   service.setInstances([entry('i-2')]);
   world.isWell = false;
-  assert.equal(usable(), ['i-1@100', 'i-2'], 'its entry may have lapsed');
+  assert.equal(usable(), ['i-1@100', 'i-2'], 'its registration may have expired');
   service.setInstances([second, entry('i-2')]);
   assert.equal(usable(), ['i-2', 'i-1@200']);
   world.now = DRAIN_MS;
   assert.equal(usable(), ['i-2', 'i-1@200']);
 });
 
-test('a replica whose entry lapsed while the store was away is read until its entry could be back', () => {
+test('a replica whose registration expired while the store was unreachable is read until it could have registered again', () => {
   const { world, service } = setUp();
   const readable = (): string[] => service.readable(world.now).map(({ id }) => id);
   world.isWell = true;
@@ -105,7 +105,7 @@
   assert.equal(readable(), ['i-1']);
 });
 
-test('a replica whose entry goes while the store is well is not read any more', () => {
+test('a replica whose registration goes while the store is reachable is no longer read', () => {
   const { world, service } = setUp();
   world.isWell = true;
   service.setInstances([entry('i-1'), entry('i-2')]);
@@ -118,7 +118,7 @@
   );
 });
 
-test('one that turns out to be draining gets nothing more: for how long it has been is unknown', () => {
+test('an instance that turns out to be draining gets no more work, since the start of its draining is unknown', () => {
   const { world, service, usable } = setUp();
   service.setInstances([entry('i-1'), entry('i-2')], 'peer');
   world.isWell = true;
@@ -126,7 +126,7 @@
   assert.equal(usable(), ['i-1']);
 });
 
-test('a departed member gets no work, and counts until the store answers', () => {
+test('a departed member gets no work, and counts as a member until the store responds', () => {
   const { world, service, usable, members } = setUp();
   service.addDeparted([entry('i-9')]);
   service.setInstances([entry('i-1')], 'peer');
@@ -136,7 +136,7 @@
   assert.equal(members(), ['i-1']);
 });
 
-test('a new owner takes half of its share until connections of owners that lost power have ended', () => {
+test('a new owner uses half of its share until connections of owners that lost power have ended', () => {
   const { world, service } = setUp();
   const nodes = [{ nodeId: 'n-1', zone: 'a', host: '10.0.0.9', port: 1 }];
   const roster: OwnerRoster = { ownersPerInstance: 2, nodes };
@@ -157,7 +157,7 @@
   assert.is(limit(), 8);
 });
 
-test('nothing is opened while owners are named that this node can not ask yet', () => {
+test('no connection is opened while this node has no links yet to the published owners', () => {
   const { world, service } = setUp();
   Object.assign(world.ownership, { isPending: true });
   service.setInstances([entry('i-1')]);
@@ -173,8 +173,8 @@
 });
 
 for (const [name, start, atFirst] of [
-  ['a node that replaces another takes half of its share at first', { startedAt: 0 }, 2],
-  ['a node of a first start takes its whole share', { startedAt: 0, isFirstStart: true }, 4],
+  ['a node that replaces another uses half of its share at first', { startedAt: 0 }, 2],
+  ['a node of a first start uses its whole share at once', { startedAt: 0, isFirstStart: true }, 4],
 ] as const) {
   test(name, () => {
     const { world, service } = setUp(start);
@@ -189,21 +189,21 @@
   });
 }
 
-test('who waits for a primary is told once when it is replaced', () => {
+test('listeners to a change of the primary are notified once when it is replaced', () => {
   const { service } = setUp();
   const before = service.changeOfPrimary;
-  let told = 0;
+  let notificationCount = 0;
   before.listen(() => {
-    told += 1;
+    notificationCount += 1;
   });
   service.handlePrimaryChange();
   service.handlePrimaryChange();
-  assert.is(told, 1);
+  assert.is(notificationCount, 1);
   assert.ok(before.isCancelled);
   assert.not(service.changeOfPrimary.isCancelled);
 });
 
-test('a term in which a primary was found leading is taken over, and never a lower one', () => {
+test('the term of a confirmed primary is adopted, and never a lower one', () => {
   const { service } = setUp();
   service.recordTerm({ instanceId: 'i-1', term: 3 });
   service.recordTerm({ instanceId: 'i-2', term: 2 });
--- a/test/unit/direct/start-log.test.ts
+++ b/test/unit/direct/start-log.test.ts
@@ -7,13 +7,13 @@
 import { createLogger } from '../../../src/observability/logger.js';
 
 function setUp() {
-  const told: string[] = [];
+  const logged: string[] = [];
   const world = { now: 0, reached: [] as StartStep[] };
   const logger = createLogger({
     ...{ format: 'json', level: 'info', fields: {} },
     write: (text) => {
       const { event, step, atMs } = JSON.parse(text);
-      told.push(`${event}: ${step} ${atMs}`);
+      logged.push(`${event}: ${step} ${atMs}`);
     },
   });
   const now = () => world.now;
@@ -23,11 +23,11 @@
       ...{ id: 'r', database: 'd', service: 's', routeType, code, text: '', targetLatencyMs: 1 },
       trace: new RequestTrace(world.now, now),
     });
-  return { world, told, log, end };
+  return { world, logged, log, end };
 }
 
-test('a step is told when it is reached, and once', () => {
-  const { world, told, log } = setUp();
+test('a step is logged once, when it is reached', () => {
+  const { world, logged, log } = setUp();
   log.refresh();
   world.now = 12.4;
   world.reached = ['configuration'];
@@ -36,18 +36,18 @@
   world.reached = ['configuration', 'ready'];
   log.refresh();
   log.refresh();
-  assert.equal(told, ['start step: configuration 12', 'start step: ready 50']);
+  assert.equal(logged, ['start step: configuration 12', 'start step: ready 50']);
 });
 
-test('the first answer on each kind of route is told, refusals are not', () => {
-  const { world, told, end } = setUp();
+test('the first response on each type of route is logged, and refusals are not', () => {
+  const { world, logged, end } = setUp();
   end('primary', 'busy');
   world.now = 80;
   end('primary');
   end('primary');
   world.now = 90;
   end('read-your-writes');
-  assert.equal(told, ['start step: served primary 80', 'start step: served read-your-writes 90']);
+  assert.equal(logged, ['start step: served primary 80', 'start step: served read-your-writes 90']);
 });
 
 test.run();
--- a/test/unit/direct/statement-runner.test.ts
+++ b/test/unit/direct/statement-runner.test.ts
@@ -92,19 +92,19 @@
   return { runner, placement, proofs: () => proofs };
 }
 
-test('a primary that can be proven is asked for a proof at once', async () => {
+test('a proof is requested at once of a primary that can be proven', async () => {
   const { runner, placement, proofs } = withoutLease(false);
   assert.is(await runner.awaitTarget(placement), true);
   assert.is(proofs(), 1);
 });
 
-test('no proof is sought of a primary that answers nothing: it would help nobody, over and over', async () => {
+test('no proof is requested of an unresponsive primary, where it would fail each time', async () => {
   const { runner, placement, proofs } = withoutLease(true);
   for (let round = 0; round < 3; round += 1) await runner.awaitTarget(placement);
   assert.is(proofs(), 0);
 });
 
-test('a read whose only instance fails at once does not try it without end', async () => {
+test('a read whose only instance fails at once does not retry endlessly', async () => {
   let time = 0;
   let openings = 0;
   const pool = {
@@ -144,7 +144,7 @@
   assert.ok(openings < TARGET_LATENCY_MS);
 });
 
-test('a change of primary that ends during the pause is worth another look', async () => {
+test('a write looks for an instance again if a change of primary ends during its pause', async () => {
   const { runner, placement } = withoutLease(true);
   let isChanging = true;
   const view = { ...primaryView(true), isChanging: () => isChanging };
@@ -223,7 +223,7 @@
   return { outcome, sent };
 }
 
-test('a write that waits for a connection to a primary goes to the next one when that is replaced', async () => {
+test('a write that waits for a connection to a primary goes to the next primary when the first is replaced', async () => {
   // For a moment there is no primary.
   const { outcome, sent } = await writeDuringChange({ isOverAtOnce: false }, () =>
     performance.now(),
@@ -232,7 +232,7 @@
   assert.equal(sent, ['new']);
 });
 
-test('a write that hears of a change only when it is over goes to the next primary, however long it waited', async () => {
+test('a write that learns of a primary change only after its end goes to the next primary, however long it waited', async () => {
   let time = 0;
   const clock = (): number => {
     // Every reading of the clock advances it by more than the write's `untriedPatienceMs`.
@@ -244,7 +244,7 @@
   assert.equal(sent, ['new']);
 });
 
-test('a replica that lacks the position is not asked again at once while the primary is busy', async () => {
+test('a replica that lacks the position is not retried at once while the primary is busy', async () => {
   const asked = { replica: 0, primary: 0 };
   const busyFor = 8;
   const instance = (id: 'replica' | 'primary', answer: () => unknown): InstanceRuntime => {
@@ -413,13 +413,13 @@
   return { outcome, sent };
 }
 
-test('a write with less time left than an answer takes is told as not run', async () => {
+test('a write with less time left than a response takes is refused as not run', async () => {
   const { outcome, sent } = await writeWithTimeLeft(20, 30);
   assert.is(outcome.type === 'refused' && outcome.refusal.code, 'busy');
   assert.is(sent, 0);
 });
 
-test('a write that the members do not vouch for is told as not run in its patience, and spends no retries', async () => {
+test('a write that the members do not confirm is refused as not run well before its deadline, and uses no retries', async () => {
   let time = 0;
   let connections = 0;
   const acquire = () => {
@@ -465,7 +465,7 @@
   assert.ok(time < DEADLINE_MS / 2, `told after ${time} ms`);
 });
 
-test('an instance that was very slow is tried all the same while there is some time', async () => {
+test('an instance that was very slow is still tried while some time is left', async () => {
   assert.is((await writeWithTimeLeft(100, 5000)).sent, 1);
   assert.is((await writeWithTimeLeft(20, 5000)).sent, 0);
 });
@@ -512,11 +512,11 @@
   return reports;
 }
 
-test('a write that was sent too late to be answered says nothing of the primary', async () => {
+test('a write that was sent too late for a response does not report a failure of the primary', async () => {
   assert.is(await reportedAfterSilence(SHORT_WAIT_MS * 100), 0);
 });
 
-test('a write that was not answered for as long as an answer may take tells of its primary', async () => {
+test('a write without a response within the maximum response time reports a failure of its primary', async () => {
   assert.is(await reportedAfterSilence(SHORT_WAIT_MS), 1);
 });
 
--- a/test/unit/direct/target-chooser.test.ts
+++ b/test/unit/direct/target-chooser.test.ts
@@ -47,7 +47,7 @@
   assert.is(requiredOf([2600, 2350, 100]), 2n);
 });
 
-test('a read never needs less than what its bound asks for, with a margin for the way', () => {
+test('a read never requires an older position than its staleness bound allows, with a margin for the transit time', () => {
   assert.is(requiredOf([2600, 2450, 100]), 3n);
 });
 
@@ -95,7 +95,7 @@
   return { asked, placement: { rank } as unknown as FleetPlacement };
 }
 
-test('without the view of a fleet, instances are ranked by own sight', () => {
+test('without the view of the fleet, instances are ranked by the observations of the node itself', () => {
   const absent = { rank: () => undefined } as unknown as FleetPlacement;
   for (const placement of [undefined, absent]) {
     const { chooser, read } = chooserWith(placement);
@@ -106,7 +106,7 @@
   }
 });
 
-test('the view of a fleet orders only what is safe, and the choice is told with its times', () => {
+test('the view of the fleet ranks only instances that are safe to read, and the trace contains the expected times', () => {
   const { asked, placement } = placementOf(['far', 'primary', 'near']);
   const { chooser, read, trace } = chooserWith(placement);
   assert.is(chooser.choose(read, new Set())?.instance.id, 'far');
--- a/test/unit/direct/tenant-templates.test.ts
+++ b/test/unit/direct/tenant-templates.test.ts
@@ -30,12 +30,12 @@
   return problems.map(formatProblem).join('\n');
 }
 
-test('the module that the gateway holds is the one that the file of templates gives', () => {
+test('the generated module of the gateway matches the template file', () => {
   const generated = readFileSync(join(ROOT, GENERATED_FILE), 'utf8');
   assert.is(generated, generateTemplateModule(TEXT), 'run npm run generate:templates');
 });
 
-test('problems name the field, and what was expected there', () => {
+test('problems name the field and the expected value', () => {
   assert.match(problemsWith('queueWeight: 1', 'queueWeight: 0'), /policy.queueWeight: expected/);
   assert.match(problemsWith('queueWeight: 1', 'weight: 1'), /policy.weight: expected no such/);
   assert.match(problemsWith('maxWaiting: 200', 'maxWaiting: many'), /policy.maxWaiting/);
@@ -44,7 +44,7 @@
   assert.match(problemsWith('gateway: direct', 'gateway: other'), /gateway/);
 });
 
-test('a parameter must be declared and used, and its bounds must fit each field that it fills', () => {
+test('a parameter must be declared and used, and its bounds must be valid for each field that it fills', () => {
   assert.match(problemsWith('  priority: { type: integer }\n', ''), /not priority/);
   assert.match(
     problemsWith('targetLatencyMs: { parameter: targetLatencyMs }', 'targetLatencyMs: 5'),
@@ -65,7 +65,7 @@
   assert.match(twice._unsafeUnwrapErr().message, /one template for routes of type bounded/);
 });
 
-test('the proxy takes none of them: not by a publish, not for a tenant', () => {
+test('the proxy accepts none of these templates, neither in a publish nor for a tenant', () => {
   const changes = declared(TEXT).map((located) => ({ type: 'put', located }) as const);
   const planned = planPublish(
     { headRevision: 0, entries: new Map() },
--- a/test/unit/direct/tenant.test.ts
+++ b/test/unit/direct/tenant.test.ts
@@ -103,7 +103,7 @@
   return { outcome, attempts };
 }
 
-test('a statement is tried again for as long as its tenant has retries left', async () => {
+test('a statement is retried while its tenant has retries left', async () => {
   const alone = await tryWrite(tenantWith({ ratio: 0, capacity: 0 }));
   assert.is(alone.attempts, 1);
   assert.is(alone.outcome.type, 'refused');
@@ -111,7 +111,7 @@
   assert.is(saved.attempts, 3);
 });
 
-test('first attempts earn retries, up to what may be saved', () => {
+test('first attempts earn retries, up to the maximum of the budget', () => {
   const tenant = tenantWith({ ratio: 0.5, capacity: 1 });
   assert.ok(tenant.tryTakeRetry());
   assert.not(tenant.tryTakeRetry());
@@ -120,7 +120,7 @@
   assert.not(tenant.tryTakeRetry());
 });
 
-test('a change of the policy keeps the sessions, and the budget if that has not changed', () => {
+test('a changed policy keeps the sessions, and the retry budget if its settings are unchanged', () => {
   const tenant = tenantWith({ ratio: 0, capacity: 1 });
   assert.ok(tenant.openSession());
   assert.ok(tenant.tryTakeRetry());
--- a/test/unit/direct/term-confirmation.test.ts
+++ b/test/unit/direct/term-confirmation.test.ts
@@ -41,20 +41,20 @@
   return { rounds, asked: () => asked };
 }
 
-test('with all members known their answers prove the primary and a position', async () => {
+test('if all members are known their responses prove the primary and a position', async () => {
   const { rounds } = confirmation([]);
   assert.is(await rounds.confirm(SERVICE, PRIMARY, 'read'), true);
   assert.equal(await rounds.acknowledgedPosition(SERVICE), POSITION);
 });
 
-test('a member that can not be asked counts as silent', async () => {
+test('a member that cannot be queried counts as unresponsive', async () => {
   const { rounds } = confirmation(['left']);
   assert.is(await rounds.confirm(SERVICE, PRIMARY, 'read'), true);
   assert.is(await rounds.confirm(SERVICE, PRIMARY, 'commit'), false);
   assert.is(await rounds.acknowledgedPosition(SERVICE), undefined);
 });
 
-test('while nobody has told who the members are nothing is proven, and nobody is asked', async () => {
+test('while the members are unknown nothing is proven, and no member is queried', async () => {
   const { rounds, asked } = confirmation(undefined);
   assert.is(await rounds.confirm(SERVICE, PRIMARY, 'read'), false);
   assert.is(await rounds.acknowledgedPosition(SERVICE), undefined);
--- a/test/unit/direct/transaction.test.ts
+++ b/test/unit/direct/transaction.test.ts
@@ -84,7 +84,7 @@
 const OWNER_LOST = err(new InstanceConnectionLostError('the leased connection ended', 'owner'));
 const INSTANCE_LOST = err(new InstanceConnectionLostError('the leased connection ended'));
 
-test('a first statement that an owner may still hand over is not begun again elsewhere', async () => {
+test('a transaction whose first statement the owner may still send is not restarted at another instance', async () => {
   for (const answer of [NEVER, Promise.resolve(OWNER_LOST)]) {
     const { run, asked } = situation(true, answer);
     const outcome = await run();
@@ -93,7 +93,7 @@
   }
 });
 
-test('one that surely runs no more is begun again elsewhere', async () => {
+test('a transaction whose first statement provably no longer runs is restarted at another instance', async () => {
   const cases = [
     situation(false, NEVER),
     situation(false, Promise.resolve(INSTANCE_LOST)),
--- a/test/unit/direct/trust-prover.test.ts
+++ b/test/unit/direct/trust-prover.test.ts
@@ -36,7 +36,7 @@
   return { prover, counters, asked };
 }
 
-test('a primary of unknown term is proven by the members telling their roles', async () => {
+test('a primary of unknown term is proven by the roles that the members report', async () => {
   const service = serviceOfUnknownTerm();
   const { prover, asked } = proverWith(true);
   assert.ok(await prover.prove(service));
@@ -45,7 +45,7 @@
   assert.not(prover.covers(service, PRIMARY_ID, NOW + 1));
 });
 
-test('one that the members do not confirm is not proven', async () => {
+test('a primary that the members do not confirm is not proven', async () => {
   const service = serviceOfUnknownTerm();
   const { prover, counters } = proverWith(false);
   assert.is(await prover.examine(service), 'unknown');
--- a/test/unit/direct/within.test.ts
+++ b/test/unit/direct/within.test.ts
@@ -26,7 +26,7 @@
   far.destroy();
 });
 
-test('an answer that came in time and waits unread in a late process is taken', async () => {
+test('a response that arrived in time and is read late by a delayed process is used', async () => {
   const answer = once(near, 'data').then(([chunk]) => String(chunk));
   const first = firstWithin([answer], WAIT_MS);
   far.write('done');
@@ -34,7 +34,7 @@
   assert.is(await first, 'done');
 });
 
-test('no answer in time is undefined', async () => {
+test('without a response in time the result is undefined', async () => {
   const answer = once(near, 'data');
   assert.is(await firstWithin([answer], WAIT_MS), undefined);
 });
--- a/test/unit/direct/zone-positions.test.ts
+++ b/test/unit/direct/zone-positions.test.ts
@@ -98,13 +98,13 @@
   return { taken, ownQuestions: () => ownQuestions, asked: world.asked };
 }
 
-test('a told position counts from the question less its age, and the primary is not asked', async () => {
+test('a reported position counts from the time of the query less its age, and the primary is not queried', async () => {
   const { taken, ownQuestions } = await sampleOnce(encodeReportedPositions([told]));
   assert.equal(taken, [{ sentAt: 10_000 - 300, position }]);
   assert.is(ownQuestions(), 0);
 });
 
-test('without a primary, what the replicas told a reader is taken, however old the last position is', async () => {
+test('without a primary the position that replicas reported to a reader is used, however old the last position is', async () => {
   const byReplicas = { ...told, instanceId: REPORTED_BY_REPLICAS };
   const answer = encodeReportedPositions([byReplicas]);
   const { taken, ownQuestions } = await sampleOnce(answer, { isLeaderless: true, newestAt: 0 });
@@ -112,12 +112,12 @@
   assert.is(ownQuestions(), 0);
 });
 
-test('a position of another instance than the primary is not taken', async () => {
+test('a position of another instance than the primary is rejected', async () => {
   const { taken } = await sampleOnce(encodeReportedPositions([{ ...told, instanceId: 'i-2' }]));
   assert.equal(taken, []);
 });
 
-test('the primary is asked by this node if readers do not help, it failed lately, or trust is missing', async () => {
+test('this node queries the primary itself if the readers report nothing new, the primary failed recently, or it is not trusted', async () => {
   const answer = encodeReportedPositions([told]);
   const situations: readonly Situation[] = [
     { newestAt: 9000 },
@@ -130,7 +130,7 @@
   }
 });
 
-test('a reader that does not answer is left alone for a while, and another one asked', async () => {
+test('an unresponsive reader is skipped for a while, and another one is queried', async () => {
   const readers = [reader('r-1'), { ...reader('r-2'), port: 2 }];
   const { world, zone } = zoneOf({ type: 'others', readers }, () => undefined);
   assert.equal(await zone.requestPositions(['orders']), []);
@@ -142,7 +142,7 @@
   assert.ok(zoneOf({ type: 'self' }, () => undefined).zone.isReader);
 });
 
-test('what is not in its form is not taken', () => {
+test('malformed messages are rejected', () => {
   assert.equal(parseReportedPositions(encodeReportedPositions([told])), [told]);
   const malformed: readonly WireValue[] = [
     ...[null, {}, [null], [{ ...told }], [{ ...told, position: { timeline: 1, lsn: '1x' } }]],
--- a/test/unit/return/returning-fleet.test.ts
+++ b/test/unit/return/returning-fleet.test.ts
@@ -1,4 +1,4 @@
-/** Which fleets fit beside the connections they left, and who comes back through owners. */
+/** Which fleets fit beside the connections that they left open, and which nodes connect through owners after a restart. */
 import fc from 'fast-check';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -20,7 +20,7 @@
 const RUNS = { seed: 20261203, numRuns: 500 };
 const limits = fc.integer({ min: 1, max: 1000 });
 
-test('a mesh that comes back by itself, larger than a small fleet, fits twice beside the reserved connections', () => {
+test('the largest fleet that restarts without owners, if larger than a small fleet, fits twice beside the reserved connections', () => {
   fc.assert(
     fc.property(limits, (maxConnections) => {
       const nodes = maxFleetWithoutReturnOwners(maxConnections);
@@ -31,7 +31,7 @@
   );
 });
 
-test('a mesh is never larger than the connections of an instance, and a small one only for their sake', () => {
+test('a fleet without return owners never exceeds the connection limit of an instance, and is smaller than a small fleet only because of that limit', () => {
   fc.assert(
     fc.property(limits, (maxConnections) => {
       const nodes = maxFleetWithoutReturnOwners(maxConnections);
@@ -42,7 +42,7 @@
   );
 });
 
-test('no larger mesh fits twice', () => {
+test('no larger fleet fits twice', () => {
   fc.assert(
     fc.property(limits, (maxConnections) => {
       const more = maxFleetWithoutReturnOwners(maxConnections) + 1;
@@ -54,7 +54,7 @@
 
 const MAX_CONNECTIONS = 46;
 
-/** What the leader of so many nodes publishes; `largestDirectFleet` as an operator sets it. */
+/** What the leader publishes for this number of nodes; `largestDirectFleet` as an operator sets it. */
 function publishedBy(
   nodes: number,
   largestDirectFleet?: number,
@@ -83,7 +83,7 @@
   return published;
 }
 
-test('a fleet that would not fit beside the connections it left has owners for those that come back', () => {
+test('a fleet that would not fit beside the connections it left open has owners for restarted nodes', () => {
   assert.is(publishedBy(MAX_SMALL_FLEET_NODES)?.returnOwners, undefined);
   const fleet = publishedBy(36);
   assert.is(fleet?.owners, undefined);
@@ -91,25 +91,25 @@
   assert.is(fleet?.returnOwners?.nodes.length, 36);
 });
 
-test('the owners stay named while the nodes that lost power are not counted', () => {
+test('the owners stay published while the nodes that lost power are not counted', () => {
   const before = publishedBy(36);
   const after = publishedBy(4, undefined, before);
   assert.is(after?.returnOwners?.ownersPerInstance, 2);
 });
 
-test('a fleet that always has owners comes back through them', () => {
+test('a fleet that always has owners connects through them after a restart', () => {
   const fleet = publishedBy(36, 23);
   assert.is(fleet?.owners?.ownersPerInstance, 2);
   assert.is(fleet?.returnOwners, undefined);
 });
 
-test('what the leader publishes is read as it was written', () => {
+test('the published settings are parsed as they were written', () => {
   const fleet = publishedBy(36);
   const entry = { key: 'k', value: JSON.stringify(fleet), createRevision: 1, modRevision: 1 };
   assert.equal(decodeRecord(entry, parseFleetRecord)?.returnOwners, fleet?.returnOwners);
 });
 
-test('a process that replaces another returns for as long as connections may be left, each for a little longer', () => {
+test('a process that replaces another uses the return owners while old connections may exist, each process for a slightly different time', () => {
   const replacing = { startedAt: 1000, isFirstStart: false, jitter: 0 };
   assert.ok(isReturning(replacing, 4499));
   assert.not(isReturning(replacing, 4500));
