--- a/test/unit/at-most-once.test.ts
+++ b/test/unit/at-most-once.test.ts
@@ -41,7 +41,7 @@
   return actions;
 }
 
-test('the claim goes before the batch in the same transaction', () => {
+test('the claim of the idempotency key is sent before the batch in the same transaction', () => {
   const first = startOnce(CLAIM, 'autocommit').action;
   assert.equal(first, {
     type: 'run-own',
@@ -53,7 +53,7 @@
   assert.equal(inside, ['INSERT INTO', 'batch', 'done']);
 });
 
-test('a claimed key is reported as done earlier, and the batch is never sent', () => {
+test('a key that is already claimed is reported as done earlier, and the batch is never sent', () => {
   const actions = actionsOf('autocommit', [failed('23505'), COMMITTED]);
   assert.equal(actions, ['BEGIN; INSERT', 'ROLLBACK', 'MS-ALREADY-DONE done']);
   const lost = actionsOf('autocommit', [failed('23505'), LOST]);
@@ -62,7 +62,7 @@
   assert.equal(inside, ['INSERT INTO', 'MS-ALREADY-DONE done']);
 });
 
-test("a unique violation of the caller's own statement is the database's error", () => {
+test("a unique violation of the caller's own statement is returned as the database's error", () => {
   const actions = actionsOf('autocommit', [IN_TRANSACTION, failed('23505'), COMMITTED]);
   assert.equal(actions, ['BEGIN; INSERT', 'batch', 'ROLLBACK', 'database-error']);
   const lost = actionsOf('autocommit', [IN_TRANSACTION, failed('23505'), LOST]);
@@ -79,7 +79,7 @@
   assert.equal(actionsOf('in-transaction', [failed('42P01')]).at(-1), 'MS-ONCE-CLAIM not-run');
 });
 
-test('a lost connection is unknown only while COMMIT is running', () => {
+test('the outcome after a lost connection is unknown only while COMMIT is running', () => {
   const lastAction = (mode: OnceMode, ...answers: OnceAnswer[]): string | undefined =>
     actionsOf(mode, answers).at(-1);
   const notRun = 'MS-NOT-RUN-CONNECTION-LOST-BEFORE-SEND not-run';
@@ -95,7 +95,7 @@
   assert.is(lastAction('autocommit', failed('42P01'), LOST), notRun);
 });
 
-test('a batch that ended its transaction, and a commit that failed, are not done', () => {
+test('a batch that ended its transaction itself, and a failed COMMIT, are not reported as done', () => {
   const ended = actionsOf('autocommit', [IN_TRANSACTION, COMMITTED]);
   assert.is(ended.at(-1), 'MS-ONCE-TRANSACTION-ENDED unknown');
   const refusedCommit: OnceAnswer = { type: 'ready', status: 'I', errorSqlState: '23503' };
@@ -103,7 +103,7 @@
   assert.is(actions.at(-1), 'database-error');
 });
 
-test('what lasts is confirmed before it is reported', () => {
+test('a durable commit is confirmed before it is reported', () => {
   const alreadyDone = new AlreadyDoneError('unlock-17');
   assert.ok(needsConfirmation({ type: 'done' }));
   assert.ok(needsConfirmation({ type: 'refused', error: alreadyDone }));
--- a/test/unit/batch-runner.test.ts
+++ b/test/unit/batch-runner.test.ts
@@ -57,7 +57,7 @@
   return result;
 }
 
-test('a COMMIT that succeeds ends with the end of the statement', () => {
+test('after a successful COMMIT the response ends with the completion of the statement', () => {
   const result = runKeyed(connectionWith([ready('T'), ready('T', DONE), ready('I')]));
   assert.is(result?.type, 'ready');
   if (result?.type !== 'ready') return;
@@ -65,7 +65,7 @@
   assert.is(result.errorSqlState, undefined);
 });
 
-test('a COMMIT that fails ends with its own error and without the end of the statement', () => {
+test('after a failed COMMIT the response ends with the error of COMMIT, without the completion of the statement', () => {
   const failingCommit = (batch: BackendBatch): void => {
     batch.onMessages(COMMIT_ERROR);
     ready('I', NOTHING, '23503')(batch);
--- a/test/unit/budget-lease.test.ts
+++ b/test/unit/budget-lease.test.ts
@@ -38,14 +38,14 @@
   };
 }
 
-test('a new granter grants nothing while the one before it may still grant', () => {
+test('a new granter grants nothing while its predecessor may still grant', () => {
   const now = MAX_AUTHORITY_MS - 1;
   const answer = granterAt(now).answer(request({ holding: 10 }), now);
   assert.is(answer.type === 'refused' && answer.reason, 'waiting');
-  assert.is(answer.type === 'refused' && answer.term, undefined, 'the term is not told yet');
+  assert.is(answer.type === 'refused' && answer.term, undefined, 'the term is not reported yet');
 });
 
-test('a request without the term may be old: it gets the term and no share', () => {
+test('a request without the present term, which may be old, gets the term and no share', () => {
   const answer = granterAt(MAX_SHARE_LIFETIME_MS).answer(
     request({ term: 'another/1' }),
     MAX_SHARE_LIFETIME_MS,
@@ -53,7 +53,7 @@
   assert.equal(answer, { type: 'refused', number: 1, reason: 'term-unknown', term: TERM });
 });
 
-test('what holders report is renewed before the wait is over, and no more', () => {
+test('while a new granter waits it renews only the shares that holders report', () => {
   const now = MAX_SHARE_LIFETIME_MS - 1;
   const granter = granterAt(now);
   const renewed = granter.answer(request({ holding: 4 }), now);
@@ -62,14 +62,14 @@
   assert.equal(fresh, { type: 'granted', number: 1, connections: 0, mayGrowSoon: true });
 });
 
-test('a granter without a fresh confirmation grants nothing', () => {
+test('a granter without a recent confirmation grants nothing', () => {
   const granter = granterAt(MAX_SHARE_LIFETIME_MS);
   const late = MAX_SHARE_LIFETIME_MS + authorityMs;
   const answer = granter.answer(request(), late);
   assert.is(answer.type === 'refused' && answer.reason, 'no-authority');
 });
 
-test('a share counts from when its request was sent, not from the answer', () => {
+test('the lease of a share starts when its request was sent, not when the response arrived', () => {
   const holder = new BudgetHolder('h', OPTIONS);
   const { number } = holder.request(1000);
   holder.receiveResponse(
@@ -80,7 +80,7 @@
   assert.is(holder.connections(1000 + leaseMs), 0);
 });
 
-test('a released share is free for others at the next request', () => {
+test('a released share is available to others at the next request', () => {
   const granter = granterAt(MAX_SHARE_LIFETIME_MS);
   const leasable = leasableConnections(LIMIT, OPTIONS);
   granter.answer(request({ wanted: LIMIT }), MAX_SHARE_LIFETIME_MS);
@@ -89,13 +89,13 @@
   assert.is(granter.outstandingConnections(MAX_SHARE_LIFETIME_MS), 0);
 });
 
-test('what is not leased is divided among the owners, one connection at least', () => {
+test('the unleased connections are divided among the owners, with at least one for each', () => {
   assert.is(leasableConnections(LIMIT, OPTIONS), 28);
   assert.is(unleasedConnections(LIMIT, 2, OPTIONS), 3);
   assert.is(unleasedConnections(2, 4, OPTIONS), 1);
 });
 
-test('what was taken into use meanwhile is kept under the old share, and reported at once', () => {
+test('connections taken into use while a smaller share is granted are kept under the old share, and reported at once', () => {
   const holder = new BudgetHolder('h', OPTIONS);
   const grant = (connections: number, at: number): void => {
     const { number } = holder.request(at);
@@ -112,7 +112,7 @@
   assert.is(holder.request(2002).inUse, 7);
 });
 
-test('less than what was reported as in use is meant so', () => {
+test('a granted share below the reported use is applied', () => {
   const holder = new BudgetHolder('h', OPTIONS);
   holder.setInUse(5);
   const { number } = holder.request(1000);
--- a/test/unit/busy-pace.test.ts
+++ b/test/unit/busy-pace.test.ts
@@ -10,7 +10,7 @@
 const CAPACITY_PER_SECOND = (SLOTS * 1000) / WORK_MS;
 
 /** Simulates nodes that always have a statement to send, and one instance that refuses statements while its queue is full. */
-function play(nodeCount: number, isPaced: boolean, seconds: number) {
+function simulate(nodeCount: number, isPaced: boolean, seconds: number) {
   const nodes = Array.from({ length: nodeCount }, (_, index) => ({
     pace: new BusyPace(),
     /** Without pacing, each node starts a statement every 15 ms. */
@@ -38,15 +38,15 @@
   return counts;
 }
 
-test('a fleet that is paced has few refusals and loses little of what the instance can do', () => {
-  const wild = play(68, false, 20);
+test('a paced fleet has few refusals and uses most of the capacity of the instance', () => {
+  const wild = simulate(68, false, 20);
   assert.ok(wild.refused > 15 * wild.served, JSON.stringify(wild));
-  const paced = play(68, true, 20);
+  const paced = simulate(68, true, 20);
   assert.ok(paced.refused < 0.6 * paced.served, JSON.stringify(paced));
   assert.ok(paced.served > 0.85 * 20 * CAPACITY_PER_SECOND, JSON.stringify(paced));
 });
 
-test('refusals of statements that ran together count once, and answers take the pause away', () => {
+test('refusals of concurrent statements count once, and responses end the pause', () => {
   const pace = new BusyPace();
   assert.ok(pace.mayStart(0));
   for (let count = 0; count < 5; count += 1) pace.recordBusy(100, 68);
@@ -60,7 +60,7 @@
   assert.is(pace.intervalMs, 0);
 });
 
-test('an instance that refuses whatever the load gets a hundred starts a second from the fleet', () => {
+test('an instance that refuses regardless of its load gets a hundred starts per second from the fleet', () => {
   const pace = new BusyPace();
   for (let now = 0; now < 20_000; now += 1000) pace.recordBusy(now, 6);
   assert.is(pace.intervalMs, 60);
--- a/test/unit/candidate.test.ts
+++ b/test/unit/candidate.test.ts
@@ -38,11 +38,11 @@
   return membersWithAllCommits({ replicas, ...question }).map(({ entry }) => entry.id);
 }
 
-test('a silent member leaves no proof without the old primary or its successor', () => {
+test('with an unresponsive member nothing is proven without the old primary or its successor', () => {
   assert.equal(provenIds([observation('held', { lsn: 9n }), SILENT]), []);
 });
 
-test("a held successor in place proves who has the old primary's log", () => {
+test("a held successor at the old primary's address proves which members have the old primary's log", () => {
   const successor = observation('successor', { lsn: 9n });
   const replicas = [
     successor,
@@ -53,7 +53,7 @@
   assert.equal(provenIds(replicas, successor), ['successor', 'same']);
 });
 
-test('a successor that is not held, or lacks what another has, proves nothing', () => {
+test('a successor that is not held, or lacks records that another member has, proves nothing', () => {
   const loose = observation('successor', { lsn: 9n, stopped: false });
   assert.equal(provenIds([loose, SILENT], loose), []);
   const empty = observation('successor', { lsn: 0n });
--- a/test/unit/checkers.test.ts
+++ b/test/unit/checkers.test.ts
@@ -50,7 +50,7 @@
   assert.equal(reasonsOf(promise, { requests: moved }), ['own-write-not-seen']);
 });
 
-test('reads of other sessions, groups and earlier reads are no breach', () => {
+test('reads of other sessions or groups, and earlier reads, are no violation', () => {
   const requests = [
     readAt(50, 1),
     WROTE,
@@ -62,7 +62,7 @@
   assert.equal(checkHistory(history({ requests })), []);
 });
 
-test('reads that go back are found, and are no breach of a promise', () => {
+test('reads that return an older state are found, and are no violation of a promise', () => {
   const requests = [WROTE, readAt(200, 9), readAt(300, 8), readAt(400, 9)];
   assert.equal(checkHistory(history({ requests })), []);
   assert.is(findNonMonotonicReads(history({ requests })).length, 1);
@@ -71,7 +71,7 @@
 const ACKED = requestRecord({ effectRow: 'unlocks/r1' });
 const ELECTED = { group: 'g1', instance: 'i2', timeline: 2, at: 104 };
 
-test('an acknowledgement by a replaced primary, or of a lost write, is found', () => {
+test('an acknowledgement by a replaced primary, and one of a lost write, are found', () => {
   const promise = 'noAckByReplacedPrimary';
   const discarded = commit(['unlocks/r1'], { survived: false });
   const onReplaced = { requests: [ACKED], commits: [discarded], elections: [ELECTED] };
@@ -83,7 +83,7 @@
   assert.equal(reasonsOf(promise, { requests: [doneEarlier] }), ['acknowledged-write-lost']);
 });
 
-test('acknowledged writes in the surviving log, also by an earlier attempt, are no breach', () => {
+test('acknowledged writes in the surviving log, also from an earlier attempt, are no violation', () => {
   const first = requestRecord({ ...ACKED, outcome: 'unknown' });
   const retry = requestRecord({
     attemptId: 'r1~2',
@@ -104,7 +104,7 @@
   return { attemptId, tenant: 'trust', group: 'g1', rows, outcome: 'done', ...changes };
 }
 
-test('mixed, split and half transactions are found', () => {
+test('mixed, split and partial transactions are found', () => {
   const promise = 'transactionsNeverMixed';
   const transactions = [transaction('t1'), transaction('t2', { tenant: 'bureau' })];
   const mixed = [commit(['hires/t1a', 'hires/t1b', 'hires/t2a', 'hires/t2b'])];
@@ -119,13 +119,13 @@
   assert.equal(reasonsOf(promise, { ...one, commits: half }), incomplete);
 });
 
-test('whole transactions and ones that rolled back are no breach', () => {
+test('whole transactions and rolled back ones are no violation', () => {
   const transactions = [transaction('t1'), transaction('t2', { outcome: 'failed' })];
   const commits = [commit(['hires/t1a', 'docks/7', 'hires/t1b'])];
   assert.equal(checkHistory(history({ transactions, commits })), []);
 });
 
-test('foreign, incomplete and repeated answers are found', () => {
+test('responses to other requests, incomplete responses and repeated ones are found', () => {
   const promise = 'ownWholeAnswer';
   const withAnswer = (changes: Partial<AnswerRecord>): Partial<History> => ({
     requests: [requestRecord({ answer: { ...WHOLE_ANSWER, ...changes } })],
@@ -143,7 +143,7 @@
   assert.equal(checkHistory(history({ requests: [unknown] })), []);
 });
 
-test('a request that was refused as not run but ran is found, on a lost branch too', () => {
+test('a request that was refused as not run but did run is found, also on a lost timeline', () => {
   const refused = requestRecord({ effectRow: 'unlocks/r1', outcome: 'not-run' });
   for (const survived of [true, false]) {
     const commits = [commit(['unlocks/r1'], { survived })];
@@ -167,7 +167,7 @@
   assert.equal(checkHistory(history({ requests: retried, commits: second })), []);
 });
 
-test('work given to a back end that is leaving is found', () => {
+test('requests sent to a leaving back end are found', () => {
   const leavings = [{ instance: 'i1', visibleAt: 1000, endedAt: 9000 }];
   const workAt = (instance: string, startedAt: number): Partial<History> => ({
     leavings,
@@ -180,7 +180,7 @@
   assert.equal(reasonsOf(promise, workAt('i2', 4001)), []);
 });
 
-test('a request cut by a planned stop, and a stop that failed, are found', () => {
+test('a request that was cut off by a planned stop, and a failed stop, are found', () => {
   const stop = { proxy: 'p1', requestedAt: 105, exitedAt: 500, exitCode: 0 };
   const cut = requestRecord({ ending: 'cut', outcome: 'unknown', answer: undefined });
   const promise = 'plannedStopCutsNothing';
@@ -196,7 +196,7 @@
   assert.equal(checkHistory(history({ plannedStops: [stop], requests: harmless })), []);
 });
 
-test('a configuration that is late, never seen or reverted is found', () => {
+test('a configuration that is applied late, never or reverted is found', () => {
   const promise = 'configurationInForce';
   const proxyLives = [{ proxy: 'p1', servingFrom: 0, servingUntil: undefined }];
   const acceptedConfigurations = [{ revision: 8, acceptedAt: 1000 }];
--- a/test/unit/commit-verdict.test.ts
+++ b/test/unit/commit-verdict.test.ts
@@ -30,39 +30,39 @@
   return judgeCommits({ primary: PRIMARY, syncReplicas: 1, responses: answers }, position);
 }
 
-test('commits are safe while every member follows the primary, or is gone', () => {
+test('commits are safe while every member follows the primary or is gone', () => {
   assert.is(verdict([status(), status()]), 'safe');
   assert.is(verdict([status(), 'refused']), 'safe');
 });
 
-test('a held replica may be promoted without the commit, whatever the others say', () => {
+test('a held replica may be promoted without the commit, whatever the other members respond', () => {
   assert.is(verdict([status(), HELD]), 'held');
   assert.is(verdict([HELD, 'none']), 'held');
   assert.is(verdict([HELD, 'refused'], 11n), 'held');
 });
 
-test('a held replica that has received the commit does no harm', () => {
+test('a held replica that has received the commit does not endanger it', () => {
   assert.is(verdict([HELD, status()], 10n), 'safe');
 });
 
-test('a hold for an earlier change than the one that the primary leads by counts no more', () => {
+test('a hold for an earlier primary change than that of the present primary is ignored', () => {
   assert.is(verdict([status({ heldTerm: TERM }), status()]), 'safe');
 });
 
-test('another that leads, or a later term anywhere, tells of a later primary', () => {
+test('another primary, or a later term at any member, proves that the primary was replaced', () => {
   assert.is(verdict([LEADS, status()]), 'deposed');
   assert.is(verdict([status({ term: TERM + 1 }), HELD]), 'deposed');
   assert.is(verdict([status({ received: { timeline: TERM + 1, lsn: 1n } })]), 'deposed');
   assert.is(verdict([status()], undefined, status()), 'deposed');
 });
 
-test('a silent member, or more gone than a commit needs, leaves it unknown', () => {
+test('the verdict is unknown if a member is unresponsive, or if too many members are gone for a commit', () => {
   assert.is(verdict([status(), 'none']), 'unknown');
   assert.is(verdict(['refused', 'refused']), 'unknown');
   assert.is(verdict([status()], undefined, 'none'), 'unknown');
 });
 
-test('only what the members vouch for is sent and passed on', () => {
+test('only the verdict safe lets a write be sent and a commit be reported', () => {
   const verdicts: readonly CommitVerdict[] = ['safe', 'unknown', 'held', 'deposed'];
   assert.equal(verdicts.filter(isSafe), ['safe']);
 });
--- a/test/unit/database-election.test.ts
+++ b/test/unit/database-election.test.ts
@@ -20,7 +20,7 @@
   electedTimeline: number;
 }
 
-/** Three voters that hear each other at once, unless one is in `down`. */
+/** Three voters whose messages arrive at once, except for those in `down`. */
 function createVoters(lsns: readonly number[], down: ReadonlySet<string>): Map<string, Voter> {
   const voters = new Map<string, Voter>();
   const queue: (() => void)[] = [];
@@ -85,7 +85,7 @@
   assert.is(voters.get('b')?.election.promisedTimeline, voters.get('c')?.electedTimeline);
 });
 
-test('a candidate that missed earlier rounds stands for a later timeline', () => {
+test('a candidate that missed earlier rounds requests votes for a later timeline', () => {
   const voters = createVoters([10, 20, 10], new Set(['a']));
   const behind = voters.get('c');
   if (behind !== undefined) behind.election.promisedTimeline = 6;
@@ -99,7 +99,7 @@
   assert.is(voters.get('c')?.election.promisedTimeline, 1);
 });
 
-test('voters that hear a primary refuse a candidate', () => {
+test('voters that receive heartbeats of a primary refuse a candidate', () => {
   const voters = createVoters([10, 10, 10], new Set());
   nowMs = 1_000;
   for (const name of ['a', 'b']) voters.get(name)?.election.heard('a', 1, nowMs);
@@ -108,7 +108,7 @@
   assert.is(voters.get('c')?.primary, false);
 });
 
-/** Voter `a` leads timeline 1; all heard it at the given time. */
+/** Voter `a` is primary of timeline 1; all voters received its heartbeat at the given time. */
 function createLed(lsns: readonly number[], atMs: number): Record<'a' | 'b' | 'c', Voter> {
   const [a, b, c] = createVoters(lsns, new Set()).values();
   assert.ok(a && b && c);
@@ -119,12 +119,12 @@
   return { a, b, c };
 }
 
-test('a primary that one replica refuses stands again though the other follows it', () => {
+test('a primary that one replica refuses starts a new election although the other replica follows it', () => {
   const { a, b, c } = createLed([20, 20, 10], 1_000);
-  // Lost a round: it promised itself timeline 2, and lacks what the others have.
+  // It lost a round: it has promised timeline 2 to itself, and lacks records that the others have.
   c.election.promisedTimeline = 2;
   a.election.refused(2, nowMs);
-  assert.is(a.electedTimeline, 0, 'whoever was voted for may lead in a moment');
+  assert.is(a.electedTimeline, 0, 'the candidate that got the vote may be elected in a moment');
   nowMs += ELECTION_TIMEOUT_MS / 2;
   a.election.followed(nowMs);
   b.election.heard('a', 1, nowMs);
@@ -138,7 +138,7 @@
   const { a, b, c } = createLed([20, 20, 20], 1_000);
   a.election.refused(2, nowMs);
   nowMs += ELECTION_TIMEOUT_MS / 2;
-  // No vote at once: one replica's comes later.
+  // No replica votes at once; the vote of one comes later.
   for (const { election } of [b, c]) election.promisedTimeline = 9;
   a.election.refused(2, nowMs);
   assert.is(a.electedTimeline, 0);
@@ -156,7 +156,7 @@
   assert.is(a.electedTimeline, 3);
 });
 
-test('a handover waits for the commits that are on their way and refuses no primary until then', () => {
+test('a handover waits for the commits in flight and refuses no primary until then', () => {
   const { a, b, c } = createLed([20, 20, 10], 1_000);
   c.election.takeOver(nowMs);
   assert.equal(
@@ -174,7 +174,7 @@
   );
 });
 
-test('a handover ends once another primary is heard', () => {
+test('a handover ends once a heartbeat of another primary arrives', () => {
   const { b, c } = createLed([20, 20, 10], 1_000);
   c.election.takeOver(nowMs);
   c.election.heard('b', 2, nowMs);
@@ -186,7 +186,7 @@
   assert.is(c.electedTimeline, 0);
 });
 
-test('a log contains exactly the beginnings of itself', () => {
+test('a log contains exactly its own prefixes', () => {
   const log = new CommitLog();
   log.startTimeline(1);
   const first = log.write([], 0);
@@ -201,7 +201,7 @@
   assert.is(log.commitsAfter(first.lsn + 1), undefined);
 });
 
-test('frames are read whatever the chunks', () => {
+test('frames are parsed however the bytes are split', () => {
   const messages: Heartbeat[] = [1, 2, 3].map((lsn) => {
     return { kind: 'heartbeat', from: 'a', timeline: 1, lsn };
   });
@@ -216,7 +216,7 @@
   }
 });
 
-test('frontend messages are read whatever the chunks', () => {
+test('frontend messages are parsed however the bytes are split', () => {
   const bytes = Buffer.from('Q\0\0\0\x06a\0S\0\0\0\x04', 'latin1');
   for (const size of [1, 2, 5, bytes.length]) {
     const reader = new FrontendReader();
--- a/test/unit/database-group.test.ts
+++ b/test/unit/database-group.test.ts
@@ -46,7 +46,7 @@
   ]);
 });
 
-test('a write is unknown, not done, if a replica answers with a later timeline', () => {
+test('the outcome of a write is unknown if a replica responds with a later timeline', () => {
   const driver = healthyGroup();
   arrive(driver, request('w1'));
   driver.states.set('b', state(false, 6, 100));
@@ -58,7 +58,7 @@
   assert.is(driver.finals('w1').length, 1);
 });
 
-test('a read within its bound runs on a replica that is caught up with the session', () => {
+test('a read within its staleness bound runs on a replica that has caught up with the session', () => {
   const driver = healthyGroup();
   arrive(
     driver,
@@ -98,7 +98,7 @@
   );
 });
 
-test('a write still queued at its deadline has not run', () => {
+test('a write that is still queued at its deadline is reported as not run', () => {
   const driver = new GroupDriver();
   driver.start();
   arrive(driver, request('w1', { deadline: 50 }));
@@ -115,7 +115,7 @@
   });
 }
 
-test('a connection passes to another tenant only after its reset was answered', () => {
+test('a connection is given to another tenant only after its reset has been confirmed', () => {
   const driver = healthyGroup();
   driver.send({ type: 'instances-changed', instances: scarceInstances() });
   arrive(driver, request('w1', { databaseRole: 'shared' }));
@@ -148,7 +148,7 @@
   assert.is.not(run?.instance, left);
 });
 
-test('an instance promoted alone stops writes for a while only', () => {
+test('an instance that was promoted without a majority stops writes only for a while', () => {
   const driver = healthyGroup();
   driver.states.set('c', state(true, 6, 90));
   driver.wait(500);
@@ -162,7 +162,7 @@
   assert.is(driver.finals('w1')[0]?.type, 'release');
 });
 
-test('in mode term an instance promoted alone stops writes for good', () => {
+test('in mode term an instance that was promoted without a majority stops writes permanently', () => {
   const driver = healthyGroup({ confirmationMode: 'term' });
   driver.states.set('c', state(true, 6, 90));
   driver.wait(500);
@@ -171,7 +171,7 @@
   assert.equal(driver.runs(), []);
 });
 
-test('without majority election an instance promoted alone would be written to', () => {
+test('without majority election an instance that was promoted without a majority receives writes', () => {
   const driver = healthyGroup({ disabledMechanisms: new Set(['majority-election']) });
   driver.states.set('c', state(true, 6, 90));
   driver.wait(500);
@@ -179,7 +179,7 @@
   assert.is(driver.runs()[0]?.instance, 'c');
 });
 
-test('a read on a replica that falls silent is retried on another', () => {
+test('a read on a replica that becomes unresponsive is retried on another one', () => {
   const driver = healthyGroup();
   arrive(driver, staleRead('r1', { deadline: 5000 }));
   const [first] = driver.runs();
@@ -197,7 +197,7 @@
   assert.is.not(driver.runs()[1]?.instance, first?.instance);
 });
 
-test('a planned stop refuses what waits and lets what runs finish', () => {
+test('a planned stop refuses waiting requests and lets running ones finish', () => {
   const driver = healthyGroup();
   arrive(driver, staleRead('running'));
   arrive(
@@ -213,7 +213,7 @@
   assert.is(driver.finals('running')[0]?.type, 'release');
 });
 
-test('where tenants share a group, none of them takes the last third of the slots', () => {
+test('if tenants share a group, none of them uses the last third of the slots', () => {
   const driver = healthyGroup();
   driver.send({ type: 'request-arrived', request: request('other', { tenant: 'trust' }) });
   driver.settle();
@@ -227,7 +227,7 @@
   assert.is(driver.runs().at(-1)?.requestId, 'other3');
 });
 
-test('where tenants share a group, one with long statements has an equal part of the slots', () => {
+test('if tenants share a group, one with long statements gets an equal share of the slots', () => {
   const driver = healthyGroup();
   for (let index = 0; index < 3; index += 1) {
     arrive(driver, request(`first${index}`, { deadline: FAR_DEADLINE }));
@@ -261,7 +261,7 @@
   assert.ok(effectsOf(effects, 'probe').some((probe) => probe.instance === 'a'));
 });
 
-test('what cannot be served by its deadline is refused on arrival, with a time to come back', () => {
+test('a request that cannot be served by its deadline is refused on arrival, with a retry delay', () => {
   const driver = healthyGroup();
   driver.send({
     type: 'instances-changed',
@@ -277,7 +277,7 @@
   assert.ok((error.retryAfterMs ?? 0) > 5);
 });
 
-test('retries are bounded by the budget; without it they are not', () => {
+test('retries are bounded by the retry budget, and unbounded without it', () => {
   const retriesOf = (disabledMechanisms: Set<Mechanism>): number => {
     const driver = healthyGroup({
       disabledMechanisms,
@@ -319,7 +319,7 @@
   assert.is(driver.finals('w1')[0]?.type, 'release');
 });
 
-test('a write that only a demoted primary has seen is refused as not run', () => {
+test('a write that only a demoted primary has received is refused as not run', () => {
   const driver = healthyGroup();
   arrive(driver, request('w1'));
   driver.states.set('a', state(false, 5, 100));
@@ -334,7 +334,7 @@
   return staleRead(id, { session: { type: 'known', position: { timeline, lsn } } });
 }
 
-test('a session that has seen a timeline which a majority never had is told so at once', () => {
+test('a session that has observed a timeline without a majority is refused at once', () => {
   const driver = healthyGroup();
   driver.wait(50);
   arrive(driver, futureRead('r1', 9, 1n));
@@ -345,7 +345,7 @@
   assert.equal(driver.runs(), []);
 });
 
-test('a later timeline is not taken for lost while the primary itself does not answer', () => {
+test('a later timeline is not considered lost while the primary itself is unresponsive', () => {
   const driver = healthyGroup();
   driver.wait(50);
   driver.states.delete('a');
@@ -355,7 +355,7 @@
   assert.equal(driver.finals('r1'), []);
 });
 
-test('a session beyond the confirmed log of its timeline is told so, not answered', () => {
+test('a session beyond the confirmed log of its timeline is refused', () => {
   const driver = healthyGroup();
   arrive(driver, futureRead('r1', 5, 900n));
   driver.wait(30);
--- a/test/unit/database-late-start.test.ts
+++ b/test/unit/database-late-start.test.ts
@@ -1,10 +1,10 @@
 /**
- * The initial primary of a group of stand-ins starts later than the others: these have elected one of them meanwhile. It
- * used to be elected to the very timeline that the initial primary takes without a vote; both led it, each refused
- * the other's heartbeats and neither gave way, since neither had seen a later timeline. The third one followed one and
- * the other in turn for ever, and whoever waited for the replicas waited for ever: `npm run dev` said nothing for 20 s.
- * What showed it, of a start whose processes were paused at random:
- * `a primary tl 1 lsn 0/1015D24 | b primary tl 1 lsn 0/1000000 | c replica tl 1 lsn 0/1000000`, again and again.
+ * Guards against two primaries of one timeline. The initial primary of a group of stand-ins starts after the others have
+ * elected one of themselves. If that election uses the timeline that the initial primary takes without a vote, both
+ * are primary of it, refuse each other's heartbeats and never step down, since neither sees a later timeline. The third
+ * instance follows them in turn endlessly, so `npm run dev` waited for the replicas without output for 20 s. States when
+ * processes were paused at random:
+ * `a primary tl 1 lsn 0/1015D24 | b primary tl 1 lsn 0/1000000 | c replica tl 1 lsn 0/1000000`.
  */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -33,7 +33,7 @@
       hasInitialPrimary: true,
       electionTimeoutMs: ELECTION_TIMEOUT_MS,
       heartbeatMs: HEARTBEAT_MS,
-      // Each waits for another time.
+      // Each member waits for a different time.
       random: () => index / NAMES.length,
       catalog: new Catalog(),
       send: deliver,
--- a/test/unit/declaration.test.ts
+++ b/test/unit/declaration.test.ts
@@ -37,7 +37,7 @@
   assert.is(lookup?.stalenessBoundMs, 500);
 });
 
-test('problems of form name the file, line, column, field and expectation', () => {
+test('format problems name the file, line, column, field and expected value', () => {
   const broken = TEMPLATE_YAML.replace('maxQueued: 100', 'maxQueued: plenty').replace(
     'queueWeight: 1',
     'queueWait: 1',
@@ -56,19 +56,19 @@
   assert.match(parseProblems('kind: Tennant\nname: x\n')[0] ?? '', /^F:1:1: kind: /);
 });
 
-test('every document of every file is checked before anything is refused', () => {
+test('every document of every file is checked before any is refused', () => {
   const text = 'kind: Tenant\nname: 1x\ntemplate: t\n---\nkind: Tenant\nname: ok\ntemplate: 7\n';
   assert.is(parseProblems(text).length, 2);
 });
 
-test('a name may stand once in a publish', () => {
+test('a name that occurs twice in a publish is refused', () => {
   assert.match(
     parseProblems(`${tenantYaml('a')}---\n${tenantYaml('a')}`)[0] ?? '',
     /^F:11:1: name/,
   );
 });
 
-test('a parameter out of bounds is shown where the tenant gives it', () => {
+test("a parameter out of bounds is reported at its position in the tenant's document", () => {
   assert.equal(catalogueProblems(TEMPLATE_YAML, tenantYaml('bureau', 101)), [
     'file2.yaml:8:3: parameters.connections: expected number to be <=100',
   ]);
@@ -78,7 +78,7 @@
   ]);
 });
 
-test('unknown and missing parameters are named', () => {
+test('unknown and missing parameters are reported by name', () => {
   const unknown = `${tenantYaml('bureau')}  extra: 1\n`;
   assert.match(
     catalogueProblems(TEMPLATE_YAML, unknown)[0] ?? '',
--- a/test/unit/difference.test.ts
+++ b/test/unit/difference.test.ts
@@ -14,14 +14,14 @@
   ]);
 });
 
-test('a value against a container is one difference, and equal values are none', () => {
+test('a value in place of a container is one difference, and equal values are none', () => {
   assert.equal(findDifferences({ a: 1 }, { a: { b: 1 } }), [
     { field: 'a', before: 1, after: { b: 1 } },
   ]);
   assert.equal(findDifferences({ a: [{ b: 1 }] }, { a: [{ b: 1 }] }), []);
 });
 
-test('an empty container that appears or goes is a difference', () => {
+test('an empty container that is added or removed is a difference', () => {
   assert.equal(findDifferences({}, { a: {} }), [{ field: 'a', before: undefined, after: {} }]);
   assert.equal(findDifferences({ a: [] }, { a: {} }), [{ field: 'a', before: [], after: {} }]);
 });
--- a/test/unit/direct-answers.test.ts
+++ b/test/unit/direct-answers.test.ts
@@ -1,4 +1,4 @@
-/** The judge of what is owed around planned work, on records that break one promise each. */
+/** The checks of responses and stops around planned work, on records that violate one promise each. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { RunRecord } from '../../standins/direct/run-log.js';
@@ -39,12 +39,12 @@
   return checkOwedAnswers([statement], runs, conditions).violations.map(({ rule }) => rule);
 }
 
-test('a request that ran is owed its answer, however soon its connection ends', () => {
+test('a request that ran must be answered, however soon its connection ends', () => {
   assert.equal(rulesOf(unanswered(10), [RUN]), ['LOST']);
   assert.equal(rulesOf(unanswered(10), []), []);
 });
 
-test('a request that was taken is owed its answer once it waited for long', () => {
+test('a request that was read must be answered if its connection ends after a long wait', () => {
   assert.equal(rulesOf(unanswered(201), []), ['LOST']);
   assert.equal(rulesOf(unanswered(200), []), []);
   assert.equal(rulesOf(unanswered(5000, false), []), [], 'it was never read');
@@ -52,7 +52,7 @@
   assert.equal(rulesOf({ ...answered, answeredAt: SENT_AT + 900 }, [RUN]), []);
 });
 
-test('an unplanned fault excuses its own gateway, shortly before the request until its end', () => {
+test('an unplanned fault excuses missing responses of its own gateway, if it occurs shortly before the request or during it', () => {
   const during = (one: GatewaySpan) =>
     rulesOf(unanswered(300), [RUN], { ...CALM, disruptions: [one] });
   assert.equal(during(span(100, 200)), []);
@@ -63,12 +63,12 @@
   assert.equal(during({ ...span(100, 200), gateway: undefined }), []);
 });
 
-test('a pause excuses a late end of what never ran, and is told apart', () => {
+test('a pause excuses the late end of a request that never ran, which is reported separately', () => {
   const paused = (one: GatewaySpan, runs: RunRecord[] = []) =>
     checkOwedAnswers([unanswered(300)], runs, { ...CALM, pauses: [one] });
   assert.is(paused(span(-50, 100)).late.length, 1);
   assert.equal(paused(span(-50, 100)).violations, []);
-  assert.is(paused(span(-50, -1)).violations.length, 1, 'over before the request');
+  assert.is(paused(span(-50, -1)).violations.length, 1, 'ended before the request');
   assert.is(paused(span(0, 100), [RUN]).violations.length, 1, 'it ran');
 });
 
@@ -89,7 +89,7 @@
   assert.equal(stopRules(stop(3000, 'SIGTERM')), ['STOP']);
 });
 
-test('pauses lengthen a stop by no more than they take; unplanned faults excuse it', () => {
+test('pauses extend the allowed time of a stop by their own length; unplanned faults excuse any delay', () => {
   assert.equal(stopRules(stop(6300), { ...CALM, pauses: [span(0, 300)] }), []);
   assert.equal(stopRules(stop(6301), { ...CALM, pauses: [span(-100, 300)] }), ['STOP']);
   assert.equal(stopRules(stop(9000), { ...CALM, disruptions: [span(10, 20)] }), []);
--- a/test/unit/direct-history.test.ts
+++ b/test/unit/direct-history.test.ts
@@ -1,4 +1,4 @@
-/** The judge of the direct gateway's histories, on histories that break one rule each. */
+/** The checks of the direct gateway's histories, on histories that violate one rule each. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { DirectLog, RunRecord } from '../../standins/direct/run-log.js';
@@ -6,7 +6,11 @@
 
 const SERVICE = 'orders';
 
-function asked(id: string, text: string, changes: Partial<ClientStatement> = {}): ClientStatement {
+function clientStatement(
+  id: string,
+  text: string,
+  changes: Partial<ClientStatement> = {},
+): ClientStatement {
   const kind = text.startsWith('READ') ? 'read' : text.startsWith('WRITE') ? 'write' : 'commit';
   return {
     ...{ session: 1, attempt: 1, id, text, kind, inTransaction: false, values: {} },
@@ -16,7 +20,7 @@
   };
 }
 
-function ran(id: string, text: string, changes: Partial<RunRecord> = {}): RunRecord {
+function runRecord(id: string, text: string, changes: Partial<RunRecord> = {}): RunRecord {
   const kind = text.startsWith('READ') ? 'read' : text.startsWith('WRITE') ? 'write' : 'commit';
   return {
     ...{
@@ -46,23 +50,23 @@
 }
 
 const COMMITTED = { committed: { term: 1, number: 1 }, committedAt: 15 };
-const WROTE = asked('w', 'WRITE k v');
-const WRITTEN = ran('w', 'WRITE k v', COMMITTED);
+const WROTE = clientStatement('w', 'WRITE k v');
+const WRITTEN = runRecord('w', 'WRITE k v', COMMITTED);
 const IN_TRANSACTION = { inTransaction: true };
 
-test('a good history breaks no rule', () => {
+test('a correct history violates no rule', () => {
   const later = { ...IN_TRANSACTION, session: 2, attempt: 3, values: { a: 'b' }, answeredAt: 60 };
   const statements = [
     WROTE,
-    asked('r', 'READ k', { attempt: 2, sentAt: 30, answeredAt: 40, rows: ['v'] }),
-    asked('t', 'WRITE k w', later),
-    asked('c', 'COMMIT', later),
+    clientStatement('r', 'READ k', { attempt: 2, sentAt: 30, answeredAt: 40, rows: ['v'] }),
+    clientStatement('t', 'WRITE k w', later),
+    clientStatement('c', 'COMMIT', later),
   ];
   const log = logOf([
     WRITTEN,
-    ran('r', 'READ k', { run: 2, position: { term: 1, number: 1 }, rows: ['v'] }),
-    ran('t', 'WRITE k w', { run: 3, transaction: 7, connection: 2, values: { a: 'b' } }),
-    ran('c', 'COMMIT', {
+    runRecord('r', 'READ k', { run: 2, position: { term: 1, number: 1 }, rows: ['v'] }),
+    runRecord('t', 'WRITE k w', { run: 3, transaction: 7, connection: 2, values: { a: 'b' } }),
+    runRecord('c', 'COMMIT', {
       ...{ run: 4, transaction: 7, connection: 2, values: { a: 'b' } },
       committed: { term: 1, number: 2 },
     }),
@@ -70,80 +74,85 @@
   assert.equal(checkDirectHistory(statements, log), []);
 });
 
-test('MIXED: a success without the signature, of another statement, or with other rows', () => {
-  const read = asked('r', 'READ k', { rows: ['v'] });
-  const run = ran('r', 'READ k', { rows: ['v'] });
+test('MIXED: a success without its signature, with the signature of another statement, or with other rows', () => {
+  const read = clientStatement('r', 'READ k', { rows: ['v'] });
+  const run = runRecord('r', 'READ k', { rows: ['v'] });
   assert.equal(rulesOf([{ ...read, signature: '-' }], logOf([run])), ['MIXED']);
   assert.equal(rulesOf([{ ...read, rows: ['w'] }], logOf([run])), ['MIXED']);
-  const other = asked('q', 'READ k', { attempt: 2, signature: 'sign-r', rows: ['v'] });
+  const other = clientStatement('q', 'READ k', { attempt: 2, signature: 'sign-r', rows: ['v'] });
   assert.equal(rulesOf([read, other], logOf([run])), ['MIXED']);
 });
 
-test('UNASKED: a text that was changed, or that no client sent', () => {
+test('UNASKED: a statement text that was changed, or that no client sent', () => {
   const lost = { ...WROTE, signature: 'none' };
-  assert.equal(rulesOf([], logOf([ran('-', 'COMMIT', { transaction: 7 })])), ['UNASKED']);
-  assert.equal(rulesOf([lost], logOf([ran('w', 'WRITE k x')])), ['MIXED', 'UNASKED']);
-  const execute = asked('e', 'EXECUTE s1 k v', { kind: 'write', shape: 'q' });
-  const executed = (text: string) => logOf([ran('e', text, { kind: 'write', shape: 'q' })]);
+  assert.equal(rulesOf([], logOf([runRecord('-', 'COMMIT', { transaction: 7 })])), ['UNASKED']);
+  assert.equal(rulesOf([lost], logOf([runRecord('w', 'WRITE k x')])), ['MIXED', 'UNASKED']);
+  const execute = clientStatement('e', 'EXECUTE s1 k v', { kind: 'write', shape: 'q' });
+  const executed = (text: string) => logOf([runRecord('e', text, { kind: 'write', shape: 'q' })]);
   assert.equal(rulesOf([execute], executed('EXECUTE renamed k v')), []);
   assert.equal(rulesOf([execute], executed('EXECUTE s1 k w')), ['MIXED', 'UNASKED']);
 });
 
-test('PINNED: outside or inside a transaction wrongly, or on another connection', () => {
-  const first = asked('a', 'READ k', IN_TRANSACTION);
-  const second = asked('b', 'READ k', IN_TRANSACTION);
+test('PINNED: a statement that ran outside its transaction, in a transaction it does not belong to, or on another connection', () => {
+  const first = clientStatement('a', 'READ k', IN_TRANSACTION);
+  const second = clientStatement('b', 'READ k', IN_TRANSACTION);
   const runOf = (id: string, transaction: number, connection: number) =>
-    ran(id, 'READ k', { transaction, connection });
+    runRecord(id, 'READ k', { transaction, connection });
   assert.equal(rulesOf([first], logOf([runOf('a', 0, 1)])), ['PINNED']);
-  const alone = asked('a', 'READ k');
+  const alone = clientStatement('a', 'READ k');
   assert.equal(rulesOf([alone], logOf([runOf('a', 7, 1)])), ['PINNED']);
   const moved = logOf([runOf('a', 7, 1), runOf('b', 8, 2)]);
   assert.equal(rulesOf([first, second], moved), ['PINNED']);
-  const begunAgain = [runOf('a', 7, 1), runOf('a', 8, 2), runOf('b', 8, 2)];
-  assert.equal(rulesOf([first, second], logOf(begunAgain)), []);
+  const restarted = [runOf('a', 7, 1), runOf('a', 8, 2), runOf('b', 8, 2)];
+  assert.equal(rulesOf([first, second], logOf(restarted)), []);
   const tooLate = [runOf('a', 7, 1), runOf('b', 7, 1), runOf('a', 8, 2)];
   assert.equal(rulesOf([first, second], logOf(tooLate)), ['PINNED']);
   const shared = logOf([runOf('a', 7, 1), runOf('b', 7, 1)]);
   assert.equal(rulesOf([first, { ...second, attempt: 2 }], shared), ['PINNED']);
 });
 
-test('PINNED: other session values, another shape, or a prepared name that is unknown', () => {
-  const valued = asked('a', 'READ k', { values: { zone: 'west' } });
-  assert.equal(rulesOf([valued], logOf([ran('a', 'READ k')])), ['PINNED']);
-  const leaked = ran('a', 'READ k', { values: { zone: 'west', more: 'x' } });
+test('PINNED: other session values, another shape, or an unknown prepared statement', () => {
+  const valued = clientStatement('a', 'READ k', { values: { zone: 'west' } });
+  assert.equal(rulesOf([valued], logOf([runRecord('a', 'READ k')])), ['PINNED']);
+  const leaked = runRecord('a', 'READ k', { values: { zone: 'west', more: 'x' } });
   assert.equal(rulesOf([valued], logOf([leaked])), ['PINNED']);
-  const shaped = asked('a', 'READ k', { shape: 'q1' });
-  assert.equal(rulesOf([shaped], logOf([ran('a', 'READ k', { shape: 'q2' })])), ['PINNED']);
+  const shaped = clientStatement('a', 'READ k', { shape: 'q1' });
+  assert.equal(rulesOf([shaped], logOf([runRecord('a', 'READ k', { shape: 'q2' })])), ['PINNED']);
   const { signature: _, ...unsigned } = shaped;
   assert.equal(rulesOf([{ ...unsigned, error: 'UNPREPARED' }], logOf([])), ['PINNED']);
 });
 
-test('TWICE: a write that took effect two times; a rolled back run does not count', () => {
-  const again = ran('w', 'WRITE k v', { run: 2, committed: { term: 1, number: 2 } });
+test('TWICE: a write that took effect twice; a rolled back run does not count', () => {
+  const again = runRecord('w', 'WRITE k v', { run: 2, committed: { term: 1, number: 2 } });
   assert.equal(rulesOf([WROTE], logOf([WRITTEN, again])), ['TWICE']);
-  const statement = asked('w', 'WRITE k v', IN_TRANSACTION);
-  const rolledBack = ran('w', 'WRITE k v', { transaction: 7 });
+  const statement = clientStatement('w', 'WRITE k v', IN_TRANSACTION);
+  const rolledBack = runRecord('w', 'WRITE k v', { transaction: 7 });
   assert.equal(rulesOf([statement], logOf([rolledBack])), []);
 });
 
-test('REFUSED: a promise that nothing is kept, of a write that was committed', () => {
+test('REFUSED: a committed write that was reported as not run or aborted', () => {
   const { signature: _, ...unsigned } = WROTE;
   assert.equal(rulesOf([{ ...unsigned, error: 'BUSY' }], logOf([WRITTEN])), ['REFUSED']);
   assert.equal(rulesOf([{ ...unsigned, error: 'INDOUBT' }], logOf([WRITTEN])), []);
   const begun = { ...unsigned, ...IN_TRANSACTION, signature: 'sign-w' };
-  const commit = { ...asked('c', 'COMMIT', IN_TRANSACTION), error: 'ABORTED' };
+  const commit = { ...clientStatement('c', 'COMMIT', IN_TRANSACTION), error: 'ABORTED' };
   const { signature: __, ...refused } = commit;
   const runs = [
-    ran('w', 'WRITE k v', { transaction: 7 }),
-    ran('c', 'COMMIT', { ...COMMITTED, run: 2, transaction: 7 }),
+    runRecord('w', 'WRITE k v', { transaction: 7 }),
+    runRecord('c', 'COMMIT', { ...COMMITTED, run: 2, transaction: 7 }),
   ];
   assert.equal(rulesOf([begun, refused], logOf(runs)), ['REFUSED']);
 });
 
-test('STALE: how much a read may miss depends on the route, the session and the time', () => {
+test('STALE: the writes that a read may miss depend on the route, the session and the time', () => {
   const staleRead = (changes: Partial<ClientStatement>): string[] => {
-    const read = asked('r', 'READ k', { attempt: 2, sentAt: 30, answeredAt: 40, ...changes });
-    return rulesOf([WROTE, read], logOf([WRITTEN, ran('r', 'READ k', { run: 2 })]));
+    const read = clientStatement('r', 'READ k', {
+      attempt: 2,
+      sentAt: 30,
+      answeredAt: 40,
+      ...changes,
+    });
+    return rulesOf([WROTE, read], logOf([WRITTEN, runRecord('r', 'READ k', { run: 2 })]));
   };
   assert.equal(staleRead({}), ['STALE']);
   assert.equal(staleRead({ sentAt: 19 }), [], 'sent before the acknowledgement');
@@ -156,18 +165,18 @@
   assert.equal(staleRead({ ...own, session: 2, sentAt: 121 }), ['STALE']);
 });
 
-test('STALE: the first byte of the transaction counts, and a log of an older term lacks more', () => {
-  const early = asked('a', 'READ k', { ...IN_TRANSACTION, attempt: 2, sentAt: 5 });
+test('STALE: the first byte of a transaction counts as its start, and a log of an older term lacks the commits of a later one', () => {
+  const early = clientStatement('a', 'READ k', { ...IN_TRANSACTION, attempt: 2, sentAt: 5 });
   const late = { ...early, id: 'b', signature: 'sign-b', sentAt: 30 };
-  const runs = ['a', 'b'].map((id) => ran(id, 'READ k', { transaction: 7, connection: 2 }));
+  const runs = ['a', 'b'].map((id) => runRecord(id, 'READ k', { transaction: 7, connection: 2 }));
   assert.equal(rulesOf([WROTE, early, late], logOf([WRITTEN, ...runs])), []);
   const inTermTwo = { ...WRITTEN, committed: { term: 2, number: 1 } };
-  const read = asked('r', 'READ k', { attempt: 3, sentAt: 30 });
-  const atOldPrimary = ran('r', 'READ k', { position: { term: 1, number: 9 } });
+  const read = clientStatement('r', 'READ k', { attempt: 3, sentAt: 30 });
+  const atOldPrimary = runRecord('r', 'READ k', { position: { term: 1, number: 9 } });
   assert.equal(rulesOf([WROTE, read], logOf([inTermTwo, atOldPrimary])), ['STALE']);
 });
 
-test('ONE: tokens that go back or have two holders, and commits at an old primary', () => {
+test('ONE: fencing tokens that decrease or have two holders, and commits at an old primary', () => {
   const call = (holder: string, token: number) => {
     return { service: SERVICE, id: 'i-2', holder, token, status: 200, at: 1 };
   };
@@ -182,7 +191,7 @@
   assert.equal(rulesOf([WROTE], { ...log, promotions: [{ ...promotion, at: 16 }] }), []);
 });
 
-test('LOST: an acknowledged commit that the newest log lacks', () => {
+test('LOST: an acknowledged commit that the newest log lacks, if replication is synchronous', () => {
   const services = [{ service: SERVICE, syncReplicas: 1, entries: [] }];
   assert.equal(rulesOf([WROTE], logOf([WRITTEN], { services })), ['LOST']);
   const asynchronous = [{ service: SERVICE, syncReplicas: 0, entries: [] }];
--- a/test/unit/direct-standin.test.ts
+++ b/test/unit/direct-standin.test.ts
@@ -1,4 +1,4 @@
-/** The platform stand-in on its own: its store, its instances and its promotion call. */
+/** The platform stand-in by itself: its store, its instances and its promotion call. */
 import { setTimeout as pause } from 'node:timers/promises';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -70,7 +70,7 @@
 }
 
 /** The error's code, or the completion, with the state. */
-function gist({ error, completion, state }: LineAnswer): string {
+function summarize({ error, completion, state }: LineAnswer): string {
   return `${error?.code ?? (completion === '-' ? '-' : 'signed')} ${state}`;
 }
 
@@ -80,7 +80,7 @@
   });
 }
 
-test('the store keeps items under conditions and leases', async () => {
+test('the store writes items under conditions and removes them with their leases', async () => {
   await start();
   const first = await put('my/leader', 'node-1', 0);
   assert.is(first.status, 200);
@@ -109,7 +109,7 @@
   return JSON.parse(JSON.stringify(value));
 }
 
-test('ranges come in pages, and a watch tells what has changed', async () => {
+test('ranges are returned in pages, and a watch returns the changes', async () => {
   await start();
   await platform.set('/store/faults', { pageItems: 2 });
   for (const key of ['my/1', 'my/2', 'my/3']) await put(key, key, 0);
@@ -130,13 +130,13 @@
   assert.ok(Number(told.body.at_revision) >= Number(body.revision));
   const none = await storeCall('GET', `/v1/kv-watch?path_prefix=no/&after=${from}&wait_ms=20`);
   assert.equal(none.body.events, []);
-  // Of what is forgotten at least one change must lie after `from`, heartbeats or not.
+  // The compaction must drop at least one change after `from`, whether heartbeats occur or not.
   assert.is((await put('my/4', 'x', 0)).status, 200);
   await platform.set('/store/compact');
   assert.is((await storeCall('GET', path)).status, 410);
 });
 
-test('the store is down, slow to answer, forgetful of answers, or asked too much', async () => {
+test('the store can be down, respond late, lose responses, or refuse requests above its rate', async () => {
   await start();
   await platform.set('/store/faults', { down: 'unavailable' });
   assert.is((await put('my/a', 'x', 0)).status, 503);
@@ -163,7 +163,7 @@
   assert.is(await Promise.race([silent, pause(0, 'mute')]), 'mute');
 });
 
-test('leases wait or run out while the store is down, and stale reads are old', async () => {
+test('leases are suspended or expire while the store is down, and stale reads return old data', async () => {
   await start('--min-ttl-ms', '20');
   const grant = async () =>
     (await storeCall('POST', '/v1/kv-lease', { ttl_ms: 1000 })).body.lease_id;
@@ -184,7 +184,7 @@
   assert.is((await storeCall('GET', '/v1/kv-key?private_key=my/a')).status, 200);
 });
 
-test('an instance checks who is asked for and how many connect', async () => {
+test('an instance checks the requested service and the number of connections', async () => {
   await start('--max-connections', '2');
   for (const fields of [
     ['other', 'test'],
@@ -200,26 +200,26 @@
   assert.is((await third.start(SERVICE, 'test')).error?.code, 'CONNLIMIT');
 });
 
-test('sessions, transactions and prepared names at the primary', async () => {
+test('the primary runs sessions, transactions and prepared statements', async () => {
   await start();
   const one = await open(FIRST);
   const other = await open(FIRST);
-  assert.is(gist(await one.query('a1', 'SET zone west')), '- I');
-  assert.is(gist(await one.query('a2', 'PREPARE s1 WRITE q2c')), '- I');
-  assert.is(gist(await other.query('b1', 'EXECUTE s1 k v')), 'UNPREPARED I');
-  assert.is(gist(await one.query('a3', 'BEGIN')), '- T');
-  assert.is(gist(await one.query('a4', 'EXECUTE s1 k a b')), 'signed T');
+  assert.is(summarize(await one.query('a1', 'SET zone west')), '- I');
+  assert.is(summarize(await one.query('a2', 'PREPARE s1 WRITE q2c')), '- I');
+  assert.is(summarize(await other.query('b1', 'EXECUTE s1 k v')), 'UNPREPARED I');
+  assert.is(summarize(await one.query('a3', 'BEGIN')), '- T');
+  assert.is(summarize(await one.query('a4', 'EXECUTE s1 k a b')), 'signed T');
   assert.equal((await one.query('a5', 'READ k')).rows, ['a b']);
   assert.equal((await other.query('b2', 'READ k')).rows, ['-']);
   const commit = await one.query('a6', 'COMMIT');
-  assert.equal([gist(commit), commit.position], ['signed I', '1.1']);
+  assert.equal([summarize(commit), commit.position], ['signed I', '1.1']);
   assert.equal((await other.query('b3', 'READ k')).rows, ['a b']);
   await other.query('b4', 'BEGIN');
-  assert.is(gist(await other.query('b5', 'READ nothing to see')), 'MALFORMED E');
-  assert.is(gist(await other.query('b6', 'READ k')), 'MALFORMED E');
-  assert.is(gist(await other.query('b7', 'COMMIT')), 'ABORTED I');
-  assert.is(gist(await one.query('-', 'RESET')), '- I');
-  assert.is(gist(await one.query('a7', 'EXECUTE s1 k v')), 'UNPREPARED I');
+  assert.is(summarize(await other.query('b5', 'READ nothing to see')), 'MALFORMED E');
+  assert.is(summarize(await other.query('b6', 'READ k')), 'MALFORMED E');
+  assert.is(summarize(await other.query('b7', 'COMMIT')), 'ABORTED I');
+  assert.is(summarize(await one.query('-', 'RESET')), '- I');
+  assert.is(summarize(await one.query('a7', 'EXECUTE s1 k v')), 'UNPREPARED I');
   const { runs } = await platform.log();
   const executed = runs.find(({ id }) => id === 'a4');
   assert.equal([executed?.shape, executed?.values], ['q2c', { zone: 'west' }]);
@@ -228,7 +228,7 @@
   assert.is(commit.completion, committed?.signature);
 });
 
-test('a replica lags, refuses writes and answers AFTER and STATUS', async () => {
+test('a replica lags, refuses writes and responds to AFTER and STATUS', async () => {
   await start('--lag-ms', '60000');
   const primary = await open(FIRST);
   const replica = await open(SECOND);
@@ -236,10 +236,10 @@
   await until('the replica has received', async () => {
     return (await platform.instance(SECOND)).received === '1.1';
   });
-  assert.is(gist(await replica.query('b1', 'AFTER 1.1 READ k')), 'LAGGING I');
-  assert.is(gist(await replica.query('b2', 'AFTER 1.1 BEGIN READ')), 'LAGGING I');
-  assert.is(gist(await replica.query('b3', 'WRITE k v')), 'READONLY I');
-  assert.is(gist(await replica.query('b4', 'BEGIN')), 'READONLY I');
+  assert.is(summarize(await replica.query('b1', 'AFTER 1.1 READ k')), 'LAGGING I');
+  assert.is(summarize(await replica.query('b2', 'AFTER 1.1 BEGIN READ')), 'LAGGING I');
+  assert.is(summarize(await replica.query('b3', 'WRITE k v')), 'READONLY I');
+  assert.is(summarize(await replica.query('b4', 'BEGIN')), 'READONLY I');
   assert.equal((await replica.query('b5', 'READ k')).rows, ['-']);
   const [role, term, received, held] = await statusOf(replica);
   assert.equal([role, term, received, held], ['replica', '1', '1.1', '0']);
@@ -253,31 +253,31 @@
   );
 });
 
-test('a queue that is full answers BUSY', async () => {
+test('a full queue responds with BUSY', async () => {
   await start('--slots', '1', '--queue-length', '1', '--work-ms', '1000');
   const [one, two, three] = [await open(FIRST), await open(FIRST), await open(FIRST)];
   const answers = [one.query('a', 'READ k'), two.query('b', 'READ k')];
   await until('one runs', async () => (await platform.instance(FIRST)).slotsInUse === 1);
-  assert.is(gist(await three.query('c', 'READ k')), 'BUSY I');
-  assert.is(gist(await three.query('-', 'STATUS')), 'BUSY I');
-  assert.equal((await Promise.all(answers)).map(gist), ['signed I', 'signed I']);
+  assert.is(summarize(await three.query('c', 'READ k')), 'BUSY I');
+  assert.is(summarize(await three.query('-', 'STATUS')), 'BUSY I');
+  assert.equal((await Promise.all(answers)).map(summarize), ['signed I', 'signed I']);
 });
 
-test('a commit waits for a replica; a pause holds both back', async () => {
+test('a commit waits for a replica, and times out while both replicas are paused', async () => {
   await start('--sync-timeout-ms', '1000');
   const primary = await open(FIRST);
   const second = await open(SECOND);
   const third = await open(THIRD);
   assert.equal((await second.query('-', 'PAUSE 2')).rows[0]?.split(' ')[3], '2');
   await third.query('-', 'PAUSE 2');
-  assert.is(gist(await primary.query('a1', 'WRITE k v')), 'TIMEOUT I');
+  assert.is(summarize(await primary.query('a1', 'WRITE k v')), 'TIMEOUT I');
   assert.is((await platform.instance(SECOND)).received, '1.0');
   await second.query('-', 'RESUME');
-  assert.is(gist(await primary.query('a2', 'WRITE k w')), 'signed I');
+  assert.is(summarize(await primary.query('a2', 'WRITE k w')), 'signed I');
   assert.is((await platform.instance(THIRD)).received, '1.0');
 });
 
-test('a promotion leads with what was received; the old primary gives up and is rolled back', async () => {
+test('a promoted instance becomes primary with the log that it received; the old primary steps down and is rolled back', async () => {
   await start('--promote-ms', '20', '--sync-timeout-ms', '1000');
   const primary = await open(FIRST);
   await primary.query('a1', 'WRITE k v');
@@ -288,23 +288,23 @@
       [FIRST, THIRD],
     ],
   });
-  assert.is(gist(await primary.query('a2', 'WRITE k lost')), 'TIMEOUT I');
+  assert.is(summarize(await primary.query('a2', 'WRITE k lost')), 'TIMEOUT I');
   assert.is(await promote(SECOND), 200);
   assert.is((await platform.newPrimary(SERVICE, FIRST)).term, 2);
-  assert.is(gist(await primary.query('a3', 'BEGIN')), '- T');
+  assert.is(summarize(await primary.query('a3', 'BEGIN')), '- T');
   await platform.set(`/groups/${SERVICE}/cuts`, { pairs: [] });
   await until('the old primary gives up', async () => {
     return (await platform.instance(FIRST)).role === 'replica';
   });
   const other = await open(FIRST);
   await until('it is not busy any more', async () => {
-    return gist(await other.query('-', 'STATUS')) === '- I';
+    return summarize(await other.query('-', 'STATUS')) === '- I';
   });
-  assert.is(gist(await primary.query('a4', 'READ k')), 'READONLY E');
+  assert.is(summarize(await primary.query('a4', 'READ k')), 'READONLY E');
   const newPrimary = await open(SECOND);
-  assert.is(gist(await newPrimary.query('b1', 'WRITE k new')), 'signed I');
+  assert.is(summarize(await newPrimary.query('b1', 'WRITE k new')), 'signed I');
   await applied(FIRST, '2.2');
-  assert.is(gist(await newPrimary.query('b2', 'AFTER 1.2 READ k')), 'LAGGING I');
+  assert.is(summarize(await newPrimary.query('b2', 'AFTER 1.2 READ k')), 'LAGGING I');
   const log = await platform.log();
   assert.equal(
     log.services[0]?.entries.map(({ term, number }) => [term, number]),
@@ -325,11 +325,11 @@
 });
 
 /**
- * Clients that stopped amid a change of primary were told that each of their commits was lost: nobody leads then, and the
- * log of nobody is empty. Seen once in 20 runs of `integration/direct/snapshots` with its processes paused at random:
- * three replicas with the same log, no promotion yet, 119 commits reported.
+ * Guards against commits that are reported as lost because the log is read during a change of primary: without a primary
+ * the log is empty. Seen once in 20 runs of `integration/direct/snapshots` with its processes paused at random: three
+ * replicas with the same log, no promotion yet, 119 commits reported as lost.
  */
-test('while nobody leads there is no log that could be judged', async () => {
+test('without a primary the settled log is not returned before the next promotion', async () => {
   await start();
   const primary = await open(FIRST);
   assert.is((await platform.settledLog()).services[0]?.primary, FIRST);
@@ -340,14 +340,14 @@
   assert.is((await settled).services[0]?.primary, SECOND);
 });
 
-test('DEMOTE ends the lead of a lower term', async () => {
+test('DEMOTE ends the primary role of a lower term', async () => {
   await start();
   const primary = await open(FIRST);
   assert.is((await statusOf(primary))[0], 'primary');
   await primary.query('-', 'DEMOTE 1');
   assert.is((await statusOf(primary))[0], 'primary');
   assert.is((await primary.query('-', 'DEMOTE 2')).rows[0]?.split(' ')[0], 'replica');
-  assert.is(gist(await primary.query('a', 'WRITE k v')), 'READONLY I');
+  assert.is(summarize(await primary.query('a', 'WRITE k v')), 'READONLY I');
 });
 
 async function entryOf(id: string): Promise<Record<string, unknown> | undefined> {
@@ -356,7 +356,7 @@
   return JSON.parse(Buffer.from(String(body.value), 'base64').toString());
 }
 
-test('an instance crashes and returns; its entry goes and comes', async () => {
+test('an instance crashes and restarts; its registration expires and is written again', async () => {
   await start('--promote-ms', '0');
   const client = await open(FIRST);
   await client.query('a1', 'WRITE k v');
@@ -372,17 +372,17 @@
   assert.equal((await (await open(FIRST)).query('a2', 'READ k')).rows, ['v']);
 });
 
-test('a dark instance says nothing until it returns', async () => {
+test('an unreachable instance does not respond until it is reachable again', async () => {
   await start();
   const client = await open(FIRST);
   await platform.set(`/instances/${FIRST}/dark`);
   const answer = client.query('a1', 'READ k');
   assert.is(await Promise.race([answer, pause(50, 'silence')]), 'silence');
   await platform.set(`/instances/${FIRST}/return`);
-  assert.is(gist(await answer), 'signed I');
+  assert.is(summarize(await answer), 'signed I');
 });
 
-test('a draining instance says so, serves on, ends and is replaced with its log', async () => {
+test('a draining instance announces it, continues to serve, stops, and is replaced by one with its log', async () => {
   await start('--drain-timeout-ms', '1000');
   const client = await open(THIRD);
   await (await open(FIRST)).query('a1', 'WRITE k v');
@@ -390,7 +390,7 @@
   const plan = { replaceAfterMs: 10, replacementId: 'i-new' };
   await platform.set(`/instances/${THIRD}/drain`, plan);
   assert.is((await entryOf(THIRD))?.state, 'draining');
-  assert.is(gist(await client.query('c1', 'READ k')), 'signed I');
+  assert.is(summarize(await client.query('c1', 'READ k')), 'signed I');
   await client.closed;
   let replacement: InstanceState | undefined;
   await until('the replacement', async () => {
@@ -401,7 +401,7 @@
   assert.is(replacement?.received, '1.1');
 });
 
-test('answers are lost, break off or fail on request', async () => {
+test('responses are lost, cut off or fail on request', async () => {
   await start();
   const lost = await open(FIRST);
   await platform.set(`/instances/${FIRST}/faults`, { loseAnswers: 1 });
@@ -412,7 +412,7 @@
   assert.ok(await broken.query('a2', 'READ k').catch(ended));
   const failing = await open(FIRST);
   await platform.set(`/instances/${FIRST}/faults`, { failNext: 1 });
-  assert.is(gist(await failing.query('a3', 'WRITE k w')), 'FAILED I');
+  assert.is(summarize(await failing.query('a3', 'WRITE k w')), 'FAILED I');
   assert.equal((await failing.query('a4', 'READ k')).rows, ['v']);
   const { runs } = await platform.log();
   const notes = runs.map(({ id, isAnswerLost, error }) => [id, isAnswerLost ?? error ?? 'told']);
--- a/test/unit/docs.test.ts
+++ b/test/unit/docs.test.ts
@@ -1,4 +1,4 @@
-/** Pages that list what the code has, compared with the code, so that they can't go stale. */
+/** Compares the lists of the documentation pages with the code, so that they stay complete. */
 import { existsSync, readdirSync, readFileSync } from 'node:fs';
 import { dirname, join } from 'node:path';
 import { fileURLToPath } from 'node:url';
@@ -40,7 +40,7 @@
 /** Codes that a source builds from the reason given to a constructor. */
 function builtCodes(source: string): string[] {
   return [...source.matchAll(CODE_TEMPLATE)].flatMap(([, prefix = '', name = '']) => {
-    // Two classes of one file may name their parameter alike; the nearest one above counts.
+    // Two classes of one file may use the same parameter name; the nearest one above counts.
     const before = source.slice(0, source.indexOf(`\`${prefix}\${`));
     const nearest = before.slice(before.lastIndexOf('class '));
     const type = new RegExp(`readonly ${name}: (\\w+)`).exec(nearest)?.[0] ?? '';
@@ -56,13 +56,13 @@
   );
 }
 
-/** Those of `wanted` that `present` has not. */
+/** The elements of `wanted` that `present` lacks. */
 function missingFrom(present: Iterable<string>, wanted: Iterable<string>): string[] {
   const known = new Set(present);
   return [...wanted].filter((one) => !known.has(one)).sort();
 }
 
-test('every error code has a line in docs/ERRORS.md, and every line a code', () => {
+test('every error code has a line in docs/ERRORS.md, and every line has an error code', () => {
   const codes = codesOfSource();
   assert.ok(codes.has('MS-NOT-RUN-NO-PRIMARY') && codes.has('MS-READ-REPLICA-BEHIND'));
   assert.ok(codes.has('MS-BACKEND-CONNECT-TIMEOUT') && codes.has('MS-BACKEND-CLOSED'));
@@ -71,7 +71,7 @@
   assert.equal(missingFrom(codes, listed), [], 'lines without a code');
 });
 
-test('every metric has a line in docs/operations/status.md, and every line a metric', () => {
+test('every metric has a line in docs/operations/status.md, and every line has a metric', () => {
   const metrics = createMetrics('docs', false).registry.getMetricsAsArray();
   const page = read('docs', 'operations', 'status.md');
   const listed = firstGroups(page, /^\| `(meadowstack_\w+)`/gm);
@@ -93,7 +93,7 @@
   }
 });
 
-test('every setting has a place in docs/operations/settings.md', () => {
+test('every setting is described in docs/operations/settings.md', () => {
   const page = read('docs', 'operations', 'settings.md');
   const shown = SETTING_FIELDS.filter((field) => field.hidden !== true);
   const missing = shown.filter(({ path }) => !page.includes(`\`${path}\``));
@@ -103,7 +103,7 @@
   );
 });
 
-test('every mechanism that can be switched off is in docs/design/mechanisms.md', () => {
+test('every mechanism that can be disabled is listed in docs/design/mechanisms.md', () => {
   const page = read('docs', 'design', 'mechanisms.md');
   assert.equal(
     [...ALL_MECHANISMS, ...CONFIGURATION_MECHANISMS].filter(
--- a/test/unit/election.test.ts
+++ b/test/unit/election.test.ts
@@ -21,7 +21,7 @@
   return { granted: true, sequence, quietMs, voterSets };
 }
 
-test('a voter votes for one candidate until its vote has lapsed', () => {
+test('a voter votes for one candidate until its vote has expired', () => {
   const voter = voterStartedAt(0);
   const first = voter.vote('t', 'one', SETS, 10_000);
   assert.ok(first.granted);
@@ -32,12 +32,12 @@
   assert.is.not(second.sequence, first.sequence);
 });
 
-test('a restarted voter vouches for no longer than it runs', () => {
+test('a restarted voter confirms no longer time than it has been running', () => {
   const vote = voterStartedAt(9000).vote('t', 'one', SETS, 10_000);
   assert.is(vote.quietMs, 1000);
 });
 
-test('a majority elects, with the time that a majority vouches for', () => {
+test('a majority elects, with the time that a majority confirms', () => {
   const candidacy = new Candidacy(AUTHORITY_MS);
   candidacy.startRound(SETS, 0, 100);
   assert.is(candidacy.receiveVote('a', 100, voteFor('a1', 50), 110).type, 'pending');
@@ -47,7 +47,7 @@
   assert.is(late.type, 'pending', 'a vote of an earlier round');
 });
 
-test('a majority is needed also of the voters that a voter knows of', () => {
+test('a majority is also needed of the voters that another voter knows', () => {
   const candidacy = new Candidacy(AUTHORITY_MS);
   candidacy.startRound([['a']], 0, 100);
   const known = [['a'], ['x', 'y', 'z']];
@@ -55,20 +55,20 @@
   assert.equal(candidacy.startRound([['a']], 0, 200), ['a', 'x', 'y', 'z']);
 });
 
-test('a tenure does not go on if others may have been elected by earlier voters', () => {
+test('a tenure is not renewed if earlier voters may have elected others', () => {
   const candidacy = new Candidacy(AUTHORITY_MS);
   candidacy.startRound([['a']], 0, 100);
   candidacy.receiveVote('a', 100, voteFor('a1', 50, [['a']]), 110);
   candidacy.startRound([['a']], 0, 200);
   const next = candidacy.receiveVote('a', 200, voteFor('a1', 150, [['a']]), 210);
   assert.ok(next.type === 'elected' && next.isRenewal);
-  const coveredSince = 200 + AUTHORITY_MS + 1;
-  candidacy.startRound([['a']], coveredSince, 9000);
+  const completeSince = 200 + AUTHORITY_MS + 1;
+  candidacy.startRound([['a']], completeSince, 9000);
   const later = candidacy.receiveVote('a', 9000, voteFor('a1', 8000, [['a']]), 9010);
   assert.ok(later.type === 'elected' && !later.isRenewal);
 });
 
-test('after a change of the list the voters of both lists count, and then the new ones alone', async () => {
+test('after a change of the machine list the voters of both lists count, and later only the new ones', async () => {
   const sets = new VoterSets(await loadHash64(), {
     maxMachineListLagMs: LIST_LAG_MS,
     retentionMs: REMEMBER_MS,
@@ -87,19 +87,23 @@
   assert.is(after.completeSince, 20_000 + LIST_LAG_MS);
 });
 
-test('what voters vouch for counts no further back than the elections that they cover', () => {
+test('the time that voters confirm counts no further back than the elections that they cover', () => {
   const now = 1_000_000;
-  const reasonWith = (coveredSince: number): string | undefined => {
+  const reasonWith = (completeSince: number): string | undefined => {
     const lease = { ...DEFAULT_TENANT_LEASE_OPTIONS, maxReportingNodes: 0 };
     const allocator = new TenantAllocator('t', 'n#1', 10, lease, now);
-    allocator.tick({ voterSets: [['a']], completeSince: coveredSince, knownNodes: [] }, now);
+    allocator.tick({ voterSets: [['a']], completeSince, knownNodes: [] }, now);
     allocator.receiveVote('a', now, voteFor('a1', now, [['a']]), now);
     const counts = { wanted: 1, needed: 1, holding: 0, inUse: 0 };
     const answer = allocator.answer({ holder: 'h', number: 1, term: undefined, ...counts }, now);
     return answer.type === 'refused' ? answer.reason : undefined;
   };
   assert.is(reasonWith(now - 100), 'waiting', 'another may still grant');
-  assert.is(reasonWith(0), 'term-unknown', 'it may grant to whoever asks with its term');
+  assert.is(
+    reasonWith(0),
+    'term-unknown',
+    'it may grant to every holder that requests with its term',
+  );
 });
 
 test.run();
--- a/test/unit/fleet-digests.test.ts
+++ b/test/unit/fleet-digests.test.ts
@@ -15,7 +15,7 @@
   };
 }
 
-test('own observations make a digest, and are gone after little more than a second', () => {
+test('own observations form a digest, and expire after little more than a second', () => {
   const digests = new FleetDigests();
   for (const answerMs of [8, 12, undefined]) {
     digests.recordOwn('ledger', 'i-1', { type: 'answered', answerMs }, NOW);
@@ -31,7 +31,7 @@
   assert.is(digests.viewOf('i-1', NOW + 1600), undefined);
 });
 
-test('many weak observations outweigh a single strong one that differs', () => {
+test('many digests with few observations outweigh a single deviating one with many', () => {
   const digests = new FleetDigests();
   for (let node = 0; node < 12; node += 1) {
     digests.recordReported(digestOf({ answered: 4, answerMs: 70 }), `n${node}`, NOW);
@@ -42,7 +42,7 @@
   assert.ok((view?.answered ?? 0) <= 2 * 12 * 4, JSON.stringify(view));
 });
 
-test('a node that reports failures alone does not make an instance fail', () => {
+test('failures that only one node reports do not make an instance faulty', () => {
   const digests = new FleetDigests();
   for (let node = 0; node < 11; node += 1) digests.recordReported(digestOf(), `n${node}`, NOW);
   digests.recordReported(digestOf({ answered: 0, failed: 20, answerMs: 0 }), 'bad link', NOW);
@@ -50,7 +50,7 @@
   assert.ok((view?.failed ?? 0) < 0.2 * (view?.answered ?? 0), JSON.stringify(view));
 });
 
-test('digests weigh less with age, and old ones nothing', () => {
+test('digests lose weight with age, and old ones are rejected', () => {
   const digests = new FleetDigests();
   digests.recordReported(digestOf({ answerMs: 70, ageMs: 1500 }), 'late', NOW);
   digests.recordReported(digestOf({ answerMs: 10 }), 'fresh', NOW);
@@ -59,7 +59,7 @@
   assert.is(digests.viewOf('i-1', NOW + MAX_AGE_MS), undefined);
 });
 
-test('impossible figures are refused', () => {
+test('impossible figures are rejected', () => {
   const digests = new FleetDigests();
   const nonsense: Partial<InstanceDigest>[] = [
     { ageMs: -1 },
@@ -80,7 +80,7 @@
   assert.is(digests.viewOf('i-1', NOW), undefined);
 });
 
-test('a node is told what all saw together, and that ages until it is merged again', () => {
+test('the merged digests combine the observations of all nodes, and age until they are merged again', () => {
   const reader = new FleetDigests();
   reader.recordOwn('ledger', 'i-1', { type: 'answered', answerMs: 10 }, NOW);
   reader.recordReported(digestOf({ answered: 4 }), 'n1', NOW);
@@ -95,7 +95,7 @@
   assert.equal(told(NOW + 100), ['i-1: 5', 'i-2: 2']);
 });
 
-test('told digests are the newest of each node, and gone instances are forgotten', () => {
+test('only the newest digest of each node counts, and instances that are gone are removed', () => {
   const digests = new FleetDigests();
   digests.recordReported(digestOf({ answered: 10 }), 'n1', NOW);
   digests.recordReported(digestOf({ answered: 4 }), 'n1', NOW);
--- a/test/unit/fleet-view.test.ts
+++ b/test/unit/fleet-view.test.ts
@@ -32,7 +32,7 @@
     .sort();
 }
 
-test('live nodes are worked out once, and again after every kind of change', () => {
+test('live nodes are computed once, and again after every kind of change', () => {
   const members = new Map([['other', memberOf('other', 'alive')]]);
   const view = viewOf(members);
   assert.equal(liveIds(view), ['other', 'self']);
@@ -46,7 +46,7 @@
   assert.equal(liveIds(view), ['listed']);
 });
 
-test('home nodes stay the same array until the list changes, and keep who has gone', () => {
+test('home nodes stay the same array until the machine list changes, and keep nodes that have gone', () => {
   const view = viewOf(new Map());
   view.setMachines([proxyOf('one'), proxyOf('two')]);
   const before = view.homeNodes();
@@ -59,7 +59,7 @@
   );
 });
 
-test('a listed node that is never heard of counts as live for its grace only', () => {
+test('a listed node that never reports counts as live only for the grace period', () => {
   let now = 1000;
   const members = new Map<string, Member>();
   const view = viewOf(members, () => now);
@@ -79,7 +79,7 @@
   assert.is(view.dropUnconfirmedNodes(), false, 'nothing more to drop');
 });
 
-test('a silent node that is heard of at last is live again', () => {
+test('an unresponsive node that reports at last is live again', () => {
   let now = 0;
   const members = new Map<string, Member>();
   const view = viewOf(members, () => now);
@@ -91,7 +91,7 @@
   assert.equal(liveIds(view), ['late', 'self']);
 });
 
-test('a node that died long ago and is forgotten does not come back by the list', () => {
+test('a node that died long ago and was removed does not become live through the machine list', () => {
   let now = 0;
   const members = new Map([['gone', memberOf('gone', 'dead')]]);
   const view = viewOf(members, () => now);
--- a/test/unit/frame-batch.test.ts
+++ b/test/unit/frame-batch.test.ts
@@ -7,7 +7,7 @@
 const FRAME_BYTES = HEADER_BYTES + PAYLOAD.length;
 const REST_BYTES = 1024;
 
-test('a link that sends one frame after a rest holds little memory for it', () => {
+test('a link that sends one frame after an idle period holds little memory for it', () => {
   const batch = new FrameBatch();
   for (let round = 0; round < 3; round += 1) {
     batch.add(FrameType.PING, 0, PAYLOAD);
@@ -18,7 +18,7 @@
   }
 });
 
-test('frames keep their bytes and order over many slabs', () => {
+test('frames keep their bytes and order across many slabs', () => {
   const batch = new FrameBatch();
   const count = 2000;
   const parts: Buffer[] = [];
--- a/test/unit/fuzz.test.ts
+++ b/test/unit/fuzz.test.ts
@@ -27,21 +27,21 @@
   return search({ scenarios: [SCENARIO], firstSeed: 1, without: new Set(), goesOn });
 }
 
-test('a search goes on over seeds and stops at the first violation', () => {
+test('a search continues over seeds and stops at the first violation', () => {
   assert.equal(searchFor(6), { runs: 6, lastSeed: 6, failed: undefined });
   const found = searchFor(100);
   assert.is(found.runs, FAILING_SEED);
   assert.is(found.failed?.seed, FAILING_SEED);
 });
 
-test('a violation is told with just the events that it needs', () => {
+test('a violation is reported with only the events that it needs', () => {
   const plan = SCENARIO.plan(FAILING_SEED, new Set());
   const { kept, outcome } = shrink(plan, plan.run(allEventsOf(plan)));
   assert.equal([...kept], [0, 2]);
   assert.equal(outcome.violations, ['check: broken']);
 });
 
-test('flags that do not fit are refused', () => {
+test('invalid flags are refused', () => {
   for (const flags of [['--scenario', 'none'], ['--seed', 'x'], ['--without', 'x'], ['--x']]) {
     assert.throws(
       () => parseFuzzArguments(flags),
--- a/test/unit/gateway-session.test.ts
+++ b/test/unit/gateway-session.test.ts
@@ -143,7 +143,7 @@
   assert.is(end.status, 'I');
 });
 
-test('a transaction that is lost later leaves a block that the caller has to end', async () => {
+test('a transaction that is lost after BEGIN leaves a failed block that the caller has to end', async () => {
   const caller = await sessionWith((stream, batch) => {
     if (batch > 1) abort(stream);
     else stream.send({ type: 'batch-end', status: 'T', heldBack: Buffer.alloc(0) });
@@ -166,7 +166,7 @@
   assert.is(lost.status, 'I');
 });
 
-test('a session that is ended by force never tells that its running request did not run', async () => {
+test('a session that is terminated never reports its running request as not run', async () => {
   const caller = await sessionWith(() => undefined);
   void caller.query('UPDATE orders SET state = 1');
   const revoked = new NotRunError('tenant-revoked', 'the tenant has no access any more');
@@ -177,7 +177,7 @@
   assert.is(idle.terminated, revoked);
 });
 
-test('a position is recorded in the time that is left of the request', async () => {
+test('a position is recorded within the remaining time of the request', async () => {
   const position = { timeline: 1, lsn: 7n };
   const remaining: number[] = [];
   const caller = await sessionWith(
--- a/test/unit/group-members.test.ts
+++ b/test/unit/group-members.test.ts
@@ -10,12 +10,12 @@
   return isMemberDead(answer, silentForMs, DEFAULT_PROMOTION_TIMINGS);
 }
 
-test('a silent member without an entry may serve on, and is waited for', () => {
+test('a silent member without a registration may still serve, and is considered dead only after a timeout', () => {
   assert.not(isDead('silent', memberDeadAfterMs - 1));
   assert.ok(isDead('silent', memberDeadAfterMs));
 });
 
-test('where nothing listens nobody lives; one that answers does', () => {
+test('a member at whose address nothing listens is dead; one that responds is not', () => {
   assert.ok(isDead('refused', 0));
   assert.not(isDead('busy', memberDeadAfterMs));
 });
