--- a/test/unit/bench/caller-session.test.ts
+++ b/test/unit/bench/caller-session.test.ts
@@ -1,4 +1,4 @@
-/** A caller's session of the load, against a proxy made of prepared bytes. */
+/** A caller session of the load generator, against a proxy that sends prepared bytes. */
 import { once } from 'node:events';
 import { type AddressInfo, createServer, type Server, type Socket } from 'node:net';
 import { test } from 'uvu';
@@ -9,7 +9,7 @@
 const AUTHENTICATION_OK = Buffer.from('R\0\0\0\x08\0\0\0\0', 'latin1');
 const READY = Buffer.from('Z\0\0\0\x05I', 'latin1');
 
-function farewell(): Buffer {
+function terminationMessage(): Buffer {
   const fields = Buffer.from('SFATAL\0VFATAL\0C57P01\0Mthe proxy is being stopped\0\0', 'latin1');
   const head = Buffer.alloc(5, 'E');
   head.writeInt32BE(fields.length + 4, 1);
@@ -27,8 +27,8 @@
   return server;
 }
 
-test('a farewell in the packet that accepts a caller leaves nothing sent, so nothing cut', async () => {
-  const server = await answerWith(Buffer.concat([AUTHENTICATION_OK, READY, farewell()]));
+test('a termination message in the packet that accepts a caller counts as terminated and not run, not as cut off', async () => {
+  const server = await answerWith(Buffer.concat([AUTHENTICATION_OK, READY, terminationMessage()]));
   const { port } = server.address() as AddressInfo;
   const session = new CallerSession({
     sessionId: 'session',
--- a/test/unit/bench/direct-figures.test.ts
+++ b/test/unit/bench/direct-figures.test.ts
@@ -15,17 +15,17 @@
   return { ...base, sentAt, answeredAt: sentAt + tookMs, ...rest };
 }
 
-test('percentiles are of what was done, and the share of all', () => {
+test('percentiles count only successful statements, and the success ratio counts all', () => {
   const done = [10, 20, 30].map((tookMs) => statement(0, tookMs));
   const failed = statement(0, 900, { error: 'BUSY' });
   assert.equal(figuresOf([...done, failed]), { p50Ms: 20, p99Ms: 30, doneShare: 0.75 });
 });
 
-test('nothing at all gives zeros', () => {
+test('no statements give zeros', () => {
   assert.equal(figuresOf([]), { p50Ms: 0, p99Ms: 0, doneShare: 0 });
 });
 
-test('the gap counts from the fault, and only acknowledged writes end it', () => {
+test('the write gap starts at the fault, and only acknowledged writes end it', () => {
   const statements = [
     statement(50, 10),
     statement(100, 20, { error: 'BUSY' }),
--- a/test/unit/bench/faults.test.ts
+++ b/test/unit/bench/faults.test.ts
@@ -56,7 +56,7 @@
   }
 });
 
-test('flags become options; wrong ones are told', () => {
+test('flags are parsed into options, and invalid flags are refused', () => {
   const { run, allPairs: matrix } = parseBenchArguments([
     '--deployment=trust',
     '--duration=3',
@@ -107,18 +107,18 @@
   assert.match(table, /store-down`: the run failed: no primary/);
 });
 
-test('a run that can not be carried out is a cell of its own, and the matrix goes on', async () => {
+test('a run that cannot start gives a cell with its error, and the matrix continues', async () => {
   const { run } = parseBenchArguments(['--seed=10']);
-  let told = 0;
+  let reportedCells = 0;
   const cells = await runMatrix(
     run,
     () => Promise.reject(new GroupNotSettledError('no primary')),
     async () => {
-      told += 1;
+      reportedCells += 1;
     },
   );
   assert.is(cells.length, combinations().length);
-  assert.is(told, cells.length);
+  assert.is(reportedCells, cells.length);
   assert.is(cells[2]?.seed, 12);
   assert.ok(cells.every(({ error }) => error === 'no primary'));
 });
--- a/test/unit/bench/recorder.test.ts
+++ b/test/unit/bench/recorder.test.ts
@@ -27,7 +27,7 @@
   ]);
 });
 
-test('what is recorded is what the checkers of promises 7 to 9 judge', () => {
+test('recorded events have the form that the checkers of promises 7 to 9 expect', () => {
   const recorder = new RunRecorder();
   const visibleAt = nowMs() - 20_000;
   const markOff = recorder.leaving('db-1', visibleAt);
--- a/test/unit/bench/series.test.ts
+++ b/test/unit/bench/series.test.ts
@@ -36,7 +36,7 @@
   request('d', 600, { servedBy: 'replica' }),
 ]);
 
-test('requests are counted in the stretch in which they were due', () => {
+test('requests are counted in the interval in which they were due', () => {
   const points = outcomePoints(REQUESTS, STARTED_AT, DEPLOYMENTS.bureau);
   const rateOf = (second: number, ending: string): number | undefined =>
     points.find((point) => point.second === second && point.ending === ending)?.requestsPerSecond;
@@ -46,7 +46,7 @@
   assert.is(rateOf(0.5, 'in time'), 4);
 });
 
-test('service, replica share and latency by stretch', () => {
+test('service, replica fraction and latency are computed per interval', () => {
   const service = servicePoints(REQUESTS, STARTED_AT, DEPLOYMENTS.bureau);
   assert.equal(service, [
     { second: 0, kind: 'status', served: 1 / 3 },
@@ -65,7 +65,7 @@
   assert.is(percentilePoints(REQUESTS).at(-1)?.latencyMs, 5_000);
 });
 
-test('faults that hit nothing have no band', () => {
+test('faults without a target have no band', () => {
   const fault = { name: 'zone-cut', beganAt: STARTED_AT + 500, endedAt: STARTED_AT + 2_000 };
   const bands = faultBands(
     [
--- a/test/unit/bench/soak-page.test.ts
+++ b/test/unit/bench/soak-page.test.ts
@@ -1,4 +1,4 @@
-/** Plots and page of a soak, from what clients were told. */
+/** Plots and page of a soak, from the responses to clients. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { renderSoakPage, worthPlotting } from '../../../bench/soak/page.js';
@@ -36,7 +36,7 @@
   };
 }
 
-test('a round is plotted from its first statement on, with its faults in their place', () => {
+test('a round is plotted from its first statement on, with its faults at their times', () => {
   assert.is(PLOTS.seconds, 5);
   assert.equal(PLOTS.faults, [{ name: 'primary-dark', from: 1.5, to: 3.5 }]);
   assert.equal(PLOTS.service, [
@@ -52,7 +52,7 @@
   );
 });
 
-test('what instances ran stands beside what clients sent', () => {
+test('the load plot shows what clients sent and what instances ran', () => {
   assert.equal(PLOTS.load, [
     { second: 0, measure: 'sent by clients', value: 4 },
     { second: 0.5, measure: 'sent by clients', value: 2 },
@@ -61,7 +61,7 @@
   assert.is(PLOTS.amplification, 1);
 });
 
-test('rounds with findings come first, and all of them; then those that served least', () => {
+test('all rounds with findings come first, then the rounds that served least', () => {
   const finding = { type: 'no-recovery', detail: 'none' } as const;
   const quiet = Array.from({ length: 8 }, (_, index) => round(index, index));
   const shown = worthPlotting([...quiet, round(99, 1, [finding])]);
--- a/test/unit/bench/soak-schedule.test.ts
+++ b/test/unit/bench/soak-schedule.test.ts
@@ -1,4 +1,4 @@
-/** Faults of a soak's round follow from its seed. */
+/** The faults of a soak round depend only on its seed. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { isPlannedWork, PLANNED_KINDS } from '../../../bench/soak/planned-schedule.js';
@@ -12,18 +12,18 @@
   return drawSchedule(seed, seededRandom(seed), SPAN_MS);
 }
 
-test('the same seed gives the same faults, and another one others', () => {
+test('the same seed gives the same faults, and another seed gives others', () => {
   assert.equal(schedule(7), schedule(7));
   assert.not.equal(schedule(7), schedule(8));
 });
 
-test('every kind comes up, each with and without owners, and ends within the span', () => {
+test('every kind of fault occurs, rounds run with and without owners, and faults end within the time span', () => {
   const kinds = new Set<string>();
-  const ways = new Set<boolean>();
+  const ownerSettings = new Set<boolean>();
   const mixes = new Set<string>();
   for (let seed = 0; seed < ROUNDS; seed += 1) {
     const { faults, hasOwners } = schedule(seed * 1000);
-    ways.add(hasOwners);
+    ownerSettings.add(hasOwners);
     mixes.add([...new Set(faults.map(({ fault }) => isPlannedWork(fault)))].sort().join());
     let before = 0;
     for (const { atMs, forMs, fault } of faults) {
@@ -33,7 +33,7 @@
     }
   }
   assert.is(kinds.size, DISRUPTION_KINDS.length + PLANNED_KINDS.length);
-  assert.is(ways.size, 2);
+  assert.is(ownerSettings.size, 2);
   assert.equal([...mixes].sort(), ['false', 'false,true', 'true']);
 });
 
--- a/test/unit/bench/unobserved.test.ts
+++ b/test/unit/bench/unobserved.test.ts
@@ -3,7 +3,7 @@
 import { EMPTY_HISTORY, type History } from '../../../bench/history/model.js';
 import { unobservedPromises } from '../../../bench/run/unobserved.js';
 
-test('a run observes a promise only if it lasted long enough for it to be judged', () => {
+test('a run observes a promise only if it lasted long enough for the check', () => {
   const sample = { proxy: 'a', revision: 1, at: 0 };
   const history: History = {
     ...EMPTY_HISTORY,
--- a/test/unit/hand-over.test.ts
+++ b/test/unit/hand-over.test.ts
@@ -14,7 +14,7 @@
   return effects.map((effect) => effect.type);
 }
 
-test('the first owners serve at once', () => {
+test('the first owners of a group serve it at once', () => {
   const owner = new OwnerHandOver('a');
   assert.equal(typesOf(owner.handle({ type: 'owners-changed', change: START }, 0)), [
     'warm',
@@ -23,7 +23,7 @@
   assert.is(owner.phaseOf(GROUP), 'serving');
 });
 
-test('a new owner warms, serves and announces; the former one serves until then', () => {
+test('a new owner warms up, serves and announces it; the former owner serves until then', () => {
   const former = new OwnerHandOver('b');
   const next = new OwnerHandOver('c');
   former.handle({ type: 'owners-changed', change: START }, 0);
@@ -43,7 +43,7 @@
   assert.is(former.phaseOf(GROUP), 'none');
 });
 
-test('deadlines end the hand-over if nothing is heard', () => {
+test('the hand-over ends at its deadlines if no message arrives', () => {
   const former = new OwnerHandOver('b');
   const next = new OwnerHandOver('c');
   former.handle({ type: 'owners-changed', change: START }, 0);
@@ -59,7 +59,7 @@
   assert.equal(typesOf(former.handle({ type: 'tick' }, retireTimeoutMs)), ['redirect', 'retire']);
 });
 
-test('an owner that gets the group back while retiring goes on serving', () => {
+test('an owner that gets the group back while retiring continues to serve', () => {
   const owner = new OwnerHandOver('b');
   owner.handle({ type: 'owners-changed', change: START }, 0);
   owner.handle({ type: 'owners-changed', change: MOVE }, 0);
@@ -76,7 +76,7 @@
   assert.equal(typesOf(effects), ['redirect', 'retire']);
 });
 
-test('a gateway uses an owner that stays first, a newcomer after the redirect', () => {
+test('a gateway first uses an owner that stays, and a new one after the redirect', () => {
   const routes = new GroupRoutes(1000, () => true);
   routes.handleOwnersChanged(START, 0);
   assert.equal(routes.routeOf(GROUP, 0), ['a', 'b']);
@@ -86,7 +86,7 @@
   assert.equal(routes.routeOf(GROUP, 5002), ['c', 'a']);
 });
 
-test('a gateway stays with live former owners if none stays, and leaves them in time', () => {
+test('if no owner stays a gateway uses live former owners for a limited time', () => {
   const dead = new Set<string>();
   const routes = new GroupRoutes(1000, (nodeId) => !dead.has(nodeId));
   routes.handleOwnersChanged(START, 0);
--- a/test/unit/home-node-directory.test.ts
+++ b/test/unit/home-node-directory.test.ts
@@ -49,14 +49,14 @@
   return directory.record('tenant', 'session', ENTRY, REMAINING_MS);
 }
 
-test('a record that a home node missed is told to it again', async () => {
+test('a record that a home node missed is sent to it again', async () => {
   const fixture = createFixture((port, { called }) => {
     return port === 2 && called.filter((one) => one === 2).length > 1;
   });
   assert.is(await record(fixture), true);
 });
 
-test('a home node that was restarted elsewhere is told at its new address', async () => {
+test('a record is sent to the new address of a home node that was restarted elsewhere', async () => {
   const fixture = createFixture((port) => {
     fixture.nodes = [node(1, 1), node(2, 22), node(3, 3)];
     return port === 22;
@@ -64,16 +64,16 @@
   assert.is(await record(fixture), true);
 });
 
-test('without a second home node the record fails once the time is up', async () => {
+test('without a second home node the record fails at its deadline', async () => {
   const fixture = createFixture(() => {
     fixture.clock.nowMs += 400;
     return false;
   });
   assert.is(await record(fixture), false);
-  assert.ok(fixture.called.length > 2, 'each was told more than once');
+  assert.ok(fixture.called.length > 2, 'each was called more than once');
 });
 
-test('once enough home nodes have recorded, the others are told no more', async () => {
+test('once enough home nodes have recorded, nothing more is sent to the others', async () => {
   const fixture = createFixture((port) => port === 2);
   assert.is(await record(fixture), true);
   // The second record needs a retry: by its end, a retry of the first would have been sent too.
--- a/test/unit/lag-memory.test.ts
+++ b/test/unit/lag-memory.test.ts
@@ -7,7 +7,7 @@
 
 const at = (lsn: bigint): Position => ({ timeline: 1, lsn });
 
-test('a replica that lacked a position is left alone for it and what comes after it, and for no earlier one', () => {
+test('a replica that lacked a position is skipped for this and later positions, and not for earlier ones', () => {
   const lag = new LaggingReplicas();
   assert.not(lag.isLikelyBehind('r', at(10n), 0));
   lag.recordLagging('r', at(10n), 0);
@@ -19,7 +19,7 @@
   assert.not(lag.isLikelyBehind('r', at(10n), 20));
 });
 
-test('each time it lacks what was asked it is left alone for longer, and those asked together count once', () => {
+test('a replica is skipped for longer each time that it lacks a position, and concurrent refusals count once', () => {
   const lag = new LaggingReplicas();
   const holds: number[] = [];
   let now = 0;
@@ -36,7 +36,7 @@
   assert.not(lag.isLikelyBehind('r', at(12n), now + 20));
 });
 
-test('a statement pauses longer with each refusal, up to a part of its aim', () => {
+test('a statement pauses longer with each refusal, up to a fraction of its latency target', () => {
   const pauses = [0, 1, 2, 3, 4, 5, 9].map((refusals) => statementRetryPause(refusals, 400, 0.5));
   assert.equal(pauses, [15, 15, 30, 60, 100, 100, 100]);
   assert.is(statementRetryPause(9, 150, 0.5), 37.5);
--- a/test/unit/limits.test.ts
+++ b/test/unit/limits.test.ts
@@ -9,7 +9,7 @@
   return admission;
 }
 
-test('a burst passes, then the rate, with the time to come back', () => {
+test('a burst is admitted, then the rate, and refusals contain the retry delay', () => {
   const admission = admissionWith({ requestsPerSecond: 100, burst: 3 });
   const refusals = [0, 0, 0, 0].map((now) => admission.admit('bureau', 0, now));
   assert.equal(
@@ -20,7 +20,7 @@
   assert.is(admission.admit('bureau', 0, 10), undefined);
 });
 
-test('requests in flight are bounded and let go at their end', () => {
+test('requests in flight are limited, and their places are freed at their end', () => {
   const admission = admissionWith({ maxInFlight: 1 });
   assert.is(admission.admit('bureau', 0, 0), undefined);
   assert.is(admission.admit('bureau', 7, 0)?.reason, 'in-flight-limit');
@@ -28,7 +28,7 @@
   assert.is(admission.admit('bureau', 0, 0), undefined);
 });
 
-test('queued requests and held connections are bounded', () => {
+test('queued requests and held connections are limited', () => {
   const admission = admissionWith({ maxQueued: 1, maxConnections: 1 });
   admission.admit('bureau', 0, 0);
   admission.recordQueued('bureau', 1);
@@ -38,13 +38,13 @@
   assert.not.ok(admission.mayHoldConnection('bureau'));
 });
 
-test('one tenant at its limit does not touch another', () => {
+test('a tenant at its limit does not affect another', () => {
   const admission = admissionWith({ maxInFlight: 0 });
   assert.is(admission.admit('bureau', 0, 0)?.reason, 'in-flight-limit');
   assert.is(admission.admit('trust', 0, 0), undefined);
 });
 
-test('retries are a tenth of first attempts once the savings are spent', () => {
+test('retries are limited to a tenth of the first attempts once the saved budget is used', () => {
   const budget = new RetryBudget({ ratio: 0.1, capacity: 2 });
   assert.equal([budget.tryTake(), budget.tryTake(), budget.tryTake()], [true, true, false]);
   for (let attempt = 0; attempt < 100; attempt += 1) budget.recordAttempt();
--- a/test/unit/line-client.test.ts
+++ b/test/unit/line-client.test.ts
@@ -1,4 +1,4 @@
-/** The test client tells a request that was read from one that was not, when no answer comes. */
+/** The test client distinguishes unanswered requests that the server has read from those that it has not. */
 import { once } from 'node:events';
 import { createServer, type Server, type Socket } from 'node:net';
 import { setImmediate as nextTurn } from 'node:timers/promises';
@@ -29,15 +29,15 @@
   return (error as LineConnectionLost).lost;
 }
 
-test('a request that was read before the end was taken', async () => {
+test('a request that the server read before the end of the connection counts as taken', async () => {
   assert.is((await lostAt(true))?.wasTaken, true);
 });
 
-test('a request that stayed unread was not taken', async () => {
+test('a request that the server did not read does not count as taken', async () => {
   assert.is((await lostAt(false))?.wasTaken, false);
 });
 
-test('after the end nothing is sent, and nothing is owed', async () => {
+test('after the end of the connection nothing is sent, and no response is expected', async () => {
   server = createServer((socket) => socket.end());
   const port = await listen(server, HOST, 0);
   const client = await LineClient.connect(HOST, port, { looksWhetherTaken: true });
--- a/test/unit/lives.test.ts
+++ b/test/unit/lives.test.ts
@@ -32,40 +32,40 @@
   ...{ lagMs: 0, busySlots: 0, connections: 0 },
 };
 
-test('lives of one instance differ, and are no lives of another', () => {
+test('two incarnations of one instance differ, and are not compared with those of another instance', () => {
   assert.ok(isOtherIncarnation(FIRST, SECOND));
   assert.not(isOtherIncarnation(FIRST, FIRST));
   assert.not(isOtherIncarnation(FIRST, { ...SECOND, lifeOf: 'i-2' }));
-  assert.not(isOtherIncarnation({ id: 'a' }, { id: 'b' }), 'where lives are not told apart');
+  assert.not(isOtherIncarnation({ id: 'a' }, { id: 'b' }), 'if incarnations are not known');
 });
 
-test('the platform is told its own ids', () => {
+test('the platform receives its own ids', () => {
   assert.is(platformIdOf(FIRST.id), 'i-1');
   assert.is(platformIdOf(incarnationIdOf('i-1', undefined)), 'i-1');
   assert.is(lineWire.encodeStart('orders', FIRST.id), 'START orders meadowstack i-1\r\n');
 });
 
-test('a life is over once the store has an entry of another one, and only then', () => {
+test('an incarnation is replaced only once the store has a registration of another one', () => {
   const never = () => Number.NEGATIVE_INFINITY;
   const primaries = new Primaries({} as StoreView, DEFAULT_PROMOTION_TIMINGS, never);
   primaries.updateInstances([FIRST], 0);
   assert.not(primaries.hasNewIncarnation(FIRST));
   primaries.updateInstances([], 10);
-  assert.not(primaries.hasNewIncarnation(FIRST), 'its entry may have lapsed');
+  assert.not(primaries.hasNewIncarnation(FIRST), 'its registration may have expired');
   primaries.updateInstances([SECOND], 20);
   assert.ok(primaries.hasNewIncarnation(FIRST));
   assert.not(primaries.hasNewIncarnation(SECOND));
-  const { lifeOf: _, ...untold } = FIRST;
-  assert.not(primaries.hasNewIncarnation({ ...untold, id: 'i-1' }));
+  const { lifeOf: _, ...withoutIncarnation } = FIRST;
+  assert.not(primaries.hasNewIncarnation({ ...withoutIncarnation, id: 'i-1' }));
 });
 
-test('records and peers carry lives', () => {
+test('records and messages to peers contain the incarnation', () => {
   assert.equal(parseInstanceEntry(JSON.parse(JSON.stringify(FIRST))), FIRST);
   const { lifeOf: _, ...plain } = FIRST;
   assert.equal(parseInstanceEntry(plain), plain);
 });
 
-test('a life that is over answers nothing, whoever answers under its id', async () => {
+test('calls to a replaced incarnation are refused, whichever process responds under its id', async () => {
   const answer = () => okAsync(STATUS);
   const control: InstanceControl = {
     ...{ status: answer, pause: answer, resume: answer, demote: answer, close: () => {} },
--- a/test/unit/load.test.ts
+++ b/test/unit/load.test.ts
@@ -33,7 +33,7 @@
   }
 });
 
-test('a schedule follows from its seed alone, with bursts, skew and the shares asked for', () => {
+test('a schedule depends only on its seed, and has bursts, skew and the configured shares', () => {
   const planned = planRequests(SCHEDULE);
   assert.equal(planRequests(SCHEDULE), planned);
   assert.not.equal(planRequests({ ...SCHEDULE, seed: 6 }), planned);
@@ -66,7 +66,7 @@
   return planAttempt({ ...base, ownRow: undefined });
 }
 
-test('what may run once carries its key, ranges stay within the rows, transactions own two rows', () => {
+test('statements that may run only once contain their key, ranges stay within the rows, and transactions write two rows of their own', () => {
   const unlock = planOf('insert-unlock').statements[0];
   assert.match(unlock?.text ?? '', /meadowstack_once='x'/);
   assert.match(unlock?.text ?? '', /meadowstack_kind='unlock'/);
@@ -83,7 +83,7 @@
   return Object.assign(new pg.DatabaseError('message', 0, 'error'), { code, detail, hint });
 }
 
-test('outcome, code and delay are read from an error', () => {
+test('outcome, code and retry delay are parsed from an error', () => {
   const refused = failureOf(
     databaseError('57P03', 'MS-NOT-RUN-NO-PRIMARY: not-run', 'retry after 30 ms'),
   );
@@ -108,7 +108,7 @@
   assert.is(failureOf(new Error('Connection terminated unexpectedly')).ending, 'cut');
 });
 
-test('a caller retries what is safe, after the hint, within its deadline, a few times', () => {
+test('a caller retries only safe requests, after the suggested delay, within its deadline, a few times', () => {
   const plan = planOf('insert-unlock');
   const delayOf = (changes: Partial<RequestRecord>, attempts = 1, retried = plan) =>
     retryDelayMs({
@@ -143,7 +143,7 @@
   assert.equal([gap(4000).gapMs, gap(4000).ended], [17_000, false]);
 });
 
-test('figures count requests by their last attempt, from the intended time', () => {
+test('figures count requests by their last attempt, and latency from the intended time', () => {
   const requests = [
     requestRecord({ logicalId: 'a', outcome: 'not-run', intendedAt: 0, sentAt: 0, endedAt: 10 }),
     requestRecord({ logicalId: 'a', sentAt: 20, intendedAt: 0, endedAt: 400 }),
@@ -179,7 +179,7 @@
   return { ...base, events: [], ...changes };
 }
 
-test('commits survive if the last primary has them, others are kept as lost', () => {
+test('commits survive if the last primary has them, others are recorded as lost', () => {
   const entry = (timeline: number, lsn: string, key: string) => ({
     timeline,
     lsn,
--- a/test/unit/loads.test.ts
+++ b/test/unit/loads.test.ts
@@ -12,7 +12,7 @@
   leaving: false,
 };
 
-test('a transaction between two statements gives its slot to others and takes it back', () => {
+test('a transaction releases its slot between two statements and acquires it again', () => {
   const loads = new InstanceLoads();
   for (let count = 0; count < 4; count += 1) loads.recordStart('a', 'transaction', 'one');
   assert.not.ok(loads.hasSlot(PRIMARY, 'statement'));
@@ -23,7 +23,7 @@
   assert.not.ok(loads.hasSlot(PRIMARY, 'statement'));
 });
 
-test('open transactions are bounded even if all are idle, statements still run', () => {
+test('open transactions are limited even if all are idle, and statements still run', () => {
   const loads = new InstanceLoads();
   let opened = 0;
   while (loads.hasSlot(PRIMARY, 'transaction') && opened < 100) {
@@ -35,7 +35,7 @@
   assert.ok(loads.hasSlot(PRIMARY, 'statement'));
 });
 
-test('a tenant with many idle transactions leaves places for those of others', () => {
+test('a tenant with many idle transactions leaves room for transactions of others', () => {
   const loads = new InstanceLoads();
   let opened = 0;
   while (loads.isWithinShare(PRIMARY, 'one', 'transaction', 2) && opened < 100) {
--- a/test/unit/machine-list-agent.test.ts
+++ b/test/unit/machine-list-agent.test.ts
@@ -38,14 +38,14 @@
   );
 }
 
-test('an answer that pushes have overtaken is no news, however often it comes', () => {
+test('a response that is older than received pushes changes nothing, however often it arrives', () => {
   const agent = agentWith(12, 'm0:leaving');
   read(agent, 10, 11, 'm0:live');
   read(agent, 10, 11, 'm0:live');
   assert.equal(agent.replica.items(), ['m0:leaving']);
 });
 
-test('a service that answers with less than it was told is believed the second time', () => {
+test('a service that responds twice with an earlier version than the known one is accepted the second time', () => {
   const agent = agentWith(12, 'm0:leaving');
   read(agent, 12, 10, 'm0:live');
   assert.equal(agent.replica.items(), ['m0:leaving']);
@@ -54,7 +54,7 @@
   assert.equal(agent.replica.stamp, { epoch: 1, version: 10 });
 });
 
-test('one answer with less, and then the list that was known, changes nothing', () => {
+test('a single response with an earlier version, followed by the known list, does not reset the list', () => {
   const agent = agentWith(12, 'm0:leaving');
   read(agent, 12, 10, 'm0:live');
   read(agent, 10, 13, 'm0:leaving', 'm1:live');
@@ -62,7 +62,7 @@
   assert.equal(agent.replica.stamp, { epoch: 0, version: 13 });
 });
 
-test('the same version with other contents is a new life of the service', () => {
+test('the same version with other contents is a restart of the service', () => {
   const agent = agentWith(12, 'm0:live');
   read(agent, 0, 12, 'm0:leaving', 'm0:leaving');
   assert.equal(agent.replica.stamp, { epoch: 1, version: 12 });
@@ -76,7 +76,7 @@
   return replica.replace({ epoch: 0, version: version + 1 }, entries(...after));
 }
 
-test('a difference is taken only where it leads to the list that its sender has', () => {
+test('a difference is applied only if it leads to the list of its sender', () => {
   const delta = deltaOf(4, ['m0:live', 'm1:live'], ['m0:leaving', 'm1:live']);
   const holding = (version: number, ...texts: readonly string[]) => {
     const replica = new MachineListReplica<string>();
@@ -90,7 +90,7 @@
   assert.is(holding(6, 'm0:live', 'm1:live').apply(delta), 'known', 'a later list');
 });
 
-test('only a push of a reader is a heartbeat: the node goes on reading after any other', () => {
+test('only a push of a reader is a heartbeat: after any other push the node continues to poll', () => {
   const delta = deltaOf(4, ['m0:live'], ['m0:leaving']);
   const ended = OTHERS.map(({ nodeId }) => {
     const agent = agentWith(4, 'm0:live');
--- a/test/unit/machine-list.test.ts
+++ b/test/unit/machine-list.test.ts
@@ -34,7 +34,7 @@
   assert.equal(publishedNames(list), ['p2']);
 });
 
-test('removing or marking an unknown machine is told', () => {
+test('removing or marking an unknown machine is reported as an error', () => {
   const list = new MachineList(0);
   assert.is(list.remove({ role: 'proxy', name: 'p1' }, 0), false);
   assert.is(list.markLeaving({ role: 'database', name: 'p1' }, 0), false);
--- a/test/unit/member-change.test.ts
+++ b/test/unit/member-change.test.ts
@@ -1,11 +1,11 @@
-/** What the members tell of each other's configuration revision is no change of the fleet. */
+/** A new configuration revision of a member is not a change of the fleet. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { MembershipNetwork } from '../support/membership-network.js';
 
 const SEED = 5;
 
-test('a member that has a new revision is told apart from one whose state changed', () => {
+test('a member with a new revision is distinguished from one whose state changed', () => {
   const network = new MembershipNetwork(SEED);
   network.startFleet(6, 2);
   assert.ok(network.run(60_000, () => network.isConverged()));
--- a/test/unit/node-metrics.test.ts
+++ b/test/unit/node-metrics.test.ts
@@ -44,7 +44,7 @@
   } as unknown as NodeStatus;
 }
 
-test('totals and gauges follow the status', async () => {
+test('counters and gauges follow the status', async () => {
   const metrics = createMetrics('n1', false);
   const recorder = new NodeMetricsRecorder(metrics);
   recorder.refresh(nodeStatus(groupStatus(20)));
--- a/test/unit/observability/explanation.test.ts
+++ b/test/unit/observability/explanation.test.ts
@@ -29,12 +29,12 @@
   return explain('r1', linesOf(...texts))?.cause;
 }
 
-test('a request of which nothing was written is not explained', () => {
+test('a request without log lines is not explained', () => {
   assert.is(explain('r1', linesOf(line(0, 'starting', {}))), undefined);
   assert.is(explain('r2', linesOf(ended(3, 'busy'))), undefined);
 });
 
-test('lines that are none are counted, and what a collector puts before one is left out', () => {
+test('lines that are not log lines are counted, and the prefix of a log collector is skipped', () => {
   const { lines, unreadable } = readLog(
     `12:00 node ${ended(3, 'busy')}\nnode: out of memory\n{"a"`,
   );
@@ -54,7 +54,7 @@
   );
 });
 
-test('changes of other services are not taken for the cause', () => {
+test('changes of other services are not reported as the cause', () => {
   const cause = causeOf(
     line(-30, 'primary to be replaced', { service: 'other', from: 'i-9', reason: 'dead' }, 'lead'),
     decided(1, 'no-instance', { primary: 'i-1', isTrusted: false, isChanging: true }),
@@ -63,7 +63,7 @@
   assert.is(cause, 'its primary was being replaced');
 });
 
-test('a primary that is not trusted is told with the store that is out of touch', () => {
+test('the explanation of an untrusted primary names the outage of the store', () => {
   const cause = causeOf(
     line(-900, 'belief changed', { belief: 'store', now: 'out of touch', before: 'current' }),
     decided(1, 'no-instance', { primary: 'i-1', isTrusted: false, isChanging: false }),
@@ -75,7 +75,7 @@
   );
 });
 
-test('each way of losing an answer is told apart', () => {
+test('each way of losing a response has its own explanation', () => {
   const sent = decided(2, 'sent', { instance: 'i-1', through: 'owner' });
   const lost = (fault: string) => decided(60, 'unanswered', { instance: 'i-1', fault });
   const causes = ['silence', 'instance', 'owner'].map((fault) =>
@@ -86,7 +86,7 @@
   assert.match(causes[2] ?? '', 'the node that lends connections to i-1 was lost');
 });
 
-test('a commit whose primary was replaced before it could be confirmed', () => {
+test('an unconfirmed commit is explained by the replacement of its primary', () => {
   const cause = causeOf(
     decided(2, 'sent', { instance: 'i-1' }),
     decided(9, 'answered', { instance: 'i-1' }),
@@ -96,7 +96,7 @@
   assert.match(cause ?? '', 'another primary led');
 });
 
-test('a late answer names where most of its time went', () => {
+test('the explanation of a late response names the steps between which most of its time passed', () => {
   const cause = causeOf(
     decided(0, 'chosen', { instance: 'i-2' }),
     decided(240, 'sent', { instance: 'i-2', through: 'own' }),
@@ -106,14 +106,14 @@
   assert.is(cause, '240 of 250 ms passed between chosen i-2 and sent i-2');
 });
 
-test('a request that was not handed over for want of a connection, or of budget', () => {
+test('a request that was not sent is explained by the missing connection or the spent retry budget', () => {
   const notSent = decided(90, 'not-sent', { instance: 'i-2', reason: 'no connection' });
   assert.match(causeOf(notSent, ended(90, 'busy')) ?? '', 'i-2 was not sent it: no connection');
   const spent = decided(91, 'budget-spent', { attempts: 3 });
   assert.match(causeOf(notSent, spent, ended(91, 'busy')) ?? '', 'budget of repeated attempts');
 });
 
-test('beliefs of its node and service are told, each as it stood and as it changed meanwhile', () => {
+test('the beliefs of the node about the service are listed, before the request and as they changed during it', () => {
   const belief = (atMs: number, service: string, now: string, node?: string) =>
     line(atMs, 'belief changed', { belief: 'primary', service, now }, node);
   const story = explain(
--- a/test/unit/observability/latency-histogram.test.ts
+++ b/test/unit/observability/latency-histogram.test.ts
@@ -3,7 +3,7 @@
 import * as assert from 'uvu/assert';
 import { LatencyHistogram } from '../../../src/observability/latency-histogram.js';
 
-test('buckets count what is at most their bound, and the last one all', () => {
+test('buckets count values up to their bound, and the last one all values', () => {
   const histogram = new LatencyHistogram({
     ...{ name: 'wait', help: 'a wait', labelNames: ['way'] },
   });
@@ -30,7 +30,7 @@
   }
 });
 
-test('a histogram without labels has no braces but for the bounds', () => {
+test('a histogram without labels has braces only for its bounds', () => {
   const histogram = new LatencyHistogram({ name: 'n', help: 'h', labelNames: [] });
   histogram.observe(2);
   const text = histogram.expose('');
--- a/test/unit/observability/line-writer.test.ts
+++ b/test/unit/observability/line-writer.test.ts
@@ -22,7 +22,7 @@
   }
 }
 
-test('a reader that stands still costs lines, not memory, and is told how many', () => {
+test('a stalled reader costs lines, not memory, and the number of dropped lines is logged', () => {
   const pipe = new StoppedPipe();
   const writer = new LineWriter(pipe, 100);
   for (let number = 0; number < 1000; number += 1) writer.write(`line ${number}`);
@@ -40,7 +40,7 @@
   assert.match(pipe.written, /back\nnext\n$/);
 });
 
-test('each kind has its own bound in a second, and what was left out is told with the next', () => {
+test('each kind has its own limit per second, and the next line contains the number of omitted ones', () => {
   const limit = new EventLimit(2);
   const admitted = (kind: string, now: number) => limit.admit(kind, now).isAdmitted;
   assert.equal([admitted('a', 0), admitted('a', 1), admitted('a', 2)], [true, true, false]);
--- a/test/unit/observability/logger.test.ts
+++ b/test/unit/observability/logger.test.ts
@@ -6,7 +6,7 @@
 
 const now = (): Date => new Date(0);
 
-test('json lines carry bound fields, and levels filter', () => {
+test('JSON lines contain bound fields, and lines below the level are dropped', () => {
   const lines: string[] = [];
   const write = (line: string): number => lines.push(line);
   const logger = createLogger({
@@ -37,7 +37,7 @@
   );
 });
 
-test('text lines stay one line, whatever is logged', () => {
+test('a text record stays on one line, whatever is logged', () => {
   const lines: string[] = [];
   const write = (line: string): number => lines.push(line);
   const logger = createLogger({ format: 'text', level: 'warn', write, now });
@@ -55,13 +55,13 @@
   });
 });
 
-test('request ids differ between requests and between lives of a node', () => {
+test('request ids differ between requests and between incarnations of a node', () => {
   const first = createRequestIds('n1', 1_000);
   const second = createRequestIds('n1', 2_000);
   assert.is(new Set([first(), first(), second(), second()]).size, 4);
 });
 
-test('a counter follows a total kept elsewhere', async () => {
+test('a counter follows a total that is kept elsewhere', async () => {
   const metrics = createMetrics('n1', false);
   const sync = syncCounter(metrics.peerBytes, { direction: 'sent' });
   for (const total of [5, 5, 12]) sync(total);
--- a/test/unit/observability/start-account.test.ts
+++ b/test/unit/observability/start-account.test.ts
@@ -15,7 +15,7 @@
   return accountOfStart(readLog(lines.join('\n')).lines);
 }
 
-test('each step has the nodes that reached it, their median and the last of them', () => {
+test('each step is listed with the number of nodes that reached it, their median time and the last node', () => {
   const found = account([
     ...[1, 2, 3].map((n) => line(`n-${n}`, n, 'starting')),
     line('n-1', 20, 'start step', { step: 'configuration', atMs: 19 }),
@@ -30,7 +30,7 @@
   ]);
 });
 
-test('only the last start of each node counts, and nodes that went on are left out', () => {
+test('only the last start of each node counts, and nodes that were not restarted are omitted', () => {
   const found = account([
     line('n-1', -30_000, 'starting'),
     line('n-2', -30_000, 'starting'),
@@ -43,7 +43,7 @@
   assert.equal([found?.nodes, found?.steps], [1, [ready]]);
 });
 
-test('refusals of the first four seconds are counted by their text, with those left out', () => {
+test('refusals of the first four seconds are counted by their text, including omitted lines', () => {
   const busy = (ms: number, text: string, alikeLeftOut?: number) =>
     line('n-1', ms, 'request ended', { outcome: 'busy', text, alikeLeftOut });
   const found = account([
@@ -60,7 +60,7 @@
   ]);
 });
 
-test('lines without a start hold no account', () => {
+test('lines without a start give no account', () => {
   assert.is(account([line('n-1', 0, 'start step', { step: 'ready' })]), undefined);
 });
 
--- a/test/unit/peer-link-messages.test.ts
+++ b/test/unit/peer-link-messages.test.ts
@@ -1,4 +1,4 @@
-/** Parsers of the messages that a link reads itself: they refuse everything malformed. */
+/** Parsers of the messages that a link handles itself: they reject everything malformed. */
 import fc from 'fast-check';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -10,7 +10,7 @@
   ...{ nonce: new Uint8Array(32), proof: new Uint8Array(0) },
 };
 
-test('a hello has all its fields in their form', () => {
+test('a hello with a missing or malformed field is rejected', () => {
   assert.equal(parseHello({ ...HELLO, more: true }), HELLO);
   const faults = [
     { protocol: undefined },
@@ -27,7 +27,7 @@
   for (const fault of faults) assert.is(parseHello({ ...HELLO, ...fault }), undefined);
 });
 
-test('a call is a method and a body, its error a code and a reason', () => {
+test('a call consists of a method and a body, its error of a code and a reason', () => {
   assert.equal(parseCall(['m', { a: 1 }]), { method: 'm', body: { a: 1 } });
   for (const fault of [['m'], ['m', 1, 2], [1, 2], ['m'.repeat(65), 1], { 0: 'm', 1: 2 }]) {
     assert.is(parseCall(fault), undefined);
@@ -38,7 +38,7 @@
   }
 });
 
-test('no value is taken for one that lacks a field, and none throws', () => {
+test('no value makes a parser throw', () => {
   fc.assert(
     fc.property(fc.anything(), (value) => {
       parseHello(value);
--- a/test/unit/platform/directory-follower.test.ts
+++ b/test/unit/platform/directory-follower.test.ts
@@ -29,7 +29,7 @@
   open: boolean;
 }
 
-/** A store whose two prefixes the test answers. */
+/** A store whose responses for two prefixes the test sets. */
 class FakeStore implements Pick<Store, 'range' | 'watch'> {
   readonly ranges = new Map<string, RangeResponse | StoreError>();
   readonly reads: string[] = [];
@@ -129,7 +129,7 @@
   return setup;
 }
 
-test('what is read first is told, and watched from the next revision on', async () => {
+test('the first range is reported, and watched from the next revision on', async () => {
   const { store, told, follower } = await started((one) => {
     one.ranges.set(CONFIGURATION_KEY, { revision: 9, entries: [configuration(7, 4)] });
     one.ranges.set(INSTANCE_KEY_PREFIX, {
@@ -144,7 +144,7 @@
   assert.is(follower.instances().get('i-1')?.host, '10.0.0.1');
 });
 
-test('the configuration takes only a higher version', async () => {
+test('only a configuration of a higher version is accepted', async () => {
   const { store, told, follower } = await started((one) => {
     one.ranges.set(CONFIGURATION_KEY, { revision: 9, entries: [configuration(7, 4)] });
   });
@@ -158,10 +158,10 @@
   assert.is(follower.configuration()?.version, 7);
   handlers.onEvents([{ type: 'put', entry: configuration(11, 14) }], 14);
   handlers.onEvents([{ type: 'put', entry: configuration(12, 14) }], 14);
-  assert.equal(told.slice(1), ['configuration 11'], 'an event told twice is taken once');
+  assert.equal(told.slice(1), ['configuration 11'], 'a repeated event is accepted once');
 });
 
-test('a heartbeat is no change; another field is, and a removal tells its revision', async () => {
+test('a heartbeat is not a change, a change of another field is, and a removal is reported with its revision', async () => {
   const { store, told } = await started((one) => {
     const entries = [item('servers/i-1', entry(), 5), item('servers/i-2', entry(), 6)];
     one.ranges.set(INSTANCE_KEY_PREFIX, { revision: 12, entries });
@@ -180,7 +180,7 @@
   ]);
 });
 
-test('an entry that turns malformed names no instance any more; events older than what is known are passed over', async () => {
+test('an instance whose entry becomes malformed is removed, and events older than the known revision are skipped', async () => {
   const { store, told, follower } = await started((one) => {
     const entries = [item('servers/i-1', entry(), 15)];
     one.ranges.set(INSTANCE_KEY_PREFIX, { revision: 12, entries });
@@ -195,7 +195,7 @@
   assert.is(follower.instances().get('i-1')?.slots, 3);
 });
 
-test('entries of another writer name no instance, and the others hold', async () => {
+test('malformed entries of another writer are ignored, and the others are used', async () => {
   const damaged = [
     ...['junk', '', '[]', entry({ service: 7 }), entry({ state: 'asleep' })],
     ...[entry({ database_role: 'king' }), entry({ address: 'nowhere' }), entry({ slots: -1 })],
@@ -211,7 +211,7 @@
   assert.is(told.filter((line) => line === 'MS-PLATFORM-DOCUMENT').length, damaged.length);
 });
 
-test('an instance that starts again under its id is another one', async () => {
+test('an instance that restarts under its id is a new instance', async () => {
   const { store, told, follower } = await started((one) => {
     const entries = [item('servers/i-1', entry({ born: 100, sequence: 40 }), 5)];
     one.ranges.set(INSTANCE_KEY_PREFIX, { revision: 12, entries });
@@ -234,7 +234,7 @@
   assert.is(follower.instances().size, 0);
 });
 
-test('a lost poll is sent again at once from where it was; the next failures back off', async () => {
+test('a lost poll is sent again at once from the same revision, and further failures back off', async () => {
   const { store, pauses } = await started(() => undefined);
   store.last(CONFIGURATION_KEY).handlers.onEvents([], 30);
   store.last(CONFIGURATION_KEY).handlers.onEnd(new StoreWatchEndedError('silent'), false);
@@ -242,10 +242,10 @@
   assert.equal(pauses, []);
   store.last(CONFIGURATION_KEY).handlers.onEnd(new StoreWatchEndedError('silent'), false);
   assert.is(store.opened(CONFIGURATION_KEY).length, 2, 'not before the pause');
-  assert.is(pauses[0]?.delayMs, 50, 'half of a ceiling that has doubled once');
+  assert.is(pauses[0]?.delayMs, 50, 'half of an upper bound that has doubled once');
   pauses[0]?.run();
   assert.equal(store.opened(CONFIGURATION_KEY), [2, 31, 31]);
-  assert.equal(store.reads, [CONFIGURATION_KEY, INSTANCE_KEY_PREFIX], 'nothing is read anew');
+  assert.equal(store.reads, [CONFIGURATION_KEY, INSTANCE_KEY_PREFIX], 'nothing is read again');
 });
 
 test('a refusal backs off at once', async () => {
@@ -255,7 +255,7 @@
   assert.is(pauses[0]?.delayMs, 25);
 });
 
-test('after history is gone the range is read anew; what vanished meanwhile is removed', async () => {
+test('after a compaction the range is read again, and entries that are gone are removed', async () => {
   const { store, told } = await started((one) => {
     const entries = [item('servers/i-1', entry(), 5), item('servers/i-2', entry(), 6)];
     one.ranges.set(INSTANCE_KEY_PREFIX, { revision: 12, entries });
@@ -279,7 +279,7 @@
   assert.equal(store.opened(INSTANCE_KEY_PREFIX), [13, 91]);
 });
 
-test('a read that fails is repeated after a pause, and nothing is taken back', async () => {
+test('a failed read is repeated after a pause', async () => {
   const setup = await started((one) => {
     one.ranges.set(CONFIGURATION_KEY, new StoreUnavailableError('down'));
   });
@@ -290,7 +290,7 @@
   assert.is(setup.follower.configuration()?.version, 7);
 });
 
-test('what is known is confirmed as of the time its last answered call was sent', async () => {
+test('the known state is confirmed as of the time at which its last answered call was sent', async () => {
   const setup = setUp();
   setup.now = 100;
   setup.follower.start();
@@ -312,7 +312,7 @@
   assert.is(setup.follower.configurationConfirmedAt(), 2000, 'a lost poll confirms nothing');
 });
 
-test('a follower that was stopped tells nothing and holds no watch', async () => {
+test('a stopped follower reports nothing and has no open watch', async () => {
   const { store, told, follower } = await started(() => undefined);
   told.length = 0;
   const watch = store.last(CONFIGURATION_KEY);
@@ -331,7 +331,7 @@
   return { revision, instances: ids.map((id) => ({ ...FROM_PEER, id })), departed: [] };
 }
 
-test('what a peer tells stands in until the store answers, and the store binds', async () => {
+test('the report of a peer is used until the store responds, and then replaced', async () => {
   const { store, told, follower, pauses } = await started((one) => {
     one.ranges.set(INSTANCE_KEY_PREFIX, new StoreUnavailableError('down'));
     one.ranges.set(CONFIGURATION_KEY, new StoreUnavailableError('down'));
@@ -349,7 +349,7 @@
   assert.equal([...follower.instances().keys()], ['i-1']);
 });
 
-test('a snapshot that is no newer than what is known changes nothing', async () => {
+test('a snapshot that is not newer than the known state changes nothing', async () => {
   const { told, follower } = await started((one) => {
     one.ranges.set(CONFIGURATION_KEY, { revision: 9, entries: [configuration(7, 4)] });
     one.ranges.set(INSTANCE_KEY_PREFIX, {
@@ -367,7 +367,7 @@
   assert.equal([...follower.instances().keys()], ['i-1']);
 });
 
-test('what the store tells right after its return from a copy proves nothing of the newest configuration', async () => {
+test('responses right after the restore of the store from a backup do not prove that the configuration is current', async () => {
   const setup = await started((one) => {
     one.ranges.set(CONFIGURATION_KEY, { revision: 9, entries: [configuration(7, 4)] });
   });
@@ -379,7 +379,7 @@
   assert.is(answerAt(1000), 1000);
   setup.now = 5000;
   follower.handleStoreRestore();
-  assert.is(answerAt(4900), 1000, 'asked before the return was heard of');
+  assert.is(answerAt(4900), 1000, 'sent before the restore was known');
   assert.is(answerAt(7000), 1000, 'the operator may not have written again');
   assert.is(answerAt(7500), 7500);
 });
--- a/test/unit/platform/documents.test.ts
+++ b/test/unit/platform/documents.test.ts
@@ -57,7 +57,7 @@
   });
 });
 
-test('tenants are translated with what stands for their keys; one that is malformed is left out', () => {
+test('tenants are translated with the digests of their keys, and malformed tenants are skipped', () => {
   const limited = { name: 'a', key_digests: ['d1', 'd2'], rate_per_s: 12, burst: 30 };
   const unlimited = { name: 'b', key_digests: ['d3', null] };
   const malformed = [
@@ -76,25 +76,25 @@
   assert.is(configuration.tenantsLeftOut, malformed.length);
 });
 
-test('a configuration without tenants asks for no keys, one without any tenant for keys that nobody has', () => {
+test('without the tenants field no key is required, with an empty list no key is accepted', () => {
   assert.is(configurationOf({})._unsafeUnwrap().tenants, undefined);
   assert.equal(configurationOf({ tenants: [] })._unsafeUnwrap().tenants, []);
 });
 
-test('a route without a bound of staleness may miss nothing', () => {
+test('a route without a staleness bound has a bound of zero', () => {
   const route = { ...ROUTE, route_type: 'primary', max_staleness_ms: undefined };
   const { routes } = configurationOf({ routes: [route] })._unsafeUnwrap();
   assert.is(routes[0]?.maxStalenessMs, 0);
 });
 
-test('routes and services that are not understood are left out and counted', () => {
+test('malformed or unknown routes and services are skipped and counted', () => {
   const routes = [ROUTE, { ...ROUTE, route_type: 'weighted' }, { ...ROUTE, timeout_ms: '8' }, 4];
   const parsed = configurationOf({ routes, services: [{ name: 'svc' }, SERVICE] })._unsafeUnwrap();
   assert.equal([parsed.routes.length, parsed.routesLeftOut], [1, 3]);
   assert.equal([parsed.services.length, parsed.servicesLeftOut], [1, 1]);
 });
 
-test('a configuration without its version, or that is no JSON, is refused by field', () => {
+test('a configuration without a version, or that is not JSON, is refused with the fields at fault', () => {
   const error = configurationOf({ version: 'v7', routes: {} })._unsafeUnwrapErr();
   assert.is(error.code, 'MS-PLATFORM-DOCUMENT');
   assert.equal(
@@ -122,7 +122,7 @@
   assert.equal([entry.draining, entry.role], [true, 'primary']);
 });
 
-test('a malformed instance entry is refused by field', () => {
+test('a malformed instance entry is refused with the fields at fault', () => {
   const cases: [string, unknown][] = [
     ['address', '10.0.0.1'],
     ['address', '10.0.0.1:99999'],
--- a/test/unit/platform/key-digests.test.ts
+++ b/test/unit/platform/key-digests.test.ts
@@ -16,7 +16,7 @@
   return { private_key: key, value, revision: 4, created: 2, lease_id: 0 };
 }
 
-test('a configuration is sealed: digests stand for keys, all else stays', () => {
+test('keys in a configuration are replaced by digests, and everything else stays', () => {
   const sealed = JSON.parse(replaceKeysByDigests(CONFIGURATION));
   assert.equal(sealed, {
     version: 3,
@@ -28,17 +28,17 @@
   });
 });
 
-test('what is no JSON may hold keys, and is left out whole', () => {
+test('a text that is not a JSON object may contain keys, and is dropped', () => {
   assert.is(replaceKeysByDigests(CONFIGURATION.slice(0, -1)), '');
   assert.is(replaceKeysByDigests(`["${KEY}"]`), '');
 });
 
-test('a configuration without tenants is passed on as it is', () => {
+test('a configuration without tenants is forwarded unchanged', () => {
   const text = '{ "version": 3 }';
   assert.is(replaceKeysByDigests(text), text);
 });
 
-test('no answer of the store brings a key with it, by whatever call', () => {
+test('no response of the store contains a key, whichever call it answers', () => {
   const config = item('op/config', CONFIGURATION);
   const answers = [
     readItem(config),
@@ -52,12 +52,12 @@
   }
 });
 
-test('a caller is known by the digest of its key from its first message on', () => {
+test('the first message of a caller is decoded with the digest of its key', () => {
   const message = lineWire.decodeCallerMessage(`START orders ${KEY}`);
   assert.equal(message, { type: 'start', database: 'orders', keyDigest: digestOfKey(KEY) });
 });
 
-test('digests of different keys differ, and none holds its key', () => {
+test('digests of different keys differ, and all have the format of a digest', () => {
   const digests = ['', 'a', 'b', KEY].map(digestOfKey);
   assert.is(new Set(digests).size, digests.length);
   for (const digest of digests) assert.match(digest, /^[\w-]{22}$/);
--- a/test/unit/platform/promotion-caller.test.ts
+++ b/test/unit/platform/promotion-caller.test.ts
@@ -8,7 +8,7 @@
 /** Timeout where a response comes, long enough for a busy machine. */
 const LONG_TIMEOUT_MS = 30_000;
 
-test('the call names holder and fencing token, and its answers are told apart', async () => {
+test('the call contains holder and fencing token, and its responses are distinguished', async () => {
   const cases: [ScriptedAnswer, string][] = [
     [{ status: 200 }, 'accepted'],
     [{ status: 409 }, 'refused'],
--- a/test/unit/platform/settings.test.ts
+++ b/test/unit/platform/settings.test.ts
@@ -26,7 +26,7 @@
     .problems.map(({ field }) => field);
 }
 
-test('the settings file is translated, and fields that are not known are ignored', () => {
+test('the settings file is translated, and unknown fields are ignored', () => {
   assert.equal(settingsOf({})._unsafeUnwrap(), {
     nodeName: 'frontend-1',
     zone: 'zone-a',
@@ -47,7 +47,7 @@
   });
 });
 
-test('the bound of revocation binds where it is strict, and quotas where the contract names them', () => {
+test('the revocation bound applies only if revocation is strict, and quotas only if the contract lists them', () => {
   const bounds = { grace_period_s: 6, drain_timeout_ms: 7000, contact_timeout_ms: 4000 };
   const strict = { ...bounds, strict_revocation: true, revoke_timeout_ms: 5000, quota_slack: 20 };
   const { revocationMs, quotas } = settingsOf({
@@ -63,44 +63,44 @@
   ]);
 });
 
-test('what the link carries is taken where it is told', () => {
+test('the link bandwidth is used if it is given', () => {
   assert.is(settingsOf({ limits: { link_mbps: 7.5 } })._unsafeUnwrap().linkMbps, 7.5);
   assert.equal(fieldsOf({ limits: { link_mbps: 'fast' } }), ['limits.link_mbps']);
 });
 
-test('figures are told at the first port of the nodes, and peers are heard at the last', () => {
+test('metrics are served at the first of the internal ports, and owners listen for peers at the last', () => {
   const ports = { ip_address: '10.1.0.8', internal_port_range: [7440, 7455] };
   const { metrics, peer } = settingsOf(ports)._unsafeUnwrap();
   assert.equal(metrics, { host: '10.1.0.8', port: 7440 });
   assert.equal(peer, { host: '10.1.0.8', port: 7455 });
 });
 
-test('whether the whole system starts for the first time is true, false, or absent', () => {
+test('the flag of the first start of the whole system is true, false, or absent', () => {
   assert.is(settingsOf({ bootstrap: true })._unsafeUnwrap().isFirstStart, true);
   assert.is(settingsOf({ bootstrap: false })._unsafeUnwrap().isFirstStart, false);
   assert.equal(fieldsOf({ bootstrap: 'yes' }), ['bootstrap']);
 });
 
-test('with a single port, peers are not heard', () => {
+test('with a single internal port there is no listener for peers', () => {
   const ports = { ip_address: '10.1.0.8', internal_port_range: [7440, 7440] };
   assert.is(settingsOf(ports)._unsafeUnwrap().peer, undefined);
 });
 
-test('with three ports or more, links for snapshots are taken at the second', () => {
+test('with three or more internal ports, links for snapshots are accepted at the second', () => {
   const ports = { ip_address: '10.1.0.8', internal_port_range: [7440, 7442] };
   const { peer, peers } = settingsOf(ports)._unsafeUnwrap();
   assert.equal(peers?.own, { host: '10.1.0.8', port: 7441 });
   assert.equal(peer, { host: '10.1.0.8', port: 7442 });
 });
 
-test('of two ports the second hears peers for owners, and there are no snapshots', () => {
+test('with two internal ports, the second accepts links to owners, and there are no snapshots', () => {
   const ports = { ip_address: '10.1.0.8', internal_port_range: [7440, 7441] };
   const { peer, peers } = settingsOf(ports)._unsafeUnwrap();
   assert.equal(peer, { host: '10.1.0.8', port: 7441 });
   assert.is(peers, undefined);
 });
 
-test('links for snapshots are not taken at the address where peers are heard for owners', () => {
+test('links for snapshots are not accepted at the address for links to owners', () => {
   const change = {
     ...{ ip_address: '10.1.0.8', internal_port_range: [7440, 7455], serves: ['control_plane'] },
     listen_addresses: { ...SETTINGS.listen_addresses, control_plane: '10.1.0.8:7455' },
@@ -110,7 +110,7 @@
   assert.is(peers, undefined);
 });
 
-test('links of other nodes are taken where the role serves them; a seed that is none is left out', () => {
+test('links of other nodes are accepted if the role serves them, and malformed seed addresses are skipped', () => {
   const change = {
     serves: ['frontend', 'control_plane'],
     listen_addresses: { ...SETTINGS.listen_addresses, control_plane: '10.1.0.8:8782' },
@@ -149,7 +149,7 @@
   assert.is(error.problems[0]?.field, '.');
 });
 
-test('a file that is not there is told', () => {
+test('the error for a missing file names its path', () => {
   const error = readSettings('/nowhere/boot.json')._unsafeUnwrapErr();
   assert.match(error.message, '/nowhere/boot.json');
 });
--- a/test/unit/platform/shared-watch.test.ts
+++ b/test/unit/platform/shared-watch.test.ts
@@ -29,7 +29,7 @@
 };
 const joined = (): Promise<void> => Promise.resolve();
 
-test('two prefixes are followed by one watch, and a third that begins otherwise by its own', async () => {
+test('two prefixes share one watch, and a third with a different beginning has its own', async () => {
   const store = new MemoryStore();
   const shared = new SharedWatchStore(store, 'ab', () => now);
   const [first, second, other] = [new Listener(), new Listener(), new Listener()];
@@ -42,7 +42,7 @@
   assert.equal([first.heard, second.heard, other.heard], [['ab1/x'], ['ab2/y'], ['c/w']]);
 });
 
-test('one that joins from an earlier revision misses nothing, and nobody hears anything twice', async () => {
+test('a listener that joins from an earlier revision misses no event, and no listener receives an event twice', async () => {
   const store = new MemoryStore();
   const shared = new SharedWatchStore(store, 'ab', () => now);
   const [first, second] = [new Listener(), new Listener()];
@@ -58,7 +58,7 @@
   assert.equal(second.heard, ['ab2/y', 'ab2/z']);
 });
 
-test('one that joins and knows what was told shares the poll that is out, and its age', async () => {
+test('a listener that joins with the current revision shares the poll in flight, and its age', async () => {
   const store = new MemoryStore();
   const shared = new SharedWatchStore(store, 'ab', () => now);
   const [first, second, third] = [new Listener(), new Listener(), new Listener()];
@@ -71,13 +71,13 @@
   assert.is(store.watchesOpened, 1);
   now = 1600;
   await put(store, 'ab2/x');
-  assert.equal([second.heard, second.currentAt], [['ab2/x'], 1000], 'asked before it joined');
+  assert.equal([second.heard, second.currentAt], [['ab2/x'], 1000], 'sent before it joined');
   now = 1700;
   await put(store, 'ab2/y');
   assert.is(second.currentAt, 1600);
   shared.watch('ab', 2, third);
   await joined();
-  assert.is(store.watchesOpened, 2, 'it lacks what was told');
+  assert.is(store.watchesOpened, 2, 'it lacks events that were reported');
   assert.equal(
     [third.heard, second.heard],
     [
@@ -87,7 +87,7 @@
   );
 });
 
-test('all are told when it ends, and the last one to leave closes it', async () => {
+test('all listeners are notified when the watch ends, and the last one to leave closes it', async () => {
   const store = new MemoryStore();
   const shared = new SharedWatchStore(store, 'ab', () => now);
   const [first, second] = [new Listener(), new Listener()];
@@ -105,7 +105,7 @@
   assert.is(store.watchCount, 0);
 });
 
-test("instances and the nodes' records begin alike, so that one poll follows both", () => {
+test('the keys of instances and node records share a prefix, so that one poll covers both', () => {
   assert.ok(INSTANCE_KEY_PREFIX.startsWith(DIRECTORY_PREFIX));
   assert.ok(RECORD_PREFIX.startsWith(DIRECTORY_PREFIX));
 });
--- a/test/unit/platform/store-calls.test.ts
+++ b/test/unit/platform/store-calls.test.ts
@@ -70,7 +70,7 @@
   },
 };
 
-test('each call has its kind, and an outcome if it is not done', async () => {
+test('each call is counted by its kind, and by its outcome if it did not succeed', async () => {
   const calls = await tallied(
     ({ path }) => (path.startsWith('/v1/kv-range') ? FOUND : { status: 429 }),
     async (store) => {
@@ -91,7 +91,7 @@
   });
 });
 
-test('polls count as they end: answered, refused, and left with their watch', async () => {
+test('polls are counted when they end: answered, refused, or abandoned with their watch', async () => {
   let polls = 0;
   const calls = await tallied(
     ({ query }) => {
@@ -111,7 +111,7 @@
   });
 });
 
-test('a call that found no connection was not sent', async () => {
+test('a call without a connection is counted as not sent', async () => {
   const server = await startScriptedServer(() => FOUND);
   const { endpoint } = server;
   await server.close();
@@ -126,7 +126,7 @@
   ]);
 });
 
-test('a transaction is told by the key that it writes', () => {
+test('the kind of a transaction depends on the key that it writes', () => {
   const kindOf = (key: string) => kindOfTransaction([], [{ type: 'put', key, value: '' }]);
   assert.is(kindOf(LEADER_KEY), 'election');
   assert.is(kindOf(FLEET_KEY), 'record');
--- a/test/unit/platform/store-era.test.ts
+++ b/test/unit/platform/store-era.test.ts
@@ -54,14 +54,14 @@
   });
 }
 
-test('a store that names no era is placed as it was', async () => {
+test('positions of a store that reports no era are its revisions', async () => {
   await withStore([range(undefined, 7)], async (store) => {
     const { revision, entries } = (await store.range('my/'))._unsafeUnwrap();
     assert.equal([revision, entries[0]?.modRevision, store.era], [7, 7, 0]);
   });
 });
 
-test('what is told after a return lies behind all that was told before', async () => {
+test('positions after a restore from a backup are higher than all earlier ones', async () => {
   await withStore([range('3', 900), range('4', 20)], async (store, _server, told) => {
     const before = (await store.range('my/'))._unsafeUnwrap();
     const after = (await store.range('my/'))._unsafeUnwrap();
@@ -71,7 +71,7 @@
   });
 });
 
-test('a refusal and a poll tell of the rise, too', async () => {
+test('a rise of the era is also detected in a refusal and in a poll', async () => {
   const refused = inEra('4', {}, 503);
   await withStore([range('3', 9), refused], async (store, _server, told) => {
     await store.range('my/');
@@ -86,7 +86,7 @@
   });
 });
 
-test('a watch from an earlier era ends as one without history, though the store has the revision again', async () => {
+test('a watch from an earlier era ends as compacted, although the store has the revision again', async () => {
   await withStore([range('3', 9), range('4', 9)], async (store, server) => {
     await store.range('my/');
     await store.range('my/');
@@ -95,7 +95,7 @@
   });
 });
 
-test('a watch that waits ends when another call hears of the rise', async () => {
+test('a waiting watch ends when another call detects the rise of the era', async () => {
   await withStore([range('3', 9), 'silent', range('4', 9)], async (store) => {
     await store.range('my/');
     const ended = endOf(store, toStorePosition(3, 10));
@@ -104,7 +104,7 @@
   });
 });
 
-test('a condition of an earlier era is asked for so that it fails, and the present entries are told', async () => {
+test('a condition of an earlier era is sent so that it fails, and the present entries are returned', async () => {
   const failed = inEra('4', { items: [storeItem('my/a', 'other', 9)] }, 412);
   await withStore([range('3', 9), range('4', 8), failed], async (store, server) => {
     await store.range('my/');
@@ -126,7 +126,7 @@
   });
 });
 
-test('a change that was done in an era other than its conditions has an unknown outcome', async () => {
+test('a change that was made in a later era than that of its conditions has an unknown outcome', async () => {
   await withStore([range('3', 9), inEra('4', { revision: 10 })], async (store) => {
     await store.range('my/');
     const compares = [{ key: 'my/a', modRevision: toStorePosition(3, 9) }];
@@ -135,14 +135,14 @@
   });
 });
 
-test('pages of two eras are no read', async () => {
+test('a range whose pages are of two eras is an error', async () => {
   const first = inEra('3', { items: [storeItem('my/a', 'a', 9)], has_more: true, at_revision: 9 });
   await withStore([first, range('4', 9)], async (store) => {
     assert.is((await store.range('my/'))._unsafeUnwrapErr().code, 'MS-STORE-ERA');
   });
 });
 
-test('an era that goes back, is missing or is no number is a typed error, and takes nothing back', async () => {
+test('an era that decreases, is missing or is not a number is an error, and the known era stays', async () => {
   for (const era of ['2', undefined, 'x', '-1', '1.5', '']) {
     await withStore([range('3', 9), range(era, 20)], async (store, _server, told) => {
       await store.range('my/');
@@ -153,7 +153,7 @@
   }
 });
 
-test('the era that is heard of first is no rise', () => {
+test('the first known era is not a rise', () => {
   const era = new StoreEra();
   assert.equal(era.observe('17'), { type: 'first', era: 17 });
   assert.equal(era.observe('17'), { type: 'present', era: 17 });
--- a/test/unit/platform/store.test.ts
+++ b/test/unit/platform/store.test.ts
@@ -70,7 +70,7 @@
 
 const PUT = [{ type: 'put', key: 'my/leader', value: 'node-1', leaseId: '77120' }] as const;
 
-test('a range reads all pages and tells the lowest revision of them', async () => {
+test('a range reads all pages and returns their lowest revision', async () => {
   const answer = ({ query }: ScriptedRequest): ScriptedAnswer => {
     const first = query.get('after') === null;
     const items = first ? [storeItem('my/a', 'ä', 3)] : [storeItem('my/b&c', '', 9)];
@@ -94,7 +94,7 @@
   });
 });
 
-test('a transaction is written in the store form', async () => {
+test('a transaction is encoded in the format of the store', async () => {
   await withStore(
     () => ({ status: 200, json: { revision: 412 } }),
     async (store, server) => {
@@ -117,7 +117,7 @@
   );
 });
 
-test('a failed comparison tells what the keys hold; absent ones are left out', async () => {
+test('a failed comparison returns the present entries of the keys, without absent ones', async () => {
   const items = [storeItem('my/leader', 'node-2', 8), { private_key: 'my/none', revision: 0 }];
   await withStore(
     () => ({ status: 412, json: { items } }),
@@ -132,7 +132,7 @@
   );
 });
 
-test('what a call that changes something may have done is told apart', async () => {
+test('the error of a failed write states whether the write may have taken effect', async () => {
   const cases: [ScriptedAnswer, string, boolean][] = [
     ['silent', 'MS-STORE-ANSWER-LOST', true],
     ['cut', 'MS-STORE-ANSWER-LOST', true],
@@ -156,7 +156,7 @@
   }
 });
 
-test('a read that got no answer changed nothing', async () => {
+test('a read without a response has no unknown outcome', async () => {
   for (const answer of ['silent', 'cut'] as const) {
     await withStore(
       () => answer,
@@ -169,7 +169,7 @@
   }
 });
 
-test('malformed items are a protocol error, and no answer to trust', async () => {
+test('malformed items are a protocol error', async () => {
   const good = storeItem('my/a', 'a', 3);
   const malformed = [
     { ...good, value: 'not base64!' },
@@ -189,7 +189,7 @@
   }
 });
 
-test('a page that says there is more but has nothing is refused, not asked for for ever', async () => {
+test('an empty page that announces more pages is refused, not requested endlessly', async () => {
   await withStore(
     () => ({ status: 200, json: { items: [], has_more: true, at_revision: 4 } }),
     async (store, server) => {
@@ -199,7 +199,7 @@
   );
 });
 
-test('one key is read, or told to be absent', async () => {
+test('one key is read, or reported as absent', async () => {
   const answer = ({ query }: ScriptedRequest): ScriptedAnswer =>
     query.get('private_key') === 'my/a'
       ? { status: 200, json: { ...storeItem('my/a', 'x', 3), at_revision: 9 } }
@@ -222,12 +222,12 @@
     assert.is((await store.keepLeaseAlive('77120'))._unsafeUnwrap(), 2.5);
     assert.ok((await store.revokeLease('77120')).isOk());
     assert.is(server.requests[2]?.method, 'DELETE');
-    const over = (await store.keepLeaseAlive('1'))._unsafeUnwrapErr();
-    assert.is(over.code, 'MS-STORE-LEASE-NOT-FOUND');
+    const expiredLeaseError = (await store.keepLeaseAlive('1'))._unsafeUnwrapErr();
+    assert.is(expiredLeaseError.code, 'MS-STORE-LEASE-NOT-FOUND');
   });
 });
 
-test('a watch goes on from the revision of each answer, on one connection of its own', async () => {
+test('a watch continues from the revision of each response, on one connection of its own', async () => {
   const answers = [
     { events: [storeItem('my/a', 'a', 6)], at_revision: 7 },
     { events: [{ private_key: 'my/a', revision: 8, deleted: true }], at_revision: 8 },
@@ -252,7 +252,7 @@
   });
 });
 
-test('the end of a watch tells why', async () => {
+test('the end of a watch is reported with its cause', async () => {
   const cases: [ScriptedAnswer, string, boolean][] = [
     [{ status: 410 }, 'MS-STORE-COMPACTED', true],
     ['silent', 'MS-STORE-WATCH-ENDED', false],
@@ -273,7 +273,7 @@
   }
 });
 
-test('a poll after a lost one waits half as long at the store', async () => {
+test('the poll after a lost one waits half the time at the store', async () => {
   const server = await startScriptedServer((_request, earlier) =>
     earlier === 0 ? 'cut' : { status: 200, json: { events: [], at_revision: 1 } },
   );
@@ -290,7 +290,7 @@
   await server.close();
 });
 
-test('a closed watch is silent', async () => {
+test('a closed watch reports nothing', async () => {
   await withStore(
     () => 'silent',
     async (store) => {
--- a/test/unit/platform/watch-waits.test.ts
+++ b/test/unit/platform/watch-waits.test.ts
@@ -11,17 +11,17 @@
 const SPARE_MS = 1500;
 const BOUNDS: WatchBounds = { contactTimeoutMs: CONTACT_MS, drainTimeoutMs: DRAIN_MS };
 
-test('a configuration is known once a machine counts again, though two polls were swallowed', () => {
+test('a configuration is known within the contact timeout, although two polls were lost', () => {
   const firstMs = watchWaitMs(CONFIGURATION_KEY, BOUNDS) + WATCH_SLACK_MS;
   assert.ok(firstMs + SPARE_MS <= CONTACT_MS);
 });
 
-test('a leaving instance is known of within the time that it may still be used', () => {
+test('a leaving instance is detected within the drain timeout, although two polls were lost', () => {
   const firstMs = watchWaitMs(INSTANCE_KEY_PREFIX, BOUNDS) + WATCH_SLACK_MS;
   assert.ok(firstMs + SPARE_MS <= DRAIN_MS);
 });
 
-test('the waits follow the bounds of the deployment, longer and shorter ones', () => {
+test('poll waits scale with the time limits of the deployment', () => {
   for (const factor of [0.5, 1.25, 2]) {
     const bounds = { contactTimeoutMs: CONTACT_MS * factor, drainTimeoutMs: DRAIN_MS * factor };
     for (const [prefix, boundMs] of [
@@ -30,7 +30,7 @@
     ] as const) {
       const firstMs = watchWaitMs(prefix, bounds) + WATCH_SLACK_MS;
       assert.ok(firstMs < boundMs, `${prefix} at ${factor}`);
-      assert.ok(firstMs >= boundMs * 0.4, `${prefix} at ${factor}: each poll has its price`);
+      assert.ok(firstMs >= boundMs * 0.4, `${prefix} at ${factor}: each poll has a cost`);
     }
   }
 });
--- a/test/unit/postgres/backend-answer-reader.test.ts
+++ b/test/unit/postgres/backend-answer-reader.test.ts
@@ -59,7 +59,7 @@
   assert.is(end?.errorSqlState, undefined);
 });
 
-test('what carries no result behind a completion is held back with it', () => {
+test('messages without a result that follow a completion are held back with it', () => {
   const status = messages.parameterStatus('TimeZone', 'UTC');
   const notice = messages.noticeResponse('careful', '');
   const { relayed, end } = read(BATCH, DONE, messages.CLOSE_COMPLETE, status, notice, ready());
@@ -74,7 +74,7 @@
   assert.is(end?.errorSqlState, '25P02');
 });
 
-test('a failed trailing query gives no rows and is never relayed', () => {
+test('a failed appended query gives no rows and is never relayed', () => {
   const { relayed, end } = read(
     { ...BATCH, hasAppendedQuery: true },
     ERROR,
@@ -89,7 +89,7 @@
   assert.is(end?.status, 'E');
 });
 
-test('rows of the trailing query are read, not relayed', () => {
+test('rows of the appended query are read, not relayed', () => {
   const { relayed, end } = read(
     { ...BATCH, hasAppendedQuery: true },
     DONE,
@@ -104,7 +104,7 @@
   assert.is(end?.heldBack.toString('latin1'), bytes(DONE));
 });
 
-test('ParseComplete of the prelude is swallowed, the batch own one relayed', () => {
+test('ParseComplete of the prelude is not relayed, that of the batch is', () => {
   const prelude = [{ type: messages.BackendMessageType.PARSE_COMPLETE, prepared: 's1' }];
   const answer = [messages.PARSE_COMPLETE, messages.PARSE_COMPLETE, DONE, ready()];
   const { relayed, events } = read({ ...BATCH, prelude }, ...answer);
@@ -112,7 +112,7 @@
   assert.equal(events, ['prepared s1']);
 });
 
-test('an error in the prelude is the answer, and later names are not remembered', () => {
+test('an error in the prelude is returned, and later prepared statements are not recorded', () => {
   const prelude = ['s1', 's2'].map((prepared) => ({
     type: messages.BackendMessageType.PARSE_COMPLETE,
     prepared,
@@ -143,25 +143,25 @@
   assert.equal(events, ['notification']);
 });
 
-test('outside a batch: parameters are tracked, results are violations', () => {
+test('outside a batch parameters are tracked, and results are protocol violations', () => {
   assert.equal(read(undefined, messages.parameterStatus('a', 'b')).events, ['a=b']);
   assert.equal(read(undefined, dataRow('1')).events, ['violation']);
   assert.equal(read(undefined, FATAL).events, ['fatal 57P01']);
 });
 
-test('COPY and malformed ReadyForQuery are violations', () => {
+test('COPY and malformed ReadyForQuery are protocol violations', () => {
   const copyIn = Buffer.from([0x47, 0, 0, 0, 7, 0, 0, 0]);
   assert.equal(read(BATCH, copyIn).events, ['violation']);
   assert.equal(read(BATCH, Buffer.from([0x5a, 0, 0, 0, 5, 0x51])).events, ['violation']);
 });
 
-test('tags that show that statements have gone', () => {
+test('command tags report that prepared statements were deallocated', () => {
   const tags = ['DISCARD ALL', 'DEALLOCATE ALL', 'DEALLOCATE', 'DELETE 3'];
   const { events } = read(BATCH, ...tags.map(messages.commandComplete), ready());
   assert.equal(events, ['deallocated all', 'deallocated all', 'deallocated one']);
 });
 
-test('what is held back is bounded', () => {
+test('the size of held back messages is limited', () => {
   const notice = messages.noticeResponse('x'.repeat(MAXIMUM_HELD_BACK_BYTES), '');
   assert.equal(read(BATCH, DONE, notice).events, ['too large']);
 });
--- a/test/unit/postgres/classify.test.ts
+++ b/test/unit/postgres/classify.test.ts
@@ -98,7 +98,7 @@
   ['select U&"pg_\\0061dvisory_lock"(1)', 'U& identifier'],
 ];
 
-test('statements that surely only read', () => {
+test('statements that provably only read are classified as reads', () => {
   for (const text of READS) {
     const { access, unsupportedFeature: unsupported } = classify(text);
     assert.deepEqual(
@@ -108,16 +108,16 @@
   }
 });
 
-test('everything else is a write', () => {
+test('all other statements are classified as writes', () => {
   for (const text of WRITES) assert.equal(classify(text).access, 'write', text);
 });
 
-test('what pooling cannot keep is named', () => {
+test('features that pooling does not support are named', () => {
   for (const [text, feature] of UNSUPPORTED)
     assert.equal(classify(text).unsupportedFeature, feature, text);
 });
 
-test('local forms are taken', () => {
+test('forms that are local to a transaction are accepted', () => {
   const texts = [
     'set local work_mem = 1',
     'set transaction isolation level serializable',
@@ -128,7 +128,7 @@
   assert.equal(classify('declare c cursor for select 1', true).unsupportedFeature, undefined);
 });
 
-test('transaction control', () => {
+test('statements of transaction control are recognized', () => {
   const controls: readonly (readonly [string, string, string])[] = [
     ['begin', 'begin', 'write'],
     ['BEGIN TRANSACTION READ ONLY', 'begin', 'read'],
@@ -147,7 +147,7 @@
   }
 });
 
-test('settings that the gateway answers', () => {
+test('settings that the gateway handles itself are recognized', () => {
   const settings: readonly (readonly [string, string, string, string | undefined])[] = [
     ["set meadowstack.session = 'a''b'", 'set', 'meadowstack.session', "a'b"],
     ['SET SESSION Meadowstack.Session TO Abc', 'set', 'meadowstack.session', 'abc'],
@@ -186,7 +186,7 @@
   );
 });
 
-test('beyond the parse budget statements are writes, and reads again after it', () => {
+test('statements beyond the parse budget are classified as writes, and as reads again later', () => {
   let now = 0;
   const classifier = new StatementClassifier({ now: () => (now += 600) });
   assert.equal(classifier.classify('select a').access, 'read');
--- a/test/unit/postgres/markers.test.ts
+++ b/test/unit/postgres/markers.test.ts
@@ -7,7 +7,7 @@
   readMarkers,
 } from '../../../src/postgres/statements/markers.js';
 
-test('markers at the start and at the end', () => {
+test('markers at the start and at the end of a statement are parsed', () => {
   const start = readMarkers(
     "/*meadowstack_once='a%20b',meadowstack_kind='unlock'*/ update t set a = 1",
   );
@@ -18,7 +18,7 @@
   assert.deepEqual(end._unsafeUnwrap(), { ...NO_MARKERS, staleMs: 500, deadlineMs: 800 });
 });
 
-test('nothing inside the statement is a marker', () => {
+test('comments inside a statement are not markers', () => {
   const texts = [
     "select '/*meadowstack_once=''a''*/'",
     "select 1 /*meadowstack_once='a'*/ + 1",
--- a/test/unit/preflight.test.ts
+++ b/test/unit/preflight.test.ts
@@ -56,7 +56,7 @@
   return result;
 }
 
-test('a primary that was replaced in place, with its log, leads on', () => {
+test('an instance that replaced the primary at its address, with its log, succeeds it', () => {
   const result = preflightWith({
     ...{ old: 'refused', heir: status('primary', 9n), replica: status('replica', 9n) },
   });
@@ -66,20 +66,20 @@
 for (const [name, answers] of [
   ['lacks what a replica has', { heir: status('primary', 8n), replica: status('replica', 9n) }],
   ['is behind a later term', { heir: status('primary', 9n), replica: status('replica', 9n, 5) }],
-  ['is not alone', { heir: status('primary', 9n), replica: status('primary', 9n) }],
-  ['does not lead', { heir: status('replica', 9n), replica: status('replica', 9n) }],
+  ['is not the only primary', { heir: status('primary', 9n), replica: status('primary', 9n) }],
+  ['is not a primary', { heir: status('replica', 9n), replica: status('replica', 9n) }],
 ] as const) {
-  test(`one at its address that ${name} does not`, () => {
+  test(`an instance at its address that ${name} does not succeed it`, () => {
     assert.is.not(preflightWith({ old: 'refused', ...answers })?.type, 'succeeded');
   });
 }
 
-test('a silent primary has no successor yet: it may live', () => {
+test('an unresponsive primary has no successor yet, since it may still run', () => {
   const result = preflightWith({ heir: status('primary', 9n), replica: status('replica', 9n) });
   assert.is.not(result?.type, 'succeeded');
 });
 
-test('what each member said is told where too few answer', () => {
+test('the response of each member is reported if too few respond', () => {
   const result = preflightWith({ heir: 'refused', replica: status('replica', 9n) });
   const responses = { old: 'silent', heir: 'refused', replica: 'replica', 'lost-one': 'silent' };
   assert.equal(result, { type: 'wait', anyResponded: true, responses });
--- a/test/unit/primary-absence.test.ts
+++ b/test/unit/primary-absence.test.ts
@@ -6,7 +6,7 @@
   REPLICA_QUERY_PERIOD_MS,
 } from '../../src/core/statements/primary-absence.js';
 
-test('replicas are asked once a primary has been away for a while, and then now and then', () => {
+test('replicas are queried once a primary has been absent for a while, and then periodically', () => {
   const absence = new PrimaryAbsence();
   assert.not(absence.shouldQueryReplicas(0, true));
   assert.not(absence.shouldQueryReplicas(ABSENCE_THRESHOLD_MS - 1, true));
@@ -15,7 +15,7 @@
   assert.ok(absence.shouldQueryReplicas(ABSENCE_THRESHOLD_MS + REPLICA_QUERY_PERIOD_MS, true));
 });
 
-test('a primary that is back begins the time anew', () => {
+test('the time starts again when a primary is back', () => {
   const absence = new PrimaryAbsence();
   absence.shouldQueryReplicas(0, true);
   absence.shouldQueryReplicas(ABSENCE_THRESHOLD_MS / 2, false);
--- a/test/unit/prober.test.ts
+++ b/test/unit/prober.test.ts
@@ -8,7 +8,7 @@
   return prober;
 }
 
-test('one probe at a time to an instance, and not before its period', () => {
+test('an instance gets one probe at a time, and none before its period has passed', () => {
   const prober = proberOf('a');
   assert.ok(prober.isDue('a', 20, 0));
   const probe = prober.send('a', 1, 0);
@@ -19,7 +19,7 @@
   assert.is(prober.nextDueAt('a', 60), 60);
 });
 
-test('a hung probe does not block the next, and its late answer still counts', () => {
+test('a probe that timed out does not block the next one, and its late response still counts', () => {
   const prober = proberOf('a');
   const hung = prober.send('a', 1, 0);
   assert.equal(prober.takeTimedOut(99), []);
@@ -32,7 +32,7 @@
   assert.is(prober.settle(next.id), undefined);
 });
 
-test('a probe whose time runs out while this node stands still gets a little more, once', () => {
+test('a probe that times out while this process is stalled gets a short extension, once', () => {
   const prober = proberOf('a');
   const probe = prober.send('a', 1, 0);
   assert.equal(prober.takeTimedOut(400), [], 'noticed 300 ms late: the answer may wait unread');
--- a/test/unit/promotion-connections.test.ts
+++ b/test/unit/promotion-connections.test.ts
@@ -62,7 +62,7 @@
   return feed(machine, events, 0, answerTo);
 }
 
-test('a node that connects to the old primary demotes it before it acknowledges', () => {
+test('a node that connects to the old primary demotes it before it acknowledges the change', () => {
   const controls = requestsOf(true).filter(({ type }) => type === 'control');
   assert.equal(
     controls.map((request) => request.type === 'control' && request.action),
@@ -70,7 +70,7 @@
   );
 });
 
-test('a node without connections acknowledges at once', () => {
+test('a node without connections acknowledges the change at once', () => {
   const requests = requestsOf(false);
   assert.not(requests.some(({ type }) => type === 'control'));
   // The registration and the acknowledgement.
--- a/test/unit/promotion-gap.test.ts
+++ b/test/unit/promotion-gap.test.ts
@@ -1,6 +1,6 @@
 /**
  * How long writes can't succeed when a primary fails, in virtual time and under fixed seeds: each bound
- * is exceeded without the part of the promotion machine that the test's name tells of.
+ * is exceeded without the part of the promotion state machine that the test's title names.
  */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -16,8 +16,8 @@
   return simulation;
 }
 
-/** Cuts the first group's primary off from every node: it answers nothing, and refuses nothing. */
-function darken(simulation: PromotionSimulation): void {
+/** Cuts the first group's primary off from every node: it neither responds nor refuses connections. */
+function cutOffPrimary(simulation: PromotionSimulation): void {
   const { group, network, nodes } = simulation;
   for (const { name } of nodes) network.cut(name, group.leader.id, LONGEST_MS);
 }
@@ -38,7 +38,7 @@
   return clock.now - begunAt;
 }
 
-/** The middle one of the gaps under all seeds. */
+/** The median of the gaps under all seeds. */
 function medianGapMs(strike: (simulation: PromotionSimulation) => void): number {
   const gaps = SEEDS.map((seed) => {
     const simulation = settled(seed);
@@ -49,14 +49,14 @@
   return gaps[SEEDS.length >> 1] ?? LONGEST_MS;
 }
 
-test('a silent primary is not asked once more, nor waited for', () => {
-  assert.ok(medianGapMs(darken) < 1600);
+test('an unresponsive primary is not queried again, nor waited for', () => {
+  assert.ok(medianGapMs(cutOffPrimary) < 1600);
 });
 
-test('a new leader looks at the primary at once', () => {
+test('a new leader probes the primary at once', () => {
   const gap = medianGapMs((simulation) => {
     const { leader } = simulation;
-    darken(simulation);
+    cutOffPrimary(simulation);
     leader?.kill();
     simulation.run(300);
     leader?.start();
@@ -64,27 +64,27 @@
   assert.ok(gap < 1350);
 });
 
-test('nodes notice soon that the store is back', () => {
+test('nodes notice soon that the store is reachable again', () => {
   const gap = medianGapMs((simulation) => {
     simulation.store.goDown(5000, true);
     simulation.run(4800);
-    darken(simulation);
+    cutOffPrimary(simulation);
     simulation.run(200);
   });
   assert.ok(gap < 1700);
 });
 
-test('a node that is cut off from the store holds a change up for no longer than its lease', () => {
+test('a node that is cut off from the store delays a primary change for no longer than its lease', () => {
   const gap = medianGapMs((simulation) => {
     const { nodes, leader, network } = simulation;
     const follower = nodes.find((node) => node !== leader);
     network.cut(follower?.name ?? '', 'store', LONGEST_MS);
-    darken(simulation);
+    cutOffPrimary(simulation);
   });
   assert.ok(gap < 2400);
 });
 
-test('the leader knows that its change is finished', () => {
+test('the leader logs its primary change as finished, once', () => {
   const simulation = settled(1);
   simulation.group.crash(simulation.group.leader);
   simulation.run(2000);
--- a/test/unit/promotion-monitor.test.ts
+++ b/test/unit/promotion-monitor.test.ts
@@ -75,21 +75,21 @@
   }
 }
 
-test('a primary that answers other questions is not probed', () => {
+test('a primary that responds to other requests is not probed', () => {
   const monitored = new MonitoredPrimary();
   monitored.monitor.start();
   monitored.run(10 * probePeriodMs, true);
   assert.is(monitored.probes, 0);
 });
 
-test('a primary that nothing else is heard of is probed', () => {
+test('a primary without any other response is probed', () => {
   const monitored = new MonitoredPrimary();
   monitored.monitor.start();
   monitored.run(10 * probePeriodMs, false);
   assert.ok(monitored.probes >= 8, `${monitored.probes} probes`);
 });
 
-test('a primary that announces itself as a replica is asked, though it answers', () => {
+test('a primary that announces itself as a replica is probed although it responds', () => {
   const monitored = new MonitoredPrimary();
   monitored.monitor.start();
   monitored.run(2 * probePeriodMs, true);
--- a/test/unit/promotion-start.test.ts
+++ b/test/unit/promotion-start.test.ts
@@ -72,7 +72,7 @@
   ['its lease', ['range']],
   ['its registration', ['grant-lease', 'range']],
 ] as const) {
-  test(`a node whose store does not answer for ${name} knows the primaries, and trusts none`, () => {
+  test(`a node whose store does not respond for ${name} knows the primaries, and trusts none`, () => {
     const { machine, tick } = startWith(answered);
     assert.is(machine.primaryOf(SERVICE, 0), undefined);
     tick(unregisteredReadDelayMs);
--- a/test/unit/queue.test.ts
+++ b/test/unit/queue.test.ts
@@ -45,7 +45,7 @@
   assert.equal(served, { flood: 10, bureau: 20, trust: 10 });
 });
 
-test('inside a tenant unlocks of weight two are served twice as often', () => {
+test('within a tenant unlocks of weight two are served twice as often', () => {
   const queue = new FairQueue(() => 1);
   fill(queue, 60, { tenant: 'trust', kind: 'hire', weight: 1 });
   fill(queue, 60, { tenant: 'trust', kind: 'unlock', weight: 2 });
@@ -55,7 +55,7 @@
   );
 });
 
-test('a tenant of small weight is served at last', () => {
+test('a tenant of small weight is served in proportion to its weight', () => {
   const queue = new FairQueue((tenant) => (tenant === 'small' ? 0.125 : 1));
   fill(queue, 30, { tenant: 'large', kind: 'default' });
   fill(queue, 2, { tenant: 'small', kind: 'default' });
@@ -65,7 +65,7 @@
   );
 });
 
-test('a blocked entry is passed over and stays in its place', () => {
+test('a blocked entry is skipped and stays in the queue', () => {
   const queue = new FairQueue(() => 1);
   queue.push(entry('blocked'));
   queue.push(entry('free'));
@@ -80,7 +80,7 @@
   assert.is(queue.length, 1);
 });
 
-test('a tenant that had nothing waiting is served next, but only once a round', () => {
+test('a tenant without waiting requests is served next when one arrives, but only once per round', () => {
   const queue = new FairQueue(() => 1);
   const tenantOf = (one: QueueEntry): string => one.request.tenant;
   fill(queue, 9, { tenant: 'flood', kind: 'default' });
@@ -94,14 +94,14 @@
   assert.equal(serve(queue, 1, tenantOf), { quiet: 1 });
 });
 
-test('expected place in the queue follows the fair share, not the length', () => {
+test('the estimated number of requests ahead follows the fair share, not the length of the queue', () => {
   const queue = new FairQueue(() => 1);
   fill(queue, 100, { tenant: 'flood', kind: 'default' });
   assert.is(queue.estimateRequestsAhead('bureau'), 1);
   assert.is(queue.estimateRequestsAhead('flood'), 100);
 });
 
-test('deadlines come out in order of time', () => {
+test('deadlines are returned in order of time', () => {
   const heap = new DeadlineHeap();
   for (const at of [5, 3, 9, 1, 7]) heap.add({ at, requestId: `r${at}` });
   const due: number[] = [];
--- a/test/unit/quota-keepers.test.ts
+++ b/test/unit/quota-keepers.test.ts
@@ -42,12 +42,12 @@
   }
 });
 
-test('a keeper stays while its node lives, however many others come', () => {
+test('a keeper stays while its node lives, however many nodes join', () => {
   const first = assignKeepers([], nodes(6)) ?? [];
   assert.equal(namesOf(assignKeepers(first, nodes(83))), namesOf(first));
 });
 
-test('only the parts of a node that is gone go to others', () => {
+test('only the parts of a node that is gone are assigned to others', () => {
   const first = assignKeepers([], nodes(20)) ?? [];
   const gone = first[3]?.nodeId;
   const live = nodes(20).filter(({ nodeId }) => nodeId !== gone);
@@ -58,13 +58,13 @@
   }
 });
 
-test('while no node lives the keepers stay named', () => {
+test('while no node is live the keepers stay assigned', () => {
   const first = assignKeepers([], nodes(6)) ?? [];
   assert.equal(assignKeepers(first, []), first);
   assert.is(assignKeepers([], []), undefined);
 });
 
-test('a tenant is split over different parts, and tenants spread over all', () => {
+test('a tenant is divided among different parts, and tenants are distributed over all parts', () => {
   const counts = new Array<number>(QUOTA_PARTS).fill(0);
   for (let hash = 0; hash < 12_000; hash += 1) {
     const parts = partsOf(hash * 2654435761);
@@ -75,7 +75,7 @@
   for (const count of counts) assert.ok(count > 2500 && count < 3500, String(counts));
 });
 
-test('a keeper has stopped by its own clock before the leader names another one', () => {
+test('a keeper stops by its own clock before the leader assigns another one', () => {
   const { leaseSeconds, leaseSafetyMarginMs } = DEFAULT_PROMOTION_TIMINGS;
   const leaseMs = leaseSeconds * 1000;
   // Both times count from when the keeper sent a renewal; the store receives it no earlier, and keeps the lease for at
--- a/test/unit/refusal-retry-delay.test.ts
+++ b/test/unit/refusal-retry-delay.test.ts
@@ -7,7 +7,7 @@
 const SETTINGS = { seed: 20261203, numRuns: 300 };
 const random = fc.double({ min: 0, max: 0.999, noNaN: true });
 
-test('whoever has a lower priority comes back later on average, and all are spread', () => {
+test('callers of lower priority get a longer retry delay on average, and all delays are spread', () => {
   fc.assert(
     fc.property(fc.nat(8), random, (priority, drawn) => {
       const at = refusalRetryDelay(priority, drawn);
--- a/test/unit/routing.test.ts
+++ b/test/unit/routing.test.ts
@@ -31,7 +31,7 @@
 
 const at = (timeline: number, lsn: bigint) => ({ timeline, lsn });
 
-test('a position on an earlier timeline is contained only from its own LSN on', () => {
+test('a position of an earlier timeline is contained in a later one only from its LSN on', () => {
   assert.ok(containsPosition(at(5, 100n), at(5, 100n)));
   assert.not.ok(containsPosition(at(5, 99n), at(5, 100n)));
   assert.not.ok(containsPosition(at(6, 99n), at(5, 100n)));
@@ -39,7 +39,7 @@
   assert.not.ok(containsPosition(at(5, 900n), at(6, 100n)));
 });
 
-test('a replica serves only what it lawfully may', () => {
+test('a replica is eligible only for reads that its state allows', () => {
   const read = staleRead('r', { session: { type: 'known', position: at(5, 100n) } });
   const ahead = staleRead('r', { session: { type: 'known', position: at(5, 101n) } });
   assert.ok(isEligible(candidate('b'), read, 1000));
@@ -61,7 +61,7 @@
   assert.equal(names([candidate('c'), candidate('b')], 'b'), ['c', 'b']);
 });
 
-test('a replica is as fresh as the last time the primary was no further than it', () => {
+test('a replica is as fresh as the last sample of the primary that is not ahead of it', () => {
   const history = new PrimaryPositionHistory();
   history.add({ at: 10, position: at(5, 100n) });
   history.add({ at: 20, position: at(5, 100n) });
@@ -72,7 +72,7 @@
   assert.is(history.freshAsOf(at(5, 90n), 1000), Number.NEGATIVE_INFINITY);
 });
 
-test('a replica that follows a new primary but still replays the old log is as old as before', () => {
+test('a replica that follows a new primary but still replays the old log is no fresher than its replayed position', () => {
   const history = new PrimaryPositionHistory();
   history.add({ at: 10, position: at(5, 100n) });
   history.add({ at: 30, position: at(5, 110n) });
--- a/test/unit/scram-verifier.test.ts
+++ b/test/unit/scram-verifier.test.ts
@@ -14,7 +14,7 @@
   );
 });
 
-test('a verifier has the form that declarations take, and a salt of its own', () => {
+test('a verifier has the format of the declarations, and its own salt', () => {
   const verifier = createScramVerifier('secret');
   assert.match(verifier, SCRAM_VERIFIER_PATTERN);
   assert.is.not(verifier, createScramVerifier('secret'));
--- a/test/unit/session.test.ts
+++ b/test/unit/session.test.ts
@@ -41,13 +41,13 @@
   return result.isErr() ? `${result.error.code} ${result.error.sqlState}` : 'accepted';
 }
 
-test('a token signed by an older key is accepted while that key is in force', () => {
+test('a token signed by an older key is accepted while that key is configured', () => {
   const token = encodeSessionToken(sessionWithGroups(2), 'bureau', [OLD_KEY]);
   assert.is(errorCode(token), 'accepted');
   assert.is(errorCode(token, 'bureau', [NEW_KEY]), 'MS-SESSION-TOKEN-KEY 28000');
 });
 
-test('each unusable token has its typed error', () => {
+test('each kind of unusable token has its own error', () => {
   const token = encodeSessionToken(sessionWithGroups(2), 'bureau', KEYS);
   assert.is(errorCode(token, 'trust'), 'MS-SESSION-TOKEN-FORGED 28000');
   assert.is(errorCode(token.replace('v1', 'v2')), 'MS-SESSION-TOKEN-VERSION 22023');
@@ -82,7 +82,7 @@
   assert.equal(requirementFor(byPrimary, 'orders'), { type: 'known', position: POSITION });
 });
 
-test('merging a fresh connection with a token keeps the token, with a moved id it stays unknown', () => {
+test('a fresh session merged with a token gets the position of the token, one of unknown history stays unknown', () => {
   const fromToken = observe(freshSession(), 'orders', POSITION, 'confirmed-primary');
   const merged = mergeSessions(freshSession(), fromToken);
   assert.equal(requirementFor(merged, 'orders'), { type: 'known', position: POSITION });
@@ -90,7 +90,7 @@
   assert.equal(requirementFor(moved, 'orders'), { type: 'unknown' });
 });
 
-test('a position beyond the confirmed log, or lost at a promotion, is refused', () => {
+test('a position beyond the confirmed log, or one lost at a promotion, is refused', () => {
   const log = { group: 'g', end: { timeline: 3, lsn: 100n }, timelineStart: 50n };
   const codeOf = (timeline: number, lsn: bigint): string => {
     const result = checkPosition({ timeline, lsn }, log);
@@ -110,13 +110,13 @@
   return answer.answer;
 }
 
-test('a home node that restarted within a session life does not vouch for what it lacks', () => {
+test('the records of a home node count as incomplete until the session idle timeout has passed since its start', () => {
   const table = new SessionPositionTable({ startedAt: 0, sessionIdleTimeoutMs: 1000 });
   assert.not(lookUp(table, 999).complete);
   assert.ok(lookUp(table, 1000).complete);
 });
 
-test('an early eviction makes the table incomplete for a session life', () => {
+test('an early eviction makes the table incomplete for the session idle timeout', () => {
   const table = new SessionPositionTable({
     startedAt: 0,
     sessionIdleTimeoutMs: 1000,
@@ -141,7 +141,7 @@
   return { positions, complete };
 }
 
-test('a quorum of home nodes tells a position; less than that leaves it unknown', () => {
+test('a quorum of home nodes determines a position; with fewer it stays unknown', () => {
   const known = (answers: readonly HomeNodeAnswer[]): bigint | 'unknown' => {
     const requirement = requirementFor(combineAnswers(answers, 3), 'orders');
     return requirement.type === 'unknown' ? 'unknown' : requirement.position.lsn;
@@ -154,7 +154,7 @@
   assert.is(known([answer(undefined, true), answer(undefined, true)]), 'unknown');
 });
 
-test('home nodes are the best three, and a write is released with two of them', () => {
+test('the three highest-ranked nodes are home nodes, and a write is released once two of them have recorded it', () => {
   const rank = (_key: string, nodes: readonly string[]): string[] => [...nodes].sort();
   assert.equal(homeNodesOf(NAME, ['d', 'b', 'a', 'c'], rank), ['a', 'b', 'c']);
   assert.not(isRecorded(1, 3));
--- a/test/unit/settings.test.ts
+++ b/test/unit/settings.test.ts
@@ -23,7 +23,7 @@
   return error.problems.map(formatProblem).map((line) => line.replace(file, 'F'));
 }
 
-test('defaults make complete settings', () => {
+test('defaults give complete settings', () => {
   const settings = loadSettings({ file: undefined, env: {}, flags: {} })._unsafeUnwrap();
   assert.is(settings.callers.port, 6432);
   assert.is(settings.ownersPerGroup, 2);
@@ -31,7 +31,7 @@
   assert.equal(settings.session.keys, []);
 });
 
-test('flags go over the environment, which goes over the file', () => {
+test('flags override the environment, which overrides the file', () => {
   const yaml = 'callers: { host: 127.0.0.2, port: 1 }\nzone: a\nnodeId: from-file\n';
   const settings = load(yaml, {
     env: { MEADOWSTACK_CALLERS_PORT: '2', MEADOWSTACK_ZONE: 'b', MEADOWSTACK_NODE_ID: '' },
@@ -55,7 +55,7 @@
   assert.equal(settings.backend.roles, [{ role: 'bureau', password: 'pass=word' }]);
 });
 
-test('a wrong value names file, line, column, field and expectation', () => {
+test('the problem of an invalid value names file, line, column, field and expected value', () => {
   assert.equal(problems('zone: a\ncallers:\n  port: many\n'), [
     'F:3:3: callers.port: expected number, received string',
   ]);
@@ -69,7 +69,7 @@
   assert.match(problems('a: [\n')[0] ?? '', /^F:\d+:\d+: expected valid YAML/);
 });
 
-test('a wrong value from a variable or flag names it', () => {
+test('the problem of an invalid value from a variable or flag names its source', () => {
   assert.match(
     problems('', { env: { MEADOWSTACK_PEER_PORT: '70000' } })[0] ?? '',
     /^MEADOWSTACK_PEER_PORT: peer.port: expected number to be <=65535/,
@@ -80,13 +80,13 @@
   );
 });
 
-test('a bad secret is reported without showing it', () => {
+test('an invalid secret is reported without its text', () => {
   const [line] = problems('session:\n  keys:\n    - { id: k, secretHex: topsecret }\n');
   assert.match(line ?? '', /F:3:\d+: session.keys\[0\].secretHex: expected 32 to 64 bytes/);
   assert.not.match(line ?? '', /topsecret/);
 });
 
-test('a missing file is a typed error', () => {
+test('a missing file is reported as a settings error', () => {
   const missing = loadSettings({ file: join(directory, 'none'), env: {}, flags: {} });
   assert.is(missing._unsafeUnwrapErr().code, 'MS-SETTINGS');
 });
--- a/test/unit/standin-flags.test.ts
+++ b/test/unit/standin-flags.test.ts
@@ -32,7 +32,7 @@
   assert.equal(parse(), { host: '127.0.0.1', port: 0, route: [] });
 });
 
-test('a route names its two ends', () => {
+test('a route is parsed into its listening and target addresses', () => {
   const { route } = parse('--route', 'a=127.0.0.1:0->127.0.0.2:5432');
   assert.equal(route, [
     {
@@ -45,7 +45,7 @@
   ]);
 });
 
-test('wrong flags are refused', () => {
+test('invalid flags are refused', () => {
   const wrong = [
     ['--unknown', '1'],
     ['--port', '65536'],
@@ -64,7 +64,7 @@
   }
 });
 
-test('help names each flag', () => {
+test('the help text lists each flag', () => {
   const help = helpText(program);
   for (const name of ['--host', '--port', '--route', '--help']) assert.match(help, name);
 });
--- a/test/unit/start-readiness.test.ts
+++ b/test/unit/start-readiness.test.ts
@@ -13,20 +13,20 @@
   assert.ok(readiness.isReady(20, WHOLE));
 });
 
-test('a node that once was ready stays so while a primary is away', () => {
+test('a node that was ready stays ready while a primary is absent', () => {
   const readiness = new StartReadiness();
   readiness.isReady(0, WHOLE);
   assert.ok(readiness.isReady(10, WITHOUT_PRIMARIES));
 });
 
-test('a service without a primary holds a node back for a bounded time', () => {
+test('a service without a primary delays readiness for a limited time', () => {
   const readiness = new StartReadiness();
   assert.not(readiness.isReady(5, WITHOUT_PRIMARIES));
   assert.not(readiness.isReady(5 + MAX_PRIMARIES_WAIT_MS - 1, WITHOUT_PRIMARIES));
   assert.ok(readiness.isReady(5 + MAX_PRIMARIES_WAIT_MS, WITHOUT_PRIMARIES));
 });
 
-test('the time runs from when routes and instances are known', () => {
+test('the limited time starts when routes and instances are known', () => {
   const readiness = new StartReadiness();
   readiness.isReady(0, EMPTY);
   assert.not(readiness.isReady(MAX_PRIMARIES_WAIT_MS, WITHOUT_PRIMARIES));
--- a/test/unit/store-engine.test.ts
+++ b/test/unit/store-engine.test.ts
@@ -47,7 +47,7 @@
   return 'none';
 }
 
-test('operations of a transaction share one revision and see one another', () => {
+test('operations of a transaction share one revision and observe one another', () => {
   const engine = new StoreEngine();
   const answer = apply(engine, put('a', '1'), put('b', '2'), read('a', 'c'));
   assert.is(engine.revision, 2);
@@ -57,7 +57,7 @@
   assert.equal([a?.modRevision, b?.modRevision, a?.version], [2, 2, 1]);
 });
 
-test('a key created anew after its deletion starts at version 1', () => {
+test('a key that is created again after its deletion starts at version 1', () => {
   const engine = new StoreEngine();
   apply(engine, put('a', '1'));
   apply(engine, put('a', '2'));
@@ -69,13 +69,13 @@
   assert.equal(valuesOf(engine, 'a', '', 4), []);
 });
 
-test('nothing changes where nothing is deleted', () => {
+test('a deletion that matches no key does not change the revision', () => {
   const engine = new StoreEngine();
   apply(engine, remove('a', 'z'));
   assert.is(engine.revision, 1);
 });
 
-test('compares of each target and result decide the branch', () => {
+test('comparisons of each target and result select the branch', () => {
   const engine = new StoreEngine();
   apply(engine, put('a', 'x'));
   apply(engine, put('a', 'y'));
@@ -128,7 +128,7 @@
   assert.equal(valuesOf(engine, 'a'), []);
 });
 
-test('a lapsed lease deletes its keys in one revision, but not those that were put anew', () => {
+test('an expired lease deletes its keys in one revision, except those that were written again without it', () => {
   const engine = new StoreEngine();
   const lease = engine.grantLease(NO_LEASE, 5, 0);
   apply(engine, put('a', '1', lease), put('b', '1', lease), put('c', '1', lease));
@@ -147,7 +147,7 @@
   assert.is(engine.keepLeaseAlive(lease, 9001), 0);
 });
 
-test('compaction drops history but no live key, and refuses reads before it', () => {
+test('compaction drops history but no live key, and earlier revisions can no longer be read', () => {
   const engine = new StoreEngine();
   apply(engine, put('a', '1'));
   apply(engine, put('a', '2'));
--- a/test/unit/store-return.test.ts
+++ b/test/unit/store-return.test.ts
@@ -11,25 +11,25 @@
 import { StoreUnavailableError } from '../../src/platform/errors.js';
 import { feed } from '../support/promotion-feed.js';
 
-test('the first answer after an absence is told once, also the first of all', () => {
-  const seen = new StoreOutageDetector();
-  assert.not(seen.recordCall(false, 0));
-  assert.ok(seen.recordCall(true, 100));
-  assert.not(seen.recordCall(true, 200));
-  assert.not(seen.recordCall(false, 1000));
-  assert.ok(seen.recordCall(true, 1100));
+test('the first response after an outage is reported once, also the very first response', () => {
+  const detector = new StoreOutageDetector();
+  assert.not(detector.recordCall(false, 0));
+  assert.ok(detector.recordCall(true, 100));
+  assert.not(detector.recordCall(true, 200));
+  assert.not(detector.recordCall(false, 1000));
+  assert.ok(detector.recordCall(true, 1100));
 });
 
-test('a store that refuses some calls beside others that it answers was not away', () => {
-  const seen = new StoreOutageDetector();
-  seen.recordCall(true, 0);
+test('a store that fails some calls while it answers others had no outage', () => {
+  const detector = new StoreOutageDetector();
+  detector.recordCall(true, 0);
   for (let at = 100; at < 1000; at += 100) {
-    assert.not(seen.recordCall(false, at - 50));
-    assert.not(seen.recordCall(true, at));
+    assert.not(detector.recordCall(false, at - 50));
+    assert.not(detector.recordCall(true, at));
   }
 });
 
-test('a lease and records that were refused are asked for at once when the store answers again', () => {
+test('failed requests for the lease and the records are repeated at once when the store responds again', () => {
   const machine = new PromotionStateMachine({
     ...{ nodeName: 'node', incarnation: 'i', timings: DEFAULT_PROMOTION_TIMINGS },
     random: () => 0.5,
@@ -47,7 +47,7 @@
   assert.equal(asked.sort(), ['grant-lease', 'range']);
 });
 
-test('a prefix that could not be read is read at once when the store answers again', () => {
+test('a prefix whose read failed is read at once when the store responds again', () => {
   let reads = 0;
   let cancelled = 0;
   const failure = errAsync(new StoreUnavailableError('away'));
@@ -69,7 +69,7 @@
     assert.is(reads, 2);
     assert.is(cancelled, 1);
     reader.retryNow();
-    assert.is(reads, 2, 'a read that is on its way is not repeated');
+    assert.is(reads, 2, 'a read in flight is not repeated');
   });
 });
 
--- a/test/unit/topology.test.ts
+++ b/test/unit/topology.test.ts
@@ -23,12 +23,12 @@
   return topology;
 }
 
-test('the primary is writable on the highest timeline that a majority has', () => {
+test('the primary is the writable instance on the highest timeline that a majority has', () => {
   const states = { a: state(true, 5, 9), b: state(true, 6, 7), c: state(false, 6, 7) };
   assert.equal(electPrimary(topologyOf(states)), { instance: 'b', timeline: 6 });
 });
 
-test('an instance promoted alone is not the primary', () => {
+test('an instance that was promoted without a majority is not the primary', () => {
   const states = { a: state(true, 5, 9), b: state(false, 5, 9), c: state(true, 6, 7) };
   assert.equal(electPrimary(topologyOf(states)), { instance: 'a', timeline: 5 });
   assert.equal(electPrimary(topologyOf(states), false), { instance: 'c', timeline: 6 });
@@ -47,13 +47,13 @@
   assert.is(confirmedAt(topology, { instance: 'a', timeline: 5 }), Number.POSITIVE_INFINITY);
 });
 
-test('an answer to an older probe does not replace a newer one', () => {
+test('a response to an older probe does not replace a newer one', () => {
   const newer = topologyOf({ a: state(false, 6, 9) });
   const after = withProbeAnswer(newer, 'a', state(true, 5, 9), 0, 0);
   assert.is(after, newer);
 });
 
-test('a state in passing raises positions and keeps the time of observation', () => {
+test('a state returned with a statement raises positions and keeps the time of observation', () => {
   const topology = topologyOf({ a: state(true, 5, 9), b: state(false, 5, 9) });
   const raised = withPiggybackedState(topology, 'b', state(false, 5, 12));
   const lowered = withPiggybackedState(raised, 'b', state(false, 5, 3));
@@ -68,7 +68,7 @@
   assert.is(confirmedAt(topologyOf(moved), { instance: 'a', timeline: 5 }), 10);
 });
 
-test('errors make suspect, missed probes unreachable, an answer reachable again', () => {
+test('errors make an instance suspect, missed probes unreachable, a response reachable again', () => {
   let topology = withConnectionError(topologyOf({ a: state(true, 5, 9) }), 'a');
   assert.is(topology.instances.get('a')?.reachability, 'suspect');
   topology = withMissedProbe(topology, 'a', 2, false);
--- a/test/unit/unlisted-members.test.ts
+++ b/test/unit/unlisted-members.test.ts
@@ -19,31 +19,31 @@
   return unlisted.of(SERVICE).map(({ id }) => id);
 }
 
-test('one that came and went before a record named it counts, until one does', () => {
+test('an instance that came and went before any record listed it counts as a member, until a record lists it', () => {
   const unlisted = new UnlistedMembers();
   unlisted.applyRecord(SERVICE, { members: [entry('first')], departed: [] });
   unlisted.updateInstances([entry('first'), entry('late')], 0);
-  assert.equal(idsOf(unlisted), [], 'while it has an entry');
+  assert.equal(idsOf(unlisted), [], 'while it is registered');
   unlisted.updateInstances([], 100);
   assert.equal(idsOf(unlisted), ['late']);
   unlisted.applyRecord(SERVICE, { members: [entry('first'), entry('late')], departed: [] });
   assert.equal(idsOf(unlisted), []);
 });
 
-test('one that was forgotten counts again only if it is seen again', () => {
+test('a member that was removed counts again only if it registers again', () => {
   const unlisted = new UnlistedMembers();
-  const forgotten = { members: [], departed: [entry('late')] };
+  const removedMember = { members: [], departed: [entry('late')] };
   unlisted.updateInstances([entry('late')], 0);
   unlisted.updateInstances([], 100);
-  unlisted.applyRecord(SERVICE, forgotten);
+  unlisted.applyRecord(SERVICE, removedMember);
   assert.equal(idsOf(unlisted), []);
   unlisted.updateInstances([entry('late')], 200);
-  unlisted.applyRecord(SERVICE, forgotten);
+  unlisted.applyRecord(SERVICE, removedMember);
   unlisted.updateInstances([], 300);
   assert.equal(idsOf(unlisted), ['late'], 'the record may be older than its return');
 });
 
-test('one whose log has gone to a later instance at its address does not count', () => {
+test('a member whose log was taken over by a later instance at its address does not count', () => {
   const unlisted = new UnlistedMembers();
   unlisted.updateInstances([entry('late', 'place')], 0);
   unlisted.updateInstances([entry('later', 'place')], 100);
@@ -52,7 +52,7 @@
   assert.equal(idsOf(unlisted), ['later']);
 });
 
-test('an acknowledgement tells of them, and one of an older program tells of none', () => {
+test('an acknowledgement lists unlisted members, and one of an older program version lists none', () => {
   const record = { change: 2, leaseId: '7', end: undefined };
   const decode = (value: string) =>
     decodeRecord(
--- a/test/unit/until.test.ts
+++ b/test/unit/until.test.ts
@@ -1,14 +1,14 @@
-/** The bound on waiting in tests: a condition that never answers must not outlast it. */
+/** The time limit of waits in tests: a condition that never responds must not exceed it. */
 import { setTimeout as pause } from 'node:timers/promises';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { until } from '../support/until.js';
 
 const BOUND_MS = 50;
-/** Far above the bound, far below what the runner grants a file. */
+/** Far above the time limit, far below the time that the test runner allows for a file. */
 const TOO_LONG_MS = 5_000;
 
-/** The message with which the wait fails; `still waiting` if it outlasts the bound by far. */
+/** The message with which the wait fails; `still waiting` if it far exceeds the time limit. */
 async function outcomeOf(condition: () => boolean | Promise<boolean>): Promise<string> {
   const over = new AbortController();
   const waited = until('it happens', condition, BOUND_MS).then(
@@ -24,17 +24,17 @@
   }
 }
 
-test('a condition that comes to hold ends the wait', async () => {
+test('a condition that becomes true ends the wait', async () => {
   let asked = 0;
   assert.is(await outcomeOf(() => ++asked === 2), 'held');
   assert.is(asked, 2);
 });
 
-test('a condition that stays false fails at the bound', async () => {
+test('a condition that stays false fails at the time limit', async () => {
   assert.is(await outcomeOf(() => false), 'never: it happens');
 });
 
-test('a condition that never answers fails at the bound', async () => {
+test('a condition that never responds fails at the time limit', async () => {
   assert.is(await outcomeOf(() => new Promise<boolean>(() => undefined)), 'never: it happens');
 });
 
--- a/test/unit/watch-readers.test.ts
+++ b/test/unit/watch-readers.test.ts
@@ -43,7 +43,7 @@
   assert.equal(selectReaders([], fleet(['a', 'b', 'c'], 7)), []);
 });
 
-test('readers stay while they live, also when half of the fleet restarts', () => {
+test('readers stay assigned while they live, also when half of the fleet restarts', () => {
   const all = fleet(['a', 'b'], 14);
   const before = [node('a', 5), node('a', 6), node('b', 5), node('b', 6)];
   assert.equal(selectReaders(before, all), before);
@@ -53,7 +53,7 @@
   assert.equal(selectReaders(before, all.slice(0, 11)), []);
 });
 
-test('nodes with the fastest links of their zone read, also instead of slower ones that read before', () => {
+test('the nodes with the fastest links of their zone are readers, also in place of slower former readers', () => {
   const slow = fleet(['a'], 24);
   const fast = [candidate(node('a', 30), 200), candidate(node('a', 31), 200)];
   const names = (nodes: readonly ReachableNode[]): string[] => nodes.map(({ nodeId }) => nodeId);
@@ -64,7 +64,7 @@
   assert.equal(names(selectReaders(after, [...slow, ...fast.slice(1)])), ['a-0', 'a-31']);
 });
 
-test('a node follows the readers of its zone, and a reader itself', () => {
+test('a node receives changes from the readers of its zone, and a reader from the store', () => {
   const readers = selectReaders([], fleet(['a', 'b'], 12));
   assert.equal(readersOf(node('a', 0), readers), { type: 'self' });
   assert.equal(readersOf(node('b', 9), readers), {
@@ -74,7 +74,7 @@
   assert.equal(readersOf(node('c', 0), readers), { type: 'others', readers: [] });
 });
 
-test('of all readers two of different zones follow the store, and the others these', () => {
+test('two readers of different zones poll the store, and the other readers receive changes from them', () => {
   const readers = selectReaders([], fleet(['c', 'a', 'b'], 12));
   const ofStore = [node('a', 0), node('b', 0)];
   for (const reader of ofStore) assert.equal(readersOf(reader, readers), { type: 'self' });
@@ -88,26 +88,26 @@
   for (const reader of oneZone) assert.equal(readersOf(reader, oneZone), { type: 'self' });
 });
 
-test('a relay passes on changes at once, and otherwise a word that is younger by some time', () => {
-  const word = new RelayedFreshness(400);
-  assert.not(word.takeRelayDue(true));
-  word.record({ currentAsOf: 1000, provenCurrentAsOf: 900 });
-  assert.ok(word.takeRelayDue(false));
-  word.record({ currentAsOf: 1300, provenCurrentAsOf: 1200 });
-  assert.not(word.takeRelayDue(false));
-  assert.ok(word.takeRelayDue(true));
-  word.record({ currentAsOf: 1100, provenCurrentAsOf: 1000 });
-  assert.equal(word.times, { currentAsOf: 1300, provenCurrentAsOf: 1200 });
-  word.record({ currentAsOf: 1700, provenCurrentAsOf: 1600 });
-  assert.ok(word.takeRelayDue(false));
-  word.record({ currentAsOf: 1900, provenCurrentAsOf: Number.NEGATIVE_INFINITY });
-  assert.equal(word.times, { currentAsOf: 1700, provenCurrentAsOf: 1600 });
-  word.clear();
-  assert.is(word.times, undefined);
-  assert.not(word.takeRelayDue(true));
+test('a relay forwards changes at once, and without changes only a confirmation that is newer by a minimum interval', () => {
+  const freshness = new RelayedFreshness(400);
+  assert.not(freshness.takeRelayDue(true));
+  freshness.record({ currentAsOf: 1000, provenCurrentAsOf: 900 });
+  assert.ok(freshness.takeRelayDue(false));
+  freshness.record({ currentAsOf: 1300, provenCurrentAsOf: 1200 });
+  assert.not(freshness.takeRelayDue(false));
+  assert.ok(freshness.takeRelayDue(true));
+  freshness.record({ currentAsOf: 1100, provenCurrentAsOf: 1000 });
+  assert.equal(freshness.times, { currentAsOf: 1300, provenCurrentAsOf: 1200 });
+  freshness.record({ currentAsOf: 1700, provenCurrentAsOf: 1600 });
+  assert.ok(freshness.takeRelayDue(false));
+  freshness.record({ currentAsOf: 1900, provenCurrentAsOf: Number.NEGATIVE_INFINITY });
+  assert.equal(freshness.times, { currentAsOf: 1700, provenCurrentAsOf: 1600 });
+  freshness.clear();
+  assert.is(freshness.times, undefined);
+  assert.not(freshness.takeRelayDue(true));
 });
 
-test('a history tells what follows a revision, and nothing if it lacks a part', () => {
+test('a history returns the changes since a revision, and nothing if it lacks a part of them', () => {
   const history = new WatchHistory();
   assert.is(history.changesSince(0), undefined);
   history.append({ after: 4, revision: 8, events: [put('a', 6), put('b', 8)] });
@@ -121,7 +121,7 @@
   assert.equal(history.changesSince(20), { after: 20, revision: 20, events: [] });
 });
 
-test('a history with a gap begins anew, and one that grows forgets the oldest', () => {
+test('a history restarts after a gap, and drops its oldest changes when it is full', () => {
   const history = new WatchHistory();
   history.append({ after: 1, revision: 2, events: [put('a', 2)] });
   history.append({ after: 5, revision: 6, events: [put('a', 6)] });
@@ -134,25 +134,25 @@
   assert.is(history.changesSince(7)?.events.length, 1);
 });
 
-test('a node relies on readers that speak, whose word is new, and that leave nothing out', () => {
-  const evidence = new ReaderTracker(MAX_AGE_MS);
-  assert.not(evidence.isServedByReaders(0, 10));
-  evidence.recordReport('one', 1000, 900);
-  assert.ok(evidence.isServedByReaders(1000, 10));
-  assert.ok(evidence.isServedByReaders(1000 + READER_TIMEOUT_MS, 10));
-  assert.not(evidence.isServedByReaders(1001 + READER_TIMEOUT_MS, 10));
-  evidence.recordReport('one', 5000, 5000 - MAX_AGE_MS - 1);
-  assert.not(evidence.isServedByReaders(5000, 10));
-  evidence.recordReport('one', 6000, 6000);
-  evidence.recordReport('two', 6000, 6000, 12);
-  assert.not(evidence.isServedByReaders(6000, 11));
-  assert.ok(evidence.isServedByReaders(6000, 12));
-  evidence.removeReader('one');
-  evidence.removeReader('two');
-  assert.not(evidence.isServedByReaders(6000, 12));
+test('a node relies on readers that report in time, with recent confirmations and without gaps', () => {
+  const tracker = new ReaderTracker(MAX_AGE_MS);
+  assert.not(tracker.isServedByReaders(0, 10));
+  tracker.recordReport('one', 1000, 900);
+  assert.ok(tracker.isServedByReaders(1000, 10));
+  assert.ok(tracker.isServedByReaders(1000 + READER_TIMEOUT_MS, 10));
+  assert.not(tracker.isServedByReaders(1001 + READER_TIMEOUT_MS, 10));
+  tracker.recordReport('one', 5000, 5000 - MAX_AGE_MS - 1);
+  assert.not(tracker.isServedByReaders(5000, 10));
+  tracker.recordReport('one', 6000, 6000);
+  tracker.recordReport('two', 6000, 6000, 12);
+  assert.not(tracker.isServedByReaders(6000, 11));
+  assert.ok(tracker.isServedByReaders(6000, 12));
+  tracker.removeReader('one');
+  tracker.removeReader('two');
+  assert.not(tracker.isServedByReaders(6000, 12));
 });
 
-test('what is not in its form is not taken', () => {
+test('malformed messages are rejected', () => {
   const event = { type: 'put', entry: { key: 'k', value: 'v', createRevision: 1, modRevision: 2 } };
   const told = { after: 1, revision: 2, ageMs: 3, clockMs: 9, provenMs: 5, events: [event] };
   assert.equal(parseRelayedRange(told), told);
