--- a/test/unit/allocator-service.test.ts
+++ b/test/unit/allocator-service.test.ts
@@ -58,7 +58,7 @@
 
   async elect(): Promise<void> {
     for (let step = 0; step < ELECTED_AFTER_STEPS; step += 1) {
-      this.ask({ holding: 0, inUse: 0 });
+      this.requestShare({ holding: 0, inUse: 0 });
       await this.tick();
     }
   }
@@ -70,13 +70,13 @@
   }
 
   /** Requests a share as the only holder; if refused, repeats with the term from the refusal. */
-  ask(use: { holding: number; inUse: number }): ShareResponse {
-    const refused = this.#ask(use, undefined);
+  requestShare(use: { holding: number; inUse: number }): ShareResponse {
+    const refused = this.#sendRequest(use, undefined);
     if (refused.type === 'granted') return refused;
-    return this.#ask(use, refused.term);
+    return this.#sendRequest(use, refused.term);
   }
 
-  #ask(use: { holding: number; inUse: number }, term: string | undefined): ShareResponse {
+  #sendRequest(use: { holding: number; inUse: number }, term: string | undefined): ShareResponse {
     this.#requests += 1;
     const request = { holder: 'proxy-2#1/1', number: this.#requests, wanted: USED, needed: USED };
     return this.#service.handleShareRequest({
@@ -89,12 +89,12 @@
 test('a raised limit counts for the next request, before the next tick', async () => {
   const allocation = new Allocation();
   await allocation.elect();
-  const first = allocation.ask({ holding: 0, inUse: 0 });
+  const first = allocation.requestShare({ holding: 0, inUse: 0 });
   assert.is(first.type === 'granted' && first.connections, USED);
   allocation.limit = LOWERED_LIMIT;
   await allocation.tick();
   allocation.limit = RAISED_LIMIT;
-  const renewed = allocation.ask({ holding: USED, inUse: USED });
+  const renewed = allocation.requestShare({ holding: USED, inUse: USED });
   assert.is(renewed.type === 'granted' && renewed.connections, USED);
 });
 
--- a/test/unit/busy-pace.test.ts
+++ b/test/unit/busy-pace.test.ts
@@ -39,8 +39,8 @@
 }
 
 test('a paced fleet has few refusals and uses most of the capacity of the instance', () => {
-  const wild = simulate(68, false, 20);
-  assert.ok(wild.refused > 15 * wild.served, JSON.stringify(wild));
+  const unpaced = simulate(68, false, 20);
+  assert.ok(unpaced.refused > 15 * unpaced.served, JSON.stringify(unpaced));
   const paced = simulate(68, true, 20);
   assert.ok(paced.refused < 0.6 * paced.served, JSON.stringify(paced));
   assert.ok(paced.served > 0.85 * 20 * CAPACITY_PER_SECOND, JSON.stringify(paced));
--- a/test/unit/candidate.test.ts
+++ b/test/unit/candidate.test.ts
@@ -54,8 +54,8 @@
 });
 
 test('a successor that is not held, or lacks records that another member has, proves nothing', () => {
-  const loose = observation('successor', { lsn: 9n, stopped: false });
-  assert.equal(provenIds([loose, SILENT], loose), []);
+  const notHeld = observation('successor', { lsn: 9n, stopped: false });
+  assert.equal(provenIds([notHeld, SILENT], notHeld), []);
   const empty = observation('successor', { lsn: 0n });
   assert.equal(provenIds([empty, observation('held', { lsn: 9n }), SILENT], empty), []);
 });
--- a/test/unit/database-late-start.test.ts
+++ b/test/unit/database-late-start.test.ts
@@ -59,17 +59,18 @@
   return [...members.values()].every(({ primaryName }) => primaryName === primary);
 }
 
-for (const hears of [true, false]) {
-  test(`a late initial primary leaves one primary (${hears ? 'it has heard' : 'it has not heard'} of the other)`, async () => {
+for (const receivesHeartbeats of [true, false]) {
+  test(`a late initial primary leaves one primary (${receivesHeartbeats ? 'it has received' : 'it has not received'} heartbeats of the other)`, async () => {
     const members = startGroup();
     const late = members.get('a');
     if (late === undefined) throw new Error('no initial primary');
     const receive = late.receive.bind(late);
-    if (!hears) late.receive = () => {};
+    if (!receivesHeartbeats) late.receive = () => {};
     for (const name of ['b', 'c']) members.get(name)?.start(false);
-    await until('another is elected', () => primaries(members).length > 0);
+    await until('another primary is elected', () => primaries(members).length > 0);
     const [elected = ''] = primaries(members);
-    if (hears) await until('it is heard of', () => late.primaryName === elected);
+    if (receivesHeartbeats)
+      await until('its heartbeat arrives', () => late.primaryName === elected);
     late.start(true);
     late.receive = receive;
     await until('all follow one primary', () => {
--- a/test/unit/direct-standin.test.ts
+++ b/test/unit/direct-standin.test.ts
@@ -125,9 +125,9 @@
   const remove = { expected_revision: [], put: [], remove: ['my/1'] };
   const { body } = await storeCall('POST', '/v1/kv-txn', remove);
   const event = { private_key: 'my/1', revision: body.revision, deleted: true };
-  const told = await waiting;
-  assert.equal(told.body.events, [event]);
-  assert.ok(Number(told.body.at_revision) >= Number(body.revision));
+  const watchResponse = await waiting;
+  assert.equal(watchResponse.body.events, [event]);
+  assert.ok(Number(watchResponse.body.at_revision) >= Number(body.revision));
   const none = await storeCall('GET', `/v1/kv-watch?path_prefix=no/&after=${from}&wait_ms=20`);
   assert.equal(none.body.events, []);
   // The compaction must drop at least one change after `from`, whether heartbeats occur or not.
@@ -415,12 +415,15 @@
   assert.is(summarize(await failing.query('a3', 'WRITE k w')), 'FAILED I');
   assert.equal((await failing.query('a4', 'READ k')).rows, ['v']);
   const { runs } = await platform.log();
-  const notes = runs.map(({ id, isAnswerLost, error }) => [id, isAnswerLost ?? error ?? 'told']);
+  const notes = runs.map(({ id, isAnswerLost, error }) => [
+    id,
+    isAnswerLost ?? error ?? 'answered',
+  ]);
   assert.equal(notes, [
     ['a1', true],
     ['a2', true],
     ['a3', 'FAILED'],
-    ['a4', 'told'],
+    ['a4', 'answered'],
   ]);
 });
 
--- a/test/unit/direct/caller-server.test.ts
+++ b/test/unit/direct/caller-server.test.ts
@@ -29,18 +29,18 @@
   const client = await open();
   if (first !== undefined) await client.query('1', first);
   const answer = client.query('2', 'READ key');
-  while (server.busyCount === 0) await turn();
+  while (server.busyCount === 0) await nextTurn();
   return { client, answer };
 }
 
 /** Resolves after the server has notified its sessions and before the client has read the notice. */
 async function sessionsNotified(): Promise<void> {
-  await turn();
-  await turn();
+  await nextTurn();
+  await nextTurn();
 }
 
 /** Resolves in the next turn of the event loop; a plain promise resolves before the sockets are polled again. */
-function turn(): Promise<void> {
+function nextTurn(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
 }
 
--- a/test/unit/direct/caller-session.test.ts
+++ b/test/unit/direct/caller-session.test.ts
@@ -144,7 +144,7 @@
 
 /**
  * The idle timeout aborts a transaction, which the caller learns with its next statement. If the node stops before that,
- * the stop notice must report it: the connection used to end without one, as if the transaction were still open.
+ * the stop notice must report it. Otherwise the connection ends without any error, as if the transaction were still open.
  */
 test('a caller whose transaction was aborted by the idle timeout before the node stops receives ABORTED too', async () => {
   const { session, lines, send } = startSession(tenantWith(), 1);
--- a/test/unit/direct/commit-trust.test.ts
+++ b/test/unit/direct/commit-trust.test.ts
@@ -37,8 +37,8 @@
   const view = {
     mayTrustPrimary: (_service: string, _now: number, instance?: string) => instance === trusted,
     judgeWrite: () => Promise.resolve(ahead),
-    judgeCommits: (...question: unknown[]) => {
-      queries.push(question);
+    judgeCommits: (...query: unknown[]) => {
+      queries.push(query);
       return Promise.resolve(commits);
     },
   } as unknown as PrimaryView;
--- a/test/unit/direct/digest-exchange.test.ts
+++ b/test/unit/direct/digest-exchange.test.ts
@@ -43,8 +43,8 @@
 
 test('an encoded digest is received unchanged', () => {
   const rows = parseDigests(encodeDigests([digestOf('i-1')]));
-  const { instanceId, service: _service, ...told } = digestOf('i-1');
-  assert.equal(rows, [{ key: instanceKey(instanceId), ...told }]);
+  const { instanceId, service: _service, ...fields } = digestOf('i-1');
+  assert.equal(rows, [{ key: instanceKey(instanceId), ...fields }]);
 });
 
 test('a message stays below its size limit, however many instances there are', () => {
@@ -59,8 +59,8 @@
 
 test('malformed, stale and implausible digests, and those of an earlier incarnation, are counted and ignored', () => {
   const { digests, exchange } = nodeOf(['i-1@2']);
-  for (const nonsense of [17, 'x', {}, [3], [['a']], [[1, 2, 3]], [rowOf('i-1@2').map(String)]]) {
-    exchange.receive(nonsense, 'n1');
+  for (const malformed of [17, 'x', {}, [3], [['a']], [[1, 2, 3]], [rowOf('i-1@2').map(String)]]) {
+    exchange.receive(malformed, 'n1');
   }
   assert.is(exchange.counters.malformed, 7);
   exchange.receive([rowOf('i-1@1')], 'n1');
@@ -76,14 +76,14 @@
 });
 
 /** A node and a reader of its zone, which responds as one of the gateway's versions does. */
-function zoneOf(reader: (question: WireValue) => WireValue | undefined) {
+function zoneOf(reader: (request: WireValue) => WireValue | undefined) {
   const node = nodeOf(['i-1', 'i-2']);
-  const world = { now: NOW, asked: [] as number[] };
+  const world = { now: NOW, queriedPorts: [] as number[] };
   const transport = {
-    call: ({ port }: { port: number }, method: string, question: WireValue) => {
-      world.asked.push(port);
+    call: ({ port }: { port: number }, method: string, request: WireValue) => {
+      world.queriedPorts.push(port);
       assert.is(method, 'direct/positions');
-      return okAsync(reader(question));
+      return okAsync(reader(request));
     },
   } as unknown as PeerTransport;
   const readers: ReadersOfNode = {
@@ -100,8 +100,8 @@
 test('a node receives the observations of another node through its readers, each of which it queries in turn', async () => {
   const other = nodeOf(['i-1', 'i-2']);
   other.digests.recordOwn('ledger', 'i-2', { type: 'answered', answerMs: 80 }, NOW);
-  const answer = (question: WireValue) =>
-    answerPositions('direct/positions', question, () => [], {
+  const answer = (request: WireValue) =>
+    answerPositions('direct/positions', request, () => [], {
       exchange: other.exchange,
       requesterId: 'n1',
     });
@@ -111,7 +111,7 @@
   assert.ok(zone.sendsDigests);
   await zone.requestPositions([]);
   await zone.requestPositions([]);
-  assert.equal(world.asked, [1, 2]);
+  assert.equal(world.queriedPorts, [1, 2]);
   assert.ok(zone.isFleetSeen());
   assert.is(digests.viewOf('i-2', NOW)?.answerMs, 80);
   assert.ok((other.digests.viewOf('i-1', NOW)?.failed ?? 0) > 0);
@@ -123,17 +123,17 @@
   const { zone } = zoneOf(() => [
     { service: 'ledger', instanceId: 'i-1', position: { timeline: 3, lsn: '17' }, ageMs: 20 },
   ]);
-  const told = await zone.requestPositions(['ledger']);
-  assert.is(told.length, 1);
+  const positions = await zone.requestPositions(['ledger']);
+  assert.is(positions.length, 1);
   assert.not(zone.isFleetSeen());
 });
 
 test('a node of an earlier version gets a response in the format that it knows', () => {
   const { exchange } = nodeOf(['i-1']);
-  const question = { services: ['ledger'] };
+  const request = { services: ['ledger'] };
   const digests = { exchange, requesterId: 'n1' };
   assert.equal(
-    answerPositions('direct/positions', question, () => [], digests),
+    answerPositions('direct/positions', request, () => [], digests),
     [],
   );
 });
--- a/test/unit/direct/fleet-placement.test.ts
+++ b/test/unit/direct/fleet-placement.test.ts
@@ -35,9 +35,9 @@
   const service = {
     ...{ name: 'ledger', readable: () => instances, members: () => instances },
   } as unknown as ServiceRuntime;
-  /** Refreshes the placement some times with reads at each instance in between; instance i-2 takes `slowMs`. */
-  const play = (looks: number, slowMs: number): void => {
-    for (let count = 0; count < looks; count += 1) {
+  /** Refreshes the placement in each round, after reads at each instance; instance i-2 takes `slowMs`. */
+  const runRounds = (rounds: number, slowMs: number): void => {
+    for (let count = 0; count < rounds; count += 1) {
       for (const { id } of instances) {
         const answerMs = id === 'i-2' ? slowMs : 10;
         const entry = { id, service: 'ledger' } as InstanceEntry;
@@ -49,15 +49,15 @@
       placement.refresh([service]);
     }
   };
-  return { state, placement, instances, service, lines, counters, play };
+  return { state, placement, instances, service, lines, counters, runRounds };
 }
 
 test('a slow instance is ejected, probed after a pause and used again, and each step is logged', () => {
-  const { placement, instances, lines, counters, play } = world();
-  play(10, 80);
+  const { placement, instances, lines, counters, runRounds } = world();
+  runRounds(10, 80);
   assert.is(placement.ejectedCount, 1);
   assert.is(placement.rank('ledger', instances, true)?.at(-1)?.candidate.id, 'i-2');
-  play(60, 10);
+  runRounds(60, 10);
   assert.is(placement.ejectedCount, 0);
   assert.equal(counters, { ejections: 1, ejectionsEnded: 1 });
   const events = ['instance ejected', 'instance in probation', 'instance back in use'];
@@ -68,8 +68,8 @@
 });
 
 test('without the view of the fleet no instance is ranked, and ejections are dropped', () => {
-  const { state, placement, instances, service, play } = world();
-  play(10, 80);
+  const { state, placement, instances, service, runRounds } = world();
+  runRounds(10, 80);
   state.isFleetViewAvailable = false;
   placement.refresh([service]);
   assert.is(placement.rank('ledger', instances, true), undefined);
--- a/test/unit/direct/instance-pool.test.ts
+++ b/test/unit/direct/instance-pool.test.ts
@@ -95,7 +95,7 @@
 });
 
 /** An address where nothing listens: the operating system refuses every connection. */
-async function deadAddress(): Promise<InstanceEntry> {
+async function unusedAddress(): Promise<InstanceEntry> {
   const instance = new SlowInstance();
   const entry = await instance.start();
   instance.stop();
@@ -110,7 +110,7 @@
 }
 
 test('callers do not wait for an unresponsive instance, and it is used again once it responds', async () => {
-  const entry = await deadAddress();
+  const entry = await unusedAddress();
   const pool = new InstancePool(entry, 2, { ...POOL_OPTIONS, now: () => performance.now() });
   const counters = POOL_OPTIONS.counters;
   assert.ok((await pool.acquire(callerRequest())).isErr());
--- a/test/unit/direct/node-directory.test.ts
+++ b/test/unit/direct/node-directory.test.ts
@@ -16,14 +16,14 @@
   return { id, ...place, draining: false, role: 'replica' };
 }
 
-interface Told {
+interface MemberReport {
   readonly ids: readonly string[];
   readonly isWhole: boolean;
 }
 
 /** A node that has used one departed member; the records list the members in `counted`. */
 function nodeWith(counted: readonly string[]) {
-  const told: Told[] = [];
+  const memberReports: MemberReport[] = [];
   const follower = {
     configuration: () => ({ version: 1, services: [{ name: 'orders' }] }),
     configurationPart: () => ({ version: 1, text: '{}' }),
@@ -50,10 +50,10 @@
     peers: () => [],
     countedMembers: () => counted.map(instance),
     setReportedMembers: (members, isWhole) =>
-      told.push({ ids: members.map(({ id }) => id), isWhole }),
+      memberReports.push({ ids: members.map(({ id }) => id), isWhole }),
     now: () => 200,
   });
-  return { directory, told };
+  return { directory, memberReports };
 }
 
 test('a node reports the departed members that the records name, each of them once', () => {
@@ -63,12 +63,12 @@
 });
 
 test('only the report of a node that has read the records counts as the complete list of members', () => {
-  const { directory, told } = nodeWith([]);
+  const { directory, memberReports } = nodeWith([]);
   const instances = { revision: 9, instances: [instance('present')], departed: [instance('left')] };
   const snapshot = { configuration: undefined, instances, terms: [], ageMs: 0 };
   directory.adopt({ ...snapshot, primaries: undefined }, 200);
   directory.adopt({ ...snapshot, primaries: PRIMARIES }, 200);
-  assert.equal(told, [
+  assert.equal(memberReports, [
     { ids: ['left', 'present'], isWhole: false },
     { ids: ['left', 'present'], isWhole: true },
   ]);
--- a/test/unit/direct/pooled-status.test.ts
+++ b/test/unit/direct/pooled-status.test.ts
@@ -40,8 +40,8 @@
 
 test('a status query opens the connection that statements use afterwards', async () => {
   const { instance, entry, pool, status, stop } = await setUp();
-  const told = await status.status(entry, LONG_MS);
-  assert.is(told.isOk() && told.value.role, 'replica');
+  const result = await status.status(entry, LONG_MS);
+  assert.is(result.isOk() && result.value.role, 'replica');
   assert.is(pool.size, 1);
   assert.ok((await pool.acquire(ownRequest(performance.now() + LONG_MS))).isOk());
   assert.is(instance.opened, 1);
@@ -59,9 +59,9 @@
 test('an instance that accepts no more connections is not tried by each status query', async () => {
   const { instance, entry, status, stop } = await setUp();
   instance.isFull = true;
-  for (let question = 0; question < 5; question += 1) {
-    const told = await status.status(entry, LONG_MS);
-    const error = told.isErr() ? told.error : undefined;
+  for (let attempt = 0; attempt < 5; attempt += 1) {
+    const result = await status.status(entry, LONG_MS);
+    const error = result.isErr() ? result.error : undefined;
     assert.is(error instanceof InstanceControlError ? error.answer : '', 'connection-limit');
   }
   assert.is(instance.opened, 1);
--- a/test/unit/direct/relay-host.test.ts
+++ b/test/unit/direct/relay-host.test.ts
@@ -15,14 +15,14 @@
     ...{ nodeName: 'n-1', listen: undefined, wire: lineWire, find: () => undefined },
     ...{ counters: { ...COUNTERS }, now: () => 0 },
   });
-  const told: boolean[] = [];
-  host.onChange = () => told.push(host.isPending);
+  const pendingStates: boolean[] = [];
+  host.onChange = () => pendingStates.push(host.isPending);
   assert.not(host.isPending);
   const nodes = [{ nodeId: 'n-2', zone: 'a', host: '127.0.0.1', port: 1 }];
   host.update({ ownersPerInstance: 2, nodes });
-  assert.equal([host.isPending, told], [true, [true]]);
+  assert.equal([host.isPending, pendingStates], [true, [true]]);
   await until('the relay', () => host.roster !== undefined);
-  assert.equal([host.isPending, told], [false, [true, false]]);
+  assert.equal([host.isPending, pendingStates], [false, [true, false]]);
   host.close();
 });
 
--- a/test/unit/direct/relay-messages.test.ts
+++ b/test/unit/direct/relay-messages.test.ts
@@ -140,8 +140,8 @@
     ...{ values: [['a', 'b']], message: 'm' },
     prepared: { access: 'read', shape: 'q', sharedName: 'p' },
   };
-  const told = { code: 'busy', text: '' };
-  const one = { payload: '', error: told, state: 'idle', position: { timeline: 1, lsn: '2' } };
+  const error = { code: 'busy', text: '' };
+  const one = { payload: '', error, state: 'idle', position: { timeline: 1, lsn: '2' } };
   const event = { type: 'answers', answers: [one] };
   assert.ok(parseStreamRequest(request));
   assert.ok(parseLeaseEvent(event));
--- a/test/unit/direct/relay.test.ts
+++ b/test/unit/direct/relay.test.ts
@@ -50,12 +50,12 @@
   return (await borrower.acquire())._unsafeUnwrap();
 }
 
-function ask(connection: InstanceConnection, text: string): Promise<AnswerResult> {
+function runStatement(connection: InstanceConnection, text: string): Promise<AnswerResult> {
   return connection.exchange(lineWire.encodeStatement('s1', text, undefined));
 }
 
 async function answerTo(connection: InstanceConnection, text: string): Promise<StatementAnswer> {
-  return (await ask(connection, text))._unsafeUnwrap();
+  return (await runStatement(connection, text))._unsafeUnwrap();
 }
 
 async function lossOf(exchange: Promise<AnswerResult>): Promise<InstanceConnectionLostError> {
@@ -76,10 +76,10 @@
 test('the remaining time to the latency target and the transaction flag of a request reach the pool of the owner', async () => {
   await start(1);
   const { pool } = owner(0);
-  const asked: ConnectionRequest[] = [];
+  const requests: ConnectionRequest[] = [];
   const acquire = pool.acquire.bind(pool);
   pool.acquire = (request) => {
-    asked.push(request);
+    requests.push(request);
     return acquire(request);
   };
   const latencyTargetAt = performance.now() + 3000;
@@ -91,11 +91,11 @@
   };
   borrower.pool.release((await borrower.acquire(bounds))._unsafeUnwrap());
   borrower.pool.release(await lease());
-  const [told, plain] = asked;
-  assert.is(told?.priority, 2);
-  assert.is(told?.isTransaction, true);
+  const [received, plain] = requests;
+  assert.is(received?.priority, 2);
+  assert.is(received?.isTransaction, true);
   // Both are sent as remaining time, so that the nodes' clocks need not agree.
-  const betweenMs = (told?.deadline ?? 0) - (told?.latencyTargetAt ?? 0);
+  const betweenMs = (received?.deadline ?? 0) - (received?.latencyTargetAt ?? 0);
   assert.ok(betweenMs >= 1999 && betweenMs <= 2001, String(betweenMs));
   assert.is(plain?.isTransaction, undefined);
   assert.is(plain?.latencyTargetAt, plain?.deadline);
@@ -181,8 +181,8 @@
   await start(2);
   const connection = await lease();
   await owner(0).transport.close();
-  await until('the lease is over', () => connection.closed);
-  const lost = await lossOf(ask(connection, 'WRITE k v'));
+  await until('the lease has ended', () => connection.closed);
+  const lost = await lossOf(runStatement(connection, 'WRITE k v'));
   assert.is(lost.code, 'MS-INSTANCE-CONNECTION-LOST');
   assert.is(borrower.counters.leasesLost, 1);
   const other = await lease();
@@ -195,7 +195,7 @@
   await start(2);
   instance.hold = 'WRITE';
   const connection = await lease();
-  const exchange = ask(connection, 'WRITE k v');
+  const exchange = runStatement(connection, 'WRITE k v');
   await instance.hears('WRITE k v');
   await owner(0).transport.close();
   assert.is((await lossOf(exchange)).fault, 'owner');
@@ -228,7 +228,7 @@
   await start(1);
   instance.hold = 'READ late';
   const first = await lease();
-  const exchange = ask(first, 'READ late');
+  const exchange = runStatement(first, 'READ late');
   await instance.hears('READ late');
   first.close();
   assert.is((await lossOf(exchange)).fault, 'instance');
@@ -266,7 +266,7 @@
   await start(1);
   instance.hold = 'WRITE';
   const connection = await lease();
-  const exchange = ask(connection, 'WRITE k v');
+  const exchange = runStatement(connection, 'WRITE k v');
   await instance.hears('WRITE k v');
   owner(0).pool.destroy();
   assert.is((await lossOf(exchange)).fault, 'instance');
@@ -281,7 +281,7 @@
   const other = await lease();
   await answerTo(other, 'READ elsewhere');
   borrower.pool.release(other);
-  await until('the other owner was asked', () => owner(1).pool.size === 1);
+  await until('the other owner received a request', () => owner(1).pool.size === 1);
   assert.is((await answerTo(connection, 'WRITE k v inside')).state, 'open');
   assert.is((await answerTo(connection, 'COMMIT')).state, 'idle');
   borrower.pool.release(connection);
@@ -327,7 +327,7 @@
   owner(0).usable = false;
   connection.cork();
   synchronise(connection, new Map([['tz', 'utc']]), undefined, lineWire);
-  const exchange = ask(connection, 'WRITE k v');
+  const exchange = runStatement(connection, 'WRITE k v');
   connection.uncork();
   assert.is((await exchange)._unsafeUnwrap().error?.code, 'busy');
 });
@@ -356,8 +356,8 @@
 
 test('concurrent position requests share one query to the instance', async () => {
   await start(1);
-  const asked = Array.from({ length: 20 }, () => borrower.pool.lender?.position(2000));
-  const answers = await Promise.all(asked);
+  const queries = Array.from({ length: 20 }, () => borrower.pool.lender?.position(2000));
+  const answers = await Promise.all(queries);
   for (const position of answers) assert.equal(position, { timeline: 1, lsn: 2n });
   assert.is(instance.heard.length, 1);
 });
--- a/test/unit/direct/reported-primaries.test.ts
+++ b/test/unit/direct/reported-primaries.test.ts
@@ -21,8 +21,8 @@
     watchesPrimaries: false,
     onChange: () => {},
     primaryOf: () => (primary === undefined ? undefined : instance(primary)),
-    mayTrustPrimary: (_service, _now, asked) =>
-      isPermitted && primary !== undefined && (asked === undefined || asked === primary),
+    mayTrustPrimary: (_service, _now, instanceId) =>
+      isPermitted && primary !== undefined && (instanceId === undefined || instanceId === primary),
     confirmPrimary: () => Promise.resolve(false),
     judgeCommits: async () => undefined,
     judgeWrite: async () => 'unknown' as const,
--- a/test/unit/direct/request-log.test.ts
+++ b/test/unit/direct/request-log.test.ts
@@ -59,11 +59,11 @@
 test('a flood of failures is logged in part, and the omitted lines are counted', () => {
   const { lines, end, advance } = situation();
   for (let number = 0; number < 100; number += 1) end(OTHER, 0, 'busy');
-  const told = lines.filter(({ event }) => event === 'request ended').length;
-  assert.ok(told > 0 && told < 50);
+  const loggedCount = lines.filter(({ event }) => event === 'request ended').length;
+  assert.ok(loggedCount > 0 && loggedCount < 50);
   advance(1000);
   end(OTHER, 0, 'busy');
-  assert.is(lines.at(-1)?.alikeLeftOut, 100 - told);
+  assert.is(lines.at(-1)?.alikeLeftOut, 100 - loggedCount);
 });
 
 test('a request with very many decisions keeps the first of them and counts the omitted ones', () => {
@@ -76,8 +76,8 @@
 
 test('a request that finds no instance repeatedly records this once for each reason', () => {
   const trace = new RequestTrace(0, () => 0);
-  const looks = [true, true, true, false, false];
-  for (const isChanging of looks) {
+  const changingStates = [true, true, true, false, false];
+  for (const isChanging of changingStates) {
     trace.record({ step: 'no-instance', primary: undefined, isTrusted: false, isChanging });
   }
   assert.is(trace.steps.length, 2);
@@ -92,14 +92,14 @@
   } as unknown as PrimaryView;
   const beliefs = new BeliefLog({ logger, view, isStoreHealthy: () => true, now });
   const service = { name: 's', samples: { newestAt: () => now() } };
-  const look = (): void => beliefs.refresh([service], new Set([service]));
-  look();
+  const refresh = (): void => beliefs.refresh([service], new Set([service]));
+  refresh();
   const first = lines.length;
-  look();
+  refresh();
   assert.is(lines.length, first);
   advance(300);
   primary = 'i-2';
-  look();
+  refresh();
   assert.is(lines.length, first + 1);
   const { belief, now: held, before, beforeForMs } = lines.at(-1) ?? {};
   assert.equal([belief, held, before, beforeForMs], ['primary', 'i-2', 'i-1', 300]);
--- a/test/unit/direct/statement-runner.test.ts
+++ b/test/unit/direct/statement-runner.test.ts
@@ -245,13 +245,13 @@
 });
 
 test('a replica that lacks the position is not retried at once while the primary is busy', async () => {
-  const asked = { replica: 0, primary: 0 };
+  const readCounts = { replica: 0, primary: 0 };
   const busyFor = 8;
   const instance = (id: 'replica' | 'primary', answer: () => unknown): InstanceRuntime => {
     const connection = {
       ...{ values: new Map(), preparedNames: new Set(), cork: () => {}, uncork: () => {} },
       exchange: () => {
-        asked[id] += 1;
+        readCounts[id] += 1;
         return Promise.resolve(ok(answer()));
       },
     };
@@ -268,7 +268,7 @@
   });
   const replica = instance('replica', () => refused('lagging'));
   const primary = instance('primary', () =>
-    asked.primary <= busyFor ? refused('busy') : { payload: 'row', state: 'idle' },
+    readCounts.primary <= busyFor ? refused('busy') : { payload: 'row', state: 'idle' },
   );
   const position = { timeline: 1, lsn: 10n };
   const service = {
@@ -294,8 +294,8 @@
     encode: () => lineWire.encodeStatement('s1', 'READ k', undefined),
   });
   assert.is(outcome.type, 'answered');
-  assert.is(asked.primary, busyFor + 1);
-  assert.ok(asked.replica <= 2, `the replica was asked ${asked.replica} times`);
+  assert.is(readCounts.primary, busyFor + 1);
+  assert.ok(readCounts.replica <= 2, `the replica got ${readCounts.replica} reads`);
 });
 
 interface Read {
@@ -462,7 +462,7 @@
   assert.is(outcome.type === 'refused' && outcome.refusal.code, 'busy');
   assert.is(connections, 0);
   assert.is(retries, 0);
-  assert.ok(time < DEADLINE_MS / 2, `told after ${time} ms`);
+  assert.ok(time < DEADLINE_MS / 2, `refused after ${time} ms`);
 });
 
 test('an instance that was very slow is still tried while some time is left', async () => {
--- a/test/unit/direct/target-chooser.test.ts
+++ b/test/unit/direct/target-chooser.test.ts
@@ -85,14 +85,14 @@
 
 /** A placement that ranks the instances in this order and records its calls. */
 function placementOf(order: readonly string[]) {
-  const asked: { readonly ids: readonly string[]; readonly mayProbe: boolean }[] = [];
+  const rankCalls: { readonly ids: readonly string[]; readonly mayProbe: boolean }[] = [];
   const rank = (_service: string, instances: readonly InstanceRuntime[], mayProbe: boolean) => {
-    asked.push({ ids: instances.map(({ id }) => id), mayProbe });
+    rankCalls.push({ ids: instances.map(({ id }) => id), mayProbe });
     return instances
       .map((candidate) => ({ candidate, expectedMs: 10 * (1 + order.indexOf(candidate.id)) }))
       .sort((left, right) => left.expectedMs - right.expectedMs);
   };
-  return { asked, placement: { rank } as unknown as FleetPlacement };
+  return { rankCalls, placement: { rank } as unknown as FleetPlacement };
 }
 
 test('without the view of the fleet, instances are ranked by the observations of the node itself', () => {
@@ -107,14 +107,14 @@
 });
 
 test('the view of the fleet ranks only instances that are safe to read, and the trace contains the expected times', () => {
-  const { asked, placement } = placementOf(['far', 'primary', 'near']);
+  const { rankCalls, placement } = placementOf(['far', 'primary', 'near']);
   const { chooser, read, trace } = chooserWith(placement);
   assert.is(chooser.choose(read, new Set())?.instance.id, 'far');
   assert.is(chooser.choose(read, new Set(['far']))?.instance.id, 'primary');
   chooser.recordAnswer('far', { timeline: 1, lsn: 4n }, 'lagging');
   assert.is(chooser.choose(read, new Set())?.instance.id, 'primary');
   assert.equal(
-    asked.map(({ ids }) => ids.join(' ')),
+    rankCalls.map(({ ids }) => ids.join(' ')),
     ['near far primary', 'near primary', 'near primary'],
   );
   const [step] = trace.steps;
@@ -123,13 +123,13 @@
 });
 
 test('only a first single read may try an instance in probation', () => {
-  const { asked, placement } = placementOf(['near', 'far', 'primary']);
+  const { rankCalls, placement } = placementOf(['near', 'far', 'primary']);
   const { chooser, read } = chooserWith(placement);
   chooser.choose(read, new Set());
   chooser.choose(read, new Set(['far']));
   chooser.choose({ ...read, isTransaction: true }, new Set());
   assert.equal(
-    asked.map(({ mayProbe }) => mayProbe),
+    rankCalls.map(({ mayProbe }) => mayProbe),
     [true, false, false],
   );
 });
--- a/test/unit/direct/term-confirmation.test.ts
+++ b/test/unit/direct/term-confirmation.test.ts
@@ -22,11 +22,11 @@
 
 /** Every known member responds; `unseen` are ids of members without an address, undefined if members are unknown. */
 function confirmation(unseen: readonly string[] | undefined) {
-  let asked = 0;
+  let queryCount = 0;
   const rounds = new TermConfirmation({
     control: {
       status: (instance) => {
-        asked += 1;
+        queryCount += 1;
         return okAsync(status(instance));
       },
     },
@@ -38,7 +38,7 @@
     minRoundIntervalMs: 0,
     timeoutMs: 60_000,
   });
-  return { rounds, asked: () => asked };
+  return { rounds, queryCount: () => queryCount };
 }
 
 test('if all members are known their responses prove the primary and a position', async () => {
@@ -55,10 +55,10 @@
 });
 
 test('while the members are unknown nothing is proven, and no member is queried', async () => {
-  const { rounds, asked } = confirmation(undefined);
+  const { rounds, queryCount } = confirmation(undefined);
   assert.is(await rounds.confirm(SERVICE, PRIMARY, 'read'), false);
   assert.is(await rounds.acknowledgedPosition(SERVICE), undefined);
-  assert.is(asked(), 0);
+  assert.is(queryCount(), 0);
 });
 
 test.run();
--- a/test/unit/direct/transaction.test.ts
+++ b/test/unit/direct/transaction.test.ts
@@ -38,12 +38,12 @@
 
 /** Two replicas. The first statement after BEGIN gets `firstAnswer`; later ones succeed. */
 function situation(mayRunAfterClose: boolean, firstAnswer: Promise<AnswerResult>) {
-  const asked: string[] = [];
+  const usedInstances: string[] = [];
   const replica = (id: string): InstanceRuntime => {
     const exchange = (message: string): Promise<AnswerResult> => {
       if (!message.includes('READ k')) return Promise.resolve(ok(ANSWER));
-      asked.push(id);
-      return asked.length === 1 ? firstAnswer : Promise.resolve(ok(ANSWER));
+      usedInstances.push(id);
+      return usedInstances.length === 1 ? firstAnswer : Promise.resolve(ok(ANSWER));
     };
     const connection = {
       ...{ values: new Map(), preparedNames: new Set(), closed: false, mayRunAfterClose, exchange },
@@ -78,7 +78,7 @@
     session: { values: new Map(), lastWritten: undefined, inFlight: new InFlightStatements() },
     encode: () => lineWire.encodeStatement('s1', 'READ k', undefined),
   };
-  return { run: () => transaction.run(req), asked };
+  return { run: () => transaction.run(req), usedInstances };
 }
 
 const OWNER_LOST = err(new InstanceConnectionLostError('the leased connection ended', 'owner'));
@@ -86,10 +86,10 @@
 
 test('a transaction whose first statement the owner may still send is not restarted at another instance', async () => {
   for (const answer of [NEVER, Promise.resolve(OWNER_LOST)]) {
-    const { run, asked } = situation(true, answer);
+    const { run, usedInstances } = situation(true, answer);
     const outcome = await run();
     assert.is(outcome.type === 'refused' && outcome.refusal.code, 'aborted');
-    assert.is(asked.length, 1);
+    assert.is(usedInstances.length, 1);
   }
 });
 
@@ -99,9 +99,9 @@
     situation(false, Promise.resolve(INSTANCE_LOST)),
     situation(true, Promise.resolve(INSTANCE_LOST)),
   ];
-  for (const { run, asked } of cases) {
+  for (const { run, usedInstances } of cases) {
     assert.is((await run()).type, 'answered');
-    assert.equal(asked, ['replica-1', 'replica-2']);
+    assert.equal(usedInstances, ['replica-1', 'replica-2']);
   }
 });
 
--- a/test/unit/direct/trust-prover.test.ts
+++ b/test/unit/direct/trust-prover.test.ts
@@ -25,22 +25,22 @@
 
 function proverWith(isConfirmed: boolean) {
   const counters = { proofRounds: 0, proofsFailed: 0 };
-  const asked: string[] = [];
+  const queriedIds: string[] = [];
   const prover = new TrustProver({
     ...{ wire: {} as StatementWire, now: () => NOW, counters },
     confirmPrimary: async (_service, instanceId) => {
-      asked.push(instanceId);
+      queriedIds.push(instanceId);
       return isConfirmed;
     },
   });
-  return { prover, counters, asked };
+  return { prover, counters, queriedIds };
 }
 
 test('a primary of unknown term is proven by the roles that the members report', async () => {
   const service = serviceOfUnknownTerm();
-  const { prover, asked } = proverWith(true);
+  const { prover, queriedIds } = proverWith(true);
   assert.ok(await prover.prove(service));
-  assert.equal(asked, [PRIMARY_ID]);
+  assert.equal(queriedIds, [PRIMARY_ID]);
   assert.ok(prover.covers(service, PRIMARY_ID, NOW));
   assert.not(prover.covers(service, PRIMARY_ID, NOW + 1));
 });
--- a/test/unit/direct/zone-positions.test.ts
+++ b/test/unit/direct/zone-positions.test.ts
@@ -22,18 +22,18 @@
 import { PeerUnreachableError } from '../../../src/peer/errors.js';
 
 const position: Position = { timeline: 3, lsn: 17n };
-const told: ReportedPosition = { service: 'orders', instanceId: 'i-1', position, ageMs: 300 };
+const REPORTED: ReportedPosition = { service: 'orders', instanceId: 'i-1', position, ageMs: 300 };
 const reader = (name: string): ReachableNode => ({
   ...{ nodeId: name, zone: 'a', host: '10.0.0.1', port: 1 },
 });
 
 /** A node whose readers send these responses; undefined for no response. */
-function zoneOf(readers: ReadersOfNode, answers: (asked: string) => WireValue | undefined) {
-  const world = { now: 10_000, asked: [] as string[] };
+function zoneOf(readers: ReadersOfNode, answers: (request: string) => WireValue | undefined) {
+  const world = { now: 10_000, requests: [] as string[] };
   const transport = {
     call: ({ port }: ReachableNode, _method: string, body: WireValue) => {
       const names = parsePositionsRequest(body) ?? [];
-      world.asked.push(`${port}: ${names.join()}`);
+      world.requests.push(`${port}: ${names.join()}`);
       const answer = answers(names.join());
       return answer === undefined
         ? errAsync(new PeerUnreachableError('reader', 'silent'))
@@ -61,11 +61,11 @@
 async function sampleOnce(answer: WireValue | undefined, situation: Situation = {}) {
   const { world, zone } = zoneOf({ type: 'others', readers: [reader('r')] }, () => answer);
   const taken: { readonly sentAt: number; readonly position: Position | undefined }[] = [];
-  let ownQuestions = 0;
+  let ownQueries = 0;
   const pool = {
     lender: undefined,
     acquire: () => {
-      ownQuestions += 1;
+      ownQueries += 1;
       return new Promise(() => {});
     },
   };
@@ -95,38 +95,38 @@
   await looked;
   await Promise.resolve();
   await new Promise(setImmediate);
-  return { taken, ownQuestions: () => ownQuestions, asked: world.asked };
+  return { taken, ownQueries: () => ownQueries, requests: world.requests };
 }
 
 test('a reported position counts from the time of the query less its age, and the primary is not queried', async () => {
-  const { taken, ownQuestions } = await sampleOnce(encodeReportedPositions([told]));
+  const { taken, ownQueries } = await sampleOnce(encodeReportedPositions([REPORTED]));
   assert.equal(taken, [{ sentAt: 10_000 - 300, position }]);
-  assert.is(ownQuestions(), 0);
+  assert.is(ownQueries(), 0);
 });
 
 test('without a primary the position that replicas reported to a reader is used, however old the last position is', async () => {
-  const byReplicas = { ...told, instanceId: REPORTED_BY_REPLICAS };
+  const byReplicas = { ...REPORTED, instanceId: REPORTED_BY_REPLICAS };
   const answer = encodeReportedPositions([byReplicas]);
-  const { taken, ownQuestions } = await sampleOnce(answer, { isLeaderless: true, newestAt: 0 });
+  const { taken, ownQueries } = await sampleOnce(answer, { isLeaderless: true, newestAt: 0 });
   assert.is(taken.length, 1);
-  assert.is(ownQuestions(), 0);
+  assert.is(ownQueries(), 0);
 });
 
 test('a position of another instance than the primary is rejected', async () => {
-  const { taken } = await sampleOnce(encodeReportedPositions([{ ...told, instanceId: 'i-2' }]));
+  const { taken } = await sampleOnce(encodeReportedPositions([{ ...REPORTED, instanceId: 'i-2' }]));
   assert.equal(taken, []);
 });
 
 test('this node queries the primary itself if the readers report nothing new, the primary failed recently, or it is not trusted', async () => {
-  const answer = encodeReportedPositions([told]);
+  const answer = encodeReportedPositions([REPORTED]);
   const situations: readonly Situation[] = [
     { newestAt: 9000 },
     { avoidUntil: 8000 },
     { isTrusted: false },
   ];
   for (const situation of situations) {
-    const { asked, ownQuestions } = await sampleOnce(answer, situation);
-    assert.equal([asked.length, ownQuestions()], [0, 1], JSON.stringify(situation));
+    const { requests, ownQueries } = await sampleOnce(answer, situation);
+    assert.equal([requests.length, ownQueries()], [0, 1], JSON.stringify(situation));
   }
 });
 
@@ -135,7 +135,7 @@
   const { world, zone } = zoneOf({ type: 'others', readers }, () => undefined);
   assert.equal(await zone.requestPositions(['orders']), []);
   await zone.requestPositions(['orders']);
-  assert.equal(world.asked, ['1: orders', '2: orders']);
+  assert.equal(world.requests, ['1: orders', '2: orders']);
   assert.not(zone.isAvailable);
   world.now += 1000;
   assert.ok(zone.isAvailable);
@@ -143,11 +143,17 @@
 });
 
 test('malformed messages are rejected', () => {
-  assert.equal(parseReportedPositions(encodeReportedPositions([told])), [told]);
+  assert.equal(parseReportedPositions(encodeReportedPositions([REPORTED])), [REPORTED]);
   const malformed: readonly WireValue[] = [
-    ...[null, {}, [null], [{ ...told }], [{ ...told, position: { timeline: 1, lsn: '1x' } }]],
-    [{ ...told, position: { timeline: 1, lsn: '1' }, ageMs: -1 }],
-    [{ ...told, position: { timeline: 1, lsn: '1' }, service: 5 }],
+    ...[
+      null,
+      {},
+      [null],
+      [{ ...REPORTED }],
+      [{ ...REPORTED, position: { timeline: 1, lsn: '1x' } }],
+    ],
+    [{ ...REPORTED, position: { timeline: 1, lsn: '1' }, ageMs: -1 }],
+    [{ ...REPORTED, position: { timeline: 1, lsn: '1' }, service: 5 }],
   ];
   for (const value of malformed) assert.is(parseReportedPositions(value), undefined);
   for (const value of [null, {}, { services: 'x' }, { services: [1] }]) {
--- a/test/unit/fleet-digests.test.ts
+++ b/test/unit/fleet-digests.test.ts
@@ -61,7 +61,7 @@
 
 test('impossible figures are rejected', () => {
   const digests = new FleetDigests();
-  const nonsense: Partial<InstanceDigest>[] = [
+  const implausible: Partial<InstanceDigest>[] = [
     { ageMs: -1 },
     { observers: 0 },
     { answered: -5 },
@@ -70,7 +70,7 @@
     { waitMs: 1e9 },
     { observers: 1e9, answered: 1e9 },
   ];
-  for (const changes of nonsense) {
+  for (const changes of implausible) {
     assert.is(
       digests.recordReported(digestOf(changes), 'n', NOW),
       'implausible',
@@ -85,14 +85,14 @@
   reader.recordOwn('ledger', 'i-1', { type: 'answered', answerMs: 10 }, NOW);
   reader.recordReported(digestOf({ answered: 4 }), 'n1', NOW);
   reader.recordReported(digestOf({ answered: 3, instanceId: 'i-2' }), 'n1', NOW);
-  const told = (now: number) =>
+  const answeredCounts = (now: number) =>
     reader.mergedDigests(now).map(({ instanceId, answered }) => `${instanceId}: ${answered}`);
-  assert.equal(told(NOW), ['i-1: 5', 'i-2: 3']);
+  assert.equal(answeredCounts(NOW), ['i-1: 5', 'i-2: 3']);
   const [, before] = reader.mergedDigests(NOW);
   const [, after] = reader.mergedDigests(NOW + 50);
   assert.is((after?.ageMs ?? 0) - (before?.ageMs ?? 0), 50);
   reader.recordReported(digestOf({ answered: 2, instanceId: 'i-2' }), 'n1', NOW + 60);
-  assert.equal(told(NOW + 100), ['i-1: 5', 'i-2: 2']);
+  assert.equal(answeredCounts(NOW + 100), ['i-1: 5', 'i-2: 2']);
 });
 
 test('only the newest digest of each node counts, and instances that are gone are removed', () => {
--- a/test/unit/lag-memory.test.ts
+++ b/test/unit/lag-memory.test.ts
@@ -21,16 +21,16 @@
 
 test('a replica is skipped for longer each time that it lacks a position, and concurrent refusals count once', () => {
   const lag = new LaggingReplicas();
-  const holds: number[] = [];
+  const skipTimes: number[] = [];
   let now = 0;
   for (let round = 0; round < 7; round += 1) {
     lag.recordLagging('r', at(10n), now);
     lag.recordLagging('r', at(10n), now);
-    const began = now;
+    const startedAt = now;
     while (lag.isLikelyBehind('r', at(10n), now)) now += 1;
-    holds.push(now - began);
+    skipTimes.push(now - startedAt);
   }
-  assert.equal(holds, [20, 40, 80, 160, 320, 320, 320]);
+  assert.equal(skipTimes, [20, 40, 80, 160, 320, 320, 320]);
   lag.recordServed('r');
   lag.recordLagging('r', at(12n), now);
   assert.not(lag.isLikelyBehind('r', at(12n), now + 20));
--- a/test/unit/lives.test.ts
+++ b/test/unit/lives.test.ts
@@ -71,13 +71,13 @@
     ...{ status: answer, pause: answer, resume: answer, demote: answer, close: () => {} },
   };
   const checked = rejectReplacedIncarnations(control, ({ id }) => id === FIRST.id);
-  for (const asked of [
+  for (const call of [
     checked.status(FIRST, 100),
     checked.pause(FIRST, 4, 100),
     checked.resume(FIRST, 100),
     checked.demote(FIRST, 4, 100),
   ]) {
-    const { error } = (await asked.orElse((cause) => errAsync(cause))) as unknown as {
+    const { error } = (await call.orElse((cause) => errAsync(cause))) as unknown as {
       error: Parameters<typeof classifyControlFailure>[0];
     };
     assert.is(classifyControlFailure(error), 'refused');
--- a/test/unit/machine-list-agent.test.ts
+++ b/test/unit/machine-list-agent.test.ts
@@ -28,14 +28,11 @@
 
 function read(
   agent: MachineListAgent<string>,
-  asked: number,
+  knownVersion: number,
   version: number,
   ...texts: readonly string[]
 ): void {
-  agent.handle(
-    { type: 'read', reading: { knownVersion: asked, version, entries: entries(...texts) } },
-    0,
-  );
+  agent.handle({ type: 'read', reading: { knownVersion, version, entries: entries(...texts) } }, 0);
 }
 
 test('a response that is older than received pushes changes nothing, however often it arrives', () => {
--- a/test/unit/observability/explanation.test.ts
+++ b/test/unit/observability/explanation.test.ts
@@ -116,7 +116,7 @@
 test('the beliefs of the node about the service are listed, before the request and as they changed during it', () => {
   const belief = (atMs: number, service: string, now: string, node?: string) =>
     line(atMs, 'belief changed', { belief: 'primary', service, now }, node);
-  const story = explain(
+  const explanation = explain(
     'r1',
     linesOf(
       belief(-50_000, 'ledger', 'i-1'),
@@ -128,14 +128,14 @@
       ended(90, 'done'),
     ),
   );
-  const told = story?.beliefs.map(({ now, atMs }) => `${now} ${atMs}`);
-  assert.equal(told, ['none -200', 'i-2 40']);
+  const beliefs = explanation?.beliefs.map(({ now, atMs }) => `${now} ${atMs}`);
+  assert.equal(beliefs, ['none -200', 'i-2 40']);
 });
 
 test('a node whose clock differs is named', () => {
   const inForce = (atMs: number, node: string) =>
     line(atMs, 'configuration in force', { version: 7 }, node);
-  const story = explain(
+  const explanation = explain(
     'r1',
     linesOf(
       inForce(-500, 'node-1'),
@@ -144,7 +144,7 @@
       ended(9, 'done'),
     ),
   );
-  assert.equal(story?.skews, { 'node-3': 3000 });
+  assert.equal(explanation?.skews, { 'node-3': 3000 });
 });
 
 test.run();
--- a/test/unit/observability/line-writer.test.ts
+++ b/test/unit/observability/line-writer.test.ts
@@ -31,8 +31,8 @@
   const kept = pipe.written;
   pipe.read();
   writer.write('back');
-  const [told = '', back] = pipe.written.slice(kept.length).split('\n');
-  const { event, lines } = JSON.parse(told);
+  const [dropReport = '', back] = pipe.written.slice(kept.length).split('\n');
+  const { event, lines } = JSON.parse(dropReport);
   assert.is(event, 'log lines dropped');
   assert.is(lines, writer.dropped);
   assert.is(back, 'back');
--- a/test/unit/placement.test.ts
+++ b/test/unit/placement.test.ts
@@ -1,4 +1,4 @@
-/** Expected answer times of instances, and the choice of the instance that gets a read. */
+/** Expected response times of instances, and the choice of the instance that gets a read. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { FleetView } from '../../src/core/fleet/instance-digest.js';
@@ -29,40 +29,40 @@
   };
 }
 
-function timeOf(changes: Partial<ReadCandidate>, seen?: Partial<FleetView>): number {
-  return estimateReadMs(instanceOf(changes), seen && viewOf(seen), 10, NOW);
+function timeOf(changes: Partial<ReadCandidate>, view?: Partial<FleetView>): number {
+  return estimateReadMs(instanceOf(changes), view && viewOf(view), 10, NOW);
 }
 
-test('each thing that makes an answer later makes the expected time longer', () => {
+test('everything that delays a response increases the expected time', () => {
   const usual = timeOf({}, {});
   assert.ok(timeOf({ outstanding: 1 }, {}) > usual);
   assert.ok(timeOf({ sameZone: false }, {}) > usual);
   assert.ok(timeOf({ primary: true }, {}) > usual);
   assert.ok(timeOf({ avoidUntil: NOW + 1 }, {}) > usual);
-  for (const seen of [{ answerMs: 20 }, { waitMs: 5 }, { refused: 20 }, { failed: 20 }]) {
-    assert.ok(timeOf({}, seen) > usual, JSON.stringify(seen));
+  for (const view of [{ answerMs: 20 }, { waitMs: 5 }, { refused: 20 }, { failed: 20 }]) {
+    assert.ok(timeOf({}, view) > usual, JSON.stringify(view));
   }
 });
 
-test('an instance of another zone is used once the own one takes twice as long, not 40 ms longer', () => {
+test('an instance of another zone is used once the one of the own zone takes twice as long, not only when it takes 40 ms longer', () => {
   const elsewhere = timeOf({ sameZone: false }, { answerMs: 12 });
   assert.ok(timeOf({}, { answerMs: 22 }) < elsewhere);
   assert.ok(timeOf({}, { answerMs: 35 }) > elsewhere);
 });
 
-test('a primary costs more the more of its slots are in use', () => {
+test('the expected time at a primary rises with the slots in use', () => {
   const idle = timeOf({ primary: true }, { answered: 4 });
   assert.ok(timeOf({ primary: true }, { answered: 400 }) > 1.3 * idle);
 });
 
-test('what nobody asked lately is expected to be as quick as the best replica that is known', () => {
+test('an instance without recent observations is expected to be as fast as the fastest known replica', () => {
   const instances = [
     instanceOf({ id: 'slow', answerMs: 75 }),
     instanceOf({ id: 'quick', answerMs: 25 }),
     instanceOf({ id: 'primary', primary: true, answerMs: 3 }),
   ];
-  const seenOf = new Map([['quick', viewOf({ answerMs: 11 })]]);
-  assert.is(baselineAnswerMs(instances, seenOf), 11);
+  const views = new Map([['quick', viewOf({ answerMs: 11 })]]);
+  assert.is(baselineAnswerMs(instances, views), 11);
   assert.is(estimateReadMs(instanceOf({ answerMs: 500 }), undefined, 11, NOW), 11);
 });
 
@@ -81,7 +81,7 @@
   return counts.map((count) => count / SAMPLES);
 }
 
-test('equals share alike, so that a fleet that hears the same does not move at once', () => {
+test('equally fast instances get equal shares of the reads, so that nodes with the same view do not all choose one instance', () => {
   for (const share of sharesOf([10, 10, 10], [false, false, false])) {
     assert.ok(share > 0.29 && share < 0.38, String(share));
   }
@@ -89,17 +89,17 @@
   assert.ok(quick > slower && slower > 0.3, `${quick} ${slower}`);
 });
 
-test('one that is several times slower gets next to nothing', () => {
-  const [ill = 1] = sharesOf([75, 10, 10], [true, false, false]);
-  assert.ok(ill < 0.01, String(ill));
+test('an instance that is several times slower gets almost no reads', () => {
+  const [slowFraction = 1] = sharesOf([75, 10, 10], [true, false, false]);
+  assert.ok(slowFraction < 0.01, String(slowFraction));
 });
 
-test('the zone is left to itself while its instance is as good as the others', () => {
-  const [near = 0] = sharesOf([10, 23, 23], [true, false, false]);
-  assert.ok(near > 0.95, String(near));
+test('reads stay in the zone while its instance is as fast as the others', () => {
+  const [nearFraction = 0] = sharesOf([10, 23, 23], [true, false, false]);
+  assert.ok(nearFraction > 0.95, String(nearFraction));
 });
 
-test('an ejected instance comes last, and stays the choice if it is the only one', () => {
+test('an ejected instance is ranked last, and is still used if it is the only one', () => {
   const views = new Map([
     ['i-0', viewOf()],
     ['i-1', viewOf({ answerMs: 90 })],
--- a/test/unit/platform/directory-follower.test.ts
+++ b/test/unit/platform/directory-follower.test.ts
@@ -64,29 +64,29 @@
   readonly store: FakeStore;
   readonly follower: DirectoryFollower;
   /** Notifications, in order. */
-  readonly told: string[];
+  readonly notifications: string[];
   readonly pauses: { readonly delayMs: number; run(): void }[];
   now: number;
 }
 
 function setUp(): Setup {
   const store = new FakeStore();
-  const told: string[] = [];
+  const notifications: string[] = [];
   const pauses: { delayMs: number; run(): void }[] = [];
-  const setup = { store, told, pauses, now: 0 };
+  const setup = { store, notifications, pauses, now: 0 };
   const follower = new DirectoryFollower({
     store: store as Pick<Store, 'range' | 'watch'> as Store,
     parseConfiguration,
     parseInstance,
     prefixes: { configurationKey: CONFIGURATION_KEY, instancePrefix: INSTANCE_KEY_PREFIX },
     handlers: {
-      onConfiguration: ({ version }) => told.push(`configuration ${version}`),
+      onConfiguration: ({ version }) => notifications.push(`configuration ${version}`),
       onInstances: (instances, changed) =>
-        told.push(`instances ${[...instances.keys()]} changed ${changed}`),
+        notifications.push(`instances ${[...instances.keys()]} changed ${changed}`),
       onConfigurationSkipped: ({ version, revision }) =>
-        told.push(`passed over ${version} at ${revision}`),
-      onInstanceRemoved: ({ id, revision }) => told.push(`removed ${id} at ${revision}`),
-      onProblem: (error: MeadowstackError) => told.push(error.code),
+        notifications.push(`skipped ${version} at ${revision}`),
+      onInstanceRemoved: ({ id, revision }) => notifications.push(`removed ${id} at ${revision}`),
+      onProblem: (error: MeadowstackError) => notifications.push(error.code),
     },
     clock: () => setup.now,
     schedule: (delayMs, run) => {
@@ -130,14 +130,14 @@
 }
 
 test('the first range is reported, and watched from the next revision on', async () => {
-  const { store, told, follower } = await started((one) => {
+  const { store, notifications, follower } = await started((one) => {
     one.ranges.set(CONFIGURATION_KEY, { revision: 9, entries: [configuration(7, 4)] });
     one.ranges.set(INSTANCE_KEY_PREFIX, {
       revision: 12,
       entries: [item('servers/i-1', entry(), 5)],
     });
   });
-  assert.equal(told.sort(), ['configuration 7', 'instances i-1 changed i-1']);
+  assert.equal(notifications.sort(), ['configuration 7', 'instances i-1 changed i-1']);
   assert.equal(store.opened(CONFIGURATION_KEY), [10]);
   assert.equal(store.opened(INSTANCE_KEY_PREFIX), [13]);
   assert.is(follower.configuration()?.version, 7);
@@ -145,35 +145,35 @@
 });
 
 test('only a configuration of a higher version is accepted', async () => {
-  const { store, told, follower } = await started((one) => {
+  const { store, notifications, follower } = await started((one) => {
     one.ranges.set(CONFIGURATION_KEY, { revision: 9, entries: [configuration(7, 4)] });
   });
-  told.length = 0;
+  notifications.length = 0;
   const { handlers } = store.last(CONFIGURATION_KEY);
   handlers.onEvents([{ type: 'put', entry: configuration(6, 10) }], 10);
   handlers.onEvents([{ type: 'delete', key: CONFIGURATION_KEY, modRevision: 11 }], 11);
   handlers.onEvents([put(CONFIGURATION_KEY, '{"version":', 12)], 12);
   handlers.onEvents([put(`${CONFIGURATION_KEY}2`, { version: 99 }, 13)], 13);
-  assert.equal(told, ['MS-PLATFORM-DOCUMENT']);
+  assert.equal(notifications, ['MS-PLATFORM-DOCUMENT']);
   assert.is(follower.configuration()?.version, 7);
   handlers.onEvents([{ type: 'put', entry: configuration(11, 14) }], 14);
   handlers.onEvents([{ type: 'put', entry: configuration(12, 14) }], 14);
-  assert.equal(told.slice(1), ['configuration 11'], 'a repeated event is accepted once');
+  assert.equal(notifications.slice(1), ['configuration 11'], 'a repeated event is accepted once');
 });
 
 test('a heartbeat is not a change, a change of another field is, and a removal is reported with its revision', async () => {
-  const { store, told } = await started((one) => {
+  const { store, notifications } = await started((one) => {
     const entries = [item('servers/i-1', entry(), 5), item('servers/i-2', entry(), 6)];
     one.ranges.set(INSTANCE_KEY_PREFIX, { revision: 12, entries });
   });
-  told.length = 0;
+  notifications.length = 0;
   const { handlers } = store.last(INSTANCE_KEY_PREFIX);
   handlers.onEvents([put('servers/i-1', entry({ sequence: 2 }), 13)], 13);
   handlers.onEvents([], 20);
-  assert.equal(told, []);
+  assert.equal(notifications, []);
   handlers.onEvents([put('servers/i-1', entry({ state: 'draining' }), 21)], 21);
   handlers.onEvents([{ type: 'delete', key: 'servers/i-2', modRevision: 22 }], 22);
-  assert.equal(told, [
+  assert.equal(notifications, [
     'instances i-1,i-2 changed i-1',
     'removed i-2 at 22',
     'instances i-1 changed i-2',
@@ -181,16 +181,20 @@
 });
 
 test('an instance whose entry becomes malformed is removed, and events older than the known revision are skipped', async () => {
-  const { store, told, follower } = await started((one) => {
+  const { store, notifications, follower } = await started((one) => {
     const entries = [item('servers/i-1', entry(), 15)];
     one.ranges.set(INSTANCE_KEY_PREFIX, { revision: 12, entries });
   });
-  told.length = 0;
+  notifications.length = 0;
   const { handlers } = store.last(INSTANCE_KEY_PREFIX);
   handlers.onEvents([put('servers/i-1', entry({ slots: 9 }), 13)], 13);
   handlers.onEvents([{ type: 'delete', key: 'servers/i-1', modRevision: 14 }], 14);
   handlers.onEvents([put('servers/i-1', 'junk', 16)], 16);
-  assert.equal(told, ['MS-PLATFORM-DOCUMENT', 'removed i-1 at 16', 'instances  changed i-1']);
+  assert.equal(notifications, [
+    'MS-PLATFORM-DOCUMENT',
+    'removed i-1 at 16',
+    'instances  changed i-1',
+  ]);
   handlers.onEvents([put('servers/i-1', entry(), 17)], 17);
   assert.is(follower.instances().get('i-1')?.slots, 3);
 });
@@ -202,31 +206,31 @@
     ...[entry({ born: 'long ago' }), entry({ born: 1.5 }), entry({ zone: null })],
     'x'.repeat(1024 * 1024),
   ];
-  const { follower, told } = await started((one) => {
+  const { follower, notifications } = await started((one) => {
     const entries = damaged.map((value, number) => item(`servers/d-${number}`, value, 5));
     const good = item('servers/i-1', entry(), 6);
     one.ranges.set(INSTANCE_KEY_PREFIX, { revision: 12, entries: [...entries, good] });
   });
   assert.equal([...follower.instances().keys()], ['i-1']);
-  assert.is(told.filter((line) => line === 'MS-PLATFORM-DOCUMENT').length, damaged.length);
+  assert.is(notifications.filter((line) => line === 'MS-PLATFORM-DOCUMENT').length, damaged.length);
 });
 
 test('an instance that restarts under its id is a new instance', async () => {
-  const { store, told, follower } = await started((one) => {
+  const { store, notifications, follower } = await started((one) => {
     const entries = [item('servers/i-1', entry({ born: 100, sequence: 40 }), 5)];
     one.ranges.set(INSTANCE_KEY_PREFIX, { revision: 12, entries });
   });
   const { handlers } = store.last(INSTANCE_KEY_PREFIX);
   const [first] = follower.instances().values();
-  told.length = 0;
+  notifications.length = 0;
   handlers.onEvents([put('servers/i-1', entry({ born: 100, sequence: 41 }), 13)], 13);
-  assert.equal(told, []);
+  assert.equal(notifications, []);
   handlers.onEvents([put('servers/i-1', entry({ born: 200, sequence: 1 }), 14)], 14);
   const [second] = follower.instances().values();
   assert.is(follower.instances().size, 1);
   assert.is.not(second?.id, first?.id);
   assert.is(second?.lifeOf, first?.lifeOf);
-  assert.is(told.length, 2);
+  assert.is(notifications.length, 2);
   // A late registration of the first incarnation changes nothing.
   handlers.onEvents([put('servers/i-1', entry({ born: 100, sequence: 42 }), 13)], 14);
   assert.equal([...follower.instances().keys()], [second?.id]);
@@ -256,12 +260,12 @@
 });
 
 test('after a compaction the range is read again, and entries that are gone are removed', async () => {
-  const { store, told } = await started((one) => {
+  const { store, notifications } = await started((one) => {
     const entries = [item('servers/i-1', entry(), 5), item('servers/i-2', entry(), 6)];
     one.ranges.set(INSTANCE_KEY_PREFIX, { revision: 12, entries });
     one.ranges.set(CONFIGURATION_KEY, { revision: 12, entries: [configuration(7, 4)] });
   });
-  told.length = 0;
+  notifications.length = 0;
   store.ranges.set(INSTANCE_KEY_PREFIX, {
     revision: 90,
     entries: [item('servers/i-2', entry({ sequence: 9 }), 80), item('servers/i-3', entry(), 85)],
@@ -270,7 +274,7 @@
   store.last(INSTANCE_KEY_PREFIX).handlers.onEnd(new StoreCompactedError(50), true);
   store.last(CONFIGURATION_KEY).handlers.onEnd(new StoreCompactedError(50), true);
   await settle();
-  assert.equal(told, [
+  assert.equal(notifications, [
     'MS-STORE-COMPACTED',
     'MS-STORE-COMPACTED',
     'removed i-1 at 90',
@@ -313,13 +317,13 @@
 });
 
 test('a stopped follower reports nothing and has no open watch', async () => {
-  const { store, told, follower } = await started(() => undefined);
-  told.length = 0;
+  const { store, notifications, follower } = await started(() => undefined);
+  notifications.length = 0;
   const watch = store.last(CONFIGURATION_KEY);
   follower.stop();
   assert.not(watch.open);
   watch.handlers.onEvents([{ type: 'put', entry: configuration(8, 50) }], 50);
-  assert.equal(told, []);
+  assert.equal(notifications, []);
 });
 
 const FROM_PEER = {
@@ -332,13 +336,13 @@
 }
 
 test('the report of a peer is used until the store responds, and then replaced', async () => {
-  const { store, told, follower, pauses } = await started((one) => {
+  const { store, notifications, follower, pauses } = await started((one) => {
     one.ranges.set(INSTANCE_KEY_PREFIX, new StoreUnavailableError('down'));
     one.ranges.set(CONFIGURATION_KEY, new StoreUnavailableError('down'));
   });
-  told.length = 0;
+  notifications.length = 0;
   follower.adoptInstances(fromPeer(20, ['i-2', 'i-3']));
-  assert.equal(told.splice(0), ['instances i-2,i-3 changed i-2,i-3']);
+  assert.equal(notifications.splice(0), ['instances i-2,i-3 changed i-2,i-3']);
   assert.is(follower.instancesConfirmedAt(), undefined);
   store.ranges.set(INSTANCE_KEY_PREFIX, {
     revision: 22,
@@ -350,20 +354,20 @@
 });
 
 test('a snapshot that is not newer than the known state changes nothing', async () => {
-  const { told, follower } = await started((one) => {
+  const { notifications, follower } = await started((one) => {
     one.ranges.set(CONFIGURATION_KEY, { revision: 9, entries: [configuration(7, 4)] });
     one.ranges.set(INSTANCE_KEY_PREFIX, {
       revision: 12,
       entries: [item('servers/i-1', entry(), 5)],
     });
   });
-  told.length = 0;
+  notifications.length = 0;
   follower.adoptInstances(fromPeer(12, ['i-2']));
   follower.adoptConfiguration({ version: 7, text: configuration(7, 4).value });
   follower.adoptConfiguration({ version: 9, text: configuration(6, 4).value });
-  assert.equal(told, []);
+  assert.equal(notifications, []);
   follower.adoptConfiguration({ version: 8, text: configuration(8, 4).value });
-  assert.equal(told, ['configuration 8']);
+  assert.equal(notifications, ['configuration 8']);
   assert.equal([...follower.instances().keys()], ['i-1']);
 });
 
--- a/test/unit/platform/shared-watch.test.ts
+++ b/test/unit/platform/shared-watch.test.ts
@@ -8,13 +8,14 @@
 import { MemoryStore } from '../../support/memory-store.js';
 
 class Listener implements WatchHandlers {
-  readonly heard: string[] = [];
+  readonly receivedKeys: string[] = [];
   readonly ends: boolean[] = [];
   currentAt: number | undefined;
 
   onEvents(...[events, _revision, currentAt]: Parameters<WatchHandlers['onEvents']>): void {
     this.currentAt = currentAt;
-    for (const event of events) this.heard.push(event.type === 'put' ? event.entry.key : event.key);
+    for (const event of events)
+      this.receivedKeys.push(event.type === 'put' ? event.entry.key : event.key);
   }
 
   onEnd(_error: Error, compacted: boolean): void {
@@ -39,7 +40,10 @@
   await joined();
   assert.is(store.watchCount, 2);
   for (const key of ['ab1/x', 'ab2/y', 'ab3/z', 'c/w']) await put(store, key);
-  assert.equal([first.heard, second.heard, other.heard], [['ab1/x'], ['ab2/y'], ['c/w']]);
+  assert.equal(
+    [first.receivedKeys, second.receivedKeys, other.receivedKeys],
+    [['ab1/x'], ['ab2/y'], ['c/w']],
+  );
 });
 
 test('a listener that joins from an earlier revision misses no event, and no listener receives an event twice', async () => {
@@ -54,8 +58,8 @@
   await joined();
   assert.is(store.watchCount, 1);
   await put(store, 'ab2/z');
-  assert.equal(first.heard, ['ab2/x', 'ab2/y', 'ab2/z']);
-  assert.equal(second.heard, ['ab2/y', 'ab2/z']);
+  assert.equal(first.receivedKeys, ['ab2/x', 'ab2/y', 'ab2/z']);
+  assert.equal(second.receivedKeys, ['ab2/y', 'ab2/z']);
 });
 
 test('a listener that joins with the current revision shares the poll in flight, and its age', async () => {
@@ -71,7 +75,7 @@
   assert.is(store.watchesOpened, 1);
   now = 1600;
   await put(store, 'ab2/x');
-  assert.equal([second.heard, second.currentAt], [['ab2/x'], 1000], 'sent before it joined');
+  assert.equal([second.receivedKeys, second.currentAt], [['ab2/x'], 1000], 'sent before it joined');
   now = 1700;
   await put(store, 'ab2/y');
   assert.is(second.currentAt, 1600);
@@ -79,7 +83,7 @@
   await joined();
   assert.is(store.watchesOpened, 2, 'it lacks events that were reported');
   assert.equal(
-    [third.heard, second.heard],
+    [third.receivedKeys, second.receivedKeys],
     [
       ['ab2/x', 'ab2/y'],
       ['ab2/x', 'ab2/y'],
--- a/test/unit/platform/store-era.test.ts
+++ b/test/unit/platform/store-era.test.ts
@@ -24,27 +24,31 @@
 
 async function withStore(
   answers: readonly ScriptedAnswer[],
-  run: (store: KeyValueStore, server: ScriptedServer, told: EraObservation[]) => Promise<void>,
+  run: (
+    store: KeyValueStore,
+    server: ScriptedServer,
+    observations: EraObservation[],
+  ) => Promise<void>,
 ): Promise<void> {
   const server = await startScriptedServer((_request, earlier) => answers[earlier] ?? 'silent');
-  const told: EraObservation[] = [];
+  const observations: EraObservation[] = [];
   const store = new KeyValueStore({
     endpoint: server.endpoint,
     clientName: 'test',
     watchWaitMs: () => WAIT_MS,
     onEra: (reading) => {
-      if (reading.type !== 'first') told.push(reading);
+      if (reading.type !== 'first') observations.push(reading);
     },
   });
   try {
-    await run(store, server, told);
+    await run(store, server, observations);
   } finally {
     store.close();
     await server.close();
   }
 }
 
-/** Resolves with the way in which a watch ends. */
+/** Resolves with the error code of the end of a watch, and whether history was compacted. */
 function endOf(store: KeyValueStore, fromRevision: number): Promise<[string, boolean]> {
   return new Promise((resolve) => {
     store.watch('my/', fromRevision, {
@@ -62,27 +66,27 @@
 });
 
 test('positions after a restore from a backup are higher than all earlier ones', async () => {
-  await withStore([range('3', 900), range('4', 20)], async (store, _server, told) => {
+  await withStore([range('3', 900), range('4', 20)], async (store, _server, observations) => {
     const before = (await store.range('my/'))._unsafeUnwrap();
     const after = (await store.range('my/'))._unsafeUnwrap();
     assert.ok(after.revision > before.revision);
     assert.ok((after.entries[0]?.modRevision ?? 0) > (before.entries[0]?.modRevision ?? 0));
-    assert.equal(told, [{ type: 'risen', era: 4, before: 3 }]);
+    assert.equal(observations, [{ type: 'risen', era: 4, before: 3 }]);
   });
 });
 
 test('a rise of the era is also detected in a refusal and in a poll', async () => {
   const refused = inEra('4', {}, 503);
-  await withStore([range('3', 9), refused], async (store, _server, told) => {
+  await withStore([range('3', 9), refused], async (store, _server, observations) => {
     await store.range('my/');
     await store.range('my/');
-    assert.is(told.length, 1);
+    assert.is(observations.length, 1);
   });
   const polled = inEra('4', { events: [], at_revision: 9 });
-  await withStore([range('3', 9), polled], async (store, _server, told) => {
+  await withStore([range('3', 9), polled], async (store, _server, observations) => {
     await store.range('my/');
     assert.equal(await endOf(store, toStorePosition(3, 10)), ['MS-STORE-COMPACTED', true]);
-    assert.is(told.length, 1);
+    assert.is(observations.length, 1);
   });
 });
 
@@ -144,11 +148,11 @@
 
 test('an era that decreases, is missing or is not a number is an error, and the known era stays', async () => {
   for (const era of ['2', undefined, 'x', '-1', '1.5', '']) {
-    await withStore([range('3', 9), range(era, 20)], async (store, _server, told) => {
+    await withStore([range('3', 9), range(era, 20)], async (store, _server, observations) => {
       await store.range('my/');
       const error = (await store.range('my/'))._unsafeUnwrapErr();
       assert.equal([error.code, store.era], ['MS-STORE-ERA', 3], String(era));
-      assert.is(told[0]?.type, 'unusable');
+      assert.is(observations[0]?.type, 'unusable');
     });
   }
 });
--- a/test/unit/platform/store.test.ts
+++ b/test/unit/platform/store.test.ts
@@ -265,8 +265,8 @@
     await withStore(
       () => answer,
       async (store) => {
-        const told = await watched(store, 1, 1);
-        assert.equal([told.end, told.compacted], [code, compacted], JSON.stringify(answer));
+        const result = await watched(store, 1, 1);
+        assert.equal([result.end, result.compacted], [code, compacted], JSON.stringify(answer));
       },
       timeoutFor(answer),
     );
@@ -294,13 +294,13 @@
   await withStore(
     () => 'silent',
     async (store) => {
-      let told = 0;
+      let callCount = 0;
       const count = (): void => {
-        told += 1;
+        callCount += 1;
       };
       store.watch('my/', 1, { onEvents: count, onEnd: count })();
       await store.range('my/');
-      assert.is(told, 0);
+      assert.is(callCount, 0);
     },
     SHORT_TIMEOUT_MS,
   );
--- a/test/unit/promotion-gap.test.ts
+++ b/test/unit/promotion-gap.test.ts
@@ -26,23 +26,23 @@
 function gapMs(simulation: PromotionSimulation): number {
   const { group, nodes, clock } = simulation;
   const old = group.leader;
-  const begunAt = clock.now;
-  const isOver = (): boolean => {
+  const startedAt = clock.now;
+  const hasEnded = (): boolean => {
     const knowing = nodes.filter(({ machine, now }) => {
       return machine?.primaryOf(group.service, now)?.id === group.leader.id;
     });
     return group.leader !== old && knowing.length > nodes.length / 2;
   };
-  while (!isOver() && clock.now - begunAt < LONGEST_MS) simulation.run(STEP_MS);
+  while (!hasEnded() && clock.now - startedAt < LONGEST_MS) simulation.run(STEP_MS);
   assert.equal(simulation.violations, []);
-  return clock.now - begunAt;
+  return clock.now - startedAt;
 }
 
 /** The median of the gaps under all seeds. */
-function medianGapMs(strike: (simulation: PromotionSimulation) => void): number {
+function medianGapMs(injectFault: (simulation: PromotionSimulation) => void): number {
   const gaps = SEEDS.map((seed) => {
     const simulation = settled(seed);
-    strike(simulation);
+    injectFault(simulation);
     return gapMs(simulation);
   });
   gaps.sort((left, right) => left - right);
--- a/test/unit/store-return.test.ts
+++ b/test/unit/store-return.test.ts
@@ -37,14 +37,14 @@
   const refuse = (): RequestAnswer => ({
     ...{ type: 'store-failed', isLeaseGone: false, retryAfterMs: undefined },
   });
-  const ask = (event: PromotionEvent, at: number): string[] =>
+  const requestTypesAfter = (event: PromotionEvent, at: number): string[] =>
     feed(machine, [event], at, refuse).map(({ type }) => type);
   const { unregisteredReadDelayMs } = DEFAULT_PROMOTION_TIMINGS;
-  ask({ type: 'start' }, 0);
-  ask({ type: 'tick' }, unregisteredReadDelayMs);
-  assert.equal(ask({ type: 'tick' }, unregisteredReadDelayMs + 1), [], 'both wait');
-  const asked = ask({ type: 'store-returned' }, unregisteredReadDelayMs + 1);
-  assert.equal(asked.sort(), ['grant-lease', 'range']);
+  requestTypesAfter({ type: 'start' }, 0);
+  requestTypesAfter({ type: 'tick' }, unregisteredReadDelayMs);
+  assert.equal(requestTypesAfter({ type: 'tick' }, unregisteredReadDelayMs + 1), [], 'both wait');
+  const requestTypes = requestTypesAfter({ type: 'store-returned' }, unregisteredReadDelayMs + 1);
+  assert.equal(requestTypes.sort(), ['grant-lease', 'range']);
 });
 
 test('a prefix whose read failed is read at once when the store responds again', () => {
--- a/test/unit/until.test.ts
+++ b/test/unit/until.test.ts
@@ -10,24 +10,24 @@
 
 /** The message with which the wait fails; `still waiting` if it far exceeds the time limit. */
 async function outcomeOf(condition: () => boolean | Promise<boolean>): Promise<string> {
-  const over = new AbortController();
+  const timeoutController = new AbortController();
   const waited = until('it happens', condition, BOUND_MS).then(
     () => 'held',
     (error: Error) => error.message,
   );
-  const tooLong = pause(TOO_LONG_MS, 'still waiting', { signal: over.signal });
+  const tooLong = pause(TOO_LONG_MS, 'still waiting', { signal: timeoutController.signal });
   try {
     return await Promise.race([waited, tooLong]);
   } finally {
-    over.abort();
+    timeoutController.abort();
     tooLong.catch(() => undefined);
   }
 }
 
 test('a condition that becomes true ends the wait', async () => {
-  let asked = 0;
-  assert.is(await outcomeOf(() => ++asked === 2), 'held');
-  assert.is(asked, 2);
+  let checkCount = 0;
+  assert.is(await outcomeOf(() => ++checkCount === 2), 'held');
+  assert.is(checkCount, 2);
 });
 
 test('a condition that stays false fails at the time limit', async () => {
--- a/test/unit/watch-readers.test.ts
+++ b/test/unit/watch-readers.test.ts
@@ -154,23 +154,23 @@
 
 test('malformed messages are rejected', () => {
   const event = { type: 'put', entry: { key: 'k', value: 'v', createRevision: 1, modRevision: 2 } };
-  const told = { after: 1, revision: 2, ageMs: 3, clockMs: 9, provenMs: 5, events: [event] };
-  assert.equal(parseRelayedRange(told), told);
+  const range = { after: 1, revision: 2, ageMs: 3, clockMs: 9, provenMs: 5, events: [event] };
+  assert.equal(parseRelayedRange(range), range);
   const gone = { type: 'delete', key: 'k', modRevision: 2 };
-  assert.ok(parseRelayedRange({ ...told, events: [gone] }));
+  assert.ok(parseRelayedRange({ ...range, events: [gone] }));
   const malformed = [
-    ...[undefined, null, [], 'text', { ...told, after: -1 }, { ...told, revision: 0 }],
+    ...[undefined, null, [], 'text', { ...range, after: -1 }, { ...range, revision: 0 }],
     ...[
-      { ...told, ageMs: Number.NaN },
-      { ...told, clockMs: undefined },
-      { ...told, provenMs: 'old' },
-      { ...told, provenMs: 10 },
-      { ...told, events: {} },
-      { ...told, events: [null] },
+      { ...range, ageMs: Number.NaN },
+      { ...range, clockMs: undefined },
+      { ...range, provenMs: 'old' },
+      { ...range, provenMs: 10 },
+      { ...range, events: {} },
+      { ...range, events: [null] },
     ],
-    { ...told, events: [{ type: 'put', entry: { key: 'k' } }] },
-    { ...told, events: [{ type: 'other' }] },
-    { ...told, events: [{ type: 'delete', key: 1, modRevision: 2 }] },
+    { ...range, events: [{ type: 'put', entry: { key: 'k' } }] },
+    { ...range, events: [{ type: 'other' }] },
+    { ...range, events: [{ type: 'delete', key: 1, modRevision: 2 }] },
   ];
   for (const value of malformed) assert.is(parseRelayedRange(value), undefined);
   assert.ok(parseWatchRequest({ type: 'watch', prefix: 'p', after: 0 }));
