--- a/test/unit/commit-verdict.test.ts
+++ b/test/unit/commit-verdict.test.ts
@@ -18,10 +18,14 @@
   return { role: 'replica', term: TERM, received, ...rest, ...changes };
 }
 
-const LEADS = status({ role: 'primary' });
+const AS_PRIMARY = status({ role: 'primary' });
 const HELD = status({ heldTerm: TERM + 1 });
 
-function verdict(others: readonly MemberResponse[], lsn?: bigint, leader: MemberResponse = LEADS) {
+function verdict(
+  others: readonly MemberResponse[],
+  lsn?: bigint,
+  leader: MemberResponse = AS_PRIMARY,
+) {
   const answers = new Map<string, MemberResponse>([
     [PRIMARY, leader],
     ...others.map((answer, index) => [`other-${index}`, answer] as const),
@@ -50,7 +54,7 @@
 });
 
 test('another primary, or a later term at any member, proves that the primary was replaced', () => {
-  assert.is(verdict([LEADS, status()]), 'deposed');
+  assert.is(verdict([AS_PRIMARY, status()]), 'deposed');
   assert.is(verdict([status({ term: TERM + 1 }), HELD]), 'deposed');
   assert.is(verdict([status({ received: { timeline: TERM + 1, lsn: 1n } })]), 'deposed');
   assert.is(verdict([status()], undefined, status()), 'deposed');
--- a/test/unit/database-election.test.ts
+++ b/test/unit/database-election.test.ts
@@ -109,7 +109,10 @@
 });
 
 /** Voter `a` is primary of timeline 1; all voters received its heartbeat at the given time. */
-function createLed(lsns: readonly number[], atMs: number): Record<'a' | 'b' | 'c', Voter> {
+function createVotersWithPrimary(
+  lsns: readonly number[],
+  atMs: number,
+): Record<'a' | 'b' | 'c', Voter> {
   const [a, b, c] = createVoters(lsns, new Set()).values();
   assert.ok(a && b && c);
   nowMs = atMs;
@@ -120,7 +123,7 @@
 }
 
 test('a primary that one replica refuses starts a new election although the other replica follows it', () => {
-  const { a, b, c } = createLed([20, 20, 10], 1_000);
+  const { a, b, c } = createVotersWithPrimary([20, 20, 10], 1_000);
   // It lost a round: it has promised timeline 2 to itself, and lacks records that the others have.
   c.election.promisedTimeline = 2;
   a.election.refused(2, nowMs);
@@ -135,7 +138,7 @@
 });
 
 test('a refused primary keeps its votes while replicas still follow its timeline', () => {
-  const { a, b, c } = createLed([20, 20, 20], 1_000);
+  const { a, b, c } = createVotersWithPrimary([20, 20, 20], 1_000);
   a.election.refused(2, nowMs);
   nowMs += ELECTION_TIMEOUT_MS / 2;
   // No replica votes at once; the vote of one comes later.
@@ -157,7 +160,7 @@
 });
 
 test('a handover waits for the commits in flight and refuses no primary until then', () => {
-  const { a, b, c } = createLed([20, 20, 10], 1_000);
+  const { a, b, c } = createVotersWithPrimary([20, 20, 10], 1_000);
   c.election.takeOver(nowMs);
   assert.equal(
     [a, b, c].map(({ election }) => election.promisedTimeline),
@@ -175,7 +178,7 @@
 });
 
 test('a handover ends once a heartbeat of another primary arrives', () => {
-  const { b, c } = createLed([20, 20, 10], 1_000);
+  const { b, c } = createVotersWithPrimary([20, 20, 10], 1_000);
   c.election.takeOver(nowMs);
   c.election.heard('b', 2, nowMs);
   c.position = { timeline: 2, lsn: 20 };
--- a/test/unit/database-group.test.ts
+++ b/test/unit/database-group.test.ts
@@ -124,7 +124,7 @@
   driver.send({ type: 'request-arrived', request: second });
   const [reset] = effectsOf(driver.effects, 'reset-connection');
   assert.is(reset?.connectionId, driver.runs()[0]?.connectionId);
-  assert.is(driver.runs().length, 1, 'not before the reset was answered');
+  assert.is(driver.runs().length, 1, 'not before the reset was confirmed');
   driver.settle();
   assert.equal(
     driver.runs().map((run) => run.requestId),
@@ -153,7 +153,7 @@
   driver.states.set('c', state(true, 6, 90));
   driver.wait(500);
   arrive(driver, request('w1', { deadline: 10_000 }));
-  assert.equal(driver.runs(), [], 'the later timeline is looked into');
+  assert.equal(driver.runs(), [], 'the later timeline is being checked');
   for (let round = 0; round < 200; round += 1) driver.wait(20);
   assert.is(driver.runs()[0]?.instance, 'a');
   driver.states.set('b', state(false, 5, 100, 110));
--- a/test/unit/direct-answers.test.ts
+++ b/test/unit/direct-answers.test.ts
@@ -47,7 +47,7 @@
 test('a request that was read must be answered if its connection ends after a long wait', () => {
   assert.equal(rulesOf(unanswered(201), []), ['LOST']);
   assert.equal(rulesOf(unanswered(200), []), []);
-  assert.equal(rulesOf(unanswered(5000, false), []), [], 'it was never read');
+  assert.equal(rulesOf(unanswered(5000, false), []), [], 'the request was never read');
   const { lost: _, ...answered } = unanswered(0);
   assert.equal(rulesOf({ ...answered, answeredAt: SENT_AT + 900 }, [RUN]), []);
 });
@@ -69,7 +69,7 @@
   assert.is(paused(span(-50, 100)).late.length, 1);
   assert.equal(paused(span(-50, 100)).violations, []);
   assert.is(paused(span(-50, -1)).violations.length, 1, 'ended before the request');
-  assert.is(paused(span(0, 100), [RUN]).violations.length, 1, 'it ran');
+  assert.is(paused(span(0, 100), [RUN]).violations.length, 1, 'the request ran');
 });
 
 function stop(endedMs: number | undefined, how: number | string = 0): PlannedStop {
--- a/test/unit/direct-standin.test.ts
+++ b/test/unit/direct-standin.test.ts
@@ -257,7 +257,7 @@
   await start('--slots', '1', '--queue-length', '1', '--work-ms', '1000');
   const [one, two, three] = [await open(FIRST), await open(FIRST), await open(FIRST)];
   const answers = [one.query('a', 'READ k'), two.query('b', 'READ k')];
-  await until('one runs', async () => (await platform.instance(FIRST)).slotsInUse === 1);
+  await until('one statement runs', async () => (await platform.instance(FIRST)).slotsInUse === 1);
   assert.is(summarize(await three.query('c', 'READ k')), 'BUSY I');
   assert.is(summarize(await three.query('-', 'STATUS')), 'BUSY I');
   assert.equal((await Promise.all(answers)).map(summarize), ['signed I', 'signed I']);
@@ -293,11 +293,11 @@
   assert.is((await platform.newPrimary(SERVICE, FIRST)).term, 2);
   assert.is(summarize(await primary.query('a3', 'BEGIN')), '- T');
   await platform.set(`/groups/${SERVICE}/cuts`, { pairs: [] });
-  await until('the old primary gives up', async () => {
+  await until('the old primary steps down', async () => {
     return (await platform.instance(FIRST)).role === 'replica';
   });
   const other = await open(FIRST);
-  await until('it is not busy any more', async () => {
+  await until('the old primary is no longer busy', async () => {
     return summarize(await other.query('-', 'STATUS')) === '- I';
   });
   assert.is(summarize(await primary.query('a4', 'READ k')), 'READONLY E');
@@ -362,7 +362,7 @@
   await client.query('a1', 'WRITE k v');
   await platform.set(`/instances/${FIRST}/crash`);
   await client.closed;
-  await until('the entry is gone', async () => (await entryOf(FIRST)) === undefined);
+  await until('the registration is gone', async () => (await entryOf(FIRST)) === undefined);
   assert.is(await promote(FIRST), 409);
   assert.is(await promote(SECOND), 200);
   await platform.newPrimary(SERVICE, FIRST);
--- a/test/unit/direct/digest-exchange.test.ts
+++ b/test/unit/direct/digest-exchange.test.ts
@@ -14,8 +14,8 @@
 import type { PeerTransport, WireValue } from '../../../src/peer/contract.js';
 
 const NOW = 50_000;
-const ASK_MS = 400;
-const MOST_BYTES_PER_SECOND = 1024;
+const REQUEST_PERIOD_MS = 400;
+const MAX_BYTES_PER_SECOND = 1024;
 
 function entryOf(id: string): InstanceEntry {
   return { id, service: 'ledger' } as InstanceEntry;
@@ -53,7 +53,7 @@
     const large = { ageMs: 2400, answered: 1900, answerMs: 1234.5, waitMs: 99.9 };
     const message = encodeDigests(ids.map((id) => digestOf(id, large)));
     const bytes = encodeValue(message, 1_000_000).length;
-    assert.ok((bytes * 1000) / ASK_MS < MOST_BYTES_PER_SECOND, `${count}: ${bytes}`);
+    assert.ok((bytes * 1000) / REQUEST_PERIOD_MS < MAX_BYTES_PER_SECOND, `${count}: ${bytes}`);
   }
 });
 
--- a/test/unit/direct/fleet-placement.test.ts
+++ b/test/unit/direct/fleet-placement.test.ts
@@ -8,7 +8,7 @@
 import type { Logger } from '../../../src/observability/logger.js';
 import { seededRandom } from '../../support/random.js';
 
-const LOOK_MS = 100;
+const REFRESH_PERIOD_MS = 100;
 
 function world() {
   const state = { now: 10_000, isFleetViewAvailable: true };
@@ -45,7 +45,7 @@
           placement.observe(entry, { type: 'answered', answerMs });
         }
       }
-      state.now += LOOK_MS;
+      state.now += REFRESH_PERIOD_MS;
       placement.refresh([service]);
     }
   };
--- a/test/unit/direct/instance-pool.test.ts
+++ b/test/unit/direct/instance-pool.test.ts
@@ -87,7 +87,7 @@
     wanted = steps.reduce((sum, step) => sum + step, 0);
   }
   assert.equal(steps, [1, 1, 2, 4, 8]);
-  await until('the rest', () => instance.waiting.length === 4);
+  await until('the other openings', () => instance.waiting.length === 4);
   instance.takeAll();
   assert.ok((await Promise.all(acquired)).every((result) => result.isOk()));
   pool.destroy();
@@ -121,7 +121,7 @@
   assert.ok((await later).isErr());
   const server = createServer((socket) => socket.once('data', () => socket.write(READY)));
   server.listen(entry.port, entry.host);
-  await until('it is reached again', () => !pool.isUnreachable);
+  await until('the instance is reached again', () => !pool.isUnreachable);
   assert.ok((await pool.acquire(callerRequest())).isOk());
   pool.destroy();
   server.close();
@@ -228,7 +228,7 @@
     const waiting = Array.from({ length: 80 }, (_, index) =>
       acquire('one', { priority: index < 75 ? 0 : 1 }),
     );
-    await until('they wait', () => pool.waiting === 80);
+    await until('the statements wait', () => pool.waiting === 80);
     const late = acquire('one', { priority: 1, deadline: performance.now() + 500 });
     if (rules === undefined) {
       assert.is(pool.waiting, 81, 'it waits like the others');
--- a/test/unit/direct/relay-messages.test.ts
+++ b/test/unit/direct/relay-messages.test.ts
@@ -30,7 +30,7 @@
   return fc.record<Model>(model, { noNullPrototype: true });
 }
 
-function carried(value: unknown): unknown {
+function encodeAndDecode(value: unknown): unknown {
   return decodeValue(encodeValue(value, MAX_BYTES));
 }
 
@@ -94,10 +94,10 @@
 test('every message is decoded as it was sent', () => {
   fc.assert(
     fc.property(requests, commands, events, position, (request, command, event, at) => {
-      assert.equal(parseStreamRequest(carried(request)), request);
-      assert.equal(parseLeaseCommand(carried(command)), command);
-      assert.equal(parseLeaseEvent(carried(encodeLeaseEvent(event))), event);
-      assert.equal(parsePosition(carried(encodePosition(at))), at);
+      assert.equal(parseStreamRequest(encodeAndDecode(request)), request);
+      assert.equal(parseLeaseCommand(encodeAndDecode(command)), command);
+      assert.equal(parseLeaseEvent(encodeAndDecode(encodeLeaseEvent(event))), event);
+      assert.equal(parsePosition(encodeAndDecode(encodePosition(at))), at);
     }),
     SETTINGS,
   );
@@ -108,8 +108,8 @@
     fc.property(requests, (request) => {
       const { policy } = request;
       const weightless = { ...request, policy: { ...policy, queueWeight: 0 } };
-      assert.is(parseStreamRequest(carried(weightless)), undefined);
-      assert.is(parseStreamRequest(carried({ ...request, priority: -1 })), undefined);
+      assert.is(parseStreamRequest(encodeAndDecode(weightless)), undefined);
+      assert.is(parseStreamRequest(encodeAndDecode({ ...request, priority: -1 })), undefined);
     }),
     SETTINGS,
   );
--- a/test/unit/direct/relay.test.ts
+++ b/test/unit/direct/relay.test.ts
@@ -108,7 +108,7 @@
   const held = [await lease(), await lease()];
   assert.is(pool.waiting, 0);
   const waiting = [borrower.acquire({ priority: 2 }), borrower.acquire({ priority: 1 })];
-  await until('they wait at the owner', () => pool.waiting === 2);
+  await until('both requests wait at the owner', () => pool.waiting === 2);
   await owner(0).transport.close();
   for (const acquired of await Promise.all(waiting)) {
     const connection = acquired._unsafeUnwrap();
@@ -141,7 +141,7 @@
   synchronise(first, new Map([['tz', 'utc']]), prepared, lineWire);
   await answerTo(first, 'READ a');
   borrower.pool.release(first);
-  await until('the connection is back', () => owner(0).server.size === 0);
+  await until('the connection is returned', () => owner(0).server.size === 0);
   const second = await lease();
   assert.equal([...second.values], [['tz', 'utc']]);
   assert.equal([...second.preparedNames], ['p1']);
@@ -350,7 +350,7 @@
   const waiting = lease();
   for (const connection of held) borrower.pool.release(connection);
   borrower.pool.release(await waiting);
-  await until('all are back', () => owner(0).server.size === 0);
+  await until('all connections are returned', () => owner(0).server.size === 0);
   assert.is(instance.connectionCount, 2);
 });
 
@@ -431,7 +431,7 @@
   assert.not(borrower.health.isAvoided('owner-0'));
   // Frames arrive in order: the owner receives the cancellation before the next request.
   const next = read('READ next');
-  await until('the next one waits alone', () => pool.waiting === 1);
+  await until('only the next read waits', () => pool.waiting === 1);
   for (const connection of held) pool.release(connection);
   (await next)._unsafeUnwrap();
   assert.equal(
@@ -446,11 +446,11 @@
   const held = [await lease(), await lease()];
   const changed = new Cancellation();
   const waiting = borrower.acquire({ cancelledBy: [changed] });
-  await until('it waits at its owner', () => pool.waiting === 1);
+  await until('the request waits at its owner', () => pool.waiting === 1);
   changed.cancel();
   assert.ok((await waiting).isErr());
   assert.not(borrower.health.isAvoided('owner-0'));
-  await until('it has left', () => pool.waiting === 0);
+  await until('the request has left the queue', () => pool.waiting === 0);
   assert.ok((await borrower.acquire({ cancelledBy: [changed] })).isErr());
   for (const connection of held) borrower.pool.release(connection);
   borrower.pool.release(await lease());
--- a/test/unit/direct/statement-runner.test.ts
+++ b/test/unit/direct/statement-runner.test.ts
@@ -106,14 +106,14 @@
 
 test('a read whose only instance fails at once does not retry endlessly', async () => {
   let time = 0;
-  let openings = 0;
+  let connectAttempts = 0;
   const pool = {
     instance: { id: 'primary' },
     outstanding: 0,
     health: steadyHealth(),
     acquire: () => {
       time += 1;
-      openings += 1;
+      connectAttempts += 1;
       return Promise.resolve(err(new InstanceConnectError('refused', undefined)));
     },
   };
@@ -141,10 +141,10 @@
     session: { values: new Map(), lastWritten: undefined, inFlight: new InFlightStatements() },
   } as unknown as StatementRequest);
   assert.is(outcome.type, 'refused');
-  assert.ok(openings < TARGET_LATENCY_MS);
+  assert.ok(connectAttempts < TARGET_LATENCY_MS);
 });
 
-test('a write looks for an instance again if a change of primary ends during its pause', async () => {
+test('a statement looks for an instance again if a change of primary ends during its pause', async () => {
   const { runner, placement } = withoutLease(true);
   let isChanging = true;
   const view = { ...primaryView(true), isChanging: () => isChanging };
--- a/test/unit/direct/term-confirmation.test.ts
+++ b/test/unit/direct/term-confirmation.test.ts
@@ -20,8 +20,8 @@
   return { role, term: POSITION.timeline, received: POSITION, ...rest };
 }
 
-/** Every known member responds; `unseen` are ids of members without an address, undefined if members are unknown. */
-function confirmation(unseen: readonly string[] | undefined) {
+/** Every known member responds. `withoutAddress`: ids of members without an address, undefined if members are unknown. */
+function confirmation(withoutAddress: readonly string[] | undefined) {
   let queryCount = 0;
   const rounds = new TermConfirmation({
     control: {
@@ -32,7 +32,7 @@
     },
     classifyFailure: classifyBySystemCall,
     membersOf: () => [member(PRIMARY), member('replica')],
-    membersWithoutAddressOf: () => unseen,
+    membersWithoutAddressOf: () => withoutAddress,
     syncReplicasOf: () => 1,
     now: () => performance.now(),
     minRoundIntervalMs: 0,
--- a/test/unit/direct/transaction.test.ts
+++ b/test/unit/direct/transaction.test.ts
@@ -20,7 +20,7 @@
 
 /** Not reached even on a busy machine. */
 const DEADLINE_MS = 60_000;
-const PATIENCE_MS = 10;
+const LOST_AFTER_MS = 10;
 const ROUTE: RouteDescription = {
   ...{ name: 'lookup', database: 'lookup', service: 'ledger', consistency: 'bounded-staleness' },
   ...{ maxStalenessMs: 1500, timeoutMs: DEADLINE_MS, targetLatencyMs: 100, priority: 1 },
@@ -50,7 +50,7 @@
       ...{ cork: () => {}, uncork: () => {}, close: () => {} },
     } as unknown as InstanceConnection;
     const pool = {
-      ...{ instance: { id }, outstanding: 0, health: steadyHealth({ lostAfterMs: PATIENCE_MS }) },
+      ...{ instance: { id }, outstanding: 0, health: steadyHealth({ lostAfterMs: LOST_AFTER_MS }) },
       acquire: () => Promise.resolve(ok(connection)),
       release: () => {},
     };
--- a/test/unit/election.test.ts
+++ b/test/unit/election.test.ts
@@ -8,13 +8,13 @@
 import { loadHash64 } from '../../src/core/ownership/hash.js';
 
 const VOTE_MS = 1000;
-const REMEMBER_MS = 50_000;
+const RETENTION_MS = 50_000;
 const AUTHORITY_MS = 900;
 const LIST_LAG_MS = 5000;
 const SETS = [['a', 'b', 'c']];
 
 function voterStartedAt(startedAt: number): Voter {
-  return new Voter({ incarnationId: 'v#1', startedAt, voteMs: VOTE_MS, retentionMs: REMEMBER_MS });
+  return new Voter({ incarnationId: 'v#1', startedAt, voteMs: VOTE_MS, retentionMs: RETENTION_MS });
 }
 
 function voteFor(sequence: string, quietMs: number, voterSets = SETS): Vote {
@@ -71,7 +71,7 @@
 test('after a change of the machine list the voters of both lists count, and later only the new ones', async () => {
   const sets = new VoterSets(await loadHash64(), {
     maxMachineListLagMs: LIST_LAG_MS,
-    retentionMs: REMEMBER_MS,
+    retentionMs: RETENTION_MS,
   });
   const nodes = ['a', 'b', 'c', 'd'].map((nodeId) => ({ nodeId, zone: nodeId }));
   sets.setNodes(nodes, 1000);
--- a/test/unit/frame-batch.test.ts
+++ b/test/unit/frame-batch.test.ts
@@ -5,13 +5,13 @@
 
 const PAYLOAD = Buffer.alloc(100, 'x');
 const FRAME_BYTES = HEADER_BYTES + PAYLOAD.length;
-const REST_BYTES = 1024;
+const INITIAL_SLAB_BYTES = 1024;
 
 test('a link that sends one frame after an idle period holds little memory for it', () => {
   const batch = new FrameBatch();
   for (let round = 0; round < 3; round += 1) {
     batch.add(FrameType.PING, 0, PAYLOAD);
-    assert.is(batch.heldBytes, REST_BYTES);
+    assert.is(batch.heldBytes, INITIAL_SLAB_BYTES);
     batch.take();
     batch.release();
     assert.is(batch.heldBytes, 0);
--- a/test/unit/machine-list-agent.test.ts
+++ b/test/unit/machine-list-agent.test.ts
@@ -64,7 +64,7 @@
   read(agent, 0, 12, 'm0:leaving', 'm0:leaving');
   assert.equal(agent.replica.stamp, { epoch: 1, version: 12 });
   read(agent, 0, 12, 'm0:leaving', 'm0:leaving');
-  assert.is(agent.replica.stamp.epoch, 1, 'an entry that comes twice is no difference');
+  assert.is(agent.replica.stamp.epoch, 1, 'a repeated entry is not a difference');
 });
 
 function deltaOf(version: number, before: readonly string[], after: readonly string[]) {
--- a/test/unit/observability/logger.test.ts
+++ b/test/unit/observability/logger.test.ts
@@ -19,7 +19,7 @@
   const child = logger.child({ group: 'orders' });
   child.info('primary changed', { to: 'orders-2', from: undefined, lsn: 7n });
   child.debug('not shown', () => {
-    throw new Error('the fields are not asked for');
+    throw new Error('the fields must not be computed');
   });
   assert.equal(
     lines.map((line) => JSON.parse(line)),
--- a/test/unit/platform/store-calls.test.ts
+++ b/test/unit/platform/store-calls.test.ts
@@ -24,7 +24,7 @@
 const LONG_TIMEOUT_MS = 30_000;
 
 /** The counts after a run against a store with scripted responses. */
-async function tallied(
+async function countCalls(
   answer: (request: ScriptedRequest) => ScriptedAnswer,
   run: (store: KeyValueStore) => Promise<unknown>,
 ): Promise<Readonly<Record<string, number>>> {
@@ -62,7 +62,7 @@
 }
 
 const FOUND = { status: 200, json: { items: [], has_more: false, at_revision: 1 } };
-const NEWS = {
+const POLL_WITH_EVENT = {
   status: 200,
   json: {
     events: [{ private_key: 'server-groups/x', revision: 2, deleted: true }],
@@ -71,7 +71,7 @@
 };
 
 test('each call is counted by its kind, and by its outcome if it did not succeed', async () => {
-  const calls = await tallied(
+  const calls = await countCalls(
     ({ path }) => (path.startsWith('/v1/kv-range') ? FOUND : { status: 429 }),
     async (store) => {
       await store.range(CONFIGURATION_KEY);
@@ -93,11 +93,11 @@
 
 test('polls are counted when they end: answered, refused, or abandoned with their watch', async () => {
   let polls = 0;
-  const calls = await tallied(
+  const calls = await countCalls(
     ({ query }) => {
       if (query.get('path_prefix') === CONFIGURATION_KEY) return { status: 410 };
       polls += 1;
-      return polls === 1 ? NEWS : 'silent';
+      return polls === 1 ? POLL_WITH_EVENT : 'silent';
     },
     async (store) => {
       await firstAnswer(store, DIRECTORY_PREFIX);
--- a/test/unit/prober.test.ts
+++ b/test/unit/prober.test.ts
@@ -35,9 +35,9 @@
 test('a probe that times out while this process is stalled gets a short extension, once', () => {
   const prober = proberOf('a');
   const probe = prober.send('a', 1, 0);
-  assert.equal(prober.takeTimedOut(400), [], 'noticed 300 ms late: the answer may wait unread');
+  assert.equal(prober.takeTimedOut(400), [], 'noticed 300 ms late: the response may be unread');
   assert.is(prober.nextDueAt('a', 20), 420);
-  assert.equal(prober.takeTimedOut(500), [probe], 'late again: given up');
+  assert.equal(prober.takeTimedOut(500), [probe], 'late again: timed out');
 });
 
 test.run();
--- a/test/unit/promotion-gap.test.ts
+++ b/test/unit/promotion-gap.test.ts
@@ -8,9 +8,9 @@
 
 const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8];
 const STEP_MS = 10;
-const LONGEST_MS = 10_000;
+const MAX_GAP_MS = 10_000;
 
-function settled(seed: number): PromotionSimulation {
+function createSettledSimulation(seed: number): PromotionSimulation {
   const simulation = new PromotionSimulation({ seed });
   simulation.run(4000);
   return simulation;
@@ -19,7 +19,7 @@
 /** Cuts the first group's primary off from every node: it neither responds nor refuses connections. */
 function cutOffPrimary(simulation: PromotionSimulation): void {
   const { group, network, nodes } = simulation;
-  for (const { name } of nodes) network.cut(name, group.leader.id, LONGEST_MS);
+  for (const { name } of nodes) network.cut(name, group.leader.id, MAX_GAP_MS);
 }
 
 /** Virtual time until most nodes know the next primary. */
@@ -28,12 +28,12 @@
   const old = group.leader;
   const startedAt = clock.now;
   const hasEnded = (): boolean => {
-    const knowing = nodes.filter(({ machine, now }) => {
+    const informedNodes = nodes.filter(({ machine, now }) => {
       return machine?.primaryOf(group.service, now)?.id === group.leader.id;
     });
-    return group.leader !== old && knowing.length > nodes.length / 2;
+    return group.leader !== old && informedNodes.length > nodes.length / 2;
   };
-  while (!hasEnded() && clock.now - startedAt < LONGEST_MS) simulation.run(STEP_MS);
+  while (!hasEnded() && clock.now - startedAt < MAX_GAP_MS) simulation.run(STEP_MS);
   assert.equal(simulation.violations, []);
   return clock.now - startedAt;
 }
@@ -41,12 +41,12 @@
 /** The median of the gaps under all seeds. */
 function medianGapMs(injectFault: (simulation: PromotionSimulation) => void): number {
   const gaps = SEEDS.map((seed) => {
-    const simulation = settled(seed);
+    const simulation = createSettledSimulation(seed);
     injectFault(simulation);
     return gapMs(simulation);
   });
   gaps.sort((left, right) => left - right);
-  return gaps[SEEDS.length >> 1] ?? LONGEST_MS;
+  return gaps[SEEDS.length >> 1] ?? MAX_GAP_MS;
 }
 
 test('an unresponsive primary is not queried again, nor waited for', () => {
@@ -78,14 +78,14 @@
   const gap = medianGapMs((simulation) => {
     const { nodes, leader, network } = simulation;
     const follower = nodes.find((node) => node !== leader);
-    network.cut(follower?.name ?? '', 'store', LONGEST_MS);
+    network.cut(follower?.name ?? '', 'store', MAX_GAP_MS);
     cutOffPrimary(simulation);
   });
   assert.ok(gap < 2400);
 });
 
 test('the leader logs its primary change as finished, once', () => {
-  const simulation = settled(1);
+  const simulation = createSettledSimulation(1);
   simulation.group.crash(simulation.group.leader);
   simulation.run(2000);
   const lines = simulation.nodes.flatMap(({ log }) => log);
--- a/test/unit/unlisted-members.test.ts
+++ b/test/unit/unlisted-members.test.ts
@@ -40,7 +40,7 @@
   unlisted.updateInstances([entry('late')], 200);
   unlisted.applyRecord(SERVICE, removedMember);
   unlisted.updateInstances([], 300);
-  assert.equal(idsOf(unlisted), ['late'], 'the record may be older than its return');
+  assert.equal(idsOf(unlisted), ['late'], 'the record may be older than its registration');
 });
 
 test('a member whose log was taken over by a later instance at its address does not count', () => {
