--- a/test/unit/database-sql.test.ts
+++ b/test/unit/database-sql.test.ts
@@ -76,7 +76,7 @@
   return catalog;
 }
 
-test('defaults, serials and RETURNING', () => {
+test('an insert fills defaults and serials, and RETURNING returns the new row', () => {
   const catalog = sampleCatalog();
   const rows = query(
     catalog,
@@ -99,7 +99,7 @@
   assert.equal(names('id = ANY($1)', '{1,2}'), ['ink', 'pen']);
 });
 
-test('order, limit, offset and aggregates', () => {
+test('a query applies order, limit, offset and aggregates, and sorts NULL last', () => {
   const catalog = sampleCatalog();
   assert.equal(query(catalog, 'SELECT id FROM item ORDER BY id DESC LIMIT 1 OFFSET $1', 1), [[2]]);
   assert.equal(query(catalog, 'SELECT name FROM item ORDER BY price'), [['pen'], ['ink'], ['pad']]);
@@ -134,7 +134,7 @@
   }
 });
 
-test('timestamps are read with and without a time and an offset', () => {
+test('timestamps are parsed with and without a time and an offset', () => {
   const read = (text: string): Value[] =>
     query(new Catalog(), 'SELECT $1::timestamptz', parseValue('timestamptz', text)).flat();
   assert.equal(read('2023-12-31'), ['2023-12-31 00:00:00.000+00']);
@@ -144,7 +144,7 @@
   assert.throws(() => read('2023-13-31'));
 });
 
-test('ON CONFLICT', () => {
+test('ON CONFLICT ignores the insert or updates the existing row', () => {
   const catalog = sampleCatalog();
   query(catalog, "INSERT INTO item (name) VALUES ('pen') ON CONFLICT DO NOTHING");
   const update = `INSERT INTO item (name, price) VALUES ('ink', 3)
@@ -153,7 +153,7 @@
   assert.equal(query(catalog, 'SELECT count(*) FROM item'), [[3]]);
 });
 
-test('status functions', () => {
+test('status functions return the state of the instance, and a query of them alone needs no slot', () => {
   const catalog = new Catalog();
   const text = `SELECT pg_is_in_recovery(), (SELECT timeline_id FROM pg_control_checkpoint()),
     pg_last_wal_replay_lsn(), pg_last_wal_receive_lsn(),
@@ -168,7 +168,7 @@
   assert.is(needsSlot('SELECT pg_is_in_recovery(), now()'), true);
 });
 
-test('errors carry the SQLSTATE of PostgreSQL', () => {
+test('errors have the SQLSTATE of PostgreSQL', () => {
   const catalog = sampleCatalog();
   const stateOf = (text: string, ...parameters: Value[]): string | undefined =>
     sqlStateOf(() => query(catalog, text, ...parameters));
@@ -229,7 +229,7 @@
   assert.equal(query(catalog, 'SELECT count(*) FROM item'), [[3]]);
 });
 
-test('writers of one row wait for each other and a circle is refused', async () => {
+test('writers of one row wait for each other, and a deadlock is refused', async () => {
   const catalog = sampleCatalog();
   const { signal } = new AbortController();
   const first = catalog.begin();
@@ -239,8 +239,8 @@
   const blocked = (): unknown => run(catalog, second, 'UPDATE item SET price = 2 WHERE id = 1', []);
   assert.throws(blocked, (error: unknown) => error instanceof RowLockedSignal);
   const waiting = second.waitFor(first, signal);
-  const circle = await first.waitFor(second, signal).catch((error: unknown) => error);
-  assert.is(circle instanceof ServerError && circle.sqlState, '40P01');
+  const deadlock = await first.waitFor(second, signal).catch((error: unknown) => error);
+  assert.is(deadlock instanceof ServerError && deadlock.sqlState, '40P01');
   catalog.rollback(first);
   await waiting;
   blocked();
@@ -248,7 +248,7 @@
   assert.equal(query(catalog, 'SELECT price FROM item WHERE id < 3 ORDER BY id'), [[2], [1]]);
 });
 
-test('changes of a commit, applied elsewhere, give the same tables', () => {
+test('the changes of a commit give the same tables when applied to a replica', () => {
   const source = sampleCatalog();
   const replica = new Catalog();
   replica.restore(source.snapshot());
@@ -270,13 +270,13 @@
   assert.equal(query(replica, "INSERT INTO item (name) VALUES ('next') RETURNING id"), [[5]]);
 });
 
-test('texts are split into statements outside of quotes and comments', () => {
+test('texts are split into statements at semicolons outside of quotes and comments', () => {
   const text = `SELECT ';' /* a; b */; -- c;
     SELECT "x;y", 'it''s;' ;; `;
   assert.equal(splitStatements(text), ["SELECT ';'", `SELECT "x;y", 'it''s;'`]);
 });
 
-test('session statements', () => {
+test('session statements are parsed', () => {
   const parsed = parseStatements(
     "START TRANSACTION READ ONLY; SET LOCAL x.y TO 'a b'; ROLLBACK TO s; DISCARD ALL; SHOW search_path",
   );
@@ -289,7 +289,7 @@
   ]);
 });
 
-test('literals are taken out only where a parameter means the same', () => {
+test('literals are replaced by parameters only where the meaning stays the same', () => {
   assert.equal(parameterize("SELECT v1 FROM t2 WHERE id = 5 AND n = 'it''s' LIMIT 3"), {
     text: 'SELECT v1 FROM t2 WHERE id = $1 AND n = $2 LIMIT $3',
     types: ['int4', undefined, 'int4'],
--- a/test/unit/declaration.test.ts
+++ b/test/unit/declaration.test.ts
@@ -101,7 +101,7 @@
   assert.is(catalogueProblems(dangling).length, 2);
 });
 
-test('a default outside its own bounds is refused', () => {
+test("a default outside its parameter's bounds is refused", () => {
   const text = TEMPLATE_YAML.replace('default: 20', 'default: 200');
   assert.match(
     catalogueProblems(text)[0] ?? '',
--- a/test/unit/direct/service-runtime.test.ts
+++ b/test/unit/direct/service-runtime.test.ts
@@ -105,7 +105,7 @@
   assert.equal(readable(), ['i-1']);
 });
 
-test('a replica whose registration goes while the store is reachable is no longer read', () => {
+test('a replica whose registration is removed while the store is reachable is no longer read', () => {
   const { world, service } = setUp();
   world.isWell = true;
   service.setInstances([entry('i-1'), entry('i-2')]);
--- a/test/unit/fleet-view.test.ts
+++ b/test/unit/fleet-view.test.ts
@@ -46,7 +46,7 @@
   assert.equal(liveIds(view), ['listed']);
 });
 
-test('home nodes stay the same array until the machine list changes, and keep nodes that have gone', () => {
+test('home nodes stay the same array until the machine list changes, and keep nodes that left the list', () => {
   const view = viewOf(new Map());
   view.setMachines([proxyOf('one'), proxyOf('two')]);
   const before = view.homeNodes();
--- a/test/unit/machine-list.test.ts
+++ b/test/unit/machine-list.test.ts
@@ -12,7 +12,7 @@
   return (list.published().machines as Machine[]).map((machine) => machine.name);
 }
 
-test('a change becomes visible only after the lag', () => {
+test('a change becomes visible only after the propagation delay', () => {
   const list = new MachineList(1500);
   list.upsert(proxy('p1'), 0);
   assert.is(list.publishDue(1499), 1500);
@@ -22,7 +22,7 @@
   assert.is(list.version, 2);
 });
 
-test('a shorter lag lets no change overtake an earlier one', () => {
+test('with a shorter propagation delay no change becomes visible before an earlier one', () => {
   const list = new MachineList(1000);
   list.upsert(proxy('p1'), 0);
   list.setLag(0);
@@ -34,7 +34,7 @@
   assert.equal(publishedNames(list), ['p2']);
 });
 
-test('removing or marking an unknown machine is reported as an error', () => {
+test('removing or marking an unknown machine is refused', () => {
   const list = new MachineList(0);
   assert.is(list.remove({ role: 'proxy', name: 'p1' }, 0), false);
   assert.is(list.markLeaving({ role: 'database', name: 'p1' }, 0), false);
--- a/test/unit/topology.test.ts
+++ b/test/unit/topology.test.ts
@@ -41,7 +41,7 @@
   );
 });
 
-test('a group of one is its own majority', () => {
+test('a single instance is the majority of its group', () => {
   const topology = topologyOf({ a: state(true, 5, 9) });
   assert.equal(electPrimary(topology), { instance: 'a', timeline: 5 });
   assert.is(confirmedAt(topology, { instance: 'a', timeline: 5 }), Number.POSITIVE_INFINITY);
