--- a/test/unit/direct/pooled-status.test.ts
+++ b/test/unit/direct/pooled-status.test.ts
@@ -38,17 +38,17 @@
   return { instance, entry, pool, status, stop };
 }
 
-test('a question opens the connection that statements use afterwards', async () => {
+test('a status query opens the connection that statements use afterwards', async () => {
   const { instance, entry, pool, status, stop } = await setUp();
-  const told = await status.status(entry, LONG_MS);
-  assert.is(told.isOk() && told.value.role, 'replica');
+  const result = await status.status(entry, LONG_MS);
+  assert.is(result.isOk() && result.value.role, 'replica');
   assert.is(pool.size, 1);
   assert.ok((await pool.acquire(ownRequest(performance.now() + LONG_MS))).isOk());
   assert.is(instance.opened, 1);
   stop();
 });
 
-test('a question does not wait behind statements that hold every connection', async () => {
+test('a status query does not wait for statements that hold every connection', async () => {
   const { instance, entry, pool, status, stop } = await setUp();
   await pool.acquire(ownRequest(performance.now() + LONG_MS));
   assert.ok((await status.status(entry, LONG_MS)).isOk());
@@ -56,12 +56,12 @@
   stop();
 });
 
-test('an instance that takes no more connections is not tried by each question', async () => {
+test('an instance that accepts no more connections is not tried by each status query', async () => {
   const { instance, entry, status, stop } = await setUp();
   instance.isFull = true;
-  for (let question = 0; question < 5; question += 1) {
-    const told = await status.status(entry, LONG_MS);
-    const error = told.isErr() ? told.error : undefined;
+  for (let attempt = 0; attempt < 5; attempt += 1) {
+    const result = await status.status(entry, LONG_MS);
+    const error = result.isErr() ? result.error : undefined;
     assert.is(error instanceof InstanceControlError ? error.answer : '', 'connection-limit');
   }
   assert.is(instance.opened, 1);
--- a/test/unit/direct/relay-host.test.ts
+++ b/test/unit/direct/relay-host.test.ts
@@ -10,23 +10,23 @@
   ...{ readsAsked: 0, readsRun: 0, positionsTold: 0 },
 };
 
-test('owners are told as coming from the moment that they are named until they can be asked', async () => {
+test('owners are reported as pending from the publication of the roster until the links to them are ready', async () => {
   const host = new RelayHost({
     ...{ nodeName: 'n-1', listen: undefined, wire: lineWire, find: () => undefined },
     ...{ counters: { ...COUNTERS }, now: () => 0 },
   });
-  const told: boolean[] = [];
-  host.onChange = () => told.push(host.isPending);
+  const pendingStates: boolean[] = [];
+  host.onChange = () => pendingStates.push(host.isPending);
   assert.not(host.isPending);
   const nodes = [{ nodeId: 'n-2', zone: 'a', host: '127.0.0.1', port: 1 }];
   host.update({ ownersPerInstance: 2, nodes });
-  assert.equal([host.isPending, told], [true, [true]]);
+  assert.equal([host.isPending, pendingStates], [true, [true]]);
   await until('the relay', () => host.roster !== undefined);
-  assert.equal([host.isPending, told], [false, [true, false]]);
+  assert.equal([host.isPending, pendingStates], [false, [true, false]]);
   host.close();
 });
 
-test('a node that connects by itself is ready to lend to those that come back', async () => {
+test('a node that connects to instances itself prepares its links, and borrows once owners are in use', async () => {
   const host = new RelayHost({
     ...{ nodeName: 'n-1', listen: undefined, wire: lineWire, find: () => undefined },
     ...{ counters: { ...COUNTERS }, now: () => 0 },
@@ -48,7 +48,7 @@
   host.close();
 });
 
-test('a fleet without owners waits for none', () => {
+test('a fleet without owners has none pending', () => {
   const host = new RelayHost({
     ...{ nodeName: 'n-1', listen: undefined, wire: lineWire, find: () => undefined },
     ...{ counters: { ...COUNTERS }, now: () => 0 },
--- a/test/unit/direct/relay-messages.test.ts
+++ b/test/unit/direct/relay-messages.test.ts
@@ -30,7 +30,7 @@
   return fc.record<Model>(model, { noNullPrototype: true });
 }
 
-function carried(value: unknown): unknown {
+function encodeAndDecode(value: unknown): unknown {
   return decodeValue(encodeValue(value, MAX_BYTES));
 }
 
@@ -91,25 +91,25 @@
   }),
 );
 
-test('every message is taken as it was sent', () => {
+test('every message is decoded as it was sent', () => {
   fc.assert(
     fc.property(requests, commands, events, position, (request, command, event, at) => {
-      assert.equal(parseStreamRequest(carried(request)), request);
-      assert.equal(parseLeaseCommand(carried(command)), command);
-      assert.equal(parseLeaseEvent(carried(encodeLeaseEvent(event))), event);
-      assert.equal(parsePosition(carried(encodePosition(at))), at);
+      assert.equal(parseStreamRequest(encodeAndDecode(request)), request);
+      assert.equal(parseLeaseCommand(encodeAndDecode(command)), command);
+      assert.equal(parseLeaseEvent(encodeAndDecode(encodeLeaseEvent(event))), event);
+      assert.equal(parsePosition(encodeAndDecode(encodePosition(at))), at);
     }),
     SETTINGS,
   );
 });
 
-test('a request with a priority or a weight that nothing has is not taken', () => {
+test('a request with an impossible priority or weight is rejected', () => {
   fc.assert(
     fc.property(requests, (request) => {
       const { policy } = request;
       const weightless = { ...request, policy: { ...policy, queueWeight: 0 } };
-      assert.is(parseStreamRequest(carried(weightless)), undefined);
-      assert.is(parseStreamRequest(carried({ ...request, priority: -1 })), undefined);
+      assert.is(parseStreamRequest(encodeAndDecode(weightless)), undefined);
+      assert.is(parseStreamRequest(encodeAndDecode({ ...request, priority: -1 })), undefined);
     }),
     SETTINGS,
   );
@@ -133,15 +133,15 @@
   }
 }
 
-test('a message that lacks a field, or has one of another kind, is not taken', () => {
+test('a message that lacks a field, or has a field of another type, is rejected', () => {
   const request: StreamRequest = {
     ...{ type: 'read', service: 's', instanceId: 'i', tenant: 't', priority: 1, waitMs: 5 },
     policy: { queueWeight: 1, maxWaiting: 2, inFlightShare: 1, inFlightFloor: 1 },
     ...{ values: [['a', 'b']], message: 'm' },
     prepared: { access: 'read', shape: 'q', sharedName: 'p' },
   };
-  const told = { code: 'busy', text: '' };
-  const one = { payload: '', error: told, state: 'idle', position: { timeline: 1, lsn: '2' } };
+  const error = { code: 'busy', text: '' };
+  const one = { payload: '', error, state: 'idle', position: { timeline: 1, lsn: '2' } };
   const event = { type: 'answers', answers: [one] };
   assert.ok(parseStreamRequest(request));
   assert.ok(parseLeaseEvent(event));
--- a/test/unit/direct/term-confirmation.test.ts
+++ b/test/unit/direct/term-confirmation.test.ts
@@ -20,45 +20,45 @@
   return { role, term: POSITION.timeline, received: POSITION, ...rest };
 }
 
-/** Every known member responds; `unseen` are ids of members without an address, undefined if members are unknown. */
-function confirmation(unseen: readonly string[] | undefined) {
-  let asked = 0;
+/** Every known member responds. `withoutAddress`: ids of members without an address, undefined if members are unknown. */
+function confirmation(withoutAddress: readonly string[] | undefined) {
+  let queryCount = 0;
   const rounds = new TermConfirmation({
     control: {
       status: (instance) => {
-        asked += 1;
+        queryCount += 1;
         return okAsync(status(instance));
       },
     },
     classifyFailure: classifyBySystemCall,
     membersOf: () => [member(PRIMARY), member('replica')],
-    membersWithoutAddressOf: () => unseen,
+    membersWithoutAddressOf: () => withoutAddress,
     syncReplicasOf: () => 1,
     now: () => performance.now(),
     minRoundIntervalMs: 0,
     timeoutMs: 60_000,
   });
-  return { rounds, asked: () => asked };
+  return { rounds, queryCount: () => queryCount };
 }
 
-test('with all members known their answers prove the primary and a position', async () => {
+test('if all members are known their responses prove the primary and a position', async () => {
   const { rounds } = confirmation([]);
   assert.is(await rounds.confirm(SERVICE, PRIMARY, 'read'), true);
   assert.equal(await rounds.acknowledgedPosition(SERVICE), POSITION);
 });
 
-test('a member that can not be asked counts as silent', async () => {
+test('a member that cannot be queried counts as unresponsive', async () => {
   const { rounds } = confirmation(['left']);
   assert.is(await rounds.confirm(SERVICE, PRIMARY, 'read'), true);
   assert.is(await rounds.confirm(SERVICE, PRIMARY, 'commit'), false);
   assert.is(await rounds.acknowledgedPosition(SERVICE), undefined);
 });
 
-test('while nobody has told who the members are nothing is proven, and nobody is asked', async () => {
-  const { rounds, asked } = confirmation(undefined);
+test('while the members are unknown nothing is proven, and no member is queried', async () => {
+  const { rounds, queryCount } = confirmation(undefined);
   assert.is(await rounds.confirm(SERVICE, PRIMARY, 'read'), false);
   assert.is(await rounds.acknowledgedPosition(SERVICE), undefined);
-  assert.is(asked(), 0);
+  assert.is(queryCount(), 0);
 });
 
 test.run();
--- a/test/unit/direct/transaction.test.ts
+++ b/test/unit/direct/transaction.test.ts
@@ -20,7 +20,7 @@
 
 /** Not reached even on a busy machine. */
 const DEADLINE_MS = 60_000;
-const PATIENCE_MS = 10;
+const LOST_AFTER_MS = 10;
 const ROUTE: RouteDescription = {
   ...{ name: 'lookup', database: 'lookup', service: 'ledger', consistency: 'bounded-staleness' },
   ...{ maxStalenessMs: 1500, timeoutMs: DEADLINE_MS, targetLatencyMs: 100, priority: 1 },
@@ -38,19 +38,19 @@
 
 /** Two replicas. The first statement after BEGIN gets `firstAnswer`; later ones succeed. */
 function situation(mayRunAfterClose: boolean, firstAnswer: Promise<AnswerResult>) {
-  const asked: string[] = [];
+  const usedInstances: string[] = [];
   const replica = (id: string): InstanceRuntime => {
     const exchange = (message: string): Promise<AnswerResult> => {
       if (!message.includes('READ k')) return Promise.resolve(ok(ANSWER));
-      asked.push(id);
-      return asked.length === 1 ? firstAnswer : Promise.resolve(ok(ANSWER));
+      usedInstances.push(id);
+      return usedInstances.length === 1 ? firstAnswer : Promise.resolve(ok(ANSWER));
     };
     const connection = {
       ...{ values: new Map(), preparedNames: new Set(), closed: false, mayRunAfterClose, exchange },
       ...{ cork: () => {}, uncork: () => {}, close: () => {} },
     } as unknown as InstanceConnection;
     const pool = {
-      ...{ instance: { id }, outstanding: 0, health: steadyHealth({ lostAfterMs: PATIENCE_MS }) },
+      ...{ instance: { id }, outstanding: 0, health: steadyHealth({ lostAfterMs: LOST_AFTER_MS }) },
       acquire: () => Promise.resolve(ok(connection)),
       release: () => {},
     };
@@ -78,30 +78,30 @@
     session: { values: new Map(), lastWritten: undefined, inFlight: new InFlightStatements() },
     encode: () => lineWire.encodeStatement('s1', 'READ k', undefined),
   };
-  return { run: () => transaction.run(req), asked };
+  return { run: () => transaction.run(req), usedInstances };
 }
 
 const OWNER_LOST = err(new InstanceConnectionLostError('the leased connection ended', 'owner'));
 const INSTANCE_LOST = err(new InstanceConnectionLostError('the leased connection ended'));
 
-test('a first statement that an owner may still hand over is not begun again elsewhere', async () => {
+test('a transaction whose first statement the owner may still send is not restarted at another instance', async () => {
   for (const answer of [NEVER, Promise.resolve(OWNER_LOST)]) {
-    const { run, asked } = situation(true, answer);
+    const { run, usedInstances } = situation(true, answer);
     const outcome = await run();
     assert.is(outcome.type === 'refused' && outcome.refusal.code, 'aborted');
-    assert.is(asked.length, 1);
+    assert.is(usedInstances.length, 1);
   }
 });
 
-test('one that surely runs no more is begun again elsewhere', async () => {
+test('a transaction whose first statement provably no longer runs is restarted at another instance', async () => {
   const cases = [
     situation(false, NEVER),
     situation(false, Promise.resolve(INSTANCE_LOST)),
     situation(true, Promise.resolve(INSTANCE_LOST)),
   ];
-  for (const { run, asked } of cases) {
+  for (const { run, usedInstances } of cases) {
     assert.is((await run()).type, 'answered');
-    assert.equal(asked, ['replica-1', 'replica-2']);
+    assert.equal(usedInstances, ['replica-1', 'replica-2']);
   }
 });
 
--- a/test/unit/platform/directory-follower.test.ts
+++ b/test/unit/platform/directory-follower.test.ts
@@ -29,7 +29,7 @@
   open: boolean;
 }
 
-/** A store whose two prefixes the test answers. */
+/** A store whose responses for two prefixes the test sets. */
 class FakeStore implements Pick<Store, 'range' | 'watch'> {
   readonly ranges = new Map<string, RangeResponse | StoreError>();
   readonly reads: string[] = [];
@@ -64,29 +64,29 @@
   readonly store: FakeStore;
   readonly follower: DirectoryFollower;
   /** Notifications, in order. */
-  readonly told: string[];
+  readonly notifications: string[];
   readonly pauses: { readonly delayMs: number; run(): void }[];
   now: number;
 }
 
 function setUp(): Setup {
   const store = new FakeStore();
-  const told: string[] = [];
+  const notifications: string[] = [];
   const pauses: { delayMs: number; run(): void }[] = [];
-  const setup = { store, told, pauses, now: 0 };
+  const setup = { store, notifications, pauses, now: 0 };
   const follower = new DirectoryFollower({
     store: store as Pick<Store, 'range' | 'watch'> as Store,
     parseConfiguration,
     parseInstance,
     prefixes: { configurationKey: CONFIGURATION_KEY, instancePrefix: INSTANCE_KEY_PREFIX },
     handlers: {
-      onConfiguration: ({ version }) => told.push(`configuration ${version}`),
+      onConfiguration: ({ version }) => notifications.push(`configuration ${version}`),
       onInstances: (instances, changed) =>
-        told.push(`instances ${[...instances.keys()]} changed ${changed}`),
+        notifications.push(`instances ${[...instances.keys()]} changed ${changed}`),
       onConfigurationSkipped: ({ version, revision }) =>
-        told.push(`passed over ${version} at ${revision}`),
-      onInstanceRemoved: ({ id, revision }) => told.push(`removed ${id} at ${revision}`),
-      onProblem: (error: MeadowstackError) => told.push(error.code),
+        notifications.push(`skipped ${version} at ${revision}`),
+      onInstanceRemoved: ({ id, revision }) => notifications.push(`removed ${id} at ${revision}`),
+      onProblem: (error: MeadowstackError) => notifications.push(error.code),
     },
     clock: () => setup.now,
     schedule: (delayMs, run) => {
@@ -129,104 +129,108 @@
   return setup;
 }
 
-test('what is read first is told, and watched from the next revision on', async () => {
-  const { store, told, follower } = await started((one) => {
+test('the first range is reported, and watched from the next revision on', async () => {
+  const { store, notifications, follower } = await started((one) => {
     one.ranges.set(CONFIGURATION_KEY, { revision: 9, entries: [configuration(7, 4)] });
     one.ranges.set(INSTANCE_KEY_PREFIX, {
       revision: 12,
       entries: [item('servers/i-1', entry(), 5)],
     });
   });
-  assert.equal(told.sort(), ['configuration 7', 'instances i-1 changed i-1']);
+  assert.equal(notifications.sort(), ['configuration 7', 'instances i-1 changed i-1']);
   assert.equal(store.opened(CONFIGURATION_KEY), [10]);
   assert.equal(store.opened(INSTANCE_KEY_PREFIX), [13]);
   assert.is(follower.configuration()?.version, 7);
   assert.is(follower.instances().get('i-1')?.host, '10.0.0.1');
 });
 
-test('the configuration takes only a higher version', async () => {
-  const { store, told, follower } = await started((one) => {
+test('only a configuration of a higher version is accepted', async () => {
+  const { store, notifications, follower } = await started((one) => {
     one.ranges.set(CONFIGURATION_KEY, { revision: 9, entries: [configuration(7, 4)] });
   });
-  told.length = 0;
+  notifications.length = 0;
   const { handlers } = store.last(CONFIGURATION_KEY);
   handlers.onEvents([{ type: 'put', entry: configuration(6, 10) }], 10);
   handlers.onEvents([{ type: 'delete', key: CONFIGURATION_KEY, modRevision: 11 }], 11);
   handlers.onEvents([put(CONFIGURATION_KEY, '{"version":', 12)], 12);
   handlers.onEvents([put(`${CONFIGURATION_KEY}2`, { version: 99 }, 13)], 13);
-  assert.equal(told, ['MS-PLATFORM-DOCUMENT']);
+  assert.equal(notifications, ['MS-PLATFORM-DOCUMENT']);
   assert.is(follower.configuration()?.version, 7);
   handlers.onEvents([{ type: 'put', entry: configuration(11, 14) }], 14);
   handlers.onEvents([{ type: 'put', entry: configuration(12, 14) }], 14);
-  assert.equal(told.slice(1), ['configuration 11'], 'an event told twice is taken once');
+  assert.equal(notifications.slice(1), ['configuration 11'], 'a repeated event is accepted once');
 });
 
-test('a heartbeat is no change; another field is, and a removal tells its revision', async () => {
-  const { store, told } = await started((one) => {
+test('a heartbeat is not a change, a change of another field is, and a removal is reported with its revision', async () => {
+  const { store, notifications } = await started((one) => {
     const entries = [item('servers/i-1', entry(), 5), item('servers/i-2', entry(), 6)];
     one.ranges.set(INSTANCE_KEY_PREFIX, { revision: 12, entries });
   });
-  told.length = 0;
+  notifications.length = 0;
   const { handlers } = store.last(INSTANCE_KEY_PREFIX);
   handlers.onEvents([put('servers/i-1', entry({ sequence: 2 }), 13)], 13);
   handlers.onEvents([], 20);
-  assert.equal(told, []);
+  assert.equal(notifications, []);
   handlers.onEvents([put('servers/i-1', entry({ state: 'draining' }), 21)], 21);
   handlers.onEvents([{ type: 'delete', key: 'servers/i-2', modRevision: 22 }], 22);
-  assert.equal(told, [
+  assert.equal(notifications, [
     'instances i-1,i-2 changed i-1',
     'removed i-2 at 22',
     'instances i-1 changed i-2',
   ]);
 });
 
-test('an entry that turns malformed names no instance any more; events older than what is known are passed over', async () => {
-  const { store, told, follower } = await started((one) => {
+test('an instance whose entry becomes malformed is removed, and events older than the known revision are skipped', async () => {
+  const { store, notifications, follower } = await started((one) => {
     const entries = [item('servers/i-1', entry(), 15)];
     one.ranges.set(INSTANCE_KEY_PREFIX, { revision: 12, entries });
   });
-  told.length = 0;
+  notifications.length = 0;
   const { handlers } = store.last(INSTANCE_KEY_PREFIX);
   handlers.onEvents([put('servers/i-1', entry({ slots: 9 }), 13)], 13);
   handlers.onEvents([{ type: 'delete', key: 'servers/i-1', modRevision: 14 }], 14);
   handlers.onEvents([put('servers/i-1', 'junk', 16)], 16);
-  assert.equal(told, ['MS-PLATFORM-DOCUMENT', 'removed i-1 at 16', 'instances  changed i-1']);
+  assert.equal(notifications, [
+    'MS-PLATFORM-DOCUMENT',
+    'removed i-1 at 16',
+    'instances  changed i-1',
+  ]);
   handlers.onEvents([put('servers/i-1', entry(), 17)], 17);
   assert.is(follower.instances().get('i-1')?.slots, 3);
 });
 
-test('entries of another writer name no instance, and the others hold', async () => {
+test('malformed entries of another writer are ignored, and the others are used', async () => {
   const damaged = [
     ...['junk', '', '[]', entry({ service: 7 }), entry({ state: 'asleep' })],
     ...[entry({ database_role: 'king' }), entry({ address: 'nowhere' }), entry({ slots: -1 })],
     ...[entry({ born: 'long ago' }), entry({ born: 1.5 }), entry({ zone: null })],
     'x'.repeat(1024 * 1024),
   ];
-  const { follower, told } = await started((one) => {
+  const { follower, notifications } = await started((one) => {
     const entries = damaged.map((value, number) => item(`servers/d-${number}`, value, 5));
     const good = item('servers/i-1', entry(), 6);
     one.ranges.set(INSTANCE_KEY_PREFIX, { revision: 12, entries: [...entries, good] });
   });
   assert.equal([...follower.instances().keys()], ['i-1']);
-  assert.is(told.filter((line) => line === 'MS-PLATFORM-DOCUMENT').length, damaged.length);
+  assert.is(notifications.filter((line) => line === 'MS-PLATFORM-DOCUMENT').length, damaged.length);
 });
 
-test('an instance that starts again under its id is another one', async () => {
-  const { store, told, follower } = await started((one) => {
+test('an instance that restarts under its id is a new instance', async () => {
+  const { store, notifications, follower } = await started((one) => {
     const entries = [item('servers/i-1', entry({ born: 100, sequence: 40 }), 5)];
     one.ranges.set(INSTANCE_KEY_PREFIX, { revision: 12, entries });
   });
   const { handlers } = store.last(INSTANCE_KEY_PREFIX);
   const [first] = follower.instances().values();
-  told.length = 0;
+  notifications.length = 0;
   handlers.onEvents([put('servers/i-1', entry({ born: 100, sequence: 41 }), 13)], 13);
-  assert.equal(told, []);
+  assert.equal(notifications, []);
   handlers.onEvents([put('servers/i-1', entry({ born: 200, sequence: 1 }), 14)], 14);
   const [second] = follower.instances().values();
   assert.is(follower.instances().size, 1);
   assert.is.not(second?.id, first?.id);
   assert.is(second?.lifeOf, first?.lifeOf);
-  assert.is(told.length, 2);
+  assert.is(notifications.length, 2);
   // A late registration of the first incarnation changes nothing.
   handlers.onEvents([put('servers/i-1', entry({ born: 100, sequence: 42 }), 13)], 14);
   assert.equal([...follower.instances().keys()], [second?.id]);
@@ -234,7 +238,7 @@
   assert.is(follower.instances().size, 0);
 });
 
-test('a lost poll is sent again at once from where it was; the next failures back off', async () => {
+test('a lost poll is sent again at once from the same revision, and further failures back off', async () => {
   const { store, pauses } = await started(() => undefined);
   store.last(CONFIGURATION_KEY).handlers.onEvents([], 30);
   store.last(CONFIGURATION_KEY).handlers.onEnd(new StoreWatchEndedError('silent'), false);
@@ -242,10 +246,10 @@
   assert.equal(pauses, []);
   store.last(CONFIGURATION_KEY).handlers.onEnd(new StoreWatchEndedError('silent'), false);
   assert.is(store.opened(CONFIGURATION_KEY).length, 2, 'not before the pause');
-  assert.is(pauses[0]?.delayMs, 50, 'half of a ceiling that has doubled once');
+  assert.is(pauses[0]?.delayMs, 50, 'half of an upper bound that has doubled once');
   pauses[0]?.run();
   assert.equal(store.opened(CONFIGURATION_KEY), [2, 31, 31]);
-  assert.equal(store.reads, [CONFIGURATION_KEY, INSTANCE_KEY_PREFIX], 'nothing is read anew');
+  assert.equal(store.reads, [CONFIGURATION_KEY, INSTANCE_KEY_PREFIX], 'nothing is read again');
 });
 
 test('a refusal backs off at once', async () => {
@@ -255,13 +259,13 @@
   assert.is(pauses[0]?.delayMs, 25);
 });
 
-test('after history is gone the range is read anew; what vanished meanwhile is removed', async () => {
-  const { store, told } = await started((one) => {
+test('after a compaction the range is read again, and entries that are gone are removed', async () => {
+  const { store, notifications } = await started((one) => {
     const entries = [item('servers/i-1', entry(), 5), item('servers/i-2', entry(), 6)];
     one.ranges.set(INSTANCE_KEY_PREFIX, { revision: 12, entries });
     one.ranges.set(CONFIGURATION_KEY, { revision: 12, entries: [configuration(7, 4)] });
   });
-  told.length = 0;
+  notifications.length = 0;
   store.ranges.set(INSTANCE_KEY_PREFIX, {
     revision: 90,
     entries: [item('servers/i-2', entry({ sequence: 9 }), 80), item('servers/i-3', entry(), 85)],
@@ -270,7 +274,7 @@
   store.last(INSTANCE_KEY_PREFIX).handlers.onEnd(new StoreCompactedError(50), true);
   store.last(CONFIGURATION_KEY).handlers.onEnd(new StoreCompactedError(50), true);
   await settle();
-  assert.equal(told, [
+  assert.equal(notifications, [
     'MS-STORE-COMPACTED',
     'MS-STORE-COMPACTED',
     'removed i-1 at 90',
@@ -279,7 +283,7 @@
   assert.equal(store.opened(INSTANCE_KEY_PREFIX), [13, 91]);
 });
 
-test('a read that fails is repeated after a pause, and nothing is taken back', async () => {
+test('a failed read is repeated after a pause', async () => {
   const setup = await started((one) => {
     one.ranges.set(CONFIGURATION_KEY, new StoreUnavailableError('down'));
   });
@@ -290,7 +294,7 @@
   assert.is(setup.follower.configuration()?.version, 7);
 });
 
-test('what is known is confirmed as of the time its last answered call was sent', async () => {
+test('the known state is confirmed as of the time at which its last answered call was sent', async () => {
   const setup = setUp();
   setup.now = 100;
   setup.follower.start();
@@ -312,14 +316,14 @@
   assert.is(setup.follower.configurationConfirmedAt(), 2000, 'a lost poll confirms nothing');
 });
 
-test('a follower that was stopped tells nothing and holds no watch', async () => {
-  const { store, told, follower } = await started(() => undefined);
-  told.length = 0;
+test('a stopped follower reports nothing and has no open watch', async () => {
+  const { store, notifications, follower } = await started(() => undefined);
+  notifications.length = 0;
   const watch = store.last(CONFIGURATION_KEY);
   follower.stop();
   assert.not(watch.open);
   watch.handlers.onEvents([{ type: 'put', entry: configuration(8, 50) }], 50);
-  assert.equal(told, []);
+  assert.equal(notifications, []);
 });
 
 const FROM_PEER = {
@@ -331,14 +335,14 @@
   return { revision, instances: ids.map((id) => ({ ...FROM_PEER, id })), departed: [] };
 }
 
-test('what a peer tells stands in until the store answers, and the store binds', async () => {
-  const { store, told, follower, pauses } = await started((one) => {
+test('the report of a peer is used until the store responds, and then replaced', async () => {
+  const { store, notifications, follower, pauses } = await started((one) => {
     one.ranges.set(INSTANCE_KEY_PREFIX, new StoreUnavailableError('down'));
     one.ranges.set(CONFIGURATION_KEY, new StoreUnavailableError('down'));
   });
-  told.length = 0;
+  notifications.length = 0;
   follower.adoptInstances(fromPeer(20, ['i-2', 'i-3']));
-  assert.equal(told.splice(0), ['instances i-2,i-3 changed i-2,i-3']);
+  assert.equal(notifications.splice(0), ['instances i-2,i-3 changed i-2,i-3']);
   assert.is(follower.instancesConfirmedAt(), undefined);
   store.ranges.set(INSTANCE_KEY_PREFIX, {
     revision: 22,
@@ -349,25 +353,25 @@
   assert.equal([...follower.instances().keys()], ['i-1']);
 });
 
-test('a snapshot that is no newer than what is known changes nothing', async () => {
-  const { told, follower } = await started((one) => {
+test('a snapshot that is not newer than the known state changes nothing', async () => {
+  const { notifications, follower } = await started((one) => {
     one.ranges.set(CONFIGURATION_KEY, { revision: 9, entries: [configuration(7, 4)] });
     one.ranges.set(INSTANCE_KEY_PREFIX, {
       revision: 12,
       entries: [item('servers/i-1', entry(), 5)],
     });
   });
-  told.length = 0;
+  notifications.length = 0;
   follower.adoptInstances(fromPeer(12, ['i-2']));
   follower.adoptConfiguration({ version: 7, text: configuration(7, 4).value });
   follower.adoptConfiguration({ version: 9, text: configuration(6, 4).value });
-  assert.equal(told, []);
+  assert.equal(notifications, []);
   follower.adoptConfiguration({ version: 8, text: configuration(8, 4).value });
-  assert.equal(told, ['configuration 8']);
+  assert.equal(notifications, ['configuration 8']);
   assert.equal([...follower.instances().keys()], ['i-1']);
 });
 
-test('what the store tells right after its return from a copy proves nothing of the newest configuration', async () => {
+test('responses right after the restore of the store from a backup do not prove that the configuration is current', async () => {
   const setup = await started((one) => {
     one.ranges.set(CONFIGURATION_KEY, { revision: 9, entries: [configuration(7, 4)] });
   });
@@ -379,7 +383,7 @@
   assert.is(answerAt(1000), 1000);
   setup.now = 5000;
   follower.handleStoreRestore();
-  assert.is(answerAt(4900), 1000, 'asked before the return was heard of');
+  assert.is(answerAt(4900), 1000, 'sent before the restore was known');
   assert.is(answerAt(7000), 1000, 'the operator may not have written again');
   assert.is(answerAt(7500), 7500);
 });
--- a/test/unit/platform/shared-watch.test.ts
+++ b/test/unit/platform/shared-watch.test.ts
@@ -8,13 +8,14 @@
 import { MemoryStore } from '../../support/memory-store.js';
 
 class Listener implements WatchHandlers {
-  readonly heard: string[] = [];
+  readonly receivedKeys: string[] = [];
   readonly ends: boolean[] = [];
   currentAt: number | undefined;
 
   onEvents(...[events, _revision, currentAt]: Parameters<WatchHandlers['onEvents']>): void {
     this.currentAt = currentAt;
-    for (const event of events) this.heard.push(event.type === 'put' ? event.entry.key : event.key);
+    for (const event of events)
+      this.receivedKeys.push(event.type === 'put' ? event.entry.key : event.key);
   }
 
   onEnd(_error: Error, compacted: boolean): void {
@@ -29,7 +30,7 @@
 };
 const joined = (): Promise<void> => Promise.resolve();
 
-test('two prefixes are followed by one watch, and a third that begins otherwise by its own', async () => {
+test('two prefixes share one watch, and a third with a different beginning has its own', async () => {
   const store = new MemoryStore();
   const shared = new SharedWatchStore(store, 'ab', () => now);
   const [first, second, other] = [new Listener(), new Listener(), new Listener()];
@@ -39,10 +40,13 @@
   await joined();
   assert.is(store.watchCount, 2);
   for (const key of ['ab1/x', 'ab2/y', 'ab3/z', 'c/w']) await put(store, key);
-  assert.equal([first.heard, second.heard, other.heard], [['ab1/x'], ['ab2/y'], ['c/w']]);
+  assert.equal(
+    [first.receivedKeys, second.receivedKeys, other.receivedKeys],
+    [['ab1/x'], ['ab2/y'], ['c/w']],
+  );
 });
 
-test('one that joins from an earlier revision misses nothing, and nobody hears anything twice', async () => {
+test('a listener that joins from an earlier revision misses no event, and no listener receives an event twice', async () => {
   const store = new MemoryStore();
   const shared = new SharedWatchStore(store, 'ab', () => now);
   const [first, second] = [new Listener(), new Listener()];
@@ -54,11 +58,11 @@
   await joined();
   assert.is(store.watchCount, 1);
   await put(store, 'ab2/z');
-  assert.equal(first.heard, ['ab2/x', 'ab2/y', 'ab2/z']);
-  assert.equal(second.heard, ['ab2/y', 'ab2/z']);
+  assert.equal(first.receivedKeys, ['ab2/x', 'ab2/y', 'ab2/z']);
+  assert.equal(second.receivedKeys, ['ab2/y', 'ab2/z']);
 });
 
-test('one that joins and knows what was told shares the poll that is out, and its age', async () => {
+test('a listener that joins with the current revision shares the poll in flight, and its age', async () => {
   const store = new MemoryStore();
   const shared = new SharedWatchStore(store, 'ab', () => now);
   const [first, second, third] = [new Listener(), new Listener(), new Listener()];
@@ -71,15 +75,15 @@
   assert.is(store.watchesOpened, 1);
   now = 1600;
   await put(store, 'ab2/x');
-  assert.equal([second.heard, second.currentAt], [['ab2/x'], 1000], 'asked before it joined');
+  assert.equal([second.receivedKeys, second.currentAt], [['ab2/x'], 1000], 'sent before it joined');
   now = 1700;
   await put(store, 'ab2/y');
   assert.is(second.currentAt, 1600);
   shared.watch('ab', 2, third);
   await joined();
-  assert.is(store.watchesOpened, 2, 'it lacks what was told');
+  assert.is(store.watchesOpened, 2, 'it lacks events that were reported');
   assert.equal(
-    [third.heard, second.heard],
+    [third.receivedKeys, second.receivedKeys],
     [
       ['ab2/x', 'ab2/y'],
       ['ab2/x', 'ab2/y'],
@@ -87,7 +91,7 @@
   );
 });
 
-test('all are told when it ends, and the last one to leave closes it', async () => {
+test('all listeners are notified when the watch ends, and the last one to leave closes it', async () => {
   const store = new MemoryStore();
   const shared = new SharedWatchStore(store, 'ab', () => now);
   const [first, second] = [new Listener(), new Listener()];
@@ -105,7 +109,7 @@
   assert.is(store.watchCount, 0);
 });
 
-test("instances and the nodes' records begin alike, so that one poll follows both", () => {
+test('the keys of instances and node records share a prefix, so that one poll covers both', () => {
   assert.ok(INSTANCE_KEY_PREFIX.startsWith(DIRECTORY_PREFIX));
   assert.ok(RECORD_PREFIX.startsWith(DIRECTORY_PREFIX));
 });
--- a/test/unit/promotion-gap.test.ts
+++ b/test/unit/promotion-gap.test.ts
@@ -1,6 +1,6 @@
 /**
  * How long writes can't succeed when a primary fails, in virtual time and under fixed seeds: each bound
- * is exceeded without the part of the promotion machine that the test's name tells of.
+ * is exceeded without the part of the promotion state machine that the test's title names.
  */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -8,55 +8,55 @@
 
 const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8];
 const STEP_MS = 10;
-const LONGEST_MS = 10_000;
+const MAX_GAP_MS = 10_000;
 
-function settled(seed: number): PromotionSimulation {
+function createSettledSimulation(seed: number): PromotionSimulation {
   const simulation = new PromotionSimulation({ seed });
   simulation.run(4000);
   return simulation;
 }
 
-/** Cuts the first group's primary off from every node: it answers nothing, and refuses nothing. */
-function darken(simulation: PromotionSimulation): void {
+/** Cuts the first group's primary off from every node: it neither responds nor refuses connections. */
+function cutOffPrimary(simulation: PromotionSimulation): void {
   const { group, network, nodes } = simulation;
-  for (const { name } of nodes) network.cut(name, group.leader.id, LONGEST_MS);
+  for (const { name } of nodes) network.cut(name, group.leader.id, MAX_GAP_MS);
 }
 
 /** Virtual time until most nodes know the next primary. */
 function gapMs(simulation: PromotionSimulation): number {
   const { group, nodes, clock } = simulation;
   const old = group.leader;
-  const begunAt = clock.now;
-  const isOver = (): boolean => {
-    const knowing = nodes.filter(({ machine, now }) => {
+  const startedAt = clock.now;
+  const hasEnded = (): boolean => {
+    const informedNodes = nodes.filter(({ machine, now }) => {
       return machine?.primaryOf(group.service, now)?.id === group.leader.id;
     });
-    return group.leader !== old && knowing.length > nodes.length / 2;
+    return group.leader !== old && informedNodes.length > nodes.length / 2;
   };
-  while (!isOver() && clock.now - begunAt < LONGEST_MS) simulation.run(STEP_MS);
+  while (!hasEnded() && clock.now - startedAt < MAX_GAP_MS) simulation.run(STEP_MS);
   assert.equal(simulation.violations, []);
-  return clock.now - begunAt;
+  return clock.now - startedAt;
 }
 
-/** The middle one of the gaps under all seeds. */
-function medianGapMs(strike: (simulation: PromotionSimulation) => void): number {
+/** The median of the gaps under all seeds. */
+function medianGapMs(injectFault: (simulation: PromotionSimulation) => void): number {
   const gaps = SEEDS.map((seed) => {
-    const simulation = settled(seed);
-    strike(simulation);
+    const simulation = createSettledSimulation(seed);
+    injectFault(simulation);
     return gapMs(simulation);
   });
   gaps.sort((left, right) => left - right);
-  return gaps[SEEDS.length >> 1] ?? LONGEST_MS;
+  return gaps[SEEDS.length >> 1] ?? MAX_GAP_MS;
 }
 
-test('a silent primary is not asked once more, nor waited for', () => {
-  assert.ok(medianGapMs(darken) < 1600);
+test('an unresponsive primary is not queried again, nor waited for', () => {
+  assert.ok(medianGapMs(cutOffPrimary) < 1600);
 });
 
-test('a new leader looks at the primary at once', () => {
+test('a new leader probes the primary at once', () => {
   const gap = medianGapMs((simulation) => {
     const { leader } = simulation;
-    darken(simulation);
+    cutOffPrimary(simulation);
     leader?.kill();
     simulation.run(300);
     leader?.start();
@@ -64,28 +64,28 @@
   assert.ok(gap < 1350);
 });
 
-test('nodes notice soon that the store is back', () => {
+test('nodes notice soon that the store is reachable again', () => {
   const gap = medianGapMs((simulation) => {
     simulation.store.goDown(5000, true);
     simulation.run(4800);
-    darken(simulation);
+    cutOffPrimary(simulation);
     simulation.run(200);
   });
   assert.ok(gap < 1700);
 });
 
-test('a node that is cut off from the store holds a change up for no longer than its lease', () => {
+test('a node that is cut off from the store delays a primary change for no longer than its lease', () => {
   const gap = medianGapMs((simulation) => {
     const { nodes, leader, network } = simulation;
     const follower = nodes.find((node) => node !== leader);
-    network.cut(follower?.name ?? '', 'store', LONGEST_MS);
-    darken(simulation);
+    network.cut(follower?.name ?? '', 'store', MAX_GAP_MS);
+    cutOffPrimary(simulation);
   });
   assert.ok(gap < 2400);
 });
 
-test('the leader knows that its change is finished', () => {
-  const simulation = settled(1);
+test('the leader logs its primary change as finished, once', () => {
+  const simulation = createSettledSimulation(1);
   simulation.group.crash(simulation.group.leader);
   simulation.run(2000);
   const lines = simulation.nodes.flatMap(({ log }) => log);
