--- a/bench/demo/direct.ts
+++ b/bench/demo/direct.ts
@@ -42,7 +42,7 @@
   const killedAt = monotonicMs();
   await cluster.platform.set(`/instances/${PRIMARY}/crash`);
   tell(`the primary ${PRIMARY} crashed`);
-  const primary = await cluster.platform.newPrimary(SERVICE, PRIMARY);
+  const primary = await cluster.platform.waitForNewPrimary(SERVICE, PRIMARY);
   tell(`${primary.id} leads term ${primary.term}`);
   await pause(AFTER_MS);
   await Promise.all(clients.map((client) => client.stop()));
--- a/bench/soak/configuration.ts
+++ b/bench/soak/configuration.ts
@@ -1,12 +1,9 @@
 /** The operator's configuration in a soak: one change after the other, and what was acknowledged of it. */
 import type { Milliseconds } from '../../src/core/units.js';
-import {
-  type ConfigurationProbe,
-  checkConfigurationKept,
-} from '../../test/support/direct-answers.js';
+import { type ConfigurationProbe, checkServedRoutes } from '../../test/support/direct-answers.js';
 import { type DirectCluster, ROUTES, type TestRoute } from '../../test/support/direct-cluster.js';
 import type { DirectGatewayProcess } from '../../test/support/direct-process.js';
-import { startCode } from '../../test/support/line-client.js';
+import { startErrorCode } from '../../test/support/line-client.js';
 import { until } from '../../test/support/until.js';
 import { ControlCallError } from '../harness/control-client.js';
 import type { ConfigurationChange } from './planned-schedule.js';
@@ -94,7 +91,7 @@
     let lacking: readonly string[] = [];
     const look = async (): Promise<boolean> => {
       const probes = await Promise.all(this.cluster.gateways.map((one) => this.#probe(one)));
-      lacking = checkConfigurationKept(probes.flat()).map(({ detail }) => detail);
+      lacking = checkServedRoutes(probes.flat()).map(({ detail }) => detail);
       return lacking.length === 0 && probes.every((one) => one.length > 0);
     };
     try {
@@ -131,7 +128,7 @@
       return await Promise.all(
         [...databases].map(async (database) => ({
           ...{ gateway: gateway.name, database, isExpected: expected.includes(database) },
-          code: await startCode(gateway.callersPort, database),
+          code: await startErrorCode(gateway.callersPort, database),
         })),
       );
     } catch {
--- a/bench/soak/round.ts
+++ b/bench/soak/round.ts
@@ -3,7 +3,7 @@
 import type { Milliseconds } from '../../src/core/units.js';
 import { monotonicMs } from '../../standins/direct/monotonic.js';
 import type { DirectLog } from '../../standins/direct/run-log.js';
-import { checkOwedAnswers, checkPlannedStops } from '../../test/support/direct-answers.js';
+import { checkPlannedStops, checkUnansweredRequests } from '../../test/support/direct-answers.js';
 import { DirectCluster } from '../../test/support/direct-cluster.js';
 import {
   type ClientStatement,
@@ -62,9 +62,9 @@
 ): Promise<RoundResult> {
   const startedAt = performance.now();
   const cluster = await DirectCluster.start({
-    ...{ gateways, cuttable: true, looksWhetherTaken: true, routes: FIRST_ROUTES },
+    ...{ gateways, cuttable: true, detectsUnreadRequests: true, routes: FIRST_ROUTES },
     gatewayFlags: schedule.hasOwners ? ['--largest-direct-fleet', '1'] : [],
-    ...{ flags: SERVICE_FLAGS, keptOutput: Number.POSITIVE_INFINITY },
+    ...{ flags: SERVICE_FLAGS, maxOutputCharacters: Number.POSITIVE_INFINITY },
   });
   try {
     const played = await new Round(cluster, schedule).play();
@@ -146,7 +146,7 @@
   #judge(log: DirectLog): readonly string[] {
     const { statements } = this.cluster.recorder;
     const { conditions } = this.#conditions;
-    const owed = checkOwedAnswers(statements, log.runs, conditions);
+    const owed = checkUnansweredRequests(statements, log.runs, conditions);
     const violations = [
       ...this.#injector.violations,
       ...checkDirectHistory(statements, log),
@@ -156,7 +156,7 @@
     this.#findings.push(
       ...violations.map((violation) => ({ type: 'violation', violation }) as const),
     );
-    for (const { name, process: child } of this.cluster.lives) {
+    for (const { name, process: child } of this.cluster.startedProcesses) {
       if (child.exitCode === null || child.exitCode === 0) continue;
       const how = String(child.exitCode);
       this.#findings.push({ type: 'ended-by-itself', gateway: name, how });
@@ -172,7 +172,7 @@
 
   /** What each gateway wrote, and what the clients and the operator saw. */
   #logs(log: DirectLog): ReadonlyMap<string, string> {
-    const outputs = this.cluster.lives.map(
+    const outputs = this.cluster.startedProcesses.map(
       ({ name, output }, life) => [`${name}-life-${life + 1}`, output()] as const,
     );
     const lost = this.cluster.recorder.statements.filter((one) => one.lost !== undefined);
--- a/test/integration/cluster/answers.test.ts
+++ b/test/integration/cluster/answers.test.ts
@@ -11,9 +11,9 @@
 import {
   connectCaller,
   GROUP,
-  PATIENT_LINKS,
-  PATIENT_PROBES,
-  STEADY_GROUPS,
+  GROUPS_WITHOUT_ELECTIONS,
+  LONG_HEARTBEAT_FLAG,
+  LONG_PROBE_TIMEOUT_FLAG,
   startSmallCluster,
   type TestCaller,
 } from '../../support/cluster.js';
@@ -36,8 +36,8 @@
 
 test.before(async (context) => {
   context.cluster = await startSmallCluster({
-    groups: STEADY_GROUPS,
-    proxyFlags: [PATIENT_LINKS, PATIENT_PROBES],
+    groups: GROUPS_WITHOUT_ELECTIONS,
+    proxyFlags: [LONG_HEARTBEAT_FLAG, LONG_PROBE_TIMEOUT_FLAG],
   });
   const { client } = await connectCaller(context.cluster, 'proxy-1');
   await client.query('CREATE TABLE orders (id int PRIMARY KEY, state text)');
--- a/test/integration/cluster/configuration-faults.test.ts
+++ b/test/integration/cluster/configuration-faults.test.ts
@@ -23,12 +23,12 @@
 import { Publisher } from '../../../src/node/configuration/publisher.js';
 import { DEFAULT_STORE_CLIENT_OPTIONS, StoreClient } from '../../../src/platform/store-client.js';
 import {
-  allHeard,
   GROUP,
-  inForce,
   startSmallCluster,
   statusOf,
   TENANT,
+  waitForMembership,
+  waitForRevision,
 } from '../../support/cluster.js';
 import { until } from '../../support/until.js';
 
@@ -163,14 +163,14 @@
   );
   const revisions = [...accepted.values()];
   assert.is(new Set(revisions).size, revisions.length, 'no two publishes share a revision');
-  await inForce(cluster, Math.max(...revisions));
+  await waitForRevision(cluster, Math.max(...revisions));
   assertNotReverted(context);
 });
 
 test('relays that are paused hold up nobody else and come back to the newest', async (context) => {
   const { cluster, recorder } = context;
   // silent-from-start.test.ts covers relays that become silent before any node heard from them.
-  await allHeard(cluster, NODES);
+  await waitForMembership(cluster, NODES);
   await relaysKnown(context);
   const { relays } = recorder;
   const others = NODES.filter((nodeId) => !relays.includes(nodeId));
@@ -181,9 +181,9 @@
   let second: number;
   try {
     const first = await publish(context, 3001);
-    await inForce(cluster, first, others);
+    await waitForRevision(cluster, first, others);
     second = await publish(context, 3002);
-    await inForce(cluster, second, others);
+    await waitForRevision(cluster, second, others);
   } finally {
     // The next tests need all proxies running, also if this test fails.
     for (const relay of relays) {
@@ -191,7 +191,7 @@
       recorder.proxyStarted(relay);
     }
   }
-  await inForce(cluster, second);
+  await waitForRevision(cluster, second);
   assertNotReverted(context);
 });
 
@@ -202,7 +202,7 @@
   test(`a proxy that restarts while the store is ${name} never shows an older version`, async (context) => {
     const { cluster, recorder } = context;
     const revision = await publish(context, name === 'down' ? 4001 : 4002);
-    await inForce(cluster, revision);
+    await waitForRevision(cluster, revision);
     await cluster.store.setFaults(faults);
     for (const nodeId of NODES) {
       const { zone, kill } = cluster.proxy(nodeId);
--- a/test/integration/cluster/configuration.test.ts
+++ b/test/integration/cluster/configuration.test.ts
@@ -3,7 +3,13 @@
 import * as assert from 'uvu/assert';
 import { type Cluster, tenantYaml } from '../../../bench/harness/cluster.js';
 import type { TestCaller } from '../../support/cluster.js';
-import { connectCaller, GROUP, inForce, startSmallCluster, TENANT } from '../../support/cluster.js';
+import {
+  connectCaller,
+  GROUP,
+  startSmallCluster,
+  TENANT,
+  waitForRevision,
+} from '../../support/cluster.js';
 
 const test = suite<{ cluster: Cluster }>('configuration in force');
 
@@ -46,7 +52,7 @@
   assert.is(survivors.filter((survived) => survived).length, 1);
   await Promise.all(callers.map((caller) => caller.client.end()));
   // Otherwise a proxy's share could still be lowered, which would end a caller of the next test.
-  await inForce(cluster, await cluster.publishTexts([tenantYaml(tenant)]));
+  await waitForRevision(cluster, await cluster.publishTexts([tenantYaml(tenant)]));
 });
 
 test('revoked access ends open sessions on every proxy, also inside a transaction', async ({
--- a/test/integration/cluster/departures.test.ts
+++ b/test/integration/cluster/departures.test.ts
@@ -9,9 +9,9 @@
 import type { History } from '../../../bench/history/model.js';
 import { nowMs } from '../../../bench/load/clock.js';
 import type { RunRecorder } from '../../../bench/recorders/run-recorder.js';
-import { PATIENT_LINKS } from '../../support/cluster.js';
+import { LONG_HEARTBEAT_FLAG } from '../../support/cluster.js';
 import {
-  assertPromisesKept,
+  assertNoViolations,
   LOADED_GROUP,
   loadUnderFault,
   startLoadedCluster,
@@ -35,7 +35,7 @@
     seed: 3,
     electionTimeoutMs: ELECTION_TIMEOUT_MS,
     // A proxy that leaves closes its links: nothing here shows by their silence.
-    proxyFlags: [PATIENT_LINKS],
+    proxyFlags: [LONG_HEARTBEAT_FLAG],
   });
 });
 
@@ -65,7 +65,7 @@
 function assertNoLateWork(history: History): void {
   assert.is(history.leavings.length, 1);
   assert.equal(checkLeaving(history, GRACE_MS), []);
-  assertPromisesKept(history);
+  assertNoViolations(history);
 }
 
 test('a leaving replica gets no new work', async ({ cluster }) => {
@@ -78,9 +78,13 @@
       const primary = await group.waitForPrimary();
       const replica = group.instances.find(({ name }) => name !== primary.name);
       assert.ok(replica);
-      await progress.more(5, 'replica reads', ({ servedBy }) => servedBy === 'replica');
+      await progress.waitForRecords(5, 'replica reads', ({ servedBy }) => servedBy === 'replica');
       await observeLeaving(cluster, replica.name, recorder, () => {
-        return progress.more(20, 'replica reads', ({ servedBy }) => servedBy === 'replica');
+        return progress.waitForRecords(
+          20,
+          'replica reads',
+          ({ servedBy }) => servedBy === 'replica',
+        );
       });
       assert.is((await group.state(replica.name)).role, 'replica', 'no election meanwhile');
     },
@@ -98,10 +102,10 @@
       const primary = await group.waitForPrimary();
       const successor = group.instances.find(({ name }) => name !== primary.name);
       assert.ok(successor);
-      await progress.writesDone(WRITES_BETWEEN);
+      await progress.waitForWrites(WRITES_BETWEEN);
       await observeLeaving(cluster, primary.name, recorder, async () => {
         await group.promote(successor.name);
-        await progress.writesDone(WRITES_BETWEEN);
+        await progress.waitForWrites(WRITES_BETWEEN);
       });
     },
   });
@@ -118,7 +122,7 @@
     deadlineMs: DEADLINE_MS,
     fault: async (progress, recorder) => {
       for (const { nodeId, zone, stop } of [...cluster.proxies.values()]) {
-        await progress.writesDone(WRITES_BETWEEN);
+        await progress.waitForWrites(WRITES_BETWEEN);
         const requestedAt = nowMs();
         recorder.proxyStopped(nodeId);
         const exitCode = (await stop()) ?? undefined;
@@ -126,11 +130,11 @@
         await cluster.startProxy({ nodeId, zone });
         recorder.proxyStarted(nodeId);
       }
-      await progress.writesDone(WRITES_BETWEEN);
+      await progress.waitForWrites(WRITES_BETWEEN);
     },
   });
   assert.is(history.plannedStops.length, 3);
-  assertPromisesKept(history);
+  assertNoViolations(history);
   const lost = history.requests.filter(({ outcome, errorCode }) => {
     return outcome === 'unknown' || errorCode === 'MS-TRANSACTION-ABORTED';
   });
--- a/test/integration/cluster/lost-position.test.ts
+++ b/test/integration/cluster/lost-position.test.ts
@@ -3,7 +3,7 @@
 import * as assert from 'uvu/assert';
 import type { Cluster } from '../../../bench/harness/cluster.js';
 import { connectCaller, GROUP, startSmallCluster } from '../../support/cluster.js';
-import { failureOf } from '../../support/open-transaction.js';
+import { errorOf } from '../../support/open-transaction.js';
 
 const POSITION_LOST = 'MS-SESSION-POSITION-LOST: not-run';
 const LOOKUP = `SELECT count(*) AS count FROM orders /*meadowstack_kind='lookup'*/`;
@@ -36,7 +36,7 @@
 
   const session = { 'meadowstack.session': before.sessionToken() };
   const moved = await connectCaller(cluster, 'proxy-2', session);
-  const told = await failureOf(moved.client.query(LOOKUP));
+  const told = await errorOf(moved.client.query(LOOKUP));
   assert.is(told?.detail, POSITION_LOST);
   assert.is(Number((await moved.client.query(LOOKUP)).rows[0].count), 0);
 
--- a/test/integration/cluster/planned-stop-owner.test.ts
+++ b/test/integration/cluster/planned-stop-owner.test.ts
@@ -5,18 +5,18 @@
 import {
   connectCaller,
   GROUP,
-  PATIENT_LINKS,
-  PATIENT_PROBES,
-  soleOwner,
+  LONG_HEARTBEAT_FLAG,
+  LONG_PROBE_TIMEOUT_FLAG,
   startSmallCluster,
+  waitForSoleOwner,
 } from '../../support/cluster.js';
-import { noOpenTransactions } from '../../support/loaded-cluster.js';
+import { waitForNoOpenTransactions } from '../../support/loaded-cluster.js';
 
 const test = suite<{ cluster: Cluster }>('planned stop of an owner');
 
 test.before(async (context) => {
   context.cluster = await startSmallCluster({
-    proxyFlags: ['--owners-per-group=1', PATIENT_LINKS, PATIENT_PROBES],
+    proxyFlags: ['--owners-per-group=1', LONG_HEARTBEAT_FLAG, LONG_PROBE_TIMEOUT_FLAG],
   });
   const { client } = await connectCaller(context.cluster, 'proxy-1');
   await client.query('CREATE TABLE orders (id int PRIMARY KEY, state text)');
@@ -30,7 +30,7 @@
 test('statements and transactions of callers at other proxies go on to their end', async ({
   cluster,
 }) => {
-  const { owner, gateway } = await soleOwner(cluster);
+  const { owner, gateway } = await waitForSoleOwner(cluster);
   const connect = async () => (await connectCaller(cluster, gateway)).client;
   const [transaction, slowRead, slowWrite, busy] = await Promise.all([
     connect(),
@@ -74,7 +74,7 @@
   assert.equal(found.rows, [{ id: 1 }, { id: 2 }, { id: 3 }]);
   const meanwhile = await busy.query('SELECT count(*) AS count FROM orders WHERE id >= 100');
   assert.is(Number(meanwhile.rows[0].count), written);
-  await noOpenTransactions(cluster.group(GROUP));
+  await waitForNoOpenTransactions(cluster.group(GROUP));
   await Promise.all([transaction, slowRead, slowWrite, busy].map((client) => client.end()));
 });
 
--- a/test/integration/cluster/primary-cut-off.test.ts
+++ b/test/integration/cluster/primary-cut-off.test.ts
@@ -7,13 +7,13 @@
 import { checkAcknowledgements } from '../../../bench/checkers/acknowledgements.js';
 import type { Cluster } from '../../../bench/harness/cluster.js';
 import {
-  nextTimeline,
+  nextTimelineOf,
   runScenario,
   type Scenario,
   type Target,
   WRITES_AFTER,
 } from '../../support/failover-scenario.js';
-import { assertPromisesKept, startLoadedCluster } from '../../support/loaded-cluster.js';
+import { assertNoViolations, startLoadedCluster } from '../../support/loaded-cluster.js';
 
 const test = suite<{ cluster: Cluster }>('primary cut off');
 
@@ -28,12 +28,12 @@
 /** Cuts the primary from its peers only; proxies still reach it and it believes that it leads. */
 async function cutFromPeers(target: Target, directions: 'both' | 'in' | 'out'): Promise<void> {
   const { group, primary, progress } = target;
-  const timeline = await nextTimeline(target);
+  const timeline = await nextTimelineOf(target);
   const peers = group.instances.filter(({ name }) => name !== primary.name);
   const cutPeers = peers.map(({ name }) => ({ name, direction: directions }));
   await group.setFaults(primary.name, { cutPeers });
   await group.waitForPrimary(timeline);
-  await progress.writesDone(WRITES_AFTER);
+  await progress.waitForWrites(WRITES_AFTER);
   await group.setFaults(primary.name, { cutPeers: [] });
 }
 
@@ -43,10 +43,10 @@
     seed: 101,
     fault: async (target) => {
       const { cluster, group, primary, progress } = target;
-      const timeline = await nextTimeline(target);
+      const timeline = await nextTimelineOf(target);
       await Promise.all([group.isolate(primary.name, true), cluster.faults.cut(primary.name)]);
       await group.waitForPrimary(timeline);
-      await progress.writesDone(WRITES_AFTER);
+      await progress.waitForWrites(WRITES_AFTER);
       await Promise.all([group.isolate(primary.name, false), cluster.faults.heal(primary.name)]);
     },
   },
@@ -65,15 +65,19 @@
     seed: 110,
     fault: async (target) => {
       const { cluster, group, primary, progress } = target;
-      const timeline = await nextTimeline(target);
+      const timeline = await nextTimelineOf(target);
       const others = group.instances.filter(({ name }) => name !== primary.name);
       await Promise.all(others.map(({ name }) => cluster.faults.cut(name)));
       await group.isolate(primary.name, true);
       await group.waitForPrimary(timeline);
-      await progress.more(WRITES_AFTER, 'writes ended', ({ access }) => access === 'write');
+      await progress.waitForRecords(
+        WRITES_AFTER,
+        'writes ended',
+        ({ access }) => access === 'write',
+      );
       await Promise.all(others.map(({ name }) => cluster.faults.heal(name)));
       await group.isolate(primary.name, false);
-      await progress.writesDone(WRITES_AFTER);
+      await progress.waitForWrites(WRITES_AFTER);
     },
   },
 ];
@@ -81,7 +85,7 @@
 for (const scenario of SCENARIOS) {
   test(`a primary is ${scenario.name}`, async ({ cluster }) => {
     const history = await runScenario(cluster, scenario);
-    assertPromisesKept(history, scenario.killedProxies);
+    assertNoViolations(history, scenario.killedProxies);
   });
 }
 
--- a/test/integration/cluster/primary-failure.test.ts
+++ b/test/integration/cluster/primary-failure.test.ts
@@ -6,13 +6,13 @@
 import * as assert from 'uvu/assert';
 import type { Cluster } from '../../../bench/harness/cluster.js';
 import {
-  nextTimeline,
+  nextTimelineOf,
   runScenario,
   type Scenario,
   WRITES_AFTER,
   waitForOtherPrimary,
 } from '../../support/failover-scenario.js';
-import { assertPromisesKept, startLoadedCluster } from '../../support/loaded-cluster.js';
+import { assertNoViolations, startLoadedCluster } from '../../support/loaded-cluster.js';
 
 const test = suite<{ cluster: Cluster }>('primary failure');
 
@@ -30,10 +30,10 @@
     seed: 104,
     fault: async (target) => {
       const { group, primary, progress } = target;
-      const timeline = await nextTimeline(target);
+      const timeline = await nextTimelineOf(target);
       group.pause(primary.name);
       await waitForOtherPrimary(group, primary.name, timeline);
-      await progress.writesDone(WRITES_AFTER);
+      await progress.waitForWrites(WRITES_AFTER);
       group.resume(primary.name);
     },
   },
@@ -42,10 +42,10 @@
     seed: 105,
     fault: async (target) => {
       const { group, primary, progress } = target;
-      const timeline = await nextTimeline(target);
+      const timeline = await nextTimelineOf(target);
       await group.kill(primary.name);
       await group.waitForPrimary(timeline);
-      await progress.writesDone(WRITES_AFTER);
+      await progress.waitForWrites(WRITES_AFTER);
       await group.restart(primary.name);
     },
   },
@@ -54,14 +54,14 @@
     seed: 106,
     fault: async (target) => {
       const { group, primary, progress } = target;
-      const timeline = await nextTimeline(target);
+      const timeline = await nextTimelineOf(target);
       await group.isolate(primary.name, true);
       const second = await waitForOtherPrimary(group, primary.name, timeline);
       await group.isolate(primary.name, false);
       await group.waitForState(primary.name, (state) => state.timeline >= timeline);
       await group.isolate(second.name, true);
       await waitForOtherPrimary(group, second.name, timeline + 1);
-      await progress.writesDone(WRITES_AFTER);
+      await progress.waitForWrites(WRITES_AFTER);
       await group.isolate(second.name, false);
     },
   },
@@ -70,16 +70,16 @@
     seed: 107,
     fault: async (target) => {
       const { group, primary, progress } = target;
-      const timeline = await nextTimeline(target);
+      const timeline = await nextTimelineOf(target);
       const [behind] = group.instances.filter(({ name }) => name !== primary.name);
       assert.ok(behind);
       await group.setFaults(behind.name, { receiveStall: true, replayLagMs: 500 });
-      await progress.writesDone(WRITES_AFTER);
+      await progress.waitForWrites(WRITES_AFTER);
       await group.kill(primary.name);
       await group.waitForPrimary(timeline);
       // A majority has to receive a write before it is acknowledged: two are left, so both must.
       await group.setFaults(behind.name, { receiveStall: false });
-      await progress.writesDone(WRITES_AFTER);
+      await progress.waitForWrites(WRITES_AFTER);
       await group.setFaults(behind.name, { replayLagMs: 0 });
       await group.restart(primary.name);
     },
@@ -90,11 +90,11 @@
     killedProxies: ['proxy-1'],
     fault: async (target) => {
       const { cluster, group, primary, progress } = target;
-      const timeline = await nextTimeline(target);
+      const timeline = await nextTimelineOf(target);
       const owner = cluster.proxy('proxy-1');
       await Promise.all([group.kill(primary.name), owner.kill()]);
       await group.waitForPrimary(timeline);
-      await progress.writesDone(WRITES_AFTER);
+      await progress.waitForWrites(WRITES_AFTER);
       await Promise.all([
         group.restart(primary.name),
         cluster.startProxy({ nodeId: owner.nodeId, zone: owner.zone }),
@@ -106,11 +106,11 @@
     seed: 109,
     fault: async (target) => {
       const { cluster, group, primary, progress } = target;
-      const timeline = await nextTimeline(target);
+      const timeline = await nextTimelineOf(target);
       await cluster.store.setFaults({ outage: 'refuse' });
       await group.kill(primary.name);
       await group.waitForPrimary(timeline);
-      await progress.writesDone(WRITES_AFTER);
+      await progress.waitForWrites(WRITES_AFTER);
       await group.restart(primary.name);
       await cluster.store.heal();
     },
@@ -120,7 +120,7 @@
 for (const scenario of SCENARIOS) {
   test(`a primary is ${scenario.name}`, async ({ cluster }) => {
     const history = await runScenario(cluster, scenario);
-    assertPromisesKept(history, scenario.killedProxies);
+    assertNoViolations(history, scenario.killedProxies);
   });
 }
 
--- a/test/integration/cluster/shared-connections.test.ts
+++ b/test/integration/cluster/shared-connections.test.ts
@@ -16,7 +16,7 @@
   TENANT,
   type TestCaller,
 } from '../../support/cluster.js';
-import { failureOf } from '../../support/open-transaction.js';
+import { errorOf } from '../../support/open-transaction.js';
 
 const OTHER_TENANT = { name: 'clinic', password: 'another long password' };
 const CANCELLED = '57014';
@@ -77,7 +77,7 @@
     'PREPARE p AS SELECT 1',
   ];
   for (const text of refused) {
-    assert.is((await failureOf(client.query(text)))?.code, UNSUPPORTED, text);
+    assert.is((await errorOf(client.query(text)))?.code, UNSUPPORTED, text);
   }
   await client.end();
 });
@@ -127,7 +127,7 @@
     const nodeId = index % 2 === 0 ? 'proxy-1' : 'proxy-2';
     const caller = await connectCaller(cluster, nodeId);
     for (let round = 0; round < ROUNDS; round += 1) {
-      const running = failureOf(caller.client.query('SELECT pg_sleep(0.02)'));
+      const running = errorOf(caller.client.query('SELECT pg_sleep(0.02)'));
       await sendCancel(cluster, nodeId, caller);
       const error = await running;
       if (error !== undefined) {
--- a/test/integration/cluster/silent-from-start.test.ts
+++ b/test/integration/cluster/silent-from-start.test.ts
@@ -6,7 +6,13 @@
 import * as assert from 'uvu/assert';
 import { type Cluster, tenantYaml } from '../../../bench/harness/cluster.js';
 import { selectRelayCandidates } from '../../../src/core/configuration/relays.js';
-import { GROUP, inForce, startSmallCluster, statusOf, TENANT } from '../../support/cluster.js';
+import {
+  GROUP,
+  startSmallCluster,
+  statusOf,
+  TENANT,
+  waitForRevision,
+} from '../../support/cluster.js';
 
 const NODES = ['proxy-1', 'proxy-2', 'proxy-3', 'proxy-4'];
 const ZONE = 'a';
@@ -43,7 +49,7 @@
       heard.some((one) => SILENT.includes(one)),
       `${nodeId} heard from a silent one`,
     );
-    await inForce(cluster, revision, [nodeId]);
+    await waitForRevision(cluster, revision, [nodeId]);
   }
 });
 
--- a/test/integration/cluster/transactions.test.ts
+++ b/test/integration/cluster/transactions.test.ts
@@ -8,12 +8,12 @@
 import {
   connectCaller,
   GROUP,
-  soleOwner,
   startSmallCluster,
   type TestCaller,
+  waitForSoleOwner,
 } from '../../support/cluster.js';
-import { noOpenTransactions } from '../../support/loaded-cluster.js';
-import { bringTo, failureOf, TRANSACTION_STEPS } from '../../support/open-transaction.js';
+import { waitForNoOpenTransactions } from '../../support/loaded-cluster.js';
+import { advanceTransaction, errorOf, TRANSACTION_STEPS } from '../../support/open-transaction.js';
 import { until } from '../../support/until.js';
 
 const ABORTED = 'MS-TRANSACTION-ABORTED: failed';
@@ -57,23 +57,23 @@
   const committed = step === 'COMMIT is on its way';
 
   test(`the gateway is killed when ${step}`, async ({ cluster }) => {
-    const { gateway } = await soleOwner(cluster);
+    const { gateway } = await waitForSoleOwner(cluster);
     const caller = await connectCaller(cluster, gateway);
-    const pending = await bringTo(cluster, caller, step, 100 + index);
+    const pending = await advanceTransaction(cluster, caller, step, 100 + index);
     await killAndReplace(cluster, gateway);
     await pending.answer;
-    await noOpenTransactions(cluster.group(GROUP));
+    await waitForNoOpenTransactions(cluster.group(GROUP));
     assert.is(await rowsOf(cluster, 100 + index), committed ? 1 : 0);
   });
 
   test(`the owner is killed when ${step}`, async ({ cluster }) => {
-    const { owner, gateway } = await soleOwner(cluster);
+    const { owner, gateway } = await waitForSoleOwner(cluster);
     const caller = await connectCaller(cluster, gateway);
-    const pending = await bringTo(cluster, caller, step, 200 + index);
+    const pending = await advanceTransaction(cluster, caller, step, 200 + index);
     await killAndReplace(cluster, owner);
-    const told = (await pending.answer) ?? (await failureOf(caller.client.query('SELECT 1')));
+    const told = (await pending.answer) ?? (await errorOf(caller.client.query('SELECT 1')));
     assert.is(told?.detail, committed ? OWNER_LOST : ABORTED);
-    await noOpenTransactions(cluster.group(GROUP));
+    await waitForNoOpenTransactions(cluster.group(GROUP));
     await caller.client.query('ROLLBACK');
     await caller.client.query('INSERT INTO orders VALUES ($1, $2)', [300 + index, 'goes on']);
     assert.is(await rowsOf(cluster, 200 + index), committed ? 1 : 0);
@@ -82,14 +82,14 @@
   });
 
   test(`the caller vanishes when ${step}`, async ({ cluster }) => {
-    const { gateway } = await soleOwner(cluster);
+    const { gateway } = await waitForSoleOwner(cluster);
     const caller = await connectCaller(cluster, gateway);
     const primary = await cluster.group(GROUP).waitForPrimary();
-    const pending = await bringTo(cluster, caller, step, 400 + index);
+    const pending = await advanceTransaction(cluster, caller, step, 400 + index);
     vanish(caller);
     await pending.answer;
     await cluster.faults.heal(primary.name);
-    await noOpenTransactions(cluster.group(GROUP));
+    await waitForNoOpenTransactions(cluster.group(GROUP));
     assert.is(await rowsOf(cluster, 400 + index), committed ? 1 : 0);
   });
 }
@@ -97,13 +97,13 @@
 test('a block whose transaction was lost stays failed until the caller ends it', async ({
   cluster,
 }) => {
-  const { owner, gateway } = await soleOwner(cluster);
+  const { owner, gateway } = await waitForSoleOwner(cluster);
   const caller = await connectCaller(cluster, gateway);
-  await bringTo(cluster, caller, 'a statement was answered', 500);
+  await advanceTransaction(cluster, caller, 'a statement was answered', 500);
   await killAndReplace(cluster, owner);
   const insert = 'INSERT INTO orders VALUES (501, $1)';
-  assert.is((await failureOf(caller.client.query(insert, ['a'])))?.detail, ABORTED);
-  assert.is((await failureOf(caller.client.query(insert, ['b'])))?.code, '25P02');
+  assert.is((await errorOf(caller.client.query(insert, ['a'])))?.detail, ABORTED);
+  assert.is((await errorOf(caller.client.query(insert, ['b'])))?.code, '25P02');
   const commit = await caller.client.query('COMMIT');
   assert.is(commit.command, 'ROLLBACK');
   assert.is((await rowsOf(cluster, 500)) + (await rowsOf(cluster, 501)), 0);
@@ -120,7 +120,7 @@
     if (index % 3 !== 0) await caller.client.end();
   });
   await Promise.all(rounds);
-  await noOpenTransactions(cluster.group(GROUP));
+  await waitForNoOpenTransactions(cluster.group(GROUP));
   const { client } = await connectCaller(cluster, 'proxy-1');
   await until('exactly the committed rows are there', async () => {
     const found = await client.query('SELECT id FROM orders WHERE id >= 1000');
--- a/test/integration/direct/explain.test.ts
+++ b/test/integration/direct/explain.test.ts
@@ -24,7 +24,10 @@
 
 test.before(async () => {
   // Output of a whole run is kept.
-  cluster = await DirectCluster.start({ gateways: 2, keptOutput: Number.POSITIVE_INFINITY });
+  cluster = await DirectCluster.start({
+    gateways: 2,
+    maxOutputCharacters: Number.POSITIVE_INFINITY,
+  });
   clients = new DirectLoad(cluster);
 });
 
@@ -39,10 +42,10 @@
     clients.add({ database: 'intake', gateway, seed: 1 + gateway }),
     clients.add({ database: 'assign', gateway, seed: 5 + gateway }),
   ]);
-  await Promise.all(loads.map((client) => client.moreWrites(5)));
+  await Promise.all(loads.map((client) => client.waitForWrites(5)));
   await cluster.platform.set(`/instances/${OLD}/dark`);
-  await cluster.platform.newPrimary('orders', OLD);
-  await Promise.all(loads.map((client) => client.moreWrites(5)));
+  await cluster.platform.waitForNewPrimary('orders', OLD);
+  await Promise.all(loads.map((client) => client.waitForWrites(5)));
   await Promise.all(loads.map((client) => client.stop()));
   const failed = cluster.recorder.statements.filter(
     ({ kind, error }) => kind !== 'other' && error !== undefined && error !== 'MALFORMED',
--- a/test/integration/direct/failover.test.ts
+++ b/test/integration/direct/failover.test.ts
@@ -35,8 +35,8 @@
   const writers = clients.slice(0, 4);
   const readers = clients.slice(4);
   await Promise.all([
-    ...writers.map((client) => client.moreWrites(count)),
-    ...readers.map((client) => client.moreReads(count)),
+    ...writers.map((client) => client.waitForWrites(count)),
+    ...readers.map((client) => client.waitForReads(count)),
   ]);
 }
 
@@ -47,7 +47,7 @@
 
 test('a primary that crashes is replaced, and returns as a replica', async () => {
   await cluster.platform.set(`/instances/${OLD}/crash`);
-  const primary = await cluster.platform.newPrimary(SERVICE, OLD);
+  const primary = await cluster.platform.waitForNewPrimary(SERVICE, OLD);
   await served(10);
   await cluster.platform.set(`/instances/${OLD}/return`);
   assert.is((await cluster.platform.instance(OLD)).role, 'replica');
@@ -64,13 +64,13 @@
   // By then nothing that the primary has told counts any more.
   for (const gateway of cluster.gateways.keys()) {
     await until('many rounds of questions to the replicas', async () => {
-      return (await cluster.figure(gateway, 'replica_rounds_total')) >= ROUNDS_BEYOND_STALENESS;
+      return (await cluster.metric(gateway, 'replica_rounds_total')) >= ROUNDS_BEYOND_STALENESS;
     });
   }
   const readers = clients.slice(4);
-  await Promise.all(readers.map((client) => client.moreReads(10)));
+  await Promise.all(readers.map((client) => client.waitForReads(10)));
   await cluster.platform.set('/store/faults', { down: 'no' });
-  await cluster.platform.newPrimary(SERVICE, OLD);
+  await cluster.platform.waitForNewPrimary(SERVICE, OLD);
   await cluster.platform.set(`/instances/${OLD}/return`);
   await served(5);
   await endWithNoRuleBroken();
@@ -78,7 +78,7 @@
 
 test('a primary that goes dark is replaced, and gives up when it is back', async () => {
   await cluster.platform.set(`/instances/${OLD}/dark`);
-  await cluster.platform.newPrimary(SERVICE, OLD);
+  await cluster.platform.waitForNewPrimary(SERVICE, OLD);
   await served(10);
   await cluster.platform.set(`/instances/${OLD}/return`);
   await served(5);
@@ -93,7 +93,7 @@
   const pairs = ['i-orders-2', 'i-orders-3'].map((other) => [OLD, other]);
   await cluster.platform.set(`/groups/${SERVICE}/cuts`, { pairs });
   await cluster.platform.set(`/instances/${OLD}/faults`, { isSilentToStore: true });
-  await cluster.platform.newPrimary(SERVICE, OLD);
+  await cluster.platform.waitForNewPrimary(SERVICE, OLD);
   await served(10);
   await cluster.platform.set(`/groups/${SERVICE}/cuts`, { pairs: [] });
   await cluster.platform.set(`/instances/${OLD}/faults`, { isSilentToStore: false });
@@ -107,7 +107,7 @@
 test('a primary that is cut from its replicas, though not from the store, is replaced', async () => {
   const pairs = ['i-orders-2', 'i-orders-3'].map((other) => [OLD, other]);
   await cluster.platform.set(`/groups/${SERVICE}/cuts`, { pairs });
-  await cluster.platform.newPrimary(SERVICE, OLD);
+  await cluster.platform.waitForNewPrimary(SERVICE, OLD);
   await served(10);
   await cluster.platform.set(`/groups/${SERVICE}/cuts`, { pairs: [] });
   await served(10);
@@ -118,7 +118,7 @@
   await cluster.platform.set('/instances/i-orders-2/faults', { isStalled: true });
   await served(5);
   await cluster.platform.set(`/instances/${OLD}/crash`);
-  const primary = await cluster.platform.newPrimary(SERVICE, OLD);
+  const primary = await cluster.platform.waitForNewPrimary(SERVICE, OLD);
   assert.is(primary.id, 'i-orders-3');
   await cluster.platform.set('/instances/i-orders-2/faults', { isStalled: false });
   await served(10);
@@ -130,7 +130,7 @@
 test('a primary that drains is replaced before it ends', async () => {
   const plan = { extraMs: 500, replacementId: 'i-orders-4' };
   await cluster.platform.set(`/instances/${OLD}/drain`, plan);
-  await cluster.platform.newPrimary(SERVICE, OLD);
+  await cluster.platform.waitForNewPrimary(SERVICE, OLD);
   await served(10);
   await until('the instance that follows it', async () => {
     const instances = await cluster.platform.instances();
--- a/test/integration/direct/fleet-return.test.ts
+++ b/test/integration/direct/fleet-return.test.ts
@@ -14,7 +14,7 @@
 test('a fleet that was killed at once serves again through its owners, and tells how it came back', async () => {
   const cluster = await DirectCluster.start({
     ...{ gateways: GATEWAYS, gatewayFlags: ['--largest-direct-fleet', '1'] },
-    keptOutput: KEPT_OUTPUT_CHARACTERS,
+    maxOutputCharacters: KEPT_OUTPUT_CHARACTERS,
   });
   const clients = new DirectLoad(cluster);
   const indexes = [...cluster.gateways.keys()];
@@ -22,20 +22,20 @@
     clients.add({ database: 'intake', gateway: index, seed: 10 + index }),
     clients.add({ database: 'assign', gateway: index, seed: 20 + index }),
   ]);
-  const lent = () => Promise.all(indexes.map((i) => cluster.figure(i, 'leases_given_total')));
+  const lent = () => Promise.all(indexes.map((i) => cluster.metric(i, 'leases_given_total')));
   await until('leases', async () => (await lent()).some((count) => count > 0));
   await Promise.all(indexes.map((index) => cluster.kill(index)));
   const restarted = indexes.map((index) => cluster.restart(index));
   await Promise.all(restarted.map((gateway) => cluster.ready(gateway)));
-  await Promise.all(steady.map((client) => client.moreWrites(3)));
-  await Promise.all(steady.map((client) => client.moreReads(3)));
+  await Promise.all(steady.map((client) => client.waitForWrites(3)));
+  await Promise.all(steady.map((client) => client.waitForReads(3)));
   assert.ok((await lent()).some((count) => count > 0));
   const lines = restarted.flatMap((gateway) => readLog(gateway.output()).lines);
   const account = accountOfStart(lines);
   const reached = new Map(account?.steps.map(({ step, nodes }) => [step, nodes]));
   for (const step of STEPS) assert.is(reached.get(step), GATEWAYS, step);
   assert.ok(account?.steps.some(({ step }) => step === 'served primary'));
-  await clients.endWithNoRuleBroken();
+  await clients.stopAndAssertNoViolations();
   await clients.stop();
 });
 
--- a/test/integration/direct/isolated-gateway.test.ts
+++ b/test/integration/direct/isolated-gateway.test.ts
@@ -39,7 +39,7 @@
 async function served(clients: readonly LoadClient[]): Promise<void> {
   await Promise.all(
     clients.map((client) =>
-      client.database === 'lookup' ? client.moreReads(5) : client.moreWrites(5),
+      client.database === 'lookup' ? client.waitForReads(5) : client.waitForWrites(5),
     ),
   );
 }
@@ -68,7 +68,7 @@
 
 /** Another leads, the old primary is reached again and follows it, and the isolated gateway hears of it. */
 async function endUnderNewPrimary(): Promise<void> {
-  await cluster.platform.newPrimary(SERVICE, OLD);
+  await cluster.platform.waitForNewPrimary(SERVICE, OLD);
   await served(steady);
   await cutPrimary(false);
   await oldPrimaryFollows();
@@ -87,7 +87,7 @@
   await start();
   await cluster.setCutFromStore(ISOLATED, true);
   await cluster.platform.set(`/instances/${OLD}/crash`);
-  await cluster.platform.newPrimary(SERVICE, OLD);
+  await cluster.platform.waitForNewPrimary(SERVICE, OLD);
   await served(steady);
   await cluster.setCutFromStore(ISOLATED, false);
   await cluster.platform.set(`/instances/${OLD}/return`);
@@ -136,7 +136,7 @@
   const { process: frozen } = cluster.gateway(ISOLATED);
   frozen.kill('SIGSTOP');
   await cutPrimary(true);
-  await cluster.platform.newPrimary(SERVICE, OLD);
+  await cluster.platform.waitForNewPrimary(SERVICE, OLD);
   await served(steady);
   frozen.kill('SIGCONT');
   await cutPrimary(false);
--- a/test/integration/direct/keys.test.ts
+++ b/test/integration/direct/keys.test.ts
@@ -53,12 +53,16 @@
     const answer = await fetch(`http://${HOST}:${internalPort}/metrics`);
     return answer.text();
   });
-  const outputs = cluster.lives.map((gateway) => gateway.output());
+  const outputs = cluster.startedProcesses.map((gateway) => gateway.output());
   return [...outputs, ...(await Promise.all(figures))].join('\n');
 }
 
 test('statements run as the tenant that holds the key, and keys are shown nowhere', async () => {
-  cluster = await DirectCluster.start({ tenants: TENANTS, bounds: STRICT, keptOutput: MANY });
+  cluster = await DirectCluster.start({
+    tenants: TENANTS,
+    bounds: STRICT,
+    maxOutputCharacters: MANY,
+  });
   const [acme, zeta] = [await open(KEYS.first), await open(KEYS.other)];
   assert.is((await write(acme, 'a')).error, undefined);
   assert.is((await write(zeta, 'z')).error, undefined);
@@ -123,14 +127,14 @@
 test('a gateway cut off from the store goes on by the word of another one', async () => {
   const options = { tenants: TENANTS, bounds: STRICT, cuttable: true, gateways: 2 };
   cluster = await DirectCluster.start(options);
-  await cluster.peersKnown();
+  await cluster.waitForPeers();
   const client = await open(KEYS.first);
   await cluster.setCutFromStore(0, true);
   await pause(REVOKE_MS + 1500);
   const { error } = await client.query('r1', 'READ a');
   // The primary may not be trusted without the store; the key is.
   assert.not.match(error?.text ?? '', /confirmed by the store/);
-  assert.is(await cluster.figure(0, 'keys_unproven_total'), 0);
+  assert.is(await cluster.metric(0, 'keys_unproven_total'), 0);
 });
 
 test('a tenant runs no more than its quota over all gateways, and others are not touched', async () => {
--- a/test/integration/direct/late-stop.test.ts
+++ b/test/integration/direct/late-stop.test.ts
@@ -32,7 +32,7 @@
   assert.is(state, 'I');
   assert.ok(ANSWERS.includes(error?.code), `answered ${error?.code}`);
   assert.is(await gateway.ended, 0);
-  await clients.endWithNoRuleBroken();
+  await clients.stopAndAssertNoViolations();
 });
 
 test.run();
--- a/test/integration/direct/lifecycle.test.ts
+++ b/test/integration/direct/lifecycle.test.ts
@@ -5,7 +5,7 @@
 import { DirectCluster, ROUTES, type TestRoute } from '../../support/direct-cluster.js';
 import { DirectLoad, type LoadClient } from '../../support/direct-load.js';
 import { isReady } from '../../support/direct-process.js';
-import { startCode } from '../../support/line-client.js';
+import { startErrorCode } from '../../support/line-client.js';
 import { until } from '../../support/until.js';
 
 /** Longer than the gateways' leases. */
@@ -27,7 +27,7 @@
 test.after.each(() => clients.stop());
 
 function startCodeAt(gateway: number, database: string): Promise<string | undefined> {
-  return startCode(cluster.gateway(gateway).callersPort, database);
+  return startErrorCode(cluster.gateway(gateway).callersPort, database);
 }
 
 for (const signals of ['one SIGTERM', 'a second SIGTERM after it'] as const) {
@@ -50,10 +50,10 @@
     const commit = await session.commit();
     assert.equal([commit.state, commit.error], ['I', undefined]);
     await idle.client.closed;
-    assert.match(idle.client.unasked.join('\n'), /^ERROR BUSY [^\n]*retry after \d+ ms$/);
+    assert.match(idle.client.unsolicited.join('\n'), /^ERROR BUSY [^\n]*retry after \d+ ms$/);
     assert.is(await gateway.ended, 0);
-    await other.moreWrites(5);
-    await clients.endWithNoRuleBroken();
+    await other.waitForWrites(5);
+    await clients.stopAndAssertNoViolations();
   });
 }
 
@@ -79,7 +79,7 @@
   const commit = await session.commit();
   assert.equal([commit.state, commit.error], ['I', undefined]);
   assert.is(await gateway.ended, 0);
-  await clients.endWithNoRuleBroken();
+  await clients.stopAndAssertNoViolations();
 });
 
 test('a SIGKILL of a gateway leaves no transaction behind', async () => {
@@ -94,7 +94,7 @@
   const other = await cluster.open('intake', 1);
   assert.equal((await other.succeed(() => other.read('lonely'))).rows, ['-']);
   await other.succeed(() => other.write('lonely', 'v'));
-  await clients.endWithNoRuleBroken();
+  await clients.stopAndAssertNoViolations();
 });
 
 test('a change of the configuration adds and removes a route', async () => {
@@ -118,18 +118,18 @@
     () => 'closed',
   );
   assert.ok(dropped !== undefined, 'a dropped route serves an open session');
-  await Promise.all(steady.map((client) => client.moreWrites(5)));
-  await clients.endWithNoRuleBroken();
+  await Promise.all(steady.map((client) => client.waitForWrites(5)));
+  await clients.stopAndAssertNoViolations();
 });
 
 for (const down of ['silent', 'unavailable'] as const) {
   test(`requests are served while the store is down (${down})`, async () => {
     await start(2);
     const steady = [load('intake', 0, 1), load('assign', 1, 2)];
-    await Promise.all(steady.map((client) => client.moreWrites(5)));
+    await Promise.all(steady.map((client) => client.waitForWrites(5)));
     await cluster.platform.set('/store/faults', { down, leasesWait: false, entriesLapse: true });
     await pause(STORE_DOWN_MS);
-    await Promise.all(steady.map((client) => client.moreWrites(5)));
+    await Promise.all(steady.map((client) => client.waitForWrites(5)));
     await cluster.platform.set('/store/faults', { down: 'no' });
     await cluster.publish([...ROUTES, NEW_ROUTE]);
     for (const gateway of [0, 1]) {
@@ -138,23 +138,23 @@
         async () => (await startCodeAt(gateway, 'archive')) === undefined,
       );
     }
-    await Promise.all(steady.map((client) => client.moreWrites(5)));
-    await clients.endWithNoRuleBroken();
+    await Promise.all(steady.map((client) => client.waitForWrites(5)));
+    await clients.stopAndAssertNoViolations();
   });
 }
 
 test('a primary that crashes while the store is down is replaced once it is back', async () => {
   await start(2);
   const steady = [load('intake', 0, 1), load('assign', 1, 2)];
-  await Promise.all(steady.map((client) => client.moreWrites(5)));
+  await Promise.all(steady.map((client) => client.waitForWrites(5)));
   await cluster.platform.set('/store/faults', { down: 'silent', leasesWait: false });
   await cluster.platform.set('/instances/i-orders-1/crash');
   const isHurt = ({ errors }: LoadClient): boolean => Object.keys(errors).length > 0;
   await until('the clients notice', () => steady.every(isHurt));
   await cluster.platform.set('/store/faults', { down: 'no' });
-  await cluster.platform.newPrimary('orders', 'i-orders-1');
-  await Promise.all(steady.map((client) => client.moreWrites(5)));
-  await clients.endWithNoRuleBroken();
+  await cluster.platform.waitForNewPrimary('orders', 'i-orders-1');
+  await Promise.all(steady.map((client) => client.waitForWrites(5)));
+  await clients.stopAndAssertNoViolations();
 });
 
 test.run();
--- a/test/integration/direct/owners.test.ts
+++ b/test/integration/direct/owners.test.ts
@@ -35,7 +35,7 @@
 test.after.each(() => clients.stop());
 
 async function total(name: string): Promise<number> {
-  const figures = cluster.gateways.map((_, index) => cluster.figure(index, name));
+  const figures = cluster.gateways.map((_, index) => cluster.metric(index, name));
   return (await Promise.all(figures)).reduce((sum, value) => sum + value, 0);
 }
 
@@ -47,9 +47,9 @@
     load('lookup', index, 30 + index),
   ]);
   await until('leases', async () => (await total(GIVEN)) > 50);
-  await Promise.all(steady.slice(0, 10).map((client) => client.moreWrites(5)));
+  await Promise.all(steady.slice(0, 10).map((client) => client.waitForWrites(5)));
   assert.ok((await total(LEASED)) > 50);
-  await clients.endWithNoRuleBroken();
+  await clients.stopAndAssertNoViolations();
 });
 
 interface LeasedTransaction {
@@ -66,7 +66,7 @@
       await session.begin();
       return session.write('lonely', 'never');
     });
-    const lent = cluster.gateways.map((_, index) => cluster.figure(index, LENT));
+    const lent = cluster.gateways.map((_, index) => cluster.metric(index, LENT));
     const owner = (await Promise.all(lent)).indexOf(1);
     if (owner >= 0) return { session, gateway, owner };
     await session.rollback();
@@ -85,10 +85,10 @@
   assert.ok(['ABORTED', 'INDOUBT'].includes(commit.error?.code ?? ''), commit.error?.code);
   const others = cluster.gateways.map((_, index) => index).filter((index) => index !== owner);
   const steady = others.map((index) => load('intake', index, index));
-  await Promise.all(steady.map((client) => client.moreWrites(5)));
+  await Promise.all(steady.map((client) => client.waitForWrites(5)));
   const reader = await cluster.open('intake', gateway);
   assert.equal((await reader.succeed(() => reader.read('lonely'))).rows, ['-']);
-  await clients.endWithNoRuleBroken();
+  await clients.stopAndAssertNoViolations();
 });
 
 test('an owner that is stopped as planned ends no transaction, and others go on', async () => {
@@ -105,20 +105,20 @@
     load('lookup', index, 9),
   ]);
   assert.is(await cluster.gateway(owner).ended, 0);
-  await Promise.all(steady.map((client) => client.moreReads(20)));
-  await clients.endWithNoRuleBroken();
+  await Promise.all(steady.map((client) => client.waitForReads(20)));
+  await clients.stopAndAssertNoViolations();
 });
 
 test('a primary that crashes under leases is replaced, and sessions go on', async () => {
   await start();
   const steady = cluster.gateways.map((_, index) => load('assign', index, index));
-  await Promise.all(steady.map((client) => client.moreWrites(5)));
+  await Promise.all(steady.map((client) => client.waitForWrites(5)));
   const old = (await cluster.platform.instances()).find(({ role }) => role === 'primary');
   assert.ok(old);
   await cluster.platform.set(`/instances/${old.id}/crash`);
-  await cluster.platform.newPrimary('orders', old.id);
-  await Promise.all(steady.map((client) => client.moreWrites(5)));
-  await clients.endWithNoRuleBroken();
+  await cluster.platform.waitForNewPrimary('orders', old.id);
+  await Promise.all(steady.map((client) => client.waitForWrites(5)));
+  await clients.stopAndAssertNoViolations();
 });
 
 test.run();
--- a/test/integration/direct/placement.test.ts
+++ b/test/integration/direct/placement.test.ts
@@ -22,7 +22,7 @@
 /** The sum of a figure over all gateways. */
 async function total(name: string): Promise<number> {
   const figures = await Promise.all(
-    cluster.gateways.map((_gateway, index) => cluster.figure(index, name)),
+    cluster.gateways.map((_gateway, index) => cluster.metric(index, name)),
   );
   return figures.reduce((sum, figure) => sum + figure, 0);
 }
--- a/test/integration/direct/planned-stop.test.ts
+++ b/test/integration/direct/planned-stop.test.ts
@@ -69,7 +69,7 @@
   gateway.kill('SIGTERM');
   assert.is(await outcome, 'TIMEOUT');
   await session.client.closed;
-  assert.equal(session.client.unasked, []);
+  assert.equal(session.client.unsolicited, []);
   assert.is(await ended, 0);
 });
 
--- a/test/integration/direct/planned-work.test.ts
+++ b/test/integration/direct/planned-work.test.ts
@@ -7,7 +7,7 @@
 import * as assert from 'uvu/assert';
 import { DirectCluster, ROUTES, type TestRoute } from '../../support/direct-cluster.js';
 import { DirectLoad, type LoadClient } from '../../support/direct-load.js';
-import { NO_ANSWER, outcomeOf, startCode } from '../../support/line-client.js';
+import { NO_ANSWER, outcomeOf, startErrorCode } from '../../support/line-client.js';
 import { until } from '../../support/until.js';
 
 const PRIMARY = 'i-orders-1';
@@ -29,7 +29,7 @@
   const steady = cluster.gateways.flatMap((_, gateway) =>
     ROUTES.map(({ database }, seed) => clients.add({ database, gateway, seed: seed + 1 })),
   );
-  await Promise.all(steady.map((client) => client.moreReads(5)));
+  await Promise.all(steady.map((client) => client.waitForReads(5)));
   return steady;
 }
 
@@ -60,11 +60,11 @@
     const plan = { extraMs: 0, replaceAfterMs: 500, replacementId: 'i-orders-9' };
     await cluster.platform.set(`/instances/${PRIMARY}/drain`, plan);
     await publishQuickly();
-    await cluster.platform.newPrimary('orders', PRIMARY);
+    await cluster.platform.waitForNewPrimary('orders', PRIMARY);
     await publishQuickly();
-    await Promise.all(steady.map((client) => client.moreReads(5)));
+    await Promise.all(steady.map((client) => client.waitForReads(5)));
     assert.is(lostConnections(steady), 0);
-    await clients.endWithNoRuleBroken();
+    await clients.stopAndAssertNoViolations();
   });
 }
 
@@ -84,7 +84,7 @@
   await cluster.publish([OTHER_SERVICE]);
   const { callersPort } = cluster.gateway(0);
   await until('the route is gone', async () => {
-    return (await startCode(callersPort, 'intake')) === 'NODATABASE';
+    return (await startErrorCode(callersPort, 'intake')) === 'NODATABASE';
   });
   await cluster.publish(ROUTES);
   await cluster.publish([OTHER_SERVICE]);
@@ -93,7 +93,7 @@
   await cluster.platform.set(`/instances/${PRIMARY}/faults`, { slowFactor: 1 });
   assert.is.not(await outcomeOf(resting.commit()), NO_ANSWER);
   await writer.succeed(() => writer.write('k', 'third'));
-  await clients.endWithNoRuleBroken();
+  await clients.stopAndAssertNoViolations();
 });
 
 test.run();
--- a/test/integration/direct/readers.test.ts
+++ b/test/integration/direct/readers.test.ts
@@ -29,7 +29,7 @@
 /** Gateways that watch the store; throws nothing while some watch a part of it. */
 async function watchers(): Promise<number[]> {
   const figures = await Promise.all(
-    running().map(async (index) => ({ index, watches: await cluster.figure(index, WATCHES) })),
+    running().map(async (index) => ({ index, watches: await cluster.metric(index, WATCHES) })),
   );
   if (figures.some(({ watches }) => watches !== 0 && watches !== PREFIXES)) return [];
   return figures.filter(({ watches }) => watches > 0).map(({ index }) => index);
@@ -39,7 +39,7 @@
   for (const index of running()) {
     await until(
       `version ${version} at gateway ${index}`,
-      async () => (await cluster.figure(index, VERSION)) >= version,
+      async () => (await cluster.metric(index, VERSION)) >= version,
     );
   }
 }
@@ -51,7 +51,7 @@
   await inForce(2);
   for (const index of running()) {
     const isReader = readers.includes(index);
-    const told = await cluster.figure(index, 'readers_events_from_readers_total');
+    const told = await cluster.metric(index, 'readers_events_from_readers_total');
     assert.is(told > 0, !isReader, `gateway ${index}`);
   }
   const session = await cluster.open(
@@ -90,7 +90,7 @@
   for (const index of others) {
     await until(
       `version 3 at gateway ${index}`,
-      async () => (await cluster.figure(index, VERSION)) >= 3,
+      async () => (await cluster.metric(index, VERSION)) >= 3,
     );
   }
 });
--- a/test/integration/direct/sessions.test.ts
+++ b/test/integration/direct/sessions.test.ts
@@ -42,13 +42,13 @@
   await session.succeed(() => session.write('k', 'v'));
   const done = 'statement_duration_seconds_count{route_type="primary",outcome="done"}';
   const late = 'statement_duration_seconds_count{route_type="primary",outcome="late"}';
-  const told = [await cluster.figure(0, done), await cluster.figure(0, late)];
+  const told = [await cluster.metric(0, done), await cluster.metric(0, late)];
   assert.is(told.filter((count) => count === 1).length, 1);
   assert.ok(
-    (await cluster.figure(0, 'connection_wait_seconds_count{way="own",outcome="given"}')) > 0,
+    (await cluster.metric(0, 'connection_wait_seconds_count{way="own",outcome="given"}')) > 0,
   );
-  assert.ok((await cluster.figure(0, 'instance_answer_seconds_count')) > 0);
-  assert.ok((await cluster.figure(0, 'store_call_seconds_count{call="range",outcome="done"}')) > 0);
+  assert.ok((await cluster.metric(0, 'instance_answer_seconds_count')) > 0);
+  assert.ok((await cluster.metric(0, 'store_call_seconds_count{call="range",outcome="done"}')) > 0);
   await noRuleBroken();
 });
 
@@ -128,10 +128,10 @@
   const clients = [1, 2, 3, 4].map((seed) => {
     return new LoadClient(cluster, { database: seed % 2 ? 'intake' : 'assign', seed });
   });
-  await Promise.all(clients.map((client) => client.moreWrites(3)));
+  await Promise.all(clients.map((client) => client.waitForWrites(3)));
   for (const fault of [{ loseAnswers: 2 }, { breakAnswers: 2 }, { failNext: 2 }]) {
     await cluster.platform.set('/instances/i-orders-1/faults', fault);
-    await Promise.all(clients.map((client) => client.moreWrites(5)));
+    await Promise.all(clients.map((client) => client.waitForWrites(5)));
   }
   await Promise.all(clients.map((client) => client.stop()));
   await noRuleBroken();
--- a/test/integration/direct/snapshots.test.ts
+++ b/test/integration/direct/snapshots.test.ts
@@ -18,7 +18,7 @@
 
 async function start(cuttable = false): Promise<void> {
   cluster = await DirectCluster.start({ gateways: 2, cuttable });
-  await cluster.peersKnown();
+  await cluster.waitForPeers();
   clients = new DirectLoad(cluster);
 }
 
@@ -39,21 +39,21 @@
   test(`a gateway that restarts while the store is down serves (${down})`, async () => {
     await start();
     const steady = [load('intake', 0, 1), load('assign', 0, 2)];
-    await Promise.all(steady.map((client) => client.moreWrites(5)));
+    await Promise.all(steady.map((client) => client.waitForWrites(5)));
     await cluster.kill(1);
     await cluster.platform.set('/store/faults', { down, leasesWait: false });
     const restarted = cluster.restart(1);
     await cluster.ready(restarted);
     assert.ok(restarted.output().includes(SNAPSHOT_LINE));
     const there = [load('intake', 1, 3), load('assign', 1, 4), load('lookup', 1, 5)];
-    await Promise.all(there.slice(0, 2).map((client) => client.moreWrites(5)));
+    await Promise.all(there.slice(0, 2).map((client) => client.waitForWrites(5)));
     await cluster.platform.set('/store/faults', { down: 'no' });
     await cluster.publish([...ROUTES, NEW_ROUTE]);
     for (const gateway of [0, 1]) {
       await until('the new route', () => hasRoute('archive', gateway));
     }
-    await Promise.all(there.slice(0, 2).map((client) => client.moreWrites(5)));
-    await clients.endWithNoRuleBroken();
+    await Promise.all(there.slice(0, 2).map((client) => client.waitForWrites(5)));
+    await clients.stopAndAssertNoViolations();
   });
 }
 
@@ -72,29 +72,29 @@
   for (const gateway of [0, 1]) {
     await until('no such route', async () => !(await hasRoute('archive', gateway)));
   }
-  await clients.endWithNoRuleBroken();
+  await clients.stopAndAssertNoViolations();
 });
 
 test('a gateway that serves from a snapshot follows a change of primary that it can not hear of', async () => {
   await start(true);
   const steady = load('intake', 0, 1);
-  await steady.moreWrites(5);
+  await steady.waitForWrites(5);
   await cluster.kill(1);
   await cluster.setCutFromStore(1, true);
   await cluster.ready(cluster.restart(1));
   const there = load('assign', 1, 2);
-  await there.moreWrites(5);
+  await there.waitForWrites(5);
   await cluster.platform.set('/instances/i-orders-1/crash');
-  await cluster.platform.newPrimary('orders', 'i-orders-1');
-  await Promise.all([steady.moreWrites(5), there.moreWrites(5)]);
-  await clients.endWithNoRuleBroken();
+  await cluster.platform.waitForNewPrimary('orders', 'i-orders-1');
+  await Promise.all([steady.waitForWrites(5), there.waitForWrites(5)]);
+  await clients.stopAndAssertNoViolations();
 });
 
 test('a stranger and a malformed frame get nothing but the end of their own link', async () => {
   await start();
   // From here on no other gateway sends requests.
   await cluster.kill(1);
-  const answered = await cluster.figure(0, 'snapshots_answered_total');
+  const answered = await cluster.metric(0, 'snapshots_answered_total');
   const { peerPort } = cluster.gateway(0);
   const oversized = Buffer.alloc(11);
   oversized.writeUInt32BE(0xffff_ffff);
@@ -114,8 +114,8 @@
     await once(socket, 'close');
     assert.is(Buffer.concat(received).length, 0);
   }
-  assert.is(await cluster.figure(0, 'peer_frames_malformed_total'), frames.length);
-  assert.is(await cluster.figure(0, 'snapshots_answered_total'), answered);
+  assert.is(await cluster.metric(0, 'peer_frames_malformed_total'), frames.length);
+  assert.is(await cluster.metric(0, 'snapshots_answered_total'), answered);
   await cluster.platform.set('/store/faults', { down: 'silent', leasesWait: false });
   await cluster.ready(cluster.restart(1));
 });
--- a/test/integration/direct/store-return.test.ts
+++ b/test/integration/direct/store-return.test.ts
@@ -28,7 +28,7 @@
   for (const index of cluster.gateways.keys()) {
     await until(
       `version ${version} at gateway ${index}`,
-      async () => (await cluster.figure(index, 'configuration_version')) >= version,
+      async () => (await cluster.metric(index, 'configuration_version')) >= version,
       BOUND_MS,
     );
   }
@@ -39,7 +39,7 @@
   await cluster.platform.set('/store/copy');
   for (let count = 0; count < LOST; count += 1) await cluster.publish(ROUTES);
   await cluster.platform.set('/store/return-from-copy', { awayMs: AWAY_MS, rewriteMs: 300 });
-  await until('the return', async () => (await cluster.figure(0, 'store_era')) === 1);
+  await until('the return', async () => (await cluster.metric(0, 'store_era')) === 1);
 }
 
 test('a configuration that is confirmed after the store came back from a copy is in force in time', async () => {
--- a/test/property/admission.test.ts
+++ b/test/property/admission.test.ts
@@ -17,15 +17,18 @@
 import {
   type FleetOptions,
   type FleetReport,
-  KINDS,
   type KindCount,
-  playFleet,
+  REQUEST_KINDS,
+  simulateFleet,
 } from '../support/admission-fleet.js';
 
 const SETTINGS = { seed: 20261203, numRuns: 300 };
 const SEEDS = [7, 11, 2026];
 const RULES = admissionRules(
-  KINDS.map(({ priority, aimMs }) => ({ priority, targetLatencyMs: aimMs })),
+  REQUEST_KINDS.map(({ priority, latencyTargetMs }) => ({
+    priority,
+    targetLatencyMs: latencyTargetMs,
+  })),
 );
 const STEP_AT_MS = 3000;
 const SETTLED_MS = 1000;
@@ -39,7 +42,7 @@
 
 /** Plays a load of half the instance's capacity at first, then `load` times the capacity. */
 function play(load: number, seed: number, fleet: Partial<FleetOptions>): FleetReport {
-  return playFleet({
+  return simulateFleet({
     ...{ nodes: 1, connections: 45, rules: RULES, seed, seconds: SECONDS },
     countFromMs: STEP_AT_MS + SETTLED_MS,
     load: (now) => (now < STEP_AT_MS ? 0.5 : load),
@@ -49,7 +52,7 @@
 
 function inAim({ kinds }: FleetReport, priority: number): number {
   const count = kinds[priority] as KindCount;
-  return count.inAim / count.asked;
+  return count.withinTarget / count.arrived;
 }
 
 /** Goodput of each whole second after the admission level has settled. */
@@ -73,7 +76,7 @@
         assert.ok(mean >= 0.95 * peak, `goodput ${mean} of ${peak}, ${told}`);
         assert.ok(Math.min(...seconds) >= 0.9 * peak, `${seconds}, ${told}`);
         assert.ok(inAim(report, 0) >= 0.99, `${inAim(report, 0)} in aim, ${told}`);
-        assert.ok(report.longestUntried <= 0.5 + 0.01, told);
+        assert.ok(report.longestUntriedWait <= 0.5 + 0.01, told);
         assert.ok(inAim(report, 0) >= inAim(report, 1) && inAim(report, 1) >= inAim(report, 2));
       }
     }
@@ -96,9 +99,9 @@
 });
 
 test('nodes that see only low priorities leave room to those that see only the highest', () => {
-  const takes: FleetOptions['takes'] = (node, { priority }) => (priority === 0) === node < 4;
+  const receives: FleetOptions['receives'] = (node, { priority }) => (priority === 0) === node < 4;
   for (const seed of SEEDS) {
-    const report = play(2, seed, { nodes: 12, connections: 5, takes });
+    const report = play(2, seed, { nodes: 12, connections: 5, receives });
     assert.ok(inAim(report, 0) >= 0.95, JSON.stringify(report.kinds));
   }
 });
--- a/test/property/first-change-lost.test.ts
+++ b/test/property/first-change-lost.test.ts
@@ -7,19 +7,27 @@
  */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { playMix, RETURN_MECHANISMS, STORE_RETURN_KINDS } from '../support/promotion/mix.js';
+import {
+  STORE_RESTORE_MECHANISMS,
+  STORE_RESTORE_MIX,
+  simulateMixedFaults,
+} from '../support/promotion/mix.js';
 
 /** `RETURN_RUNS=1 RETURN_SEED=930270 node dist/test/property/store-return.test.js`, found among 930000 to 930599 */
 const SEED = 930270;
 
 test('a group whose first change was lost gets a primary', () => {
-  const { violations, stopped } = playMix(SEED, STORE_RETURN_KINDS);
-  assert.equal([violations, stopped], [[], []]);
+  const { violations, servicesWithoutWrites } = simulateMixedFaults(SEED, STORE_RESTORE_MIX);
+  assert.equal([violations, servicesWithoutWrites], [[], []]);
 });
 
 test('without that, it has none for good', () => {
-  const { stopped } = playMix(SEED, STORE_RETURN_KINDS, RETURN_MECHANISMS);
-  assert.equal(stopped, ['group-1']);
+  const { servicesWithoutWrites } = simulateMixedFaults(
+    SEED,
+    STORE_RESTORE_MIX,
+    STORE_RESTORE_MECHANISMS,
+  );
+  assert.equal(servicesWithoutWrites, ['group-1']);
 });
 
 test.run();
--- a/test/property/forgotten-member.test.ts
+++ b/test/property/forgotten-member.test.ts
@@ -9,18 +9,22 @@
  */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { LATER_MECHANISMS, MIXED_FAULT_KINDS, playMix } from '../support/promotion/mix.js';
+import {
+  LATER_MECHANISMS,
+  MIXED_FAULT_KINDS,
+  simulateMixedFaults,
+} from '../support/promotion/mix.js';
 
 /** `MIX_RUNS=1 MIX_SEED=800597 node dist/test/property/promotion-mix.test.js`, found among 800000 to 801499 */
 const SEED = 800597;
 
 test('a node counts members that were forgotten before it began', () => {
-  const { violations, stopped } = playMix(SEED);
-  assert.equal([violations, stopped], [[], []]);
+  const { violations, servicesWithoutWrites } = simulateMixedFaults(SEED);
+  assert.equal([violations, servicesWithoutWrites], [[], []]);
 });
 
 test('without the record of the forgotten the read is stale', () => {
-  const { violations } = playMix(SEED, MIXED_FAULT_KINDS, LATER_MECHANISMS);
+  const { violations } = simulateMixedFaults(SEED, MIXED_FAULT_KINDS, LATER_MECHANISMS);
   assert.ok(
     violations.some((violation) => violation.startsWith('STALE: read by node-0 at group-0-4')),
   );
--- a/test/property/gone-candidate.test.ts
+++ b/test/property/gone-candidate.test.ts
@@ -8,12 +8,12 @@
 import * as assert from 'uvu/assert';
 import type { PromotionMechanism } from '../../src/core/promotion/contract.js';
 import {
-  GONE_CANDIDATE_KINDS,
+  GONE_CANDIDATE_MIX,
   isClean,
   LATER_MECHANISMS,
   MIXED_FAULT_KINDS,
   type MixOutcome,
-  playMix,
+  simulateMixedFaults,
 } from '../support/promotion/mix.js';
 
 /** `MIX_RUNS=1 MIX_SEED=701138 node dist/test/property/promotion-mix.test.js` */
@@ -22,25 +22,28 @@
 const MOST_CALLS = 30;
 
 function played(disabled: readonly PromotionMechanism[] = []): MixOutcome {
-  return playMix(SEED, MIXED_FAULT_KINDS, disabled);
+  return simulateMixedFaults(SEED, MIXED_FAULT_KINDS, disabled);
 }
 
 test('a service whose named candidate is gone gets another one', () => {
-  for (const { violations, stopped, story } of [played(), played(LATER_MECHANISMS)]) {
-    assert.equal([violations, stopped], [[], []]);
-    const calls = story.match(/promotion called \{"service":"group-0"/g) ?? [];
+  for (const { violations, servicesWithoutWrites, eventLog } of [
+    played(),
+    played(LATER_MECHANISMS),
+  ]) {
+    assert.equal([violations, servicesWithoutWrites], [[], []]);
+    const calls = eventLog.match(/promotion called \{"service":"group-0"/g) ?? [];
     assert.ok(calls.length <= MOST_CALLS, `${calls.length} calls`);
   }
 });
 
 test('without it the service has no primary for good', () => {
-  const { stopped } = played(['gone-candidates', ...LATER_MECHANISMS]);
-  assert.equal(stopped, ['group-0']);
+  const { servicesWithoutWrites } = played(['gone-candidates', ...LATER_MECHANISMS]);
+  assert.equal(servicesWithoutWrites, ['group-0']);
 });
 
 test('candidates that end amid their calls neither stop a service nor lead beside another', () => {
   const seeds = Array.from({ length: 20 }, (_, index) => index + 1);
-  const found = seeds.map((seed) => playMix(seed, GONE_CANDIDATE_KINDS));
+  const found = seeds.map((seed) => simulateMixedFaults(seed, GONE_CANDIDATE_MIX));
   assert.equal(
     found.filter((outcome) => !isClean(outcome)).map(({ seed }) => seed),
     [],
--- a/test/property/joining-members.test.ts
+++ b/test/property/joining-members.test.ts
@@ -5,7 +5,7 @@
  */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { type JoiningOutcome, playJoining } from '../support/promotion/joining.js';
+import { type JoiningOutcome, simulateJoins } from '../support/promotion/joining.js';
 
 const RUNS = Number(process.env.JOIN_RUNS ?? 40);
 const FIRST_SEED = Number(process.env.JOIN_SEED ?? 1);
@@ -24,20 +24,20 @@
 }
 
 test('no seed loses a commit, reads without proof or passes on what a deposed primary says', () => {
-  const broken = SEEDS.map((seed) => playJoining(seed)).filter((it) => it.violations.length > 0);
+  const broken = SEEDS.map((seed) => simulateJoins(seed)).filter((it) => it.violations.length > 0);
   assert.is(broken.map(reportOf).join('\n'), '');
 });
 
 for (const mechanism of ['withheld-writes', 'demotion-by-any'] as const) {
   test(`without ${mechanism} a promise is broken`, () => {
-    assert.ok(FEW.some((seed) => playJoining(seed, [mechanism]).violations.length > 0));
+    assert.ok(FEW.some((seed) => simulateJoins(seed, [mechanism]).violations.length > 0));
   });
 }
 
 test('no caller is told of a commit that only a newcomer has beside the one that is about to lead', () => {
   for (const seed of ACKNOWLEDGED_TO_NOBODY) {
-    const { violations, lostAndTold } = playJoining(seed);
-    assert.equal(lostAndTold, [], `seed ${seed}`);
+    const { violations, lostAndReported } = simulateJoins(seed);
+    assert.equal(lostAndReported, [], `seed ${seed}`);
     const others = violations.filter((violation) => !violation.startsWith('LOST'));
     assert.equal(others, [], `seed ${seed}`);
   }
--- a/test/property/late-findings.test.ts
+++ b/test/property/late-findings.test.ts
@@ -19,7 +19,7 @@
 function play(simulation: PromotionSimulation): boolean {
   simulation.run(3000);
   const { network, clock, group, leader } = simulation;
-  const primary = group.leader;
+  const primary = group.primary;
   const [held, restarting] = group.instances.filter((instance) => instance !== primary);
   const unaware = simulation.nodes.find((node) => node !== leader);
   if (leader === undefined || held === undefined || restarting === undefined) return false;
@@ -43,7 +43,7 @@
   for (let seed = FIRST_SEED; seed < FIRST_SEED + RUNS; seed += 1) {
     const simulation = new PromotionSimulation({ seed, services: 1 });
     if (play(simulation)) played += 1;
-    assert.equal(simulation.violations, [], `seed ${seed} of ${SERVICE}\n${simulation.story}`);
+    assert.equal(simulation.violations, [], `seed ${seed} of ${SERVICE}\n${simulation.eventLog}`);
   }
   assert.ok(played > RUNS / 2);
 });
--- a/test/property/late-joiner.test.ts
+++ b/test/property/late-joiner.test.ts
@@ -27,7 +27,7 @@
   const simulation = new PromotionSimulation({ seed, services: 1 });
   simulation.run(WARM_UP_MS);
   const { group, network, leader, nodes } = simulation;
-  const primary = group.leader;
+  const primary = group.primary;
   const [ending, held] = group.instances.filter((instance) => instance !== primary);
   const unaware = nodes.find((node) => node !== leader);
   if (ending === undefined || held === undefined || unaware === undefined) {
@@ -59,7 +59,7 @@
 test('no instance acknowledges a commit that the candidate lacks', () => {
   for (const seed of SEEDS) {
     const { simulation } = play(seed);
-    assert.equal(simulation.violations, [], `seed ${seed}\n${simulation.story}`);
+    assert.equal(simulation.violations, [], `seed ${seed}\n${simulation.eventLog}`);
   }
 });
 
--- a/test/property/leaving-members.test.ts
+++ b/test/property/leaving-members.test.ts
@@ -16,7 +16,7 @@
 
 /** A primary, a replica that leaves without saying so, and one that stays. */
 function groupOf({ group }: PromotionSimulation): readonly SimulatedInstance[] {
-  return [group.leader, ...group.instances.filter((instance) => instance !== group.leader)];
+  return [group.primary, ...group.instances.filter((instance) => instance !== group.primary)];
 }
 
 /** One of the replicas has lost its entry, and serves on. */
@@ -25,7 +25,7 @@
   simulation.run(3000);
   const [, leaver] = groupOf(simulation);
   if (leaver === undefined) throw new Error('a group has replicas');
-  leaver.announced = false;
+  leaver.isRegistered = false;
   return { simulation, leaver };
 }
 
@@ -39,7 +39,7 @@
   if (primary === undefined || leaver === undefined || other === undefined) {
     throw new Error('a group has three instances');
   }
-  other.deafUntil = simulation.clock.now + 3000;
+  other.notReceivingUntil = simulation.clock.now + 3000;
   simulation.run(1000);
   simulation.group.crash(primary);
   simulation.group.remove(leaver);
@@ -49,7 +49,7 @@
 }
 
 function assertNothingLost(simulation: PromotionSimulation, seed: number): void {
-  assert.equal(simulation.violations, [], `seed ${seed}\n${simulation.story}`);
+  assert.equal(simulation.violations, [], `seed ${seed}\n${simulation.eventLog}`);
 }
 
 test('one silence late in a long leave makes no member dead', () => {
@@ -66,10 +66,10 @@
 test('a member that said it leaves, and is out of reach of nodes and store, is not forgotten', () => {
   for (const seed of SEEDS) {
     const { simulation, leaver } = startWithLeaver(seed);
-    leaver.announced = true;
+    leaver.isRegistered = true;
     leaver.draining = true;
     simulation.run(500);
-    leaver.announced = false;
+    leaver.isRegistered = false;
     cutFromNodes(simulation, leaver, 60_000);
     simulation.run(LONG_LEAVE_MS);
     endWithPrimary(simulation);
--- a/test/property/machine-list-agent.test.ts
+++ b/test/property/machine-list-agent.test.ts
@@ -5,9 +5,9 @@
 import {
   isCurrent,
   type ListNode,
+  listedEntriesOf,
   MachineListNetwork,
   type MachineState,
-  shownBy,
 } from '../support/machine-list-network.js';
 
 const SEED = 20_261_202;
@@ -38,7 +38,7 @@
 }
 
 function readersOf(network: MachineListNetwork): ListNode[] {
-  return network.live.filter(({ isReading }) => isReading);
+  return network.live.filter(({ isReader }) => isReader);
 }
 
 function assertCurrent(network: MachineListNetwork, nodes = network.live): void {
@@ -50,8 +50,8 @@
 /** Each list that was in force was one of the service's, and none came before an earlier one. */
 function assertNothingLost(network: MachineListNetwork): void {
   for (const { applied, member } of network.nodes) {
-    for (const [index, { stamp, shown }] of applied.entries()) {
-      assert.equal(shown, network.history.get(stamp.version), `${member.nodeId}, a torn list`);
+    for (const [index, { stamp, entries }] of applied.entries()) {
+      assert.equal(entries, network.history.get(stamp.version), `${member.nodeId}, a torn list`);
       const before = applied[index - 1]?.stamp.version ?? 0;
       assert.ok(stamp.version >= before, `${member.nodeId} went back to ${stamp.version}`);
     }
@@ -62,13 +62,13 @@
   const network = startedNetwork(SEED);
   assert.is(readersOf(network).length, READERS);
   assertCurrent(network);
-  const polls = network.nodes.map((node) => (node.isReading ? 0 : node.polls));
+  const polls = network.nodes.map((node) => (node.isReader ? 0 : node.polls));
   network.publish('m1', 'leaving');
   network.run(PASSED_ON_MS);
   assertCurrent(network);
   network.run(10 * ALONE_MS);
   assert.equal(
-    network.nodes.map((node) => (node.isReading ? 0 : node.polls)),
+    network.nodes.map((node) => (node.isReader ? 0 : node.polls)),
     polls,
     'nodes without the role have polled',
   );
@@ -120,7 +120,7 @@
   const network = startedNetwork(SEED);
   for (let index = 0; index < 5; index += 1) network.publish('m0', index % 2 ? 'live' : 'leaving');
   network.run(PASSED_ON_MS);
-  network.loseMemory(3, new Map<string, MachineState>([['m2', 'leaving']]));
+  network.resetVersion(3, new Map<string, MachineState>([['m2', 'leaving']]));
   network.run(2 * PASSED_ON_MS);
   assertCurrent(network);
   assert.ok(network.live.every(({ agent }) => agent.replica.stamp.epoch === 1));
@@ -185,7 +185,7 @@
 function carryOut(network: MachineListNetwork, step: Step): void {
   const node = 'index' in step ? network.live[step.index % network.live.length] : undefined;
   if (step.type === 'publish') network.publish(step.name, step.state);
-  else if (step.type === 'loss') network.lossShare = step.share;
+  else if (step.type === 'loss') network.lossFraction = step.share;
   else if (step.type === 'service') network.isServiceDown = step.down;
   else if (step.type === 'pass') network.run(step.ms);
   else if (node === undefined) return;
@@ -203,14 +203,14 @@
     fc.property(fc.nat(), fc.array(stepArbitrary, { maxLength: 30 }), (seed, steps) => {
       const network = startedNetwork(seed);
       for (const step of steps) carryOut(network, step);
-      network.lossShare = 0;
+      network.lossFraction = 0;
       network.isServiceDown = false;
       for (const node of network.nodes) node.isCutFromService = false;
       network.run(2 * ALONE_MS);
       network.publish('m0', 'leaving');
       network.run(PASSED_ON_MS);
       assertCurrent(network);
-      for (const node of network.live) assert.is(shownBy(node).get('m0'), 'leaving');
+      for (const node of network.live) assert.is(listedEntriesOf(node).get('m0'), 'leaving');
       assertNothingLost(network);
     }),
     { seed: SEED, numRuns: 60 },
--- a/test/property/missed-records.test.ts
+++ b/test/property/missed-records.test.ts
@@ -8,18 +8,22 @@
  */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { playMix, RETURN_MECHANISMS, STORE_RETURN_KINDS } from '../support/promotion/mix.js';
+import {
+  STORE_RESTORE_MECHANISMS,
+  STORE_RESTORE_MIX,
+  simulateMixedFaults,
+} from '../support/promotion/mix.js';
 
 /** `RETURN_RUNS=1 RETURN_SEED=930858 node dist/test/property/store-return.test.js`, found among 930000 to 930899 */
 const SEED = 930858;
 
 test('a node that was cut off at a return of the store trusts no primary by the copy alone', () => {
-  const { violations, stopped } = playMix(SEED, STORE_RETURN_KINDS);
-  assert.equal([violations, stopped], [[], []]);
+  const { violations, servicesWithoutWrites } = simulateMixedFaults(SEED, STORE_RESTORE_MIX);
+  assert.equal([violations, servicesWithoutWrites], [[], []]);
 });
 
 test('without that, its reads are stale', () => {
-  const { violations } = playMix(SEED, STORE_RETURN_KINDS, RETURN_MECHANISMS);
+  const { violations } = simulateMixedFaults(SEED, STORE_RESTORE_MIX, STORE_RESTORE_MECHANISMS);
   assert.is(violations.length, 2);
 });
 
--- a/test/property/placement-fleet.test.ts
+++ b/test/property/placement-fleet.test.ts
@@ -8,10 +8,10 @@
 import type { InstanceDigest } from '../../src/core/fleet/instance-digest.js';
 import {
   type Condition,
-  type FleetPlay,
-  type PlayedRead,
+  type FleetSimulationOptions,
   percentile,
-  playFleet,
+  type SimulatedRead,
+  simulateFleet,
 } from '../support/placement-fleet.js';
 
 const SEEDS = [7, 8];
@@ -29,9 +29,9 @@
 /** Low enough for the other two instances to serve all reads. */
 const FOR_TWO = [150, 150, 150];
 
-type Case = Pick<FleetPlay, 'perSecond' | 'condition' | 'passOn'>;
+type Case = Pick<FleetSimulationOptions, 'perSecond' | 'condition' | 'relayDigests'>;
 
-function ill(condition: (now: number) => Condition): FleetPlay['condition'] {
+function ill(condition: (now: number) => Condition): FleetSimulationOptions['condition'] {
   return (_service, index, now) => (index === ILL && now >= STEP_AT ? condition(now) : {});
 }
 
@@ -45,17 +45,23 @@
 };
 const FAILING: Case = { perSecond: FOR_TWO, condition: ill(() => ({ failing: 0.6 })) };
 
-type Played = ReturnType<typeof playFleet>;
+type Played = ReturnType<typeof simulateFleet>;
 /** Results of simulations, which several tests share. */
 const played = new Map<Case, Map<string, Played>>();
 
-function play(policy: FleetPlay['policy'], nodes: number, seed: number, one: Case, services = 1) {
+function play(
+  policy: FleetSimulationOptions['policy'],
+  nodes: number,
+  seed: number,
+  one: Case,
+  services = 1,
+) {
   const plays = played.get(one) ?? new Map<string, Played>();
   played.set(one, plays);
   const key = `${policy} ${nodes} ${seed}`;
   const known = plays.get(key);
   if (known !== undefined) return known;
-  const { reads, groups } = playFleet({
+  const { reads, groups } = simulateFleet({
     ...{ policy, nodes, services, seconds: SECONDS, seed, ...one },
   });
   const learned = reads.filter(({ at }) => at >= LEARNED_AT && at < SECONDS * 1000 - 500);
@@ -64,8 +70,8 @@
   return result;
 }
 
-function shareAtIll(reads: readonly PlayedRead[]): number {
-  return reads.filter(({ first }) => first === ILL).length / reads.length;
+function shareAtIll(reads: readonly SimulatedRead[]): number {
+  return reads.filter(({ firstInstance }) => firstInstance === ILL).length / reads.length;
 }
 
 function forEachFleet(check: (nodes: number, seed: number) => void, sizes = SIZES): void {
@@ -126,12 +132,12 @@
 });
 
 /** Fraction of the reads that each instance gets, by slices of time as long as the period between exchanges. */
-function sharesBySlice(reads: readonly PlayedRead[]): number[][] {
+function sharesBySlice(reads: readonly SimulatedRead[]): number[][] {
   const slices = new Map<number, number[]>();
-  for (const { at, first } of reads) {
+  for (const { at, firstInstance } of reads) {
     const index = Math.floor(at / 400);
     const counts = slices.get(index) ?? [0, 0, 0];
-    counts[first] = (counts[first] ?? 0) + 1;
+    counts[firstInstance] = (counts[firstInstance] ?? 0) + 1;
     slices.set(index, counts);
   }
   return [...slices.values()]
@@ -170,7 +176,7 @@
   }
 });
 
-const TROUBLED_MESSAGES: Readonly<Record<string, NonNullable<Case['passOn']>>> = {
+const TROUBLED_MESSAGES: Readonly<Record<string, NonNullable<Case['relayDigests']>>> = {
   lost: () => undefined,
   late: (digests) => digests.map((digest) => ({ ...digest, ageMs: digest.ageMs + 1500 })),
   'of an earlier life': (digests) =>
@@ -180,9 +186,9 @@
 };
 
 test('with digests lost, late, of an earlier life or nonsense, nodes go by their own sight and reads are served', () => {
-  for (const [name, passOn] of Object.entries(TROUBLED_MESSAGES)) {
+  for (const [name, relayDigests] of Object.entries(TROUBLED_MESSAGES)) {
     for (const seed of SEEDS) {
-      const fleet = play('fleet', 36, seed, { ...SLOW, passOn });
+      const fleet = play('fleet', 36, seed, { ...SLOW, relayDigests });
       const ranked = play('ranked', 36, seed, SLOW);
       const [p99, own] = [fleet.reads, ranked.reads].map((reads) => percentile(reads, 0.99));
       assert.ok((p99 ?? 0) <= 1.5 * (own ?? 0), `${name}, seed ${seed}: ${p99} ${own}`);
@@ -198,9 +204,10 @@
     const isIll = digest.instanceId.endsWith(`-${ILL}`);
     return { ...digest, answered: 900, failed: isIll ? 0 : 900, answerMs: isIll ? 1 : 300 };
   };
-  const passOn: Case['passOn'] = (digests, node) => (liars.has(node) ? digests.map(lie) : digests);
+  const relayDigests: Case['relayDigests'] = (digests, node) =>
+    liars.has(node) ? digests.map(lie) : digests;
   for (const seed of SEEDS) {
-    const { reads } = play('fleet', 36, seed, { ...SLOW, passOn });
+    const { reads } = play('fleet', 36, seed, { ...SLOW, relayDigests });
     const share = shareAtIll(reads);
     assert.ok(share < MOST_AT_ILL, `seed ${seed}: ${share}`);
   }
--- a/test/property/promotion-lateness.test.ts
+++ b/test/property/promotion-lateness.test.ts
@@ -26,11 +26,11 @@
 function violationsOf(seed: number, kinds: readonly FaultKind[]): string {
   const simulation = new PromotionSimulation({ seed });
   simulation.run(3000);
-  simulation.strike(30_000, kinds);
-  simulation.heal();
+  simulation.injectFaults(30_000, kinds);
+  simulation.waitForFaultsToEnd();
   simulation.run(12_000);
   if (simulation.violations.length === 0) return '';
-  return `seed ${seed}\n${simulation.violations.join('\n')}\n${simulation.story}`;
+  return `seed ${seed}\n${simulation.violations.join('\n')}\n${simulation.eventLog}`;
 }
 
 const MIXES: Readonly<Record<string, readonly FaultKind[]>> = {
--- a/test/property/promotion-mechanisms.test.ts
+++ b/test/property/promotion-mechanisms.test.ts
@@ -20,14 +20,14 @@
 }
 
 function random(kinds?: readonly FaultKind[]): Mutation['strike'] {
-  return (simulation) => simulation.strike(STRIKE_MS, kinds);
+  return (simulation) => simulation.injectFaults(STRIKE_MS, kinds);
 }
 
 /** A leader is cut off from the store while the platform takes no calls, and goes on calling. */
 function leaderCutOffInChange(simulation: PromotionSimulation): void {
   simulation.run(1000);
   const { group, platform, network, clock, leader } = simulation;
-  group.crash(group.leader);
+  group.crash(group.primary);
   platform.downUntil = clock.now + 3300;
   simulation.run(1300);
   network.cut(leader?.name ?? '', STORE, 8000);
@@ -57,13 +57,13 @@
 
 function violations(
   { seeds, strike }: Mutation,
-  disabled: readonly PromotionMechanism[],
+  disabledMechanisms: readonly PromotionMechanism[],
 ): string[] {
   return seeds.flatMap((seed) => {
-    const simulation = new PromotionSimulation({ seed, disabled });
+    const simulation = new PromotionSimulation({ seed, disabledMechanisms });
     simulation.run(3000);
     strike(simulation);
-    simulation.heal();
+    simulation.waitForFaultsToEnd();
     return simulation.violations;
   });
 }
--- a/test/property/promotion-mix.test.ts
+++ b/test/property/promotion-mix.test.ts
@@ -4,7 +4,7 @@
  */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { isClean, type MixOutcome, playMix } from '../support/promotion/mix.js';
+import { isClean, type MixOutcome, simulateMixedFaults } from '../support/promotion/mix.js';
 
 const RUNS = Number(process.env.MIX_RUNS ?? 30);
 const FIRST_SEED = Number(process.env.MIX_SEED ?? 20_261_202);
@@ -20,12 +20,14 @@
 /** The successor of a primary that its leader had never seen was not found. */
 const UNSEEN_PRIMARY = [488, 1940];
 
-function reportOf({ seed, violations, stopped }: MixOutcome): string {
-  return `seed ${seed}: ${[...violations, ...stopped.map((it) => `stopped ${it}`)].join('; ')}`;
+function reportOf({ seed, violations, servicesWithoutWrites }: MixOutcome): string {
+  return `seed ${seed}: ${[...violations, ...servicesWithoutWrites.map((it) => `stopped ${it}`)].join('; ')}`;
 }
 
 function findingsOf(seeds: readonly number[]): string {
-  const failed = seeds.map((seed) => playMix(seed)).filter((outcome) => !isClean(outcome));
+  const failed = seeds
+    .map((seed) => simulateMixedFaults(seed))
+    .filter((outcome) => !isClean(outcome));
   return failed.map(reportOf).join('\n');
 }
 
--- a/test/property/promotion.test.ts
+++ b/test/property/promotion.test.ts
@@ -9,12 +9,12 @@
 test('a crashed primary is replaced, and writes go on', () => {
   const simulation = new PromotionSimulation({ seed: 1 });
   simulation.run(4000);
-  const old = simulation.group.leader;
+  const old = simulation.group.primary;
   simulation.group.crash(old);
   simulation.run(2000);
-  assert.is.not(simulation.group.leader.id, old.id);
+  assert.is.not(simulation.group.primary.id, old.id);
   for (const { machine, now } of simulation.nodes) {
-    assert.is(machine?.primaryOf('group-0', now)?.id, simulation.group.leader.id);
+    assert.is(machine?.primaryOf('group-0', now)?.id, simulation.group.primary.id);
     assert.is(machine?.mayTrustPrimary('group-0', now), true);
   }
   assert.equal(simulation.violations, []);
@@ -24,10 +24,10 @@
   for (let seed = FIRST_SEED; seed < FIRST_SEED + RUNS; seed += 1) {
     const simulation = new PromotionSimulation({ seed });
     simulation.run(3000);
-    simulation.strike(30_000);
-    simulation.heal();
+    simulation.injectFaults(30_000);
+    simulation.waitForFaultsToEnd();
     simulation.run(12_000);
-    const context = `seed ${seed}\n${simulation.story}`;
+    const context = `seed ${seed}\n${simulation.eventLog}`;
     assert.equal(simulation.violations, [], context);
     const before = simulation.group.acknowledged.length;
     simulation.run(2000);
--- a/test/property/replica-reads.test.ts
+++ b/test/property/replica-reads.test.ts
@@ -13,11 +13,11 @@
   readonly reads: number;
 }
 
-function strike(seed: number, replicaReadsTrusting: number): Strikes {
-  const simulation = new PromotionSimulation({ seed, replicaReadsTrusting });
+function strike(seed: number, assumedSyncReplicas: number): Strikes {
+  const simulation = new PromotionSimulation({ seed, assumedSyncReplicas });
   simulation.run(3000);
-  simulation.strike(20_000);
-  simulation.heal();
+  simulation.injectFaults(20_000);
+  simulation.waitForFaultsToEnd();
   const reads = simulation.nodes.reduce((sum, node) => sum + node.readsAtReplicas, 0);
   return { violations: simulation.violations, reads };
 }
--- a/test/property/reused-change-number.test.ts
+++ b/test/property/reused-change-number.test.ts
@@ -7,18 +7,22 @@
  */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { playMix, RETURN_MECHANISMS, STORE_RETURN_KINDS } from '../support/promotion/mix.js';
+import {
+  STORE_RESTORE_MECHANISMS,
+  STORE_RESTORE_MIX,
+  simulateMixedFaults,
+} from '../support/promotion/mix.js';
 
 /** `RETURN_RUNS=1 RETURN_SEED=930569 node dist/test/property/store-return.test.js`, found among 930000 to 930599 */
 const SEED = 930569;
 
 test('a record of an earlier term is not taken for the later one', () => {
-  const { violations, stopped } = playMix(SEED, STORE_RETURN_KINDS);
-  assert.equal([violations, stopped], [[], []]);
+  const { violations, servicesWithoutWrites } = simulateMixedFaults(SEED, STORE_RESTORE_MIX);
+  assert.equal([violations, servicesWithoutWrites], [[], []]);
 });
 
 test('without that, a read at a deposed primary is stale', () => {
-  const { violations } = playMix(SEED, STORE_RETURN_KINDS, RETURN_MECHANISMS);
+  const { violations } = simulateMixedFaults(SEED, STORE_RESTORE_MIX, STORE_RESTORE_MECHANISMS);
   assert.ok(
     violations.some((violation) => violation.startsWith('STALE: read by node-1 at group-0-1')),
   );
--- a/test/property/store-return.test.ts
+++ b/test/property/store-return.test.ts
@@ -5,7 +5,7 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { PromotionMechanism } from '../../src/core/promotion/contract.js';
-import { isClean, playMix, STORE_RETURN_KINDS } from '../support/promotion/mix.js';
+import { isClean, STORE_RESTORE_MIX, simulateMixedFaults } from '../support/promotion/mix.js';
 
 const RUNS = Number(process.env.RETURN_RUNS ?? 25);
 const FIRST_SEED = Number(process.env.RETURN_SEED ?? 20_261_203);
@@ -15,9 +15,12 @@
 
 function findingsOf(seeds: readonly number[], disabled: readonly PromotionMechanism[] = []) {
   return seeds
-    .map((seed) => playMix(seed, STORE_RETURN_KINDS, disabled))
+    .map((seed) => simulateMixedFaults(seed, STORE_RESTORE_MIX, disabled))
     .filter((outcome) => !isClean(outcome))
-    .map(({ seed, violations, stopped }) => `${seed}: ${[...violations, ...stopped].join('; ')}`);
+    .map(
+      ({ seed, violations, servicesWithoutWrites }) =>
+        `${seed}: ${[...violations, ...servicesWithoutWrites].join('; ')}`,
+    );
 }
 
 /** Seeds that need a mechanism. */
--- a/test/property/succession.test.ts
+++ b/test/property/succession.test.ts
@@ -12,23 +12,23 @@
   simulation.run(4000);
   const { group, network, nodes } = simulation;
   // Only a primary that was promoted stands in a record; before that, the instances' own word counts.
-  const first = group.leader;
+  const first = group.primary;
   group.crash(first);
   simulation.run(3000);
   group.restart(first);
   simulation.run(3000);
-  const old = group.leader.id;
+  const old = group.primary.id;
   assert.is.not(old, first.id);
-  const [left] = group.instances.filter((instance) => instance !== group.leader);
+  const [left] = group.instances.filter((instance) => instance !== group.primary);
   assert.ok(left);
-  left.announced = false;
+  left.isRegistered = false;
   for (const { address } of group.instances) network.cut(left.address, address, FOR_GOOD_MS);
   for (const { name } of nodes) network.cut(left.address, name, FOR_GOOD_MS);
-  group.crash(group.leader);
+  group.crash(group.primary);
   simulation.run(500);
-  group.replace(group.leader);
+  group.replace(group.primary);
   simulation.run(3000);
-  const { leader } = group;
+  const { primary: leader } = group;
   assert.is.not(leader.id, old);
   for (const { machine, now } of nodes) {
     assert.is(machine?.primaryOf(group.service, now)?.id, leader.id);
@@ -43,10 +43,10 @@
   for (let seed = FIRST_SEED; seed < FIRST_SEED + RUNS; seed += 1) {
     const simulation = new PromotionSimulation({ seed });
     simulation.run(3000);
-    simulation.strike(20_000, [...EVERY_FAULT_KIND, 'primary replaced in place']);
-    simulation.heal();
+    simulation.injectFaults(20_000, [...EVERY_FAULT_KIND, 'primary replaced in place']);
+    simulation.waitForFaultsToEnd();
     simulation.run(12_000);
-    const context = `seed ${seed}\n${simulation.faults.join('\n')}`;
+    const context = `seed ${seed}\n${simulation.faultLog.join('\n')}`;
     assert.equal(simulation.violations, [], context);
     const before = simulation.group.acknowledged.length;
     simulation.run(2000);
--- a/test/property/successor-proof.test.ts
+++ b/test/property/successor-proof.test.ts
@@ -22,10 +22,10 @@
   const simulation = new PromotionSimulation({ seed, services: 1 });
   simulation.run(4000);
   const { group, clock, platform } = simulation;
-  const primary = group.leader;
+  const primary = group.primary;
   const [ending, lagging] = group.instances.filter((instance) => instance !== primary);
   if (ending === undefined || lagging === undefined) throw new Error('a group has three instances');
-  lagging.deafUntil = clock.now + LAG_MS;
+  lagging.notReceivingUntil = clock.now + LAG_MS;
   simulation.run(500);
   platform.downUntil = clock.now + OUTAGE_MS;
   group.crash(primary);
@@ -42,12 +42,12 @@
 test('the successor in place of a primary is proof enough', () => {
   for (const seed of SEEDS) {
     const simulation = play(seed);
-    assert.equal(simulation.violations, [], `seed ${seed}\n${simulation.story}`);
+    assert.equal(simulation.violations, [], `seed ${seed}\n${simulation.eventLog}`);
     const before = simulation.group.commits;
     simulation.run(1000);
     assert.ok(
       simulation.group.commits > before,
-      `writes stopped, seed ${seed}\n${simulation.story}`,
+      `writes stopped, seed ${seed}\n${simulation.eventLog}`,
     );
   }
 });
--- a/test/property/tenant-lease.test.ts
+++ b/test/property/tenant-lease.test.ts
@@ -52,8 +52,8 @@
   else if (fault === 'guess') node.allocatorGuess = value;
   else if (fault === 'cut-off') network.setCutOff([index, value]);
   else if (fault === 'join-again') network.setCutOff([]);
-  else if (fault === 'lossy') network.lossShare = value / 10;
-  else if (fault === 'reliable') network.lossShare = 0;
+  else if (fault === 'lossy') network.lossFraction = value / 10;
+  else if (fault === 'reliable') network.lossFraction = 0;
   else if (fault === 'slow') network.maxLatencyMs = 900;
   else if (fault === 'fast') network.maxLatencyMs = 20;
   else if (fault === 'demand') node.demand = value * 10;
@@ -128,7 +128,7 @@
   nodeAt(network, 4).demand = 10;
   network.run(10_000);
   assert.is(nodeAt(network, 3).open, LIMIT);
-  assert.is(network.cutCallers, 0);
+  assert.is(network.interruptedCallers, 0);
   nodeAt(network, 3).demand = LIMIT - 10;
   network.run(3000);
   assert.is(nodeAt(network, 4).open, 10);
@@ -152,7 +152,7 @@
   nodeAt(network, 2).isCandidate = true;
   for (const node of network.nodes) node.allocatorGuess = 2;
   network.run(10_000, () => assert.is(network.sumOpen(), LIMIT));
-  assert.is(network.cutCallers, 0);
+  assert.is(network.interruptedCallers, 0);
 });
 
 test('without an allocator shares are kept to the end of their lease, and then gone', () => {
--- a/test/property/unheard-member.test.ts
+++ b/test/property/unheard-member.test.ts
@@ -12,24 +12,32 @@
  */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { LATER_MECHANISMS, MIXED_FAULT_KINDS, playMix } from '../support/promotion/mix.js';
+import {
+  LATER_MECHANISMS,
+  MIXED_FAULT_KINDS,
+  simulateMixedFaults,
+} from '../support/promotion/mix.js';
 
 /** `MIX_RUNS=1 MIX_SEED=712465 node dist/test/property/promotion-mix.test.js`, found among 710000 to 714999 */
 const SEED = 712465;
 
 test('a node reads at no replica by what members tell that it has not heard of', () => {
-  const { violations, stopped } = playMix(SEED);
-  assert.equal([violations, stopped], [[], []]);
+  const { violations, servicesWithoutWrites } = simulateMixedFaults(SEED);
+  assert.equal([violations, servicesWithoutWrites], [[], []]);
 });
 
 test('so it is where nodes know no more of members than in the course that was found', () => {
   const others = LATER_MECHANISMS.filter((mechanism) => mechanism !== 'current-members');
-  const { violations, stopped } = playMix(SEED, MIXED_FAULT_KINDS, others);
-  assert.equal([violations, stopped], [[], []]);
+  const { violations, servicesWithoutWrites } = simulateMixedFaults(
+    SEED,
+    MIXED_FAULT_KINDS,
+    others,
+  );
+  assert.equal([violations, servicesWithoutWrites], [[], []]);
 });
 
 test('by a list of members that may be old it reads what misses a commit', () => {
-  const { violations } = playMix(SEED, MIXED_FAULT_KINDS, LATER_MECHANISMS);
+  const { violations } = simulateMixedFaults(SEED, MIXED_FAULT_KINDS, LATER_MECHANISMS);
   assert.ok(
     violations.some((violation) => violation.startsWith('STALE: read by node-3 at group-1-2')),
   );
--- a/test/property/unheard-newcomer.test.ts
+++ b/test/property/unheard-newcomer.test.ts
@@ -24,20 +24,24 @@
 const RETURNS: Readonly<Record<string, Return>> = {
   'under its id': (group, member) => group.restart(member),
   'under its id, without an entry': (group, member) => {
-    member.announced = false;
+    member.isRegistered = false;
     group.restart(member);
   },
   'in place, under another id': (group, member) => group.replace(member),
 };
 const NEWCOMER: Return = (group) => group.join();
 
-function play(seed: number, comeBack: Return, disabled: readonly PromotionMechanism[] = []) {
+function play(
+  seed: number,
+  comeBack: Return,
+  disabledMechanisms: readonly PromotionMechanism[] = [],
+) {
   const simulation = new PromotionSimulation({
-    ...{ seed, services: 1, replicaReadsTrusting: 1, disabled },
+    ...{ seed, services: 1, assumedSyncReplicas: 1, disabledMechanisms },
   });
   simulation.run(WARM_UP_MS);
   const { group, network, nodes, leader } = simulation;
-  const [forgotten, behind] = group.instances.filter((one) => one !== group.leader);
+  const [forgotten, behind] = group.instances.filter((one) => one !== group.primary);
   const reader = nodes.find((node) => node !== leader);
   if (forgotten === undefined || behind === undefined || reader === undefined) {
     throw new Error('a group has three instances, and there are nodes beside the leader');
@@ -50,26 +54,26 @@
   network.cut(reader.name, STORE, LONG_MS);
   simulation.run(LAPSED_AFTER_MS);
   for (const one of [forgotten, behind]) {
-    if (one.alive) one.deafUntil = simulation.clock.now + LONG_MS;
+    if (one.isRunning) one.notReceivingUntil = simulation.clock.now + LONG_MS;
   }
   comeBack(group, forgotten);
   simulation.run(200);
-  network.cut(reader.name, group.leader.address, LONG_MS);
+  network.cut(reader.name, group.primary.address, LONG_MS);
   simulation.run(2000);
   return simulation;
 }
 
-function staleSeeds(comeBack: Return, disabled: readonly PromotionMechanism[]): number[] {
+function staleSeeds(comeBack: Return, disabledMechanisms: readonly PromotionMechanism[]): number[] {
   return SEEDS.filter((seed) => {
-    const { violations } = play(seed, comeBack, disabled);
+    const { violations } = play(seed, comeBack, disabledMechanisms);
     return violations.some((violation) => violation.startsWith('STALE'));
   });
 }
 
 test('no stale read where a newcomer joins that the node has not heard of', () => {
   for (const seed of SEEDS) {
-    const { violations, story } = play(seed, NEWCOMER);
-    assert.equal(violations, [], `seed ${seed}\n${story}`);
+    const { violations, eventLog } = play(seed, NEWCOMER);
+    assert.equal(violations, [], `seed ${seed}\n${eventLog}`);
   }
 });
 
--- a/test/property/unnoted-member.test.ts
+++ b/test/property/unnoted-member.test.ts
@@ -8,18 +8,22 @@
  */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { LATER_MECHANISMS, MIXED_FAULT_KINDS, playMix } from '../support/promotion/mix.js';
+import {
+  LATER_MECHANISMS,
+  MIXED_FAULT_KINDS,
+  simulateMixedFaults,
+} from '../support/promotion/mix.js';
 
 /** `MIX_RUNS=1 MIX_SEED=800618 node dist/test/property/promotion-mix.test.js`, found among 800000 to 801499 */
 const SEED = 800618;
 
 test('a promotion counts members that were seen, though no leader has noted them', () => {
-  const { violations, stopped } = playMix(SEED);
-  assert.equal([violations, stopped], [[], []]);
+  const { violations, servicesWithoutWrites } = simulateMixedFaults(SEED);
+  assert.equal([violations, servicesWithoutWrites], [[], []]);
 });
 
 test('without what nodes know of members beyond the note, the commit is lost', () => {
-  const { violations } = playMix(SEED, MIXED_FAULT_KINDS, LATER_MECHANISMS);
+  const { violations } = simulateMixedFaults(SEED, MIXED_FAULT_KINDS, LATER_MECHANISMS);
   assert.equal(violations, ['LOST: commit 371 at the promotion of group-1-2']);
 });
 
--- a/test/property/unseen-members.test.ts
+++ b/test/property/unseen-members.test.ts
@@ -13,27 +13,27 @@
 
 test('a primary that is known by its record alone counts as silent', () => {
   for (const seed of SEEDS) {
-    const simulation = new PromotionSimulation({ seed, replicaReadsTrusting: 1 });
+    const simulation = new PromotionSimulation({ seed, assumedSyncReplicas: 1 });
     simulation.run(3000);
-    simulation.strike(20_000);
-    simulation.heal();
+    simulation.injectFaults(20_000);
+    simulation.waitForFaultsToEnd();
     assert.equal(simulation.violations, [], `seed ${seed}`);
   }
 });
 
 test('a member whose entry went before a node began counts as one', () => {
   for (const seed of [1, 2, 3, 4, 5]) {
-    const simulation = new PromotionSimulation({ seed, services: 1, replicaReadsTrusting: 1 });
+    const simulation = new PromotionSimulation({ seed, services: 1, assumedSyncReplicas: 1 });
     simulation.run(3000);
     const { group, clock, nodes } = simulation;
-    const [leaving, lagging] = group.instances.filter((instance) => instance !== group.leader);
+    const [leaving, lagging] = group.instances.filter((instance) => instance !== group.primary);
     const [node] = nodes;
     if (leaving === undefined || lagging === undefined || node === undefined) {
       throw new Error('a group has three instances, and there are nodes');
     }
     // It leaves without a word and serves on: with the primary it has all that is acknowledged from here on.
-    leaving.announced = false;
-    lagging.deafUntil = clock.now + 6000;
+    leaving.isRegistered = false;
+    lagging.notReceivingUntil = clock.now + 6000;
     node.kill();
     simulation.run(300);
     node.start();
--- a/test/property/watch-readers.test.ts
+++ b/test/property/watch-readers.test.ts
@@ -22,8 +22,8 @@
 const LARGE_VALUE = 'x'.repeat(20_000);
 
 function nameReaders(network: ReaderNetwork, readers: readonly ReachableNode[]): void {
-  for (const { followed, place } of network.nodes) {
-    followed.setReaders(readersOf(place, readers), fallbackReadersOf(place, readers));
+  for (const { followed, address } of network.nodes) {
+    followed.setReaders(readersOf(address, readers), fallbackReadersOf(address, readers));
   }
 }
 
@@ -34,7 +34,7 @@
 }
 
 function places(network: ReaderNetwork, numbers: readonly number[]): ReachableNode[] {
-  return numbers.map((number) => (network.nodes[number] as VirtualNode).place);
+  return numbers.map((number) => (network.nodes[number] as VirtualNode).address);
 }
 
 test('in calm times only readers ask the store, and all are told', async () => {
@@ -44,7 +44,7 @@
   const before = network.store.polls;
   network.store.write(`${PREFIX}/x`);
   await network.time.runUntil(6100);
-  for (const { told } of network.nodes) assert.equal(told, [2]);
+  for (const { notified } of network.nodes) assert.equal(notified, [2]);
   await network.time.runUntil(16_100);
   // Each reader's poll ends every 2.5 s, and once more because of the change.
   assert.ok(network.store.polls - before <= 12, `${network.store.polls - before} polls`);
@@ -70,12 +70,12 @@
   first.isAlive = false;
   network.store.write(`${PREFIX}/x`);
   await network.time.runUntil(6100);
-  for (const { told } of others) assert.equal(told, [2]);
+  for (const { notified } of others) assert.equal(notified, [2]);
   second.isAlive = false;
   network.store.write(`${PREFIX}/y`);
   await network.time.runUntil(8200);
-  for (const { told, counters } of others) {
-    assert.equal(told, [2, 3]);
+  for (const { notified, counters } of others) {
+    assert.equal(notified, [2, 3]);
     assert.ok(counters.fallbacks > 0);
   }
 });
@@ -87,7 +87,7 @@
   for (const { nodeId } of places(network, [0, 1])) network.store.cutOff.add(nodeId);
   network.store.write(`${PREFIX}/x`);
   await network.time.runUntil(6000 + BOUND_MS);
-  for (const { told } of network.nodes.slice(2)) assert.equal(told, [2]);
+  for (const { notified } of network.nodes.slice(2)) assert.equal(notified, [2]);
 });
 
 test('a value too large to pass on is read from the store by each node', async () => {
@@ -97,7 +97,7 @@
   const before = network.store.polls;
   network.store.write(`${PREFIX}/x`, LARGE_VALUE);
   await network.time.runUntil(6200);
-  for (const { told } of network.nodes) assert.equal(told, [2]);
+  for (const { notified } of network.nodes) assert.equal(notified, [2]);
   assert.ok(network.store.polls - before <= NODES + 2);
 });
 
@@ -118,7 +118,7 @@
     }
     // Two readers with polls of 2.5 s for 20 s. If readers never served again, all seven nodes would poll.
     assert.ok(network.store.polls - before <= 18, `${network.store.polls - before} polls`);
-    for (const { told } of network.nodes) assert.equal(told, [2]);
+    for (const { notified } of network.nodes) assert.equal(notified, [2]);
   }
 });
 
@@ -129,7 +129,7 @@
   const before = network.store.polls;
   network.store.write(`${PREFIX}/x`, LARGE_VALUE);
   await network.time.runUntil(6200);
-  for (const { told } of network.nodes) assert.equal(told, [2]);
+  for (const { notified } of network.nodes) assert.equal(notified, [2]);
   assert.ok(network.store.polls - before <= 4, `${network.store.polls - before} polls`);
 });
 
@@ -143,7 +143,7 @@
     assert.is(network.store.polls, 0);
     if (isNamed) nameReaders(network, places(network, [0, 1]));
     await network.time.runUntil(1500);
-    for (const { told } of network.nodes) assert.equal(told, [2]);
+    for (const { notified } of network.nodes) assert.equal(notified, [2]);
     // Each first poll returns the change, and is followed by a second one.
     assert.is(network.store.polls, 2 * (isNamed ? 2 : NODES));
   }
@@ -176,7 +176,7 @@
     const before = network.store.polls;
     network.store.write(`${PREFIX}/x`);
     await network.time.runUntil(6200);
-    for (const { told } of network.nodes) assert.equal(told, [2]);
+    for (const { notified } of network.nodes) assert.equal(notified, [2]);
     await network.time.runUntil(26_200);
     // Two nodes with polls of 2.5 s for 20 s, and one more poll each for the change.
     assert.ok(network.store.polls - before <= 20, `${network.store.polls - before} polls`);
@@ -192,11 +192,11 @@
   if (first !== undefined) first.isAlive = false;
   network.store.write(`${PREFIX}/x`);
   await network.time.runUntil(6200);
-  for (const { told } of without(network, [0])) assert.equal(told, [2]);
+  for (const { notified } of without(network, [0])) assert.equal(notified, [2]);
   if (second !== undefined) second.isAlive = false;
   network.store.write(`${PREFIX}/y`);
   await network.time.runUntil(8400);
-  for (const { told } of without(network, STORE_READERS)) assert.equal(told, [2, 3]);
+  for (const { notified } of without(network, STORE_READERS)) assert.equal(notified, [2, 3]);
   // Zone c still has both its readers, so that its other node does not need the store.
   assert.is((network.nodes[8] as VirtualNode).counters.fallbacks, 0);
 });
@@ -208,7 +208,7 @@
   for (const { nodeId } of places(network, STORE_READERS)) network.store.cutOff.add(nodeId);
   network.store.write(`${PREFIX}/x`);
   await network.time.runUntil(6000 + BOUND_MS);
-  for (const { told } of without(network, STORE_READERS)) assert.equal(told, [2]);
+  for (const { notified } of without(network, STORE_READERS)) assert.equal(notified, [2]);
 });
 
 test('what a follower of a relay is proven is no younger than what the store told', async () => {
@@ -221,8 +221,11 @@
   const writtenAt = network.time.now;
   for (let now = writtenAt; now <= writtenAt + BOUND_MS; now += 50) {
     await network.time.runUntil(now);
-    for (const { told, provenAt } of network.nodes) {
-      assert.ok(told.includes(2) || provenAt <= writtenAt, `${provenAt} at ${now}`);
+    for (const { notified, provenCurrentAsOf } of network.nodes) {
+      assert.ok(
+        notified.includes(2) || provenCurrentAsOf <= writtenAt,
+        `${provenCurrentAsOf} at ${now}`,
+      );
     }
   }
 });
@@ -236,12 +239,12 @@
   for (const { nodeId } of places(network, turnedAway)) network.store.refused.add(nodeId);
   network.store.write(`${PREFIX}/x`);
   await network.time.runUntil(9000);
-  for (const { told } of without(network, STORE_READERS)) assert.equal(told, [2]);
+  for (const { notified } of without(network, STORE_READERS)) assert.equal(notified, [2]);
   const before = network.store.pollsOf('n8');
   assert.ok(before - atFirst <= 1, `${before - atFirst} polls`);
   network.store.write(`${PREFIX}/y`);
   await network.time.runUntil(9300);
-  for (const { told } of without(network, STORE_READERS)) assert.equal(told, [2, 3]);
+  for (const { notified } of without(network, STORE_READERS)) assert.equal(notified, [2, 3]);
   await network.time.runUntil(19_000);
   assert.is(network.store.pollsOf('n8') - before, 0);
 });
@@ -265,7 +268,7 @@
   await network.time.runUntil(14_500);
   const before = network.store.pollsOf('n8');
   const [first, last] = [network.nodes[0], network.nodes[8]] as [VirtualNode, VirtualNode];
-  assert.equal(last.told, first.told);
+  assert.equal(last.notified, first.notified);
   await network.time.runUntil(20_000);
   assert.is(network.store.pollsOf('n8') - before, 0);
 });
@@ -280,7 +283,7 @@
   await network.time.runUntil(6500);
   network.store.write(`${PREFIX}/x`);
   await network.time.runUntil(6800);
-  for (const { told } of network.nodes) assert.equal(told, [2]);
+  for (const { notified } of network.nodes) assert.equal(notified, [2]);
   // Two new readers poll, and once more after the change; the former two stop after their pending polls.
   assert.ok(network.store.polls - before <= 4, `${network.store.polls - before} polls`);
   for (const { counters } of network.nodes) assert.ok(counters.fallbacks <= 1);
@@ -301,11 +304,11 @@
   const network = zonedNetwork(seededRandom(14));
   nameReaders(network, places(network, ZONE_READERS));
   await network.time.runUntil(6000);
-  for (const { place } of network.nodes) network.store.cutOff.add(place.nodeId);
+  for (const { address } of network.nodes) network.store.cutOff.add(address.nodeId);
   // Each of the two is told that the other one reads the store.
   const pair = places(network, [6, 7]);
   for (const node of network.nodes.slice(6, 8)) {
-    const others = pair.filter(({ nodeId }) => nodeId !== node.place.nodeId);
+    const others = pair.filter(({ nodeId }) => nodeId !== node.address.nodeId);
     node.followed.setReaders({ type: 'relay', readers: others });
   }
   await network.time.runUntil(6300);
@@ -329,17 +332,17 @@
     };
   },
   linkCut: ({ nodes, cutLinks }, random) => {
-    const link = `${pick(nodes, random).place.nodeId}-${pick(nodes, random).place.nodeId}`;
+    const link = `${pick(nodes, random).address.nodeId}-${pick(nodes, random).address.nodeId}`;
     cutLinks.add(link);
     return () => void cutLinks.delete(link);
   },
   storeIgnores: ({ nodes, store }, random) => {
-    const { nodeId } = pick(nodes, random).place;
+    const { nodeId } = pick(nodes, random).address;
     store.cutOff.add(nodeId);
     return () => void store.cutOff.delete(nodeId);
   },
   storeRefuses: ({ nodes, store }, random) => {
-    const { nodeId } = pick(nodes, random).place;
+    const { nodeId } = pick(nodes, random).address;
     store.refused.add(nodeId);
     return () => void store.refused.delete(nodeId);
   },
@@ -363,7 +366,7 @@
   readonly #badAt = new Map<string, Milliseconds>();
 
   look({ nodes, store, time }: ReaderNetwork): VirtualNode[] {
-    return nodes.filter(({ place: { nodeId }, isAlive }) => {
+    return nodes.filter(({ address: { nodeId }, isAlive }) => {
       const isBad = !isAlive || store.cutOff.has(nodeId) || store.refused.has(nodeId);
       if (isBad) this.#badAt.set(nodeId, time.now);
       return time.now - (this.#badAt.get(nodeId) ?? Number.NEGATIVE_INFINITY) > BOUND_MS;
@@ -380,7 +383,7 @@
     );
     nameReaders(
       network,
-      named.map(({ place }) => place),
+      named.map(({ address }) => address),
     );
     return () => {};
   },
@@ -424,14 +427,14 @@
       }
       for (const node of served.look(network)) {
         const due = [...writtenAt].filter(([, at]) => at < now - BOUND_MS).map(([key]) => key);
-        const missing = due.filter((revision) => !node.told.includes(revision));
-        const context = `seed ${seed}, ${node.place.nodeId} at ${now}: ${log.join(', ')}`;
+        const missing = due.filter((revision) => !node.notified.includes(revision));
+        const context = `seed ${seed}, ${node.address.nodeId} at ${now}: ${log.join(', ')}`;
         assert.equal(missing, [], context);
       }
     }
-    for (const { told, place } of network.nodes) {
-      const inOrder = [...new Set(told)].sort((left, right) => left - right);
-      assert.equal(told, inOrder, `seed ${seed}, ${place.nodeId}: ${log.join(', ')}`);
+    for (const { notified, address } of network.nodes) {
+      const inOrder = [...new Set(notified)].sort((left, right) => left - right);
+      assert.equal(notified, inOrder, `seed ${seed}, ${address.nodeId}: ${log.join(', ')}`);
     }
   }
 }
--- a/test/support/budget-network.ts
+++ b/test/support/budget-network.ts
@@ -1,6 +1,6 @@
 /**
- * A simulated instance with its lock, and nodes whose views may be wrong: any of them may try to become
- * the granter, clocks drift, messages are delayed or lost, nodes pause, sessions break.
+ * Simulates nodes that lease shares of an instance's connections. The granter is the node that holds the instance's
+ * lock. Any node may try to become it; clocks drift, messages are delayed or lost, nodes pause, sessions break.
  */
 import { BudgetGranter } from '../../src/core/ownership/budget-granter.js';
 import { BudgetHolder } from '../../src/core/ownership/budget-holder.js';
--- a/test/support/caller-session-fixture.ts
+++ b/test/support/caller-session-fixture.ts
@@ -1,4 +1,4 @@
-/** The dependencies of a caller session, with a service that has no instance. */
+/** Dependencies of a caller session; their service has no instance. */
 import { lineWire } from '../../platform/line-wire.js';
 import { type RoutePolicy, resolveRoutePolicy } from '../../src/core/tenancy/route-template.js';
 import { AnnouncedPrimaryView } from '../../src/direct/announced-primary-view.js';
@@ -26,14 +26,14 @@
 const TRANSACTION_IDLE_MS = 3000;
 const POLICY = resolveRoutePolicy(ROUTE_TEMPLATES, ROUTE.consistency, ROUTE);
 
-/** The tenant of the route, with parts of its policy replaced. */
-export function tenantWith(changes: Partial<RoutePolicy> = {}): Tenant {
+/** Creates the route's tenant; `changes` override its policy. */
+export function createTenant(changes: Partial<RoutePolicy> = {}): Tenant {
   return new Tenant(ROUTE.name, { ...POLICY, ...changes });
 }
 
-/** Dependencies with the one database `orders`; ended requests are added to `ends`. */
-export function sessionDependencies(
-  tenant = tenantWith(),
+/** Creates dependencies with the database `orders`; ended requests are added to `ends`. */
+export function createSessionDependencies(
+  tenant = createTenant(),
   ends: RequestEnd[] = [],
   transactionIdleMs = TRANSACTION_IDLE_MS,
 ): SessionDependencies {
@@ -85,9 +85,9 @@
   };
 }
 
-/** A runner that answers every statement with this payload and records it in `ran`. */
-export function runnerWith(payload: string, ran: string[]): StatementRunner {
-  const real = sessionDependencies().runner;
+/** Creates a runner that answers each statement with this payload and adds the statement to `ran`. */
+export function createRunner(payload: string, ran: string[]): StatementRunner {
+  const real = createSessionDependencies().runner;
   return Object.assign(Object.create(real), {
     run: async (request: { encode(after: undefined): string }) => {
       ran.push(request.encode(undefined));
--- a/test/support/cluster.ts
+++ b/test/support/cluster.ts
@@ -1,16 +1,16 @@
-/** Small clusters of real processes for integration tests, and callers that carry their session. */
+/** Small clusters of real processes for integration tests, and callers that keep their session token. */
 import pg from 'pg';
 import * as assert from 'uvu/assert';
 import { Cluster, type ClusterOptions } from '../../bench/harness/cluster.js';
 import type { NodeStatus } from '../../src/node/node-status.js';
-import { GIVE_UP_AFTER_MS, until } from './until.js';
+import { until, WAIT_TIMEOUT_MS } from './until.js';
 
 export const GROUP = 'orders';
 export const TENANT = { name: 'bureau', password: 'a long password' };
 
 const ELECTION_TIMEOUT_MS = 1500;
 
-/** `lookup` tolerates stale answers; everything else reads from the primary. */
+/** `lookup` accepts stale reads; all other requests read from the primary. */
 export const TEMPLATE = `kind: Template
 name: standard
 parameters:
@@ -31,13 +31,13 @@
 `;
 
 /**
- * For tests in which no proxy freezes: a busy test machine may keep one from its turn for a second,
- * and a link that is taken for lost then is no part of what they show.
+ * For tests that pause no proxy. A busy test machine may stall one for a second, and its links must not count as
+ * lost then.
  */
-export const PATIENT_LINKS = '--peer-heartbeat-ms=5000';
+export const LONG_HEARTBEAT_FLAG = '--peer-heartbeat-ms=5000';
 
-/** The same for instances: reads that run on one that misses two probes are given up. */
-export const PATIENT_PROBES = '--probe-timeout-ms=5000';
+/** The same for probes of instances: after two missed probes, reads that run there are aborted. */
+export const LONG_PROBE_TIMEOUT_FLAG = '--probe-timeout-ms=5000';
 
 const SMALL_GROUP = {
   group: GROUP,
@@ -45,12 +45,12 @@
   slots: 5,
   maxConnections: 35,
   connectionDelayMs: 10,
-  // Far above what a busy test machine delays a heartbeat by: elections only when a test asks.
+  // Far above the heartbeat delays of a busy test machine, so that only tests cause elections.
   electionTimeoutMs: ELECTION_TIMEOUT_MS,
 };
 
-/** The same group for tests that are not about elections: none is held however busy the machine is. */
-export const STEADY_GROUPS = [{ ...SMALL_GROUP, electionTimeoutMs: 60_000 }];
+/** The same group with a timeout so long that a busy machine causes no election. */
+export const GROUPS_WITHOUT_ELECTIONS = [{ ...SMALL_GROUP, electionTimeoutMs: 60_000 }];
 
 /** One group of three instances in three zones, and two proxies. */
 export function startSmallCluster(options: Partial<ClusterOptions> = {}): Promise<Cluster> {
@@ -66,7 +66,7 @@
   });
 }
 
-/** A caller's connection with the session token that it was last told. */
+/** A caller's connection and the last session token that it received. */
 export interface TestCaller {
   readonly client: pg.Client;
   sessionToken(): string;
@@ -101,17 +101,17 @@
   return { client, sessionToken: () => token };
 }
 
-/** What a proxy tells of itself on its admin port; fails if it does not answer, as a paused one. */
+/** Status of a proxy from its admin port; rejects if the proxy does not respond, for instance when paused. */
 export async function statusOf(cluster: Cluster, nodeId: string): Promise<NodeStatus> {
   const { admin } = cluster.proxy(nodeId);
   assert.ok(admin, 'no admin port');
-  const signal = AbortSignal.timeout(GIVE_UP_AFTER_MS);
+  const signal = AbortSignal.timeout(WAIT_TIMEOUT_MS);
   const response = await fetch(`http://${admin.host}:${admin.port}/status`, { signal });
   return (await response.json()) as NodeStatus;
 }
 
-/** Resolves once every one of these proxies has the revision in force. */
-export async function inForce(
+/** Resolves once all these proxies have applied the revision. */
+export async function waitForRevision(
   cluster: Cluster,
   revision: number,
   nodeIds: Iterable<string> = cluster.proxies.keys(),
@@ -123,8 +123,11 @@
   }
 }
 
-/** Resolves once every one of these proxies has heard from all the others. */
-export async function allHeard(cluster: Cluster, nodeIds: readonly string[]): Promise<void> {
+/** Resolves once each of these proxies sees all others as alive. */
+export async function waitForMembership(
+  cluster: Cluster,
+  nodeIds: readonly string[],
+): Promise<void> {
   for (const nodeId of nodeIds) {
     await until(`${nodeId} has heard from the others`, async () => {
       const { members } = await statusOf(cluster, nodeId);
@@ -134,22 +137,24 @@
   }
 }
 
-/** The one node that owns the group, once there is just one, and the first that does not. */
-export async function soleOwner(cluster: Cluster): Promise<{ owner: string; gateway: string }> {
+/** Waits for a single owner of the group; returns it and the first other node. */
+export async function waitForSoleOwner(
+  cluster: Cluster,
+): Promise<{ owner: string; gateway: string }> {
   let owners: string[] = [];
   const nodeIds = [...cluster.proxies.keys()];
   await until('one owner', async () => {
     const statuses = await Promise.all(nodeIds.map((nodeId) => statusOf(cluster, nodeId)));
     const owning = statuses.filter(({ groups }) => groups.some(({ group }) => group === GROUP));
     owners = owning.map(({ nodeId }) => nodeId);
-    return owners.length === 1 && statuses.every(({ members }) => allAlive(members, nodeIds));
+    return owners.length === 1 && statuses.every(({ members }) => areAllAlive(members, nodeIds));
   });
   const gateway = nodeIds.find((nodeId) => !owners.includes(nodeId));
   assert.ok(owners[0] !== undefined && gateway !== undefined);
   return { owner: owners[0], gateway };
 }
 
-function allAlive(members: NodeStatus['members'], nodeIds: readonly string[]): boolean {
+function areAllAlive(members: NodeStatus['members'], nodeIds: readonly string[]): boolean {
   const alive = members.filter(({ status }) => status === 'alive');
   return alive.length >= nodeIds.length - 1;
 }
--- a/test/support/command-line.ts
+++ b/test/support/command-line.ts
@@ -4,7 +4,6 @@
 
 const PROGRAM = fileURLToPath(new URL('../../../bin/run.js', import.meta.url));
 
-/** Result of a run. */
 export interface CommandResult {
   readonly exitCode: number;
   readonly stdout: string;
--- a/test/support/compute-for.ts
+++ b/test/support/compute-for.ts
@@ -1,4 +1,4 @@
-/** Keeps the process busy, so that it is late with everything else. */
+/** Blocks the event loop for this time. */
 export function computeFor(milliseconds: number): void {
   const until = performance.now() + milliseconds;
   while (performance.now() < until);
--- a/test/support/direct-answers.ts
+++ b/test/support/direct-answers.ts
@@ -1,43 +1,43 @@
-/** Judges what is owed around planned work: answers, the end of a process that stops, configurations. */
+/** Checks missing responses, graceful shutdowns and the routes that gateways serve, around planned work. */
 import type { RunRecord } from '../../standins/direct/run-log.js';
 import type { ClientStatement, Rule, Violation } from './direct-history.js';
 
-/** Something that went on at a gateway; times are of the machine's monotonic clock. */
+/** A period at a gateway; times are of the machine's monotonic clock. */
 export interface GatewaySpan {
   readonly kind: string;
-  /** Undefined: at all gateways. */
+  /** Undefined for all gateways. */
   readonly gateway: string | undefined;
   readonly from: number;
   readonly until: number;
 }
 
-/** What was done to the gateways, as far as it excuses them. */
+/** Faults and pauses that excuse a gateway. */
 export interface Conditions {
-  /** Unplanned faults: of the gateway, its links, its instances or the store. */
+  /** Unplanned faults of the gateway, its links, its instances or the store. */
   readonly disruptions: readonly GatewaySpan[];
-  /** The gateway, or who watches it, did not run. */
+  /** Times when the gateway or the observing process did not run. */
   readonly pauses: readonly GatewaySpan[];
 }
 
-/** A SIGTERM, the first one of its process. */
+/** The first SIGTERM to a process. */
 export interface PlannedStop {
   readonly gateway: string;
   readonly at: number;
-  /** Undefined while it runs. */
+  /** Undefined while the process runs. */
   readonly ended: { readonly at: number; readonly how: number | string | null } | undefined;
 }
 
-/** What a gateway answered to the start of a session. */
+/** A gateway's response to a session start. */
 export interface ConfigurationProbe {
   readonly gateway: string;
   readonly database: string;
-  /** The acknowledged configuration has a route for it. */
+  /** True if the acknowledged configuration has a route for the database. */
   readonly isExpected: boolean;
   readonly code: string | undefined;
 }
 
-/** Answers that are missing, and those that may be so because the gateway was paused. */
-export interface OwedAnswers {
+/** Requests without a response, and those whose gateway was paused (`late`). */
+export interface UnansweredRequests {
   readonly violations: readonly Violation[];
   readonly late: readonly string[];
 }
@@ -47,12 +47,12 @@
 const CONTACT_TIMEOUT_MS = 4000;
 const GRACE_PERIOD_MS = 6000;
 
-/** Requests that were taken, and whose connection ended too late or after they ran, without an answer. */
-export function checkOwedAnswers(
+/** Finds requests that a gateway had read and not answered: they ran, or the connection ended too late. */
+export function checkUnansweredRequests(
   statements: readonly ClientStatement[],
   runs: readonly RunRecord[],
   { disruptions, pauses }: Conditions,
-): OwedAnswers {
+): UnansweredRequests {
   const ranIds = new Set(runs.map(({ id }) => id));
   const violations: Violation[] = [];
   const late: string[] = [];
@@ -71,7 +71,7 @@
   return { violations, late };
 }
 
-/** Stops that did not end the process, ended it too late, or otherwise than with exit code 0. */
+/** Finds graceful shutdowns that did not end the process, ended it too late, or with an exit code other than 0. */
 export function checkPlannedStops(
   stops: readonly PlannedStop[],
   { disruptions, pauses }: Conditions,
@@ -88,12 +88,10 @@
   });
 }
 
-/** Routes of the acknowledged configuration that a gateway does not serve, and dropped ones that it does not refuse. */
-export function checkConfigurationKept(
-  probes: readonly ConfigurationProbe[],
-): readonly Violation[] {
+/** Finds acknowledged routes that a gateway does not serve, and removed routes that it does not refuse. */
+export function checkServedRoutes(probes: readonly ConfigurationProbe[]): readonly Violation[] {
   return probes.flatMap(({ gateway, database, isExpected, code }) => {
-    // Any other answer, as of a gateway without a configuration, is no proof of either.
+    // Other codes, such as those of a gateway without a configuration, prove neither.
     if (code === (isExpected ? undefined : 'NODATABASE')) return [];
     const route = `${isExpected ? 'acknowledged' : 'dropped'} route ${database}`;
     return [violation('LOST', `${gateway} answers ${code ?? 'READY'} for the ${route}`)];
--- a/test/support/direct-cluster.ts
+++ b/test/support/direct-cluster.ts
@@ -1,11 +1,11 @@
-/** The platform stand-in and some direct gateways as real processes, for integration tests. */
+/** The platform stand-in and direct gateways as real processes, for integration tests. */
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { type RunningFaultProxy, startFaultProxy } from '../../bench/harness/platform.js';
 import { checkDirectHistory, type RouteType, type Violation } from './direct-history.js';
 import { DirectPlatform } from './direct-platform.js';
-import { freePortRow } from './direct-ports.js';
+import { findFreePorts } from './direct-ports.js';
 import { type DirectGatewayProcess, isReady, startProcess } from './direct-process.js';
 import { HistoryRecorder, RecordedSession } from './direct-session.js';
 import { gatewaySettings } from './direct-settings.js';
@@ -14,14 +14,14 @@
 const HOST = '127.0.0.1';
 
 export interface TestRoute {
-  /** 0 is the highest; 1 by default. */
+  /** 0 is the highest; default 1. */
   readonly priority?: number | undefined;
   readonly database: string;
   readonly service: string;
   readonly routeType: RouteType;
   readonly maxStalenessMs?: number;
   readonly timeoutMs?: number;
-  /** It leads to other services at times. */
+  /** The test moves it to other services. */
   readonly mayMove?: boolean;
 }
 
@@ -50,8 +50,8 @@
 
 const DEFAULT_TIMEOUT_MS = 2000;
 const DEFAULT_TRANSACTION_IDLE_MS = 3000;
-/** A start takes most of a core for half a second. */
-const STARTED_AT_ONCE = 8;
+/** Each start uses most of a CPU core for half a second. */
+const MAX_CONCURRENT_STARTS = 8;
 
 /** The operator's configuration with these routes. */
 export function configurationOf(
@@ -94,57 +94,57 @@
 export interface DirectClusterOptions {
   readonly gateways?: number;
   readonly routes?: readonly TestRoute[];
-  /** Flags of the stand-in. */
+  /** Flags of the platform stand-in. */
   readonly flags?: readonly string[];
-  /** Each gateway reaches the store through a fault proxy, so that it can be cut off. */
+  /** Gateways reach the store through a fault proxy, so that the test can cut them off. */
   readonly cuttable?: boolean;
   readonly transactionIdleMs?: number;
   /** Flags of every gateway. */
   readonly gatewayFlags?: readonly string[];
-  /** Characters of a gateway's output that are kept; the end of it by default. */
-  readonly keptOutput?: number;
-  /** Bounds that differ from the settings' own. */
+  /** Number of the last characters of each gateway's output that are kept. */
+  readonly maxOutputCharacters?: number;
+  /** Bounds that replace those of the settings file. */
   readonly bounds?: Readonly<Record<string, number | boolean>>;
-  /** Contracts beside the usual ones. */
+  /** Additional contracts. */
   readonly contracts?: readonly string[];
-  /** Who may use the routes; without it callers need no keys. */
+  /** Tenants that may use the routes; if undefined, callers need no keys. */
   readonly tenants?: readonly TestTenant[];
-  /** Clients find out whether a request without an answer was read. */
-  readonly looksWhetherTaken?: boolean;
+  /** As in `LineClientOptions`, for all sessions. */
+  readonly detectsUnreadRequests?: boolean;
 }
 
 export class DirectCluster {
   readonly recorder = new HistoryRecorder();
   readonly gateways: DirectGatewayProcess[] = [];
-  /** Every process that was started, also those that were followed by another one. */
-  readonly lives: DirectGatewayProcess[] = [];
-  /** All routes that ever were published, by database. */
-  readonly #known = new Map<string, TestRoute>();
-  readonly #folder = mkdtempSync(join(tmpdir(), 'direct-cluster-'));
+  /** All gateway processes so far, including those that were restarted. */
+  readonly startedProcesses: DirectGatewayProcess[] = [];
+  /** All routes published so far. */
+  readonly #routesByDatabase = new Map<string, TestRoute>();
+  readonly #directory = mkdtempSync(join(tmpdir(), 'direct-cluster-'));
   #version = 0;
-  #links: RunningFaultProxy | undefined;
+  #storeFaultProxy: RunningFaultProxy | undefined;
 
   private constructor(
     readonly platform: DirectPlatform,
     private readonly options: DirectClusterOptions,
   ) {
-    for (const route of this.#firstRoutes) this.#known.set(route.database, route);
+    for (const route of this.#initialRoutes) this.#routesByDatabase.set(route.database, route);
   }
 
-  get #firstRoutes(): readonly TestRoute[] {
+  get #initialRoutes(): readonly TestRoute[] {
     return this.options.routes ?? ROUTES;
   }
 
-  /** Starts everything, publishes the routes and waits until each gateway is ready. */
+  /** Starts all processes, publishes the routes and waits until each gateway is ready. */
   static async start(options: DirectClusterOptions = {}): Promise<DirectCluster> {
     const platform = await DirectPlatform.start(options.flags);
     const cluster = new DirectCluster(platform, options);
     try {
-      if (options.cuttable === true) cluster.#links = await startFaultProxy();
-      await cluster.publish(cluster.#firstRoutes);
+      if (options.cuttable === true) cluster.#storeFaultProxy = await startFaultProxy();
+      await cluster.publish(cluster.#initialRoutes);
       const count = options.gateways ?? 1;
-      for (let started = 0; started < count; started += STARTED_AT_ONCE) {
-        await cluster.#startGateways(Math.min(STARTED_AT_ONCE, count - started));
+      for (let started = 0; started < count; started += MAX_CONCURRENT_STARTS) {
+        await cluster.#startGateways(Math.min(MAX_CONCURRENT_STARTS, count - started));
       }
     } catch (error) {
       await cluster.stop();
@@ -155,7 +155,7 @@
 
   /** Publishes these routes as the next version. */
   async publish(routes: readonly TestRoute[], tenants = this.options.tenants): Promise<void> {
-    for (const route of routes) this.#known.set(route.database, route);
+    for (const route of routes) this.#routesByDatabase.set(route.database, route);
     this.#version += 1;
     await this.platform.set(
       '/config',
@@ -163,7 +163,7 @@
     );
   }
 
-  /** Starts so many gateways and waits until they are ready. */
+  /** Starts `count` gateways and waits until they are ready. */
   async #startGateways(count: number): Promise<void> {
     const started: DirectGatewayProcess[] = [];
     for (let index = 0; index < count; index += 1) started.push(await this.startGateway());
@@ -172,11 +172,11 @@
 
   async startGateway(): Promise<DirectGatewayProcess> {
     const name = `frontend-${this.gateways.length + 1}`;
-    const callersPort = await freePortRow();
+    const callersPort = await findFreePorts();
     const readinessPort = callersPort + 1;
     const internalPort = callersPort + 2;
     const peerPort = internalPort + 1;
-    const settingsPath = join(this.#folder, `${name}.json`);
+    const settingsPath = join(this.#directory, `${name}.json`);
     const storePort = await this.#storePortOf(name);
     const { promotionPort, heartbeatMs } = this.platform;
     const ports = { callersPort, readinessPort, internalPort, storePort };
@@ -188,18 +188,17 @@
     const gateway = { name, callersPort, readinessPort, internalPort, peerPort, settingsPath };
     const running = { ...gateway, ...startProcess(settingsPath, this.options) };
     this.gateways.push(running);
-    this.lives.push(running);
+    this.startedProcesses.push(running);
     return running;
   }
 
-  /** Kills a gateway. */
   async kill(index: number): Promise<void> {
     const gateway = this.gateway(index);
     gateway.process.kill('SIGKILL');
     await gateway.ended;
   }
 
-  /** Starts a gateway that has ended once more, with the same settings. */
+  /** Restarts a gateway that has ended, with the same settings. */
   restart(index: number): DirectGatewayProcess {
     const gateway = this.gateway(index);
     const running = {
@@ -207,31 +206,34 @@
       ...startProcess(gateway.settingsPath, this.options),
     };
     this.gateways[index] = running;
-    this.lives.push(running);
+    this.startedProcesses.push(running);
     return running;
   }
 
-  /** The port at which a gateway reaches the store. */
+  /** Port through which a gateway connects to the store. */
   async #storePortOf(name: string): Promise<number> {
     const { storePort } = this.platform;
     const route = { name, targetHost: HOST, targetPort: storePort };
-    return (await this.#links?.addRoute(route))?.listenPort ?? storePort;
+    return (await this.#storeFaultProxy?.addRoute(route))?.listenPort ?? storePort;
   }
 
-  /** Cuts a gateway from the store, silently, or heals that. */
+  /** Drops all traffic between a gateway and the store, or lets it through again. */
   async setCutFromStore(index: number, cut: boolean): Promise<void> {
-    await this.#links?.setFaults(this.gateway(index).name, { up: { cut }, down: { cut } });
+    await this.#storeFaultProxy?.setFaults(this.gateway(index).name, {
+      up: { cut },
+      down: { cut },
+    });
   }
 
-  /** Delays what a gateway and the store say to each other, each way. */
+  /** Delays the traffic between a gateway and the store, in each direction. */
   async setStoreLinkDelay(index: number, latencyMs: number): Promise<void> {
     const faults = { latencyMs };
-    await this.#links?.setFaults(this.gateway(index).name, { up: faults, down: faults });
+    await this.#storeFaultProxy?.setFaults(this.gateway(index).name, { up: faults, down: faults });
   }
 
   /** Resets a gateway's connections to the store. */
   async resetStoreLink(index: number): Promise<void> {
-    await this.#links?.reset(this.gateway(index).name);
+    await this.#storeFaultProxy?.reset(this.gateway(index).name);
   }
 
   gateway(index: number): DirectGatewayProcess {
@@ -240,7 +242,7 @@
     return gateway;
   }
 
-  /** Waits until a gateway calls itself ready. */
+  /** Waits until a gateway reports that it is ready. */
   async ready(gateway: DirectGatewayProcess): Promise<void> {
     const isUp = (): Promise<boolean> => {
       const { exitCode } = gateway.process;
@@ -254,38 +256,38 @@
     }
   }
 
-  /** One of a gateway's figures, by its name after `meadowstack_direct_`, with its labels. */
-  async figure(index: number, name: string): Promise<number> {
+  /** Value of a gateway's metric; `name` is without `meadowstack_direct_` and with its labels. */
+  async metric(index: number, name: string): Promise<number> {
     const answer = await fetch(`http://${HOST}:${this.gateway(index).internalPort}/metrics`);
     const start = `meadowstack_direct_${name} `;
     const line = (await answer.text()).split('\n').find((one) => one.startsWith(start));
     return Number(line?.slice(start.length));
   }
 
-  /** Waits until each gateway knows where the others are. */
-  async peersKnown(): Promise<void> {
+  /** Waits until each gateway knows the addresses of the others. */
+  async waitForPeers(): Promise<void> {
     const others = this.gateways.length - 1;
     for (const index of this.gateways.keys()) {
       await until(
         'other gateways',
-        async () => (await this.figure(index, 'peers_known')) >= others,
+        async () => (await this.metric(index, 'peers_known')) >= others,
       );
     }
   }
 
-  /** A session at a gateway whose statements are judged at the end. */
+  /** Opens a session whose statements `violations` checks. */
   open(database: string, index = 0): Promise<RecordedSession> {
-    const route = this.#known.get(database);
+    const route = this.#routesByDatabase.get(database);
     if (route === undefined) throw new Error(`no route ${database}`);
     const { service, routeType, maxStalenessMs = 0, mayMove = false } = route;
     const { name, callersPort } = this.gateway(index);
     const rules = { service, routeType, maxStalenessMs, mayMove, gateway: name };
-    const { looksWhetherTaken = false } = this.options;
-    const options = { looksWhetherTaken };
+    const { detectsUnreadRequests = false } = this.options;
+    const options = { detectsUnreadRequests };
     return RecordedSession.open(callersPort, database, this.recorder, rules, options);
   }
 
-  /** What the sessions so far saw that breaks a rule. */
+  /** Violations in the history of all sessions so far. */
   async violations(): Promise<readonly Violation[]> {
     return checkDirectHistory(this.recorder.statements, await this.platform.settledLog());
   }
@@ -293,8 +295,8 @@
   async stop(): Promise<void> {
     for (const { process: child } of this.gateways) child.kill('SIGKILL');
     await Promise.all(this.gateways.map(({ ended }) => ended));
-    await Promise.all([this.platform.stop(), this.#links?.stop()]);
-    // A test whose cluster did not start stops the one before it once more.
-    rmSync(this.#folder, { recursive: true, force: true });
+    await Promise.all([this.platform.stop(), this.#storeFaultProxy?.stop()]);
+    // If a cluster does not start, its test stops the previous test's cluster again.
+    rmSync(this.#directory, { recursive: true, force: true });
   }
 }
--- a/test/support/direct-history.ts
+++ b/test/support/direct-history.ts
@@ -1,13 +1,13 @@
-/** Judges what clients of the direct gateway saw against what the instances ran. */
+/** Checks the responses of clients of the direct gateway against the statements that the instances ran. */
 import type { DirectLog, RunRecord } from '../../standins/direct/run-log.js';
 import type { LostAnswer } from './line-client.js';
 
 export type RouteType = 'primary' | 'bounded_staleness' | 'read_your_writes';
 
-/** What a client asked and what it was told; times are of the machine's monotonic clock. */
+/** A client's statement and its response; times are of the machine's monotonic clock. */
 export interface ClientStatement {
   readonly session: number;
-  /** One statement, or one transaction. */
+  /** Number of the attempt: a single statement, or all statements of a transaction. */
   readonly attempt: number;
   readonly id: string;
   readonly text: string;
@@ -19,20 +19,19 @@
   readonly service: string;
   readonly routeType: RouteType;
   readonly maxStalenessMs: number;
-  /** Its route is moved to other services. */
+  /** Its route may be moved to another service meanwhile. */
   readonly mayMove?: boolean;
-  /** The gateway that it was sent to. */
   readonly gateway?: string;
   readonly sentAt: number;
   answeredAt?: number;
   signature?: string;
   error?: string;
   rows: readonly string[];
-  /** Its connection ended with no whole answer. */
+  /** The connection ended before a complete response. */
   lost?: LostAnswer;
 }
 
-/** It was answered, and without an error. */
+/** The response was received and is no error. */
 export function isDone({
   answeredAt,
   error,
@@ -61,7 +60,7 @@
   readonly number: number;
 }
 
-/** A commit whose success its client was told. */
+/** A commit that was acknowledged to its client. */
 interface AcknowledgedCommit extends Position {
   readonly statement: ClientStatement;
   readonly run: RunRecord;
@@ -70,9 +69,17 @@
   readonly survives: boolean;
 }
 
-const PROMISES = new Set(['BUSY', 'ABORTED', 'LAGGING', 'READONLY', 'MISROUTED', 'CONNLIMIT']);
+/** Error codes that promise that the statement or transaction had no effect. */
+const NOT_EXECUTED_CODES = new Set([
+  'BUSY',
+  'ABORTED',
+  'LAGGING',
+  'READONLY',
+  'MISROUTED',
+  'CONNLIMIT',
+]);
 
-/** Everything in the history that breaks a rule. */
+/** All violations of a rule in the history. */
 export function checkDirectHistory(
   statements: readonly ClientStatement[],
   log: DirectLog,
@@ -94,9 +101,9 @@
   readonly #byId: ReadonlyMap<string, ClientStatement>;
   readonly #bySignature: ReadonlyMap<string, RunRecord>;
   readonly #commitOf = new Map<number, RunRecord>();
-  readonly #startOf = new Map<number, number>();
+  readonly #startedAt = new Map<number, number>();
   /** Id of each attempt's first read or write. */
-  readonly #firstOf = new Map<number, string>();
+  readonly #firstStatementOf = new Map<number, string>();
   readonly #acknowledged: readonly AcknowledgedCommit[];
 
   constructor(
@@ -107,8 +114,9 @@
     this.#bySignature = new Map(log.runs.map((run) => [run.signature, run]));
     for (const run of log.runs) if (run.kind === 'commit') this.#commitOf.set(run.transaction, run);
     for (const { attempt, id, kind, sentAt } of statements) {
-      if (kind !== 'other' && !this.#firstOf.has(attempt)) this.#firstOf.set(attempt, id);
-      this.#startOf.set(attempt, Math.min(sentAt, this.#startOf.get(attempt) ?? sentAt));
+      if (kind !== 'other' && !this.#firstStatementOf.has(attempt))
+        this.#firstStatementOf.set(attempt, id);
+      this.#startedAt.set(attempt, Math.min(sentAt, this.#startedAt.get(attempt) ?? sentAt));
     }
     this.#acknowledged = statements.flatMap((statement) => this.#commitAcknowledgedBy(statement));
   }
@@ -122,21 +130,22 @@
     return [{ ...committed, statement, run, at: statement.answeredAt, survives }];
   }
 
-  /** Runs that some client asked for, with what it asked. */
-  #asked(): [RunRecord, ClientStatement][] {
+  /** Runs that belong to a client's statement, with that statement. */
+  #requestedRuns(): [RunRecord, ClientStatement][] {
     return this.log.runs.flatMap((run) => {
       const statement = this.#byId.get(run.id);
       return statement === undefined ? [] : [[run, statement]];
     });
   }
 
-  /** The run that made this write last, if any did. */
+  /** The run that committed this write; undefined if none did. */
   #effectOf(run: RunRecord): RunRecord | undefined {
     if (run.kind !== 'write' || run.error === 'FAILED') return undefined;
     const commit = run.transaction === 0 ? run : this.#commitOf.get(run.transaction);
     return commit?.committed === undefined ? undefined : commit;
   }
 
+  /** Responses that belong to another statement. */
   mixed(): Violation[] {
     const successes = this.statements.filter(
       ({ kind, signature }) => kind !== 'other' && signature !== undefined,
@@ -150,37 +159,40 @@
     });
   }
 
+  /** Runs of statements that no client sent. */
   unasked(): Violation[] {
     return this.log.runs
       .filter((run) => !isSameText(run.text, this.#byId.get(run.id)?.text))
       .map((run) => violation('UNASKED', `run ${run.run}: ${run.id} ${run.text}`));
   }
 
+  /** Statements that ran outside their transaction or connection, or with other session state. */
   pinned(): Violation[] {
     const found: Violation[] = [];
     const attemptOf = new Map<number, number>();
-    const placeOf = new Map<number, string>();
-    const isContinued = new Set<number>();
-    for (const [run, statement] of this.#asked()) {
-      const note = (what: string): void => {
+    const locationOf = new Map<number, string>();
+    const continuedAttempts = new Set<number>();
+    for (const [run, statement] of this.#requestedRuns()) {
+      const addViolation = (what: string): void => {
         found.push(violation('PINNED', `${describe(statement)}, run ${run.run}: ${what}`));
       };
-      if (statement.inTransaction !== run.transaction > 0) note('outside its transaction');
-      if (!isSame(statement.values, run.values)) note('other session values');
-      if (statement.shape !== run.shape) note(`shape ${run.shape}`);
+      if (statement.inTransaction !== run.transaction > 0) addViolation('outside its transaction');
+      if (!isSame(statement.values, run.values)) addViolation('other session values');
+      if (statement.shape !== run.shape) addViolation(`shape ${run.shape}`);
       if (run.transaction === 0) continue;
       const { attempt, id } = statement;
-      const place = `${run.connection}/${run.transaction}`;
-      const isFirst = this.#firstOf.get(attempt) === id;
+      const location = `${run.connection}/${run.transaction}`;
+      const isFirst = this.#firstStatementOf.get(attempt) === id;
       if ((attemptOf.get(run.transaction) ?? attempt) !== attempt) {
-        note("inside another client's transaction");
+        addViolation("inside another client's transaction");
       }
-      // A transaction may be begun again elsewhere as long as nothing followed its first statement.
-      const mayMove = isFirst && !isContinued.has(attempt);
-      if (!mayMove && (placeOf.get(attempt) ?? place) !== place) note('not on its connection');
+      // A transaction may be restarted on another connection until a second statement has run.
+      const mayMove = isFirst && !continuedAttempts.has(attempt);
+      if (!mayMove && (locationOf.get(attempt) ?? location) !== location)
+        addViolation('not on its connection');
       attemptOf.set(run.transaction, attempt);
-      placeOf.set(attempt, place);
-      if (!isFirst) isContinued.add(attempt);
+      locationOf.set(attempt, location);
+      if (!isFirst) continuedAttempts.add(attempt);
     }
     const unprepared = this.statements.filter(
       ({ error, shape }) => error === 'UNPREPARED' && shape !== undefined,
@@ -191,6 +203,7 @@
     ];
   }
 
+  /** Statements that took effect more than once. */
   twice(): Violation[] {
     const effects = new Map<string, number>();
     for (const run of this.log.runs) {
@@ -202,20 +215,22 @@
     );
   }
 
+  /** Statements that took effect although their error promised that they had not. */
   refused(): Violation[] {
     const promised = new Map<number, ClientStatement>();
     for (const statement of this.statements) {
-      if (PROMISES.has(statement.error ?? '')) promised.set(statement.attempt, statement);
+      if (NOT_EXECUTED_CODES.has(statement.error ?? '')) promised.set(statement.attempt, statement);
     }
-    return this.#asked().flatMap(([run, { attempt }]) => {
+    return this.#requestedRuns().flatMap(([run, { attempt }]) => {
       const promise = promised.get(attempt);
       if (promise === undefined || this.#effectOf(run) === undefined) return [];
       return [violation('REFUSED', `${promise.error} for ${describe(promise)}, run ${run.run}`)];
     });
   }
 
+  /** Reads that miss an acknowledged commit which their route must show. */
   stale(): Violation[] {
-    return this.#asked().flatMap(([run, statement]) => {
+    return this.#requestedRuns().flatMap(([run, statement]) => {
       if (run.kind !== 'read') return [];
       const missed = this.#acknowledged.find(
         (commit) => this.#mustSee(statement, run, commit) && !contains(run.position, commit),
@@ -230,13 +245,14 @@
   #mustSee(read: ClientStatement, run: RunRecord, commit: AcknowledgedCommit): boolean {
     const service = read.mayMove === true ? run.service : read.service;
     if (!commit.survives || commit.run.service !== service) return false;
-    const start = this.#startOf.get(read.attempt) ?? read.sentAt;
+    const start = this.#startedAt.get(read.attempt) ?? read.sentAt;
     const isOwn =
       read.routeType === 'read_your_writes' && commit.statement.session === read.session;
-    const mayMissMs = read.routeType === 'primary' || isOwn ? 0 : read.maxStalenessMs;
-    return commit.at < start - mayMissMs;
+    const allowedStalenessMs = read.routeType === 'primary' || isOwn ? 0 : read.maxStalenessMs;
+    return commit.at < start - allowedStalenessMs;
   }
 
+  /** Conflicting promotion calls, and commits acknowledged by a replaced primary. */
   one(): Violation[] {
     const found: Violation[] = [];
     const newest = new Map<string, { readonly token: number; readonly holder: string }>();
@@ -260,6 +276,7 @@
     return found;
   }
 
+  /** Acknowledged commits that a promotion removed, in services with synchronous replicas. */
   lost(): Violation[] {
     const lost = this.#acknowledged.filter(({ run, survives }) => {
       const service = this.log.services.find((one) => one.service === run.service);
@@ -279,7 +296,7 @@
   return `session ${session}: ${id} ${text}`;
 }
 
-/** Prepared names may be renamed on the way; what they run is judged by their shape. */
+/** The gateway may rename prepared statements; they are compared by their shape. */
 function isSameText(left: string, right: string | undefined): boolean {
   const anyName = (text = ''): string => text.replace(/^EXECUTE \S+/, 'EXECUTE *');
   return anyName(left) === anyName(right);
@@ -294,7 +311,7 @@
   return isEqual && names.length === Object.keys(right).length;
 }
 
-/** True if a log that ends at `position` contains a commit that was never rolled back. */
+/** True if a log that ends at `position` contains the commit, which was never rolled back. */
 function contains(position: Position, { term, number }: Position): boolean {
   return number <= position.number && term <= position.term;
 }
--- a/test/support/direct-load.ts
+++ b/test/support/direct-load.ts
@@ -1,4 +1,4 @@
-/** Clients that keep asking a direct gateway, as the users' own do: sessions, retries of none. */
+/** Clients that send statements to a direct gateway in a loop; like the users' clients, they repeat no statement. */
 import { setTimeout as pause } from 'node:timers/promises';
 import * as assert from 'uvu/assert';
 import type { DirectCluster } from './direct-cluster.js';
@@ -7,34 +7,34 @@
 import { seededRandom } from './random.js';
 import { until } from './until.js';
 
-const THINGS = 6;
+const KEY_COUNT = 6;
 const PAUSE_MS = 5;
-const MOST_STATEMENTS = 4;
-/** Part of the operations that set a value and use a prepared name. */
-const VALUES_SHARE = 0.25;
+const MAX_STATEMENTS = 4;
+/** Fraction of the operations that set a session value and use a prepared statement. */
+const SESSION_VALUES_FRACTION = 0.25;
 const REOPEN_PAUSE_MS = 20;
-/** What a gateway writes when it is told to stop. */
-const STOPPING = '"event":"stopping"';
-/** The only words that may come unasked: nothing is kept, and the session ends. */
-const TOLD_TO_LEAVE = /^ERROR (BUSY|ABORTED) .*retry after \d+ ms$/;
+/** Log field of a gateway that begins its graceful shutdown. */
+const STOPPING_EVENT = '"event":"stopping"';
+/** The only unsolicited message allowed: the gateway stops, and the session ends. */
+const STOP_NOTICE = /^ERROR (BUSY|ABORTED) .*retry after \d+ ms$/;
 
 export interface LoadOptions {
   readonly database: string;
   readonly gateway?: number;
   readonly seed: number;
-  /** Share of operations that write. */
+  /** Fraction of the operations that write; 0.5 by default. */
   readonly writes?: number;
-  /** Sets values now and then, and reads by a prepared name. */
+  /** Some operations set a session value and read by a prepared statement. */
   readonly usesValues?: boolean;
-  /** It rests for up to so long before each operation. */
+  /** Maximum pause before each operation. */
   readonly thinkMs?: number;
-  /** The longest rest between the statements of a transaction. */
+  /** Maximum pause between the statements of a transaction. */
   readonly transactionPauseMs?: number;
 }
 
-/** One client: its operations one after the other until it is stopped. */
+/** A client that runs one operation after the other until it is stopped. */
 export class LoadClient {
-  /** Operations that succeeded, and what went wrong by error code. */
+  /** Numbers of successful operations, and of errors by code. */
   readonly done = { reads: 0, writes: 0, transactions: 0 };
   readonly errors: Record<string, number> = {};
   #isStopped = false;
@@ -54,24 +54,24 @@
     return this.options.database;
   }
 
-  /** Waits for so many more writes, single or in transactions, to succeed. */
-  async moreWrites(count: number): Promise<void> {
-    const wanted = this.done.writes + this.done.transactions + count;
+  /** Waits until `count` more writes or writing transactions have succeeded. */
+  async waitForWrites(count: number): Promise<void> {
+    const target = this.done.writes + this.done.transactions + count;
     const { database, seed } = this.options;
     await until(
       `${count} more writes of ${database}/${seed}: ${JSON.stringify(this.errors)}`,
       () => {
-        return this.done.writes + this.done.transactions >= wanted;
+        return this.done.writes + this.done.transactions >= target;
       },
     );
   }
 
-  async moreReads(count: number): Promise<void> {
-    const wanted = this.done.reads + count;
-    await until(`${count} more reads of ${this.options.database}`, () => this.done.reads >= wanted);
+  async waitForReads(count: number): Promise<void> {
+    const target = this.done.reads + count;
+    await until(`${count} more reads of ${this.options.database}`, () => this.done.reads >= target);
   }
 
-  /** Rejects if the client met what no client may. */
+  /** Rejects if the client received something that is not allowed. */
   stop(): Promise<void> {
     this.#isStopped = true;
     return this.#ended;
@@ -85,7 +85,7 @@
         const { thinkMs } = this.options;
         if (thinkMs !== undefined) await pause(thinkMs * this.#random());
         const isUsable = await this.#operate(session);
-        this.#checkUnasked(session.client.unasked);
+        this.#checkUnsolicited(session.client.unsolicited);
         if (isUsable) continue;
         session.close();
       } catch (error) {
@@ -99,20 +99,22 @@
     session?.close();
   }
 
-  /** Only a gateway that stops says something unasked. */
-  #checkUnasked(lines: readonly string[]): void {
+  /** Only a gateway that stops may send unsolicited messages. */
+  #checkUnsolicited(lines: readonly string[]): void {
     if (lines.length === 0) return;
-    const isStopping = this.cluster.gateways.some(({ output }) => output().includes(STOPPING));
-    const wrong = lines.filter((line) => !isStopping || !TOLD_TO_LEAVE.test(line));
-    if (wrong.length > 0) throw new Error(wrong.join());
+    const isStopping = this.cluster.gateways.some(({ output }) =>
+      output().includes(STOPPING_EVENT),
+    );
+    const unexpected = lines.filter((line) => !isStopping || !STOP_NOTICE.test(line));
+    if (unexpected.length > 0) throw new Error(unexpected.join());
   }
 
-  /** Runs one operation; false if the session is of no use after it. */
+  /** Runs one operation; false if the session can't be used after it. */
   async #operate(session: RecordedSession): Promise<boolean> {
     this.#operation += 1;
-    const thing = `k${Math.floor(this.#random() * THINGS)}`;
+    const thing = `k${Math.floor(this.#random() * KEY_COUNT)}`;
     const data = `v${this.options.seed}-${this.#operation}`;
-    if (this.options.usesValues === true && this.#random() < VALUES_SHARE) {
+    if (this.options.usesValues === true && this.#random() < SESSION_VALUES_FRACTION) {
       return this.#useValues(session, thing);
     }
     const writes = this.#random() < (this.options.writes ?? 0.5);
@@ -122,7 +124,7 @@
     return answer.state === 'I';
   }
 
-  /** An error here ends a session, as the users' clients have it. */
+  /** An error ends the session, as in the users' clients. */
   async #useValues(session: RecordedSession, thing: string): Promise<boolean> {
     const set = await session.set('tone', `t${this.#operation}`);
     if (!this.#succeeded(set)) return false;
@@ -140,7 +142,7 @@
     writes: boolean,
   ): Promise<boolean> {
     let answer = await session.begin(!writes);
-    const count = 1 + Math.floor(this.#random() * MOST_STATEMENTS);
+    const count = 1 + Math.floor(this.#random() * MAX_STATEMENTS);
     for (let number = 0; number < count && answer.state === 'T'; number += 1) {
       await pause((this.options.transactionPauseMs ?? PAUSE_MS) * this.#random());
       answer = await (writes && number > 0 ? session.write(thing, data) : session.read(thing));
@@ -163,7 +165,7 @@
   }
 }
 
-/** The clients of one test at one cluster. */
+/** The clients of one test, and their cluster. */
 export class DirectLoad {
   readonly #clients: LoadClient[] = [];
 
@@ -175,13 +177,13 @@
     return client;
   }
 
-  /** Stops all clients; what they and the instances saw must break no rule. */
-  async endWithNoRuleBroken(): Promise<void> {
+  /** Stops all clients and asserts that the history has no violation. */
+  async stopAndAssertNoViolations(): Promise<void> {
     await Promise.all(this.#clients.map((client) => client.stop()));
     assert.equal(await this.cluster.violations(), []);
   }
 
-  /** For the end of a test, whatever became of it. */
+  /** Stops clients and cluster at the end of a test, also of a failed one. */
   async stop(): Promise<void> {
     await Promise.allSettled(this.#clients.map((client) => client.stop()));
     await this.cluster.stop();
--- a/test/support/direct-platform.ts
+++ b/test/support/direct-platform.ts
@@ -1,4 +1,4 @@
-/** The platform stand-in of the direct gateway as a process, with its control port. */
+/** Runs the platform stand-in of the direct gateway as a process. */
 import { z } from 'zod';
 import { type StartedChild, startChild } from '../../bench/harness/child-process.js';
 import { ControlClient } from '../../bench/harness/control-client.js';
@@ -20,7 +20,7 @@
 });
 export type InstanceState = z.infer<typeof instanceSchema>;
 
-/** The stand-in alone, with its control port. */
+/** The stand-in's process and its control port. */
 export class DirectPlatform {
   readonly control: ControlClient;
 
@@ -60,8 +60,8 @@
     return found;
   }
 
-  /** Waits until an instance other than `old` leads the service. */
-  async newPrimary(service: string, old: string): Promise<InstanceState> {
+  /** Waits until an instance other than `old` is the service's primary. */
+  async waitForNewPrimary(service: string, old: string): Promise<InstanceState> {
     let found: InstanceState | undefined;
     await until(`a primary of ${service} other than ${old}`, async () => {
       const instances = await this.instances();
@@ -77,7 +77,7 @@
     return this.control.call('GET', '/log', logSchema);
   }
 
-  /** The same once each service has a primary: amid a change there is no log that could be judged. */
+  /** The log once each service has a primary; during a primary change it can't be checked. */
   async settledLog(): Promise<DirectLog> {
     let log: DirectLog | undefined;
     await until('a primary of each service', async () => {
--- a/test/support/direct-process.ts
+++ b/test/support/direct-process.ts
@@ -1,10 +1,10 @@
-/** A gateway as a process of its own. */
+/** Runs a gateway as a process. */
 import { type ChildProcess, spawn } from 'node:child_process';
 import { once } from 'node:events';
 import { fileURLToPath } from 'node:url';
 
 const HOST = '127.0.0.1';
-const KEPT_OUTPUT_CHARACTERS = 20_000;
+const DEFAULT_MAX_OUTPUT_CHARACTERS = 20_000;
 const GATEWAY_PROGRAM = fileURLToPath(new URL('../../platform/main.js', import.meta.url));
 
 /** One gateway process. */
@@ -12,28 +12,27 @@
   readonly name: string;
   readonly callersPort: number;
   readonly readinessPort: number;
-  /** Where it tells its figures. */
+  /** Port of its metrics. */
   readonly internalPort: number;
-  /** Where it takes links of other gateways for snapshots. */
+  /** Port for the snapshot links of other gateways. */
   readonly peerPort: number;
   readonly settingsPath: string;
   readonly process: ChildProcess;
   /** Its exit code, or the signal that ended it. */
   readonly ended: Promise<number | NodeJS.Signals | null>;
-  /** The end of what it wrote. */
+  /** The last `maxOutputCharacters` of its output. */
   output(): string;
 }
 
-/** How a gateway is started. */
 export interface GatewayStart {
   readonly gatewayFlags?: readonly string[];
-  readonly keptOutput?: number;
+  readonly maxOutputCharacters?: number;
 }
 
 /** Starts a gateway with the settings of a file. */
 export function startProcess(
   settingsPath: string,
-  { gatewayFlags: flags = [], keptOutput = KEPT_OUTPUT_CHARACTERS }: GatewayStart,
+  { gatewayFlags: flags = [], maxOutputCharacters = DEFAULT_MAX_OUTPUT_CHARACTERS }: GatewayStart,
 ): Pick<DirectGatewayProcess, 'process' | 'ended' | 'output'> {
   const child = spawn(process.execPath, ['--enable-source-maps', GATEWAY_PROGRAM, ...flags], {
     env: { PATH: process.env.PATH, MEADOWSTACK_SETTINGS: settingsPath },
@@ -42,19 +41,19 @@
   let output = '';
   for (const stream of [child.stdout, child.stderr]) {
     stream.on('data', (chunk: Buffer) => {
-      output = (output + chunk.toString()).slice(-keptOutput);
+      output = (output + chunk.toString()).slice(-maxOutputCharacters);
     });
   }
   const ended = once(child, 'exit').then(([code, signal]) => code ?? signal);
   return { process: child, ended, output: () => output };
 }
 
-/** True once its process is gone. */
+/** True once the process has ended. */
 export function hasEnded({ process: child }: Pick<DirectGatewayProcess, 'process'>): boolean {
   return child.exitCode !== null || child.signalCode !== null;
 }
 
-/** What it answers to the question whether it takes callers. */
+/** True if the gateway reports that it accepts callers. */
 export async function isReady({ readinessPort }: DirectGatewayProcess): Promise<boolean> {
   try {
     const answer = await fetch(`http://${HOST}:${readinessPort}/v1/readiness`);
--- a/test/support/direct-session.ts
+++ b/test/support/direct-session.ts
@@ -1,4 +1,4 @@
-/** A client session of the direct gateway that notes what it asked and what it was told. */
+/** A client session of the direct gateway that records its statements and their responses. */
 import { setTimeout as pause } from 'node:timers/promises';
 import { monotonicMs } from '../../standins/direct/monotonic.js';
 import type { ClientStatement } from './direct-history.js';
@@ -9,7 +9,7 @@
   LineConnectionLost,
 } from './line-client.js';
 
-const MOST_ATTEMPTS = 20;
+const MAX_ATTEMPTS = 20;
 const RETRY_PAUSE_MS = 50;
 
 export type RouteRules = Pick<
@@ -17,7 +17,7 @@
   'service' | 'routeType' | 'maxStalenessMs' | 'mayMove' | 'gateway'
 >;
 
-/** Numbers of sessions, attempts and statements, and everything that was noted. */
+/** Numbers sessions, attempts and statements, and keeps the recorded statements. */
 export class HistoryRecorder {
   readonly statements: ClientStatement[] = [];
   #last = 0;
@@ -28,7 +28,9 @@
   }
 }
 
-type Noted = Pick<ClientStatement, 'kind' | 'text'> & { readonly shape?: string | undefined };
+type StatementDraft = Pick<ClientStatement, 'kind' | 'text'> & {
+  readonly shape?: string | undefined;
+};
 
 export class RecordedSession {
   readonly #session: number;
@@ -45,7 +47,7 @@
     this.#session = recorder.next();
   }
 
-  /** Connects and starts. Fails if the start is refused. */
+  /** Connects and sends `START`. Rejects if the gateway refuses it. */
   static async open(
     port: number,
     database: string,
@@ -61,34 +63,34 @@
   }
 
   read(thing: string): Promise<LineAnswer> {
-    return this.#ask({ kind: 'read', text: `READ ${thing}` });
+    return this.#run({ kind: 'read', text: `READ ${thing}` });
   }
 
   write(thing: string, data: string): Promise<LineAnswer> {
-    return this.#ask({ kind: 'write', text: `WRITE ${thing} ${data}` });
+    return this.#run({ kind: 'write', text: `WRITE ${thing} ${data}` });
   }
 
   execute(name: string, thing: string, data?: string): Promise<LineAnswer> {
     const text = ['EXECUTE', name, thing, ...(data === undefined ? [] : [data])].join(' ');
     const prepared = this.#shapes.get(name);
-    return this.#ask({ kind: prepared?.kind ?? 'read', text, shape: prepared?.shape });
+    return this.#run({ kind: prepared?.kind ?? 'read', text, shape: prepared?.shape });
   }
 
   async set(name: string, value: string): Promise<LineAnswer> {
-    const answer = await this.#ask({ kind: 'other', text: `SET ${name} ${value}` });
+    const answer = await this.#run({ kind: 'other', text: `SET ${name} ${value}` });
     if (answer.error === undefined) this.#values = { ...this.#values, [name]: value };
     return answer;
   }
 
   async prepare(name: string, kind: 'read' | 'write', shape: string): Promise<LineAnswer> {
     const text = `PREPARE ${name} ${kind.toUpperCase()} ${shape}`;
-    const answer = await this.#ask({ kind: 'other', text });
+    const answer = await this.#run({ kind: 'other', text });
     if (answer.error === undefined) this.#shapes.set(name, { kind, shape });
     return answer;
   }
 
   async deallocate(name: string): Promise<LineAnswer> {
-    const answer = await this.#ask({ kind: 'other', text: `DEALLOCATE ${name}` });
+    const answer = await this.#run({ kind: 'other', text: `DEALLOCATE ${name}` });
     if (answer.error === undefined) this.#shapes.delete(name);
     return answer;
   }
@@ -96,7 +98,7 @@
   async begin(isRead = false): Promise<LineAnswer> {
     this.#attempt = this.recorder.next();
     this.#inTransaction = true;
-    const answer = await this.#ask({ kind: 'other', text: isRead ? 'BEGIN READ' : 'BEGIN' });
+    const answer = await this.#run({ kind: 'other', text: isRead ? 'BEGIN READ' : 'BEGIN' });
     if (answer.state === 'I') this.#inTransaction = false;
     return answer;
   }
@@ -110,12 +112,12 @@
   }
 
   /**
-   * Repeats an operation as a whole until it succeeds, as a client does that is told to come back.
-   * Where it may have taken effect, it must be one whose second effect changes nothing.
+   * Repeats an operation until it succeeds, like a client that follows `retry after`. The operation must be
+   * idempotent, since a failed attempt may have taken effect.
    */
   async succeed(operation: () => Promise<LineAnswer>): Promise<LineAnswer> {
     const failures: string[] = [];
-    while (failures.length < MOST_ATTEMPTS) {
+    while (failures.length < MAX_ATTEMPTS) {
       const answer = await operation();
       if (answer.error === undefined) return answer;
       failures.push(`${answer.error.code} ${answer.error.text}`);
@@ -129,9 +131,9 @@
     this.client.close();
   }
 
-  async #end(noted: Noted): Promise<LineAnswer> {
+  async #end(draft: StatementDraft): Promise<LineAnswer> {
     try {
-      return await this.#ask(noted);
+      return await this.#run(draft);
     } finally {
       this.#inTransaction = false;
     }
@@ -149,7 +151,7 @@
   }
 
   /** Rejects with LineConnectionLost if the connection ends first. */
-  async #ask({ kind, text, shape }: Noted): Promise<LineAnswer> {
+  async #run({ kind, text, shape }: StatementDraft): Promise<LineAnswer> {
     if (!this.#inTransaction) this.#attempt = this.recorder.next();
     const id = `s${this.recorder.next()}`;
     const statement: ClientStatement = {
--- a/test/support/direct-settings.ts
+++ b/test/support/direct-settings.ts
@@ -1,20 +1,20 @@
-/** The settings file of a gateway, as the users' platform places it. */
+/** The settings file of a gateway, as the users' platform provides it. */
 
 const HOST = '127.0.0.1';
 
-/** What differs from one gateway to another. */
+/** Settings that differ between gateways. */
 export interface GatewayPlace {
   readonly name: string;
   readonly callersPort: number;
   readonly readinessPort: number;
-  /** The first of three in a row. */
+  /** The first of three consecutive ports. */
   readonly internalPort: number;
   readonly storePort: number;
   readonly promotionPort: number;
   readonly heartbeatMs: number;
 }
 
-/** Settings with these bounds in place of the usual ones. */
+/** Builds the settings; `bounds` replace the defaults, `contracts` are added. */
 export function gatewaySettings(
   place: GatewayPlace,
   bounds: Readonly<Record<string, number | boolean>> = {},
@@ -29,7 +29,7 @@
       frontend: `${HOST}:${place.callersPort}`,
       readiness: `${HOST}:${place.readinessPort}`,
     },
-    // Figures, links for snapshots, links for owners.
+    // Metrics, snapshot links, owner links.
     ...{ internal_port_range: [internalPort, internalPort + 2], seed_nodes: [] },
     ...{ bootstrap: true, in_tolerance: false, data_directory: null, discovery: 'platform' },
     limits: {
--- a/test/support/failover-scenario.ts
+++ b/test/support/failover-scenario.ts
@@ -1,4 +1,4 @@
-/** One failure of a primary under load, from warm-up to the collected history. */
+/** Runs a fault of a primary under load, from warm-up to the collected history. */
 import type { Cluster } from '../../bench/harness/cluster.js';
 import type { DatabaseGroup, DatabaseInstanceHandle } from '../../bench/harness/database-group.js';
 import type { History } from '../../bench/history/model.js';
@@ -6,15 +6,15 @@
   LOADED_GROUP,
   type LoadProgress,
   loadUnderFault,
-  noOpenTransactions,
+  waitForNoOpenTransactions,
 } from './loaded-cluster.js';
 
 const PART_MS = 2_000;
 const WARM_UP_WRITES = 20;
-/** Writes that have to go through after a fault before it ends. */
+/** Number of writes that must succeed after a fault before the run ends. */
 export const WRITES_AFTER = 20;
 
-/** A cluster with the primary that the fault hits. */
+/** The cluster, and the primary that the fault affects. */
 export interface Target {
   readonly cluster: Cluster;
   readonly group: DatabaseGroup;
@@ -29,7 +29,7 @@
   fault(target: Target): Promise<void>;
 }
 
-/** Runs a scenario; the cluster is whole again after it. */
+/** Runs a scenario, after which the cluster has recovered. */
 export async function runScenario(cluster: Cluster, scenario: Scenario): Promise<History> {
   const { seed } = scenario;
   const group = cluster.group(LOADED_GROUP);
@@ -38,22 +38,22 @@
     seed,
     partMs: PART_MS,
     fault: async (progress) => {
-      await progress.writesDone(WARM_UP_WRITES);
+      await progress.waitForWrites(WARM_UP_WRITES);
       const primary = await group.waitForPrimary();
       await scenario.fault({ cluster, group, primary, progress });
     },
   });
-  await noOpenTransactions(group);
+  await waitForNoOpenTransactions(group);
   return history;
 }
 
-/** The timeline that a successor of the primary will lead. */
-export async function nextTimeline({ group, primary }: Target): Promise<number> {
+/** Timeline of the primary's successor. */
+export async function nextTimelineOf({ group, primary }: Target): Promise<number> {
   const { timeline } = await group.state(primary.name);
   return timeline + 1;
 }
 
-/** A paused instance answers no question, so only the others are asked. */
+/** Queries only the other instances, since a paused one does not respond. */
 export async function waitForOtherPrimary(
   group: DatabaseGroup,
   exceptName: string,
--- a/test/support/group-driver.ts
+++ b/test/support/group-driver.ts
@@ -1,4 +1,4 @@
-/** Drives one group's state machine in tests: answers its probes and opens its connections. */
+/** Runs a database group's state machine in tests: answers its probes and opens its connections. */
 import type {
   GroupEffect,
   GroupEvent,
@@ -75,7 +75,7 @@
     return effectsOf(this.effects, 'run');
   }
 
-  /** The final effects of a request; there must never be more than one. */
+  /** The final effects of a request; at most one is allowed. */
   finals(requestId: string): GroupEffect[] {
     return this.effects.filter((effect) => {
       const isFinal = effect.type === 'release' || effect.type === 'fail';
--- a/test/support/group-fixtures.ts
+++ b/test/support/group-fixtures.ts
@@ -1,4 +1,4 @@
-/** Requests and instances for tests of one group's state machine. */
+/** Requests and instances for tests of a database group's state machine. */
 import type {
   GroupEffect,
   InstanceDescription,
@@ -6,7 +6,7 @@
 } from '../../src/core/group/contract.js';
 import type { GroupRequest } from '../../src/core/request.js';
 
-/** An instance with the sizes of the bureau's. */
+/** An instance with the sizes of the deployment `bureau`. */
 export function instance(
   name: string,
   overrides: Partial<InstanceDescription> = {},
@@ -14,7 +14,7 @@
   return { name, zone: name, slots: 5, connectionBudget: 35, leaving: false, ...overrides };
 }
 
-/** A write of tenant `bureau` with a second to go, unless told otherwise. */
+/** By default a write of tenant `bureau` with its deadline at 1000 ms. */
 export function request(id: string, overrides: Partial<GroupRequest> = {}): GroupRequest {
   return {
     id,
@@ -34,7 +34,7 @@
   };
 }
 
-/** A read that tolerates data half a second old. */
+/** A read that accepts data up to half a second old. */
 export function staleRead(id: string, overrides: Partial<GroupRequest> = {}): GroupRequest {
   return request(id, {
     access: 'read',
@@ -44,7 +44,7 @@
   });
 }
 
-/** What an instance says of itself. */
+/** State that an instance reports. */
 export function state(
   writable: boolean,
   timeline: number,
--- a/test/support/lease-network.ts
+++ b/test/support/lease-network.ts
@@ -1,7 +1,7 @@
 /**
- * Simulates nodes that share one tenant's connection limit: each votes, may consider itself the
- * allocator, and has callers. Clocks drift; messages are late or lost; nodes pause, restart and are
- * cut off; a change of the machine list reaches each node at a different time.
+ * Simulates nodes that share one tenant's connection limit. Each node votes, may consider itself the allocator, and
+ * has callers. Clocks drift; messages are delayed or lost; nodes pause, restart and are cut off; a change of the
+ * machine list reaches each node at a different time.
  */
 import { Voter } from '../../src/core/limits/election.js';
 import {
@@ -32,7 +32,7 @@
 
 export class LeaseNode {
   paused = false;
-  /** Whether the node considers itself the allocator. */
+  /** True if the node considers itself the allocator. */
   isCandidate = false;
   /** Index of the node from which it requests its share. */
   allocatorGuess = 0;
@@ -42,7 +42,7 @@
   voterSets!: VoterSets;
   shares!: TenantShares;
   allocator: TenantAllocator | undefined;
-  lives = 0;
+  incarnationCount = 0;
   inbox: (() => void)[] = [];
 
   constructor(
@@ -71,7 +71,7 @@
 interface Message {
   readonly at: number;
   readonly to: LeaseNode;
-  readonly life: number;
+  readonly incarnation: number;
   readonly action: () => void;
 }
 
@@ -81,9 +81,9 @@
   readonly random: () => number;
   now = 0;
   maxLatencyMs = 20;
-  lossShare = 0;
-  /** Number of callers that were disconnected because the node's share had become too small. */
-  cutCallers = 0;
+  lossFraction = 0;
+  /** Number of callers disconnected because the node's share had shrunk. */
+  interruptedCallers = 0;
   messages = 0;
   readonly #hash: Hash64;
   readonly #cutOff = new Set<number>();
@@ -132,22 +132,22 @@
   /** Starts a new incarnation: votes, shares and grants are lost, and the machine list is read again. */
   restart(node: LeaseNode): void {
     const now = node.clock(this.now);
-    node.lives += 1;
-    const life = `${node.id}#${node.lives}`;
-    const rememberMs = 2 * maxShareLifetimeMs(this.options);
+    node.incarnationCount += 1;
+    const incarnationId = `${node.id}#${node.incarnationCount}`;
+    const retentionMs = 2 * maxShareLifetimeMs(this.options);
     const voteMs = voteDurationMs(this.options);
     node.voter = new Voter({
-      incarnationId: life,
+      incarnationId: incarnationId,
       startedAt: now,
       voteMs,
-      retentionMs: rememberMs,
+      retentionMs: retentionMs,
     });
     node.voterSets = new VoterSets(this.#hash, {
       maxMachineListLagMs: this.options.maxMachineListLagMs,
-      retentionMs: rememberMs,
+      retentionMs: retentionMs,
     });
     node.voterSets.setNodes(this.#listed(), now);
-    node.shares = new TenantShares(life, this.options);
+    node.shares = new TenantShares(incarnationId, this.options);
     node.shares.setNodeCount(this.#list.length);
     node.allocator = undefined;
     node.inbox = [];
@@ -168,7 +168,7 @@
     for (const index of indexes) this.#cutOff.add(index);
   }
 
-  /** Each node receives the new list within `listLagMs`. */
+  /** Changes the machine list; each node receives it within `maxMachineListLagMs`. */
   changeList(indexes: readonly number[]): void {
     this.#list = indexes;
     this.#listVersion += 1;
@@ -179,7 +179,7 @@
       const action = (): void => {
         if (version === this.#listVersion) node.voterSets.setNodes(listed, node.clock(this.now));
       };
-      this.#pending.push({ at, to: node, life: node.lives, action });
+      this.#pending.push({ at, to: node, incarnation: node.incarnationCount, action });
     }
   }
 
@@ -194,7 +194,8 @@
   #step(node: LeaseNode): void {
     const clock = node.clock(this.now);
     this.#serve(node, clock);
-    for (const due of node.shares.dueRequests(() => this.limit, clock)) this.#ask(node, due);
+    for (const due of node.shares.dueRequests(() => this.limit, clock))
+      this.#requestShare(node, due);
     this.#allocate(node, clock);
   }
 
@@ -202,7 +203,7 @@
     const { shares } = node;
     for (let left = shares.excessConnections(TENANT, GRACE_MS, clock); left > 0; left -= 1) {
       shares.release(TENANT, clock);
-      this.cutCallers += 1;
+      this.interruptedCallers += 1;
     }
     while (node.open > node.demand) shares.release(TENANT, clock);
     while (node.open < node.demand && shares.tryAcquire(TENANT, clock));
@@ -218,22 +219,22 @@
     }
     node.allocator ??= new TenantAllocator(
       TENANT,
-      `${node.id}#${node.lives}`,
+      `${node.id}#${node.incarnationCount}`,
       this.limit,
       this.options,
       clock,
     );
     node.allocator.setLimit(this.limit, clock);
     const view = { ...node.voterSets.votersOf(TENANT, clock), knownNodes: this.#nodeIds() };
-    for (const effect of node.allocator.tick(view, clock)) this.#carryOut(node, effect);
+    for (const effect of node.allocator.tick(view, clock)) this.#executeEffect(node, effect);
   }
 
-  #carryOut(node: LeaseNode, effect: AllocatorEffect): void {
+  #executeEffect(node: LeaseNode, effect: AllocatorEffect): void {
     const to = this.#nodeOf(effect.type === 'ask-vote' ? effect.voter : effect.nodeId);
     const { allocator } = node;
     if (to === undefined || allocator === undefined) return;
     if (effect.type === 'ask-vote') {
-      const candidate = `${node.id}#${node.lives}`;
+      const candidate = `${node.id}#${node.incarnationCount}`;
       this.#call(
         node,
         to,
@@ -254,7 +255,7 @@
     );
   }
 
-  #ask(node: LeaseNode, due: TenantShareRequest): void {
+  #requestShare(node: LeaseNode, due: TenantShareRequest): void {
     const to = this.nodes[node.allocatorGuess];
     if (to === undefined) return;
     this.#call(
@@ -282,17 +283,17 @@
 
   #post(from: LeaseNode, to: LeaseNode, action: () => void): void {
     this.messages += 1;
-    if (from !== to && this.random() < this.lossShare) return;
+    if (from !== to && this.random() < this.lossFraction) return;
     if (this.#cutOff.has(from.index) !== this.#cutOff.has(to.index)) return;
     const at = this.now + (from === to ? 0 : this.random() * this.maxLatencyMs);
-    this.#pending.push({ at, to, life: to.lives, action });
+    this.#pending.push({ at, to, incarnation: to.incarnationCount, action });
   }
 
   #deliver(): void {
     const due = this.#pending.filter((message) => message.at <= this.now);
     this.#pending = this.#pending.filter((message) => message.at > this.now);
-    for (const { to, life, action } of due) {
-      if (to.lives !== life) continue;
+    for (const { to, incarnation, action } of due) {
+      if (to.incarnationCount !== incarnation) continue;
       if (to.paused) to.inbox.push(action);
       else action();
     }
--- a/test/support/line-client.ts
+++ b/test/support/line-client.ts
@@ -1,4 +1,4 @@
-/** A client of the line protocol: one connection, one request at a time. */
+/** A client of the line protocol: one connection with one request at a time. */
 import { once } from 'node:events';
 import { connect, type Socket } from 'node:net';
 import { LineReader } from '../../src/platform/line-reader.js';
@@ -6,31 +6,31 @@
 import { splitFields } from '../../standins/direct/statements.js';
 
 const MAX_MESSAGE_BYTES = 1024 * 1024;
-/** The outcome of a statement whose connection ended first. */
+/** Outcome of a statement whose connection ended before the response. */
 export const NO_ANSWER = 'no answer';
 
 export interface LineAnswer {
   readonly rows: readonly string[];
-  /** Field of `COMPLETE`; undefined if an error was answered. */
+  /** Field of `COMPLETE`; undefined if the response is an error. */
   readonly completion: string | undefined;
   readonly error: { readonly code: string; readonly text: string } | undefined;
-  /** `I`, `T` or `E`; `-` if the connection ended with an error. */
+  /** `I` idle, `T` in a transaction, `E` in a failed one; `-` if the connection ended with an error. */
   readonly state: string;
   readonly position: string;
 }
 
-/** How a connection ended while an answer was owed; times are of the machine's monotonic clock. */
+/** How a connection ended while a request was pending; times are of the machine's monotonic clock. */
 export interface LostAnswer {
   readonly at: number;
-  /** The other side had read the whole request. */
+  /** The gateway had read the whole request. */
   readonly wasTaken: boolean;
 }
 
-/** The connection ended before the answer. */
+/** The connection ended before the response. */
 export class LineConnectionLost extends Error {
   constructor(
     message: string,
-    /** Undefined unless the client looked, or if nothing was sent. */
+    /** Undefined without `detectsUnreadRequests`, or if nothing was sent. */
     readonly lost?: LostAnswer,
   ) {
     super(message);
@@ -38,22 +38,22 @@
 }
 
 /**
- * A kernel that closes a connection with unread bytes resets it. The gateway closes within 500 ms of its
- * end of stream, or, if it is paused then, some 400 ms later.
+ * A kernel resets a connection that is closed with unread bytes. The gateway closes within 500 ms after its
+ * end of stream; if it is paused then, some 400 ms later.
  */
 const RESET_WAIT_MS = 2000;
 
 export interface LineClientOptions {
-  /** Finds out whether a request without an answer was read, which takes a while. */
-  readonly looksWhetherTaken?: boolean;
+  /** Detects whether the gateway had read a request that got no response; takes `RESET_WAIT_MS`. */
+  readonly detectsUnreadRequests?: boolean;
 }
 
 export class LineClient {
-  /** Messages that came while nothing was asked. */
-  readonly unasked: string[] = [];
+  /** Messages received while no request was pending. */
+  readonly unsolicited: string[] = [];
   readonly closed: Promise<void>;
   isClosed = false;
-  #isLeaving = false;
+  #isClosing = false;
   #rows: string[] = [];
   #completion: string | undefined;
   #error: LineAnswer['error'];
@@ -66,10 +66,11 @@
   ) {
     const reader = new LineReader(MAX_MESSAGE_BYTES);
     socket.setNoDelay(true);
-    socket.on('error', () => this.#noteReset());
-    if (options.looksWhetherTaken === true) socket.on('end', () => this.#lookWhetherTaken());
+    socket.on('error', () => this.#recordReset());
+    if (options.detectsUnreadRequests === true) socket.on('end', () => this.#detectReset());
     socket.on('data', (chunk: Buffer) => {
-      for (const line of reader.push(chunk)._unsafeUnwrap()) this.#take(line.replace(/\r$/, ''));
+      for (const line of reader.push(chunk)._unsafeUnwrap())
+        this.#handleLine(line.replace(/\r$/, ''));
     });
     this.closed = new Promise<void>((resolve) => socket.once('close', () => resolve()));
     void this.closed.then(() => this.#end());
@@ -80,7 +81,7 @@
     port: number,
     options: LineClientOptions = {},
   ): Promise<LineClient> {
-    const allowHalfOpen = options.looksWhetherTaken === true;
+    const allowHalfOpen = options.detectsUnreadRequests === true;
     const socket = connect({ port, host, allowHalfOpen });
     await once(socket, 'connect');
     return new LineClient(socket, options);
@@ -88,26 +89,26 @@
 
   /** Sends `START` with these fields. */
   start(...fields: readonly string[]): Promise<LineAnswer> {
-    return this.#ask(`START ${fields.join(' ')}`);
+    return this.#request(`START ${fields.join(' ')}`);
   }
 
   /** Rejects with LineConnectionLost if the connection ends first. */
   query(id: string, text: string): Promise<LineAnswer> {
-    return this.#ask(`QUERY ${id} ${text}`);
+    return this.#request(`QUERY ${id} ${text}`);
   }
 
   close(): void {
-    if (!this.isClosed && !this.#isLeaving) this.socket.end('TERMINATE\r\n');
-    this.#isLeaving = true;
+    if (!this.isClosed && !this.#isClosing) this.socket.end('TERMINATE\r\n');
+    this.#isClosing = true;
   }
 
-  /** Ends the connection without a word. */
+  /** Closes the connection without `TERMINATE`. */
   destroy(): void {
     this.socket.destroy();
   }
 
-  #ask(line: string): Promise<LineAnswer> {
-    if (this.isClosed || this.#isLeaving) return Promise.reject(new LineConnectionLost('closed'));
+  #request(line: string): Promise<LineAnswer> {
+    if (this.isClosed || this.#isClosing) return Promise.reject(new LineConnectionLost('closed'));
     return new Promise((resolve, reject) => {
       this.#rows = [];
       this.#completion = undefined;
@@ -117,18 +118,18 @@
     });
   }
 
-  #take(line: string): void {
-    const [word, first = '', rest = ''] = splitFields(line, 3);
-    if (this.#pending === undefined) this.#leave(line);
+  #handleLine(line: string): void {
+    const [word, first = '', text = ''] = splitFields(line, 3);
+    if (this.#pending === undefined) this.#handleUnsolicited(line);
     else if (word === 'ROW') this.#rows.push(line.slice('ROW '.length));
     else if (word === 'COMPLETE') this.#completion = first;
-    else if (word === 'ERROR') this.#error = { code: first, text: rest };
-    else if (word === 'READY') this.#finish(first, rest);
+    else if (word === 'ERROR') this.#error = { code: first, text };
+    else if (word === 'READY') this.#finish(first, text);
   }
 
-  /** As the users' clients do at any message while nothing is asked. */
-  #leave(line: string): void {
-    this.unasked.push(line);
+  /** Closes the session, as the users' clients do at an unsolicited message. */
+  #handleUnsolicited(line: string): void {
+    this.unsolicited.push(line);
     this.close();
   }
 
@@ -147,8 +148,8 @@
     this.#pending = undefined;
   }
 
-  /** Keeps its own side open until the other side has closed: only then is there a reset to see. */
-  #lookWhetherTaken(): void {
+  /** Keeps its own side open until the gateway has closed; otherwise the reset would not arrive. */
+  #detectReset(): void {
     this.isClosed = true;
     if (this.#pending === undefined || this.#error !== undefined) {
       this.socket.end();
@@ -156,7 +157,7 @@
     }
     const at = monotonicMs();
     setTimeout(() => {
-      // After an end of stream, a reset shows at the next write only; this one sends nothing.
+      // After an end of stream, a reset is only reported by the next write; an empty one sends nothing.
       this.socket.write('', (error) => {
         this.#lost = { at, wasTaken: error === undefined || error === null };
         this.socket.destroy();
@@ -164,12 +165,12 @@
     }, RESET_WAIT_MS);
   }
 
-  #noteReset(): void {
+  #recordReset(): void {
     this.#lost ??= { at: monotonicMs(), wasTaken: false };
   }
 }
 
-/** The outcome of a statement: `done`, its error's code, or that the connection ended without any. */
+/** Outcome of a statement: `done`, the error code, or `NO_ANSWER`. */
 export function outcomeOf(statement: Promise<LineAnswer>): Promise<string> {
   return statement.then(
     ({ error }) => error?.code ?? 'done',
@@ -177,8 +178,8 @@
   );
 }
 
-/** What the start of a session is refused with; undefined if it is not. */
-export async function startCode(port: number, database: string): Promise<string | undefined> {
+/** Error code of a refused session start; undefined if the session starts. */
+export async function startErrorCode(port: number, database: string): Promise<string | undefined> {
   const client = await LineClient.connect('127.0.0.1', port);
   try {
     return (await client.start(database, 'probe')).error?.code;
--- a/test/support/loaded-cluster.ts
+++ b/test/support/loaded-cluster.ts
@@ -1,6 +1,6 @@
 /**
- * A cluster of real processes under the bench's open-loop load, and the history of what callers,
- * databases and proxies saw, for the checkers of the nine promises.
+ * A cluster of real processes under the bench's open-loop load. Collects the history of callers, databases and
+ * proxies for the checkers of the nine guarantees.
  */
 import { AssertionError } from 'node:assert';
 import * as assert from 'uvu/assert';
@@ -20,7 +20,7 @@
 } from '../../bench/run/deployment-cluster.js';
 import { until } from './until.js';
 
-/** The bicycle trust with one group: keyed unlocks, hires in transactions, dock lookups. */
+/** The deployment of a bicycle trust with one group: keyed unlocks, hires in transactions, dock lookups. */
 export const LOADED_GROUP = 'trust-1';
 const ZONES = ['kingston-a', 'kingston-b', 'kingston-c'];
 export const LOADED_DEPLOYMENT: Deployment = {
@@ -30,14 +30,14 @@
   initialRows: { ...DEPLOYMENTS.trust.initialRows, docks: 50 },
 };
 const ELECTION_TIMEOUT_MS = 300;
-/** Each part of a run has a seed of its own, so that no request is named twice. */
-const SEEDS_A_RUN = 1_000;
+/** Each part of a run has its own seed, so that request ids are unique. */
+const SEEDS_PER_RUN = 1_000;
 
 export interface LoadedClusterOptions {
   readonly seed: number;
   readonly proxies?: number;
   readonly proxyFlags?: readonly string[];
-  /** Silence after which a group elects; default 300 ms, short enough to fail over often. */
+  /** Silence after which a group holds an election; default 300 ms, short enough for frequent failovers. */
   readonly electionTimeoutMs?: number;
 }
 
@@ -53,12 +53,12 @@
   });
 }
 
-/** What has come back so far, to wait on. */
+/** Completed requests so far, and waiting for more. */
 export class LoadProgress {
   readonly records: RequestRecord[] = [];
 
-  /** Resolves once `count` more records than now fulfil the condition. */
-  async more(
+  /** Resolves once `count` more records fulfil the condition. */
+  async waitForRecords(
     count: number,
     what: string,
     condition: (record: RequestRecord) => boolean,
@@ -74,7 +74,7 @@
     }
   }
 
-  /** How often each outcome came, so that a wait in vain tells why. */
+  /** Number of records by outcome, for the error message of a wait that timed out. */
   private outcomesSince(from: number): string {
     const counts = new Map<string, number>();
     for (const { access, outcome, errorCode = '' } of this.records.slice(from)) {
@@ -84,28 +84,28 @@
     return [...counts].map(([kind, count]) => `${count} × ${kind}`).join(', ') || 'nothing';
   }
 
-  /** Writes go through. */
-  writesDone(count: number): Promise<void> {
+  /** Resolves once `count` more writes have succeeded. */
+  waitForWrites(count: number): Promise<void> {
     const isDone = (record: RequestRecord): boolean =>
       record.access === 'write' && record.outcome === 'done';
-    return this.more(count, 'writes done', isDone);
+    return this.waitForRecords(count, 'writes done', isDone);
   }
 }
 
 export interface LoadUnderFault {
   readonly cluster: Cluster;
   readonly seed: number;
-  /** Length of one part of the load; another part follows until the fault is over. */
+  /** Duration of one part of the load; parts are repeated until the fault has ended. */
   readonly partMs: number;
   readonly requestsPerSecond?: number;
   readonly sessions?: number;
-  /** Time that callers give each request; default that of the deployment's kinds. */
+  /** Deadline of each request; by default that of the deployment's request kinds. */
   readonly deadlineMs?: number;
-  /** Begins and ends the fault. */
+  /** Starts and ends the fault. */
   readonly fault: (progress: LoadProgress, recorder: RunRecorder) => Promise<void>;
 }
 
-/** Runs load and fault beside each other and collects the history when the groups have settled. */
+/** Runs load and fault concurrently and collects the history when the groups have settled. */
 export async function loadUnderFault(run: LoadUnderFault): Promise<History> {
   const progress = new LoadProgress();
   const recorder = new RunRecorder();
@@ -128,7 +128,7 @@
   };
 }
 
-/** A promise that can be asked whether it has settled; a failure waits for `done` to be awaited. */
+/** A promise with a flag for whether it has settled; a rejection is reported when `done` is awaited. */
 class PendingWork {
   ended = false;
 
@@ -148,7 +148,7 @@
 function runPart(run: LoadUnderFault, part: number, progress: LoadProgress): Promise<LoadResult> {
   return runLoad({
     deployment: withDeadline(LOADED_DEPLOYMENT, run.deadlineMs),
-    seed: run.seed * SEEDS_A_RUN + part,
+    seed: run.seed * SEEDS_PER_RUN + part,
     durationMs: run.partMs,
     requestsPerSecond: run.requestsPerSecond ?? 150,
     sessions: run.sessions ?? 24,
@@ -158,8 +158,8 @@
   });
 }
 
-/** No promise is broken, and every caller got a final answer; those of killed proxies are cut. */
-export function assertPromisesKept(history: History, killedProxies: readonly string[] = []): void {
+/** Asserts that no guarantee is violated and all requests, except at killed proxies, got a final response. */
+export function assertNoViolations(history: History, killedProxies: readonly string[] = []): void {
   assert.equal(checkHistory(history), []);
   const withoutAnswer = history.requests.filter(({ ending, proxy }) => {
     return ending === 'abandoned' || (ending === 'cut' && !killedProxies.includes(proxy));
@@ -168,8 +168,8 @@
   assert.ok(history.requests.some(({ outcome }) => outcome === 'done'));
 }
 
-/** No instance holds a transaction open. */
-export async function noOpenTransactions(group: DatabaseGroup): Promise<void> {
+/** Resolves once no instance has an open transaction. */
+export async function waitForNoOpenTransactions(group: DatabaseGroup): Promise<void> {
   for (const { name } of group.instances) {
     await until(`no open transaction on ${name}`, async () => {
       const { openTransactions } = await group.state(name);
