--- a/test/support/machine-list-network.ts
+++ b/test/support/machine-list-network.ts
@@ -1,6 +1,6 @@
 /**
- * Machine-list agents of several zones around a simulated list service, with calls that take time or
- * fail, nodes that pause, die and start anew, and a service that is out of reach or loses its memory.
+ * Simulates machine-list agents of several zones and the list service. Calls are delayed or fail, nodes pause, crash
+ * and restart, and the service is unreachable or restarts with an earlier version.
  */
 import { Schedule } from '../../bench/simulation/schedule.js';
 import type { ConfigurationMember } from '../../src/core/configuration/relays.js';
@@ -9,17 +9,16 @@
 import type { ListEntry, ListStamp } from '../../src/core/machine-list/replica.js';
 import { seededRandom } from './random.js';
 
-const MAX_CALL_MS = 20;
+const MAX_DELAY_MS = 20;
 const CALL_TIMEOUT_MS = 1000;
 const POLL_WAIT_MS = 10_000;
 const POLL_RETRY_MS = 1000;
-/** From a death or the beginning of a pause until the others' membership tells of it. */
+/** Time from a crash or the start of a pause until membership reports it to the other nodes. */
 const DETECTION_MS = 4000;
 
-/** State of a machine, which is all that these lists say of it. */
+/** State of a machine, the only property in these lists. */
 export type MachineState = 'live' | 'leaving';
 type Entries = ReadonlyMap<string, MachineState>;
-/** One machine of a list. */
 interface NamedState {
   readonly name: string;
   readonly state: MachineState;
@@ -27,30 +26,29 @@
 type Event = MachineListEvent<NamedState>;
 type Effect = MachineListEffect<NamedState>;
 
-/** One life of one node. */
+/** One incarnation of a node. */
 export interface ListNode {
   readonly member: ConfigurationMember;
   readonly agent: MachineListAgent<NamedState>;
   isAlive: boolean;
   pausedUntil: number;
-  isReading: boolean;
+  isReader: boolean;
   /** Cut off from the list service, not from the other nodes. */
   isCutFromService: boolean;
-  /** Version that the next poll names. */
-  askedVersion: number;
+  /** Version that the next poll sends. */
+  knownVersion: number;
   isPolling: boolean;
   polls: number;
-  /** What was in force here, in order. */
-  readonly applied: { readonly stamp: ListStamp; readonly shown: Entries }[];
+  /** The lists that the node has applied, in order. */
+  readonly applied: { readonly stamp: ListStamp; readonly entries: Entries }[];
 }
 
-/** The whole simulation. */
 export class MachineListNetwork {
   readonly nodes: ListNode[] = [];
-  lossShare = 0;
+  lossFraction = 0;
   isServiceDown = false;
   version = 1;
-  /** What the service said at each version of its present life. */
+  /** The list at each version since the service last started. */
   readonly history = new Map<number, Entries>([[1, new Map()]]);
   readonly #schedule = new Schedule();
   readonly #random: () => number;
@@ -68,7 +66,7 @@
     return this.nodes.filter(({ isAlive }) => isAlive);
   }
 
-  /** The list as the service gives it now. */
+  /** The service's current list. */
   get published(): Entries {
     return this.history.get(this.version) ?? new Map();
   }
@@ -77,28 +75,28 @@
     this.#schedule.runUntil(this.now + durationMs);
   }
 
-  /** Starts a node, or a new life of one. */
+  /** Starts a node, or a new incarnation of it. */
   start(nodeId: string, zone: string): void {
-    this.#begin(nodeId, zone);
-    this.#tellMembers(MAX_CALL_MS);
+    this.#addNode(nodeId, zone);
+    this.#notifyMembers(MAX_DELAY_MS);
   }
 
-  /** Starts nodes of one zone, that come to know each other at once. */
+  /** Starts nodes of one zone, which learn of each other at once. */
   startZone(zone: string, count: number): void {
-    for (let index = 0; index < count; index += 1) this.#begin(`${zone}${index}`, zone);
-    this.#tellMembers(MAX_CALL_MS);
+    for (let index = 0; index < count; index += 1) this.#addNode(`${zone}${index}`, zone);
+    this.#notifyMembers(MAX_DELAY_MS);
   }
 
-  #begin(nodeId: string, zone: string): void {
+  #addNode(nodeId: string, zone: string): void {
     const member = { nodeId, zone, host: nodeId, port: 1 };
     const node: ListNode = {
       member,
       agent: new MachineListAgent({ self: member, random: this.#random }),
       isAlive: true,
       pausedUntil: 0,
-      isReading: false,
+      isReader: false,
       isCutFromService: false,
-      askedVersion: 0,
+      knownVersion: 0,
       isPolling: false,
       polls: 0,
       applied: [],
@@ -109,14 +107,14 @@
 
   kill(node: ListNode): void {
     node.isAlive = false;
-    this.#tellMembers(DETECTION_MS);
+    this.#notifyMembers(DETECTION_MS);
   }
 
-  /** As by SIGSTOP: what arrives meanwhile waits. */
+  /** As by SIGSTOP: events that arrive meanwhile are delivered afterwards. */
   pause(node: ListNode, durationMs: number): void {
     node.pausedUntil = Math.max(node.pausedUntil, this.now + durationMs);
-    this.#tellMembers(DETECTION_MS);
-    this.#schedule.after(node.pausedUntil - this.now, () => this.#tellMembers(MAX_CALL_MS));
+    this.#notifyMembers(DETECTION_MS);
+    this.#schedule.after(node.pausedUntil - this.now, () => this.#notifyMembers(MAX_DELAY_MS));
   }
 
   /** The service publishes a change of one machine. */
@@ -128,7 +126,7 @@
   }
 
   /** The service restarts with an earlier version and these machines. */
-  loseMemory(version: number, entries: Entries): void {
+  resetVersion(version: number, entries: Entries): void {
     this.history.clear();
     this.#setPublished(version, entries);
   }
@@ -141,7 +139,7 @@
     for (const wake of waiters) wake();
   }
 
-  #tellMembers(delayMs: number): void {
+  #notifyMembers(delayMs: number): void {
     this.#schedule.after(delayMs, () => {
       const members = this.live
         .filter(({ pausedUntil }) => pausedUntil <= this.now)
@@ -156,22 +154,22 @@
       this.#schedule.after(node.pausedUntil - this.now, () => this.#deliver(node, event));
       return;
     }
-    for (const effect of node.agent.handle(event, this.now)) this.#carryOut(node, effect);
+    for (const effect of node.agent.handle(event, this.now)) this.#executeEffect(node, effect);
     this.#schedule.after(Math.max(0, node.agent.nextDeadline() - this.now), () => {
-      // Superseded timers do no harm: the agent looks at its own deadlines.
+      // Superseded timers are harmless, since the agent checks its own deadlines.
       if (node.agent.nextDeadline() <= this.now) this.#deliver(node, { type: 'tick' });
     });
   }
 
-  #carryOut(node: ListNode, effect: Effect): void {
+  #executeEffect(node: ListNode, effect: Effect): void {
     switch (effect.type) {
       case 'set-reading':
-        node.isReading = effect.isPolling;
+        node.isReader = effect.isPolling;
         this.#poll(node);
         return;
       case 'apply':
-        node.askedVersion = effect.stamp.version;
-        node.applied.push({ stamp: effect.stamp, shown: shownBy(node) });
+        node.knownVersion = effect.stamp.version;
+        node.applied.push({ stamp: effect.stamp, entries: listedEntriesOf(node) });
         return;
       case 'ask-report': {
         const report = node.agent.report(this.now);
@@ -205,69 +203,74 @@
   #call(
     node: ListNode,
     member: ConfigurationMember,
-    ask: (peer: ListNode) => Event | undefined,
+    request: (peer: ListNode) => Event | undefined,
   ): void {
-    this.#schedule.after(this.#random() * MAX_CALL_MS, () => {
+    this.#schedule.after(this.#random() * MAX_DELAY_MS, () => {
       const peer = this.live.find((other) => other.member.nodeId === member.nodeId);
       const isSilent = peer === undefined || peer.pausedUntil > this.now;
-      if (isSilent || this.#random() < this.lossShare) {
+      if (isSilent || this.#random() < this.lossFraction) {
         const failed: Event = { type: 'peer-failed', nodeId: member.nodeId };
         this.#schedule.after(CALL_TIMEOUT_MS, () => this.#deliver(node, failed));
         return;
       }
-      const answer = ask(peer);
+      const answer = request(peer);
       if (answer === undefined) return;
-      this.#schedule.after(this.#random() * MAX_CALL_MS, () => this.#deliver(node, answer));
+      this.#schedule.after(this.#random() * MAX_DELAY_MS, () => this.#deliver(node, answer));
     });
   }
 
   // ---- the list service, with a client for each node
 
   #poll(node: ListNode): void {
-    if (!node.isReading || node.isPolling || !node.isAlive) return;
+    if (!node.isReader || node.isPolling || !node.isAlive) return;
     node.isPolling = true;
     node.polls += 1;
-    const asked = node.askedVersion;
-    this.#schedule.after(this.#random() * MAX_CALL_MS, () => {
+    const knownVersion = node.knownVersion;
+    this.#schedule.after(this.#random() * MAX_DELAY_MS, () => {
       if (this.isServiceDown || node.isCutFromService) this.#retry(node);
-      else if (asked !== this.version) this.#answer(node, asked);
-      else this.#wait(node, asked);
+      else if (knownVersion !== this.version) this.#answer(node, knownVersion);
+      else this.#wait(node, knownVersion);
     });
   }
 
-  #wait(node: ListNode, asked: number): void {
+  #wait(node: ListNode, knownVersion: number): void {
     let isAnswered = false;
     const answer = (): void => {
-      if (!isAnswered) this.#answer(node, asked);
+      if (!isAnswered) this.#answer(node, knownVersion);
       isAnswered = true;
     };
     this.#waiters.push(answer);
     this.#schedule.after(POLL_WAIT_MS, answer);
   }
 
-  #answer(node: ListNode, asked: number): void {
+  #answer(node: ListNode, knownVersion: number): void {
     const { version, published } = this;
     if (this.isServiceDown || node.isCutFromService) {
       this.#retry(node);
       return;
     }
-    this.#schedule.after(this.#random() * MAX_CALL_MS, () =>
-      this.#onAnswer(node, asked, version, published),
+    this.#schedule.after(this.#random() * MAX_DELAY_MS, () =>
+      this.#onAnswer(node, knownVersion, version, published),
     );
   }
 
-  #onAnswer(node: ListNode, asked: number, version: number, published: Entries): void {
+  #onAnswer(node: ListNode, knownVersion: number, version: number, published: Entries): void {
     if (node.pausedUntil > this.now) {
-      const rest = node.pausedUntil - this.now;
-      this.#schedule.after(rest, () => this.#onAnswer(node, asked, version, published));
+      const remainingMs = node.pausedUntil - this.now;
+      this.#schedule.after(remainingMs, () =>
+        this.#onAnswer(node, knownVersion, version, published),
+      );
       return;
     }
     node.isPolling = false;
-    // As the client does: a node that has stopped reading drops the answer.
-    if (!node.isReading) return;
-    const entries = version === node.askedVersion ? undefined : entriesOf(published);
-    node.askedVersion = version;
-    this.#deliver(node, { type: 'read', reading: { knownVersion: asked, version, entries } });
+    // Like the real client, a node that is no longer a reader drops the response.
+    if (!node.isReader) return;
+    const entries = version === node.knownVersion ? undefined : toListEntries(published);
+    node.knownVersion = version;
+    this.#deliver(node, {
+      type: 'read',
+      reading: { knownVersion: knownVersion, version, entries },
+    });
     this.#schedule.after(1, () => this.#poll(node));
   }
 
@@ -279,12 +282,12 @@
   }
 }
 
-/** What a node's list says, by machine. */
-export function shownBy({ agent }: ListNode): Entries {
+/** The states in a node's list, by machine. */
+export function listedEntriesOf({ agent }: ListNode): Entries {
   return new Map(agent.replica.items().map(({ name, state }) => [name, state]));
 }
 
-function entriesOf(published: Entries): ListEntry<NamedState>[] {
+function toListEntries(published: Entries): ListEntry<NamedState>[] {
   return [...published].map(([name, state]) => ({
     id: name,
     hash: hashOf(`${name}:${state}`),
@@ -295,7 +298,7 @@
 const FNV_OFFSET = 0xcbf29ce484222325n;
 const FNV_PRIME = 0x100000001b3n;
 
-/** FNV-1a. */
+/** 64-bit FNV-1a. */
 export function hashOf(text: string): bigint {
   let hash = FNV_OFFSET;
   for (const byte of Buffer.from(text))
@@ -303,13 +306,13 @@
   return hash;
 }
 
-/** True if a node has what the service published last. */
+/** True if a node has the list that the service published last. */
 export function isCurrent(node: ListNode, network: MachineListNetwork): boolean {
-  const shown = shownBy(node);
+  const entries = listedEntriesOf(node);
   const { published } = network;
   return (
     node.agent.replica.stamp.version === network.version &&
-    shown.size === published.size &&
-    [...published].every(([name, state]) => shown.get(name) === state)
+    entries.size === published.size &&
+    [...published].every(([name, state]) => entries.get(name) === state)
   );
 }
--- a/test/support/membership-network.ts
+++ b/test/support/membership-network.ts
@@ -1,4 +1,4 @@
-/** A seeded simulation of membership state machines on a network: latency, loss, partitions, pauses, crashes. */
+/** Seeded simulation of membership state machines on a network with latency, loss, partitions, pauses and crashes. */
 import type { ListedNode, MembershipOptions } from '../../src/core/membership/contract.js';
 import {
   DEFAULT_MEMBERSHIP_OPTIONS,
@@ -114,7 +114,7 @@
     return false;
   }
 
-  /** Nodes that have not crashed, paused or not. */
+  /** Nodes that have not crashed, including paused ones. */
   running(): SimulatedNode[] {
     return [...this.nodes.values()].filter((node) => !node.crashed);
   }
--- a/test/support/memory-store.ts
+++ b/test/support/memory-store.ts
@@ -1,7 +1,6 @@
 /**
- * A store in memory with the contract of src/platform/contract.ts, for tests of what stands on it.
- * Faults are switched by the test: an outage, answers lost after or before the change took effect,
- * and answers that wait for the test to let them go.
+ * In-memory implementation of the `Store` contract (src/platform/contract.ts) for tests. The test injects faults: an
+ * outage, responses lost before or after the change took effect, delayed requests.
  */
 import { err, ok, type Result, ResultAsync } from 'neverthrow';
 import { MeadowstackError } from '../../src/core/errors.js';
@@ -17,7 +16,7 @@
   WatchHandlers,
 } from '../../src/platform/contract.js';
 
-/** The only failure that this store has. */
+/** The only error of this store. */
 export class MemoryStoreError extends MeadowstackError implements StoreError {
   readonly code = 'MS-TEST-STORE';
   readonly retryAfterMs = undefined;
@@ -27,7 +26,7 @@
   }
 }
 
-/** What befalls the next request. `lost-before`: it never arrives; `lost-after`: it takes effect. */
+/** Fault of a request. `lost-before`: it does not arrive; `lost-after`: it takes effect, its response is lost. */
 export type StoreFault = 'none' | 'down' | 'lost-before' | 'lost-after';
 
 interface Watcher {
@@ -35,13 +34,13 @@
   readonly handlers: WatchHandlers;
 }
 
-/** Keys with revisions, leases that the test lets lapse, and watches. */
+/** Keys with revisions, watches, and leases that expire only by `expireLease`. */
 export class MemoryStore implements Store {
-  /** Asked once for each request. */
+  /** Called once for each request. */
   nextFault: () => StoreFault = () => 'none';
   /** Awaited before each request takes effect. */
   delay: () => Promise<void> = () => Promise.resolve();
-  /** Every transaction that succeeded, in order. */
+  /** All successful transactions, in order. */
   readonly applied: { readonly revision: number; readonly keys: readonly string[] }[] = [];
   readonly entries = new Map<string, KeyValue & { readonly leaseId: string | undefined }>();
   revision = 1;
@@ -82,7 +81,7 @@
   }
 
   revokeLease(leaseId: string): ResultAsync<void, StoreError> {
-    return this.#request(() => this.lapse(leaseId));
+    return this.#request(() => this.expireLease(leaseId));
   }
 
   watch(prefix: string, fromRevision: number, handlers: WatchHandlers): () => void {
@@ -99,8 +98,8 @@
     return this.#requests;
   }
 
-  /** Lets a lease lapse: its keys go. */
-  lapse(leaseId: string): void {
+  /** Expires a lease and removes its keys. */
+  expireLease(leaseId: string): void {
     this.#leases.delete(leaseId);
     for (const [key, entry] of this.entries)
       if (entry.leaseId === leaseId) this.entries.delete(key);
@@ -110,24 +109,24 @@
     return this.#watchers.size;
   }
 
-  /** Ends all watches, as a compaction or a lost connection does. */
+  /** Ends all watches, like a compaction or a lost connection. */
   endWatches(compacted: boolean): void {
     const watchers = [...this.#watchers];
     this.#watchers.clear();
     for (const { handlers } of watchers) handlers.onEnd(new MemoryStoreError(false), compacted);
   }
 
-  #request<Answer>(carryOut: () => Answer): ResultAsync<Answer, StoreError> {
+  #request<Answer>(execute: () => Answer): ResultAsync<Answer, StoreError> {
     this.#requests += 1;
-    return new ResultAsync(this.#answer(carryOut));
+    return new ResultAsync(this.#answer(execute));
   }
 
-  async #answer<Answer>(carryOut: () => Answer): Promise<Result<Answer, StoreError>> {
+  async #answer<Answer>(execute: () => Answer): Promise<Result<Answer, StoreError>> {
     const fault = this.nextFault();
     await this.delay();
     if (fault === 'down') return err(new MemoryStoreError(false));
     if (fault === 'lost-before') return err(new MemoryStoreError(true));
-    const answer = carryOut();
+    const answer = execute();
     return fault === 'lost-after' ? err(new MemoryStoreError(true)) : ok(answer);
   }
 
@@ -164,8 +163,8 @@
 }
 
 function notify(watcher: Watcher, events: readonly WatchEvent[], revision: number): void {
-  const seen = events.filter((event) =>
+  const matching = events.filter((event) =>
     (event.type === 'put' ? event.entry.key : event.key).startsWith(watcher.prefix),
   );
-  if (seen.length > 0) watcher.handlers.onEvents(seen, revision);
+  if (matching.length > 0) watcher.handlers.onEvents(matching, revision);
 }
--- a/test/support/named-failures.ts
+++ b/test/support/named-failures.ts
@@ -1,8 +1,8 @@
 /**
- * Loaded before each test file. uvu runs the hooks after a test once more when the test has failed, and drops both
- * errors if a hook throws then: the file ends with fewer tests passed than there are and no failure named. Here a hook's
- * error is told at once and fails the file at its end, so that the test's own failure is told too. A process that ends
- * within a test, since nothing keeps its event loop going, names that test.
+ * Loaded before each test file. When a test fails, uvu runs its `after.each` hooks a second time and, if a hook then
+ * throws, drops both errors: the file reports fewer passed tests than total and names no failure. This module prints a
+ * hook's error at once and sets the exit code at the end, so that uvu still prints the test's own failure. It also
+ * prints the test during which a process ended because its event loop was empty.
  */
 import { test } from 'uvu';
 
--- a/test/support/open-transaction.ts
+++ b/test/support/open-transaction.ts
@@ -1,10 +1,10 @@
-/** A caller's transaction, brought to a chosen step, for tests that break something just there. */
+/** Runs a caller's transaction up to a given step, for tests that inject a fault there. */
 import type pg from 'pg';
 import type { Cluster } from '../../bench/harness/cluster.js';
 import { GROUP, type TestCaller } from './cluster.js';
 import { until } from './until.js';
 
-/** How far a transaction has come. */
+/** Steps of a transaction. */
 export const TRANSACTION_STEPS = [
   'BEGIN is on its way',
   'BEGIN was answered',
@@ -16,21 +16,21 @@
 
 const LONG_SLEEP = 'SELECT pg_sleep(15)';
 
-/** What the caller hears of a statement: its error, or undefined if it is done. */
-export type Answer = Promise<pg.DatabaseError | undefined>;
+/** Outcome of a statement at the caller: its error, or undefined on success. */
+export type Outcome = Promise<pg.DatabaseError | undefined>;
 
-/** A statement that is on its way; wrapped, so that waiting for the step is not waiting for it. */
+/** A statement that has no response yet; wrapped, so that awaiting the step does not await the response. */
 export interface PendingStatement {
-  readonly answer: Answer;
+  readonly answer: Outcome;
 }
 
 const NOTHING_PENDING: PendingStatement = { answer: Promise.resolve(undefined) };
 
 /**
- * Brings the caller's transaction, which inserts `rowId`, to a step. At the steps on the way the
- * primary has done its part, but its answer is held until the route is healed.
+ * Runs the caller's transaction, which inserts `rowId`, up to a step. At the steps named "on its way" the primary has
+ * executed the statement, but its response is held back until the route is restored.
  */
-export async function bringTo(
+export async function advanceTransaction(
   cluster: Cluster,
   { client }: TestCaller,
   step: TransactionStep,
@@ -38,10 +38,10 @@
 ): Promise<Promise<PendingStatement>> {
   const group = cluster.group(GROUP);
   const { name } = await group.waitForPrimary();
-  const holdAnswers = () => cluster.faults.setFaults(name, { down: { cut: true } });
+  const holdResponses = () => cluster.faults.setFaults(name, { down: { cut: true } });
   if (step === 'BEGIN is on its way') {
-    await holdAnswers();
-    const answer = failureOf(client.query('BEGIN'));
+    await holdResponses();
+    const answer = errorOf(client.query('BEGIN'));
     await group.waitForState(name, (state) => state.openTransactions === 1);
     return { answer };
   }
@@ -50,12 +50,12 @@
   await client.query('INSERT INTO orders VALUES ($1, $2)', [rowId, step]);
   if (step === 'a statement was answered') return NOTHING_PENDING;
   if (step === 'a statement is running') {
-    const answer = failureOf(client.query(LONG_SLEEP));
+    const answer = errorOf(client.query(LONG_SLEEP));
     await group.waitForState(name, (state) => state.slotsInUse === 1);
     return { answer };
   }
-  await holdAnswers();
-  const answer = failureOf(client.query('COMMIT'));
+  await holdResponses();
+  const answer = errorOf(client.query('COMMIT'));
   await until('the commit is in the log', async () => {
     const { entries } = await group.commitLog(name);
     return entries.some(({ keys }) => keys.includes(`orders/${rowId} put`));
@@ -63,8 +63,8 @@
   return { answer };
 }
 
-/** The error of a query, or undefined if it is done. */
-export function failureOf(query: Promise<unknown>): Answer {
+/** The error of a query, or undefined on success. */
+export function errorOf(query: Promise<unknown>): Outcome {
   return query.then(
     () => undefined,
     (error: pg.DatabaseError) => error,
--- a/test/support/peer.ts
+++ b/test/support/peer.ts
@@ -58,7 +58,7 @@
   while (!condition()) await new Promise((resolve) => setTimeout(resolve, 1));
 }
 
-/** Opens a raw TCP connection, to send what no transport would. */
+/** Opens a raw TCP connection, to send bytes that a transport would not. */
 export async function rawConnection(address: PeerAddress): Promise<Socket> {
   const socket = connect(address.port, address.host);
   await new Promise<void>((resolve) => socket.once('connect', () => resolve()));
--- a/test/support/promotion-feed.ts
+++ b/test/support/promotion-feed.ts
@@ -1,4 +1,4 @@
-/** Hands events to a promotion machine, and the answers of a store and of instances that answer at once. */
+/** Runs a promotion state machine with a store and instances that respond at once. */
 import type {
   PromotionEvent,
   PromotionRequest,
@@ -6,18 +6,18 @@
 } from '../../src/core/promotion/contract.js';
 import type { PromotionStateMachine } from '../../src/core/promotion/machine.js';
 
-/** What a request is answered at once; one without an answer stays open. */
-export type AnswerTo = (request: PromotionRequest) => RequestAnswer | undefined;
+/** Returns the immediate response to a request; undefined leaves the request pending. */
+export type RespondTo = (request: PromotionRequest) => RequestAnswer | undefined;
 
 /**
- * Handles the events, and what follows from them, at one moment. Gives what was asked for, in order. A node's use of an
- * old primary ends as soon as that is asked of it.
+ * Handles the events, and those that follow from them, at time `now`. Returns the requests, in order. Reports the end
+ * of use of an old primary at once.
  */
-export function feed(
+export function handleEvents(
   machine: PromotionStateMachine,
   events: readonly PromotionEvent[],
   now: number,
-  answerTo: AnswerTo,
+  respondTo: RespondTo,
 ): PromotionRequest[] {
   const requests: PromotionRequest[] = [];
   const queue = [...events];
@@ -28,7 +28,7 @@
       }
       if (effect.type !== 'request') continue;
       requests.push(effect.request);
-      const answer = answerTo(effect.request);
+      const answer = respondTo(effect.request);
       if (answer !== undefined) queue.push({ type: 'answer', request: effect.id, answer });
     }
   }
--- a/test/support/promotion/clock.ts
+++ b/test/support/promotion/clock.ts
@@ -1,7 +1,7 @@
-/** Virtual time: actions run in order of their times; equal times in order of planning. */
+/** Virtual time: actions run in order of their times; at equal times, in order of scheduling. */
 import { seededRandom } from '../random.js';
 
-interface PlannedAction {
+interface ScheduledAction {
   readonly at: number;
   readonly order: number;
   readonly action: () => void;
@@ -10,7 +10,7 @@
 export class SimulatedClock {
   now = 0;
   readonly random: () => number;
-  #queue: PlannedAction[] = [];
+  #queue: ScheduledAction[] = [];
   #order = 0;
 
   constructor(seed: number) {
@@ -61,7 +61,7 @@
   }
 }
 
-/** The queue holds the latest first, so that the next is taken from its end. */
-function isLater(left: PlannedAction, right: PlannedAction): boolean {
+/** The queue is sorted latest first, so that the next action is at its end. */
+function isLater(left: ScheduledAction, right: ScheduledAction): boolean {
   return left.at === right.at ? left.order > right.order : left.at > right.at;
 }
--- a/test/support/promotion/group.ts
+++ b/test/support/promotion/group.ts
@@ -1,18 +1,17 @@
 /**
- * One database group in virtual time, as adverse as the platform's pages allow: synchronous
- * replication to any one replica, holds that a restart ends, an old primary that goes on, a promoted
- * instance that has what it had received and nothing more.
+ * Simulates one database group in virtual time, as adversely as the platform's specification allows: a commit needs
+ * any one replica, a restart ends a replica's hold, an old primary goes on serving, and a promoted instance has only
+ * the log that it had received.
  */
-
 import { comparePositions, type Position } from '../../../src/core/position.js';
 import type { ControlRequest, RequestAnswer } from '../../../src/core/promotion/contract.js';
 import type { InstanceEntry } from '../../../src/direct/contract.js';
 import type { SimulatedNetwork } from './network.js';
 
-const PROMOTE_MS = 300;
+const PROMOTION_DURATION_MS = 300;
 const STEPS_DOWN_AFTER_MS = 1000;
-const LATE_CONTROL_MS = 1500;
-const LATE_CONTROL_SHARE = 0.3;
+const MAX_LATE_CONTROL_DELAY_MS = 1500;
+const LATE_CONTROL_FRACTION = 0.3;
 
 interface LogEntry {
   readonly term: number;
@@ -26,23 +25,22 @@
 }
 
 export class SimulatedInstance {
-  alive = true;
-  /** Receives nothing until then. */
-  deafUntil = 0;
+  isRunning = true;
+  notReceivingUntil = 0;
   role: 'primary' | 'replica';
   term = 1;
   heldTerm = 0;
   log: LogEntry[] = [];
   pending: PendingCommit[] = [];
   draining = false;
-  /** Whether its entry stands in the store. */
-  announced = true;
+  /** True if its registration is in the store. */
+  isRegistered = true;
   stepsDownAt: number | undefined;
 
-  /** Where it is reached, whatever its id. */
+  /** Stays the same when a successor takes over with another id. */
   readonly address: string;
-  /** Lives at this address so far. */
-  lives = 1;
+  /** Incarnations at this address so far. */
+  incarnationCount = 1;
 
   constructor(
     public id: string,
@@ -59,25 +57,25 @@
   readonly id: number;
   readonly at: number;
   readonly index: number;
-  /** A node has passed the acknowledgement on to its caller. */
-  isTold: boolean;
+  /** A node has acknowledged the commit to its caller. */
+  isReported: boolean;
 }
 
 export class SimulatedGroup {
   readonly instances: SimulatedInstance[];
-  /** By time of their acknowledgement; those that a promotion lost are reported and taken out. */
+  /** By time of acknowledgement; commits lost by a promotion are reported as violations and removed. */
   acknowledged: AcknowledgedCommit[] = [];
   readonly violations: string[] = [];
-  /** Of the commits that a promotion lost, those that a caller was told of. */
-  readonly lostAndTold: number[] = [];
+  /** Commits lost by a promotion that were acknowledged to a caller. */
+  readonly lostAndReported: number[] = [];
   readonly #lost = new Set<number>();
   promotions = 0;
-  /** Commits that were ever acknowledged by the group's leader. */
+  /** Number of commits acknowledged by the group's primary. */
   commits = 0;
-  /** Some control calls take effect late until then. */
+  /** Until then, some control calls are delayed. */
   controlLateUntil = 0;
-  /** As the platform has it. */
-  leader: SimulatedInstance;
+  /** The primary according to the platform. */
+  primary: SimulatedInstance;
   readonly #formerAddresses = new Map<string, string>();
   #nextCommit = 1;
   #nextIndex: number;
@@ -98,7 +96,7 @@
     this.#nextIndex = size;
     const [first] = this.instances;
     if (first === undefined) throw new Error('a group has instances');
-    this.leader = first;
+    this.primary = first;
     this.#replicate();
   }
 
@@ -106,20 +104,20 @@
     return this.network.clock;
   }
 
-  /** The instance that has this id; undefined if it has ended and another has its address. */
-  #present(id: string): SimulatedInstance | undefined {
+  /** The instance with this id; undefined if it has ended or a successor has its address. */
+  #instanceOf(id: string): SimulatedInstance | undefined {
     return this.instances.find((instance) => instance.id === id);
   }
 
   #addressOf(id: string): string {
-    const address = this.#present(id)?.address ?? this.#formerAddresses.get(id);
+    const address = this.#instanceOf(id)?.address ?? this.#formerAddresses.get(id);
     if (address === undefined) throw new Error(`no instance ${id}`);
     return address;
   }
 
-  entries(): InstanceEntry[] {
+  registrations(): InstanceEntry[] {
     return this.instances
-      .filter(({ announced, alive }) => announced && alive)
+      .filter(({ isRegistered, isRunning }) => isRegistered && isRunning)
       .map(({ id, address, role, draining, index }) => ({
         id,
         service: this.service,
@@ -133,33 +131,33 @@
   }
 
   crash(instance: SimulatedInstance): void {
-    instance.alive = false;
+    instance.isRunning = false;
     instance.pending = [];
   }
 
   restart(instance: SimulatedInstance): void {
-    instance.alive = true;
+    instance.isRunning = true;
     instance.heldTerm = 0;
     instance.stepsDownAt = undefined;
-    instance.role = this.leader === instance ? 'primary' : 'replica';
+    instance.role = this.primary === instance ? 'primary' : 'replica';
   }
 
-  /** A new instance starts at the address of one that has ended, with its log. */
+  /** Starts a successor at the address and with the log of an instance that has ended. */
   replace(instance: SimulatedInstance): void {
     this.#formerAddresses.set(instance.id, instance.address);
-    instance.lives += 1;
-    instance.id = `${instance.address}.${instance.lives}`;
+    instance.incarnationCount += 1;
+    instance.id = `${instance.address}.${instance.incarnationCount}`;
     this.restart(instance);
   }
 
-  /** An instance ends for good; its log goes with it. */
+  /** Ends an instance for good, with its log. */
   remove(instance: SimulatedInstance): void {
     this.crash(instance);
     this.#formerAddresses.set(instance.id, instance.address);
     this.instances.splice(this.instances.indexOf(instance), 1);
   }
 
-  /** A replica with an empty log joins at an address of its own. */
+  /** Adds a replica with an empty log at a new address. */
   join(): void {
     const instance = new SimulatedInstance(
       `${this.service}-${this.#nextIndex}`,
@@ -171,109 +169,110 @@
     this.instances.push(instance);
   }
 
-  /** A write of a node; the commit's number comes with its arrival. */
-  write(machine: string, id: string, onAcknowledged: (passOn: () => void) => void): void {
+  /** Sends a write; the commit gets its number on arrival. */
+  write(machine: string, id: string, onAcknowledged: (reportToCaller: () => void) => void): void {
     const address = this.#addressOf(id);
     this.network.send(machine, address, () => {
-      const instance = this.#present(id);
-      if (instance?.alive !== true || instance.role !== 'primary') return;
+      const instance = this.#instanceOf(id);
+      if (instance?.isRunning !== true || instance.role !== 'primary') return;
       const commit = this.#nextCommit;
       this.#nextCommit += 1;
       instance.log.push({ term: instance.term, id: commit });
       const index = instance.log.length - 1;
       const acknowledge = (): void => {
-        // What a deposed primary acknowledges is lost; the node must not pass it on.
-        const isDeposed = this.leader !== instance;
-        const acknowledged = { id: commit, at: this.#clock.now, index, isTold: false };
+        // A commit at a replaced primary is lost; the node must not acknowledge it to its caller.
+        const isDeposed = this.primary !== instance;
+        const acknowledged = { id: commit, at: this.#clock.now, index, isReported: false };
         if (!isDeposed) {
           this.commits += 1;
           this.acknowledged.push(acknowledged);
         }
-        const passOn = (): void => {
-          acknowledged.isTold = true;
-          if (this.#lost.has(commit)) this.lostAndTold.push(commit);
+        const reportToCaller = (): void => {
+          acknowledged.isReported = true;
+          if (this.#lost.has(commit)) this.lostAndReported.push(commit);
           if (!isDeposed) return;
           const at = this.#clock.now.toFixed(0);
           this.violations.push(`ONE: commit ${commit} at deposed ${id}, by ${machine} at ${at}`);
         };
-        this.network.send(address, machine, () => onAcknowledged(passOn));
+        this.network.send(address, machine, () => onAcknowledged(reportToCaller));
       };
       instance.pending.push({ index, id: commit, onAcknowledged: acknowledge });
       this.#ship(instance);
     });
   }
 
-  /** A read of a node that began at `begunAt`; it runs when it arrives. */
-  read(machine: string, id: string, begunAt: number, onAnswer: () => void): void {
+  /** Sends a read that began at `startedAt`; it runs on arrival. */
+  read(machine: string, id: string, startedAt: number, onAnswer: () => void): void {
     const address = this.#addressOf(id);
     const run = (): void => {
-      const instance = this.#present(id);
-      if (instance?.alive !== true) return;
-      this.#checkRead(instance, begunAt, machine);
+      const instance = this.#instanceOf(id);
+      if (instance?.isRunning !== true) return;
+      this.#checkRead(instance, startedAt, machine);
       this.network.send(address, machine, onAnswer);
     };
     this.network.send(machine, address, run, 0.5, 25);
   }
 
-  /** The same at an instance that must have a position, or does not run it. */
+  /** Sends a read that the instance runs only if its log has reached `after`. */
   readAfter(
     machine: string,
     id: string,
     after: Position,
-    begunAt: number,
+    startedAt: number,
     onAnswer: () => void,
   ): void {
     const address = this.#addressOf(id);
     this.network.send(machine, address, () => {
-      const instance = this.#present(id);
-      if (instance?.alive !== true) return;
+      const instance = this.#instanceOf(id);
+      if (instance?.isRunning !== true) return;
       if (comparePositions(receivedOf(instance), after) < 0) return;
-      this.#checkRead(instance, begunAt, machine);
+      this.#checkRead(instance, startedAt, machine);
       this.network.send(address, machine, onAnswer);
     });
   }
 
   control(machine: string, request: ControlRequest, onAnswer: (answer: RequestAnswer) => void) {
     const address = this.#addressOf(request.instance.id);
-    const answerBack = (answer: RequestAnswer): void =>
+    const sendResponse = (answer: RequestAnswer): void =>
       this.network.send(address, machine, () => onAnswer(answer));
-    const highMs = this.#isControlLate() ? LATE_CONTROL_MS : undefined;
+    const highMs = this.#isControlLate() ? MAX_LATE_CONTROL_DELAY_MS : undefined;
     const onArrival = (): void => {
-      const instance = this.#present(request.instance.id);
-      // Another instance at its address refuses what is meant for it.
-      if (instance?.alive !== true) answerBack({ type: 'control-failed', failure: 'refused' });
-      else if (this.#clock.chance(0.05)) answerBack({ type: 'control-failed', failure: 'busy' });
-      else answerBack(this.#carryOut(instance, request));
+      const instance = this.#instanceOf(request.instance.id);
+      // A successor at the address refuses calls for its predecessor.
+      if (instance?.isRunning !== true)
+        sendResponse({ type: 'control-failed', failure: 'refused' });
+      else if (this.#clock.chance(0.05)) sendResponse({ type: 'control-failed', failure: 'busy' });
+      else sendResponse(this.#execute(instance, request));
     };
     this.network.send(machine, address, onArrival, undefined, highMs);
   }
 
   #isControlLate(): boolean {
-    return this.#clock.now < this.controlLateUntil && this.#clock.chance(LATE_CONTROL_SHARE);
+    return this.#clock.now < this.controlLateUntil && this.#clock.chance(LATE_CONTROL_FRACTION);
   }
 
-  /** The platform has taken a call; it takes effect later. */
+  /** Accepts a promotion call, which takes effect later. */
   promote(id: string): 'accepted' | 'refused' {
-    const instance = this.#present(id);
-    if (instance?.alive !== true) return 'refused';
-    if (this.leader === instance && instance.role === 'primary') return 'accepted';
-    this.#clock.after(PROMOTE_MS, () => this.#promoted(instance));
+    const instance = this.#instanceOf(id);
+    if (instance?.isRunning !== true) return 'refused';
+    if (this.primary === instance && instance.role === 'primary') return 'accepted';
+    this.#clock.after(PROMOTION_DURATION_MS, () => this.#completePromotion(instance));
     return 'accepted';
   }
 
-  #promoted(instance: SimulatedInstance): void {
-    if (!instance.alive || (this.leader === instance && instance.role === 'primary')) return;
+  #completePromotion(instance: SimulatedInstance): void {
+    if (!instance.isRunning || (this.primary === instance && instance.role === 'primary')) return;
     const present = new Set(instance.log.map(({ id }) => id));
     const lost = this.acknowledged.filter(({ id }) => !present.has(id));
-    for (const { id, isTold } of lost) {
+    for (const { id, isReported } of lost) {
       this.#lost.add(id);
       this.violations.push(`LOST: commit ${id} at the promotion of ${instance.id}`);
-      if (isTold) this.lostAndTold.push(id);
+      if (isReported) this.lostAndReported.push(id);
     }
     this.acknowledged = this.acknowledged.filter(({ id }) => present.has(id));
     this.#highestTerm += 1;
     this.promotions += 1;
-    this.leader = instance;
+    this.primary = instance;
     instance.role = 'primary';
     instance.term = this.#highestTerm;
     instance.heldTerm = 0;
@@ -281,21 +280,21 @@
     this.#ship(instance);
   }
 
-  #checkRead(instance: SimulatedInstance, begunAt: number, machine: string): void {
+  #checkRead(instance: SimulatedInstance, startedAt: number, machine: string): void {
     for (let index = this.acknowledged.length - 1; index >= 0; index -= 1) {
       const commit = this.acknowledged[index];
       if (commit === undefined) return;
-      if (commit.at >= begunAt) continue;
+      if (commit.at >= startedAt) continue;
       if (instance.log[commit.index]?.id !== commit.id) {
         this.violations.push(
-          `STALE: read by ${machine} at ${instance.id} begun ${begunAt} misses ${commit.id} of ${commit.at}`,
+          `STALE: read by ${machine} at ${instance.id} begun ${startedAt} misses ${commit.id} of ${commit.at}`,
         );
       }
       return;
     }
   }
 
-  #carryOut(instance: SimulatedInstance, request: ControlRequest): RequestAnswer {
+  #execute(instance: SimulatedInstance, request: ControlRequest): RequestAnswer {
     const { action, term } = request;
     if (action === 'pause') {
       if (instance.role !== 'replica' || term <= instance.term) return REJECTED;
@@ -324,7 +323,7 @@
   #replicate(): void {
     this.#clock.after(25, () => {
       for (const instance of this.instances) {
-        if (!instance.alive || instance.role !== 'primary') continue;
+        if (!instance.isRunning || instance.role !== 'primary') continue;
         this.#ship(instance);
         this.#stepDownLater(instance);
       }
@@ -332,9 +331,12 @@
     });
   }
 
-  /** An old primary goes on until a second after it can reach the new one. */
+  /** A replaced primary steps down one second after it can reach the new one. */
   #stepDownLater(instance: SimulatedInstance): void {
-    if (instance === this.leader || !this.network.reaches(instance.address, this.leader.address)) {
+    if (
+      instance === this.primary ||
+      !this.network.reaches(instance.address, this.primary.address)
+    ) {
       instance.stepsDownAt = undefined;
       return;
     }
@@ -352,30 +354,30 @@
       this.network.send(primary.address, replica.address, () => {
         if (!this.#receives(replica, term)) return;
         if (replica.term === term && replica.log.length >= length) {
-          this.#noteReceived(primary, replica, term, length);
+          this.#confirmReceived(primary, replica, term, length);
           return;
         }
         replica.term = term;
-        // What the replica had beyond the new primary's log is rolled back.
+        // Entries beyond the new primary's log are rolled back.
         replica.log = log.slice(0, length);
-        this.#noteReceived(primary, replica, term, length);
+        this.#confirmReceived(primary, replica, term, length);
       });
     }
   }
 
   #receives(replica: SimulatedInstance, term: number): boolean {
-    if (!replica.alive || replica.role !== 'replica' || replica.heldTerm > 0) return false;
-    return replica.term <= term && this.#clock.now >= replica.deafUntil;
+    if (!replica.isRunning || replica.role !== 'replica' || replica.heldTerm > 0) return false;
+    return replica.term <= term && this.#clock.now >= replica.notReceivingUntil;
   }
 
-  #noteReceived(
+  #confirmReceived(
     primary: SimulatedInstance,
     replica: SimulatedInstance,
     term: number,
     length: number,
   ): void {
     this.network.send(replica.address, primary.address, () => {
-      if (!primary.alive || primary.role !== 'primary' || primary.term !== term) return;
+      if (!primary.isRunning || primary.role !== 'primary' || primary.term !== term) return;
       const done = primary.pending.filter(({ index }) => index < length);
       primary.pending = primary.pending.filter(({ index }) => index >= length);
       for (const { onAcknowledged } of done) onAcknowledged();
--- a/test/support/promotion/joining.ts
+++ b/test/support/promotion/joining.ts
@@ -1,6 +1,6 @@
 /**
- * Replicas that join while a change of primary is under way, as the mixed model hardly draws them: the leader and most
- * nodes don't reach the old primary, and one node that is cut off from the store still writes there.
+ * Replicas that join during a primary change, which the mixed model rarely draws: the leader and most nodes can't
+ * reach the old primary, and one node that is cut off from the store still writes there.
  */
 import type { PromotionMechanism } from '../../../src/core/promotion/contract.js';
 import { MIXED_FAULT_KINDS } from './mix.js';
@@ -9,58 +9,62 @@
 
 const WARM_UP_MS = 3000;
 const ROUNDS = 4;
-/** Every lease of a cut-off node is over by then. */
+/** All leases of a cut-off node have expired by then. */
 const CUT_OFF_MS = 3000;
-const LONGEST_JOIN_DELAY_MS = 600;
+const MAX_JOIN_DELAY_MS = 600;
 const STEP_MS = 5;
-const HELD_WITHIN_MS = 4000;
-const STRIKE_MS = 3000;
-/** The cut-off node doesn't reach a replica either, so that it can't learn of its hold. */
-const CUT_FROM_REPLICA = 0.3;
-const MOST_INSTANCES = 5;
+const HOLD_TIMEOUT_MS = 4000;
+const FAULTS_MS = 3000;
+/** Probability that the cut-off node can't reach a replica either, and so can't learn that it is held. */
+const REPLICA_CUT_PROBABILITY = 0.3;
+const MAX_INSTANCES = 5;
 
-/** What one seed broke, and its faults and log lines in order of time. */
+/** Result of a seed: violations, and faults and log lines by time. */
 export interface JoiningOutcome {
   readonly seed: number;
   readonly violations: readonly string[];
-  /** Lost commits that a caller was told of. */
-  readonly lostAndTold: readonly number[];
-  readonly story: string;
+  /** Lost commits that were acknowledged to a caller. */
+  readonly lostAndReported: readonly number[];
+  readonly eventLog: string;
 }
 
-/** Joins amid changes, each with other faults after it. */
-export function playJoining(
+/** Plays joins during primary changes, each followed by other faults. */
+export function simulateJoins(
   seed: number,
-  disabled: readonly PromotionMechanism[] = [],
+  disabledMechanisms: readonly PromotionMechanism[] = [],
 ): JoiningOutcome {
-  const simulation = new PromotionSimulation({ seed, services: 1, disabled });
+  const simulation = new PromotionSimulation({
+    seed,
+    services: 1,
+    disabledMechanisms: disabledMechanisms,
+  });
   simulation.run(WARM_UP_MS);
   for (let round = 0; round < ROUNDS; round += 1) {
-    joinInChange(simulation);
-    simulation.strike(STRIKE_MS, MIXED_FAULT_KINDS);
+    joinDuringChange(simulation);
+    simulation.injectFaults(FAULTS_MS, MIXED_FAULT_KINDS);
   }
-  simulation.heal();
-  const { violations, story, group } = simulation;
-  return { seed, violations, lostAndTold: group.lostAndTold, story };
+  simulation.waitForFaultsToEnd();
+  const { violations, eventLog, group } = simulation;
+  return { seed, violations, lostAndReported: group.lostAndReported, eventLog };
 }
 
-function joinInChange(simulation: PromotionSimulation): void {
+function joinDuringChange(simulation: PromotionSimulation): void {
   const { clock, network, group, nodes, leader } = simulation;
-  const unaware = clock.pick(nodes.filter((node) => node !== leader));
-  const longMs = CUT_OFF_MS + HELD_WITHIN_MS;
-  simulation.faults.push(`${clock.now.toFixed(0)} replica joins in a change ${unaware.name}`);
-  network.cut(unaware.name, STORE, longMs);
+  const cutOffNode = clock.pick(nodes.filter((node) => node !== leader));
+  const totalCutMs = CUT_OFF_MS + HOLD_TIMEOUT_MS;
+  simulation.faultLog.push(`${clock.now.toFixed(0)} replica joins in a change ${cutOffNode.name}`);
+  network.cut(cutOffNode.name, STORE, totalCutMs);
   simulation.run(CUT_OFF_MS);
-  const primary = group.leader;
+  const primary = group.primary;
   for (const { name } of nodes) {
-    if (name !== unaware.name) network.cut(name, primary.address, HELD_WITHIN_MS);
+    if (name !== cutOffNode.name) network.cut(name, primary.address, HOLD_TIMEOUT_MS);
   }
   for (const { address } of group.instances) {
-    const isCut = address !== primary.address && clock.chance(CUT_FROM_REPLICA);
-    if (isCut) network.cut(unaware.name, address, HELD_WITHIN_MS);
+    const isCut = address !== primary.address && clock.chance(REPLICA_CUT_PROBABILITY);
+    if (isCut) network.cut(cutOffNode.name, address, HOLD_TIMEOUT_MS);
   }
   const isHeld = (): boolean => group.instances.some(({ heldTerm }) => heldTerm > 0);
-  if (!simulation.runUntil(isHeld, STEP_MS, HELD_WITHIN_MS)) return;
-  simulation.run(clock.between(0, LONGEST_JOIN_DELAY_MS));
-  if (group.instances.length < MOST_INSTANCES) group.join();
+  if (!simulation.runUntil(isHeld, STEP_MS, HOLD_TIMEOUT_MS)) return;
+  simulation.run(clock.between(0, MAX_JOIN_DELAY_MS));
+  if (group.instances.length < MAX_INSTANCES) group.join();
 }
--- a/test/support/promotion/mix.ts
+++ b/test/support/promotion/mix.ts
@@ -1,4 +1,4 @@
-/** One seed of the mixed model: every kind of fault, overlapping, with reads at replicas and a check that all heals. */
+/** The mixed model: overlapping faults of all kinds, reads at replicas, and a check that every service recovers. */
 import type { PromotionMechanism } from '../../../src/core/promotion/contract.js';
 import {
   CANDIDATE_FAULT_KINDS,
@@ -11,9 +11,9 @@
 } from './simulation.js';
 
 const WARM_UP_MS = 3000;
-const STRIKE_MS = 30_000;
-/** Longer than a leaving member may be silent before it counts as dead, and than a call of the promotion settles. */
-const SETTLE_MS = 30_000;
+const FAULTS_MS = 30_000;
+/** Longer than a leaving member may be unresponsive before it counts as dead, and than a promotion call settles. */
+const SETTLING_MS = 30_000;
 const PROGRESS_MS = 2000;
 
 export const MIXED_FAULT_KINDS: readonly FaultKind[] = [
@@ -22,8 +22,8 @@
   ...PARTIAL_STORE_FAULT_KINDS,
 ];
 
-/** What makes an old primary the best candidate for its own place, and candidates that end amid their calls. */
-export const GONE_CANDIDATE_KINDS: readonly FaultKind[] = [
+/** Faults that make an old primary the best candidate itself, and candidates that end during their promotion calls. */
+export const GONE_CANDIDATE_MIX: readonly FaultKind[] = [
   ...CANDIDATE_FAULT_KINDS,
   ...CANDIDATE_FAULT_KINDS,
   'primary cut from replicas',
@@ -36,64 +36,73 @@
   'node kill',
 ];
 
-/** What nodes know of what a copy of the store lacks. */
-export const RETURN_MECHANISMS: readonly PromotionMechanism[] = [
+/** Mechanisms by which nodes keep facts that a restored store lacks. */
+export const STORE_RESTORE_MECHANISMS: readonly PromotionMechanism[] = [
   'era-coverage',
   'later-term',
   'noted-primary',
 ];
 
 /**
- * These, and what nodes know of members beyond entries and notes. Each question and read that they add or spare changes the course of a
- * seed: one that was found before shows its story with them switched off.
+ * The mechanisms above, and those by which nodes know members without a registration or record. Each request that they
+ * add or save changes the course of a seed, so seeds found without them show their fault only with them disabled.
  */
 export const LATER_MECHANISMS: readonly PromotionMechanism[] = [
   'unlisted-members',
   'forgotten-members',
   'current-members',
-  ...RETURN_MECHANISMS,
+  ...STORE_RESTORE_MECHANISMS,
 ];
 
-/** Returns of the store from a copy, beside all else. */
-export const STORE_RETURN_KINDS: readonly FaultKind[] = [
+/** All faults, with restores of the store from a backup at a higher rate. */
+export const STORE_RESTORE_MIX: readonly FaultKind[] = [
   ...MIXED_FAULT_KINDS,
   ...Array.from({ length: 5 }, () => STORE_RETURN_FAULT_KINDS).flat(),
 ];
 
-function isStoreReturn(kind: FaultKind): boolean {
+function isStoreRestore(kind: FaultKind): boolean {
   return STORE_RETURN_FAULT_KINDS.some((one) => one === kind);
 }
 
-/** What a seed showed: broken promises, and services that no write gets through to. */
+/** Result of a seed: violations, and services that no longer accept writes. */
 export interface MixOutcome {
   readonly seed: number;
   readonly violations: readonly string[];
-  readonly stopped: readonly string[];
-  /** Faults and log lines in order of time. */
-  readonly story: string;
+  readonly servicesWithoutWrites: readonly string[];
+  /** Faults and log lines by time. */
+  readonly eventLog: string;
 }
 
-export function playMix(
+export function simulateMixedFaults(
   seed: number,
   kinds: readonly FaultKind[] = MIXED_FAULT_KINDS,
-  disabled: readonly PromotionMechanism[] = [],
+  disabledMechanisms: readonly PromotionMechanism[] = [],
 ): MixOutcome {
-  const simulation = new PromotionSimulation({ seed, replicaReadsTrusting: 1, disabled });
-  if (kinds.some((kind) => isStoreReturn(kind))) simulation.store.keepCopies();
+  const simulation = new PromotionSimulation({
+    seed,
+    assumedSyncReplicas: 1,
+    disabledMechanisms: disabledMechanisms,
+  });
+  if (kinds.some((kind) => isStoreRestore(kind))) simulation.store.takeBackups();
   simulation.run(WARM_UP_MS);
-  simulation.strike(STRIKE_MS, kinds);
-  simulation.heal();
-  simulation.run(SETTLE_MS);
+  simulation.injectFaults(FAULTS_MS, kinds);
+  simulation.waitForFaultsToEnd();
+  simulation.run(SETTLING_MS);
   const groups = [...simulation.groups.values()];
   const before = new Map(groups.map(({ service, commits }) => [service, commits]));
   simulation.run(PROGRESS_MS);
-  const stopped = groups
+  const servicesWithoutWrites = groups
     .filter(({ service, commits }) => commits === before.get(service))
     .map(({ service }) => service);
-  return { seed, violations: simulation.violations, stopped, story: simulation.story };
+  return {
+    seed,
+    violations: simulation.violations,
+    servicesWithoutWrites: servicesWithoutWrites,
+    eventLog: simulation.eventLog,
+  };
 }
 
-/** True if the seed broke nothing and every service takes writes again. */
-export function isClean({ violations, stopped }: MixOutcome): boolean {
-  return violations.length === 0 && stopped.length === 0;
+/** True if the seed has no violation and every service accepts writes again. */
+export function isClean({ violations, servicesWithoutWrites }: MixOutcome): boolean {
+  return violations.length === 0 && servicesWithoutWrites.length === 0;
 }
--- a/test/support/promotion/network.ts
+++ b/test/support/promotion/network.ts
@@ -1,4 +1,4 @@
-/** Who reaches whom: machines by name, with cuts in one or both directions. */
+/** Simulated network between machines, with cuts in one or both directions. */
 import type { SimulatedClock } from './clock.js';
 
 export class SimulatedNetwork {
@@ -6,7 +6,7 @@
 
   constructor(readonly clock: SimulatedClock) {}
 
-  /** Cuts `from` off from `to` for a time, in that direction only. */
+  /** Drops messages from `from` to `to` for a time, in that direction only. */
   cutOneWay(from: string, to: string, forMs: number): void {
     this.#cuts.set(`${from}>${to}`, this.clock.now + forMs);
   }
@@ -20,7 +20,7 @@
     return (this.#cuts.get(`${from}>${to}`) ?? 0) <= this.clock.now;
   }
 
-  /** Delivers after a delay, unless the way is cut at the start or the end of it. */
+  /** Delivers after a delay, unless the link is cut when sending or delivering. */
   send(from: string, to: string, action: () => void, lowMs = 0.5, highMs = 4): void {
     if (!this.reaches(from, to)) return;
     this.clock.after(this.clock.between(lowMs, highMs), () => {
--- a/test/support/promotion/node.ts
+++ b/test/support/promotion/node.ts
@@ -1,4 +1,4 @@
-/** One node in virtual time: its machine, a clock that drifts, and a data path that reads and writes. */
+/** A node in virtual time: its promotion state machine, a clock that drifts, and a data path that reads and writes. */
 
 import {
   isSafe,
@@ -27,24 +27,24 @@
 import type { SimulatedStore } from './store.js';
 
 const REQUEST_TIMEOUT_MS = 350;
-/** A node waits so long for writes at a primary that is replaced. */
-const GIVE_UP_MS = 250;
+/** Maximum wait for pending writes at a primary that is being replaced. */
+const END_USE_TIMEOUT_MS = 250;
 const WAIT_STEP_MS = 10;
-const ROUND_TIMEOUT_MS = 100;
-const REPLICAS_EVERY_MS = 150;
+const QUERY_ROUND_TIMEOUT_MS = 100;
+const REPLICA_READ_PERIOD_MS = 150;
 
 export interface NodeWorld {
   readonly network: SimulatedNetwork;
   readonly store: SimulatedStore;
   readonly platform: SimulatedPlatform;
   readonly groups: ReadonlyMap<string, SimulatedGroup>;
-  readonly disabled: ReadonlySet<PromotionMechanism>;
-  /** Nodes read at replicas by what these have received, counting on so many receivers of each commit. */
-  readonly replicaReadsTrusting?: number | undefined;
+  readonly disabledMechanisms: ReadonlySet<PromotionMechanism>;
+  /** Nodes also read at replicas, assuming that this many replicas received each commit. */
+  readonly assumedSyncReplicas?: number | undefined;
 }
 
-/** What a process that does not run gets to do later. */
-interface HeldBack {
+/** An action of a paused process, which runs after the pause. */
+interface DeferredAction {
   readonly isTimer: boolean;
   readonly action: () => void;
 }
@@ -57,9 +57,9 @@
   readsServed = 0;
   confirmedByRounds = 0;
   readsAtReplicas = 0;
-  #life = 0;
+  #incarnation = 0;
   #watches = new Map<number, () => void>();
-  #inbox: HeldBack[] = [];
+  #inbox: DeferredAction[] = [];
   #writes = new Set<{ readonly service: string; isGivenUp: boolean }>();
   #wakeAt = Number.POSITIVE_INFINITY;
   readonly #offset: number;
@@ -87,36 +87,36 @@
   }
 
   start(): void {
-    this.#life += 1;
+    this.#incarnation += 1;
     this.#inbox = [];
     this.#writes.clear();
     this.frozenUntil = 0;
     this.machine = new PromotionStateMachine({
       nodeName: this.name,
-      incarnation: `${this.name}-${this.#life}`,
+      incarnation: `${this.name}-${this.#incarnation}`,
       timings: DEFAULT_PROMOTION_TIMINGS,
       random: this.#clock.random,
-      disabled: this.world.disabled,
+      disabled: this.world.disabledMechanisms,
     });
-    const life = this.#life;
+    const life = this.#incarnation;
     this.world.store.connect(this.name, (era) => {
-      this.#run(life, () => this.handle({ type: 'store-era', era }));
+      this.#runWhenResumed(life, () => this.handle({ type: 'store-era', era }));
     });
     const services = [...this.world.groups.keys()].map((name) => {
       return { name, maxConnections: 34, syncReplicas: 1 };
     });
     this.handle({ type: 'services-changed', services });
     this.handle({ type: 'start' });
-    this.#followInstances(this.#life);
+    this.#pollInstances(this.#incarnation);
     for (const service of this.world.groups.keys()) {
-      this.#work(service, this.#life);
-      this.#readReplicasNowAndThen(service, this.#life);
+      this.#sendRequestsPeriodically(service, this.#incarnation);
+      this.#readReplicasPeriodically(service, this.#incarnation);
     }
   }
 
   kill(): void {
     this.machine = undefined;
-    this.#life += 1;
+    this.#incarnation += 1;
     for (const close of this.#watches.values()) close();
     this.#watches.clear();
   }
@@ -130,19 +130,19 @@
   }
 
   /**
-   * The event loop stalls: afterwards it runs the timers that are due first, or what has arrived first, as the
-   * phase of the loop has it.
+   * Stalls the event loop. Afterwards either due timers or received messages run first, depending on the loop's
+   * phase.
    */
   stall(forMs: number): void {
     if (this.isFrozen) return;
     this.frozenUntil = this.#clock.now + forMs;
     const areTimersFirst = this.#clock.chance(0.5);
-    const life = this.#life;
+    const life = this.#incarnation;
     this.#clock.at(this.frozenUntil, () => {
-      if (life !== this.#life) return;
-      const heldBack = this.#inbox.splice(0);
-      const first = heldBack.filter(({ isTimer }) => isTimer === areTimersFirst);
-      const second = heldBack.filter(({ isTimer }) => isTimer !== areTimersFirst);
+      if (life !== this.#incarnation) return;
+      const deferred = this.#inbox.splice(0);
+      const first = deferred.filter(({ isTimer }) => isTimer === areTimersFirst);
+      const second = deferred.filter(({ isTimer }) => isTimer !== areTimersFirst);
       for (const { action } of [...first, ...second]) action();
       this.#wake();
     });
@@ -151,14 +151,15 @@
   handle(event: PromotionEvent): void {
     if (this.machine === undefined) return;
     const effects = this.machine.handle(event, this.now);
-    for (const effect of effects) this.#carryOut(effect);
+    for (const effect of effects) this.#executeEffect(effect);
     this.#wake();
   }
 
-  /** Runs when the process does: at once, or once it is no longer frozen. */
-  #run(life: number, action: () => void, isTimer = false): void {
-    if (life !== this.#life) return;
-    if (this.isFrozen) this.#inbox.push({ isTimer, action: () => this.#run(life, action) });
+  /** Runs the action at once, or after the freeze. */
+  #runWhenResumed(life: number, action: () => void, isTimer = false): void {
+    if (life !== this.#incarnation) return;
+    if (this.isFrozen)
+      this.#inbox.push({ isTimer, action: () => this.#runWhenResumed(life, action) });
     else action();
   }
 
@@ -168,19 +169,21 @@
     const time = Math.max(this.#clock.now, (at - this.#offset) / this.#rate + 0.01);
     if (time >= this.#wakeAt && this.#wakeAt > this.#clock.now) return;
     this.#wakeAt = time;
-    const life = this.#life;
+    const life = this.#incarnation;
     this.#clock.at(time, () => {
       if (this.#wakeAt === time) this.#wakeAt = Number.POSITIVE_INFINITY;
-      this.#run(life, () => this.handle({ type: 'tick' }), true);
+      this.#runWhenResumed(life, () => this.handle({ type: 'tick' }), true);
     });
   }
 
-  #carryOut(effect: PromotionEffect): void {
-    const life = this.#life;
+  #executeEffect(effect: PromotionEffect): void {
+    const life = this.#incarnation;
     switch (effect.type) {
       case 'request':
         this.#request(effect.request, (answer) =>
-          this.#run(life, () => this.handle({ type: 'answer', request: effect.id, answer })),
+          this.#runWhenResumed(life, () =>
+            this.handle({ type: 'answer', request: effect.id, answer }),
+          ),
         );
         return;
       case 'open-watch': {
@@ -189,11 +192,13 @@
           this.name,
           prefix,
           (events, revision) =>
-            this.#run(life, () =>
+            this.#runWhenResumed(life, () =>
               this.handle({ type: 'watch-events', watch: id, events, revision }),
             ),
           () =>
-            this.#run(life, () => this.handle({ type: 'watch-ended', watch: id, compacted: true })),
+            this.#runWhenResumed(life, () =>
+              this.handle({ type: 'watch-ended', watch: id, compacted: true }),
+            ),
           fromRevision,
         );
         this.#watches.set(id, close);
@@ -204,7 +209,7 @@
         this.#watches.delete(effect.id);
         return;
       case 'end-use':
-        this.#endUse(effect.service, effect.change, GIVE_UP_MS, life);
+        this.#endUse(effect.service, effect.change, END_USE_TIMEOUT_MS, life);
         return;
       case 'log':
         this.log.push(
@@ -218,9 +223,9 @@
   #request(request: PromotionRequest, onAnswer: (answer: RequestAnswer) => void): void {
     const { store, platform, groups } = this.world;
     if (request.type === 'promote') {
-      const life = this.#life;
-      const isOnItsWay = (): boolean => life === this.#life && this.now < request.endsAt;
-      platform.promote(this.name, this.name, request, isOnItsWay, onAnswer);
+      const life = this.#incarnation;
+      const isPending = (): boolean => life === this.#incarnation && this.now < request.endsAt;
+      platform.promote(this.name, this.name, request, isPending, onAnswer);
     } else if (request.type === 'control') {
       groups.get(request.instance.service)?.control(this.name, request, onAnswer);
     } else {
@@ -228,41 +233,43 @@
     }
   }
 
-  #followInstances(life: number): void {
+  #pollInstances(life: number): void {
     const { network, store, groups } = this.world;
-    if (life !== this.#life) return;
+    if (life !== this.#incarnation) return;
     if (!store.isDown && network.reaches('store', this.name)) {
-      this.#run(life, () => {
-        const entries = [...groups.values()].flatMap((group) => group.entries());
+      this.#runWhenResumed(life, () => {
+        const entries = [...groups.values()].flatMap((group) => group.registrations());
         this.handle({ type: 'instances-changed', entries });
       });
     }
-    this.#clock.after(100, () => this.#followInstances(life));
+    this.#clock.after(100, () => this.#pollInstances(life));
   }
 
-  /** Reads and writes at the primary, one after the other. */
-  #work(service: string, life: number): void {
-    if (life !== this.#life) return;
-    this.#run(life, () => {
+  /** Sends a read or a write to the primary, again and again. */
+  #sendRequestsPeriodically(service: string, life: number): void {
+    if (life !== this.#incarnation) return;
+    this.#runWhenResumed(life, () => {
       if (this.#clock.chance(0.5)) this.#write(service);
       else this.#read(service);
     });
-    this.#clock.after(this.#clock.between(10, 60), () => this.#work(service, life));
+    this.#clock.after(this.#clock.between(10, 60), () =>
+      this.#sendRequestsPeriodically(service, life),
+    );
   }
 
   #write(service: string): void {
     const primary = this.machine?.primaryOf(service, this.now);
     if (primary === undefined) return;
-    this.#unlessWithheld(service, primary.id, () => this.#sendWrite(service, primary.id));
+    this.#sendIfConfirmed(service, primary.id, () => this.#sendWrite(service, primary.id));
   }
 
-  /** As the product has it: a node without a lease asks the members first, and sends only what they vouch for. */
-  #unlessWithheld(service: string, primary: string, send: () => void): void {
-    const { disabled } = this.world;
+  /** As in the gateway, a node without a lease queries the members first, and sends only if they permit it. */
+  #sendIfConfirmed(service: string, primary: string, send: () => void): void {
+    const { disabledMechanisms } = this.world;
     if (this.machine?.mayTrustPrimary(service, this.now, primary) === true) send();
-    else if (disabled.has('withheld-writes')) send();
+    else if (disabledMechanisms.has('withheld-writes')) send();
     else
-      this.#askMembers(service, (answers) => {
+      this.#queryMembers(service, (answers) => {
         this.#demoteIfHeld(service, primary, answers);
         if (!isSafe(judgeCommits({ primary, syncReplicas: 1, responses: answers }))) return;
         if (this.machine?.primaryOf(service, this.now)?.id === primary) send();
@@ -270,7 +277,7 @@
   }
 
   #demoteIfHeld(service: string, primary: string, answers: MemberResponses): void {
-    if (this.world.disabled.has('demotion-by-any')) return;
+    if (this.world.disabledMechanisms.has('demotion-by-any')) return;
     const term = termOfHeldReplica({ primary, responses: answers });
     const instance = this.machine?.membersOf(service).find(({ id }) => id === primary);
     if (term === undefined || instance === undefined) return;
@@ -279,29 +286,31 @@
   }
 
   #sendWrite(service: string, primary: string): void {
-    const finish = this.#expectAnswer(service, primary, 'commit');
-    const life = this.#life;
+    const finish = this.#trackResponse(service, primary, 'commit');
+    const life = this.#incarnation;
     const write = { service, isGivenUp: false };
     this.#writes.add(write);
-    this.world.groups.get(service)?.write(this.name, primary, (passOn) =>
-      this.#run(life, () => {
+    this.world.groups.get(service)?.write(this.name, primary, (reportToCaller) =>
+      this.#runWhenResumed(life, () => {
         this.#writes.delete(write);
         finish();
-        this.#ifTrusted(service, primary, 'commit', () => {
+        this.#runIfTrusted(service, primary, 'commit', () => {
           if (write.isGivenUp) return;
           this.writesAcknowledged += 1;
-          passOn();
+          reportToCaller();
         });
       }),
     );
   }
 
-  /** Waits for the answers of the writes that are on their way; after a while gives them up. */
+  /** Waits for the responses of pending writes and abandons them after the timeout. */
   #endUse(service: string, change: number, waitMs: number, life: number): void {
     const open = [...this.#writes].filter((write) => write.service === service);
     if (open.length > 0 && waitMs > 0) {
       this.#clock.after(WAIT_STEP_MS, () =>
-        this.#run(life, () => this.#endUse(service, change, waitMs - WAIT_STEP_MS, life)),
+        this.#runWhenResumed(life, () =>
+          this.#endUse(service, change, waitMs - WAIT_STEP_MS, life),
+        ),
       );
       return;
     }
@@ -310,47 +319,47 @@
       this.#writes.delete(write);
     }
     this.#clock.after(0, () =>
-      this.#run(life, () => this.handle({ type: 'use-ended', service, change })),
+      this.#runWhenResumed(life, () => this.handle({ type: 'use-ended', service, change })),
     );
   }
 
   #read(service: string): void {
-    const begunAt = this.#clock.now;
+    const startedAt = this.#clock.now;
     const primary = this.machine?.primaryOf(service, this.now);
     if (primary === undefined) return;
-    this.#ifTrusted(service, primary.id, 'read', () => {
-      const finish = this.#expectAnswer(service, primary.id, 'reach');
-      this.world.groups.get(service)?.read(this.name, primary.id, begunAt, () => {
+    this.#runIfTrusted(service, primary.id, 'read', () => {
+      const finish = this.#trackResponse(service, primary.id, 'reach');
+      this.world.groups.get(service)?.read(this.name, primary.id, startedAt, () => {
         this.readsServed += 1;
         finish();
       });
     });
   }
 
-  #readReplicasNowAndThen(service: string, life: number): void {
-    const { replicaReadsTrusting } = this.world;
-    if (life !== this.#life || replicaReadsTrusting === undefined) return;
-    this.#run(life, () => this.#readAtReplicas(service, replicaReadsTrusting));
-    this.#clock.after(REPLICAS_EVERY_MS, () => this.#readReplicasNowAndThen(service, life));
+  #readReplicasPeriodically(service: string, life: number): void {
+    const { assumedSyncReplicas } = this.world;
+    if (life !== this.#incarnation || assumedSyncReplicas === undefined) return;
+    this.#runWhenResumed(life, () => this.#readAtReplicas(service, assumedSyncReplicas));
+    this.#clock.after(REPLICA_READ_PERIOD_MS, () => this.#readReplicasPeriodically(service, life));
   }
 
-  /** Whoever leads: a read that begins with the round misses nothing acknowledged before that. */
+  /** Whichever instance is the primary, these reads must show all commits acknowledged before the query round. */
   #readAtReplicas(service: string, syncReplicas: number): void {
-    const begunAt = this.#clock.now;
-    this.#askMembers(service, (answers) => {
+    const startedAt = this.#clock.now;
+    this.#queryMembers(service, (answers) => {
       const after = acknowledgedPosition(answers, syncReplicas);
       if (after === undefined) return;
       for (const [id, answer] of answers) {
         if (typeof answer === 'string') continue;
-        this.world.groups.get(service)?.readAfter(this.name, id, after, begunAt, () => {
+        this.world.groups.get(service)?.readAfter(this.name, id, after, startedAt, () => {
           this.readsAtReplicas += 1;
         });
       }
     });
   }
 
-  /** Goes on if the primary can be trusted by the lease, or else by a round to all members. */
-  #ifTrusted(service: string, primary: string, use: TrustedUse, action: () => void): void {
+  /** Runs the action if the lease or, without one, a query round to all members confirms the primary. */
+  #runIfTrusted(service: string, primary: string, use: TrustedUse, action: () => void): void {
     const { machine } = this;
     if (machine === undefined) return;
     if (machine.mayTrustPrimary(service, this.now, primary)) {
@@ -359,7 +368,7 @@
     }
     const sentAt = this.now;
     const areMembersCurrent = machine.areMembersCurrent(service, sentAt);
-    this.#askMembers(service, (answers) => {
+    this.#queryMembers(service, (answers) => {
       if (use === 'commit') this.#demoteIfHeld(service, primary, answers);
       const round = {
         service,
@@ -375,23 +384,23 @@
     });
   }
 
-  /** Asks every member for its status; who has not answered in time counts as silent. */
-  #askMembers(
+  /** Queries the status of all members; those without a response in time count as `none`. */
+  #queryMembers(
     service: string,
     onAnswers: (answers: ReadonlyMap<string, MemberResponse>) => void,
   ): void {
-    const life = this.#life;
+    const life = this.#incarnation;
     const members = this.machine?.membersOf(service) ?? [];
-    // As with the members: who is known by the end of the round was not asked.
-    const unseen = this.machine?.membersWithoutAddress(service);
-    if (unseen === undefined) return;
+    // Taken before the round, like the members: an instance that becomes known during it has not been queried.
+    const withoutAddress = this.machine?.membersWithoutAddress(service);
+    if (withoutAddress === undefined) return;
     const answers = new Map<string, MemberResponse>();
     let isFinished = false;
     const finish = (): void => {
       if (isFinished) return;
       isFinished = true;
       for (const { id } of members) if (!answers.has(id)) answers.set(id, 'none');
-      for (const id of unseen) answers.set(id, 'none');
+      for (const id of withoutAddress) answers.set(id, 'none');
       onAnswers(answers);
     };
     for (const instance of members) {
@@ -403,20 +412,20 @@
         timeoutMs: 300,
       } as const;
       this.world.groups.get(service)?.control(this.name, request, (answer) =>
-        this.#run(life, () => {
-          answers.set(instance.id, roundAnswerOf(answer));
+        this.#runWhenResumed(life, () => {
+          answers.set(instance.id, toMemberResponse(answer));
           if (answers.size === members.length) finish();
         }),
       );
     }
-    this.#clock.after(ROUND_TIMEOUT_MS, () => this.#run(life, finish));
+    this.#clock.after(QUERY_ROUND_TIMEOUT_MS, () => this.#runWhenResumed(life, finish));
   }
 
-  #expectAnswer(service: string, instance: string, use: 'reach' | 'commit'): () => void {
-    const life = this.#life;
+  #trackResponse(service: string, instance: string, use: 'reach' | 'commit'): () => void {
+    const life = this.#incarnation;
     let isAnswered = false;
     const report = (type: 'primary-succeeded' | 'primary-failed'): void =>
-      this.#run(life, () => {
+      this.#runWhenResumed(life, () => {
         if (this.machine?.primaryOf(service, this.now)?.id !== instance) return;
         this.handle(
           type === 'primary-failed'
@@ -434,7 +443,7 @@
   }
 }
 
-function roundAnswerOf(answer: RequestAnswer): MemberResponse {
+function toMemberResponse(answer: RequestAnswer): MemberResponse {
   if (answer.type === 'status') return answer.status;
   const isRefused = answer.type === 'control-failed' && answer.failure === 'refused';
   return isRefused ? 'refused' : 'none';
--- a/test/support/promotion/platform.ts
+++ b/test/support/promotion/platform.ts
@@ -1,4 +1,4 @@
-/** The platform's promotion call in virtual time, with what it may see checked: the fencing tokens. */
+/** The platform's promotion endpoint in virtual time; checks the fencing tokens that it receives. */
 import type { PromoteRequest, RequestAnswer } from '../../../src/core/promotion/contract.js';
 import type { SimulatedGroup } from './group.js';
 import type { SimulatedNetwork } from './network.js';
@@ -7,12 +7,12 @@
 
 export class SimulatedPlatform {
   slowUntil = 0;
-  lossUntil = 0;
+  lostResponsesUntil = 0;
   downUntil = 0;
   readonly violations: string[] = [];
   calls = 0;
-  /** The instance that was called for last, by service. */
-  readonly calledFor = new Map<string, string>();
+  /** Instance of the last promotion call, by service. */
+  readonly lastCandidates = new Map<string, string>();
   #highestToken = 0;
   #holder = '';
 
@@ -25,31 +25,31 @@
     machine: string,
     holder: string,
     request: PromoteRequest,
-    /** The sender has not reset the call. */
-    isOnItsWay: () => boolean,
+    /** True while the sender has not cancelled the call. */
+    isPending: () => boolean,
     onAnswer: (answer: RequestAnswer) => void,
   ): void {
     const { clock } = this.network;
-    const answerBack = (outcome: 'accepted' | 'refused' | 'busy'): void =>
+    const sendResponse = (outcome: 'accepted' | 'refused' | 'busy'): void =>
       this.network.send(PLATFORM, machine, () => onAnswer({ type: 'promotion', outcome }));
     this.network.send(machine, PLATFORM, () => {
-      if (!isOnItsWay() || clock.now < this.downUntil) return;
-      this.#noteToken(holder, request.fencingToken);
-      this.calledFor.set(request.service, request.instanceId);
+      if (!isPending() || clock.now < this.downUntil) return;
+      this.#checkToken(holder, request.fencingToken);
+      this.lastCandidates.set(request.service, request.instanceId);
       if (clock.chance(0.1)) {
-        answerBack('busy');
+        sendResponse('busy');
         return;
       }
       const slowness = clock.now < this.slowUntil ? clock.between(100, 1500) : 0;
       clock.after(slowness, () => {
         const outcome = this.groups.get(request.service)?.promote(request.instanceId) ?? 'refused';
-        const isLost = clock.now < this.lossUntil && clock.chance(0.5);
-        if (!isLost) answerBack(outcome);
+        const isLost = clock.now < this.lostResponsesUntil && clock.chance(0.5);
+        if (!isLost) sendResponse(outcome);
       });
     });
   }
 
-  #noteToken(holder: string, token: number): void {
+  #checkToken(holder: string, token: number): void {
     this.calls += 1;
     if (token < this.#highestToken) {
       this.violations.push(`ONE: token ${token} of ${holder} after ${this.#highestToken}`);
--- a/test/support/promotion/simulation.ts
+++ b/test/support/promotion/simulation.ts
@@ -1,4 +1,4 @@
-/** Nodes, groups, store and platform in virtual time, with faults drawn from a seed. */
+/** Simulates nodes, groups, store and platform in virtual time, with faults drawn from a seed. */
 import type { PromotionMechanism } from '../../../src/core/promotion/contract.js';
 import { SimulatedClock } from './clock.js';
 import { SimulatedGroup, type SimulatedInstance } from './group.js';
@@ -32,7 +32,7 @@
   'platform down',
 ] as const;
 
-/** Late processes, members that leave, restarts within a hold: struck only where a test names them. */
+/** Delayed processes, members that leave, restarts of held replicas; injected only by tests that name them. */
 export const LATENESS_FAULT_KINDS = [
   'leader stall',
   'node stall',
@@ -43,16 +43,16 @@
   'control late',
 ] as const;
 
-/** A store that serves some nodes and not others; struck only where a test names them. */
+/** A store that refuses some nodes; injected only by tests that name them. */
 export const PARTIAL_STORE_FAULT_KINDS = ['store refuses nodes', 'store refuses leader'] as const;
 
-/** An instance that is called for ends, and another has its address later or none has; struck only where a test names them. */
+/** The candidate of a promotion call ends, with or without a successor; injected only by tests that name them. */
 export const CANDIDATE_FAULT_KINDS = ['candidate replaced in place', 'candidate leaves'] as const;
 
-/** The store comes back from a copy of itself, once or twice in a row; struck only where a test names them. */
+/** The store is restored from a backup, once or twice in a row; injected only by tests that name them. */
 export const STORE_RETURN_FAULT_KINDS = ['store returns', 'store returns twice'] as const;
 
-/** Struck only where a test names them. */
+/** Injected only by tests that name them. */
 const NAMED_FAULT_KINDS = ['primary replaced in place'] as const;
 
 export const EVERY_FAULT_KIND: readonly FaultKind[] = [...FAULT_KINDS, ...NAMED_FAULT_KINDS];
@@ -71,9 +71,9 @@
   readonly nodes?: number;
   readonly services?: number;
   readonly instances?: number;
-  readonly disabled?: readonly PromotionMechanism[];
-  /** Nodes also read at replicas by what these have received, counting on so many receivers of each commit. */
-  readonly replicaReadsTrusting?: number;
+  readonly disabledMechanisms?: readonly PromotionMechanism[];
+  /** Nodes also read at replicas, assuming that this many replicas received each commit. */
+  readonly assumedSyncReplicas?: number;
 }
 
 export class PromotionSimulation {
@@ -83,7 +83,7 @@
   readonly platform: SimulatedPlatform;
   readonly groups = new Map<string, SimulatedGroup>();
   readonly nodes: SimulatedNode[];
-  readonly faults: string[] = [];
+  readonly faultLog: string[] = [];
 
   constructor(options: SimulationOptions) {
     this.clock = new SimulatedClock(options.seed);
@@ -96,15 +96,14 @@
       this.groups.set(service, group);
     }
     const { network, store, platform, groups } = this;
-    const disabled = new Set(options.disabled);
-    const { replicaReadsTrusting } = options;
-    const world = { network, store, platform, groups, disabled, replicaReadsTrusting };
-    const names = Array.from({ length: options.nodes ?? 4 }, (_, index) => `node-${index}`);
-    this.nodes = names.map((name) => new SimulatedNode(name, world));
+    const disabledMechanisms = new Set(options.disabledMechanisms);
+    const { assumedSyncReplicas } = options;
+    const world = { network, store, platform, groups, disabledMechanisms, assumedSyncReplicas };
+    const nodeNames = Array.from({ length: options.nodes ?? 4 }, (_, index) => `node-${index}`);
+    this.nodes = nodeNames.map((name) => new SimulatedNode(name, world));
     for (const node of this.nodes) this.clock.after(this.clock.between(0, 300), () => node.start());
   }
 
-  /** The first group. */
   get group(): SimulatedGroup {
     const [first] = this.groups.values();
     if (first === undefined) throw new Error('no groups');
@@ -119,9 +118,9 @@
     return [...this.platform.violations, ...[...this.groups.values()].flatMap((g) => g.violations)];
   }
 
-  /** Faults and lines of all nodes' logs, in order of time. */
-  get story(): string {
-    const lines = [...this.faults, ...this.nodes.flatMap(({ log }) => log)];
+  /** Faults and log lines of all nodes, by time. */
+  get eventLog(): string {
+    const lines = [...this.faultLog, ...this.nodes.flatMap(({ log }) => log)];
     lines.sort((left, right) => Number.parseInt(left, 10) - Number.parseInt(right, 10));
     return lines.join('\n');
   }
@@ -130,26 +129,26 @@
     this.clock.runUntil(this.clock.now + forMs);
   }
 
-  /** Runs in small steps until something is so; false if that takes too long. */
-  runUntil(isSo: () => boolean, stepMs: number, atMostMs: number): boolean {
-    const end = this.clock.now + atMostMs;
-    while (!isSo() && this.clock.now < end) this.run(stepMs);
-    return isSo();
+  /** Runs in small steps until the condition holds; false after the timeout. */
+  runUntil(condition: () => boolean, stepMs: number, timeoutMs: number): boolean {
+    const end = this.clock.now + timeoutMs;
+    while (!condition() && this.clock.now < end) this.run(stepMs);
+    return condition();
   }
 
-  /** Strikes with faults drawn from the seed, one after the other, for a time; all kinds or some. */
-  strike(forMs: number, kinds?: readonly FaultKind[]): void {
+  /** Injects random faults, one after the other, for `forMs`; of the given kinds, or of all that need not be named. */
+  injectFaults(forMs: number, kinds?: readonly FaultKind[]): void {
     const end = this.clock.now + forMs;
     while (this.clock.now < end) {
       const name = this.clock.pick(kinds ?? FAULT_KINDS);
       const fault = this.#faults[name];
-      this.faults.push(`${this.clock.now.toFixed(0)} ${name} ${fault() ?? ''}`);
+      this.faultLog.push(`${this.clock.now.toFixed(0)} ${name} ${fault() ?? ''}`);
       this.run(this.clock.between(0, 2500));
     }
   }
 
-  /** Every fault ends within 7 s, all are over after that. */
-  heal(): void {
+  /** Every fault ends within 7 s. */
+  waitForFaultsToEnd(): void {
     this.run(8000);
   }
 
@@ -158,61 +157,61 @@
     'primary crash again': () => this.#crash(this.#anyGroup(), 'primary'),
     'primary replaced in place': () => {
       const group = this.#anyGroup();
-      const { leader } = group;
-      if (!leader.alive) return 'none';
-      group.crash(leader);
-      this.clock.after(this.clock.between(200, 4000), () => group.replace(leader));
-      return leader.id;
+      const { primary } = group;
+      if (!primary.isRunning) return 'none';
+      group.crash(primary);
+      this.clock.after(this.clock.between(200, 4000), () => group.replace(primary));
+      return primary.id;
     },
     'replica crash': () => this.#crash(this.#anyGroup(), 'replica'),
     'primary draining': () => this.#drain(),
     'replica deaf': () => {
       const group = this.#anyGroup();
       const instance = this.clock.pick(group.instances);
-      instance.deafUntil = this.clock.now + this.#length();
+      instance.notReceivingUntil = this.clock.now + this.#randomDuration();
       return instance.id;
     },
     'all replicas deaf': () => {
       const group = this.#anyGroup();
-      const until = this.clock.now + this.#length();
-      for (const instance of group.instances) instance.deafUntil = until;
+      const until = this.clock.now + this.#randomDuration();
+      for (const instance of group.instances) instance.notReceivingUntil = until;
       return group.service;
     },
     'primary cut from replicas': () => {
       const group = this.#anyGroup();
-      const forMs = this.#length();
-      const { leader } = group;
+      const forMs = this.#randomDuration();
+      const { primary } = group;
       for (const { address } of group.instances) {
-        if (address !== leader.address) this.network.cut(leader.address, address, forMs);
+        if (address !== primary.address) this.network.cut(primary.address, address, forMs);
       }
-      return group.leader.id;
+      return group.primary.id;
     },
     'primary cut from nodes': () => {
-      const { leader } = this.#anyGroup();
-      const forMs = this.#length();
+      const { primary } = this.#anyGroup();
+      const forMs = this.#randomDuration();
       const nodes = this.nodes.filter(() => this.clock.chance(0.6));
-      for (const { name } of nodes) this.#cutAnyWay(leader.address, name, forMs);
-      return `${leader.id} ${nodes.map(({ name }) => name).join()}`;
+      for (const { name } of nodes) this.#cutRandomDirection(primary.address, name, forMs);
+      return `${primary.id} ${nodes.map(({ name }) => name).join()}`;
     },
     'primary cut from leader': () => {
-      const { leader } = this.#anyGroup();
+      const { primary } = this.#anyGroup();
       const node = this.leader ?? this.clock.pick(this.nodes);
-      this.#cutAnyWay(leader.address, node.name, this.#length());
-      return leader.id;
+      this.#cutRandomDirection(primary.address, node.name, this.#randomDuration());
+      return primary.id;
     },
     'node cut from store': () => {
       const node = this.#anyNode();
-      this.#cutAnyWay(node.name, STORE, this.#length());
+      this.#cutRandomDirection(node.name, STORE, this.#randomDuration());
       return node.name;
     },
     'node cut from platform': () => {
       const node = this.#anyNode();
-      this.network.cut(node.name, PLATFORM, this.#length());
+      this.network.cut(node.name, PLATFORM, this.#randomDuration());
       return node.name;
     },
     'node cut from all': () => {
       const node = this.#anyNode();
-      const forMs = this.#length();
+      const forMs = this.#randomDuration();
       this.network.cut(node.name, STORE, forMs);
       this.network.cut(node.name, PLATFORM, forMs);
       for (const group of this.groups.values()) {
@@ -224,7 +223,7 @@
     },
     'node freeze': () => {
       const node = this.#anyNode();
-      node.freeze(this.#length());
+      node.freeze(this.#randomDuration());
       return node.name;
     },
     'node kill': () => {
@@ -235,35 +234,35 @@
     },
     'store down': () => {
       const leasesLapse = this.clock.chance(0.5);
-      this.store.goDown(this.#length(), leasesLapse);
+      this.store.startOutage(this.#randomDuration(), leasesLapse);
       return String(leasesLapse);
     },
     'store slow': () => {
-      this.store.slowUntil = this.clock.now + this.#length();
+      this.store.slowUntil = this.clock.now + this.#randomDuration();
       return undefined;
     },
     'store answers lost': () => {
-      this.store.lossUntil = this.clock.now + this.#length();
+      this.store.lostResponsesUntil = this.clock.now + this.#randomDuration();
       return undefined;
     },
     'store changes late': () => {
-      this.store.lateUntil = this.clock.now + this.#length();
+      this.store.lateChangesUntil = this.clock.now + this.#randomDuration();
       return undefined;
     },
     'store watches deaf': () => {
-      this.store.goDeaf(1000);
+      this.store.suppressWatchEvents(1000);
       return undefined;
     },
     'platform slow': () => {
-      this.platform.slowUntil = this.clock.now + this.#length();
+      this.platform.slowUntil = this.clock.now + this.#randomDuration();
       return undefined;
     },
     'platform answers lost': () => {
-      this.platform.lossUntil = this.clock.now + this.#length();
+      this.platform.lostResponsesUntil = this.clock.now + this.#randomDuration();
       return undefined;
     },
     'platform down': () => {
-      this.platform.downUntil = this.clock.now + this.#length();
+      this.platform.downUntil = this.clock.now + this.#randomDuration();
       return undefined;
     },
     'leader stall': () => this.#stall(this.leader),
@@ -276,24 +275,24 @@
       this.clock.after(this.clock.between(20, 250), () => group.restart(replica));
       return replica.id;
     },
-    'replica leaves': () => this.#leave(true),
-    'replica leaves unannounced': () => this.#leave(false),
-    'entries lapse': () => this.#lapse(),
+    'replica leaves': () => this.#shutDownReplica(true),
+    'replica leaves unannounced': () => this.#shutDownReplica(false),
+    'entries lapse': () => this.#expireRegistrations(),
     'store refuses nodes': () => {
-      const forMs = this.#length();
+      const forMs = this.#randomDuration();
       const refused = this.nodes.filter(() => this.clock.chance(0.4)).map(({ name }) => name);
-      this.store.refuse(refused, forMs);
+      this.store.refuseNodes(refused, forMs);
       return refused.join();
     },
     'store refuses leader': () => {
       const { name } = this.leader ?? this.clock.pick(this.nodes);
-      this.store.refuse([name], this.#length());
+      this.store.refuseNodes([name], this.#randomDuration());
       return name;
     },
-    'store returns': () => this.#returnFromCopy(),
+    'store returns': () => this.#restoreStore(),
     'store returns twice': () => {
-      this.clock.after(this.clock.between(200, 4000), () => this.#returnFromCopy());
-      return this.#returnFromCopy();
+      this.clock.after(this.clock.between(200, 4000), () => this.#restoreStore());
+      return this.#restoreStore();
     },
     'candidate replaced in place': () => {
       const [group, candidate] = this.#candidate();
@@ -304,36 +303,36 @@
     },
     'candidate leaves': () => {
       const [group, candidate] = this.#candidate();
-      // One that leads in the end is not removed with its log.
-      if (candidate === undefined || candidate === group.leader) return 'none';
+      // A candidate that has become the primary is not removed, since its log would be lost.
+      if (candidate === undefined || candidate === group.primary) return 'none';
       group.remove(candidate);
       this.clock.after(this.clock.between(0, 3000), () => group.join());
       return candidate.id;
     },
     'control late': () => {
       const group = this.#anyGroup();
-      group.controlLateUntil = this.clock.now + this.#length();
+      group.controlLateUntil = this.clock.now + this.#randomDuration();
       return group.service;
     },
   };
 
-  #returnFromCopy(): string {
+  #restoreStore(): string {
     const ageMs = this.clock.between(100, 10_000);
-    const awayMs = this.clock.chance(0.5) ? 0 : this.clock.between(0, 5000);
-    this.store.returnFromCopy(ageMs, awayMs);
-    return `${ageMs.toFixed(0)} ms old, away ${awayMs.toFixed(0)} ms`;
+    const outageMs = this.clock.chance(0.5) ? 0 : this.clock.between(0, 5000);
+    this.store.restoreFromBackup(ageMs, outageMs);
+    return `${ageMs.toFixed(0)} ms old, away ${outageMs.toFixed(0)} ms`;
   }
 
-  /** Of a group without a primary, the instance that was called for; of another one, none. */
+  /** The candidate of a group without a primary; undefined if the group has a primary. */
   #candidate(): [SimulatedGroup, SimulatedInstance | undefined] {
     const group = this.#anyGroup();
-    const id = this.platform.calledFor.get(group.service);
-    const candidate = group.instances.find((instance) => instance.id === id && instance.alive);
-    const isLed = group.leader.alive && group.leader.role === 'primary';
+    const id = this.platform.lastCandidates.get(group.service);
+    const candidate = group.instances.find((instance) => instance.id === id && instance.isRunning);
+    const isLed = group.primary.isRunning && group.primary.role === 'primary';
     return [group, isLed ? undefined : candidate];
   }
 
-  #length(): number {
+  #randomDuration(): number {
     return this.clock.between(300, 7000);
   }
 
@@ -341,12 +340,12 @@
     return this.clock.pick([...this.groups.values()]);
   }
 
-  /** The leader half of the time. */
+  /** The leader with probability 0.5, otherwise any node. */
   #anyNode(): SimulatedNode {
     return (this.clock.chance(0.5) ? this.leader : undefined) ?? this.clock.pick(this.nodes);
   }
 
-  #cutAnyWay(left: string, right: string, forMs: number): void {
+  #cutRandomDirection(left: string, right: string, forMs: number): void {
     if (this.clock.chance(0.6)) this.network.cut(left, right, forMs);
     else if (this.clock.chance(0.5)) this.network.cutOneWay(left, right, forMs);
     else this.network.cutOneWay(right, left, forMs);
@@ -354,7 +353,7 @@
 
   #crash(group: SimulatedGroup, role: 'primary' | 'replica'): string {
     const victims = group.instances.filter(
-      (instance) => instance.alive && (instance === group.leader) === (role === 'primary'),
+      (instance) => instance.isRunning && (instance === group.primary) === (role === 'primary'),
     );
     if (victims.length === 0) return 'none';
     const victim = this.clock.pick(victims);
@@ -368,22 +367,22 @@
     return node?.name ?? 'none';
   }
 
-  #anyReplica({ instances, leader }: SimulatedGroup): SimulatedInstance | undefined {
-    const replicas = instances.filter((instance) => instance.alive && instance !== leader);
+  #anyReplica({ instances, primary }: SimulatedGroup): SimulatedInstance | undefined {
+    const replicas = instances.filter((instance) => instance.isRunning && instance !== primary);
     return replicas.length === 0 ? undefined : this.clock.pick(replicas);
   }
 
-  /** A replica serves on for a while and then ends; its log goes with it, and another joins elsewhere. */
-  #leave(isAnnounced: boolean): string {
+  /** A replica goes on serving for a while and then ends with its log; a new one joins at another address. */
+  #shutDownReplica(isAnnounced: boolean): string {
     const group = this.#anyGroup();
     const replica = this.#anyReplica(group);
     if (replica === undefined) return 'none';
     if (isAnnounced) replica.draining = true;
-    else replica.announced = false;
+    else replica.isRegistered = false;
     this.clock.after(this.clock.between(500, 7000), () => {
-      if (replica === group.leader || !group.instances.includes(replica)) {
+      if (replica === group.primary || !group.instances.includes(replica)) {
         replica.draining = false;
-        replica.announced = true;
+        replica.isRegistered = true;
         return;
       }
       group.remove(replica);
@@ -392,28 +391,28 @@
     return replica.id;
   }
 
-  /** Entries lapse while the store is away; they are back within two seconds of its return. */
-  #lapse(): string {
-    const forMs = this.#length();
-    this.store.goDown(forMs, this.clock.chance(0.5));
-    const lapsed = [...this.groups.values()]
+  /** Registrations expire during a store outage and come back within two seconds after it. */
+  #expireRegistrations(): string {
+    const forMs = this.#randomDuration();
+    this.store.startOutage(forMs, this.clock.chance(0.5));
+    const expired = [...this.groups.values()]
       .flatMap(({ instances }) => instances)
-      .filter(({ announced }) => announced && this.clock.chance(0.6));
-    for (const instance of lapsed) {
-      instance.announced = false;
+      .filter(({ isRegistered }) => isRegistered && this.clock.chance(0.6));
+    for (const instance of expired) {
+      instance.isRegistered = false;
       this.clock.after(forMs + this.clock.between(100, 2000), () => {
-        instance.announced = true;
+        instance.isRegistered = true;
       });
     }
-    return lapsed.map(({ id }) => id).join();
+    return expired.map(({ id }) => id).join();
   }
 
   #drain(): string {
-    const { leader } = this.#anyGroup();
-    leader.draining = true;
+    const { primary } = this.#anyGroup();
+    primary.draining = true;
     this.clock.after(6000, () => {
-      leader.draining = false;
+      primary.draining = false;
     });
-    return leader.id;
+    return primary.id;
   }
 }
--- a/test/support/promotion/store.ts
+++ b/test/support/promotion/store.ts
@@ -1,8 +1,7 @@
 /**
- * The platform's store in virtual time: compare-and-swap, leases, watches, and its faults: outages
- * with leases that wait or run out, slowness, answers lost, changes done late, watches gone deaf.
+ * Simulates the platform's store in virtual time: compare-and-swap, leases, watches. Faults: outages with leases that
+ * are extended or expire, slowness, lost responses, delayed changes, watches without events, restores from a backup.
  */
-
 import {
   isInEra,
   MAX_REVISION,
@@ -23,7 +22,7 @@
   isLeaseGone: false,
   retryAfterMs: undefined,
 };
-const LEASE_OVER: RequestAnswer = { ...FAILED, isLeaseGone: true };
+const LEASE_GONE: RequestAnswer = { ...FAILED, isLeaseGone: true };
 
 interface StoredEntry extends KeyValue {
   readonly leaseId: string | undefined;
@@ -35,54 +34,54 @@
   readonly onEvents: (events: readonly WatchEvent[], revision: number) => void;
   readonly onEnd: () => void;
   readonly era: number;
-  deafUntil: number;
+  suppressedUntil: number;
   ended: boolean;
 }
 
-/** What one process knows of the store's era; undefined before its first answer. */
+/** The store era that a process has seen; undefined before its first response. */
 interface StoreClient {
   era: number | undefined;
   readonly onEra: (era: number) => void;
 }
 
-interface CopiedLease {
+interface BackedUpLease {
   readonly id: string;
   readonly ttlMs: number;
-  readonly leftMs: number;
+  readonly remainingMs: number;
 }
 
-/** The store as it was. */
-interface StoreCopy {
+/** The store's state at an earlier time. */
+interface StoreBackup {
   readonly at: number;
   readonly revision: number;
   readonly entries: ReadonlyMap<string, StoredEntry>;
-  readonly leases: readonly CopiedLease[];
+  readonly leases: readonly BackedUpLease[];
 }
 
-const COPY_EVERY_MS = 100;
-const OLDEST_COPY_MS = 11_000;
-/** A poll that was out as the store went is given up by then. */
-const LONGEST_POLL_MS = 2400;
+const BACKUP_PERIOD_MS = 100;
+const MAX_BACKUP_AGE_MS = 11_000;
+/** A poll that is pending at a restore ends within this time. */
+const MAX_POLL_MS = 2400;
 
 export class SimulatedStore {
   readonly entries = new Map<string, StoredEntry>();
   downUntil = 0;
-  /** During an outage leases run out; otherwise they wait. */
-  leasesLapse = false;
+  /** True if leases expire during the outage; otherwise they are extended by it. */
+  leasesExpire = false;
   slowUntil = 0;
-  lossUntil = 0;
-  lateUntil = 0;
+  lostResponsesUntil = 0;
+  lateChangesUntil = 0;
   requests = 0;
-  /** Until when the store turns these nodes away, by name. */
+  /** Time until which the store refuses a node, by name. */
   readonly #refusedUntil = new Map<string, number>();
   #revision = 1;
   #nextLease = 1;
   readonly #leases = new Map<string, { expiresAt: number; readonly ttlMs: number }>();
   #watches = new Set<SimulatedWatch>();
-  /** How often it came back from a copy, and one more; 0 for a store that names no era. */
+  /** Number of restores from a backup plus one; 0 for a store without eras. */
   era = 0;
   readonly #clients = new Map<string, StoreClient>();
-  #copies: StoreCopy[] = [];
+  #backups: StoreBackup[] = [];
 
   constructor(private readonly network: SimulatedNetwork) {
     this.#sweep();
@@ -96,64 +95,64 @@
     return this.#clock.now < this.downUntil;
   }
 
-  /** Begins an outage; leases wait for it to end, or run out meanwhile. */
-  goDown(forMs: number, leasesLapse: boolean): void {
+  /** Starts an outage; leases are extended by it or may expire during it. */
+  startOutage(forMs: number, leasesExpire: boolean): void {
     this.downUntil = this.#clock.now + forMs;
-    this.leasesLapse = leasesLapse;
-    if (!leasesLapse) for (const lease of this.#leases.values()) lease.expiresAt += forMs;
+    this.leasesExpire = leasesExpire;
+    if (!leasesExpire) for (const lease of this.#leases.values()) lease.expiresAt += forMs;
     for (const watch of this.#watches) this.#endLater(watch, 20);
   }
 
-  /** From now on the store names its era and keeps copies of itself. */
-  keepCopies(): void {
+  /** Starts to report a store era and to take backups. */
+  takeBackups(): void {
     if (this.era === 0) this.era = 1;
     const { now } = this.#clock;
     if (!this.isDown) {
-      this.#copies.push({
+      this.#backups.push({
         at: now,
         revision: this.#revision,
         entries: new Map(this.entries),
         leases: [...this.#leases].map(([id, { ttlMs, expiresAt }]) => {
-          return { id, ttlMs, leftMs: expiresAt - now };
+          return { id, ttlMs, remainingMs: expiresAt - now };
         }),
       });
     }
-    this.#copies = this.#copies.filter(({ at }) => at >= now - OLDEST_COPY_MS);
-    this.#clock.after(COPY_EVERY_MS, () => this.keepCopies());
+    this.#backups = this.#backups.filter(({ at }) => at >= now - MAX_BACKUP_AGE_MS);
+    this.#clock.after(BACKUP_PERIOD_MS, () => this.takeBackups());
   }
 
-  /** Goes away for a while, and comes back as it was. */
-  returnFromCopy(ageMs: number, awayMs: number): void {
-    const copy = this.#copies.findLast(({ at }) => at <= this.#clock.now - ageMs);
-    this.goDown(awayMs, false);
-    this.#clock.after(awayMs, () => this.#restore(copy ?? this.#copies[0]));
+  /** Starts an outage that ends with a restore from a backup of this age. */
+  restoreFromBackup(ageMs: number, outageMs: number): void {
+    const backup = this.#backups.findLast(({ at }) => at <= this.#clock.now - ageMs);
+    this.startOutage(outageMs, false);
+    this.#clock.after(outageMs, () => this.#restore(backup ?? this.#backups[0]));
   }
 
-  #restore(copy: StoreCopy | undefined): void {
-    if (copy === undefined) return;
+  #restore(backup: StoreBackup | undefined): void {
+    if (backup === undefined) return;
     this.era += 1;
-    this.#copies = this.#copies.filter(({ at }) => at <= copy.at);
-    this.#revision = copy.revision;
-    this.#changes = this.#changes.filter(({ revision }) => revision <= copy.revision);
+    this.#backups = this.#backups.filter(({ at }) => at <= backup.at);
+    this.#revision = backup.revision;
+    this.#changes = this.#changes.filter(({ revision }) => revision <= backup.revision);
     this.entries.clear();
-    for (const [key, entry] of copy.entries) this.entries.set(key, entry);
+    for (const [key, entry] of backup.entries) this.entries.set(key, entry);
     this.#leases.clear();
-    for (const { id, ttlMs, leftMs } of copy.leases) {
-      this.#leases.set(id, { ttlMs, expiresAt: this.#clock.now + leftMs });
+    for (const { id, ttlMs, remainingMs } of backup.leases) {
+      this.#leases.set(id, { ttlMs, expiresAt: this.#clock.now + remainingMs });
     }
     for (const watch of this.#watches) {
-      watch.deafUntil = Number.POSITIVE_INFINITY;
-      this.#endLater(watch, this.#clock.between(5, LONGEST_POLL_MS));
+      watch.suppressedUntil = Number.POSITIVE_INFINITY;
+      this.#endLater(watch, this.#clock.between(5, MAX_POLL_MS));
     }
   }
 
-  /** A process begins; it is told when it hears of an era for the first time, and of each rise. */
+  /** Registers a process, whose `onEra` is called with the first era that it sees and at each rise. */
   connect(machine: string, onEra: (era: number) => void): void {
     this.#clients.set(machine, { era: undefined, onEra });
   }
 
-  /** An answer of this era has come; false if it says nothing of the present. */
-  #noteEra(machine: string, era: number): boolean {
+  /** Handles the era of a response; false if the response is from an earlier era than one already seen. */
+  #observeEra(machine: string, era: number): boolean {
     const client = this.#clients.get(machine);
     if (client === undefined || era === 0 || client.era === era) return true;
     if (client.era !== undefined && era < client.era) return false;
@@ -165,12 +164,12 @@
     return true;
   }
 
-  #eraKnownTo(machine: string): number {
+  #eraOf(machine: string): number {
     return this.#clients.get(machine)?.era ?? this.era;
   }
 
-  /** As the client sends it: positions become revisions, and those of another era never hold. */
-  #asked(request: StoreRequest, era: number): StoreRequest {
+  /** Converts positions to revisions like the store client; compares with positions of another era never hold. */
+  #toSentRequest(request: StoreRequest, era: number): StoreRequest {
     if (request.type !== 'transaction') return request;
     const compares = request.compares.map(({ key, modRevision }) => {
       const isKnown = modRevision === 0 || isInEra(modRevision, era);
@@ -179,21 +178,21 @@
     return { ...request, compares };
   }
 
-  /** Turns some nodes away and serves the others; their watches end, and open no more meanwhile. */
-  refuse(machines: readonly string[], forMs: number): void {
+  /** Refuses these nodes for a time: their requests fail, their watches end, and new ones do too. */
+  refuseNodes(machines: readonly string[], forMs: number): void {
     for (const machine of machines) this.#refusedUntil.set(machine, this.#clock.now + forMs);
     for (const watch of this.#watches)
       if (machines.includes(watch.machine)) this.#endLater(watch, 20);
   }
 
-  #refuses(machine: string): boolean {
+  #isRefused(machine: string): boolean {
     return this.#clock.now < (this.#refusedUntil.get(machine) ?? 0);
   }
 
-  /** Watches hear nothing for a while, and are then cut. */
-  goDeaf(forMs: number): void {
+  /** Suppresses all watch events for a time, then ends the watches. */
+  suppressWatchEvents(forMs: number): void {
     for (const watch of this.#watches) {
-      watch.deafUntil = this.#clock.now + forMs;
+      watch.suppressedUntil = this.#clock.now + forMs;
       this.#endLater(watch, forMs);
     }
   }
@@ -202,34 +201,35 @@
     this.requests += 1;
     const { network } = this;
     const client = this.#clients.get(machine);
-    const eraAsked = this.#eraKnownTo(machine);
-    const asked = this.#asked(request, eraAsked);
+    const eraAtSend = this.#eraOf(machine);
+    const sent = this.#toSentRequest(request, eraAtSend);
     const hasConditions =
       request.type === 'transaction' && request.compares.some(({ modRevision }) => modRevision > 0);
-    const answerBack = (answer: RequestAnswer): void => {
+    const sendResponse = (answer: RequestAnswer): void => {
       const { era } = this;
       network.send(STORE, machine, () => {
         if (client !== this.#clients.get(machine)) return;
         const isDone = answer.type === 'transaction' && answer.transaction.succeeded;
-        const isMeant = !(isDone && hasConditions && era !== eraAsked);
-        onAnswer(this.#noteEra(machine, era) && isMeant ? answer : FAILED);
+        const isSameStore = !(isDone && hasConditions && era !== eraAtSend);
+        onAnswer(this.#observeEra(machine, era) && isSameStore ? answer : FAILED);
       });
     };
     network.send(machine, STORE, () => {
-      if (this.isDown || this.#refuses(machine)) {
-        if (this.#clock.chance(0.5)) answerBack(FAILED);
+      if (this.isDown || this.#isRefused(machine)) {
+        if (this.#clock.chance(0.5)) sendResponse(FAILED);
         return;
       }
       const slowness = this.#clock.now < this.slowUntil ? this.#clock.between(100, 400) : 0;
       this.#clock.after(slowness + this.#clock.between(1, 4), () => {
         const isWrite = request.type === 'transaction' || request.type === 'grant-lease';
-        if (isWrite && this.#clock.now < this.lateUntil && this.#clock.chance(0.35)) {
-          this.#clock.after(this.#clock.between(1000, 6000), () => this.#carryOut(asked));
+        if (isWrite && this.#clock.now < this.lateChangesUntil && this.#clock.chance(0.35)) {
+          this.#clock.after(this.#clock.between(1000, 6000), () => this.#execute(sent));
           return;
         }
-        const answer = this.#carryOut(asked);
-        const isLost = isWrite && this.#clock.now < this.lossUntil && this.#clock.chance(0.35);
-        if (!isLost) answerBack(answer);
+        const answer = this.#execute(sent);
+        const isLost =
+          isWrite && this.#clock.now < this.lostResponsesUntil && this.#clock.chance(0.35);
+        if (!isLost) sendResponse(answer);
       });
     });
   }
@@ -243,11 +243,11 @@
   ): () => void {
     this.requests += 1;
     const { era } = this;
-    const watch = { machine, prefix, onEvents, onEnd, era, deafUntil: 0, ended: false };
+    const watch = { machine, prefix, onEvents, onEnd, era, suppressedUntil: 0, ended: false };
     this.#watches.add(watch);
-    if (this.#refuses(machine)) this.#endLater(watch, 5);
+    if (this.#isRefused(machine)) this.#endLater(watch, 5);
     if (!isInEra(fromRevision, era)) this.#endLater(watch, 5);
-    // What changed between the read and the watch is told by a whole new read.
+    // Changes between the read and the watch need a new read of the whole prefix.
     const from = revisionWithinEra(fromRevision);
     if (from > this.#revision + 1 || this.#changedSince(prefix, from)) this.#endLater(watch, 5);
     return () => {
@@ -276,13 +276,13 @@
     });
   }
 
-  #carryOut(request: PromotionRequest): RequestAnswer {
+  #execute(request: PromotionRequest): RequestAnswer {
     this.#expire();
     switch (request.type) {
       case 'range': {
         const entries = [...this.entries.values()]
           .filter(({ key }) => key.startsWith(request.prefix))
-          .map((entry) => this.#placed(entry));
+          .map((entry) => this.#withStorePositions(entry));
         return { type: 'range', range: { revision: this.#position(this.#revision), entries } };
       }
       case 'grant-lease': {
@@ -294,12 +294,12 @@
       }
       case 'keep-lease': {
         const lease = this.#leases.get(request.leaseId);
-        if (lease === undefined) return LEASE_OVER;
+        if (lease === undefined) return LEASE_GONE;
         lease.expiresAt = this.#clock.now + lease.ttlMs;
         return { type: 'done' };
       }
       case 'revoke-lease':
-        this.#end(request.leaseId);
+        this.#expireLease(request.leaseId);
         return { type: 'done' };
       case 'transaction':
         return this.#transact(request);
@@ -314,18 +314,18 @@
     const lacksLease = puts.some(
       ({ leaseId }) => leaseId !== undefined && !this.#leases.has(leaseId),
     );
-    if (lacksLease) return LEASE_OVER;
+    if (lacksLease) return LEASE_GONE;
     const found = compares.flatMap(({ key }) => this.entries.get(key) ?? []);
-    const current = found.map((entry) => this.#placed(entry));
+    const current = found.map((entry) => this.#withStorePositions(entry));
     const succeeded = compares.every(
       ({ key, modRevision }) => (this.entries.get(key)?.modRevision ?? 0) === modRevision,
     );
-    if (succeeded) this.#change(operations);
+    if (succeeded) this.#applyOperations(operations);
     const revision = this.#position(this.#revision);
     return { type: 'transaction', transaction: { succeeded, revision, current } };
   }
 
-  #change(operations: Extract<StoreRequest, { type: 'transaction' }>['operations']): void {
+  #applyOperations(operations: Extract<StoreRequest, { type: 'transaction' }>['operations']): void {
     this.#revision += 1;
     const modRevision = this.#revision;
     const events = operations.map((operation): WatchEvent => {
@@ -339,17 +339,17 @@
       const { value, leaseId } = operation;
       const entry = { key, value, createRevision, modRevision, leaseId };
       this.entries.set(key, entry);
-      return { type: 'put', entry: this.#placed(entry) };
+      return { type: 'put', entry: this.#withStorePositions(entry) };
     });
     const position = this.#position(modRevision);
-    for (const watch of this.#watches) this.#tell(watch, events, position);
+    for (const watch of this.#watches) this.#notify(watch, events, position);
   }
 
   #position(revision: number): number {
     return toStorePosition(this.era, revision);
   }
 
-  #placed(entry: StoredEntry): StoredEntry {
+  #withStorePositions(entry: StoredEntry): StoredEntry {
     if (this.era === 0) return entry;
     const { createRevision, modRevision } = entry;
     return {
@@ -359,20 +359,20 @@
     };
   }
 
-  #tell(watch: SimulatedWatch, events: readonly WatchEvent[], revision: number): void {
-    const seen = events.filter((event) =>
+  #notify(watch: SimulatedWatch, events: readonly WatchEvent[], revision: number): void {
+    const matching = events.filter((event) =>
       (event.type === 'put' ? event.entry.key : event.key).startsWith(watch.prefix),
     );
-    if (seen.length === 0 || this.#clock.now < watch.deafUntil) return;
+    if (matching.length === 0 || this.#clock.now < watch.suppressedUntil) return;
     if (!this.network.reaches(STORE, watch.machine)) {
-      watch.deafUntil = Number.POSITIVE_INFINITY;
+      watch.suppressedUntil = Number.POSITIVE_INFINITY;
       this.#endLater(watch, 1000);
       return;
     }
     const slowness = this.#clock.now < this.slowUntil ? 300 : 0;
-    // In order: later events take no less time.
+    // The delay is constant, so that events keep their order.
     this.#clock.after(slowness + 3, () => {
-      if (!watch.ended) watch.onEvents(seen, revision);
+      if (!watch.ended) watch.onEvents(matching, revision);
     });
   }
 
@@ -384,16 +384,16 @@
   }
 
   #expire(): void {
-    if (this.isDown && !this.leasesLapse) return;
+    if (this.isDown && !this.leasesExpire) return;
     for (const [leaseId, { expiresAt }] of this.#leases) {
-      if (expiresAt <= this.#clock.now) this.#end(leaseId);
+      if (expiresAt <= this.#clock.now) this.#expireLease(leaseId);
     }
   }
 
-  #end(leaseId: string): void {
+  #expireLease(leaseId: string): void {
     this.#leases.delete(leaseId);
     const keys = [...this.entries.values()].filter((entry) => entry.leaseId === leaseId);
     if (keys.length === 0) return;
-    this.#change(keys.map(({ key }) => ({ type: 'delete', key })));
+    this.#applyOperations(keys.map(({ key }) => ({ type: 'delete', key })));
   }
 }
--- a/test/support/random.ts
+++ b/test/support/random.ts
@@ -3,7 +3,7 @@
 
 const RANGE = 2 ** 32;
 
-/** Numbers in [0, 1) that follow from the seed. */
+/** Returns a generator of numbers in [0, 1) that are determined by the seed. */
 export function seededRandom(seed: number): () => number {
   const generator = xoroshiro128plus(seed);
   return () => (generator.next() >>> 0) / RANGE;
--- a/test/support/raw-caller.ts
+++ b/test/support/raw-caller.ts
@@ -1,27 +1,27 @@
-/** A caller that sends what it is told to, hears all, and stays until it is closed. */
+/** A caller that sends raw lines and keeps its connection open until the test closes it. */
 import { once } from 'node:events';
 import { connect, type Socket } from 'node:net';
 
 export class RawCaller {
-  /** All that was heard. */
-  text = '';
+  /** All text received so far. */
+  received = '';
   readonly closed: Promise<void>;
-  /** Resolves once the other side says no more. */
+  /** Resolves once the other side has ended its stream. */
   readonly ended: Promise<void>;
-  #onText: () => void = () => {};
+  #onData: () => void = () => {};
 
   private constructor(readonly socket: Socket) {
     socket.on('error', () => undefined);
     socket.on('data', (chunk: Buffer) => {
-      this.text += chunk.toString('latin1');
-      this.#onText();
+      this.received += chunk.toString('latin1');
+      this.#onData();
     });
     this.ended = new Promise((resolve) => socket.once('end', () => resolve()));
     this.closed = new Promise((resolve) => socket.once('close', () => resolve()));
   }
 
   static async connect(host: string, port: number): Promise<RawCaller> {
-    // Its own side stays open when the other one ends, so that it can still ask.
+    // Its own side stays open after the other side's end of stream, so that it can still send.
     const socket = connect({ port, host, allowHalfOpen: true });
     await once(socket, 'connect');
     return new RawCaller(socket);
@@ -31,16 +31,16 @@
     this.socket.write(`${line}\r\n`);
   }
 
-  /** Resolves once all that was heard matches; rejects if the connection ends first. */
-  async hears(pattern: RegExp): Promise<void> {
-    const heard = new Promise<true>((resolve) => {
-      this.#onText = () => {
-        if (pattern.test(this.text)) resolve(true);
+  /** Resolves once the received text matches; rejects if the connection ends first. */
+  async waitForText(pattern: RegExp): Promise<void> {
+    const matched = new Promise<true>((resolve) => {
+      this.#onData = () => {
+        if (pattern.test(this.received)) resolve(true);
       };
-      this.#onText();
+      this.#onData();
     });
-    const isHeard = await Promise.race([heard, this.ended, this.closed]);
-    if (isHeard !== true) throw new Error(`closed after ${JSON.stringify(this.text)}`);
+    const hasMatched = await Promise.race([matched, this.ended, this.closed]);
+    if (hasMatched !== true) throw new Error(`closed after ${JSON.stringify(this.received)}`);
   }
 
   destroy(): void {
--- a/test/support/reader-network.ts
+++ b/test/support/reader-network.ts
@@ -1,6 +1,6 @@
 /**
- * Followers, readers and a store in virtual time. Links delay messages, keep their order and may be cut;
- * readers may stop responding; the store may be cut off from single nodes and compact its history.
+ * Simulates followers, readers and the store in virtual time. Links delay messages in order and may be cut; readers
+ * may stop responding; the store may be unreachable for some nodes, refuse their polls, and compact its history.
  */
 import type { ReachableNode } from '../../src/core/ownership/owner-roster.js';
 import type { Milliseconds } from '../../src/core/units.js';
@@ -46,7 +46,7 @@
   }
 }
 
-/** The store: a revision counter, events, and long polls that can be cut off or refused for each node. */
+/** The store: a revision counter, events and long polls, which can be cut off or refused by node. */
 export class VirtualStore {
   revision = 1;
   polls = 0;
@@ -60,7 +60,7 @@
 
   constructor(private readonly time: VirtualTime) {}
 
-  /** Writes a key of the prefix, or of another prefix that no node watches. */
+  /** Writes a key. Events are recorded only for the watched prefix. */
   write(key: string, value = ''): void {
     this.revision += 1;
     if (!key.startsWith(PREFIX)) return;
@@ -82,11 +82,11 @@
     const poll = (): void => {
       this.polls += 1;
       this.#pollsBy.set(node, this.pollsOf(node) + 1);
-      let isDone = false;
+      let isAnswered = false;
       const finish = (answer: () => void): void => {
-        if (isDone) return;
-        isDone = true;
-        this.#waiting.delete(look);
+        if (isAnswered) return;
+        isAnswered = true;
+        this.#waiting.delete(respondToEvents);
         this.time.after(STORE_DELAY_MS, () => {
           if (isOpen && !this.cutOff.has(node)) answer();
         });
@@ -95,8 +95,8 @@
         isOpen = false;
         handlers.onEnd(error, error instanceof StoreCompactedError);
       };
-      const tell = (): void => {
-        const events = this.#since(after);
+      const respond = (): void => {
+        const events = this.#eventsAfter(after);
         const { revision } = this;
         finish(() => {
           after = revision;
@@ -104,24 +104,25 @@
           if (isOpen) poll();
         });
       };
-      const look = (): void => {
-        if (this.#since(after).length > 0) tell();
+      const respondToEvents = (): void => {
+        if (this.#eventsAfter(after).length > 0) respond();
       };
       this.time.after(POLL_WAIT_MS + POLL_SLACK_MS, () => {
-        if (!isOpen || after !== asked || polled !== this.#pollOf(handlers)) return;
-        this.#waiting.delete(look);
+        if (!isOpen || after !== startedAfter || pollNumber !== this.#lastPollNumber(handlers))
+          return;
+        this.#waiting.delete(respondToEvents);
         end(new StoreWatchEndedError('lost'));
       });
-      const asked = after;
-      const polled = this.#notePoll(handlers);
+      const startedAfter = after;
+      const pollNumber = this.#countPoll(handlers);
       this.time.after(STORE_DELAY_MS, () => {
         if (!isOpen || this.cutOff.has(node)) return;
         if (this.refused.has(node)) finish(() => end(new StoreWatchEndedError('refused')));
         else if (after < this.#compactedTo) finish(() => end(new StoreCompactedError(after)));
         else {
-          this.#waiting.add(look);
-          look();
-          this.time.after(POLL_WAIT_MS - 2 * STORE_DELAY_MS, tell);
+          this.#waiting.add(respondToEvents);
+          respondToEvents();
+          this.time.after(POLL_WAIT_MS - 2 * STORE_DELAY_MS, respond);
         }
       });
     };
@@ -133,44 +134,43 @@
 
   readonly #pollsBy = new Map<string, number>();
 
-  /** Number of polls by one node. */
   pollsOf(node: string): number {
     return this.#pollsBy.get(node) ?? 0;
   }
 
   readonly #polls = new WeakMap<WatchHandlers, number>();
 
-  #notePoll(handlers: WatchHandlers): number {
-    const number = this.#pollOf(handlers) + 1;
+  #countPoll(handlers: WatchHandlers): number {
+    const number = this.#lastPollNumber(handlers) + 1;
     this.#polls.set(handlers, number);
     return number;
   }
 
-  #pollOf(handlers: WatchHandlers): number {
+  #lastPollNumber(handlers: WatchHandlers): number {
     return this.#polls.get(handlers) ?? 0;
   }
 
-  #since(after: number): WatchEvent[] {
+  #eventsAfter(after: number): WatchEvent[] {
     return this.events.filter((event) => event.type === 'put' && event.entry.modRevision > after);
   }
 }
 
-/** One node: a followed prefix, and a server for the nodes that follow it through this one. */
+/** A node that watches the prefix and serves it to its followers. */
 export class VirtualNode {
   readonly followed: FollowedPrefix;
   readonly server: WatchServer;
   /** Revisions of which the watcher was notified, in order. */
-  readonly told: number[] = [];
-  /** Everything up to this revision is known to the watcher. */
+  readonly notified: number[] = [];
+  /** Revision up to which the watcher knows all changes. */
   known = 0;
-  /** Time at which the store provably had nothing of which the watcher had not been notified. */
-  provenAt: Milliseconds = Number.NEGATIVE_INFINITY;
+  /** Time at which the watcher provably knew all changes of the store. */
+  provenCurrentAsOf: Milliseconds = Number.NEGATIVE_INFINITY;
   isAlive = true;
   readonly counters = { eventsFromReaders: 0, fallbacks: 0, eventsPassed: 0, eventsTold: 0 };
 
   constructor(
     private readonly network: ReaderNetwork,
-    readonly place: ReachableNode,
+    readonly address: ReachableNode,
   ) {
     const { time, store, random } = network;
     this.followed = new FollowedPrefix({
@@ -179,8 +179,8 @@
       minRelayIntervalMs: POLL_WAIT_MS / 2,
       firstPollDelayMs: FIRST_POLL_MS,
       mayLearnReaders: () => network.mayLearnReaders,
-      needsEveryConfirmation: network.isProof,
-      openDirect: (from, handlers) => store.watch(place.nodeId, from, handlers),
+      needsEveryConfirmation: network.needsEveryConfirmation,
+      openDirect: (from, handlers) => store.watch(address.nodeId, from, handlers),
       refreshReaders: () => {},
       subscribe: (...asked) => network.subscribe(this, ...asked),
       counters: this.counters,
@@ -191,12 +191,12 @@
     this.server = new WatchServer(prefixes, this.counters, () => time.now, network.linkMbps);
   }
 
-  /** Reads the whole range, and watches from its revision on. */
+  /** Reads the whole range and then watches from its revision. */
   follow(): void {
     const { store } = this.network;
     this.known = store.revision;
-    this.told.push(
-      ...store.events.map(modRevisionOf).filter((revision) => !this.told.includes(revision)),
+    this.notified.push(
+      ...store.events.map(modRevisionOf).filter((revision) => !this.notified.includes(revision)),
     );
     this.#watch();
   }
@@ -204,8 +204,11 @@
   #watch(): void {
     this.followed.watch(this.known + 1, {
       onEvents: (events, revision, currentAt, provenAt = currentAt) => {
-        this.told.push(...events.map(modRevisionOf));
-        this.provenAt = Math.max(this.provenAt, provenAt ?? this.provenAt);
+        this.notified.push(...events.map(modRevisionOf));
+        this.provenCurrentAsOf = Math.max(
+          this.provenCurrentAsOf,
+          provenAt ?? this.provenCurrentAsOf,
+        );
         this.known = Math.max(this.known, revision);
       },
       onEnd: (_error, compacted) => {
@@ -223,18 +226,17 @@
   readonly time = new VirtualTime();
   readonly store = new VirtualStore(this.time);
   readonly nodes: VirtualNode[] = [];
-  /** Cut links, by the names of both ends. */
+  /** Cut links: `follower-reader` ids. */
   readonly cutLinks = new Set<string>();
-  /** Delay after which a watcher opens a new watch when its watch has ended. */
+  /** Delay between the end of a watch and the next one. */
   reconnectMs = RECONNECT_MS;
-  /** Nodes that start may still learn which nodes read the store. */
+  /** Nodes that have just started may still learn which nodes are readers. */
   mayLearnReaders = false;
 
   constructor(
     readonly random: () => number,
-    /** Each confirmation of the store is relayed to followers. */
-    readonly isProof = false,
-    /** Bandwidth of each node's link. */
+    /** Readers relay every confirmation of the store. */
+    readonly needsEveryConfirmation = false,
     readonly linkMbps = 0,
   ) {}
 
@@ -260,38 +262,38 @@
     follower: VirtualNode,
     ...[reader, request, listener]: Parameters<SubscribeToReader>
   ): () => void {
-    const to = this.nodes.find(({ place }) => place.nodeId === reader.nodeId);
-    let isOver = false;
-    const link = `${follower.place.nodeId}-${reader.nodeId}`;
-    const carry = (deliver: () => void): void => {
+    const to = this.nodes.find(({ address }) => address.nodeId === reader.nodeId);
+    let isClosed = false;
+    const link = `${follower.address.nodeId}-${reader.nodeId}`;
+    const transmit = (deliver: () => void): void => {
       this.time.after(this.#delayOf(link), () => {
         if (!this.cutLinks.has(link) && to?.isAlive === true) deliver();
       });
     };
-    const far = scriptedStream((message) => {
+    const readerStream = scriptedStream((message) => {
       if (to?.isAlive !== true) return;
-      carry(() => {
+      transmit(() => {
         const told = parseRelayedRange(message);
-        if (!isOver && told !== undefined) listener.onRelayed(told);
+        if (!isClosed && told !== undefined) listener.onRelayed(told);
       });
     });
-    far.end = () => {
-      carry(() => {
-        if (isOver) return;
-        isOver = true;
+    readerStream.end = () => {
+      transmit(() => {
+        if (isClosed) return;
+        isClosed = true;
         listener.onLost();
       });
     };
-    carry(() => {
-      if (!isOver) to?.server.onStream({ type: 'watch', ...request }, far);
+    transmit(() => {
+      if (!isClosed) to?.server.onStream({ type: 'watch', ...request }, readerStream);
     });
     return () => {
-      isOver = true;
-      far.onClose?.(undefined);
+      isClosed = true;
+      readerStream.onClose?.(undefined);
     };
   }
 
-  /** Time of the last delivery by link, so that messages keep their order. */
+  /** Time of the last delivery by link, which keeps messages in order. */
   readonly #busyUntil = new Map<string, Milliseconds>();
 
   #delayOf(link: string): Milliseconds {
--- a/test/support/relay-fleet.ts
+++ b/test/support/relay-fleet.ts
@@ -1,4 +1,4 @@
-/** Owners of one scripted instance and a node that borrows from them, in one process over real links. */
+/** Owners of a scripted instance and a node that borrows its connections, in one process over real links. */
 import { createServer, type Server, type Socket } from 'node:net';
 import { lineWire } from '../../platform/line-wire.js';
 import type { AdmissionRules } from '../../src/core/admission/instance-admission.js';
@@ -15,9 +15,9 @@
 import type { ScriptedInstance } from './scripted-instance.js';
 
 const HOST = '127.0.0.1';
-const HEARTBEAT_MS = 100;
-const REQUEST_MS = 10_000;
-const LIMIT = 2;
+const HEARTBEAT_PERIOD_MS = 100;
+const REQUEST_TIMEOUT_MS = 10_000;
+const CONNECTION_LIMIT = 2;
 
 const now = (): Milliseconds => performance.now();
 const NO_HANDLERS = { onStream: () => undefined, onCall: async () => null };
@@ -29,7 +29,7 @@
   };
 }
 
-/** A tenant whose policy limits nothing in practice. */
+/** A tenant whose policy is too generous to limit anything. */
 export const TEST_TENANT = {
   tenant: 't',
   priority: 1,
@@ -50,7 +50,7 @@
 
   private constructor(nodeId: string, instance: ScriptedInstance) {
     this.node = { nodeId, zone: 'a', host: HOST, port: 0 };
-    this.pool = new InstancePool(instance.entry, LIMIT, {
+    this.pool = new InstancePool(instance.entry, CONNECTION_LIMIT, {
       ...{ wire: lineWire, connectTimeoutMs: 500, reconnectDelayMs: 50, now, random: () => 0.5 },
       admissionRules: () => this.rules,
       counters: {
@@ -74,7 +74,7 @@
     this.transport = new TcpPeerTransport({
       identity: { nodeId, incarnation: 1 },
       handlers: this.server,
-      limits: { heartbeatPeriodMs: HEARTBEAT_MS },
+      limits: { heartbeatPeriodMs: HEARTBEAT_PERIOD_MS },
     });
   }
 
@@ -118,14 +118,14 @@
   }
 }
 
-/** A node that owns no instance: its pool borrows connections. */
+/** A node that owns no instance and borrows all connections. */
 export class TestBorrower {
   readonly counters = newCounters();
   readonly health = new OwnerHealth(now);
   readonly transport = new TcpPeerTransport({
     identity: { nodeId: 'borrower', incarnation: 1 },
     handlers: NO_HANDLERS,
-    limits: { heartbeatPeriodMs: HEARTBEAT_MS },
+    limits: { heartbeatPeriodMs: HEARTBEAT_PERIOD_MS },
   });
   readonly pool: InstancePool;
 
@@ -142,15 +142,15 @@
       },
     });
     const { transport, health, counters } = this;
-    const lessor = new OwnerLender({
+    const lender = new OwnerLender({
       ...{ instance: instance.entry, owners, transport, health, counters, now },
       ownersFor: () => owners,
     });
-    this.pool.setLender(lessor);
+    this.pool.setLender(lender);
   }
 
   acquire(request: Partial<ConnectionRequest> = {}) {
-    const deadline = now() + REQUEST_MS;
+    const deadline = now() + REQUEST_TIMEOUT_MS;
     const values = new Map<string, string>();
     return this.pool.acquire({ ...TEST_TENANT, values, deadline, cancelledBy: [], ...request });
   }
--- a/test/support/request-record.ts
+++ b/test/support/request-record.ts
@@ -1,4 +1,4 @@
-/** A request record for tests: a trust unlock that was done; `changes` override. */
+/** Request records for tests. By default a successful write of kind `unlock`; `changes` override it. */
 import type { AnswerRecord, RequestRecord } from '../../bench/history/model.js';
 
 export const WHOLE_ANSWER: AnswerRecord = {
--- a/test/support/scripted-http-server.ts
+++ b/test/support/scripted-http-server.ts
@@ -1,4 +1,4 @@
-/** An HTTP server on loopback whose answers a test gives one by one. */
+/** An HTTP server on loopback; the test supplies the response to each request. */
 import { createServer, type IncomingHttpHeaders, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import type { ServiceEndpoint } from '../../src/platform/http-exchange.js';
@@ -9,20 +9,20 @@
   readonly query: URLSearchParams;
   readonly headers: IncomingHttpHeaders;
   readonly body: unknown;
-  /** Port of the client's side: tells connections apart. */
+  /** Port of the client's side, which identifies the connection. */
   readonly clientPort: number;
 }
 
-export type ScriptedAnswer =
+export type ScriptedResponse =
   | {
       readonly status: number;
       readonly json?: unknown;
       readonly text?: string;
       readonly headers?: Readonly<Record<string, string>>;
     }
-  /** Nothing is said; the connection stays open. */
+  /** No response; the connection stays open. */
   | 'silent'
-  /** The connection ends without an answer. */
+  /** The connection is closed without a response. */
   | 'cut';
 
 export interface ScriptedServer {
@@ -31,9 +31,12 @@
   close(): Promise<void>;
 }
 
-/** Starts a server that answers each request with what `answer` gives. */
+/** Starts a server that sends what `answer` returns for each request. */
 export async function startScriptedServer(
-  answer: (request: ScriptedRequest, earlier: number) => ScriptedAnswer | Promise<ScriptedAnswer>,
+  answer: (
+    request: ScriptedRequest,
+    earlierRequests: number,
+  ) => ScriptedResponse | Promise<ScriptedResponse>,
 ): Promise<ScriptedServer> {
   const requests: ScriptedRequest[] = [];
   const server = createServer((incoming, outgoing) => {
@@ -66,7 +69,7 @@
   };
 }
 
-function send(outgoing: ServerResponse, answer: ScriptedAnswer): void {
+function send(outgoing: ServerResponse, answer: ScriptedResponse): void {
   if (answer === 'silent') return;
   if (answer === 'cut') {
     outgoing.destroy();
@@ -77,7 +80,7 @@
   outgoing.end(answer.text ?? (answer.json === undefined ? '' : JSON.stringify(answer.json)));
 }
 
-/** An item as the platform's store writes it. */
+/** An item in the format of the platform's store. */
 export function storeItem(key: string, value: string, revision: number): object {
   const encoded = Buffer.from(value, 'utf8').toString('base64');
   return { private_key: key, value: encoded, revision, created: revision, lease_id: 0 };
--- a/test/support/scripted-instance.ts
+++ b/test/support/scripted-instance.ts
@@ -1,4 +1,4 @@
-/** A database instance that does what a test says, on the line protocol. */
+/** A fake database instance that speaks the line protocol and whose responses a test controls. */
 import { once } from 'node:events';
 import { createServer, type Server, type Socket } from 'node:net';
 import type { InstanceEntry } from '../../src/direct/contract.js';
@@ -7,21 +7,21 @@
 
 const HOST = '127.0.0.1';
 
-/** A message that it got, and the connection that it came on. */
-export interface HeardMessage {
+/** A statement and the number of its connection. */
+export interface ReceivedStatement {
   readonly connection: number;
   readonly text: string;
 }
 
 export class ScriptedInstance {
-  /** Texts of all statements, in the order of their arrival. */
-  readonly heard: HeardMessage[] = [];
-  /** Connections that ended. */
+  /** All statements, in order of arrival. */
+  readonly received: ReceivedStatement[] = [];
+  /** Numbers of the connections that have ended. */
   readonly ended: number[] = [];
-  /** While set, statements that contain it get no answer until `answerHeld`. */
-  hold: string | undefined;
-  /** While set, statements that contain it are answered with this error code. */
-  fail: { readonly text: string; readonly code: string } | undefined;
+  /** While set, statements that contain it are answered only by `answerHeld`. */
+  heldText: string | undefined;
+  /** While set, statements that contain `text` are answered with this error code. */
+  failing: { readonly text: string; readonly code: string } | undefined;
   readonly #held: { readonly socket: Socket; readonly text: string }[] = [];
   readonly #sockets: Socket[] = [];
 
@@ -47,14 +47,15 @@
   }
 
   /** Waits for a statement that contains this text. */
-  async hears(text: string): Promise<HeardMessage> {
-    const found = (): HeardMessage | undefined => this.heard.find((one) => one.text.includes(text));
-    await until(`the instance hears ${text}`, () => found() !== undefined);
-    return found() as HeardMessage;
+  async waitForStatement(text: string): Promise<ReceivedStatement> {
+    const found = (): ReceivedStatement | undefined =>
+      this.received.find((one) => one.text.includes(text));
+    await until(`the instance receives ${text}`, () => found() !== undefined);
+    return found() as ReceivedStatement;
   }
 
   answerHeld(): void {
-    this.hold = undefined;
+    this.heldText = undefined;
     for (const { socket, text } of this.#held.splice(0)) answer(socket, text);
   }
 
@@ -66,31 +67,32 @@
 
   #accept(socket: Socket): void {
     const connection = this.#sockets.push(socket);
-    let rest = '';
+    let incomplete = '';
     socket.on('error', () => undefined);
     socket.on('close', () => this.ended.push(connection));
     socket.on('data', (chunk) => {
-      const lines = (rest + chunk.toString('latin1')).split('\r\n');
-      rest = lines.pop() ?? '';
-      for (const line of lines) this.#take(socket, connection, line);
+      const lines = (incomplete + chunk.toString('latin1')).split('\r\n');
+      incomplete = lines.pop() ?? '';
+      for (const line of lines) this.#handleLine(socket, connection, line);
     });
   }
 
-  #take(socket: Socket, connection: number, line: string): void {
+  #handleLine(socket: Socket, connection: number, line: string): void {
     if (line.startsWith('START')) {
       socket.write('READY I 1.1\r\n');
       return;
     }
     const text = line.split(' ').slice(2).join(' ');
-    this.heard.push({ connection, text });
-    if (this.hold !== undefined && text.includes(this.hold)) this.#held.push({ socket, text });
-    else if (this.fail !== undefined && text.includes(this.fail.text)) {
-      socket.write(`ERROR ${this.fail.code} ${text}\r\nREADY I 1.2\r\n`, 'latin1');
+    this.received.push({ connection, text });
+    if (this.heldText !== undefined && text.includes(this.heldText))
+      this.#held.push({ socket, text });
+    else if (this.failing !== undefined && text.includes(this.failing.text)) {
+      socket.write(`ERROR ${this.failing.code} ${text}\r\nREADY I 1.2\r\n`, 'latin1');
     } else answer(socket, text);
   }
 }
 
-/** A row that repeats the text, so that a test sees whose answer it got. */
+/** Answers with a row that repeats the text, so that a test can tell responses apart. */
 function answer(socket: Socket, text: string): void {
   const state = text.startsWith('BEGIN') || text.endsWith('inside') ? 'T' : 'I';
   socket.write(`ROW ${text}\r\nCOMPLETE sig-${text}\r\nREADY ${state} 1.2\r\n`, 'latin1');
--- a/test/support/scripted-server.ts
+++ b/test/support/scripted-server.ts
@@ -1,4 +1,4 @@
-/** A socket that plays a database instance message by message, for what no real one would do. */
+/** A fake PostgreSQL instance scripted message by message, for behaviour that a real one would not show. */
 import { once } from 'node:events';
 import { type AddressInfo, createServer, type Server, type Socket } from 'node:net';
 import type { TransactionStatus } from '../../src/postgres/contract.js';
@@ -20,21 +20,21 @@
   readonly payload: Buffer;
 }
 
-/** One connection after its start-up message. */
+/** A connection whose start-up message has been read. */
 export interface ScriptedConnection {
   readonly socket: Socket;
-  /** Start-up parameters, name and value in turn. */
+  /** Start-up parameters, alternating names and values. */
   readonly startup: readonly string[];
   /** The next message of the client. */
   next(): Promise<FrontendMessage>;
-  /** Reads up to and with the first message of this type; gives the types read. */
+  /** Reads up to and including the first message of this type; returns the types read. */
   readUntil(type: string): Promise<string>;
   send(...parts: readonly Buffer[]): void;
 }
 
-/** What the server is asked; each is undefined by default. */
+/** Handlers of the server; all are optional. */
 export interface ScriptHandlers {
-  /** A connection whose start-up message was read. */
+  /** Called after the start-up message. */
   readonly onSession?: (connection: ScriptedConnection) => Promise<void>;
   /** CancelRequest: process id and key. */
   readonly onCancel?: (processId: number, secretKey: number, socket: Socket) => void;
@@ -66,7 +66,7 @@
 
 function readStartup(socket: Socket, handlers: ScriptHandlers): void {
   let received: Buffer = Buffer.alloc(0);
-  const take = (chunk: Buffer): void => {
+  const receive = (chunk: Buffer): void => {
     received = Buffer.concat([received, chunk]);
     if (received.length < STARTUP_LENGTH_BYTES) return;
     const length = received.readInt32BE(0);
@@ -78,18 +78,20 @@
       handlers.onSslRequest?.(socket);
       return;
     }
-    socket.off('data', take);
+    socket.off('data', receive);
     if (code === CANCEL_REQUEST_CODE) {
       handlers.onCancel?.(message.readInt32BE(8), message.readInt32BE(12), socket);
       return;
     }
     const startup = message.toString('utf8', 8).split('\0');
-    void handlers.onSession?.(sessionOf(socket, startup)).catch((error) => socket.destroy(error));
+    void handlers
+      .onSession?.(createConnection(socket, startup))
+      .catch((error) => socket.destroy(error));
   };
-  socket.on('data', take);
+  socket.on('data', receive);
 }
 
-function sessionOf(socket: Socket, startup: readonly string[]): ScriptedConnection {
+function createConnection(socket: Socket, startup: readonly string[]): ScriptedConnection {
   const queue: FrontendMessage[] = [];
   let wake: (() => void) | undefined;
   const reader = new FrameReader((type, buffer, start, end) => {
@@ -119,7 +121,7 @@
   return { socket, startup, next, readUntil, send };
 }
 
-/** Lets the client in without a password. */
+/** Accepts the client without a password. */
 export function acceptSession(connection: ScriptedConnection): void {
   connection.send(
     messages.authentication(AUTHENTICATION_OK),
@@ -140,7 +142,7 @@
   return Buffer.concat([row, bytes]);
 }
 
-/** RowDescription without columns: enough for a relay. */
+/** RowDescription without columns, sufficient for a relay. */
 export const ROW_DESCRIPTION = Buffer.from([0x54, 0, 0, 0, 6, 0, 0]);
 
 export function ready(status: TransactionStatus = 'I'): Buffer {
--- a/test/support/status-instance.ts
+++ b/test/support/status-instance.ts
@@ -1,4 +1,4 @@
-/** A database instance that takes connections and answers STATUS, or takes no connection at all. */
+/** A fake database instance that answers STATUS, or refuses or resets all connections. */
 import { once } from 'node:events';
 import { createServer, type Server, type Socket } from 'node:net';
 import type { InstanceEntry } from '../../src/direct/contract.js';
@@ -8,15 +8,15 @@
 const FULL = 'ERROR CONNLIMIT\r\n';
 
 export class StatusInstance {
-  /** Connections that were ever taken. */
-  opened = 0;
-  /** Whether it refuses connections since it has too many. */
+  /** Number of connections accepted so far. */
+  acceptedConnections = 0;
+  /** If true, connections are refused with `CONNLIMIT`. */
   isFull = false;
-  /** Whether it resets what is opened to it. */
+  /** If true, connections are reset at the first message. */
   resets = false;
   readonly sockets: Socket[] = [];
   readonly #server: Server = createServer((socket) => {
-    this.opened += 1;
+    this.acceptedConnections += 1;
     this.sockets.push(socket);
     socket.on('error', () => {});
     socket.on('data', (chunk) => this.#answer(socket, String(chunk)));
@@ -25,10 +25,10 @@
   async start(): Promise<InstanceEntry> {
     this.#server.listen(0, '127.0.0.1');
     await once(this.#server, 'listening');
-    const address = this.#server.address();
-    const port = typeof address === 'object' && address !== null ? address.port : 0;
-    const place = { host: '127.0.0.1', port, zone: 'a', slots: 2 };
-    return { id: 'i-1', service: 'orders', ...place, draining: false, role: 'replica' };
+    const bound = this.#server.address();
+    const port = typeof bound === 'object' && bound !== null ? bound.port : 0;
+    const address = { host: '127.0.0.1', port, zone: 'a', slots: 2 };
+    return { id: 'i-1', service: 'orders', ...address, draining: false, role: 'replica' };
   }
 
   stop(): void {
--- a/test/support/steady-health.ts
+++ b/test/support/steady-health.ts
@@ -1,7 +1,7 @@
-/** Health of a fake instance that has the given response time and never stalls. */
+/** Health of a fake instance with a constant response time that never stalls. */
 import type { InstanceHealth } from '../../src/direct/instance-health.js';
 
-/** The members of `InstanceHealth` that statements use. */
+/** Implements the members of `InstanceHealth` that statements use. */
 export function steadyHealth({
   answerMs = 5,
   lostAfterMs = 250,
--- a/test/support/until.ts
+++ b/test/support/until.ts
@@ -1,36 +1,36 @@
-/** Waiting in tests: on a condition or on the next event, never for a fixed time. */
+/** Waits for a condition in tests, instead of for a fixed time. */
 import { AssertionError } from 'node:assert';
 import { setTimeout as pause } from 'node:timers/promises';
 
-/** The longest that a test waits for one thing. */
-export const GIVE_UP_AFTER_MS = 20_000;
+/** Maximum wait for one condition. */
+export const WAIT_TIMEOUT_MS = 20_000;
 const POLL_INTERVAL_MS = 10;
-const GAVE_UP = Symbol('gave up');
+const TIMED_OUT = Symbol('gave up');
 
 /**
- * Resolves when the condition holds; fails the test if it does not within 20 s, also if the
- * condition itself never answers: a process that is paused keeps its callers waiting without end.
+ * Resolves when the condition holds. Rejects after the timeout, also if the condition's own promise never settles,
+ * as with a request to a paused process.
  */
 export async function until(
   what: string,
   condition: () => boolean | Promise<boolean>,
-  giveUpAfterMs = GIVE_UP_AFTER_MS,
+  timeoutMs = WAIT_TIMEOUT_MS,
 ): Promise<void> {
-  const deadline = performance.now() + giveUpAfterMs;
-  const over = new AbortController();
-  const gaveUp = pause(giveUpAfterMs, GAVE_UP, { signal: over.signal });
-  // Also if nothing waits for it, as when the condition throws at once.
-  gaveUp.catch(() => undefined);
+  const deadline = performance.now() + timeoutMs;
+  const timer = new AbortController();
+  const timeout = pause(timeoutMs, TIMED_OUT, { signal: timer.signal });
+  // Prevents an unhandled rejection if the condition throws before the race.
+  timeout.catch(() => undefined);
   try {
     for (;;) {
-      const outcome = await Promise.race([condition(), gaveUp]);
+      const outcome = await Promise.race([condition(), timeout]);
       if (outcome === true) return;
-      if (outcome === GAVE_UP || performance.now() > deadline) {
+      if (outcome === TIMED_OUT || performance.now() > deadline) {
         throw new AssertionError({ message: `never: ${what}` });
       }
       await pause(POLL_INTERVAL_MS);
     }
   } finally {
-    over.abort();
+    timer.abort();
   }
 }
--- a/test/unit/direct-answers.test.ts
+++ b/test/unit/direct-answers.test.ts
@@ -4,9 +4,9 @@
 import type { RunRecord } from '../../standins/direct/run-log.js';
 import {
   type Conditions,
-  checkConfigurationKept,
-  checkOwedAnswers,
   checkPlannedStops,
+  checkServedRoutes,
+  checkUnansweredRequests,
   type GatewaySpan,
   type PlannedStop,
 } from '../support/direct-answers.js';
@@ -36,7 +36,7 @@
 }
 
 function rulesOf(statement: ClientStatement, runs: RunRecord[], conditions = CALM): string[] {
-  return checkOwedAnswers([statement], runs, conditions).violations.map(({ rule }) => rule);
+  return checkUnansweredRequests([statement], runs, conditions).violations.map(({ rule }) => rule);
 }
 
 test('a request that ran is owed its answer, however soon its connection ends', () => {
@@ -65,7 +65,7 @@
 
 test('a pause excuses a late end of what never ran, and is told apart', () => {
   const paused = (one: GatewaySpan, runs: RunRecord[] = []) =>
-    checkOwedAnswers([unanswered(300)], runs, { ...CALM, pauses: [one] });
+    checkUnansweredRequests([unanswered(300)], runs, { ...CALM, pauses: [one] });
   assert.is(paused(span(-50, 100)).late.length, 1);
   assert.equal(paused(span(-50, 100)).violations, []);
   assert.is(paused(span(-50, -1)).violations.length, 1, 'over before the request');
@@ -98,7 +98,7 @@
 test('an acknowledged configuration is in force at each gateway', () => {
   const probe = { gateway: GATEWAY, database: 'archive' };
   const rules = (isExpected: boolean, code?: string) =>
-    checkConfigurationKept([{ ...probe, isExpected, code }]).map(({ rule }) => rule);
+    checkServedRoutes([{ ...probe, isExpected, code }]).map(({ rule }) => rule);
   assert.equal(rules(true), []);
   assert.equal(rules(true, 'BUSY'), ['LOST'], 'it may have no configuration at all');
   assert.equal(rules(false, 'BUSY'), ['LOST']);
--- a/test/unit/direct-standin.test.ts
+++ b/test/unit/direct-standin.test.ts
@@ -290,7 +290,7 @@
   });
   assert.is(gist(await primary.query('a2', 'WRITE k lost')), 'TIMEOUT I');
   assert.is(await promote(SECOND), 200);
-  assert.is((await platform.newPrimary(SERVICE, FIRST)).term, 2);
+  assert.is((await platform.waitForNewPrimary(SERVICE, FIRST)).term, 2);
   assert.is(gist(await primary.query('a3', 'BEGIN')), '- T');
   await platform.set(`/groups/${SERVICE}/cuts`, { pairs: [] });
   await until('the old primary gives up', async () => {
@@ -365,7 +365,7 @@
   await until('the entry is gone', async () => (await entryOf(FIRST)) === undefined);
   assert.is(await promote(FIRST), 409);
   assert.is(await promote(SECOND), 200);
-  await platform.newPrimary(SERVICE, FIRST);
+  await platform.waitForNewPrimary(SERVICE, FIRST);
   await platform.set(`/instances/${FIRST}/return`);
   const entry = await entryOf(FIRST);
   assert.equal([entry?.database_role, entry?.state], ['replica', 'ready']);
--- a/test/unit/direct/caller-server.test.ts
+++ b/test/unit/direct/caller-server.test.ts
@@ -6,14 +6,14 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { CallerServer } from '../../../src/direct/caller-server.js';
-import { sessionDependencies } from '../../support/caller-session-fixture.js';
+import { createSessionDependencies } from '../../support/caller-session-fixture.js';
 import { LineClient } from '../../support/line-client.js';
 
 const HOST = '127.0.0.1';
 let server: CallerServer;
 
 test.before.each(async () => {
-  server = new CallerServer(sessionDependencies());
+  server = new CallerServer(createSessionDependencies());
   await server.listen({ host: HOST, port: 0 });
 });
 test.after.each(() => server.close());
--- a/test/unit/direct/caller-session.test.ts
+++ b/test/unit/direct/caller-session.test.ts
@@ -5,7 +5,11 @@
 import { lineWire } from '../../../platform/line-wire.js';
 import { CallerSession } from '../../../src/direct/caller-session.js';
 import type { RequestEnd } from '../../../src/direct/request-log.js';
-import { ROUTE, sessionDependencies, tenantWith } from '../../support/caller-session-fixture.js';
+import {
+  createSessionDependencies,
+  createTenant,
+  ROUTE,
+} from '../../support/caller-session-fixture.js';
 
 /** The session's timers do not keep the process alive. */
 const KEEP_ALIVE_MS = 1000;
@@ -17,12 +21,12 @@
 test.after(() => clearInterval(keepAlive));
 
 /** A session whose service has no instance at all. */
-function startSession(tenant = tenantWith(), transactionIdleMs?: number) {
+function startSession(tenant = createTenant(), transactionIdleMs?: number) {
   const lines: string[] = [];
   const ends: RequestEnd[] = [];
   const ended: true[] = [];
   const session = new CallerSession({
-    ...sessionDependencies(tenant, ends, transactionIdleMs),
+    ...createSessionDependencies(tenant, ends, transactionIdleMs),
     write: (text) => lines.push(...text.split('\r\n').filter((line) => line !== '')),
     end: () => ended.push(true),
   });
@@ -59,7 +63,7 @@
     [0, 150],
     [2, 450],
   ] as const) {
-    const dependencies = sessionDependencies(tenantWith({ priority }));
+    const dependencies = createSessionDependencies(createTenant({ priority }));
     const refusal = { code: 'busy', text: 'too many statements wait', isForLackOfCapacity: true };
     const runner = Object.assign(Object.create(dependencies.runner), {
       run: async () => ({ type: 'refused', refusal }),
@@ -90,7 +94,7 @@
 });
 
 test('a tenant opens so many sessions and no more, until one of them closes', async () => {
-  const tenant = tenantWith({ maxSessions: 1 });
+  const tenant = createTenant({ maxSessions: 1 });
   const first = startSession(tenant);
   await first.send('START orders u1');
   const second = startSession(tenant);
@@ -109,7 +113,7 @@
 });
 
 test('a session holds as many values, and prepared statements, as its tenant may', async () => {
-  const { lines, send } = startSession(tenantWith({ maxSessionEntries: 1 }));
+  const { lines, send } = startSession(createTenant({ maxSessionEntries: 1 }));
   await send('START orders u1');
   await send('QUERY 1 SET role clerk');
   await send('QUERY 2 SET role judge');
@@ -147,7 +151,7 @@
  * the stop notice must report it: the connection used to end without one, as if the transaction were still open.
  */
 test('a caller whose transaction was ended before the node stops is told so too', async () => {
-  const { session, lines, send } = startSession(tenantWith(), 1);
+  const { session, lines, send } = startSession(createTenant(), 1);
   await send('START orders u1');
   await send('QUERY 1 BEGIN');
   await pause(ROUTE.timeoutMs);
--- a/test/unit/direct/instance-control.test.ts
+++ b/test/unit/direct/instance-control.test.ts
@@ -21,7 +21,7 @@
   const [socket] = instance.sockets;
   assert.ok(socket !== undefined);
   await once(socket, 'close');
-  assert.is(instance.opened, 1);
+  assert.is(instance.acceptedConnections, 1);
   instance.stop();
 });
 
@@ -32,7 +32,7 @@
   for (let call = 0; call < 5; call += 1) {
     assert.ok((await control.status(entry, LONG_MS)).isOk());
   }
-  assert.is(instance.opened, 1);
+  assert.is(instance.acceptedConnections, 1);
   control.close();
   instance.stop();
 });
@@ -49,10 +49,10 @@
     assert.instance(error, InstanceControlError);
     assert.is(error instanceof InstanceControlError ? error.answer : '', 'connection-limit');
   }
-  assert.is(instance.opened, 1);
+  assert.is(instance.acceptedConnections, 1);
   now += 100;
   await control.status(entry, LONG_MS);
-  assert.is(instance.opened, 2);
+  assert.is(instance.acceptedConnections, 2);
   instance.stop();
 });
 
--- a/test/unit/direct/large-answer-at-stop.test.ts
+++ b/test/unit/direct/large-answer-at-stop.test.ts
@@ -4,14 +4,14 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { CallerServer } from '../../../src/direct/caller-server.js';
-import { runnerWith, sessionDependencies } from '../../support/caller-session-fixture.js';
+import { createRunner, createSessionDependencies } from '../../support/caller-session-fixture.js';
 
 const HOST = '127.0.0.1';
 /** Short, so that it expires several times while the caller does not read. */
 const LEAVE_MS = 50;
 const NOT_READING_MS = 800;
 const PAYLOAD = `${`ROW ${'x'.repeat(1000)}\r\n`.repeat(16_000)}COMPLETE sig\r\n`;
-const dependencies = { ...sessionDependencies(), runner: runnerWith(PAYLOAD, []) };
+const dependencies = { ...createSessionDependencies(), runner: createRunner(PAYLOAD, []) };
 const server = new CallerServer(dependencies, LEAVE_MS);
 let caller: Socket;
 
--- a/test/unit/direct/late-idle-transaction.test.ts
+++ b/test/unit/direct/late-idle-transaction.test.ts
@@ -2,14 +2,14 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { CallerServer } from '../../../src/direct/caller-server.js';
-import { sessionDependencies, tenantWith } from '../../support/caller-session-fixture.js';
+import { createSessionDependencies, createTenant } from '../../support/caller-session-fixture.js';
 import { computeFor } from '../../support/compute-for.js';
 import { LineClient } from '../../support/line-client.js';
 
 const HOST = '127.0.0.1';
 const IDLE_MS = 30;
 const LATE_MS = 80;
-const server = new CallerServer(sessionDependencies(tenantWith(), [], IDLE_MS));
+const server = new CallerServer(createSessionDependencies(createTenant(), [], IDLE_MS));
 
 test.before(() => server.listen({ host: HOST, port: 0 }));
 test.after(() => server.close());
--- a/test/unit/direct/leave-time.test.ts
+++ b/test/unit/direct/leave-time.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { CallerServer, type SessionDependencies } from '../../../src/direct/caller-server.js';
-import { sessionDependencies } from '../../support/caller-session-fixture.js';
+import { createSessionDependencies } from '../../support/caller-session-fixture.js';
 import { computeFor } from '../../support/compute-for.js';
 import { RawCaller } from '../../support/raw-caller.js';
 import { until } from '../../support/until.js';
@@ -16,12 +16,12 @@
 let caller: RawCaller;
 
 test.before.each(async () => {
-  dependencies = sessionDependencies();
+  dependencies = createSessionDependencies();
   server = new CallerServer(dependencies, LEAVE_MS);
   await server.listen({ host: HOST, port: 0 });
   caller = await RawCaller.connect(HOST, server.port);
   caller.send('START orders u1');
-  await caller.hears(/^READY I -\r\n$/);
+  await caller.waitForText(/^READY I -\r\n$/);
 });
 test.after.each(() => {
   caller.destroy();
@@ -34,10 +34,10 @@
  */
 test('a caller that asks as its time to leave runs out gets a new one', async () => {
   server.drain(false);
-  await caller.hears(/ERROR BUSY/);
+  await caller.waitForText(/ERROR BUSY/);
   caller.send('QUERY 1 SET a b');
   computeFor(LATE_MS);
-  await caller.hears(/ERROR BUSY [^\n]*\nREADY I -\r\nERROR BUSY [^\n]*\n$/);
+  await caller.waitForText(/ERROR BUSY [^\n]*\nREADY I -\r\nERROR BUSY [^\n]*\n$/);
   assert.is(server.sessionCount, 1);
   await caller.ended;
 });
@@ -45,7 +45,7 @@
 test('a caller that stays all the same is closed', async () => {
   server.drain(false);
   await caller.ended;
-  assert.match(caller.text, /^READY I -\r\nERROR BUSY [^\n]*\r\n$/);
+  assert.match(caller.received, /^READY I -\r\nERROR BUSY [^\n]*\r\n$/);
   caller.send('QUERY 1 SET a b');
   await until('the session has ended', () => server.sessionCount === 0);
   assert.is(dependencies.counters.statements, 0, 'what is sent after the end is not read');
--- a/test/unit/direct/planned-stop.test.ts
+++ b/test/unit/direct/planned-stop.test.ts
@@ -6,7 +6,7 @@
 import * as assert from 'uvu/assert';
 import { CallerServer } from '../../../src/direct/caller-server.js';
 import { endSessions, type StopOptions } from '../../../src/direct/planned-stop.js';
-import { ROUTE, sessionDependencies } from '../../support/caller-session-fixture.js';
+import { createSessionDependencies, ROUTE } from '../../support/caller-session-fixture.js';
 import { LineClient } from '../../support/line-client.js';
 
 const HOST = '127.0.0.1';
@@ -37,7 +37,7 @@
 }
 
 test('a stopping node that waits for what it has lent takes no more callers', async () => {
-  const dependencies = sessionDependencies();
+  const dependencies = createSessionDependencies();
   server = new CallerServer(dependencies);
   await server.listen({ host: HOST, port: 0 });
   const { port } = server;
@@ -56,7 +56,7 @@
 });
 
 test('a caller that comes after the stop has begun is refused when it asks for a session', async () => {
-  server = new CallerServer(sessionDependencies());
+  server = new CallerServer(createSessionDependencies());
   await server.listen({ host: HOST, port: 0 });
   server.drain(false);
   const client = await LineClient.connect(HOST, server.port);
--- a/test/unit/direct/pooled-status.test.ts
+++ b/test/unit/direct/pooled-status.test.ts
@@ -44,7 +44,7 @@
   assert.is(told.isOk() && told.value.role, 'replica');
   assert.is(pool.size, 1);
   assert.ok((await pool.acquire(ownRequest(performance.now() + LONG_MS))).isOk());
-  assert.is(instance.opened, 1);
+  assert.is(instance.acceptedConnections, 1);
   stop();
 });
 
@@ -52,7 +52,7 @@
   const { instance, entry, pool, status, stop } = await setUp();
   await pool.acquire(ownRequest(performance.now() + LONG_MS));
   assert.ok((await status.status(entry, LONG_MS)).isOk());
-  assert.is(instance.opened, 2);
+  assert.is(instance.acceptedConnections, 2);
   stop();
 });
 
@@ -64,7 +64,7 @@
     const error = told.isErr() ? told.error : undefined;
     assert.is(error instanceof InstanceControlError ? error.answer : '', 'connection-limit');
   }
-  assert.is(instance.opened, 1);
+  assert.is(instance.acceptedConnections, 1);
   stop();
 });
 
--- a/test/unit/direct/relay.test.ts
+++ b/test/unit/direct/relay.test.ts
@@ -70,7 +70,7 @@
   assert.equal([error, state], [undefined, 'idle']);
   assert.equal(position, { timeline: 1, lsn: 2n });
   borrower.pool.release(connection);
-  assert.equal(instance.heard, [{ connection: 1, text: 'WRITE k \xe9\xff v' }]);
+  assert.equal(instance.received, [{ connection: 1, text: 'WRITE k \xe9\xff v' }]);
 });
 
 test('what a request has left of its aim and whether it is a transaction reach the pool of the owner', async () => {
@@ -117,7 +117,7 @@
   }
   for (const connection of held) connection.close();
   assert.equal(
-    instance.heard.map(({ text }) => text),
+    instance.received.map(({ text }) => text),
     ['READ a', 'READ a'],
   );
 });
@@ -148,7 +148,7 @@
   synchronise(second, new Map(), undefined, lineWire);
   await answerTo(second, 'READ b');
   borrower.pool.release(second);
-  const texts = instance.heard.map(({ text }) => text);
+  const texts = instance.received.map(({ text }) => text);
   assert.equal(texts, ['SET tz utc', 'PREPARE p1 READ q1', 'READ a', 'RESET', 'READ b']);
   assert.is(instance.connectionCount, 1);
 });
@@ -174,7 +174,7 @@
   await owner(1).stop();
   const failed = await borrower.acquire();
   assert.instance(failed._unsafeUnwrapErr(), InstanceOwnersUnreachableError);
-  assert.is(instance.heard.length, 1);
+  assert.is(instance.received.length, 1);
 });
 
 test('a link that is lost after the grant and before the statement: nothing has run', async () => {
@@ -188,15 +188,15 @@
   const other = await lease();
   await answerTo(other, 'WRITE k v');
   borrower.pool.release(other);
-  assert.is(instance.heard.filter(({ text }) => text === 'WRITE k v').length, 1);
+  assert.is(instance.received.filter(({ text }) => text === 'WRITE k v').length, 1);
 });
 
 test('a link that is lost after the statement was handed over: it may have run', async () => {
   await start(2);
-  instance.hold = 'WRITE';
+  instance.heldText = 'WRITE';
   const connection = await lease();
   const exchange = ask(connection, 'WRITE k v');
-  await instance.hears('WRITE k v');
+  await instance.waitForStatement('WRITE k v');
   await owner(0).transport.close();
   assert.is((await lossOf(exchange)).fault, 'owner');
   assert.ok(borrower.health.isAvoided('owner-0'));
@@ -221,15 +221,15 @@
   const next = await lease();
   await answerTo(next, 'READ a');
   borrower.pool.release(next);
-  assert.is((await instance.hears('READ a')).connection, 2);
+  assert.is((await instance.waitForStatement('READ a')).connection, 2);
 });
 
 test('an answer that comes after its lease was given up reaches nobody', async () => {
   await start(1);
-  instance.hold = 'READ late';
+  instance.heldText = 'READ late';
   const first = await lease();
   const exchange = ask(first, 'READ late');
-  await instance.hears('READ late');
+  await instance.waitForStatement('READ late');
   first.close();
   assert.is((await lossOf(exchange)).fault, 'instance');
   const second = await lease();
@@ -257,17 +257,17 @@
   await answerTo(next, 'READ a');
   borrower.pool.release(next);
   assert.equal(
-    instance.heard.map(({ text }) => text),
+    instance.received.map(({ text }) => text),
     ['READ a'],
   );
 });
 
 test('an instance that ends its connection is told apart from an owner that is lost', async () => {
   await start(1);
-  instance.hold = 'WRITE';
+  instance.heldText = 'WRITE';
   const connection = await lease();
   const exchange = ask(connection, 'WRITE k v');
-  await instance.hears('WRITE k v');
+  await instance.waitForStatement('WRITE k v');
   owner(0).pool.destroy();
   assert.is((await lossOf(exchange)).fault, 'instance');
   assert.not(borrower.health.isAvoided('owner-0'));
@@ -318,7 +318,7 @@
   const refused = await answerTo(fresh, 'WRITE k v');
   assert.is(refused.error?.code, 'busy');
   assert.is((await answerTo(inside, 'COMMIT')).error, undefined);
-  assert.not(instance.heard.some(({ text }) => text === 'WRITE k v'));
+  assert.not(instance.received.some(({ text }) => text === 'WRITE k v'));
 });
 
 test('messages that are refused together end no connection before all of them are told', async () => {
@@ -359,7 +359,7 @@
   const asked = Array.from({ length: 20 }, () => borrower.pool.lender?.position(2000));
   const answers = await Promise.all(asked);
   for (const position of answers) assert.equal(position, { timeline: 1, lsn: 2n });
-  assert.is(instance.heard.length, 1);
+  assert.is(instance.received.length, 1);
 });
 
 interface ReadOptions {
@@ -389,7 +389,7 @@
   (await read('EXECUTE shared l', { values, prepared: PREPARED }))._unsafeUnwrap();
   (await read('READ m'))._unsafeUnwrap();
   assert.equal(
-    instance.heard.map(({ connection, text }) => `${connection}: ${text}`),
+    instance.received.map(({ connection, text }) => `${connection}: ${text}`),
     [
       ...['1: SET zone a', '1: PREPARE shared READ q1', '1: EXECUTE shared k'],
       ...['1: EXECUTE shared l', '1: RESET', '1: READ m'],
@@ -399,12 +399,12 @@
 
 test('names that an instance does not know are prepared again', async () => {
   await start(1);
-  instance.fail = { text: 'EXECUTE', code: 'UNPREPARED' };
+  instance.failing = { text: 'EXECUTE', code: 'UNPREPARED' };
   const first = (await read('EXECUTE shared k', { prepared: PREPARED }))._unsafeUnwrap();
   assert.is(first.error?.code, 'unprepared');
-  instance.fail = undefined;
+  instance.failing = undefined;
   (await read('EXECUTE shared k', { prepared: PREPARED }))._unsafeUnwrap();
-  assert.is(instance.heard.filter(({ text }) => text.startsWith('PREPARE')).length, 2);
+  assert.is(instance.received.filter(({ text }) => text.startsWith('PREPARE')).length, 2);
 });
 
 test('an owner that is silent about a read is passed over', async () => {
@@ -435,7 +435,7 @@
   for (const connection of held) pool.release(connection);
   (await next)._unsafeUnwrap();
   assert.equal(
-    instance.heard.map(({ text }) => text),
+    instance.received.map(({ text }) => text),
     ['READ next'],
   );
 });
@@ -458,11 +458,11 @@
 
 test('an instance that does not answer a read loses the connection, and its owner is not blamed', async () => {
   await start(1);
-  instance.hold = 'READ';
+  instance.heldText = 'READ';
   assert.instance((await read('READ k'))._unsafeUnwrapErr(), InstanceConnectionLostError);
   await until('the connection ended', () => instance.ended.length === 1);
   assert.not(borrower.health.isAvoided('owner-0'));
-  instance.hold = undefined;
+  instance.heldText = undefined;
   (await read('READ l'))._unsafeUnwrap();
 });
 
--- a/test/unit/direct/sent-ahead-at-stop.test.ts
+++ b/test/unit/direct/sent-ahead-at-stop.test.ts
@@ -4,7 +4,7 @@
 import * as assert from 'uvu/assert';
 import { lineWire } from '../../../platform/line-wire.js';
 import { CallerSession } from '../../../src/direct/caller-session.js';
-import { runnerWith, sessionDependencies } from '../../support/caller-session-fixture.js';
+import { createRunner, createSessionDependencies } from '../../support/caller-session-fixture.js';
 
 /**
  * BEGIN, WRITE and COMMIT, sent in one piece, arrive after the stop notice was sent. The notice refuses BEGIN. If the
@@ -14,8 +14,8 @@
   const ran: string[] = [];
   const lines: string[] = [];
   const session = new CallerSession({
-    ...sessionDependencies(),
-    runner: runnerWith('COMPLETE sig\r\n', ran),
+    ...createSessionDependencies(),
+    runner: createRunner('COMPLETE sig\r\n', ran),
     write: (text) => lines.push(...text.split('\r\n').filter((line) => line !== '')),
     end: () => {},
   });
--- a/test/unit/line-client.test.ts
+++ b/test/unit/line-client.test.ts
@@ -17,7 +17,7 @@
   server = createServer({ pauseOnConnect: !reads });
   const port = await listen(server, HOST, 0);
   const accepted = once(server, 'connection');
-  const client = await LineClient.connect(HOST, port, { looksWhetherTaken: true });
+  const client = await LineClient.connect(HOST, port, { detectsUnreadRequests: true });
   const [socket] = (await accepted) as [Socket];
   socket.on('error', () => undefined);
   const answer = client.query('s1', 'READ k').catch((error: unknown) => error);
@@ -40,7 +40,7 @@
 test('after the end nothing is sent, and nothing is owed', async () => {
   server = createServer((socket) => socket.end());
   const port = await listen(server, HOST, 0);
-  const client = await LineClient.connect(HOST, port, { looksWhetherTaken: true });
+  const client = await LineClient.connect(HOST, port, { detectsUnreadRequests: true });
   await client.closed;
   const error = await client.query('s1', 'READ k').catch((reason: unknown) => reason);
   assert.instance(error, LineConnectionLost);
--- a/test/unit/platform/promotion-caller.test.ts
+++ b/test/unit/platform/promotion-caller.test.ts
@@ -1,7 +1,7 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { HttpPromotionCaller } from '../../../platform/promotion-caller.js';
-import { type ScriptedAnswer, startScriptedServer } from '../../support/scripted-http-server.js';
+import { type ScriptedResponse, startScriptedServer } from '../../support/scripted-http-server.js';
 
 /** Timeout where no response comes. */
 const SHORT_TIMEOUT_MS = 60;
@@ -9,7 +9,7 @@
 const LONG_TIMEOUT_MS = 30_000;
 
 test('the call names holder and fencing token, and its answers are told apart', async () => {
-  const cases: [ScriptedAnswer, string][] = [
+  const cases: [ScriptedResponse, string][] = [
     [{ status: 200 }, 'accepted'],
     [{ status: 409 }, 'refused'],
     [{ status: 429 }, 'busy'],
--- a/test/unit/platform/store-calls.test.ts
+++ b/test/unit/platform/store-calls.test.ts
@@ -16,8 +16,8 @@
 } from '../../../src/core/promotion/records.js';
 import { StoreCallTally } from '../../../src/observability/store-call-tally.js';
 import {
-  type ScriptedAnswer,
   type ScriptedRequest,
+  type ScriptedResponse,
   startScriptedServer,
 } from '../../support/scripted-http-server.js';
 
@@ -25,7 +25,7 @@
 
 /** The counts after a run against a store with scripted responses. */
 async function tallied(
-  answer: (request: ScriptedRequest) => ScriptedAnswer,
+  answer: (request: ScriptedRequest) => ScriptedResponse,
   run: (store: KeyValueStore) => Promise<unknown>,
 ): Promise<Readonly<Record<string, number>>> {
   const server = await startScriptedServer(answer);
--- a/test/unit/platform/store-era.test.ts
+++ b/test/unit/platform/store-era.test.ts
@@ -5,7 +5,7 @@
 import { type EraObservation, StoreEra } from '../../../src/core/directory/store-era.js';
 import { MAX_REVISION, toStorePosition } from '../../../src/core/directory/store-position.js';
 import {
-  type ScriptedAnswer,
+  type ScriptedResponse,
   type ScriptedServer,
   startScriptedServer,
   storeItem,
@@ -15,15 +15,15 @@
 const PUT = [{ type: 'put', key: 'my/a', value: 'x' }] as const;
 
 /** A response of the store in this era; undefined for a store that reports none. */
-function inEra(era: string | undefined, json: unknown, status = 200): ScriptedAnswer {
+function inEra(era: string | undefined, json: unknown, status = 200): ScriptedResponse {
   return { status, json, headers: era === undefined ? {} : { 'Store-Era': era } };
 }
 
-const range = (era: string | undefined, revision: number): ScriptedAnswer =>
+const range = (era: string | undefined, revision: number): ScriptedResponse =>
   inEra(era, { items: [storeItem('my/a', 'a', revision)], has_more: false, at_revision: revision });
 
 async function withStore(
-  answers: readonly ScriptedAnswer[],
+  answers: readonly ScriptedResponse[],
   run: (store: KeyValueStore, server: ScriptedServer, told: EraObservation[]) => Promise<void>,
 ): Promise<void> {
   const server = await startScriptedServer((_request, earlier) => answers[earlier] ?? 'silent');
--- a/test/unit/platform/store.test.ts
+++ b/test/unit/platform/store.test.ts
@@ -4,8 +4,8 @@
 import type { WatchEvent } from '../../../src/platform/contract.js';
 import type { StoreFailure } from '../../../src/platform/errors.js';
 import {
-  type ScriptedAnswer,
   type ScriptedRequest,
+  type ScriptedResponse,
   type ScriptedServer,
   startScriptedServer,
   storeItem,
@@ -19,7 +19,7 @@
 
 /** Runs a test against a store with scripted responses. */
 async function withStore(
-  answer: (request: ScriptedRequest, earlier: number) => ScriptedAnswer,
+  answer: (request: ScriptedRequest, earlier: number) => ScriptedResponse,
   run: (store: KeyValueStore, server: ScriptedServer) => Promise<void>,
   timeoutMs = LONG_TIMEOUT_MS,
 ): Promise<void> {
@@ -60,7 +60,7 @@
   });
 }
 
-function timeoutFor(answer: ScriptedAnswer): number {
+function timeoutFor(answer: ScriptedResponse): number {
   return answer === 'silent' ? SHORT_TIMEOUT_MS : LONG_TIMEOUT_MS;
 }
 
@@ -71,7 +71,7 @@
 const PUT = [{ type: 'put', key: 'my/leader', value: 'node-1', leaseId: '77120' }] as const;
 
 test('a range reads all pages and tells the lowest revision of them', async () => {
-  const answer = ({ query }: ScriptedRequest): ScriptedAnswer => {
+  const answer = ({ query }: ScriptedRequest): ScriptedResponse => {
     const first = query.get('after') === null;
     const items = first ? [storeItem('my/a', 'ä', 3)] : [storeItem('my/b&c', '', 9)];
     return { status: 200, json: { items, has_more: first, at_revision: first ? 7 : 11 } };
@@ -133,7 +133,7 @@
 });
 
 test('what a call that changes something may have done is told apart', async () => {
-  const cases: [ScriptedAnswer, string, boolean][] = [
+  const cases: [ScriptedResponse, string, boolean][] = [
     ['silent', 'MS-STORE-ANSWER-LOST', true],
     ['cut', 'MS-STORE-ANSWER-LOST', true],
     [{ status: 500 }, 'MS-STORE-ANSWER-LOST', true],
@@ -200,7 +200,7 @@
 });
 
 test('one key is read, or told to be absent', async () => {
-  const answer = ({ query }: ScriptedRequest): ScriptedAnswer =>
+  const answer = ({ query }: ScriptedRequest): ScriptedResponse =>
     query.get('private_key') === 'my/a'
       ? { status: 200, json: { ...storeItem('my/a', 'x', 3), at_revision: 9 } }
       : { status: 404 };
@@ -211,7 +211,7 @@
 });
 
 test('leases are granted in milliseconds, renewed and ended', async () => {
-  const answer = ({ path }: ScriptedRequest): ScriptedAnswer => {
+  const answer = ({ path }: ScriptedRequest): ScriptedResponse => {
     if (path === '/v1/kv-lease') return { status: 200, json: { lease_id: 77120, ttl_ms: 3000 } };
     if (path === '/v1/kv-keep/77120') return { status: 200, json: { ttl_ms: 2500 } };
     return path === '/v1/kv-lease-end/77120' ? { status: 200 } : { status: 404 };
@@ -234,7 +234,7 @@
     { events: [], at_revision: 12 },
     { events: [storeItem('my/b', 'b', 13)], at_revision: 13 },
   ];
-  const answer = (_request: ScriptedRequest, earlier: number): ScriptedAnswer => {
+  const answer = (_request: ScriptedRequest, earlier: number): ScriptedResponse => {
     return { status: 200, json: answers[earlier] };
   };
   await withStore(answer, async (store, server) => {
@@ -253,7 +253,7 @@
 });
 
 test('the end of a watch tells why', async () => {
-  const cases: [ScriptedAnswer, string, boolean][] = [
+  const cases: [ScriptedResponse, string, boolean][] = [
     [{ status: 410 }, 'MS-STORE-COMPACTED', true],
     ['silent', 'MS-STORE-WATCH-ENDED', false],
     ['cut', 'MS-STORE-WATCH-ENDED', false],
--- a/test/unit/promotion-connections.test.ts
+++ b/test/unit/promotion-connections.test.ts
@@ -11,7 +11,7 @@
   primaryKeyOf,
 } from '../../src/core/promotion/records.js';
 import type { InstanceEntry } from '../../src/direct/contract.js';
-import { feed } from '../support/promotion-feed.js';
+import { handleEvents } from '../support/promotion-feed.js';
 
 const SERVICE = 'orders';
 const REVISION = 10;
@@ -59,7 +59,7 @@
     { type: 'services-changed', services },
     { type: 'start' },
   ] as const;
-  return feed(machine, events, 0, answerTo);
+  return handleEvents(machine, events, 0, answerTo);
 }
 
 test('a node that connects to the old primary demotes it before it acknowledges', () => {
--- a/test/unit/promotion-gap.test.ts
+++ b/test/unit/promotion-gap.test.ts
@@ -19,19 +19,19 @@
 /** Cuts the first group's primary off from every node: it answers nothing, and refuses nothing. */
 function darken(simulation: PromotionSimulation): void {
   const { group, network, nodes } = simulation;
-  for (const { name } of nodes) network.cut(name, group.leader.id, LONGEST_MS);
+  for (const { name } of nodes) network.cut(name, group.primary.id, LONGEST_MS);
 }
 
 /** Virtual time until most nodes know the next primary. */
 function gapMs(simulation: PromotionSimulation): number {
   const { group, nodes, clock } = simulation;
-  const old = group.leader;
+  const old = group.primary;
   const begunAt = clock.now;
   const isOver = (): boolean => {
     const knowing = nodes.filter(({ machine, now }) => {
-      return machine?.primaryOf(group.service, now)?.id === group.leader.id;
+      return machine?.primaryOf(group.service, now)?.id === group.primary.id;
     });
-    return group.leader !== old && knowing.length > nodes.length / 2;
+    return group.primary !== old && knowing.length > nodes.length / 2;
   };
   while (!isOver() && clock.now - begunAt < LONGEST_MS) simulation.run(STEP_MS);
   assert.equal(simulation.violations, []);
@@ -66,7 +66,7 @@
 
 test('nodes notice soon that the store is back', () => {
   const gap = medianGapMs((simulation) => {
-    simulation.store.goDown(5000, true);
+    simulation.store.startOutage(5000, true);
     simulation.run(4800);
     darken(simulation);
     simulation.run(200);
@@ -86,7 +86,7 @@
 
 test('the leader knows that its change is finished', () => {
   const simulation = settled(1);
-  simulation.group.crash(simulation.group.leader);
+  simulation.group.crash(simulation.group.primary);
   simulation.run(2000);
   const lines = simulation.nodes.flatMap(({ log }) => log);
   assert.is(lines.filter((line) => line.includes('primary changed')).length, 1);
--- a/test/unit/promotion-start.test.ts
+++ b/test/unit/promotion-start.test.ts
@@ -10,7 +10,7 @@
 import { DEFAULT_PROMOTION_TIMINGS } from '../../src/core/promotion/options.js';
 import { type PrimaryRecord, primaryKeyOf } from '../../src/core/promotion/records.js';
 import type { InstanceEntry } from '../../src/direct/contract.js';
-import { feed } from '../support/promotion-feed.js';
+import { handleEvents } from '../support/promotion-feed.js';
 
 const SERVICE = 'orders';
 const REVISION = 10;
@@ -54,7 +54,7 @@
   const respondTo = ({ type }: PromotionRequest): RequestAnswer | undefined =>
     answered.some((one) => one === type) ? ANSWERS[type as AnsweredRequest] : undefined;
   const handle = (events: readonly PromotionEvent[], now: number): void => {
-    requested.push(...feed(machine, events, now, respondTo).map(({ type }) => type));
+    requested.push(...handleEvents(machine, events, now, respondTo).map(({ type }) => type));
   };
   const services = [{ name: SERVICE, maxConnections: 34, syncReplicas: 1 }];
   const start = [
--- a/test/unit/store-return.test.ts
+++ b/test/unit/store-return.test.ts
@@ -9,7 +9,7 @@
 import { PrefixReader } from '../../src/direct/prefix-reader.js';
 import type { Store } from '../../src/platform/contract.js';
 import { StoreUnavailableError } from '../../src/platform/errors.js';
-import { feed } from '../support/promotion-feed.js';
+import { handleEvents } from '../support/promotion-feed.js';
 
 test('the first answer after an absence is told once, also the first of all', () => {
   const seen = new StoreOutageDetector();
@@ -38,7 +38,7 @@
     ...{ type: 'store-failed', isLeaseGone: false, retryAfterMs: undefined },
   });
   const ask = (event: PromotionEvent, at: number): string[] =>
-    feed(machine, [event], at, refuse).map(({ type }) => type);
+    handleEvents(machine, [event], at, refuse).map(({ type }) => type);
   const { unregisteredReadDelayMs } = DEFAULT_PROMOTION_TIMINGS;
   ask({ type: 'start' }, 0);
   ask({ type: 'tick' }, unregisteredReadDelayMs);
