--- a/test/property/acknowledged-position.test.ts
+++ b/test/property/acknowledged-position.test.ts
@@ -1,4 +1,4 @@
-/** The position computed from the members' responses covers every acknowledged commit, whichever members are silent. */
+/** The position proven by the members' responses covers every acknowledged commit, whichever members are unresponsive. */
 import fc from 'fast-check';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -32,7 +32,7 @@
 class Group {
   readonly members: readonly Member[];
   acknowledged = ZERO_POSITION;
-  #leader = 0;
+  #primary = 0;
   #term = 1;
   #commits = 0n;
 
@@ -45,22 +45,22 @@
     }));
   }
 
-  get leader(): Member {
-    return this.#member(this.#leader);
+  get primary(): Member {
+    return this.#member(this.#primary);
   }
 
   play(step: Step): void {
     if (step.type === 'commit') this.#commit(step.receivers);
-    else if (step.type === 'catch-up') this.#member(step.member).received = this.leader.received;
+    else if (step.type === 'catch-up') this.#member(step.member).received = this.primary.received;
     else this.#promote(step.member);
   }
 
   #commit(receivers: readonly number[]): void {
     this.#commits += 1n;
     const position = { timeline: this.#term, lsn: this.#commits };
-    this.leader.received = position;
+    this.primary.received = position;
     const replicas = new Set(receivers.map((index) => this.#member(index)));
-    replicas.delete(this.leader);
+    replicas.delete(this.primary);
     for (const replica of replicas) replica.received = position;
     if (replicas.size >= this.syncReplicas) this.acknowledged = position;
   }
@@ -69,7 +69,7 @@
   #promote(index: number): void {
     const chosen = this.#member(index);
     if (comparePositions(chosen.received, this.acknowledged) < 0) return;
-    this.#leader = index % this.members.length;
+    this.#primary = index % this.members.length;
     this.#term += 1;
     for (const member of this.members) {
       if (comparePositions(member.received, chosen.received) > 0) member.received = chosen.received;
@@ -83,11 +83,11 @@
   }
 }
 
-function answersOf({ members, leader }: Group, silent: ReadonlySet<string>) {
+function responsesOf({ members, primary }: Group, silent: ReadonlySet<string>) {
   return new Map(
     members.map((member): [string, MemberResponse] => {
       if (silent.has(member.id)) return [member.id, 'none'];
-      const role = member === leader ? 'primary' : 'replica';
+      const role = member === primary ? 'primary' : 'replica';
       const rest = { heldTerm: 0, lagMs: 0, busySlots: 0, connections: 0 };
       return [
         member.id,
@@ -97,7 +97,7 @@
   );
 }
 
-test('no acknowledged commit is beyond the position that the replicas prove', () => {
+test('no acknowledged commit is beyond the position that the responses prove', () => {
   let proven = 0;
   fc.assert(
     fc.property(
@@ -110,7 +110,7 @@
         const group = new Group(size, syncReplicas);
         for (const one of steps) group.play(one);
         const silent = new Set(away.map((index) => `i-${index % size}`));
-        const position = acknowledgedPosition(answersOf(group, silent), syncReplicas);
+        const position = acknowledgedPosition(responsesOf(group, silent), syncReplicas);
         if (position === undefined) return;
         proven += 1;
         assert.ok(comparePositions(position, group.acknowledged) >= 0);
@@ -121,12 +121,12 @@
   assert.ok(proven > 500, `proven in ${proven} of 2000`);
 });
 
-test('a commit that only its primary and a replica just joined have is seen by the position of the primary', () => {
+test('the position of the primary covers a commit that only it and a new, unknown replica have', () => {
   const status = (role: 'primary' | 'replica', lsn: bigint): MemberResponse => ({
     ...{ role, term: 4, received: { timeline: 4, lsn } },
     ...{ heldTerm: 0, lagMs: 0, busySlots: 0, connections: 0 },
   });
-  // The replica that has joined is not known yet, so it isn't queried; the other replica lags.
+  // The new replica is not known yet, so it isn't queried; the other replica lags.
   const answers = new Map([
     ['primary', status('primary', 9n)],
     ['lagging', status('replica', 5n)],
@@ -134,10 +134,10 @@
   assert.equal(acknowledgedPosition(answers, 1), { timeline: 4, lsn: 9n });
 });
 
-test('one more member silent than commits are sure to stand on besides the primary proves nothing', () => {
+test('nothing is proven if as many members are unresponsive as replicas receive each commit', () => {
   const group = new Group(3, 1);
   group.play({ type: 'commit', receivers: [1] });
-  const answers = answersOf(group, new Set(['i-1']));
+  const answers = responsesOf(group, new Set(['i-1']));
   assert.is(acknowledgedPosition(answers, 1), undefined);
 });
 
--- a/test/property/admission.test.ts
+++ b/test/property/admission.test.ts
@@ -1,4 +1,4 @@
-/** Admission at one instance that is short of slots: order, concurrency limit and admission level, in virtual time. */
+/** Admission at an overloaded instance, in virtual time: queue order, concurrency limit and admission level. */
 import fc from 'fast-check';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -33,7 +33,7 @@
 const STEP_AT_MS = 3000;
 const SETTLED_MS = 1000;
 const SECONDS = 10;
-/** One node; a small fleet whose nodes have their own connections; the three owners in a fleet of 91 nodes. */
+/** One node; a small cluster whose nodes have their own connections; the three owners in a cluster of 91 nodes. */
 const FLEETS = [
   { nodes: 1, connections: 45 },
   { nodes: 12, connections: 5 },
@@ -50,13 +50,13 @@
   });
 }
 
-function inAim({ kinds }: FleetReport, priority: number): number {
+function fractionWithinTarget({ kinds }: FleetReport, priority: number): number {
   const count = kinds[priority] as KindCount;
   return count.withinTarget / count.arrived;
 }
 
 /** Goodput of each whole second after the admission level has settled. */
-function secondsOf({ goodput }: FleetReport): number[] {
+function goodputBySecond({ goodput }: FleetReport): number[] {
   const sums: number[] = [];
   for (let at = (STEP_AT_MS + SETTLED_MS) / 100; at + 10 <= goodput.length; at += 10) {
     sums.push(goodput.slice(at, at + 10).reduce((sum, part) => sum + part, 0) / 10);
@@ -65,25 +65,31 @@
 }
 
 for (const fleet of FLEETS) {
-  test(`${fleet.nodes} nodes before an instance: what it can do is used, the highest priority first`, () => {
+  test(`${fleet.nodes} nodes at an instance: its capacity is used, the highest priority first`, () => {
     for (const seed of SEEDS) {
-      const peak = Math.max(...secondsOf(play(1, seed, fleet)));
+      const peak = Math.max(...goodputBySecond(play(1, seed, fleet)));
       for (const load of [2, 4]) {
         const report = play(load, seed, fleet);
-        const told = `seed ${seed}, load ${load}: ${JSON.stringify(report.kinds)}`;
-        const seconds = secondsOf(report);
+        const context = `seed ${seed}, load ${load}: ${JSON.stringify(report.kinds)}`;
+        const seconds = goodputBySecond(report);
         const mean = seconds.reduce((sum, part) => sum + part, 0) / seconds.length;
-        assert.ok(mean >= 0.95 * peak, `goodput ${mean} of ${peak}, ${told}`);
-        assert.ok(Math.min(...seconds) >= 0.9 * peak, `${seconds}, ${told}`);
-        assert.ok(inAim(report, 0) >= 0.99, `${inAim(report, 0)} in aim, ${told}`);
-        assert.ok(report.longestUntriedWait <= 0.5 + 0.01, told);
-        assert.ok(inAim(report, 0) >= inAim(report, 1) && inAim(report, 1) >= inAim(report, 2));
+        assert.ok(mean >= 0.95 * peak, `goodput ${mean} of ${peak}, ${context}`);
+        assert.ok(Math.min(...seconds) >= 0.9 * peak, `${seconds}, ${context}`);
+        assert.ok(
+          fractionWithinTarget(report, 0) >= 0.99,
+          `${fractionWithinTarget(report, 0)} in aim, ${context}`,
+        );
+        assert.ok(report.longestUntriedWait <= 0.5 + 0.01, context);
+        assert.ok(
+          fractionWithinTarget(report, 0) >= fractionWithinTarget(report, 1) &&
+            fractionWithinTarget(report, 1) >= fractionWithinTarget(report, 2),
+        );
       }
     }
   });
 }
 
-test('without scarcity all is served as without admission', () => {
+test('below capacity, requests are served as without admission rules', () => {
   for (const fleet of FLEETS) {
     for (const load of [0.3, 0.5]) {
       const [off, on] = [undefined, RULES].map((rules) => play(load, 7, { ...fleet, rules }));
@@ -93,20 +99,20 @@
   }
 });
 
-test('without rules the highest priority is refused like the others: what the parts are for', () => {
+test('without rules, the highest priority is refused like the others', () => {
   const report = play(4, 7, { nodes: 12, connections: 5, rules: undefined });
-  assert.ok(inAim(report, 0) < 0.5);
+  assert.ok(fractionWithinTarget(report, 0) < 0.5);
 });
 
-test('nodes that see only low priorities leave room to those that see only the highest', () => {
+test('nodes with only low priorities leave capacity to nodes with only the highest', () => {
   const receives: FleetOptions['receives'] = (node, { priority }) => (priority === 0) === node < 4;
   for (const seed of SEEDS) {
     const report = play(2, seed, { nodes: 12, connections: 5, receives });
-    assert.ok(inAim(report, 0) >= 0.95, JSON.stringify(report.kinds));
+    assert.ok(fractionWithinTarget(report, 0) >= 0.95, JSON.stringify(report.kinds));
   }
 });
 
-test('where all routes have the same priority, nothing competes', () => {
+test('without different priorities there are no admission rules', () => {
   assert.is(admissionRules([]), undefined);
   const route = { priority: 1, targetLatencyMs: 100 };
   assert.is(admissionRules([route, { ...route, targetLatencyMs: 50 }]), undefined);
@@ -131,7 +137,7 @@
   responseMs: fc.constant(() => 25),
 });
 
-test('the order is one: of any two at most one starts first, and a chain of three holds', () => {
+test('the queue order is antisymmetric and transitive', () => {
   fc.assert(
     fc.property(work, work, work, view, (one, two, three, at) => {
       assert.not(startsBefore(one, two, at) && startsBefore(two, one, at));
@@ -144,7 +150,7 @@
   );
 });
 
-test('what waits longest is started after so many others, whatever its priority', () => {
+test('the oldest request starts after a bounded number of others, whatever its priority', () => {
   fc.assert(
     fc.property(fc.integer({ min: 1, max: 3 }), view, (priority, at) => {
       const oldest: WaitingWork = {
@@ -154,21 +160,21 @@
         queuedAt: 0,
         latencyTargetAt: 5000,
       };
-      const first: WaitingWork = {
+      const competing: WaitingWork = {
         ...oldest,
         priority: 0,
         queuedAt: 1,
         latencyTargetAt: at.now + 500,
       };
-      const passed = new StarvationGuard();
+      const guard = new StarvationGuard();
       const chosen = Array.from({ length: STARTS_PER_OLDEST }, () =>
-        passed.choose(first, oldest, at),
+        guard.choose(competing, oldest, at),
       );
       assert.is(chosen.filter((one) => one === oldest).length, 1);
-      // Starting the oldest first would make this one late.
-      const urgent = { ...first, latencyTargetAt: at.now + 40 };
+      // Starting the oldest first would make this request miss its latency target.
+      const urgent = { ...competing, latencyTargetAt: at.now + 40 };
       for (let count = 0; count < STARTS_PER_OLDEST; count += 1) {
-        assert.is(passed.choose(urgent, oldest, at), urgent);
+        assert.is(guard.choose(urgent, oldest, at), urgent);
       }
     }),
     SETTINGS,
@@ -184,52 +190,52 @@
 };
 
 /** Records responses with these durations at the limiter, 200 ms apart. */
-function heard(
-  room: ConcurrencyLimiter,
+function recordResponses(
+  limiter: ConcurrencyLimiter,
   from: number,
-  answers: readonly number[],
+  durations: readonly number[],
 ): ConcurrencyLimiter {
-  for (const [index, tookMs] of answers.entries()) {
+  for (const [index, tookMs] of durations.entries()) {
     const outcome = { priority: 1, tookMs, inFlight: 5 };
-    room.recordResponse(outcome, OPTIONS, from + index * 200);
+    limiter.recordResponse(outcome, OPTIONS, from + index * 200);
   }
-  return room;
+  return limiter;
 }
 
-test('the level never shuts out the highest priority, and is gone after as many calm answers', () => {
+test('the level always admits the highest priority, and is lifted after enough fast responses', () => {
   const took = fc.array(fc.integer({ min: 1, max: 2000 }), { minLength: 30, maxLength: 100 });
   fc.assert(
-    fc.property(took, fc.double({ min: 0, max: 0.999, noNaN: true }), (answers, spread) => {
-      const room = heard(new ConcurrencyLimiter(), 0, answers);
-      assert.ok(room.admits(0, spread));
-      heard(room, 100_000, new Array<number>(120).fill(1));
-      assert.ok(room.admits(2, spread));
-      assert.not(room.isLimited);
+    fc.property(took, fc.double({ min: 0, max: 0.999, noNaN: true }), (durations, spread) => {
+      const limiter = recordResponses(new ConcurrencyLimiter(), 0, durations);
+      assert.ok(limiter.admits(0, spread));
+      recordResponses(limiter, 100_000, new Array<number>(120).fill(1));
+      assert.ok(limiter.admits(2, spread));
+      assert.not(limiter.isLimited);
     }),
     SETTINGS,
   );
 });
 
-test('a node without answers goes by what the fleet sees, and without that its level passes', () => {
-  let told: number | undefined;
-  const room = new ConcurrencyLimiter(() => told);
-  heard(room, 0, [20, 20, 20, 20, ...new Array<number>(20).fill(900)]);
-  assert.not(room.admits(2, 0.9), 'short by its own answers');
-  told = 10;
-  for (let now = 10_000; now < 40_000; now += 50) room.adjust(OPTIONS, 0, now);
-  assert.ok(room.admits(2, 0.9), 'the others see no delay');
-  told = 500;
-  for (let now = 50_000; now < 60_000; now += 50) room.adjust(OPTIONS, 0, now);
-  assert.not(room.admits(2, 0.9), 'the others see delay');
-  told = undefined;
-  for (let now = 60_000; now < 80_000; now += 50) room.adjust(OPTIONS, 0, now);
-  assert.ok(room.admits(2, 0.9), 'nobody tells anything any more');
+test('a node without responses uses the delay that the cluster reports; without that, its level expires', () => {
+  let fleetDelayMs: number | undefined;
+  const limiter = new ConcurrencyLimiter(() => fleetDelayMs);
+  recordResponses(limiter, 0, [20, 20, 20, 20, ...new Array<number>(20).fill(900)]);
+  assert.not(limiter.admits(2, 0.9), 'limited by its own responses');
+  fleetDelayMs = 10;
+  for (let now = 10_000; now < 40_000; now += 50) limiter.adjust(OPTIONS, 0, now);
+  assert.ok(limiter.admits(2, 0.9), 'the others see no delay');
+  fleetDelayMs = 500;
+  for (let now = 50_000; now < 60_000; now += 50) limiter.adjust(OPTIONS, 0, now);
+  assert.not(limiter.admits(2, 0.9), 'the others see delay');
+  fleetDelayMs = undefined;
+  for (let now = 60_000; now < 80_000; now += 50) limiter.adjust(OPTIONS, 0, now);
+  assert.ok(limiter.admits(2, 0.9), 'no reports any more');
 });
 
-test('a new life of a node begins with all let in', () => {
-  const room = new ConcurrencyLimiter();
-  assert.equal(room.state, { concurrencyLimit: undefined, admissionLevel: undefined });
-  assert.ok(room.admits(2, 0.999));
+test('a new incarnation of a node admits all requests at first', () => {
+  const limiter = new ConcurrencyLimiter();
+  assert.equal(limiter.state, { concurrencyLimit: undefined, admissionLevel: undefined });
+  assert.ok(limiter.admits(2, 0.999));
 });
 
 test.run();
--- a/test/property/budget-lease.test.ts
+++ b/test/property/budget-lease.test.ts
@@ -1,4 +1,4 @@
-/** Leased shares of an instance's connections: their sum stays within the limit under any schedule of faults. */
+/** The leased shares of an instance's connections stay within the limit in sum under any schedule of faults. */
 import fc from 'fast-check';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -116,7 +116,7 @@
   assert.is(mostHeld, leasableConnections(LIMIT, startNetwork(0).options), 'the limit was reached');
 });
 
-test('shares are divided evenly among those who want them, and what is left is used', () => {
+test('shares are divided evenly by demand, and the remainder is used', () => {
   const network = startNetwork(SEED);
   const leasable = leasableConnections(LIMIT, network.options);
   network.run(20_000, () => undefined);
@@ -144,7 +144,7 @@
   assert.ok(second.granter.hasAuthority(second.clock(network.now)));
 });
 
-test('a paused holder finds its share gone, and the others get it', () => {
+test('the share of a paused holder expires, and the others get it', () => {
   const network = startNetwork(SEED);
   network.run(20_000, () => undefined);
   const [, paused] = network.nodes;
--- a/test/property/configuration-agent.test.ts
+++ b/test/property/configuration-agent.test.ts
@@ -15,11 +15,11 @@
 
 const SEED = 20_261_202;
 const ZONES = ['a', 'b', 'c'];
-const IN_FORCE_MS = 2000;
+const MAX_PROPAGATION_MS = 2000;
 /** Time after which the membership protocol considers a paused node dead. */
 const SUSPECTED_AFTER_MS = 2000;
 
-function grow(simulation: ConfigurationSimulation, count: number): void {
+function addNodes(simulation: ConfigurationSimulation, count: number): void {
   for (let index = 0; index < count; index += 1) {
     simulation.add(`n${index}`, ZONES[index % ZONES.length] ?? 'a');
   }
@@ -28,7 +28,7 @@
 function assertNeverReverted(nodes: readonly SimulatedNode[]): void {
   for (const { applied, member } of nodes) {
     const sorted = [...applied].sort((left, right) => left - right);
-    assert.equal(applied, sorted, `${member.nodeId} went back`);
+    assert.equal(applied, sorted, `${member.nodeId} reverted`);
   }
 }
 
@@ -56,7 +56,7 @@
   });
 }
 
-test('a replica never goes back under any order of deltas, and holds exactly one version', () => {
+test('a replica never reverts under any order of deltas, and always holds exactly one version', () => {
   const deltas = fc.array(fc.tuple(fc.nat(), fc.nat()), { maxLength: 30 });
   fc.assert(
     fc.property(
@@ -74,7 +74,7 @@
           assert.is(outcome === 'gap', since > before);
           const held = replica.changesSince(0).entries;
           const expected = history[replica.revision - 1] ?? [];
-          assert.equal(new Set(held), new Set(expected), 'a state that the store has had');
+          assert.equal(new Set(held), new Set(expected), 'a state of the store');
         }
       },
     ),
@@ -91,7 +91,7 @@
   return { sinceRevision, revision, entries };
 }
 
-test('digests are equal exactly when the held versions are', () => {
+test('digests are equal exactly if the versions are', () => {
   fc.assert(
     fc.property(
       fc.array(publishArbitrary, { minLength: 2, maxLength: 12 }),
@@ -133,7 +133,7 @@
   fc.integer({ min: 1, max: 20_000 }).map((ms) => ({ type: 'pass', ms }) as const),
 );
 
-function carryOut(simulation: ConfigurationSimulation, step: Step): void {
+function executeStep(simulation: ConfigurationSimulation, step: Step): void {
   switch (step.type) {
     case 'publish':
       if (!simulation.storeDown) simulation.publish(...step.names);
@@ -167,7 +167,7 @@
   if (node !== undefined) node.pausedUntil = simulation.now + ms;
 }
 
-test('no node goes back or serves without a configuration, and all converge once faults end', () => {
+test('no node reverts or serves without a configuration, and all converge after faults', () => {
   fc.assert(
     fc.property(
       fc.array(stepArbitrary, { maxLength: 25 }),
@@ -176,9 +176,9 @@
       (steps, count, seed) => {
         const simulation = new ConfigurationSimulation(seededRandom(seed));
         simulation.publish('t1');
-        grow(simulation, count);
+        addNodes(simulation, count);
         simulation.runUntil(5000);
-        for (const step of steps) carryOut(simulation, step);
+        for (const step of steps) executeStep(simulation, step);
         simulation.lossShare = 0;
         simulation.setStoreDown(false);
         simulation.runUntil(simulation.now + 60_000);
@@ -193,15 +193,15 @@
   );
 });
 
-test('a node restarted with the store down takes the highest revision before it is ready', () => {
+test('a node that restarts during a store outage gets the highest revision before it is ready', () => {
   fc.assert(
     fc.property(fc.integer(), fc.integer({ min: 0, max: 8 }), (seed, index) => {
       const simulation = new ConfigurationSimulation(seededRandom(seed));
       simulation.publish('t1');
-      grow(simulation, 9);
+      addNodes(simulation, 9);
       simulation.runUntil(30_000);
       simulation.publish('t2');
-      simulation.runUntil(simulation.now + IN_FORCE_MS);
+      simulation.runUntil(simulation.now + MAX_PROPAGATION_MS);
       simulation.setStoreDown(true);
       restart(simulation, index);
       simulation.runUntil(simulation.now + 10_000);
@@ -214,17 +214,17 @@
   );
 });
 
-test('a publish is in force everywhere within two seconds, also with lost pushes', () => {
+test('a publish is applied everywhere within two seconds, also if pushes are lost', () => {
   fc.assert(
     fc.property(fc.integer(), fc.constantFrom(0, 0.05), (seed, lossShare) => {
       const simulation = new ConfigurationSimulation(seededRandom(seed));
       simulation.publish('t1');
-      grow(simulation, 30);
+      addNodes(simulation, 30);
       simulation.runUntil(30_000);
       assert.is(simulation.live.filter(({ watching }) => watching !== undefined).length, 6);
       simulation.lossShare = lossShare;
       simulation.publish('t2');
-      simulation.runUntil(simulation.now + IN_FORCE_MS);
+      simulation.runUntil(simulation.now + MAX_PROPAGATION_MS);
       assertInForce(simulation);
     }),
     { seed: SEED, numRuns: 40 },
@@ -241,7 +241,7 @@
   }
 }
 
-test('publishes are in force in time while the store loses answers to nodes whose relays are known', () => {
+test('publishes are applied in time while the store loses responses to nodes whose relays are known', () => {
   fc.assert(
     fc.property(fc.integer(), fc.integer({ min: 2, max: 9 }), (seed, count) => {
       const simulation = new ConfigurationSimulation(seededRandom(seed));
@@ -256,7 +256,7 @@
   );
 });
 
-test('publishes are in force in time on all others while the relays of a zone are paused', () => {
+test('publishes are applied in time on all other nodes while the relays of a zone are paused', () => {
   fc.assert(
     fc.property(fc.integer(), fc.integer({ min: 4, max: 9 }), (seed, count) => {
       const simulation = new ConfigurationSimulation(seededRandom(seed));
@@ -276,10 +276,10 @@
   );
 });
 
-test('watches that fall silent are found by a look at the head key', () => {
+test('the head check detects watches that deliver no events', () => {
   const simulation = new ConfigurationSimulation(seededRandom(SEED));
   simulation.publish('t1');
-  grow(simulation, 9);
+  addNodes(simulation, 9);
   simulation.runUntil(30_000);
   simulation.watchesSilent = true;
   simulation.publish('t2');
@@ -295,10 +295,10 @@
   return counts.reduce((sum, count) => sum + count, 0);
 }
 
-test('requests to the store stay bounded while it is down and when it comes back', () => {
+test('requests to the store are bounded during an outage and after it', () => {
   const simulation = new ConfigurationSimulation(seededRandom(SEED));
   simulation.publish('t1');
-  grow(simulation, 60);
+  addNodes(simulation, 60);
   simulation.runUntil(60_000);
   simulation.setStoreDown(true);
   simulation.runUntil(120_000);
@@ -308,12 +308,15 @@
     (count, index) => count - (atOutage[index] ?? 0),
   );
   assert.ok(Math.max(...inOutage) <= 20, `${Math.max(...inOutage)} by one node in a minute`);
-  const asking = inOutage.filter((count) => count > 0).length;
-  assert.ok(asking <= 2 * ZONES.length, 'only relays ask the store');
+  const requesters = inOutage.filter((count) => count > 0).length;
+  assert.ok(requesters <= 2 * ZONES.length, 'only relays send requests to the store');
   const atRecovery = total(storeRequestsOf(simulation));
   simulation.setStoreDown(false);
   simulation.runUntil(181_000);
-  assert.ok(total(storeRequestsOf(simulation)) - atRecovery <= 2 * asking, 'no herd');
+  assert.ok(
+    total(storeRequestsOf(simulation)) - atRecovery <= 2 * requesters,
+    'no burst of requests',
+  );
   simulation.publish('t2');
   simulation.runUntil(200_000);
   assertInForce(simulation);
--- a/test/property/connection-sharing.test.ts
+++ b/test/property/connection-sharing.test.ts
@@ -43,7 +43,7 @@
   return spare === undefined ? [...owners] : [...owners, spare];
 }
 
-test('a fleet with a connection for each node connects directly, and a larger one has owners', () => {
+test('a cluster with a connection for each node connects directly, a larger one through owners', () => {
   fc.assert(
     fc.property(fleets, limits, (liveNodes, maxConnections) => {
       const decided = new SharingDecision().decide(DIRECT, { liveNodes, maxConnections }, 0);
@@ -53,7 +53,7 @@
   );
 });
 
-test('the deployments of 6 to 30 nodes connect directly', () => {
+test('clusters of 6 to 30 nodes connect directly', () => {
   for (const maxConnections of [32, 34]) {
     for (let liveNodes = 6; liveNodes <= 30; liveNodes += 1) {
       const decided = new SharingDecision().decide(DIRECT, { liveNodes, maxConnections }, 0);
@@ -62,7 +62,7 @@
   }
 });
 
-test('a fleet with owners becomes a direct one only after it was small all the time', () => {
+test('a cluster with owners connects directly only after it has been small for long enough', () => {
   const steps = fc.array(fc.tuple(fc.integer({ min: 1, max: 60 }), fc.nat(12_000)), {
     maxLength: 40,
   });
@@ -97,7 +97,7 @@
   assert.equal(decision.decide(DIRECT, fleet, 0), DIRECT);
 });
 
-test('the holders by two lists that differ by one node stay within the budget together', () => {
+test('the owners by two node lists that differ by one node stay within the limit together', () => {
   fc.assert(
     fc.property(nodeSets, instances, limits, fc.nat(), (set, instance, limit, lost) => {
       const owners = ownersPerInstance(set.length, limit);
@@ -113,15 +113,15 @@
   );
 });
 
-test('owners are in the zone of the instance while there are enough, and all nodes agree', () => {
+test('owners are in the zone of the instance if it has enough nodes, and all nodes agree', () => {
   fc.assert(
     fc.property(nodeSets, instances, fc.integer({ min: 2, max: 6 }), (set, instance, count) => {
       const nodes = set.map(nodeOf);
       const known = ownersOf(instance, nodes, count, hash);
       assert.equal(ownersOf(instance, [...nodes].reverse(), count, hash), known);
-      const near = nodes.filter(({ zone }) => zone === instance.zone).length;
-      const nearOwners = known.owners.filter(({ zone }) => zone === instance.zone).length;
-      assert.is(nearOwners, Math.min(count, near));
+      const inZone = nodes.filter(({ zone }) => zone === instance.zone).length;
+      const ownersInZone = known.owners.filter(({ zone }) => zone === instance.zone).length;
+      assert.is(ownersInZone, Math.min(count, inZone));
       assert.is(known.owners.length, Math.min(count, nodes.length));
       for (const node of nodes) {
         assert.is(mayConnect(known, node.nodeId), holders(known).includes(node));
@@ -134,14 +134,14 @@
   );
 });
 
-test('a node that is lost moves only what it held', () => {
+test('the loss of a node replaces only that node as owner', () => {
   fc.assert(
     fc.property(nodeSets, instances, fc.nat(), (set, instance, lost) => {
       const nodes = set.map(nodeOf);
       const gone = nodes[lost % nodes.length] as ReachableNode;
       const before = holders(ownersOf(instance, nodes, 3, hash));
-      const left = nodes.filter((node) => node !== gone);
-      const after = holders(ownersOf(instance, left, 3, hash));
+      const remaining = nodes.filter((node) => node !== gone);
+      const after = holders(ownersOf(instance, remaining, 3, hash));
       const kept = before.filter((node) => node !== gone);
       assert.equal(after.slice(0, kept.length), kept);
     }),
@@ -149,7 +149,7 @@
   );
 });
 
-test('the roster is bounded, spread over the zones, and keeps its members while they live', () => {
+test('the roster is bounded, spread over the zones, and keeps its live members', () => {
   fc.assert(
     fc.property(nodeSets, nodeSets, (first, second) => {
       const size = 30;
@@ -174,7 +174,7 @@
   );
 });
 
-test('a node that comes back at another address is listed there', () => {
+test('a node that restarts at another address is listed there', () => {
   const before = computeRoster([], [nodeOf(1), nodeOf(2)]);
   const moved = { ...nodeOf(1), host: '10.9.9.9' };
   assert.equal(computeRoster(before, [moved, nodeOf(2)]), [moved, nodeOf(2)]);
--- a/test/property/database-group.property.test.ts
+++ b/test/property/database-group.property.test.ts
@@ -26,7 +26,7 @@
   voteShowsTimeline: fc.boolean(),
 });
 
-test('mode received: no promise is broken under any schedule of faults', () => {
+test('mode received: no violation under any schedule of faults', () => {
   fc.assert(
     fc.property(plan, (chosen) => {
       const { history } = simulate(chosen);
--- a/test/property/directory-snapshot.test.ts
+++ b/test/property/directory-snapshot.test.ts
@@ -1,4 +1,4 @@
-/** Whatever the order of snapshots, the newest parts are applied, no version decreases, and malformed ones are rejected. */
+/** In any order of snapshots the newest parts are applied and no version decreases; malformed ones are rejected. */
 import fc from 'fast-check';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -22,7 +22,7 @@
 /** Records with the ordinary prototype, like those that the codec decodes. */
 const PLAIN = { noNullPrototype: true } as const;
 
-const mark = fc.integer({ min: 0, max: 6 });
+const version = fc.integer({ min: 0, max: 6 });
 const name = fc.constantFrom('a', 'b', 'c');
 const instance = fc.record(
   {
@@ -36,12 +36,12 @@
 );
 const instances = fc.array(instance, { maxLength: 3 });
 const absent = { nil: undefined };
-const configuration = fc.record({ version: mark, text: fc.string() }, PLAIN);
-const instancesPart = fc.record({ revision: mark, instances, departed: instances }, PLAIN);
+const configuration = fc.record({ version: version, text: fc.string() }, PLAIN);
+const instancesPart = fc.record({ revision: version, instances, departed: instances }, PLAIN);
 const primary = fc.record({ service: name, instanceId: name }, PLAIN);
 const primaries = fc.array(primary, { maxLength: 3 });
-const primariesPart = fc.record({ revision: mark, primaries }, PLAIN);
-const term = fc.record({ service: name, instanceId: name, term: mark }, PLAIN);
+const primariesPart = fc.record({ revision: version, primaries }, PLAIN);
+const term = fc.record({ service: name, instanceId: name, term: version }, PLAIN);
 const snapshot: fc.Arbitrary<InstanceSnapshot> = fc.record(
   {
     configuration: fc.option(configuration, absent),
@@ -52,19 +52,26 @@
   },
   PLAIN,
 );
-const marks = fc.record({ version: mark, instancesRevision: mark, primariesRevision: mark }, PLAIN);
+const versions = fc.record(
+  { version: version, instancesRevision: version, primariesRevision: version },
+  PLAIN,
+);
 
 /** Applies all snapshots in this order, and checks that no version ever decreases. */
-function takeAll(known: DirectoryVersions, offers: readonly InstanceSnapshot[]): DirectoryVersions {
+function applyAll(
+  known: DirectoryVersions,
+  offers: readonly InstanceSnapshot[],
+): DirectoryVersions {
   return offers.reduce((before, offer) => {
-    const taken = selectNewerParts(before, offer);
-    const after = versionsAfter(before, taken);
-    if (taken.configuration !== undefined) assert.ok(taken.configuration.version > before.version);
-    if (taken.instances !== undefined) {
-      assert.ok(taken.instances.revision > before.instancesRevision);
+    const applied = selectNewerParts(before, offer);
+    const after = versionsAfter(before, applied);
+    if (applied.configuration !== undefined)
+      assert.ok(applied.configuration.version > before.version);
+    if (applied.instances !== undefined) {
+      assert.ok(applied.instances.revision > before.instancesRevision);
     }
-    if (taken.primaries !== undefined) {
-      assert.ok(taken.primaries.revision > before.primariesRevision);
+    if (applied.primaries !== undefined) {
+      assert.ok(applied.primaries.revision > before.primariesRevision);
     }
     assert.ok(after.version >= before.version);
     assert.ok(after.instancesRevision >= before.instancesRevision);
@@ -73,9 +80,9 @@
   }, known);
 }
 
-test('the highest of each part wins in any order, and nothing goes back', () => {
+test('the highest version of each part wins in any order, and none decreases', () => {
   fc.assert(
-    fc.property(marks, fc.array(snapshot, { maxLength: 6 }), (known, offers) => {
+    fc.property(versions, fc.array(snapshot, { maxLength: 6 }), (known, offers) => {
       const highest = {
         version: Math.max(known.version, ...offers.map((one) => one.configuration?.version ?? 0)),
         instancesRevision: Math.max(
@@ -87,14 +94,14 @@
           ...offers.map((one) => one.primaries?.revision ?? 0),
         ),
       };
-      assert.equal(takeAll(known, offers), highest);
-      assert.equal(takeAll(known, [...offers].reverse()), highest);
+      assert.equal(applyAll(known, offers), highest);
+      assert.equal(applyAll(known, [...offers].reverse()), highest);
     }),
     SETTINGS,
   );
 });
 
-test('a snapshot is the same after the link', () => {
+test('a snapshot is unchanged by encoding and decoding', () => {
   fc.assert(
     fc.property(snapshot, (sent) => {
       const received = parseSnapshot(decodeValue(encodeValue(sent, MAX_BYTES)));
@@ -104,7 +111,7 @@
   );
 });
 
-test('what has not the form is refused as a whole, whatever it is', () => {
+test('a malformed snapshot is rejected as a whole, and parsing never throws', () => {
   const whole = {
     configuration: { version: 3, text: '{}' },
     instances: { revision: 4, instances: [], departed: [] },
@@ -140,7 +147,7 @@
   );
 });
 
-test('a question names a mark of each part and an address by number', () => {
+test('a request must have a version of each part and a numeric address', () => {
   const from = { host: '10.0.0.1', port: 8782 };
   assert.equal(parseSnapshotRequest({ known: NO_VERSIONS, from })._unsafeUnwrap(), {
     known: NO_VERSIONS,
@@ -152,7 +159,7 @@
   assert.ok(parseSnapshotRequest({ known: { ...NO_VERSIONS, version: '1' }, from }).isErr());
 });
 
-test('peers that were heard of are bounded, and a node never asks itself', () => {
+test('the list of known peers is bounded, and a node never selects itself', () => {
   const own = { host: '10.0.0.1', port: 1 };
   const seed = { host: '10.0.0.2', port: 1 };
   const list = new PeerList(own, [own, seed]);
@@ -161,8 +168,8 @@
   assert.equal(list.select(9, 0), [seed]);
   for (let port = 2; port < 100; port += 1) list.add({ host: '10.0.0.3', port });
   assert.is(list.select(1000, 0).length, 65);
-  const asked = list.select(3, 0.999).map(({ port }) => port);
-  assert.equal(asked, [99, 1, 36]);
+  const selected = list.select(3, 0.999).map(({ port }) => port);
+  assert.equal(selected, [99, 1, 36]);
 });
 
 test.run();
--- a/test/property/fair-queue.test.ts
+++ b/test/property/fair-queue.test.ts
@@ -21,7 +21,7 @@
   return { tenant, number, priority, weight: 1, maxWaiting: 100, ...bounds };
 }
 
-test('with a flood before it, another tenant gets the next connection that is free', () => {
+test('behind a flood of one tenant, another tenant gets the next free connection', () => {
   fc.assert(
     fc.property(fc.integer({ min: 5, max: 60 }), (flood) => {
       const queue = new FairQueue<NumberedRequest>();
@@ -34,7 +34,7 @@
   );
 });
 
-test('while all have requests waiting, no tenant holds two more than another', () => {
+test('while all have requests waiting, no tenant holds two more connections than another', () => {
   fc.assert(
     fc.property(fc.array(fc.constantFrom('a', 'b', 'c'), { maxLength: 60 }), (arrivals) => {
       const queue = new FairQueue<NumberedRequest>();
@@ -57,7 +57,7 @@
   );
 });
 
-test('while all have requests waiting, tenants hold by their weights', () => {
+test('while all have requests waiting, tenants hold connections by their weights', () => {
   const weights = fc.record({
     a: fc.integer({ min: 1, max: 5 }),
     b: fc.integer({ min: 1, max: 5 }),
@@ -74,7 +74,7 @@
         const next = queue.takeNext(held);
         if (next !== undefined) held.set(next.tenant, (held.get(next.tenant) ?? 0) + 1);
       }
-      // No tenant is ahead of another, by weight, by more than the connection that it got last.
+      // By weight, no tenant is ahead of another by more than its last connection.
       const heldByA = held.get('a') ?? 0;
       const heldByB = held.get('b') ?? 0;
       assert.ok((heldByA - 1) * b <= heldByB * a && (heldByB - 1) * a <= heldByA * b);
@@ -83,7 +83,7 @@
   );
 });
 
-test('a tenant that may hold no more is passed over, whatever its priority', () => {
+test('a tenant that may hold no more connections is skipped, whatever its priority', () => {
   const queue = new FairQueue<NumberedRequest>();
   queue.push(request('flood', 1, 0));
   queue.push(request('quiet', 2, 5));
@@ -93,7 +93,7 @@
   assert.is(queue.takeNext(new Map())?.number, 1);
 });
 
-test('a higher priority goes first, and equals go in the order of their arrival', () => {
+test('a higher priority goes first, and equal ones go in order of arrival', () => {
   const queue = new FairQueue<NumberedRequest>();
   queue.push(request('a', 1, 2));
   queue.push(request('a', 2, 2));
@@ -103,7 +103,7 @@
   assert.is(queue.takeNext(new Map()), undefined);
 });
 
-test('one tenant may have so many waiting and no more; what is removed is not taken', () => {
+test('the waiting requests of a tenant are bounded, and removed ones are not taken', () => {
   const queue = new FairQueue<NumberedRequest>();
   const bounds = { maxWaiting: 2 };
   const first = request('a', 1, 1, bounds);
--- a/test/property/first-change-lost.test.ts
+++ b/test/property/first-change-lost.test.ts
@@ -1,9 +1,8 @@
 /**
- * What callers saw: a service took no writes any more, for good. In order: the first change of primary ever begins, the
- * replicas are held and the old primary is demoted; the store comes back from a copy without that change; its leader was killed
- * meanwhile, and no other node has heard of it.
- *
- * Cause: without a record, whoever calls itself primary is it; all three are replicas now, and nobody is replaced.
+ * Guards against a service that never accepts writes again. During the first primary change of a group, the replicas are
+ * held and the old primary is demoted. Then the store is restored from a backup without the change, and the leader, the
+ * only node that knew of it, has been killed. Without a record, the instance that reports itself as primary counts as
+ * the primary; here all three are replicas, so no primary is found and none is replaced.
  */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -13,7 +12,7 @@
   simulateMixedFaults,
 } from '../support/promotion/mix.js';
 
-/** `RETURN_RUNS=1 RETURN_SEED=930270 node dist/test/property/store-return.test.js`, found among 930000 to 930599 */
+/** To replay: `RETURN_RUNS=1 RETURN_SEED=930270 node dist/test/property/store-return.test.js`. */
 const SEED = 930270;
 
 test('a group whose first change was lost gets a primary', () => {
--- a/test/property/foreign-documents.test.ts
+++ b/test/property/foreign-documents.test.ts
@@ -26,7 +26,7 @@
 const RUNS = 1500;
 const SETTINGS = { seed: SEED, numRuns: RUNS };
 
-/** Field names of the platform's documents and of our own messages. */
+/** Field names of the platform's documents and of messages between nodes. */
 const NAMES = [
   ...['version', 'routes', 'services', 'tenants', 'limits', 'name', 'api_keys', 'key_digests'],
   ...['rate_per_s', 'burst', 'hostname', 'route_type', 'timeout_ms', 'service', 'address', 'zone'],
@@ -53,7 +53,7 @@
   fc.string({ unit: 'binary' }),
 );
 
-/** A valid entry with some fields replaced or omitted. */
+/** Valid registrations with one field replaced or omitted. */
 const damagedEntries = fc
   .record({
     field: fc.constantFrom('service', 'address', 'zone', 'slots', 'state', 'database_role', 'born'),
@@ -64,7 +64,7 @@
     return JSON.stringify({ ...whole, database_role: 'replica', born: 100, [field]: value });
   });
 
-test('no entry makes the program throw, and one that is taken is whole', () => {
+test('parsing a registration never throws, and an accepted one is complete', () => {
   fc.assert(
     fc.property(fc.oneof(texts, damagedEntries), (text) => {
       const parsed = parseInstance('servers/i-1', text);
@@ -79,7 +79,7 @@
   );
 });
 
-test('no configuration makes the program throw, and its tenants are whole', () => {
+test('parsing a configuration never throws, and its tenants are complete', () => {
   fc.assert(
     fc.property(texts, (text) => {
       const parsed = parseConfiguration(replaceKeysByDigests(text));
@@ -94,7 +94,7 @@
   );
 });
 
-test('no line of a caller or an instance makes the program throw', () => {
+test('decoding a line of a caller or an instance never throws', () => {
   const words = fc.constantFrom('START', 'QUERY', 'READY', 'ROW', 'ERROR', 'COMPLETE', 'TERMINATE');
   fc.assert(
     fc.property(words, fc.string(), (word, rest) => {
@@ -106,8 +106,8 @@
   );
 });
 
-/** Parsers of messages from stores and peers; each returns undefined, an error or a value. */
-const READERS: Readonly<Record<string, (value: unknown) => unknown>> = {
+/** Parsers of messages from the store and peers. */
+const PARSERS: Readonly<Record<string, (value: unknown) => unknown>> = {
   ...{
     readItem,
     readPollResponse,
@@ -116,22 +116,22 @@
     parsePermitGrant,
   },
   ...{
-    parseToldStretch: parseRelayedRange,
+    parseRelayedRange,
     parseWatchRequest,
     parseLeaseEvent,
     parseStreamRequest,
   },
-  ...{ parseQuestion: parseSnapshotRequest, parseSnapshot, instanceForm: parseInstanceEntry },
+  ...{ parseSnapshotRequest, parseSnapshot, parseInstanceEntry },
 };
-const FORMS = [parseFleetRecord, parseMembersRecord, parseNodeRecord, parsePrimaryRecord];
+const RECORD_PARSERS = [parseFleetRecord, parseMembersRecord, parseNodeRecord, parsePrimaryRecord];
 
-test('no message of a store or a peer, and no record, makes the program throw', () => {
+test('parsing a message of the store or a peer, or a record, never throws', () => {
   fc.assert(
     fc.property(anything, (value) => {
-      for (const read of Object.values(READERS)) read(value);
+      for (const parse of Object.values(PARSERS)) parse(value);
       const text = JSON.stringify(value) ?? '';
       const entry = { key: 'k', value: text, createRevision: 1, modRevision: 1 };
-      for (const form of FORMS) decodeRecord<unknown>(entry, form);
+      for (const parse of RECORD_PARSERS) decodeRecord<unknown>(entry, parse);
     }),
     SETTINGS,
   );
--- a/test/property/forgotten-member.test.ts
+++ b/test/property/forgotten-member.test.ts
@@ -1,11 +1,9 @@
 /**
- * What a caller saw: a read that misses a commit acknowledged 27 ms before it began. In order: a replica withdraws its entry and
- * crashes; the leader finds that nothing listens there and forgets it; a node starts; the replica comes back without an
- * entry, and commits stand on it and on the primary, while the third member receives nothing; the primary is cut off from
- * the nodes; the node that had started asks the members that it knows, and reads at the third one.
- *
- * Cause: which members had been forgotten, and may come back, was told to leaders alone. Evidence, at the read: answers
- * "group-0-4 replica 786, group-0-1 none", while the forgotten group-0-3 has 907 as the primary group-0-1 has.
+ * Guards against a stale read at a replica. A replica removes its registration and crashes, and the leader removes it
+ * from the members. A node starts. The replica comes back without a registration, and only it and the primary receive
+ * commits, since the third member receives nothing. The primary is cut off from the nodes, and the new node queries the
+ * members that it knows and reads at the third one. If only leaders know the departed members, the read misses a commit:
+ * in this seed the third member has 786 log entries, the primary and the departed member, which was not queried, 907.
  */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -15,15 +13,15 @@
   simulateMixedFaults,
 } from '../support/promotion/mix.js';
 
-/** `MIX_RUNS=1 MIX_SEED=800597 node dist/test/property/promotion-mix.test.js`, found among 800000 to 801499 */
+/** To replay: `MIX_RUNS=1 MIX_SEED=800597 node dist/test/property/promotion-mix.test.js`. */
 const SEED = 800597;
 
-test('a node counts members that were forgotten before it began', () => {
+test('a node counts members that departed before it started', () => {
   const { violations, servicesWithoutWrites } = simulateMixedFaults(SEED);
   assert.equal([violations, servicesWithoutWrites], [[], []]);
 });
 
-test('without the record of the forgotten the read is stale', () => {
+test('without the record of departed members the read is stale', () => {
   const { violations } = simulateMixedFaults(SEED, MIXED_FAULT_KINDS, LATER_MECHANISMS);
   assert.ok(
     violations.some((violation) => violation.startsWith('STALE: read by node-0 at group-0-4')),
--- a/test/property/fuzz-mechanisms.property.test.ts
+++ b/test/property/fuzz-mechanisms.property.test.ts
@@ -1,6 +1,6 @@
 /**
- * Turns off one mechanism at a time in the scenarios of `npm run fuzz` and expects that a check
- * notices within a bounded number of seeds. Every mechanism of every scenario is in the table.
+ * Disables one mechanism at a time in the scenarios of `npm run fuzz` and expects a violation within a bounded number of
+ * seeds. The table has every mechanism of every scenario.
  */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -10,8 +10,8 @@
 const FIRST_SEED = 1;
 const MAX_SEEDS = 60;
 
-/** Scenario, mechanism turned off, check that must notice. */
-const PAIRS: readonly (readonly [string, string, string])[] = [
+/** Scenario, disabled mechanism, check that must report a violation. */
+const EXPECTATIONS: readonly (readonly [string, string, string])[] = [
   ['group', 'confirmation', 'ackedWritesLast'],
   ['group', 'session-position', 'sessionsSeeTheirWrites'],
   ['group', 'staleness-bound', 'readsAreFreshEnough'],
@@ -44,8 +44,12 @@
   ['configuration', 'anti-entropy', 'configurationInForce'],
 ];
 
-/** The first seed at which the check notices, undefined if it does not within the bound. */
-function noticedAt(scenario: Scenario, without: string, check: string): number | undefined {
+/** The first seed with a violation of the check; undefined if there is none up to `MAX_SEEDS`. */
+function findFirstViolatingSeed(
+  scenario: Scenario,
+  without: string,
+  check: string,
+): number | undefined {
   for (let seed = FIRST_SEED; seed < FIRST_SEED + MAX_SEEDS; seed += 1) {
     const plan = scenario.plan(seed, new Set([without]));
     const { violations } = plan.run(allEventsOf(plan));
@@ -54,20 +58,20 @@
   return undefined;
 }
 
-for (const [name, without, check] of PAIRS) {
-  test(`${name} without ${without}: ${check} notices`, () => {
+for (const [name, without, check] of EXPECTATIONS) {
+  test(`${name} without ${without}: ${check} reports a violation`, () => {
     const scenario = scenarioNamed(name);
     assert.ok(scenario);
-    assert.is.not(scenario && noticedAt(scenario, without, check), undefined);
+    assert.is.not(scenario && findFirstViolatingSeed(scenario, without, check), undefined);
   });
 }
 
-test('every mechanism that a scenario can turn off is in the table', () => {
-  const listed = PAIRS.map(([name, without]) => `${name} ${without}`);
-  const offered = SCENARIOS.flatMap(({ name, mechanisms }) => {
+test('the table has every mechanism that a scenario can disable', () => {
+  const listed = EXPECTATIONS.map(([name, without]) => `${name} ${without}`);
+  const existing = SCENARIOS.flatMap(({ name, mechanisms }) => {
     return mechanisms.map((mechanism) => `${name} ${mechanism}`);
   });
-  assert.equal(new Set(listed), new Set(offered));
+  assert.equal(new Set(listed), new Set(existing));
 });
 
 test.run();
--- a/test/property/fuzz.property.test.ts
+++ b/test/property/fuzz.property.test.ts
@@ -1,11 +1,11 @@
-/** The scenarios of `npm run fuzz` over fixed seeds: nothing is violated. */
+/** The scenarios of `npm run fuzz` have no violation over fixed seeds. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { SCENARIOS } from '../../bench/simulation/registry.js';
 import { allEventsOf } from '../../bench/simulation/scenario.js';
 
 const FIRST_SEED = 20_261_202;
-/** As many as take about a second. */
+/** Number of seeds that take about a second. */
 const SEEDS: Readonly<Record<string, number>> = {
   group: 10,
   fleet: 12,
--- a/test/property/gone-candidate.test.ts
+++ b/test/property/gone-candidate.test.ts
@@ -16,32 +16,32 @@
   simulateMixedFaults,
 } from '../support/promotion/mix.js';
 
-/** `MIX_RUNS=1 MIX_SEED=701138 node dist/test/property/promotion-mix.test.js` */
+/** To replay: `MIX_RUNS=1 MIX_SEED=701138 node dist/test/property/promotion-mix.test.js`. */
 const SEED = 701138;
 /** Leaders that never drop a missing candidate make 174 calls for it in this seed, and the change never ends. */
-const MOST_CALLS = 30;
+const MAX_CALLS = 30;
 
-function played(disabled: readonly PromotionMechanism[] = []): MixOutcome {
-  return simulateMixedFaults(SEED, MIXED_FAULT_KINDS, disabled);
+function playSeed(disabledMechanisms: readonly PromotionMechanism[] = []): MixOutcome {
+  return simulateMixedFaults(SEED, MIXED_FAULT_KINDS, disabledMechanisms);
 }
 
-test('a service whose named candidate is gone gets another one', () => {
+test('a service whose recorded candidate has ended gets another one', () => {
   for (const { violations, servicesWithoutWrites, eventLog } of [
-    played(),
-    played(LATER_MECHANISMS),
+    playSeed(),
+    playSeed(LATER_MECHANISMS),
   ]) {
     assert.equal([violations, servicesWithoutWrites], [[], []]);
     const calls = eventLog.match(/promotion called \{"service":"group-0"/g) ?? [];
-    assert.ok(calls.length <= MOST_CALLS, `${calls.length} calls`);
+    assert.ok(calls.length <= MAX_CALLS, `${calls.length} calls`);
   }
 });
 
-test('without it the service has no primary for good', () => {
-  const { servicesWithoutWrites } = played(['gone-candidates', ...LATER_MECHANISMS]);
+test('without the mechanism the service never has a primary again', () => {
+  const { servicesWithoutWrites } = playSeed(['gone-candidates', ...LATER_MECHANISMS]);
   assert.equal(servicesWithoutWrites, ['group-0']);
 });
 
-test('candidates that end amid their calls neither stop a service nor lead beside another', () => {
+test('candidates that end during their promotion calls stop no service and cause no second primary', () => {
   const seeds = Array.from({ length: 20 }, (_, index) => index + 1);
   const found = seeds.map((seed) => simulateMixedFaults(seed, GONE_CANDIDATE_MIX));
   assert.equal(
--- a/test/property/late-joiner.test.ts
+++ b/test/property/late-joiner.test.ts
@@ -12,14 +12,14 @@
 /** By then the members are published. */
 const WARM_UP_MS = 6000;
 const STEP_MS = 2;
-const WITHIN_MS = 5000;
-const LONG_MS = 20_000;
+const TIMEOUT_MS = 5000;
+const CUT_MS = 20_000;
 /** By then a lease has expired, and a member that refuses connections has been removed. */
 const SETTLE_MS = 4000;
 
 interface Played {
   readonly simulation: PromotionSimulation;
-  /** Acknowledgements that the cut-off node relayed to its callers after the new replica had joined. */
+  /** Acknowledgements that the cut-off node sent to its callers after the new replica had joined. */
   readonly relayedCount: number;
 }
 
@@ -29,30 +29,30 @@
   const { group, network, leader, nodes } = simulation;
   const primary = group.primary;
   const [ending, held] = group.instances.filter((instance) => instance !== primary);
-  const unaware = nodes.find((node) => node !== leader);
-  if (ending === undefined || held === undefined || unaware === undefined) {
+  const cutOffNode = nodes.find((node) => node !== leader);
+  if (ending === undefined || held === undefined || cutOffNode === undefined) {
     throw new Error('a group has three instances, and there are nodes beside the leader');
   }
   group.remove(ending);
-  network.cut(unaware.name, STORE, LONG_MS);
+  network.cut(cutOffNode.name, STORE, CUT_MS);
   simulation.run(SETTLE_MS);
   for (const { name } of nodes) {
-    if (name !== unaware.name) network.cut(name, primary.address, LONG_MS);
+    if (name !== cutOffNode.name) network.cut(name, primary.address, CUT_MS);
   }
   assert.ok(
-    simulation.runUntil(() => held.heldTerm > 0, STEP_MS, WITHIN_MS),
+    simulation.runUntil(() => held.heldTerm > 0, STEP_MS, TIMEOUT_MS),
     'a replica is held',
   );
   simulation.run(250);
-  const before = unaware.writesAcknowledged;
+  const before = cutOffNode.writesAcknowledged;
   group.join();
   simulation.run(300);
-  const relayedCount = unaware.writesAcknowledged - before;
+  const relayedCount = cutOffNode.writesAcknowledged - before;
   simulation.run(5000);
   return { simulation, relayedCount };
 }
 
-test('no caller is told of a commit that the candidate lacks', () => {
+test('no commit that the candidate lacks is acknowledged to a caller', () => {
   for (const seed of SEEDS) assert.is(play(seed).relayedCount, 0, `seed ${seed}`);
 });
 
--- a/test/property/leaving-members.test.ts
+++ b/test/property/leaving-members.test.ts
@@ -1,7 +1,7 @@
 /**
- * A replica without an entry serves on and is, for a while, the only one that receives commits. It was not heard
- * once, which is less than the silence after which a member counts as dead. Then it ends with its log, and the
- * primary crashes: who takes over must not lack what only the two of them had.
+ * A replica loses its registration, goes on serving and is for a while the only one that receives commits. It is
+ * unresponsive for a shorter time than that after which a member counts as dead. Then it ends with its log, and the
+ * primary crashes. A successor must not lack the commits that only these two had.
  */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -11,19 +11,19 @@
 
 const { memberDeadAfterMs } = DEFAULT_PROMOTION_TIMINGS;
 const SEEDS = [1, 2, 3, 4, 5];
-/** An instance that leaves serves on for the time to drain and some seconds more; longer than a change of primary takes. */
-const LONG_LEAVE_MS = 8000;
+/** A leaving instance serves for the drain timeout and some seconds more: longer than a primary change takes. */
+const LEAVING_MS = 8000;
 
-/** A primary, a replica that leaves without saying so, and one that stays. */
-function groupOf({ group }: PromotionSimulation): readonly SimulatedInstance[] {
+/** The primary, the replica that leaves, and the one that stays. */
+function membersOf({ group }: PromotionSimulation): readonly SimulatedInstance[] {
   return [group.primary, ...group.instances.filter((instance) => instance !== group.primary)];
 }
 
-/** One of the replicas has lost its entry, and serves on. */
+/** Starts a group in which a replica has lost its registration and goes on serving. */
 function startWithLeaver(seed: number) {
   const simulation = new PromotionSimulation({ seed });
   simulation.run(3000);
-  const [, leaver] = groupOf(simulation);
+  const [, leaver] = membersOf(simulation);
   if (leaver === undefined) throw new Error('a group has replicas');
   leaver.isRegistered = false;
   return { simulation, leaver };
@@ -33,9 +33,9 @@
   for (const { name } of simulation.nodes) simulation.network.cut(name, instance.address, forMs);
 }
 
-/** The one that stays lags; the one that leaves ends with its log, and the primary crashes right then. */
+/** While the staying replica lags, the leaving one ends with its log and the primary crashes. */
 function endWithPrimary(simulation: PromotionSimulation): void {
-  const [primary, leaver, other] = groupOf(simulation);
+  const [primary, leaver, other] = membersOf(simulation);
   if (primary === undefined || leaver === undefined || other === undefined) {
     throw new Error('a group has three instances');
   }
@@ -52,7 +52,7 @@
   assert.equal(simulation.violations, [], `seed ${seed}\n${simulation.eventLog}`);
 }
 
-test('one silence late in a long leave makes no member dead', () => {
+test('a leaving member that is unresponsive for a short time does not count as dead', () => {
   for (const seed of SEEDS) {
     const { simulation, leaver } = startWithLeaver(seed);
     simulation.run(memberDeadAfterMs + 1000);
@@ -63,7 +63,7 @@
   }
 });
 
-test('a member that said it leaves, and is out of reach of nodes and store, is not forgotten', () => {
+test('a member that announced its leave and then becomes unreachable is not removed', () => {
   for (const seed of SEEDS) {
     const { simulation, leaver } = startWithLeaver(seed);
     leaver.isRegistered = true;
@@ -71,13 +71,13 @@
     simulation.run(500);
     leaver.isRegistered = false;
     cutFromNodes(simulation, leaver, 60_000);
-    simulation.run(LONG_LEAVE_MS);
+    simulation.run(LEAVING_MS);
     endWithPrimary(simulation);
     assertNothingLost(simulation, seed);
   }
 });
 
-test('nodes that start anew take no leaving member for dead at once', () => {
+test('restarted nodes do not count a leaving member as dead at once', () => {
   for (const seed of SEEDS) {
     const { simulation, leaver } = startWithLeaver(seed);
     simulation.run(500);
--- a/test/property/line-reader.test.ts
+++ b/test/property/line-reader.test.ts
@@ -6,7 +6,7 @@
 const SEED = 20261202;
 const MAX_LINE_BYTES = 1000;
 
-test('however the bytes are cut, the lines are the same', () => {
+test('the lines do not depend on how the bytes are divided into chunks', () => {
   const line = fc.string({ unit: 'grapheme' }).filter((text) => !text.includes('\n'));
   const cuts = fc.array(fc.integer({ min: 1, max: 9 }), { minLength: 1 });
   fc.assert(
@@ -29,7 +29,7 @@
   );
 });
 
-test('a line beyond the bound is refused before its end is seen', () => {
+test('a line beyond the limit is rejected before its end arrives', () => {
   const reader = new LineReader(MAX_LINE_BYTES);
   assert.ok(reader.push(Buffer.alloc(MAX_LINE_BYTES, 'a')).isOk());
   assert.instance(reader.push(Buffer.from('a'))._unsafeUnwrapErr(), LineTooLongError);
--- a/test/property/machine-list-agent.test.ts
+++ b/test/property/machine-list-agent.test.ts
@@ -1,4 +1,4 @@
-/** The machine list on many nodes: two readers a zone, differences by push, digests, no reader at all. */
+/** The machine list on many nodes: two readers per zone, pushed changes, comparison of digests, loss of all readers. */
 import fc from 'fast-check';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -14,19 +14,19 @@
 const ZONES = ['a', 'b', 'c'];
 const NODES = 15;
 const START_MS = 20_000;
-/** A push, or a comparison or two after a loss. */
-const PASSED_ON_MS = 15_000;
-/** No reader is heard of, then nodes read for themselves: one and a half times the limit and a poll. */
-const ALONE_MS = 60_000;
-/** Membership tells of a death, and the next in rank reads. */
+/** Time for a push or, if it is lost, for one or two comparisons of digests. */
+const PROPAGATION_MS = 15_000;
+/** Time until nodes without heartbeats of a reader poll for themselves: 1.5 times the age limit and a poll. */
+const SELF_POLLING_MS = 60_000;
+/** Time until membership reports a crash and the next candidate becomes a reader. */
 const SUCCESSION_MS = 10_000;
 const LARGE_ZONE = 255;
-/** The least age of a reader's last heartbeat at which a node reads for itself. */
-const HEARTBEAT_MS = 30_000;
-const LONG_MS = 1_000_000;
+/** Minimum age of a reader's last heartbeat at which a node polls for itself. */
+const SELF_POLLING_AGE_MS = 30_000;
+const NEVER_MS = 1_000_000;
 const READERS = 2 * ZONES.length;
 
-function startedNetwork(seed: number): MachineListNetwork {
+function startNetwork(seed: number): MachineListNetwork {
   const network = new MachineListNetwork(seed);
   for (let index = 0; index < NODES; index += 1) {
     network.start(`n${index}`, ZONES[index % ZONES.length] ?? 'a');
@@ -47,99 +47,99 @@
   }
 }
 
-/** Each list that was in force was one of the service's, and none came before an earlier one. */
+/** Asserts that each applied list was one of the service's, and that versions never decreased. */
 function assertNothingLost(network: MachineListNetwork): void {
   for (const { applied, member } of network.nodes) {
     for (const [index, { stamp, entries }] of applied.entries()) {
-      assert.equal(entries, network.history.get(stamp.version), `${member.nodeId}, a torn list`);
+      assert.equal(entries, network.history.get(stamp.version), `${member.nodeId}, a mixed list`);
       const before = applied[index - 1]?.stamp.version ?? 0;
-      assert.ok(stamp.version >= before, `${member.nodeId} went back to ${stamp.version}`);
+      assert.ok(stamp.version >= before, `${member.nodeId} reverted to ${stamp.version}`);
     }
   }
 }
 
-test('two nodes of each zone read, all have the list, and nobody else polls', () => {
-  const network = startedNetwork(SEED);
+test('two nodes of each zone poll, all have the list, and no others poll', () => {
+  const network = startNetwork(SEED);
   assert.is(readersOf(network).length, READERS);
   assertCurrent(network);
   const polls = network.nodes.map((node) => (node.isReader ? 0 : node.polls));
   network.publish('m1', 'leaving');
-  network.run(PASSED_ON_MS);
+  network.run(PROPAGATION_MS);
   assertCurrent(network);
-  network.run(10 * ALONE_MS);
+  network.run(10 * SELF_POLLING_MS);
   assert.equal(
     network.nodes.map((node) => (node.isReader ? 0 : node.polls)),
     polls,
-    'nodes without the role have polled',
+    'nodes that are no readers have polled',
   );
 });
 
-test('readers that are killed or paused are replaced by the next in rank', () => {
+test('killed or paused readers are replaced by the next candidates', () => {
   for (const fault of ['killed', 'paused'] as const) {
-    const network = startedNetwork(SEED);
+    const network = startNetwork(SEED);
     for (const reader of readersOf(network)) {
       if (fault === 'killed') network.kill(reader);
-      else network.pause(reader, 10 * ALONE_MS);
+      else network.pause(reader, 10 * SELF_POLLING_MS);
     }
     network.publish('m0', 'leaving');
-    network.run(SUCCESSION_MS + PASSED_ON_MS);
+    network.run(SUCCESSION_MS + PROPAGATION_MS);
     assertCurrent(
       network,
       network.live.filter(({ pausedUntil }) => pausedUntil <= network.now),
     );
-    network.run(10 * ALONE_MS);
+    network.run(10 * SELF_POLLING_MS);
     assertCurrent(network);
     assertNothingLost(network);
   }
 });
 
-test('with all readers cut off from the service the others read for themselves, and stop again', () => {
-  const network = startedNetwork(SEED);
+test('while all readers are cut off from the service, the other nodes poll for themselves', () => {
+  const network = startNetwork(SEED);
   const readers = readersOf(network);
   for (const reader of readers) reader.isCutFromService = true;
-  network.run(ALONE_MS);
-  assert.is(readersOf(network).length, NODES, 'nobody hears of a reader');
+  network.run(SELF_POLLING_MS);
+  assert.is(readersOf(network).length, NODES, 'no node receives heartbeats of a reader');
   network.publish('m0', 'leaving');
-  network.run(PASSED_ON_MS);
+  network.run(PROPAGATION_MS);
   assertCurrent(network);
   for (const reader of readers) reader.isCutFromService = false;
-  network.run(ALONE_MS);
+  network.run(SELF_POLLING_MS);
   assert.is(readersOf(network).length, READERS);
   assertNothingLost(network);
 });
 
-test('a zone whose readers are cut off learns from other zones', () => {
-  const network = startedNetwork(SEED);
+test('a zone whose readers are cut off gets changes from other zones', () => {
+  const network = startNetwork(SEED);
   for (const node of network.live) node.isCutFromService = node.member.zone === 'a';
   network.publish('m0', 'leaving');
-  network.run(ALONE_MS);
+  network.run(SELF_POLLING_MS);
   assertCurrent(network);
 });
 
-test('a service that lost its memory is followed, one late answer is not', () => {
-  const network = startedNetwork(SEED);
+test('the list of a service that restarted with an earlier version is applied, a single late response is not', () => {
+  const network = startNetwork(SEED);
   for (let index = 0; index < 5; index += 1) network.publish('m0', index % 2 ? 'live' : 'leaving');
-  network.run(PASSED_ON_MS);
+  network.run(PROPAGATION_MS);
   network.resetVersion(3, new Map<string, MachineState>([['m2', 'leaving']]));
-  network.run(2 * PASSED_ON_MS);
+  network.run(2 * PROPAGATION_MS);
   assertCurrent(network);
   assert.ok(network.live.every(({ agent }) => agent.replica.stamp.epoch === 1));
   network.publish('m3', 'live');
-  network.run(PASSED_ON_MS);
+  network.run(PROPAGATION_MS);
   assertCurrent(network);
 });
 
-test('in a zone of the size of the letter heartbeats reach all before any reads alone', () => {
+test('in a zone of 255 nodes, heartbeats reach all before any node polls for itself', () => {
   const network = new MachineListNetwork(SEED);
   network.startZone('a', LARGE_ZONE);
   network.run(START_MS);
   const oldest = () =>
     Math.max(
-      ...network.live.map(({ agent }) => agent.status(network.now).heartbeatAgeMs ?? LONG_MS),
+      ...network.live.map(({ agent }) => agent.status(network.now).heartbeatAgeMs ?? NEVER_MS),
     );
   for (let round = 0; round < 30; round += 1) {
     network.run(2000);
-    assert.ok(oldest() < HEARTBEAT_MS, `a heartbeat of ${oldest()} ms`);
+    assert.ok(oldest() < SELF_POLLING_AGE_MS, `a heartbeat of ${oldest()} ms`);
   }
   assert.is(readersOf(network).length, 2);
 });
@@ -182,7 +182,7 @@
   },
 );
 
-function carryOut(network: MachineListNetwork, step: Step): void {
+function executeStep(network: MachineListNetwork, step: Step): void {
   const node = 'index' in step ? network.live[step.index % network.live.length] : undefined;
   if (step.type === 'publish') network.publish(step.name, step.state);
   else if (step.type === 'loss') network.lossFraction = step.share;
@@ -198,17 +198,17 @@
   }
 }
 
-test('whatever fails, no node loses what the list said, and all come to the same list', () => {
+test('under any faults no node applies a wrong list, and all converge', () => {
   fc.assert(
     fc.property(fc.nat(), fc.array(stepArbitrary, { maxLength: 30 }), (seed, steps) => {
-      const network = startedNetwork(seed);
-      for (const step of steps) carryOut(network, step);
+      const network = startNetwork(seed);
+      for (const step of steps) executeStep(network, step);
       network.lossFraction = 0;
       network.isServiceDown = false;
       for (const node of network.nodes) node.isCutFromService = false;
-      network.run(2 * ALONE_MS);
+      network.run(2 * SELF_POLLING_MS);
       network.publish('m0', 'leaving');
-      network.run(PASSED_ON_MS);
+      network.run(PROPAGATION_MS);
       assertCurrent(network);
       for (const node of network.live) assert.is(listedEntriesOf(node).get('m0'), 'leaving');
       assertNothingLost(network);
--- a/test/property/mechanisms.property.test.ts
+++ b/test/property/mechanisms.property.test.ts
@@ -12,18 +12,18 @@
 
 const SEEDS = [11, 12, 13, 14, 15, 16];
 
-interface MutationCheck {
+interface MechanismCheck {
   readonly without: Mechanism;
   readonly faults: readonly Fault[];
   /** The check that must report a violation. */
-  readonly noticedBy: string;
+  readonly expectedCheck: string;
 }
 
 function fault(name: FaultName, target: Fault['target'], at = 400, lasts = 600): Fault {
   return { name, target, at, lasts };
 }
 
-const CHECKS: readonly MutationCheck[] = [
+const CHECKS: readonly MechanismCheck[] = [
   {
     without: 'confirmation',
     faults: [
@@ -31,37 +31,41 @@
       fault('cut-from-owner', 1),
       fault('cut-from-owner', 2),
     ],
-    noticedBy: 'noAckFromDeposedPrimary',
+    expectedCheck: 'noAckFromDeposedPrimary',
+  },
+  {
+    without: 'session-position',
+    faults: [fault('lag', 1)],
+    expectedCheck: 'sessionsSeeTheirWrites',
   },
-  { without: 'session-position', faults: [fault('lag', 1)], noticedBy: 'sessionsSeeTheirWrites' },
   {
     without: 'staleness-bound',
     faults: [fault('lag', 1), fault('lag', 2)],
-    noticedBy: 'readsAreFreshEnough',
+    expectedCheck: 'readsAreFreshEnough',
   },
-  { without: 'at-most-once', faults: [], noticedBy: 'atMostOnce' },
-  { without: 'slot-limit', faults: [], noticedBy: 'limitsKept' },
-  { without: 'connection-budget', faults: [], noticedBy: 'limitsKept' },
-  { without: 'leaving', faults: [fault('leave', 1)], noticedBy: 'limitsKept' },
-  { without: 'deadline', faults: [fault('isolate', 'primary')], noticedBy: 'noneHangs' },
-  { without: 'tenant-reset', faults: [], noticedBy: 'limitsKept' },
+  { without: 'at-most-once', faults: [], expectedCheck: 'atMostOnce' },
+  { without: 'slot-limit', faults: [], expectedCheck: 'limitsKept' },
+  { without: 'connection-budget', faults: [], expectedCheck: 'limitsKept' },
+  { without: 'leaving', faults: [fault('leave', 1)], expectedCheck: 'limitsKept' },
+  { without: 'deadline', faults: [fault('isolate', 'primary')], expectedCheck: 'noneHangs' },
+  { without: 'tenant-reset', faults: [], expectedCheck: 'limitsKept' },
 ];
 
 function violationsOver(plan: Omit<RunPlan, 'seed'>): string[] {
   return SEEDS.flatMap((seed) => violationsOf(simulate({ ...plan, seed }).history));
 }
 
-for (const { without, faults, noticedBy } of CHECKS) {
+for (const { without, faults, expectedCheck } of CHECKS) {
   const plan = { faults, mode: 'received' as const, voteShowsTimeline: false };
 
-  test(`without ${without}, ${noticedBy} notices; with it, nothing is wrong`, () => {
+  test(`without ${without}, ${expectedCheck} reports a violation; with it, nothing does`, () => {
     assert.equal(violationsOver(plan), []);
     const violations = violationsOver({ ...plan, without: new Set([without]) });
-    assert.ok(violations.some((violation) => violation.startsWith(noticedBy)));
+    assert.ok(violations.some((violation) => violation.startsWith(expectedCheck)));
   });
 }
 
-test('mode term: no acknowledgement from a deposed primary if votes show in the timeline', () => {
+test('mode term: no acknowledgement by a replaced primary if votes show in the timeline', () => {
   const faults = [fault('cut-from-peers', 'primary'), fault('pause', 'primary', 900, 300)];
   const plan: Omit<RunPlan, 'seed'> = { faults, mode: 'term', voteShowsTimeline: true };
   const violations = violationsOver(plan);
--- a/test/property/membership.test.ts
+++ b/test/property/membership.test.ts
@@ -1,4 +1,4 @@
-/** Membership over a simulated network: convergence, failure detection, refutation, leaving. */
+/** Membership over a simulated network: convergence, failure detection, refutation, graceful shutdown. */
 import fc from 'fast-check';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -14,7 +14,7 @@
 const SECOND_MS = 1000;
 const MINUTE_MS = 60 * SECOND_MS;
 
-function startedFleet(seed: number, nodes: number, zones = 3): MembershipNetwork {
+function startFleet(seed: number, nodes: number, zones = 3): MembershipNetwork {
   const network = new MembershipNetwork(seed);
   network.startFleet(nodes, zones);
   assert.ok(
@@ -24,8 +24,8 @@
   return network;
 }
 
-/** Time within which all nodes must know of a death: two probe rounds, suspicion, dissemination. */
-function deathBoundMs(network: MembershipNetwork): number {
+/** Time within which all nodes must detect a crash: two probe rounds, suspicion, dissemination. */
+function maxDetectionMs(network: MembershipNetwork): number {
   const members = network.nodes.size;
   const { probePeriodMs, suspicionMultiplier, crossZoneFraction } = network.options;
   const roundPeriods = (2 * members) / Math.min(crossZoneFraction, 1 - crossZoneFraction);
@@ -60,10 +60,10 @@
   );
 });
 
-test('leaving beats alive within one life, whatever the version', () => {
+test('leaving overrides alive within one incarnation, whatever the version', () => {
   fc.assert(
-    fc.property(updateArbitrary, updateArbitrary, (told, known) => {
-      const merged = mergeUpdates({ ...known, leaving: true }, told);
+    fc.property(updateArbitrary, updateArbitrary, (received, known) => {
+      const merged = mergeUpdates({ ...known, leaving: true }, received);
       assert.ok(merged.leaving || merged.incarnation > known.incarnation);
     }),
     { seed: SEED },
@@ -79,8 +79,8 @@
   assert.ok(network.run(MINUTE_MS, () => network.isConverged()));
 });
 
-test('a newcomer with one seed takes over the whole table, even without a datagram', () => {
-  const network = startedFleet(SEED, 20);
+test('a new node gets the whole member table from one seed, even without datagrams', () => {
+  const network = startFleet(SEED, 20);
   const listed = { nodeId: 'n20', zone: 'z0', host: '10.0.0.1', peerPort: 99, leaving: false };
   const [seed] = network.list;
   network.lossFraction = 1;
@@ -90,31 +90,31 @@
   assert.is(newcomer.machine.members().length, 20);
 });
 
-test('a dead node is found by all within the bound, in every zone', () => {
+test('all nodes of all zones detect a crash within the bound', () => {
   for (let seed = 0; seed < 5; seed += 1) {
-    const network = startedFleet(SEED + seed, 12, 4);
+    const network = startFleet(SEED + seed, 12, 4);
     const victim = network.node(`n${seed}`);
     victim.crashed = true;
     const isFound = (): boolean => {
       const statuses = network.statusesOf(victim.nodeId);
       return statuses.size === 1 && statuses.has('dead');
     };
-    assert.ok(network.run(deathBoundMs(network), isFound), `seed ${seed}`);
+    assert.ok(network.run(maxDetectionMs(network), isFound), `seed ${seed}`);
     const [witness] = network.running();
     assert.ok(witness?.changes.includes(`failed ${victim.nodeId}`));
   }
 });
 
-test('loss alone leads to no permanent death', () => {
-  const network = startedFleet(SEED, 10);
+test('packet loss alone leaves no node marked dead', () => {
+  const network = startFleet(SEED, 10);
   network.lossFraction = 0.35;
   network.run(3 * MINUTE_MS);
   network.lossFraction = 0;
   assert.ok(network.run(2 * MINUTE_MS, () => network.isConverged()));
 });
 
-test('both sides of a partition find each other again, without the list', () => {
-  const network = startedFleet(SEED, 12);
+test('both sides of a partition merge again without the machine list', () => {
+  const network = startFleet(SEED, 12);
   const isLeft = (nodeId: string): boolean => Number(nodeId.slice(1)) < 5;
   network.isCut = (from, to) => isLeft(from.nodeId) !== isLeft(to.nodeId);
   for (const node of network.running()) network.dispatch(node, { type: 'list-changed', nodes: [] });
@@ -125,8 +125,8 @@
   assert.ok(network.run(3 * MINUTE_MS, () => network.isConverged()));
 });
 
-test('a node paused beyond the suspicion comes back and holds nobody for dead', () => {
-  const network = startedFleet(SEED, 8);
+test('a node paused beyond the suspicion timeout rejoins and considers no other node dead', () => {
+  const network = startFleet(SEED, 8);
   const paused = network.node('n3');
   paused.paused = true;
   network.run(MINUTE_MS);
@@ -141,8 +141,8 @@
   );
 });
 
-test('a node that one member can not reach is not suspected: others reach it', () => {
-  const network = startedFleet(SEED, 8);
+test('a node is not suspected if only one member can not reach it', () => {
+  const network = startFleet(SEED, 8);
   const pair = new Set(['n0', 'n1']);
   network.isCut = (from, to) => pair.has(from.nodeId) && pair.has(to.nodeId);
   network.run(2 * MINUTE_MS);
@@ -152,8 +152,8 @@
   }
 });
 
-test('a node that is paused again and again suspects nobody for its own silence', () => {
-  const network = startedFleet(SEED, 6);
+test('a node that is paused repeatedly suspects no other node because of its own pauses', () => {
+  const network = startFleet(SEED, 6);
   const paused = network.node('n3');
   for (let round = 0; round < 100; round += 1) {
     paused.paused = true;
@@ -164,8 +164,8 @@
   assert.not.ok(paused.changes.some((change) => change.startsWith('suspected')));
 });
 
-test('a suspicion does not run out while the node that holds it is paused', () => {
-  const network = startedFleet(SEED, 6);
+test('a suspicion does not expire while the node that holds it is paused', () => {
+  const network = startFleet(SEED, 6);
   const holder = network.node('n3');
   network.isCut = (_from, to) => to.nodeId === 'n3';
   const suspects = (): boolean => holder.changes.some((change) => change.startsWith('suspected'));
@@ -178,9 +178,9 @@
   assert.not.ok(holder.changes.some((change) => change.startsWith('failed')));
 });
 
-test('a new life under the same address replaces the old one, also with an earlier clock', () => {
+test('a new incarnation at the same address replaces the old one, also with an earlier clock', () => {
   for (const incarnationShift of [1, -MINUTE_MS]) {
-    const network = startedFleet(SEED, 8);
+    const network = startFleet(SEED, 8);
     network.node('n2').crashed = true;
     network.run(SECOND_MS);
     const restarted = network.restart('n2', network.now + incarnationShift);
@@ -190,14 +190,14 @@
   }
 });
 
-test('a leaving node is leaving everywhere, and its stop is seen as left', () => {
-  const network = startedFleet(SEED, 9);
+test('all nodes see a leaving node as leaving, and its stop as left', () => {
+  const network = startFleet(SEED, 9);
   const leaver = network.node('n4');
   network.dispatch(leaver, { type: 'leave' });
   const isLeaving = (): boolean => [...network.statusesOf('n4')].join() === 'leaving';
   assert.ok(network.run(5 * SECOND_MS, isLeaving));
   network.run(MINUTE_MS);
-  assert.ok(isLeaving(), 'it stays so while it lives');
+  assert.ok(isLeaving(), 'it stays leaving until it stops');
   network.dispatch(leaver, { type: 'stop' });
   leaver.crashed = true;
   assert.ok(network.run(10 * SECOND_MS, () => [...network.statusesOf('n4')].join() === 'dead'));
@@ -205,10 +205,10 @@
   assert.not.ok(network.node('n0').changes.includes('failed n4'));
 });
 
-test('a list that calls the dead live brings nobody back; its leaving mark is obeyed', () => {
-  const network = startedFleet(SEED, 8);
+test('the machine list does not revive dead nodes; its leaving mark is obeyed', () => {
+  const network = startFleet(SEED, 8);
   network.node('n1').crashed = true;
-  network.run(deathBoundMs(network));
+  network.run(maxDetectionMs(network));
   const marked = network.list.map((node) => ({ ...node, leaving: node.nodeId === 'n5' }));
   for (const node of network.running())
     network.dispatch(node, { type: 'list-changed', nodes: marked });
@@ -218,8 +218,8 @@
   assert.ok(network.node('n5').changes.includes('told-to-leave'));
 });
 
-test('a mark that was meant for an earlier life does not stop a new one at once', () => {
-  const network = startedFleet(SEED, 4);
+test('a leaving mark meant for an earlier incarnation does not stop a new one at once', () => {
+  const network = startFleet(SEED, 4);
   network.list = network.list.map((node) => ({ ...node, leaving: node.nodeId === 'n1' }));
   network.node('n1').crashed = true;
   const restarted = network.restart('n1');
@@ -234,8 +234,8 @@
   assert.ok(network.isConverged());
 });
 
-test('updates in a datagram stay within the bound, and a quiet fleet gossips nothing', () => {
-  const network = startedFleet(SEED, 30, 3);
+test('updates in a datagram stay within the limit, and an idle cluster disseminates nothing', () => {
+  const network = startFleet(SEED, 30, 3);
   assert.ok(network.largestUpdates <= network.options.maxUpdateBytes);
   network.run(MINUTE_MS);
   const before = network.datagrams;
@@ -279,7 +279,7 @@
   else network.lossFraction = fault === 'lossy' ? 0.3 : 0;
 }
 
-test('after any schedule of faults and a heal, all live nodes converge', () => {
+test('after any schedule of faults all live nodes converge', () => {
   fc.assert(
     fc.property(fc.integer(), fc.array(faultArbitrary, { maxLength: 12 }), (seed, steps) => {
       const network = new MembershipNetwork(seed);
--- a/test/property/missed-records.test.ts
+++ b/test/property/missed-records.test.ts
@@ -1,10 +1,9 @@
 /**
- * What a caller saw: reads at a deposed primary that miss commits acknowledged 29 ms before. In order: a node is cut off from the store;
- * the primary is replaced meanwhile; the store comes back from a copy that is older than the change, and serves that node again; it
- * registers, reads the records, and trusts the primary of the copy, 0.1 s before another node writes the lost record again.
- *
- * Cause: what a process remembers of the era before was taken for all that the copy lacks, also where it had not followed the
- * store up to its return.
+ * Guards against stale reads at a replaced primary. The primary is replaced while a node is cut off from the store. Then
+ * the store is restored from a backup older than the change and serves that node again. The node registers, reads the
+ * records and trusts the primary of the backup, 0.1 s before another node writes the lost record again. That happens if
+ * a process assumes that it remembers everything that the backup lacks, although it did not follow the store up to the
+ * restore.
  */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -14,7 +13,7 @@
   simulateMixedFaults,
 } from '../support/promotion/mix.js';
 
-/** `RETURN_RUNS=1 RETURN_SEED=930858 node dist/test/property/store-return.test.js`, found among 930000 to 930899 */
+/** To replay: `RETURN_RUNS=1 RETURN_SEED=930858 node dist/test/property/store-return.test.js`. */
 const SEED = 930858;
 
 test('a node that was cut off at a return of the store trusts no primary by the copy alone', () => {
--- a/test/property/ownership.test.ts
+++ b/test/property/ownership.test.ts
@@ -1,4 +1,4 @@
-/** Rendezvous hashing: agreement between nodes, zones, balance, and groups moved per member change. */
+/** Rendezvous hashing: agreement between nodes, zones, balance, and groups moved by a membership change. */
 import fc from 'fast-check';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -27,7 +27,7 @@
   return Array.from({ length: count }, (_, index) => index);
 }
 
-test('owners depend on the members and not on the order in which they came and went', () => {
+test('owners depend on the members, not on the order in which members joined and left', () => {
   const memberSet = fc.uniqueArray(fc.nat(30), { minLength: 1, maxLength: 20 });
   fc.assert(
     fc.property(memberSet, fc.array(fc.nat(30), { maxLength: 10 }), (members, visitors) => {
@@ -48,7 +48,7 @@
   );
 });
 
-test('members that come together own what they would own one after the other', () => {
+test('members added at once own the same groups as members added one by one', () => {
   const memberSet = fc.uniqueArray(fc.nat(30), { minLength: 1, maxLength: 20 });
   fc.assert(
     fc.property(memberSet, memberSet, (first, second) => {
@@ -66,7 +66,7 @@
   );
 });
 
-test('a group that is told again changes only if its zones do', () => {
+test('setting a group again changes its owners only if its zones change', () => {
   const index = indexOf(range(9), 1);
   assert.equal(index.setGroup({ group: 'g0', zones: [...ZONES].reverse() }), []);
   const [zone] = ZONES;
@@ -75,7 +75,7 @@
   assert.is(zoneOf(Number(owner.slice(1))), zone);
 });
 
-test('owners are different members, in different zones, preferably those of the group', () => {
+test('owners are distinct members in different zones, preferably those of the group', () => {
   const index = new OwnerIndex(hash, OWNERS);
   for (const member of range(30)) index.addMember({ nodeId: `n${member}`, zone: zoneOf(member) });
   for (const group of range(100)) {
@@ -89,21 +89,21 @@
   assert.is.not(zones[1], 'a');
 });
 
-test('fewer members than owners wanted: all of them own', () => {
+test('with fewer members than owners, all members own the group', () => {
   assert.equal(indexOf([1], 1).ownersOf('g0'), ['n1']);
   assert.equal(indexOf([], 1).ownersOf('g0'), []);
 });
 
-test('a member that comes takes its share of places and moves nothing else', () => {
+test('a new member takes its share of owner places and moves nothing else', () => {
   const groups = 3000;
   const members = 30;
   const index = indexOf(range(members), groups);
   const changes = index.addMember({ nodeId: 'new', zone: 'a' });
   const taken = changes.filter((change) => change.owners.includes('new'));
-  assert.is(taken.length, changes.length, 'nothing changes but by the newcomer');
+  assert.is(taken.length, changes.length, 'each change involves the new member');
   for (const { previous, owners } of changes) {
-    const gone = previous.filter((owner) => !owners.includes(owner));
-    assert.is(gone.length, 1, 'one place a group');
+    const replaced = previous.filter((owner) => !owners.includes(owner));
+    assert.is(replaced.length, 1, 'one place per group');
   }
   // The minimum is the new member's equal share of all owner places.
   const least = (groups * OWNERS) / (members + 1);
@@ -111,7 +111,7 @@
   assert.ok(taken.length > least * 0.75, `${taken.length} places moved, least ${least}`);
 });
 
-test('a member that goes moves the places that it held and no other', () => {
+test('the removal of a member moves only the places that it held', () => {
   const index = indexOf(range(30), 3000);
   const held = index.ownedBy('n7').size;
   const changes = index.removeMember('n7');
@@ -122,12 +122,12 @@
   }
 });
 
-test('places are spread evenly, the prober’s among them', () => {
+test('owner places are spread evenly, also those of the first owners, which probe', () => {
   const groups = 3000;
   const index = indexOf(range(30), groups);
-  const places = range(30).map((member) => index.ownedBy(`n${member}`));
+  const ownedByMember = range(30).map((member) => index.ownedBy(`n${member}`));
   const mean = (groups * OWNERS) / 30;
-  for (const owned of places) {
+  for (const owned of ownedByMember) {
     assert.ok(owned.size > mean * 0.75 && owned.size < mean * 1.25, `${owned.size} of ${mean}`);
     const probed = [...owned.values()].filter((rank) => rank === 0).length;
     assert.ok(probed > mean * 0.3 && probed < mean * 0.7, `${probed} of ${mean / 2}`);
--- a/test/property/parameters.test.ts
+++ b/test/property/parameters.test.ts
@@ -48,7 +48,7 @@
   }
 });
 
-test('enumerations and patterns bound strings and the items of lists', () => {
+test('enumerations and patterns restrict strings and the items of lists', () => {
   const choices = ['orders', 'glossary'];
   const text = fc.oneof(fc.constantFrom('orders', 'glossary', 'hire'), fc.string());
   fc.assert(
@@ -63,7 +63,7 @@
   );
 });
 
-test('request kinds and databases stay within what the template allows', () => {
+test('request kinds and databases are restricted by the template', () => {
   fc.assert(
     fc.property(fc.nat(2000), fc.nat(2000), (bound, stalenessBoundMs) => {
       const parameter: ParameterDeclaration = { type: 'requestKinds', maximumStalenessMs: bound };
--- a/test/property/peer-frames.test.ts
+++ b/test/property/peer-frames.test.ts
@@ -51,7 +51,7 @@
   return frames.map(({ type, stream, payload }) => `${type} ${stream} ${payload.toString('hex')}`);
 }
 
-test('frames survive any chunking, also of a batch', () => {
+test('frames and batches decode the same for any division into chunks', () => {
   fc.assert(
     fc.property(
       fc.array(frameArbitrary, { maxLength: 20 }),
@@ -69,7 +69,7 @@
   );
 });
 
-test('a batch that was taken is not changed by what is added later', () => {
+test('a batch that was taken is not changed by later additions', () => {
   const batch = new FrameBatch();
   batch.add(FrameType.DATA, 1, Buffer.from('first'));
   const taken = batch.take();
@@ -80,7 +80,7 @@
   assert.equal(Buffer.concat(taken), before);
 });
 
-test('byte by byte is as good as at once', () => {
+test('a frame can be decoded byte by byte', () => {
   const frame = encodeFrame(FrameType.MESSAGE, MAX_STREAM, Buffer.alloc(300, 1));
   const chunks = Array.from({ length: frame.length }, (_, index) =>
     frame.subarray(index, index + 1),
@@ -88,7 +88,7 @@
   assert.is(decodeAll(chunks).length, 1);
 });
 
-test('a truncated frame is never handed on, and is told apart from an end between frames', () => {
+test('a truncated frame is not delivered, and is distinguished from an end between frames', () => {
   fc.assert(
     fc.property(frameArbitrary, fc.nat(), ({ type, stream, payload }, cut) => {
       const bytes = encodeFrame(type, stream, payload);
@@ -104,7 +104,7 @@
   );
 });
 
-test('an oversized frame is refused by its header alone', () => {
+test('an oversized frame is rejected by its header alone', () => {
   for (const type of Object.values(FrameType)) {
     const header = encodeFrame(type, 1, Buffer.alloc(0));
     header.writeUInt32BE(HEADER_BYTES - 4 + MAX_PAYLOAD_BYTES + 1);
@@ -120,7 +120,7 @@
   );
 });
 
-test('arbitrary bytes are frames or a protocol error, nothing else', () => {
+test('arbitrary bytes give frames or a protocol error', () => {
   fc.assert(
     fc.property(fc.array(fc.uint8Array({ maxLength: 60 }), { maxLength: 10 }), (chunks) => {
       try {
--- a/test/property/peer-stream.test.ts
+++ b/test/property/peer-stream.test.ts
@@ -1,7 +1,4 @@
-/**
- * Two streams connected without sockets, under arbitrary schedules: order, credit, and exactly one
- * close.
- */
+/** Two streams connected without sockets, under arbitrary schedules: order, credit, and exactly one close. */
 import fc from 'fast-check';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -16,7 +13,7 @@
 const WINDOW_BYTES = 1000;
 const LIMITS = { ...DEFAULT_PEER_LINK_LIMITS, windowBytes: WINDOW_BYTES };
 
-/** One side: a stream, and the frames that it has sent and the other side has not yet received. */
+/** One side: a stream, and its frames that the other side has not yet received. */
 class Side {
   readonly stream: LinkStream;
   readonly wire: { type: FrameTypeCode; payload: Buffer }[] = [];
@@ -51,7 +48,7 @@
     this.stream.onClose = (error) => this.closes.push(error);
   }
 
-  /** Does what the link's writer does in one event-loop turn. */
+  /** Writes the stream's frames, like the link's writer in one event-loop turn. */
   flush(): void {
     if (!this.#scheduled) return;
     this.#scheduled = false;
@@ -105,7 +102,7 @@
   }),
 );
 
-/** Writes letters in alphabetical turn, so that loss and reordering are visible. */
+/** Writes letters in alphabetical order, so that loss and reordering are visible. */
 class Writer {
   readonly expected: string[] = [];
   #count = 0;
@@ -147,7 +144,7 @@
   }
 }
 
-test('data and messages arrive in order and whole, never more than the window unread', () => {
+test('data and messages arrive complete and in order, within the window', () => {
   fc.assert(
     fc.property(fc.array(actionArbitrary, { maxLength: 120, size: 'max' }), (actions) => {
       const side = new Side(true);
@@ -170,7 +167,7 @@
   );
 });
 
-test('a reader that stopped gets a window of data and no more', () => {
+test('a paused reader gets one window of data and no more', () => {
   const side = new Side(true);
   const reader = new Side(true);
   reader.stream.pause();
@@ -195,19 +192,19 @@
   );
 });
 
-test('a sender beyond its credit is a protocol error', () => {
+test('data beyond the credit is a protocol error', () => {
   const reader = new Side(true);
   reader.stream.pause();
   reader.stream.receiveData(Buffer.alloc(WINDOW_BYTES));
   assert.throws(() => reader.stream.receiveData(Buffer.alloc(1)), /beyond the credit/);
 });
 
-test('credit that was never used up is a protocol error', () => {
+test('credit beyond the window is a protocol error', () => {
   const side = new Side(true);
   assert.throws(() => side.stream.receiveCredit(1), /beyond the window/);
 });
 
-test('a writer that ignores back pressure is aborted and told so', async () => {
+test('a writer that ignores back pressure is aborted with that reason', async () => {
   const side = new Side(false);
   side.stream.write(Buffer.alloc(LIMITS.maxQueuedBytes + 1));
   side.stream.write(Buffer.alloc(1));
@@ -215,7 +212,7 @@
   assert.is(side.closes.length, 1);
   assert.match(side.closes[0]?.message ?? '', /back pressure/);
   side.flush();
-  assert.is(side.wire.length, 0, 'nothing of it left');
+  assert.is(side.wire.length, 0, 'no frame is sent');
 });
 
 test('a stream closes exactly once, whatever ends it', async () => {
--- a/test/property/postgres/backend-chunking.test.ts
+++ b/test/property/postgres/backend-chunking.test.ts
@@ -14,7 +14,7 @@
 const RUNS = 300;
 const ignore = (): void => undefined;
 
-/** One message of an answer, and whether it is a completion or shows that more follows. */
+/** A message of a response, and whether it is a completion or shows that more follows. */
 interface Step {
   readonly bytes: Buffer;
   readonly effect: 'result' | 'completion' | 'neutral';
@@ -37,7 +37,7 @@
   ),
 );
 
-/** The held-back part by its definition: from the last completion on, if no result follows it. */
+/** The part that must be held back: from the last completion on, if no result follows it. */
 function heldBackFrom(steps: readonly Step[]): number {
   const lastCompletion = steps.findLastIndex((step) => step.effect === 'completion');
   const lastResult = steps.findLastIndex((step) => step.effect === 'result');
@@ -59,7 +59,7 @@
   return chunks;
 }
 
-test('any answer in any chunking: relayed and held back are its two parts, messages whole', () => {
+test('for any chunks, a response is divided into a relayed and a held-back part of whole messages', () => {
   const property = fc.property(
     fc.array(stepArbitrary, { maxLength: 25 }),
     fc.array(fc.integer({ min: 1, max: 400 }), { minLength: 1, maxLength: 12 }),
--- a/test/property/postgres/caller-messages.test.ts
+++ b/test/property/postgres/caller-messages.test.ts
@@ -1,4 +1,4 @@
-/** Whatever bytes a caller sends, they end in a batch or a typed error, never in an exception. */
+/** Arbitrary bytes from a caller give a batch or a typed error, never an exception. */
 import * as assert from 'node:assert/strict';
 import fc from 'fast-check';
 import { test } from 'uvu';
@@ -26,7 +26,7 @@
   FrontendMessageType.CLOSE,
 ];
 
-/** Bodies near to lawful ones: short strings, zero bytes, small numbers. */
+/** Almost valid message bodies: short strings, zero bytes, small numbers. */
 const body = fc
   .array(fc.constantFrom('S', 'P', 'a', '\0', '\0', '\0\0', '\0\0\0\u0001', 'commit', '\xff'), {
     maxLength: 8,
@@ -39,7 +39,7 @@
   return { type, buffer, start: 0, end: buffer.length };
 }
 
-test('arbitrary extended messages give whole messages or a typed error', () => {
+test('arbitrary extended-query messages give complete messages or a typed error', () => {
   const messages = fc.array(fc.tuple(fc.constantFrom(...EXTENDED_TYPES), body), { maxLength: 5 });
   fc.assert(
     fc.property(fc.array(messages), fc.boolean(), fc.boolean(), (batches, failed, flush) => {
@@ -68,7 +68,7 @@
   );
 });
 
-test('arbitrary first messages and log-in texts give a result', () => {
+test('arbitrary start-up messages and log-in texts give a result', () => {
   const codes = fc.constantFrom(196608, 196610, 80877102, 80877103, 80877104, 131072, 0);
   fc.assert(
     fc.property(codes, body, fc.string(), (code, content, text) => {
@@ -87,7 +87,7 @@
   );
 });
 
-test('the merged answer is the same however the back end cuts it', () => {
+test('the merged response does not depend on the chunks of the back end', () => {
   const steps = fc.array(fc.constantFrom<AnswerStep>('relay', 'parse-complete', 'close-complete'), {
     maxLength: 12,
   });
--- a/test/property/postgres/frames.test.ts
+++ b/test/property/postgres/frames.test.ts
@@ -1,4 +1,4 @@
-/** The frame reader gives the same messages however the byte stream is cut into chunks. */
+/** The frame reader gives the same messages for any division of the byte stream into chunks. */
 import * as assert from 'node:assert/strict';
 import fc from 'fast-check';
 import { test } from 'uvu';
@@ -36,7 +36,7 @@
   return points.slice(1).map((end, index) => stream.subarray(points[index], end));
 }
 
-test('any chunking gives the same messages', () => {
+test('any chunks give the same messages', () => {
   fc.assert(
     fc.property(frames, fc.array(fc.nat(), { maxLength: 60 }), (list, cuts) => {
       const seen: Buffer[] = [];
@@ -54,7 +54,7 @@
   );
 });
 
-test('a message whole in one chunk is visited in place, without copying', () => {
+test('a message that is complete in one chunk is visited without copying', () => {
   const stream = encode([{ type: 81, body: new Uint8Array(10) }]);
   let visited: Buffer | undefined;
   new FrameReader((_type, buffer) => {
@@ -63,7 +63,7 @@
   assert.equal(visited, stream);
 });
 
-test('lengths out of bounds end the stream, byte by byte and in one chunk', () => {
+test('invalid lengths end the stream, byte by byte and in one chunk', () => {
   for (const length of [-1, 0, 3, MAXIMUM_BYTES]) {
     const header = Buffer.from([81, 0, 0, 0, 0, 0, 0]);
     header.writeInt32BE(length, 1);
@@ -80,7 +80,7 @@
   }
 });
 
-test('stop inside a visit leaves out the rest of the chunk', () => {
+test('stop during a visit skips the rest of the chunk', () => {
   let visits = 0;
   const reader = new FrameReader(() => {
     visits += 1;
--- a/test/property/postgres/statements.test.ts
+++ b/test/property/postgres/statements.test.ts
@@ -1,4 +1,4 @@
-/** What holds of lexer, normal form, classes and markers for all generated statements. */
+/** Properties of lexer, normal form, classification and markers for generated statements. */
 import * as assert from 'node:assert/strict';
 import fc from 'fast-check';
 import { test } from 'uvu';
@@ -10,7 +10,7 @@
 const SEED = 20261202;
 const NUM_RUNS = 400;
 
-/** Characters that matter to the lexer, besides ordinary ones. */
+/** Characters with a meaning for the lexer, and ordinary ones. */
 const trickyText = fc.string({
   unit: fc.constantFrom(
     'a',
@@ -35,7 +35,7 @@
 });
 const MARKER = "/*meadowstack_once='x'*/";
 
-/** A literal that holds `content` and ends where it should. */
+/** A correctly terminated literal with this content. */
 const literalOf = fc.constantFrom<(content: string) => string>(
   (content) => `'${content.replaceAll("'", "''")}'`,
   (content) => `E'${content.replaceAll('\\', '\\\\').replaceAll("'", "\\'")}'`,
@@ -70,7 +70,7 @@
     return upper ? text.toUpperCase() : text;
   });
 
-test('a writing statement is never a read, whatever stands around it', () => {
+test('a writing statement is never classified as a read, whatever surrounds it', () => {
   const before = fc.constantFrom('', 'select 1;', ';;', '/* read */', "select 'a' ;");
   const after = fc.constantFrom('', ';', '; select 1', ' -- select', '/* x */');
   fc.assert(
@@ -82,7 +82,7 @@
   );
 });
 
-test('a writing call is found behind literals, and a literal makes no write', () => {
+test('a writing call is found after literals, and a literal alone is no write', () => {
   const strings = literalOf.filter((quote) => !quote('').startsWith('"'));
   fc.assert(
     fc.property(strings, trickyText, writingStatement, (quote, content, writing) => {
@@ -107,7 +107,7 @@
   );
 });
 
-test('any value comes back from its URL-encoded marker', () => {
+test('any value is decoded from its URL-encoded marker', () => {
   fc.assert(
     fc.property(fc.string({ unit: 'grapheme', minLength: 1, maxLength: 50 }), (value) => {
       const encoded = encodeURIComponent(value).replaceAll("'", '%27').replaceAll('*', '%2A');
@@ -118,7 +118,7 @@
   );
 });
 
-test('arbitrary text: the lexer covers it, and nothing throws', () => {
+test('the lexer covers arbitrary text, and nothing throws', () => {
   fc.assert(
     fc.property(fc.oneof(trickyText, fc.string({ unit: 'binary' })), (text) => {
       const lexer = new Lexer(text);
@@ -135,7 +135,7 @@
   );
 });
 
-test('the normal form has the words of the text, and is its own normal form', () => {
+test('the normal form has the words of the text, and normalising it changes nothing', () => {
   fc.assert(
     fc.property(trickyText, (text) => {
       const normal = normalize(text);
--- a/test/property/primary-evidence.test.ts
+++ b/test/property/primary-evidence.test.ts
@@ -23,7 +23,7 @@
   lsn: fc.bigInt({ min: 0n, max: 50n }),
 });
 
-test('a member that is silent or has a later log leaves nothing proven', () => {
+test('nothing is proven if a member is unresponsive or has a later log', () => {
   const members = fc.array(fc.option(position, { nil: undefined }), { minLength: 1, maxLength: 4 });
   fc.assert(
     fc.property(position, members, (own, others) => {
@@ -31,24 +31,24 @@
         { instanceId: 'primary', position: own },
         ...others.map((other, index) => ({ instanceId: `other-${index}`, position: other })),
       ];
-      const isDeposed = others.some(
+      const isReplaced = others.some(
         (other) => other !== undefined && other.timeline > own.timeline,
       );
       const isSilent = others.some((other) => other === undefined);
       const known = primary('primary', own.timeline);
-      assert.is(provesPrimary(known, answers), !isDeposed && !isSilent);
+      assert.is(provesPrimary(known, answers), !isReplaced && !isSilent);
     }),
     { seed: SEED, numRuns: RUNS },
   );
 });
 
-test('a primary that is not among the answers is not proven', () => {
+test('a primary without a response is not proven', () => {
   const known = primary('primary', 1);
   assert.not(provesPrimary(known, [{ instanceId: 'other', position: undefined }]));
   assert.not(provesPrimary(known, []));
 });
 
-test('a replaced primary that follows its successor proves nothing, though no log is later', () => {
+test('a replaced primary that follows its successor is not proven, though no log is later', () => {
   const answers = ['replaced', 'successor', 'other'].map((instanceId) => ({
     instanceId,
     position: { timeline: 2, lsn: 94n },
@@ -57,7 +57,7 @@
   assert.ok(provesPrimary(primary('successor', 2), answers));
 });
 
-test('a later term shows whoever has it, also if others are silent', () => {
+test('a response with a later term is evidence of a later primary, also if others are missing', () => {
   const silent = { instanceId: 'other', position: undefined };
   const later = { instanceId: 'successor', position: { timeline: 2, lsn: 1n } };
   assert.ok(showsLaterTerm(primary('replaced', 1), [silent, later]));
@@ -65,7 +65,7 @@
   assert.not(showsLaterTerm(primary('successor', 2), [silent, later]));
 });
 
-test('a round covers reads that began before it was sent, at that primary only', () => {
+test('a query round covers reads that began before it was sent, at that primary only', () => {
   const evidence = new PrimaryEvidence();
   const answers = [
     { instanceId: 'a', position: { timeline: 2, lsn: 9n } },
@@ -79,7 +79,7 @@
   assert.not(evidence.covers('a', 100));
 });
 
-test('an instance is stalled only while questions are open and none was answered for long', () => {
+test('an instance is stalled only while requests are pending and none was answered for the threshold', () => {
   const detector = new StallDetector(THRESHOLD_MS, 2);
   assert.not(detector.isStalled(10_000));
   detector.recordRequest(1000);
@@ -88,7 +88,7 @@
   assert.ok(detector.isStalled(1400));
   detector.recordAnswer(1450);
   assert.not(detector.isStalled(1500));
-  assert.not(detector.isStalled(1850), 'one answer alone may be lost');
+  assert.not(detector.isStalled(1850), 'a single response may be lost');
   detector.recordRequest(1860);
   assert.ok(detector.isStalled(1860));
   detector.recordAbandoned();
--- a/test/property/promotion-lateness.test.ts
+++ b/test/property/promotion-lateness.test.ts
@@ -1,7 +1,4 @@
-/**
- * No acknowledged commit is lost where processes run late, members leave with their logs, and restarts end holds.
- * The simulation behind it: `test/support/promotion/`.
- */
+/** No acknowledged commit is lost while processes are delayed, members leave with their logs, and restarts end holds. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import {
@@ -14,7 +11,7 @@
 const RUNS = Number(process.env.PROMOTION_RUNS ?? 40);
 const FIRST_SEED = Number(process.env.PROMOTION_SEED ?? 20261202);
 
-/** What begins a change while the old primary lives on, so that commits may go on beside it. */
+/** Faults that start a primary change while the old primary may go on committing. */
 const CHANGE_FAULTS: readonly FaultKind[] = [
   'primary cut from leader',
   'primary cut from nodes',
@@ -35,11 +32,11 @@
 
 const MIXES: Readonly<Record<string, readonly FaultKind[]>> = {
   'all kinds': [...EVERY_FAULT_KIND, ...LATENESS_FAULT_KINDS],
-  'lateness beside changes': [...CHANGE_FAULTS, ...LATENESS_FAULT_KINDS],
+  'lateness during primary changes': [...CHANGE_FAULTS, ...LATENESS_FAULT_KINDS],
 };
 
 for (const [name, kinds] of Object.entries(MIXES)) {
-  test(`no promise is broken: ${name}`, () => {
+  test(`no violation: ${name}`, () => {
     for (let seed = FIRST_SEED; seed < FIRST_SEED + RUNS; seed += 1) {
       assert.is(violationsOf(seed, kinds), '');
     }
--- a/test/property/promotion-mechanisms.test.ts
+++ b/test/property/promotion-mechanisms.test.ts
@@ -1,6 +1,6 @@
 /**
- * Mechanisms of the promotion machine, each switched off, break a promise under some fixed seed. Not
- * among them is `settled-calls`: no schedule that needs it was found yet.
+ * Without each of these mechanisms of the promotion state machine, some fixed seed has a violation. `settled-calls` is
+ * missing, since no schedule is known that needs it.
  */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -8,23 +8,23 @@
 import { type FaultKind, PromotionSimulation } from '../support/promotion/simulation.js';
 import { STORE } from '../support/promotion/store.js';
 
-const STRIKE_MS = 30_000;
+const FAULTS_MS = 30_000;
 
 interface Mutation {
   readonly mechanism: PromotionMechanism;
-  /** What the broken promise's report begins with. */
-  readonly broken: RegExp;
+  /** Matches the violation that must be reported. */
+  readonly expectedViolation: RegExp;
   readonly seeds: readonly number[];
-  /** Faults that the mechanism is there for. */
-  strike(simulation: PromotionSimulation): void;
+  /** Injects the faults that the mechanism protects against. */
+  injectFaults(simulation: PromotionSimulation): void;
 }
 
-function random(kinds?: readonly FaultKind[]): Mutation['strike'] {
-  return (simulation) => simulation.injectFaults(STRIKE_MS, kinds);
+function randomFaults(kinds?: readonly FaultKind[]): Mutation['injectFaults'] {
+  return (simulation) => simulation.injectFaults(FAULTS_MS, kinds);
 }
 
-/** A leader is cut off from the store while the platform takes no calls, and goes on calling. */
-function leaderCutOffInChange(simulation: PromotionSimulation): void {
+/** A leader is cut off from the store during an outage of the promotion endpoint, and goes on calling it. */
+function cutOffLeaderDuringChange(simulation: PromotionSimulation): void {
   simulation.run(1000);
   const { group, platform, network, clock, leader } = simulation;
   group.crash(group.primary);
@@ -36,49 +36,58 @@
 const MUTATIONS: readonly Mutation[] = [
   {
     mechanism: 'acknowledgements',
-    broken: /^(ONE|STALE|LOST)/,
+    expectedViolation: /^(ONE|STALE|LOST)/,
     seeds: [1, 5, 6, 2, 3, 4],
-    strike: random(['primary cut from leader', 'store watches deaf', 'primary draining']),
+    injectFaults: randomFaults([
+      'primary cut from leader',
+      'store watches deaf',
+      'primary draining',
+    ]),
+  },
+  {
+    mechanism: 'hold',
+    expectedViolation: /^LOST/,
+    seeds: [21, 24, 73, 7, 8, 12],
+    injectFaults: randomFaults(),
   },
-  { mechanism: 'hold', broken: /^LOST/, seeds: [21, 24, 73, 7, 8, 12], strike: random() },
   {
     mechanism: 'permission-lapse',
-    broken: /^STALE/,
+    expectedViolation: /^STALE/,
     seeds: [57, 59, 108, 8, 10, 13],
-    strike: random(),
+    injectFaults: randomFaults(),
   },
   {
     mechanism: 'own-clock',
-    broken: /^ONE: token/,
+    expectedViolation: /^ONE: token/,
     seeds: [1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12],
-    strike: leaderCutOffInChange,
+    injectFaults: cutOffLeaderDuringChange,
   },
 ];
 
 function violations(
-  { seeds, strike }: Mutation,
+  { seeds, injectFaults }: Mutation,
   disabledMechanisms: readonly PromotionMechanism[],
 ): string[] {
   return seeds.flatMap((seed) => {
     const simulation = new PromotionSimulation({ seed, disabledMechanisms });
     simulation.run(3000);
-    strike(simulation);
+    injectFaults(simulation);
     simulation.waitForFaultsToEnd();
     return simulation.violations;
   });
 }
 
 for (const mutation of MUTATIONS) {
-  const { mechanism, broken } = mutation;
-  test(`without ${mechanism} a promise is broken`, () => {
+  const { mechanism, expectedViolation } = mutation;
+  test(`without ${mechanism} there is a violation`, () => {
     const found = violations(mutation, [mechanism]);
     assert.ok(
-      found.some((violation) => broken.test(violation)),
+      found.some((violation) => expectedViolation.test(violation)),
       found.join('\n'),
     );
   });
 
-  test(`with ${mechanism} the same schedules break none`, () => {
+  test(`with ${mechanism} the same schedules have no violation`, () => {
     assert.equal(violations(mutation, []), []);
   });
 }
--- a/test/property/promotion.test.ts
+++ b/test/property/promotion.test.ts
@@ -1,4 +1,4 @@
-/** Primaries are replaced under any schedule of faults without a broken promise. */
+/** Primaries are replaced under any schedule of faults without a violation. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { PromotionSimulation } from '../support/promotion/simulation.js';
@@ -6,7 +6,7 @@
 const RUNS = Number(process.env.PROMOTION_RUNS ?? 60);
 const FIRST_SEED = Number(process.env.PROMOTION_SEED ?? 20261202);
 
-test('a crashed primary is replaced, and writes go on', () => {
+test('a crashed primary is replaced, and all nodes trust the new one', () => {
   const simulation = new PromotionSimulation({ seed: 1 });
   simulation.run(4000);
   const old = simulation.group.primary;
@@ -20,7 +20,7 @@
   assert.equal(simulation.violations, []);
 });
 
-test('no schedule of faults breaks a promise, and all heals', () => {
+test('no schedule of faults causes a violation, and writes succeed afterwards', () => {
   for (let seed = FIRST_SEED; seed < FIRST_SEED + RUNS; seed += 1) {
     const simulation = new PromotionSimulation({ seed });
     simulation.run(3000);
--- a/test/property/publisher.test.ts
+++ b/test/property/publisher.test.ts
@@ -18,13 +18,13 @@
 
 const SEED = 20_261_202;
 
-function publisherOf(store: MemoryStore, random: () => number, attempts?: number): Publisher {
-  const wait = () => turns(Math.floor(random() * 5));
+function createPublisher(store: MemoryStore, random: () => number, attempts?: number): Publisher {
+  const wait = () => yieldTurns(Math.floor(random() * 5));
   return new Publisher({ store, random, wait, ...(attempts === undefined ? {} : { attempts }) });
 }
 
 /** Yields to other pending promises `count` times. */
-async function turns(count: number): Promise<void> {
+async function yieldTurns(count: number): Promise<void> {
   for (let turn = 0; turn < count; turn += 1) await Promise.resolve();
 }
 
@@ -46,9 +46,9 @@
   return { publishId, publishedAt: 0, author: 'test', comment: '', changes, expectedRevisions };
 }
 
-async function prepared(): Promise<{ store: MemoryStore; publisher: Publisher }> {
+async function publishInitial(): Promise<{ store: MemoryStore; publisher: Publisher }> {
   const store = new MemoryStore();
-  const publisher = publisherOf(store, seededRandom(SEED));
+  const publisher = createPublisher(store, seededRandom(SEED));
   const changes = putsOf(TEMPLATE_YAML, tenantYaml('a'), tenantYaml('b'));
   (await publisher.publish(requestOf('first', changes, undefined)))._unsafeUnwrap();
   return { store, publisher };
@@ -73,18 +73,18 @@
   'lost-after',
 );
 
-test('racing operators with lost answers: every accepted publish is applied exactly once', async () => {
+test('concurrent operators with lost responses: every accepted publish is applied exactly once', async () => {
   await fc.assert(
     fc.asyncProperty(
       fc.array(operatorArbitrary, { minLength: 2, maxLength: 6 }),
       fc.array(faultArbitrary, { maxLength: 60 }),
       fc.integer(),
       async (operators, faults, seed) => {
-        const { store } = await prepared();
+        const { store } = await publishInitial();
         const random = seededRandom(seed);
         const remaining = [...faults];
         store.nextFault = () => remaining.shift() ?? 'none';
-        store.delay = () => turns(Math.floor(random() * 8));
+        store.delay = () => yieldTurns(Math.floor(random() * 8));
         const runs = operators.map((operator, index) => race(store, random, operator, index));
         const outcomes = await Promise.all(runs);
         outcomes.forEach((outcome, index) => {
@@ -105,8 +105,8 @@
   operator: Operator,
   index: number,
 ): Promise<RaceOutcome> {
-  await turns(operator.startTurns);
-  const publisher = publisherOf(store, random, 6);
+  await yieldTurns(operator.startTurns);
+  const publisher = createPublisher(store, random, 6);
   const basis = await publisher.read();
   if (basis.isErr()) return basis.error.code;
   const changes = putsOf(tenantYaml(operator.tenant, operator.connections));
@@ -142,8 +142,8 @@
   }
 }
 
-test('a lost answer is read back by the publish id', async () => {
-  const { store, publisher } = await prepared();
+test('after a lost response the outcome is found by the publish id', async () => {
+  const { store, publisher } = await publishInitial();
   const basis = (await publisher.read())._unsafeUnwrap();
   const faults: StoreFault[] = ['none', 'none', 'lost-after'];
   store.nextFault = () => faults.shift() ?? 'none';
@@ -155,9 +155,9 @@
   assert.is(store.applied.length, 2);
 });
 
-test('an unknown outcome is said to be unknown', async () => {
-  const { store } = await prepared();
-  const publisher = publisherOf(store, seededRandom(1), 3);
+test('an unknown outcome is reported as unknown', async () => {
+  const { store } = await publishInitial();
+  const publisher = createPublisher(store, seededRandom(1), 3);
   const faults: StoreFault[] = ['none', 'none', 'lost-after'];
   store.nextFault = () => faults.shift() ?? 'down';
   const outcome = await publisher.publish(requestOf('x', putsOf(tenantYaml('a', 50)), undefined));
@@ -165,7 +165,7 @@
 });
 
 test('a conflict shows both versions and applies nothing', async () => {
-  const { store, publisher } = await prepared();
+  const { store, publisher } = await publishInitial();
   const basis = (await publisher.read())._unsafeUnwrap();
   (await publisher.publish(requestOf('one', putsOf(tenantYaml('a', 1)), basis)))._unsafeUnwrap();
   const changes = putsOf(tenantYaml('a', 2), tenantYaml('b', 2));
@@ -179,8 +179,8 @@
   assert.is(store.applied.length, 2);
 });
 
-test('a template change or removal that harms a tenant is refused by name and field', async () => {
-  const { publisher } = await prepared();
+test('a template change or removal that invalidates a tenant is rejected, naming tenant and field', async () => {
+  const { publisher } = await publishInitial();
   const narrower = putsOf(TEMPLATE_YAML.replace('maximum: 100', 'maximum: 15').replace('20', '5'));
   const refused = await publisher.publish(requestOf('n', narrower, undefined));
   assert.match(refused._unsafeUnwrapErr().message, /tenant\/a: parameters.connections: expected/);
@@ -190,8 +190,8 @@
   assert.match(kept._unsafeUnwrapErr().message, /tenant\/a: template: expected a template/);
 });
 
-test('history is bounded, and a removed name goes on counting', async () => {
-  const { store, publisher } = await prepared();
+test('history is bounded, and the versions of a removed name continue', async () => {
+  const { store, publisher } = await publishInitial();
   for (let connections = 1; connections <= MAX_HISTORY_VERSIONS + 5; connections += 1) {
     const changes = putsOf(tenantYaml('a', connections));
     (await publisher.publish(requestOf(`p${connections}`, changes, undefined)))._unsafeUnwrap();
@@ -210,8 +210,8 @@
   assert.is(store.applied.at(-1)?.revision, store.revision);
 });
 
-test('publishing what is in force already changes nothing', async () => {
-  const { store, publisher } = await prepared();
+test('publishing the current configuration changes nothing', async () => {
+  const { store, publisher } = await publishInitial();
   const outcome = await publisher.publish(requestOf('same', putsOf(tenantYaml('a')), undefined));
   assert.is(outcome._unsafeUnwrap().changed, false);
   assert.is(store.applied.length, 1);
--- a/test/property/quota-priorities.test.ts
+++ b/test/property/quota-priorities.test.ts
@@ -1,7 +1,7 @@
 /**
- * A tenant requests a multiple of its quota, with operations of three priorities. The highest are served while they
- * alone fit the quota, the others share the rest and never starve, and about as many run as without priorities.
- * Virtual time.
+ * A tenant requests a multiple of its quota, with operations of three priorities, in virtual time. The highest are
+ * served while they alone fit the quota, the others share the rest and do not starve, and about as many run as without
+ * priorities.
  */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -12,7 +12,7 @@
 
 const SEEDS = 20;
 const NODES = 30;
-const DAY_MS = 20_000;
+const SIMULATED_MS = 20_000;
 /** Results count only after this time: at first, buckets are full and the demand is unknown. */
 const SETTLED_MS = 3000;
 const QUOTA: Quota = { ratePerSecond: 120, burst: 90 };
@@ -20,7 +20,7 @@
 type Mix = readonly number[];
 
 interface Outcome {
-  readonly asked: number[];
+  readonly requested: number[];
   readonly served: number[];
 }
 
@@ -30,33 +30,33 @@
     { length: PARTS_PER_TENANT },
     () => new QuotaLedger(1 / PARTS_PER_TENANT, -60_000, 1),
   );
-  const backs = Array.from({ length: NODES }, () => mix.map(() => 0));
-  const outcome: Outcome = { asked: mix.map(() => 0), served: mix.map(() => 0) };
-  for (let now = 0; now < DAY_MS; now += 1) {
-    for (const [priority, share] of mix.entries()) {
-      if (random() * 1000 >= QUOTA.ratePerSecond * share) continue;
+  const retryTimes = Array.from({ length: NODES }, () => mix.map(() => 0));
+  const outcome: Outcome = { requested: mix.map(() => 0), served: mix.map(() => 0) };
+  for (let now = 0; now < SIMULATED_MS; now += 1) {
+    for (const [priority, multiple] of mix.entries()) {
+      if (random() * 1000 >= QUOTA.ratePerSecond * multiple) continue;
       const node = Math.floor(random() * NODES);
       const isServed = ask(node, priority, now);
       if (now < SETTLED_MS) continue;
-      outcome.asked[priority] = (outcome.asked[priority] ?? 0) + 1;
+      outcome.requested[priority] = (outcome.requested[priority] ?? 0) + 1;
       if (isServed) outcome.served[priority] = (outcome.served[priority] ?? 0) + 1;
     }
   }
   return outcome;
 
   function ask(node: number, priority: number, now: number): boolean {
-    const back = backs[node] as number[];
-    if (back.some((until, refused) => refused <= priority && now < until)) return false;
+    const retryAt = retryTimes[node] as number[];
+    if (retryAt.some((until, refused) => refused <= priority && now < until)) return false;
     const request = { tenant: 't', node: `n${node}`, needed: 1, held: 0, wanted: 0 };
     let soonest = Number.POSITIVE_INFINITY;
     for (let turn = 0; turn < PARTS_PER_TENANT; turn += 1) {
-      const kept = ledgers[(node + turn) % PARTS_PER_TENANT];
-      const asked = hasPriorities ? { ...request, priority } : request;
-      const grant = kept?.grant(asked, QUOTA, now);
+      const ledger = ledgers[(node + turn) % PARTS_PER_TENANT];
+      const prioritized = hasPriorities ? { ...request, priority } : request;
+      const grant = ledger?.grant(prioritized, QUOTA, now);
       if (grant !== undefined && grant.granted > 0) return true;
       soonest = Math.min(soonest, grant?.retryAfterMs ?? soonest);
     }
-    back[priority] = now + soonest;
+    retryAt[priority] = now + soonest;
     return false;
   }
 }
@@ -65,31 +65,31 @@
   return counts.reduce((total, count) => total + count, 0);
 }
 
-test('the highest priority is served whole while it alone fits, whatever else is asked for', () => {
+test('the highest priority is fully served while it alone fits the quota', () => {
   for (const mix of [
     [0.3, 0.9, 0.8],
     [0.6, 1.2, 1.2],
     [0.5, 0, 3.5],
   ]) {
     for (let seed = 1; seed <= SEEDS; seed += 1) {
-      const { asked, served } = play(seed, mix);
-      const share = (served[0] ?? 0) / (asked[0] ?? 1);
+      const { requested, served } = play(seed, mix);
+      const share = (served[0] ?? 0) / (requested[0] ?? 1);
       assert.ok(share >= 0.99, `seed ${seed}, mix ${mix}: ${share} of the highest priority`);
     }
   }
 });
 
-test('of two lower priorities the higher one goes first, and the lowest does not starve', () => {
+test('of two lower priorities the higher one gets more, and the lowest does not starve', () => {
   for (let seed = 1; seed <= SEEDS; seed += 1) {
-    const { asked, served } = play(seed, [0.4, 1.5, 1.5]);
-    const shares = asked.map((count, priority) => (served[priority] ?? 0) / count);
+    const { requested, served } = play(seed, [0.4, 1.5, 1.5]);
+    const shares = requested.map((count, priority) => (served[priority] ?? 0) / count);
     assert.ok((shares[1] ?? 0) > (shares[2] ?? 1), `seed ${seed}: ${shares}`);
-    const leastPerSecond = (served[2] ?? 0) / ((DAY_MS - SETTLED_MS) / 1000);
+    const leastPerSecond = (served[2] ?? 0) / ((SIMULATED_MS - SETTLED_MS) / 1000);
     assert.ok(leastPerSecond >= 0.05 * QUOTA.ratePerSecond, `seed ${seed}: ${leastPerSecond}`);
   }
 });
 
-test('priorities move what is served, and lose nothing of it', () => {
+test('priorities do not change the total that is served', () => {
   for (let seed = 1; seed <= SEEDS; seed += 1) {
     const mix = [0.4, 1, 1];
     const served = sum(play(seed, mix).served);
@@ -99,12 +99,12 @@
   }
 });
 
-test('without priorities all are refused alike', () => {
-  const { asked, served } = play(1, [0.6, 1.2, 1.2], false);
-  assert.ok((served[0] ?? 0) / (asked[0] ?? 1) < 0.6);
+test('without priorities the highest ones are refused like the others', () => {
+  const { requested, served } = play(1, [0.6, 1.2, 1.2], false);
+  assert.ok((served[0] ?? 0) / (requested[0] ?? 1) < 0.6);
 });
 
-test('a tenant within its quota is served whole, also a burst of its lowest priority', () => {
+test('a tenant within its quota is fully served, also a burst of its lowest priority', () => {
   const quota = { ratePerSecond: 100, burst: 40 };
   const ledger = new QuotaLedger(1, -60_000);
   const request = { tenant: 't', node: 'n', needed: 1, held: 0, wanted: 0 };
@@ -114,7 +114,7 @@
   assert.is(ledger.grant({ ...request, needed: 38, priority: 2 }, quota, 3001).granted, 38);
 });
 
-test('one priority alone finds nothing kept from it', () => {
+test('a single priority has nothing reserved against it', () => {
   const reserve = new PriorityReserve();
   for (let now = 0; now < 2000; now += 5) reserve.recordDemand(2, 1, 10, now);
   assert.is(reserve.reservedAgainst(2, { ratePerSecond: 10, capacity: 10 }, 2000), 0);
--- a/test/property/rate-limit.test.ts
+++ b/test/property/rate-limit.test.ts
@@ -1,6 +1,6 @@
 /**
- * Each owner of a group limits request rates by itself. Owners that serve in succession, and overlap
- * for some time, admit no more than the bound in docs/design/fleet-wide-limits.md.
+ * Each owner of a group limits request rates on its own. Owners that follow one another, with some overlap, admit no
+ * more than the bound in docs/design/fleet-wide-limits.md.
  */
 import fc from 'fast-check';
 import { test } from 'uvu';
@@ -50,7 +50,7 @@
   return owners.length * BURST + (servingMs * REQUESTS_PER_SECOND) / MS_PER_SECOND;
 }
 
-test('a hand-over with owners that serve at once adds one burst, and the rate for the overlap', () => {
+test('a change of owner with an overlap adds one burst, and the rate during the overlap', () => {
   const handOver = fc.record({
     durationMs: fc.integer({ min: 1000, max: 4000 }),
     at: fc.double({ min: 0.1, max: 0.9, noNaN: true }),
@@ -72,7 +72,7 @@
   );
 });
 
-test('one owner admits the burst and the rate', () => {
+test('a single owner admits the burst and the rate', () => {
   const owners = [{ from: 0, to: 3000 }];
   const count = admitted(owners, 3000);
   assert.ok(count <= bound(owners) && count >= bound(owners) - 1, `${count}`);
--- a/test/property/relays.test.ts
+++ b/test/property/relays.test.ts
@@ -20,7 +20,7 @@
   }));
 }
 
-test('a push along a tree reaches every node of the zone once, with a bounded fan-out', () => {
+test('a push reaches every node of the zone exactly once, with a bounded fan-out', () => {
   fc.assert(
     fc.property(fc.integer({ min: 1, max: 300 }), fc.nat(), (count, pick) => {
       const members = membersOf(count);
@@ -39,7 +39,7 @@
   );
 });
 
-test('candidates do not depend on the order of the view and change little with it', () => {
+test('relay candidates do not depend on the order of members, and a lost member changes no other', () => {
   fc.assert(
     fc.property(fc.integer({ min: 6, max: 200 }), fc.nat(), (count, pick) => {
       const members = membersOf(count);
--- a/test/property/replica-reads.test.ts
+++ b/test/property/replica-reads.test.ts
@@ -1,19 +1,19 @@
-/** Reads at replicas, by what enough members have received, miss no acknowledged commit under any schedule of faults. */
+/** Reads at replicas that have reached a proven position miss no acknowledged commit under any schedule of faults. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { PromotionSimulation } from '../support/promotion/simulation.js';
 
 const RUNS = 25;
 const FIRST_SEED = 20_261_202;
-/** Receivers of each commit beside its primary, in these groups. */
+/** Number of replicas that receive each commit before it is acknowledged. */
 const SYNC_REPLICAS = 1;
 
-interface Strikes {
+interface Result {
   readonly violations: readonly string[];
   readonly reads: number;
 }
 
-function strike(seed: number, assumedSyncReplicas: number): Strikes {
+function play(seed: number, assumedSyncReplicas: number): Result {
   const simulation = new PromotionSimulation({ seed, assumedSyncReplicas });
   simulation.run(3000);
   simulation.injectFaults(20_000);
@@ -24,19 +24,19 @@
 
 const SEEDS = Array.from({ length: RUNS }, (_, index) => FIRST_SEED + index);
 
-test('no read at a replica is stale, whoever leads and whatever fails', () => {
+test('no read at a replica is stale under any faults', () => {
   let reads = 0;
   for (const seed of SEEDS) {
-    const struck = strike(seed, SYNC_REPLICAS);
-    assert.equal(struck.violations, [], `seed ${seed}`);
-    reads += struck.reads;
+    const result = play(seed, SYNC_REPLICAS);
+    assert.equal(result.violations, [], `seed ${seed}`);
+    reads += result.reads;
   }
   assert.ok(reads > 1000, `${reads} reads`);
 });
 
-test('counting on one receiver more than there is shows a stale read', () => {
+test('with one more assumed receiver than there is, reads are stale', () => {
   const isStale = (seed: number): boolean =>
-    strike(seed, SYNC_REPLICAS + 1).violations.some((violation) => violation.startsWith('STALE'));
+    play(seed, SYNC_REPLICAS + 1).violations.some((violation) => violation.startsWith('STALE'));
   assert.ok(SEEDS.some(isStale));
 });
 
--- a/test/property/replica-snapshot.test.ts
+++ b/test/property/replica-snapshot.test.ts
@@ -11,7 +11,7 @@
 
 interface Change {
   readonly key: DeclarationKey;
-  /** Null: a tombstone. */
+  /** Null for a tombstone. */
   readonly declaration: Declaration | null;
 }
 
@@ -32,7 +32,7 @@
   tenantArbitrary.map((name): Change => ({ key: `tenant/${name}`, declaration: null })),
 );
 
-test('a snapshot kept up change by change is the one that a fresh replica resolves', () => {
+test('a snapshot updated change by change equals that of a new replica', () => {
   fc.assert(
     fc.property(fc.array(changeArbitrary, { maxLength: 20 }), (changes) => {
       const kept = new ConfigurationReplica();
--- a/test/property/return-of-fleet.test.ts
+++ b/test/property/return-of-fleet.test.ts
@@ -1,6 +1,6 @@
 /**
- * A fleet that lost power comes back before one instance that still counts its old connections. Played in virtual time:
- * which nodes find room, and what callers get, with each node for itself and with owners.
+ * A cluster restarts after a power loss, while an instance still counts its old connections. Compares, in virtual time,
+ * which openings and statements succeed with direct connections and with owners.
  */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -21,21 +21,21 @@
 const SLOTS = 4;
 const OPENING_MS = 12;
 const STATEMENT_MS = 8;
-/** An owner is another machine of the same or the next zone. */
-const HOP_MS = 3;
-const LINGER_MS = 3000;
+/** Latency to an owner, which is another machine of the same or the next zone. */
+const OWNER_HOP_MS = 3;
+const STALE_CONNECTIONS_MS = 3000;
 const DOWN_MS = 500;
 const RECONNECT_MS = 200;
 const STATEMENTS_PER_SECOND = 100;
-const AIM_MS = 200;
-/** Reads asked later than this after the power is back are to be served in their aim, 95 of 100. */
-const BACK_WITHIN_MS = 2000;
-const AIMED_SHARE = 0.95;
-const PLAY_MS = 3000;
+const LATENCY_TARGET_MS = 200;
+/** Of the statements sent later than this after the restart, 95 of 100 must be answered within the latency target. */
+const RECOVERY_MS = 2000;
+const MIN_FRACTION_WITHIN_TARGET = 0.95;
+const SIMULATED_MS = 3000;
 const SEEDS = [1, 2, 3, 4, 5, 6];
 const DIRECT: ConnectionSharing = { type: 'direct' };
 
-/** Runs as much at once as it has slots, and refuses connections beyond its limit. */
+/** An instance that runs one statement or opening per slot, and refuses connections beyond its limit. */
 class Instance {
   refused = 0;
   #free = SLOTS;
@@ -45,13 +45,13 @@
     private readonly clock: SimulatedClock,
     private connections: number,
   ) {
-    const left = connections;
-    clock.after(LINGER_MS - DOWN_MS, () => {
-      this.connections -= left;
+    const staleConnections = connections;
+    clock.after(STALE_CONNECTIONS_MS - DOWN_MS, () => {
+      this.connections -= staleConnections;
     });
   }
 
-  /** False at once if it takes no more connections. */
+  /** False if the connection limit is reached. */
   open(onOpen: () => void): boolean {
     if (this.connections >= MAX_CONNECTIONS) {
       this.refused += 1;
@@ -79,7 +79,7 @@
   }
 }
 
-/** Connections of one node: opened for those who wait, and not tried for a while once refused. */
+/** Connections of one node: opened for waiting statements; after a refusal the next attempt is delayed. */
 class Holder {
   #open = 0;
   #opening = 0;
@@ -93,14 +93,14 @@
     private readonly limit: number,
   ) {}
 
-  ask(onAnswer: () => void): void {
-    // Without a connection and told that there is no room, a node refuses its callers.
+  execute(onAnswer: () => void): void {
+    // A node without connections whose last opening was refused rejects its statements.
     if (this.#open === 0 && this.clock.now < this.#retryAt) return;
     this.#waiting.push(onAnswer);
-    this.#go();
+    this.#dispatch();
   }
 
-  #go(): void {
+  #dispatch(): void {
     while (this.#idle > 0) {
       const onAnswer = this.#waiting.shift();
       if (onAnswer === undefined) break;
@@ -108,7 +108,7 @@
       this.instance.run(STATEMENT_MS, () => {
         this.#idle += 1;
         onAnswer();
-        this.#go();
+        this.#dispatch();
       });
     }
     const wanted = Math.min(this.#waiting.length, Math.max(1, this.#open));
@@ -122,7 +122,7 @@
       this.#opening -= 1;
       this.#open += 1;
       this.#idle += 1;
-      this.#go();
+      this.#dispatch();
     });
     if (isOpening) {
       this.#opening += 1;
@@ -134,14 +134,14 @@
   }
 }
 
-interface Return {
-  /** Part of the statements asked from `BACK_WITHIN_MS` on that were answered in their aim. */
-  readonly inAim: number;
-  /** Openings that the instance refused for its limit. */
+interface Outcome {
+  /** Fraction of the statements sent from `RECOVERY_MS` on that were answered within the latency target. */
+  readonly withinTarget: number;
+  /** Number of openings that the instance refused. */
   readonly refused: number;
 }
 
-/** Who opens how many connections after the power is back. */
+/** Number of nodes that open connections after the restart, and of connections for each. */
 function holdersOf(sharing: ConnectionSharing) {
   if (sharing.type === 'direct') {
     const each = unsettledConnections(1, { slots: SLOTS, nodes: NODES });
@@ -150,30 +150,30 @@
   const owners = sharing.ownersPerInstance;
   const share = connectionsPerOwner(owners, MAX_CONNECTIONS);
   const limit = Math.ceil(share * UNSETTLED_FRACTION);
-  return { holders: owners, limit, hopMs: HOP_MS };
+  return { holders: owners, limit, hopMs: OWNER_HOP_MS };
 }
 
-function play(seed: number, sharing: ConnectionSharing): Return {
+function play(seed: number, sharing: ConnectionSharing): Outcome {
   const clock = new SimulatedClock(seed);
   const { holders: count, limit, hopMs } = holdersOf(sharing);
-  // Each node had one of its own.
+  // Before the power loss each node had one connection.
   const instance = new Instance(clock, NODES);
   const holders = Array.from({ length: count }, () => new Holder(clock, instance, limit));
-  let asked = 0;
-  let inAim = 0;
+  let sent = 0;
+  let withinTarget = 0;
   const send = (): void => {
-    const askedAt = clock.now;
-    const isCounted = askedAt >= BACK_WITHIN_MS && askedAt < LINGER_MS - DOWN_MS;
-    if (isCounted) asked += 1;
+    const sentAt = clock.now;
+    const isCounted = sentAt >= RECOVERY_MS && sentAt < STALE_CONNECTIONS_MS - DOWN_MS;
+    if (isCounted) sent += 1;
     const onAnswer = (): void => {
-      if (isCounted && clock.now + hopMs - askedAt <= AIM_MS) inAim += 1;
+      if (isCounted && clock.now + hopMs - sentAt <= LATENCY_TARGET_MS) withinTarget += 1;
     };
-    clock.after(hopMs, () => clock.pick(holders).ask(onAnswer));
+    clock.after(hopMs, () => clock.pick(holders).execute(onAnswer));
     clock.after(clock.between(0, 2000 / STATEMENTS_PER_SECOND), send);
   };
   send();
-  clock.runUntil(PLAY_MS);
-  return { inAim: inAim / asked, refused: instance.refused };
+  clock.runUntil(SIMULATED_MS);
+  return { withinTarget: withinTarget / sent, refused: instance.refused };
 }
 
 function sharingOf(largestDirectFleet: number | undefined): ConnectionSharing {
@@ -181,22 +181,28 @@
   return new SharingDecision().decide(DIRECT, fleet, 0);
 }
 
-test('two seconds after the power is back, reads are served in their aim and no opening is refused', () => {
+test('with owners, no opening is refused and statements meet their target two seconds after the restart', () => {
   const sharing = sharingOf(maxFleetWithoutReturnOwners(MAX_CONNECTIONS));
   for (const seed of SEEDS) {
-    const { inAim, refused } = play(seed, sharing);
+    const { withinTarget, refused } = play(seed, sharing);
     assert.is(refused, 0, `seed ${seed}`);
-    assert.ok(inAim >= AIMED_SHARE, `seed ${seed}: ${inAim} in aim`);
+    assert.ok(
+      withinTarget >= MIN_FRACTION_WITHIN_TARGET,
+      `seed ${seed}: ${withinTarget} within the target`,
+    );
   }
 });
 
-test('each node for itself, most find no room until the old connections are dropped', () => {
+test('with direct connections, openings are refused until the old connections are dropped', () => {
   const sharing = sharingOf(undefined);
   assert.is(sharing.type, 'direct');
   for (const seed of SEEDS) {
-    const { inAim, refused } = play(seed, sharing);
+    const { withinTarget, refused } = play(seed, sharing);
     assert.ok(refused > 0, `seed ${seed}`);
-    assert.ok(inAim < AIMED_SHARE, `seed ${seed}: ${inAim} in aim`);
+    assert.ok(
+      withinTarget < MIN_FRACTION_WITHIN_TARGET,
+      `seed ${seed}: ${withinTarget} within the target`,
+    );
   }
 });
 
--- a/test/property/return-of-power.test.ts
+++ b/test/property/return-of-power.test.ts
@@ -1,6 +1,6 @@
 /**
- * A fleet whose nodes all lost power comes back at once before one instance, with the load that it had. Played in
- * virtual time: openings and statements take the instance's slots, and what finds none is refused and asked again.
+ * All nodes of a cluster restart at once after a power loss, with the load that they had before. Simulates one instance
+ * in virtual time: openings and statements compete for its slots and wait for a free one.
  */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -9,14 +9,14 @@
 
 const NODES = 68;
 const SLOTS = 3;
-/** What a node may open once it has settled, of 225 connections. */
-const SETTLED = 3;
+/** Connections of a node in normal operation, of 225 in total. */
+const SETTLED_CONNECTIONS = 3;
 const OPENING_MS = 32;
 const STATEMENT_MS = 14;
 const RETRY_MS = 100;
 const STATEMENTS_PER_SECOND = 70;
-const AIM_MS = 250;
-const PLAY_MS = 2000;
+const LATENCY_TARGET_MS = 250;
+const SIMULATED_MS = 2000;
 const SEEDS = [1, 2, 3, 4, 5, 6];
 
 interface Work {
@@ -24,7 +24,7 @@
   readonly onEnd: () => void;
 }
 
-/** Takes as much at once as it has slots; the rest waits in order. */
+/** An instance that runs one piece of work per slot; the rest waits in order. */
 class Instance {
   #free = SLOTS;
   readonly #queue: Work[] = [];
@@ -48,7 +48,7 @@
   }
 }
 
-/** A node's connections to the instance: opened for those who wait, as many at once as there are already. */
+/** A node's connections: opened for waiting statements, at most as many at once as are already open. */
 class Node {
   #open = 0;
   #opening = 0;
@@ -60,12 +60,12 @@
     private readonly limit: number,
   ) {}
 
-  ask(onAnswer: () => void): void {
+  execute(onAnswer: () => void): void {
     this.#waiting.push(onAnswer);
-    this.#go();
+    this.#dispatch();
   }
 
-  #go(): void {
+  #dispatch(): void {
     while (this.#idle > 0 && this.#waiting.length > 0) {
       const onAnswer = this.#waiting.shift();
       this.#idle -= 1;
@@ -74,7 +74,7 @@
         onEnd: () => {
           this.#idle += 1;
           onAnswer?.();
-          this.#go();
+          this.#dispatch();
         },
       });
     }
@@ -87,50 +87,50 @@
           this.#opening -= 1;
           this.#open += 1;
           this.#idle += 1;
-          this.#go();
+          this.#dispatch();
         },
       });
     }
   }
 }
 
-/** Statements answered in aim, of all that callers sent in the first seconds. */
-function inAim(seed: number, limit: number): number {
+/** Fraction of the statements in the first two seconds that were answered within the latency target. */
+function fractionWithinTarget(seed: number, limit: number): number {
   const clock = new SimulatedClock(seed);
   const instance = new Instance(clock);
   const nodes = Array.from({ length: NODES }, () => new Node(instance, limit));
-  let asked = 0;
-  let answered = 0;
+  let sent = 0;
+  let withinTarget = 0;
   const send = (): void => {
-    const askedAt = clock.now;
-    asked += 1;
-    clock.pick(nodes).ask(() => {
-      if (clock.now - askedAt <= AIM_MS) answered += 1;
+    const sentAt = clock.now;
+    sent += 1;
+    clock.pick(nodes).execute(() => {
+      if (clock.now - sentAt <= LATENCY_TARGET_MS) withinTarget += 1;
     });
     clock.after(clock.between(0, 2000 / STATEMENTS_PER_SECOND), send);
   };
-  // Those who were cut off ask again within the first tenth of a second.
+  // Interrupted callers retry within the first 100 ms.
   for (let caller = 0; caller < NODES; caller += 1) {
-    clock.after(clock.between(0, RETRY_MS), () => clock.pick(nodes).ask(() => {}));
+    clock.after(clock.between(0, RETRY_MS), () => clock.pick(nodes).execute(() => {}));
   }
   send();
-  clock.runUntil(PLAY_MS);
-  return answered / asked;
+  clock.runUntil(SIMULATED_MS);
+  return withinTarget / sent;
 }
 
 function mean(limit: number): number {
-  return SEEDS.reduce((sum, seed) => sum + inAim(seed, limit), 0) / SEEDS.length;
+  return SEEDS.reduce((sum, seed) => sum + fractionWithinTarget(seed, limit), 0) / SEEDS.length;
 }
 
-test('callers of a fleet that comes back are served sooner by fewer connections', () => {
-  const few = unsettledConnections(SETTLED, { slots: SLOTS, nodes: NODES });
-  const half = Math.ceil(SETTLED / 2);
+test('after a restart of all nodes, fewer connections serve callers sooner', () => {
+  const few = unsettledConnections(SETTLED_CONNECTIONS, { slots: SLOTS, nodes: NODES });
+  const half = Math.ceil(SETTLED_CONNECTIONS / 2);
   assert.is(few, 1);
   assert.is(half, 2);
-  assert.ok(mean(few) > mean(half) + 0.02, `${mean(few)} and ${mean(half)} in aim`);
+  assert.ok(mean(few) > mean(half) + 0.02, `${mean(few)} and ${mean(half)} within the target`);
 });
 
-test('small fleets take half of their share, and nobody none', () => {
+test('small clusters open half of their share, and each node at least one connection', () => {
   assert.is(unsettledConnections(5, { slots: 3, nodes: 6 }), 3);
   assert.is(unsettledConnections(3, { slots: 2, nodes: 8 }), 2);
   assert.is(unsettledConnections(1, { slots: 2, nodes: 195 }), 1);
--- a/test/property/reused-change-number.test.ts
+++ b/test/property/reused-change-number.test.ts
@@ -1,9 +1,8 @@
 /**
- * What a caller saw: a read at a deposed primary that misses a commit acknowledged 1.1 s before. In order: a change of primary ends; the
- * store comes back from a copy without it, and the one node that has heard of its end is cut off; the next change has the same
- * number; the store comes back from an older copy once more, and the node that was cut off writes its record again.
- *
- * Cause: of two records with the same number of a change, whichever the store had was taken for the later one.
+ * Guards against a stale read at a replaced primary. A primary change ends, and the store is restored from a backup
+ * without it, while the only node that knows of its end is cut off. The next change gets the same number. Then the store
+ * is restored from an older backup, and the node that was cut off writes its record again. If of two records with the
+ * same change number the one in the store counts as the later one, the first change replaces the second.
  */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -13,7 +12,7 @@
   simulateMixedFaults,
 } from '../support/promotion/mix.js';
 
-/** `RETURN_RUNS=1 RETURN_SEED=930569 node dist/test/property/store-return.test.js`, found among 930000 to 930599 */
+/** To replay: `RETURN_RUNS=1 RETURN_SEED=930569 node dist/test/property/store-return.test.js`. */
 const SEED = 930569;
 
 test('a record of an earlier term is not taken for the later one', () => {
--- a/test/property/scale-run.test.ts
+++ b/test/property/scale-run.test.ts
@@ -1,4 +1,4 @@
-/** A small scale run: it comes to rest after each fault, nothing reverts, and it is repeatable. */
+/** A small scale run: it settles after each fault, no node reverts, and results are repeatable. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { FAULT_SCENARIOS, type FaultScenario } from '../../scale/faults.js';
@@ -7,12 +7,12 @@
 import { loadHash64 } from '../../src/core/ownership/hash.js';
 
 const NODES = 36;
-/** The letter's bound of control, bytes a second and node; the run is far below it when quiet. */
+/** Required maximum of control traffic per second and node; the idle run is far below it. */
 const MAX_BYTES_PER_SECOND = 14_000;
 const MAX_IN_FORCE_MS = 2000;
 const hash = await loadHash64();
 
-function runOf(seed: number, faults: readonly FaultScenario[] = FAULT_SCENARIOS): SizeFigures {
+function runScale(seed: number, faults: readonly FaultScenario[] = FAULT_SCENARIOS): SizeFigures {
   return new SizeRun({
     nodes: NODES,
     tenants: 20,
@@ -25,42 +25,42 @@
   }).run();
 }
 
-/** What must be the same twice: everything but times of the processor and bytes of the heap. */
-function repeatable(figures: PhaseFigures | SizeFigures): unknown {
+/** Omits CPU and heap figures, which differ between runs of the same seed. */
+function omitMachineDependent(figures: PhaseFigures | SizeFigures): unknown {
   const { cpuCoreShare: _, cpuByRole: __, ...rest } = figures;
   return rest;
 }
 
-function allRepeatable(figures: SizeFigures): unknown {
+function omitAllMachineDependent(figures: SizeFigures): unknown {
   const { memoryBytesPerNode: _, wallSeconds: __, faults, ...rest } = figures;
   return [
-    repeatable({ ...rest, faults: [], memoryBytesPerNode: 0, wallSeconds: 0 }),
-    faults.map(repeatable),
+    omitMachineDependent({ ...rest, faults: [], memoryBytesPerNode: 0, wallSeconds: 0 }),
+    faults.map(omitMachineDependent),
   ];
 }
 
-const first = runOf(7);
+const first = runScale(7);
 
-test('every phase settles: all changes of members known, all publishes in force', () => {
+test('every phase settles', () => {
   assert.ok(first.settled, 'quiet phase');
   for (const fault of first.faults) assert.ok(fault.settled, fault.name);
   assert.is(first.faults.length, FAULT_SCENARIOS.length);
 });
 
-test('no node ever went back, not even one restarted while the store was down', () => {
+test('no node reverts, not even one restarted during a store outage', () => {
   assert.is(first.reverts, 0);
   const storeDown = first.faults.find(({ name }) => name === 'store-down');
   assert.ok((storeDown?.membershipConvergeMs.count ?? 0) > 0, 'nodes were replaced meanwhile');
 });
 
-test('bytes and delays stay within their bounds', () => {
+test('traffic and configuration delays stay within their bounds', () => {
   assert.ok(first.bytesPerSecondPerNode > 0);
   assert.ok(first.bytesPerSecondPerNode < MAX_BYTES_PER_SECOND, `${first.bytesPerSecondPerNode}`);
   assert.ok(first.configInForceMs.count > 0);
   assert.ok(first.configInForceMs.p99 < MAX_IN_FORCE_MS, `${first.configInForceMs.p99} ms`);
 });
 
-test('a lost node moves what it owned, and little else', () => {
+test('the loss of a node moves its groups and few others', () => {
   const moves = first.faults.map((fault) => fault.moves).filter((one) => one.memberChanges > 0);
   assert.ok(moves.length > 0);
   for (const { movesPerChange, leastMovesPerChange } of moves) {
@@ -68,12 +68,12 @@
   }
 });
 
-test('the same seed gives the same counts, another seed others', () => {
-  assert.equal(allRepeatable(runOf(7)), allRepeatable(first));
-  assert.is.not(runOf(8, []).bytesPerSecondPerNode, first.bytesPerSecondPerNode);
+test('the same seed gives the same figures, another seed others', () => {
+  assert.equal(omitAllMachineDependent(runScale(7)), omitAllMachineDependent(first));
+  assert.is.not(runScale(8, []).bytesPerSecondPerNode, first.bytesPerSecondPerNode);
 });
 
-test('the clock runs what is due in order of time, then of scheduling', () => {
+test('the virtual clock runs actions in order of time, then of scheduling', () => {
   const clock = new VirtualClock();
   const seen: string[] = [];
   for (const [delay, name] of [
--- a/test/property/session.test.ts
+++ b/test/property/session.test.ts
@@ -37,7 +37,7 @@
   return session;
 }
 
-test('a token gives back each group it holds and never a lower requirement', () => {
+test('a decoded token has the same requirement for each of its groups, and unknown for others', () => {
   const property = fc.property(visits, fc.string(), (visited, tenant) => {
     const session = sessionOf(visited);
     const token = encodeSessionToken(session, tenant, KEYS);
@@ -52,7 +52,7 @@
   fc.assert(property, PARAMETERS);
 });
 
-test('any flipped bit and any cut is refused', () => {
+test('a token with a flipped bit or a missing end is rejected', () => {
   const token = encodeSessionToken(
     sessionOf([
       ['orders', { timeline: 2, lsn: 99n }],
@@ -72,7 +72,7 @@
   }
 });
 
-test('a token is refused for every other tenant, and any text is refused without a throw', () => {
+test('a token is rejected for any other tenant, and arbitrary text is rejected without an exception', () => {
   const otherTenant = fc.property(fc.string(), fc.string(), (owner, other) => {
     fc.pre(owner !== other);
     const token = encodeSessionToken(freshSession(), owner, KEYS);
@@ -86,7 +86,7 @@
   fc.assert(anyText, PARAMETERS);
 });
 
-test('the position table never goes back, in whatever order records arrive', () => {
+test('the position table keeps the highest position in any order of records', () => {
   const session = { tenant: 't', sessionId: 's' };
   const property = fc.property(fc.array(position, { minLength: 1 }), (positions) => {
     const table = new SessionPositionTable({ startedAt: 0 });
--- a/test/property/store-engine.test.ts
+++ b/test/property/store-engine.test.ts
@@ -1,4 +1,4 @@
-/** The store stand-in against a model that keeps a whole copy of the keys for every revision. */
+/** Compares the store stand-in with a model that keeps a full copy of the keys for every revision. */
 import fc from 'fast-check';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -17,7 +17,7 @@
 }
 type Snapshot = ReadonlyMap<string, ModelEntry>;
 
-/** The slow and plain store: index is the revision, starting at etcd's 1. */
+/** A simple, slow store; the index of a snapshot is its revision, which starts at 1 as in etcd. */
 class StoreModel {
   readonly snapshots: Snapshot[] = [new Map(), new Map()];
 
@@ -118,7 +118,7 @@
     .map(([name, entry]) => [name, entry.value, entry.create, entry.mod, entry.version]);
 }
 
-test('every uncompacted revision reads as the model has it', () => {
+test('every uncompacted revision equals the model', () => {
   fc.assert(
     fc.property(fc.array(step, { maxLength: 40 }), (steps) => {
       const engine = new StoreEngine();
@@ -134,23 +134,23 @@
   );
 });
 
-test('a range holds just the keys that its definition names', () => {
+test('a range has exactly the keys of its definition', () => {
   fc.assert(
-    fc.property(fc.array(key), range, (keys, wanted) => {
+    fc.property(fc.array(key), range, (keys, requested) => {
       const engine = new StoreEngine();
       for (const name of keys) engine.put({ key: name, value: '', leaseId: NO_LEASE });
-      const found = engine.range({ ...wanted, revision: 0, limit: 0 }).entries;
-      const expected = [...new Set(keys)].filter((name) => isInRangeByDefinition(name, wanted));
+      const found = engine.range({ ...requested, revision: 0, limit: 0 }).entries;
+      const expected = [...new Set(keys)].filter((name) => isInRangeByDefinition(name, requested));
       assert.equal(found.map((entry) => entry.key).sort(), expected.sort());
       for (const name of keys) {
-        assert.is(isInRange(name, wanted), isInRangeByDefinition(name, wanted));
+        assert.is(isInRange(name, requested), isInRangeByDefinition(name, requested));
       }
     }),
     { seed: SEED, numRuns: RUNS },
   );
 });
 
-test('history and live events together replay to the newest state, in order of revision', () => {
+test('a snapshot and the events after it give the newest state, in order of revision', () => {
   fc.assert(
     fc.property(fc.array(step, { maxLength: 30 }), fc.nat(30), (steps, joinAt) => {
       const engine = new StoreEngine();
--- a/test/property/succession.test.ts
+++ b/test/property/succession.test.ts
@@ -1,17 +1,17 @@
-/** Primaries that are replaced in place, with their logs. */
+/** Primaries with successors at their addresses, which have their logs. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { EVERY_FAULT_KIND, PromotionSimulation } from '../support/promotion/simulation.js';
 
 const RUNS = 25;
 const FIRST_SEED = 20_261_203;
-const FOR_GOOD_MS = 600_000;
+const NEVER_HEALED_MS = 600_000;
 
-test('a primary replaced in place leads on though a member that left stays silent', () => {
+test('the successor at a primary’s address becomes primary though a member that left is unresponsive', () => {
   const simulation = new PromotionSimulation({ seed: 3 });
   simulation.run(4000);
   const { group, network, nodes } = simulation;
-  // Only a primary that was promoted stands in a record; before that, the instances' own word counts.
+  // Only a promoted primary is in a record; before that, the role that instances report counts.
   const first = group.primary;
   group.crash(first);
   simulation.run(3000);
@@ -22,16 +22,16 @@
   const [left] = group.instances.filter((instance) => instance !== group.primary);
   assert.ok(left);
   left.isRegistered = false;
-  for (const { address } of group.instances) network.cut(left.address, address, FOR_GOOD_MS);
-  for (const { name } of nodes) network.cut(left.address, name, FOR_GOOD_MS);
+  for (const { address } of group.instances) network.cut(left.address, address, NEVER_HEALED_MS);
+  for (const { name } of nodes) network.cut(left.address, name, NEVER_HEALED_MS);
   group.crash(group.primary);
   simulation.run(500);
   group.replace(group.primary);
   simulation.run(3000);
-  const { primary: leader } = group;
-  assert.is.not(leader.id, old);
+  const { primary: successor } = group;
+  assert.is.not(successor.id, old);
   for (const { machine, now } of nodes) {
-    assert.is(machine?.primaryOf(group.service, now)?.id, leader.id);
+    assert.is(machine?.primaryOf(group.service, now)?.id, successor.id);
   }
   const before = group.acknowledged.length;
   simulation.run(1000);
@@ -39,7 +39,7 @@
   assert.equal(simulation.violations, []);
 });
 
-test('no schedule of faults with primaries replaced in place breaks a promise, and all heals', () => {
+test('no schedule of faults with such successors causes a violation, and writes succeed afterwards', () => {
   for (let seed = FIRST_SEED; seed < FIRST_SEED + RUNS; seed += 1) {
     const simulation = new PromotionSimulation({ seed });
     simulation.run(3000);
--- a/test/property/successor-proof.test.ts
+++ b/test/property/successor-proof.test.ts
@@ -29,8 +29,8 @@
   simulation.run(500);
   platform.downUntil = clock.now + OUTAGE_MS;
   group.crash(primary);
-  const isBegun = simulation.runUntil(() => isChanging(simulation), STEP_MS, OUTAGE_MS);
-  assert.ok(isBegun, `no change was begun, seed ${seed}`);
+  const hasStarted = simulation.runUntil(() => isChanging(simulation), STEP_MS, OUTAGE_MS);
+  assert.ok(hasStarted, `no change has started, seed ${seed}`);
   group.remove(ending);
   group.join();
   simulation.run(500);
@@ -39,7 +39,7 @@
   return simulation;
 }
 
-test('the successor in place of a primary is proof enough', () => {
+test('a change succeeds when only the successor at the primary’s address has the log', () => {
   for (const seed of SEEDS) {
     const simulation = play(seed);
     assert.equal(simulation.violations, [], `seed ${seed}\n${simulation.eventLog}`);
--- a/test/property/tenancy.test.ts
+++ b/test/property/tenancy.test.ts
@@ -1,4 +1,4 @@
-/** Limits of a tenant of the direct gateway: its filled-in route template, and its connections to an instance. */
+/** Limits of a tenant of the direct gateway: the policy from its route template, and its connections to an instance. */
 import fc from 'fast-check';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -37,7 +37,7 @@
 });
 const types = fc.constantFrom(...ROUTE_TYPES);
 
-test('a tenant may hold one connection, and leaves one if there are enough', () => {
+test('a tenant may hold at least one connection, and not all if there are enough', () => {
   fc.assert(
     fc.property(policies, capacities, fc.boolean(), (policy, capacity, isShared) => {
       const { connectionLimit } = capacity;
@@ -49,7 +49,7 @@
   );
 });
 
-test('above its floor a tenant keeps to its share of the slots while others use them', () => {
+test('above its floor a tenant is limited to its share of the slots while others use them', () => {
   fc.assert(
     fc.property(policies, capacities, (policy, capacity) => {
       const share = (policy.inFlightShare * capacity.slots) / Math.max(1, capacity.nodeCount);
@@ -62,7 +62,7 @@
   );
 });
 
-test('at an owner a tenant keeps to its share of the connections, however few slots there are', () => {
+test('at an owner a tenant is limited to its share of the connections, whatever the number of slots', () => {
   fc.assert(
     fc.property(policies, capacities, (policy, capacity) => {
       const { connectionLimit } = capacity;
@@ -76,7 +76,7 @@
   );
 });
 
-test('more slots never mean fewer connections, and more nodes never mean more', () => {
+test('more slots never give fewer connections, and more nodes never give more', () => {
   fc.assert(
     fc.property(policies, capacities, fc.nat(10), (policy, capacity, more) => {
       const allowance = connectionAllowance(policy, capacity);
@@ -89,7 +89,7 @@
   );
 });
 
-test('the deployed templates take priority and aim from the route, and nothing else', () => {
+test('the deployed templates take priority and latency target from the route, and nothing else', () => {
   fc.assert(
     fc.property(types, fields, fields, (type, one, other) => {
       const policy = resolveRoutePolicy(ROUTE_TEMPLATES, type, one);
@@ -104,7 +104,7 @@
   );
 });
 
-test('a published field beyond the bounds of its parameter counts as the bound', () => {
+test('a route field outside the bounds of its parameter is limited to the bound', () => {
   const bounds = fc.tuple(fc.nat(50), fc.nat(50)).map(([first, second]): ParameterBounds => {
     return { minimum: Math.min(first, second), maximum: Math.max(first, second) };
   });
--- a/test/property/tenant-connections.test.ts
+++ b/test/property/tenant-connections.test.ts
@@ -1,6 +1,6 @@
 /**
- * Connections of one instance among many tenants: whatever comes in whatever order, a statement goes only over a
- * connection that was opened for its tenant, the instance never has more than its limit, and nobody waits for ever.
+ * Many tenants share the connections of one instance. In any order of statements, each runs on a connection that was
+ * opened for its tenant, the instance's limit is kept, and no statement waits forever.
  */
 import { once } from 'node:events';
 import { createServer, type Server, type Socket } from 'node:net';
@@ -15,25 +15,25 @@
 const LIMIT = 6;
 const TENANTS = 20;
 const OPERATIONS = 3000;
-const AT_ONCE = 24;
-const PATIENCE_MS = 20_000;
+const CONCURRENCY = 24;
+const TIMEOUT_MS = 20_000;
 const POLICY = { queueWeight: 1, maxWaiting: 200, inFlightShare: 0.67, inFlightFloor: 2 };
 
-/** Answers each statement with the tenant that its connection was opened for. */
-class TellingInstance {
+/** An instance that answers each statement with the tenant for which the connection was opened. */
+class AccountInstance {
   opened = 0;
   open = 0;
-  mostOpen = 0;
+  maxOpen = 0;
   readonly #sockets = new Set<Socket>();
   readonly #server: Server = createServer((socket) => this.#accept(socket));
 
   async start(): Promise<InstanceEntry> {
     this.#server.listen(0, '127.0.0.1');
     await once(this.#server, 'listening');
-    const address = this.#server.address();
-    const port = typeof address === 'object' && address !== null ? address.port : 0;
-    const place = { host: '127.0.0.1', port, zone: 'a', slots: 6 };
-    return { id: 'i-1', service: 'orders', ...place, draining: false, role: 'primary' };
+    const bound = this.#server.address();
+    const port = typeof bound === 'object' && bound !== null ? bound.port : 0;
+    const address = { host: '127.0.0.1', port, zone: 'a', slots: 6 };
+    return { id: 'i-1', service: 'orders', ...address, draining: false, role: 'primary' };
   }
 
   stop(): void {
@@ -44,7 +44,7 @@
   #accept(socket: Socket): void {
     this.opened += 1;
     this.open += 1;
-    this.mostOpen = Math.max(this.mostOpen, this.open);
+    this.maxOpen = Math.max(this.maxOpen, this.open);
     this.#sockets.add(socket);
     let account = '';
     socket.on('error', () => {});
@@ -61,15 +61,15 @@
 }
 
 interface Play {
-  readonly instance: TellingInstance;
+  readonly instance: AccountInstance;
   readonly pool: InstancePool;
   served: number;
 }
 
 async function startPlay(): Promise<Play> {
-  const instance = new TellingInstance();
+  const instance = new AccountInstance();
   const pool = new InstancePool(await instance.start(), LIMIT, {
-    ...{ wire: lineWire, connectTimeoutMs: PATIENCE_MS, reconnectDelayMs: 1, random: () => 0 },
+    ...{ wire: lineWire, connectTimeoutMs: TIMEOUT_MS, reconnectDelayMs: 1, random: () => 0 },
     counters: {
       connectionsOpened: 0,
       connectFailures: 0,
@@ -80,7 +80,7 @@
     },
     now: () => performance.now(),
   });
-  // As an owner, which serves the callers of many nodes.
+  // Like an owner, which serves the callers of many nodes.
   pool.setLimit(LIMIT, LIMIT, 2, true);
   return { instance, pool, served: 0 };
 }
@@ -90,11 +90,11 @@
   instance.stop();
 }
 
-/** One statement of a tenant; gives who the instance took it for. */
+/** Runs a statement of a tenant; returns the tenant for which the instance ran it. */
 async function serve(play: Play, account: string, holdMs: number): Promise<string> {
   const acquired = await play.pool.acquire({
     ...{ tenant: account, account, priority: 1, policy: POLICY, values: new Map() },
-    deadline: performance.now() + PATIENCE_MS,
+    deadline: performance.now() + TIMEOUT_MS,
     cancelledBy: [],
   });
   const connection = acquired._unsafeUnwrap();
@@ -107,59 +107,59 @@
   return answer.payload.split('\r\n')[0] ?? '';
 }
 
-test('a statement goes only over a connection of its tenant, in thousands of interleavings', async () => {
+test('each of thousands of concurrent statements runs on a connection of its tenant', async () => {
   const play = await startPlay();
   const random = seededRandom(20261203);
-  let left = OPERATIONS;
+  let remaining = OPERATIONS;
   const work = async (): Promise<void> => {
-    while (left > 0) {
-      left -= 1;
-      // A few tenants ask most of the time.
+    while (remaining > 0) {
+      remaining -= 1;
+      // A few tenants send most of the statements.
       const account = `tenant-${Math.floor(random() ** 3 * TENANTS)}`;
       if (random() < 0.02) {
         const own = (
-          await play.pool.acquire(ownRequest(performance.now() + PATIENCE_MS))
+          await play.pool.acquire(ownRequest(performance.now() + TIMEOUT_MS))
         )._unsafeUnwrap();
         play.pool.release(own);
       }
       assert.is(await serve(play, account, random() < 0.1 ? 1 : 0), `ROW ${account}`);
     }
   };
-  await Promise.all(Array.from({ length: AT_ONCE }, work));
+  await Promise.all(Array.from({ length: CONCURRENCY }, work));
   assert.is(play.served, OPERATIONS);
-  // A connection that gave way may be counted until the instance has read its end.
-  assert.ok(play.instance.mostOpen <= LIMIT + 2, `${play.instance.mostOpen} open`);
+  // A closed connection may be counted until the instance has read its end of stream.
+  assert.ok(play.instance.maxOpen <= LIMIT + 2, `${play.instance.maxOpen} open`);
   assert.ok(play.instance.opened < OPERATIONS / 2, `${play.instance.opened} opened`);
   stopPlay(play);
 });
 
-test('a tenant that floods takes no more than its share from one that asks now and then', async () => {
+test('a tenant with a flood of statements does not take the connection of an occasional tenant', async () => {
   const play = await startPlay();
-  let isOver = false;
+  let isStopped = false;
   const flood = Array.from({ length: 40 }, async () => {
-    while (!isOver) await serve(play, 'flood', 2);
+    while (!isStopped) await serve(play, 'flood', 2);
   });
   const waits: number[] = [];
   for (let number = 0; number < 30; number += 1) {
-    const askedAt = performance.now();
+    const sentAt = performance.now();
     await serve(play, 'quiet', 0);
-    waits.push(performance.now() - askedAt);
+    waits.push(performance.now() - sentAt);
     await pause(3);
   }
-  isOver = true;
+  isStopped = true;
   await Promise.all(flood);
-  // Its connection stays: the flood has closed it for a connection of its own only while it rested longest.
+  // The flood closes the quiet tenant's connection only while that one has been idle longest.
   assert.ok(play.instance.opened < 30, `${play.instance.opened} opened`);
   stopPlay(play);
 });
 
-test('at the limit the connection that has rested longest gives way, and none of the same tenant', async () => {
+test('at the limit the connection that has been idle longest is closed, unless it is of the same tenant', async () => {
   const play = await startPlay();
   for (let number = 0; number < LIMIT; number += 1) await serve(play, `t${number}`, 0);
   assert.is(play.instance.opened, LIMIT);
   await serve(play, 't0', 0);
   assert.is(play.instance.opened, LIMIT);
-  // t1 has rested longest now.
+  // t1 has been idle longest now.
   await serve(play, 'new', 0);
   assert.is(play.instance.opened, LIMIT + 1);
   await serve(play, 't0', 0);
--- a/test/property/tenant-lease.test.ts
+++ b/test/property/tenant-lease.test.ts
@@ -1,4 +1,4 @@
-/** Leased shares of a tenant's connection limit: their sum stays within the limit under any schedule of faults. */
+/** The leased shares of a tenant's connection limit stay within the limit in sum under any schedule of faults. */
 import fc from 'fast-check';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -72,8 +72,8 @@
   return node;
 }
 
-/** A network without faults: the first node allocates for all nodes, and each node has callers. */
-function calm(demand: number): LeaseNetwork {
+/** Starts a network without faults: the first node allocates for all nodes, and each node has callers. */
+function startWithoutFaults(demand: number): LeaseNetwork {
   const network = new LeaseNetwork(SEED, NODES, LIMIT, hash);
   nodeAt(network, 0).isCandidate = true;
   for (const node of network.nodes) node.demand = demand;
@@ -102,10 +102,10 @@
           inject(network, step);
           network.run(step.afterMs, check);
         }
-        const granters = network.nodes.filter((node) =>
+        const allocators = network.nodes.filter((node) =>
           node.allocator?.hasAuthority(node.clock(network.now)),
         );
-        elections += granters.length;
+        elections += allocators.length;
       },
     ),
     { seed: SEED, numRuns: 150, endOnFailure: true, includeErrorInReport: true },
@@ -114,15 +114,15 @@
   assert.ok(elections > 0);
 });
 
-test('all of the limit can be used on one node', () => {
-  const network = calm(0);
+test('one node can use the whole limit', () => {
+  const network = startWithoutFaults(0);
   nodeAt(network, 3).demand = LIMIT;
   network.run(3000);
   assert.is(nodeAt(network, 3).open, LIMIT);
 });
 
-test('a node that joins takes nothing that is in use', () => {
-  const network = calm(0);
+test('a node that joins takes no connection that is in use', () => {
+  const network = startWithoutFaults(0);
   nodeAt(network, 3).demand = LIMIT;
   network.run(3000);
   nodeAt(network, 4).demand = 10;
@@ -134,8 +134,8 @@
   assert.is(nodeAt(network, 4).open, 10);
 });
 
-test('what is idle on one node is lent to another', () => {
-  const network = calm(0);
+test('idle connections of one node are granted to another', () => {
+  const network = startWithoutFaults(0);
   nodeAt(network, 1).demand = LIMIT;
   network.run(3000);
   nodeAt(network, 1).demand = 0;
@@ -144,8 +144,8 @@
   assert.is(nodeAt(network, 2).open, LIMIT);
 });
 
-test('callers keep their places when the allocator changes', () => {
-  const network = calm(LIMIT / NODES);
+test('callers keep their connections when the allocator changes', () => {
+  const network = startWithoutFaults(LIMIT / NODES);
   network.run(4000);
   assert.is(network.sumOpen(), LIMIT);
   nodeAt(network, 0).isCandidate = false;
@@ -155,8 +155,8 @@
   assert.is(network.interruptedCallers, 0);
 });
 
-test('without an allocator shares are kept to the end of their lease, and then gone', () => {
-  const network = calm(LIMIT / NODES);
+test('without an allocator shares are kept until their lease expires', () => {
+  const network = startWithoutFaults(LIMIT / NODES);
   network.run(4000);
   nodeAt(network, 0).isCandidate = false;
   network.run(LEASE_TEST_OPTIONS.leaseMs / 2);
@@ -165,8 +165,8 @@
   assert.is(network.sumOpen(), 0);
 });
 
-test('a lowered limit ends callers beyond it, on each node the same part', () => {
-  const network = calm(LIMIT / NODES);
+test('a lowered limit disconnects callers evenly on all nodes', () => {
+  const network = startWithoutFaults(LIMIT / NODES);
   network.run(4000);
   network.limit = LIMIT / 2;
   network.run(3000);
@@ -175,8 +175,8 @@
   assert.ok(Math.min(...open) >= LIMIT / (2 * NODES) - 1, open.join());
 });
 
-test('a paused node finds its callers without places, and the others get them', () => {
-  const network = calm(LIMIT / NODES);
+test('the share of a paused node expires, and the others get it', () => {
+  const network = startWithoutFaults(LIMIT / NODES);
   network.run(4000);
   const paused = nodeAt(network, 4);
   paused.paused = true;
--- a/test/property/unheard-member.test.ts
+++ b/test/property/unheard-member.test.ts
@@ -1,14 +1,13 @@
 /**
- * What a caller saw: a read that misses a commit which was acknowledged 26 ms before it began. In order: an instance of a group is replaced in place
- * and crashes again before a node that starts has seen its entry; the node is cut off from the store; the instance comes back, and
- * commits stand on it and on the primary, while the third member receives nothing; the node asks the members that it
- * knows, the primary's answer is late, and it reads at the third one.
+ * Guards against a stale read at a replica. An instance is replaced at its address and crashes again before a starting
+ * node has seen its registration. The node is cut off from the store. The instance comes back, and only it and the
+ * primary receive commits, since the third member receives nothing. The node queries the members that it knows, the
+ * primary's response is late, and the node reads at the third one.
  *
- * Cause: a round with one silent member is taken to prove the newest position, since one that has each commit must have answered. That holds among
- * all members; here the two that had it were the silent primary and one that this node had never heard of. Evidence, at the read: answers
- * "group-1-2 replica 635, group-1-1 none", while the group has group-1-0.2 at 655 and group-1-1 at 656. The record
- * that all nodes follow names forgotten members since, so that this node asks it. A newcomer of which no record tells is the matter of
- * `unheard-newcomer`.
+ * A query round with one missing response proves the newest position only if the node knows all members. Here the two
+ * members with the commit are the unresponsive primary and one unknown to the node: in this seed the third member is at
+ * 635, the others at 655 and 656. The record that all nodes follow lists departed members, so the node queries it.
+ * `unheard-newcomer` covers a new member that no record lists.
  */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -18,15 +17,15 @@
   simulateMixedFaults,
 } from '../support/promotion/mix.js';
 
-/** `MIX_RUNS=1 MIX_SEED=712465 node dist/test/property/promotion-mix.test.js`, found among 710000 to 714999 */
+/** To replay: `MIX_RUNS=1 MIX_SEED=712465 node dist/test/property/promotion-mix.test.js`. */
 const SEED = 712465;
 
-test('a node reads at no replica by what members tell that it has not heard of', () => {
+test('a node does not read at a replica by a round that lacks an unknown member', () => {
   const { violations, servicesWithoutWrites } = simulateMixedFaults(SEED);
   assert.equal([violations, servicesWithoutWrites], [[], []]);
 });
 
-test('so it is where nodes know no more of members than in the course that was found', () => {
+test('the read is also prevented by the mechanism `current-members` alone', () => {
   const others = LATER_MECHANISMS.filter((mechanism) => mechanism !== 'current-members');
   const { violations, servicesWithoutWrites } = simulateMixedFaults(
     SEED,
@@ -36,7 +35,7 @@
   assert.equal([violations, servicesWithoutWrites], [[], []]);
 });
 
-test('by a list of members that may be old it reads what misses a commit', () => {
+test('with a member list that may be outdated the read is stale', () => {
   const { violations } = simulateMixedFaults(SEED, MIXED_FAULT_KINDS, LATER_MECHANISMS);
   assert.ok(
     violations.some((violation) => violation.startsWith('STALE: read by node-3 at group-1-2')),
--- a/test/property/unheard-newcomer.test.ts
+++ b/test/property/unheard-newcomer.test.ts
@@ -1,7 +1,7 @@
 /**
- * A member is forgotten, and comes back, or another one joins, while a node that has started since is cut off from the store:
- * commits then stand on it and on the primary, as the third member receives nothing, and that node hears of the primary no
- * more. What it reads at the third one must not rest on the members that it happens to know.
+ * A member is removed after a crash and comes back, or a new one joins, while a node that started in between is cut off
+ * from the store. Only that member and the primary receive commits, the third member receives nothing, and then the node
+ * can't reach the primary. A read at the third member must not rely only on the members that this node knows.
  */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -12,11 +12,11 @@
 
 const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8];
 const WARM_UP_MS = 4000;
-/** The entry goes, the leader finds the member dead and forgets it. */
-const FORGOTTEN_AFTER_MS = 5000;
+/** By then the registration has expired, and the leader has found the member dead and removed it. */
+const REMOVED_AFTER_MS = 5000;
 const STARTED_AFTER_MS = 1500;
-/** Every lease of a cut-off node is over by then. */
-const LAPSED_AFTER_MS = 2500;
+/** All leases of a cut-off node have expired by then. */
+const LEASES_EXPIRED_AFTER_MS = 2500;
 const LONG_MS = 30_000;
 
 type Return = (group: SimulatedGroup, member: SimulatedInstance) => void;
@@ -33,7 +33,7 @@
 
 function play(
   seed: number,
-  comeBack: Return,
+  returnMember: Return,
   disabledMechanisms: readonly PromotionMechanism[] = [],
 ) {
   const simulation = new PromotionSimulation({
@@ -41,31 +41,34 @@
   });
   simulation.run(WARM_UP_MS);
   const { group, network, nodes, leader } = simulation;
-  const [forgotten, behind] = group.instances.filter((one) => one !== group.primary);
+  const [removed, lagging] = group.instances.filter((one) => one !== group.primary);
   const reader = nodes.find((node) => node !== leader);
-  if (forgotten === undefined || behind === undefined || reader === undefined) {
+  if (removed === undefined || lagging === undefined || reader === undefined) {
     throw new Error('a group has three instances, and there are nodes beside the leader');
   }
-  if (comeBack !== NEWCOMER) group.crash(forgotten);
-  simulation.run(FORGOTTEN_AFTER_MS);
+  if (returnMember !== NEWCOMER) group.crash(removed);
+  simulation.run(REMOVED_AFTER_MS);
   reader.kill();
   reader.start();
   simulation.run(STARTED_AFTER_MS);
   network.cut(reader.name, STORE, LONG_MS);
-  simulation.run(LAPSED_AFTER_MS);
-  for (const one of [forgotten, behind]) {
+  simulation.run(LEASES_EXPIRED_AFTER_MS);
+  for (const one of [removed, lagging]) {
     if (one.isRunning) one.notReceivingUntil = simulation.clock.now + LONG_MS;
   }
-  comeBack(group, forgotten);
+  returnMember(group, removed);
   simulation.run(200);
   network.cut(reader.name, group.primary.address, LONG_MS);
   simulation.run(2000);
   return simulation;
 }
 
-function staleSeeds(comeBack: Return, disabledMechanisms: readonly PromotionMechanism[]): number[] {
+function staleSeeds(
+  returnMember: Return,
+  disabledMechanisms: readonly PromotionMechanism[],
+): number[] {
   return SEEDS.filter((seed) => {
-    const { violations } = play(seed, comeBack, disabledMechanisms);
+    const { violations } = play(seed, returnMember, disabledMechanisms);
     return violations.some((violation) => violation.startsWith('STALE'));
   });
 }
@@ -78,8 +81,8 @@
 });
 
 test('a list that may be old suffices for none of them', () => {
-  for (const comeBack of [...Object.values(RETURNS), NEWCOMER]) {
-    assert.equal(staleSeeds(comeBack, ['forgotten-members']), []);
+  for (const returnMember of [...Object.values(RETURNS), NEWCOMER]) {
+    assert.equal(staleSeeds(returnMember, ['forgotten-members']), []);
   }
 });
 
--- a/test/property/unseen-members.test.ts
+++ b/test/property/unseen-members.test.ts
@@ -1,17 +1,17 @@
 /**
- * A node that starts after a primary's entry went knows its id by the record and nothing more, and asks the other
- * members for the position that every acknowledged commit is at or before. That primary and one more silent member
- * may be all that have a commit: what the rest tells is no proof. The same where a member's entry went before the node
- * began: it serves on, and only the leader's record tells of it.
+ * A node that starts after the registration of a primary has expired knows the primary only by its id in the record, not
+ * its address, and can query only the other members. That primary and one more unresponsive member may be the only ones
+ * with a commit, so the other responses prove nothing. The same holds for any member whose registration expired before
+ * the node started: it goes on serving, and only the leader's record lists it.
  */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { PromotionSimulation } from '../support/promotion/simulation.js';
 
-/** Schedules in which a node has started so. */
+/** Seeds in which a node starts like this. */
 const SEEDS = [163, 252, 434, 497, 527, 642, 659, 686, 762, 976, 1023, 1059];
 
-test('a primary that is known by its record alone counts as silent', () => {
+test('a primary known only by its record counts as unresponsive', () => {
   for (const seed of SEEDS) {
     const simulation = new PromotionSimulation({ seed, assumedSyncReplicas: 1 });
     simulation.run(3000);
@@ -21,7 +21,7 @@
   }
 });
 
-test('a member whose entry went before a node began counts as one', () => {
+test('a member whose registration expired before the node started counts as a member', () => {
   for (const seed of [1, 2, 3, 4, 5]) {
     const simulation = new PromotionSimulation({ seed, services: 1, assumedSyncReplicas: 1 });
     simulation.run(3000);
@@ -31,7 +31,7 @@
     if (leaving === undefined || lagging === undefined || node === undefined) {
       throw new Error('a group has three instances, and there are nodes');
     }
-    // It leaves without a word and serves on: with the primary it has all that is acknowledged from here on.
+    // It loses its registration and goes on serving; from here on only it and the primary receive commits.
     leaving.isRegistered = false;
     lagging.notReceivingUntil = clock.now + 6000;
     node.kill();
