--- a/test/property/watch-readers.test.ts
+++ b/test/property/watch-readers.test.ts
@@ -1,6 +1,6 @@
 /**
- * Nodes that watch the store through readers, in virtual time and with random faults drawn from a seed: each
- * node is notified of every change once, in order and within the time of a poll, whatever happens to readers.
+ * Nodes watch the store through readers, in virtual time and with random faults drawn from a seed. Each node is notified
+ * of every change once, in order and within the duration of a poll, whatever happens to readers.
  */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -13,12 +13,12 @@
 const RUNS = 40;
 const FIRST_SEED = 20261203;
 const NODES = 7;
-const DAY_MS: Milliseconds = 40_000;
-/** Maximum age of what readers relay, a check of the readers, and a poll by the node that finds what it missed. */
+const SIMULATED_MS: Milliseconds = 40_000;
+/** Maximum age of relayed data, a check of the readers, and a poll by the node itself. */
 const BOUND_MS: Milliseconds = MAX_AGE_MS + 700;
 /** Maximum duration of a fault. */
-const LONGEST_FAULT_MS: Milliseconds = 5000;
-/** Larger than what readers relay. */
+const MAX_FAULT_MS: Milliseconds = 5000;
+/** Too large for readers to relay. */
 const LARGE_VALUE = 'x'.repeat(20_000);
 
 function nameReaders(network: ReaderNetwork, readers: readonly ReachableNode[]): void {
@@ -27,19 +27,23 @@
   }
 }
 
-function networkOf(random: () => number, isProof = false, linkMbps = 0): ReaderNetwork {
-  const network = new ReaderNetwork(random, isProof, linkMbps);
+function createNetwork(
+  random: () => number,
+  needsEveryConfirmation = false,
+  linkMbps = 0,
+): ReaderNetwork {
+  const network = new ReaderNetwork(random, needsEveryConfirmation, linkMbps);
   for (let number = 0; number < NODES; number += 1) network.add('a').follow();
   return network;
 }
 
-function places(network: ReaderNetwork, numbers: readonly number[]): ReachableNode[] {
+function addressesOf(network: ReaderNetwork, numbers: readonly number[]): ReachableNode[] {
   return numbers.map((number) => (network.nodes[number] as VirtualNode).address);
 }
 
-test('in calm times only readers ask the store, and all are told', async () => {
-  const network = networkOf(seededRandom(1));
-  nameReaders(network, places(network, [0, 1]));
+test('without faults only readers poll the store, and all nodes are notified', async () => {
+  const network = createNetwork(seededRandom(1));
+  nameReaders(network, addressesOf(network, [0, 1]));
   await network.time.runUntil(6000);
   const before = network.store.polls;
   network.store.write(`${PREFIX}/x`);
@@ -50,9 +54,9 @@
   assert.ok(network.store.polls - before <= 12, `${network.store.polls - before} polls`);
 });
 
-test('changes of other prefixes send nobody to the store', async () => {
-  const network = networkOf(seededRandom(5));
-  nameReaders(network, places(network, [0, 1]));
+test('changes of other prefixes cause no polls by followers', async () => {
+  const network = createNetwork(seededRandom(5));
+  nameReaders(network, addressesOf(network, [0, 1]));
   await network.time.runUntil(6000);
   for (let now = 6000; now <= 20_000; now += 250) {
     await network.time.runUntil(now);
@@ -62,9 +66,9 @@
   for (const { counters } of followers) assert.is(counters.fallbacks, 0);
 });
 
-test('a reader that is lost delays nothing, and without any the store is asked', async () => {
-  const network = networkOf(seededRandom(2));
-  nameReaders(network, places(network, [0, 1]));
+test('the loss of a reader delays nothing, and without readers the nodes poll the store', async () => {
+  const network = createNetwork(seededRandom(2));
+  nameReaders(network, addressesOf(network, [0, 1]));
   await network.time.runUntil(6000);
   const [first, second, ...others] = network.nodes as [VirtualNode, VirtualNode, ...VirtualNode[]];
   first.isAlive = false;
@@ -80,19 +84,19 @@
   }
 });
 
-test('a reader that the store ignores is not relied on for longer than a poll may take', async () => {
-  const network = networkOf(seededRandom(3));
-  nameReaders(network, places(network, [0, 1]));
+test('a reader cut off from the store is used no longer than a poll may take', async () => {
+  const network = createNetwork(seededRandom(3));
+  nameReaders(network, addressesOf(network, [0, 1]));
   await network.time.runUntil(6000);
-  for (const { nodeId } of places(network, [0, 1])) network.store.cutOff.add(nodeId);
+  for (const { nodeId } of addressesOf(network, [0, 1])) network.store.cutOff.add(nodeId);
   network.store.write(`${PREFIX}/x`);
   await network.time.runUntil(6000 + BOUND_MS);
   for (const { notified } of network.nodes.slice(2)) assert.equal(notified, [2]);
 });
 
-test('a value too large to pass on is read from the store by each node', async () => {
-  const network = networkOf(seededRandom(4));
-  nameReaders(network, places(network, [0, 1]));
+test('each node reads a value from the store that is too large to relay', async () => {
+  const network = createNetwork(seededRandom(4));
+  nameReaders(network, addressesOf(network, [0, 1]));
   await network.time.runUntil(6000);
   const before = network.store.polls;
   network.store.write(`${PREFIX}/x`, LARGE_VALUE);
@@ -101,10 +105,10 @@
   assert.ok(network.store.polls - before <= NODES + 2);
 });
 
-test('after a value too large to pass on readers serve again, while the store goes on changing', async () => {
+test('after a value that is too large to relay, readers serve again while the store changes', async () => {
   for (const isProof of [false, true]) {
-    const network = networkOf(seededRandom(6), isProof);
-    nameReaders(network, places(network, [0, 1]));
+    const network = createNetwork(seededRandom(6), isProof);
+    nameReaders(network, addressesOf(network, [0, 1]));
     await network.time.runUntil(6000);
     network.store.write(`${PREFIX}/x`, LARGE_VALUE);
     for (let now = 6000; now <= 9000; now += 50) {
@@ -122,9 +126,9 @@
   }
 });
 
-test('a reader with a fast link passes large values on', async () => {
-  const network = networkOf(seededRandom(7), true, 140);
-  nameReaders(network, places(network, [0, 1]));
+test('a reader with a fast link relays large values', async () => {
+  const network = createNetwork(seededRandom(7), true, 140);
+  nameReaders(network, addressesOf(network, [0, 1]));
   await network.time.runUntil(6000);
   const before = network.store.polls;
   network.store.write(`${PREFIX}/x`, LARGE_VALUE);
@@ -133,7 +137,7 @@
   assert.ok(network.store.polls - before <= 4, `${network.store.polls - before} polls`);
 });
 
-test('nodes that begin leave their first poll to readers that are named soon, and wait no longer', async () => {
+test('nodes that start defer their first poll until readers are assigned, for a limited time', async () => {
   for (const isNamed of [true, false]) {
     const network = new ReaderNetwork(seededRandom(12));
     network.mayLearnReaders = true;
@@ -141,7 +145,7 @@
     network.store.write(`${PREFIX}/x`);
     await network.time.runUntil(250);
     assert.is(network.store.polls, 0);
-    if (isNamed) nameReaders(network, places(network, [0, 1]));
+    if (isNamed) nameReaders(network, addressesOf(network, [0, 1]));
     await network.time.runUntil(1500);
     for (const { notified } of network.nodes) assert.equal(notified, [2]);
     // Each first poll returns the change, and is followed by a second one.
@@ -155,8 +159,8 @@
 const ZONE_READERS = [0, 1, 3, 4, 6, 7];
 const STORE_READERS = [0, 3];
 
-function zonedNetwork(random: () => number, isProof = false): ReaderNetwork {
-  const network = new ReaderNetwork(random, isProof);
+function createZonedNetwork(random: () => number, needsEveryConfirmation = false): ReaderNetwork {
+  const network = new ReaderNetwork(random, needsEveryConfirmation);
   for (const zone of ZONES) {
     for (let number = 0; number < NODES_PER_ZONE; number += 1) network.add(zone).follow();
   }
@@ -168,10 +172,10 @@
   return network.nodes.filter((_, number) => !numbers.includes(number));
 }
 
-test('of the readers of several zones two ask the store, and all nodes are told', async () => {
+test('of the readers of several zones two poll the store, and all nodes are notified', async () => {
   for (const isProof of [false, true]) {
-    const network = zonedNetwork(seededRandom(8), isProof);
-    nameReaders(network, places(network, ZONE_READERS));
+    const network = createZonedNetwork(seededRandom(8), isProof);
+    nameReaders(network, addressesOf(network, ZONE_READERS));
     await network.time.runUntil(6000);
     const before = network.store.polls;
     network.store.write(`${PREFIX}/x`);
@@ -184,9 +188,9 @@
   }
 });
 
-test('a reader of the store that is lost delays no zone, and without both the others ask it', async () => {
-  const network = zonedNetwork(seededRandom(9));
-  nameReaders(network, places(network, ZONE_READERS));
+test('the loss of one polling reader delays no zone, and without both the other readers poll', async () => {
+  const network = createZonedNetwork(seededRandom(9));
+  nameReaders(network, addressesOf(network, ZONE_READERS));
   await network.time.runUntil(6000);
   const [first, second] = STORE_READERS.map((number) => network.nodes[number] as VirtualNode);
   if (first !== undefined) first.isAlive = false;
@@ -201,21 +205,21 @@
   assert.is((network.nodes[8] as VirtualNode).counters.fallbacks, 0);
 });
 
-test('readers of the store that it ignores are not relied on for longer than a poll may take', async () => {
-  const network = zonedNetwork(seededRandom(10));
-  nameReaders(network, places(network, ZONE_READERS));
+test('polling readers cut off from the store are used no longer than a poll may take', async () => {
+  const network = createZonedNetwork(seededRandom(10));
+  nameReaders(network, addressesOf(network, ZONE_READERS));
   await network.time.runUntil(6000);
-  for (const { nodeId } of places(network, STORE_READERS)) network.store.cutOff.add(nodeId);
+  for (const { nodeId } of addressesOf(network, STORE_READERS)) network.store.cutOff.add(nodeId);
   network.store.write(`${PREFIX}/x`);
   await network.time.runUntil(6000 + BOUND_MS);
   for (const { notified } of without(network, STORE_READERS)) assert.equal(notified, [2]);
 });
 
-test('what a follower of a relay is proven is no younger than what the store told', async () => {
-  const network = zonedNetwork(seededRandom(11), true);
-  nameReaders(network, places(network, ZONE_READERS));
+test('the proven freshness at a follower is never later than what the store confirmed', async () => {
+  const network = createZonedNetwork(seededRandom(11), true);
+  nameReaders(network, addressesOf(network, ZONE_READERS));
   await network.time.runUntil(6000);
-  for (const { nodeId } of places(network, STORE_READERS)) network.store.cutOff.add(nodeId);
+  for (const { nodeId } of addressesOf(network, STORE_READERS)) network.store.cutOff.add(nodeId);
   await network.time.runUntil(6100);
   network.store.write(`${PREFIX}/x`);
   const writtenAt = network.time.now;
@@ -230,18 +234,18 @@
   }
 });
 
-test('a zone that the store turns away hears readers of other zones, and asks the store seldom', async () => {
-  const network = zonedNetwork(seededRandom(13));
-  nameReaders(network, places(network, ZONE_READERS));
+test('a zone that the store refuses follows readers of other zones, and polls the store rarely', async () => {
+  const network = createZonedNetwork(seededRandom(13));
+  nameReaders(network, addressesOf(network, ZONE_READERS));
   await network.time.runUntil(6000);
-  const turnedAway = [0, 3, 6, 7, 8];
-  const atFirst = network.store.pollsOf('n8');
-  for (const { nodeId } of places(network, turnedAway)) network.store.refused.add(nodeId);
+  const refused = [0, 3, 6, 7, 8];
+  const initialPolls = network.store.pollsOf('n8');
+  for (const { nodeId } of addressesOf(network, refused)) network.store.refused.add(nodeId);
   network.store.write(`${PREFIX}/x`);
   await network.time.runUntil(9000);
   for (const { notified } of without(network, STORE_READERS)) assert.equal(notified, [2]);
   const before = network.store.pollsOf('n8');
-  assert.ok(before - atFirst <= 1, `${before - atFirst} polls`);
+  assert.ok(before - initialPolls <= 1, `${before - initialPolls} polls`);
   network.store.write(`${PREFIX}/y`);
   await network.time.runUntil(9300);
   for (const { notified } of without(network, STORE_READERS)) assert.equal(notified, [2, 3]);
@@ -249,12 +253,12 @@
   assert.is(network.store.pollsOf('n8') - before, 0);
 });
 
-test('what readers tell a node while it watches nothing is told once it watches again', async () => {
-  const network = zonedNetwork(seededRandom(15));
+test('changes relayed while a node has no watch are delivered to its next watch', async () => {
+  const network = createZonedNetwork(seededRandom(15));
   network.reconnectMs = 1000;
-  nameReaders(network, places(network, ZONE_READERS));
+  nameReaders(network, addressesOf(network, ZONE_READERS));
   await network.time.runUntil(6000);
-  const [own, other] = places(network, [6, 7]) as [ReachableNode, ReachableNode];
+  const [own, other] = addressesOf(network, [6, 7]) as [ReachableNode, ReachableNode];
   // The node's readers are unreachable while the store refuses its polls; then the links recover.
   network.store.refused.add('n8');
   for (const { nodeId } of [own, other]) network.cutLinks.add(`n8-${nodeId}`);
@@ -273,13 +277,13 @@
   assert.is(network.store.pollsOf('n8') - before, 0);
 });
 
-test('while other readers begin, those from before and what the new ones heard serve on', async () => {
-  const network = zonedNetwork(seededRandom(16));
-  nameReaders(network, places(network, ZONE_READERS));
+test('during a change of readers, the former readers and the data of the new ones remain in use', async () => {
+  const network = createZonedNetwork(seededRandom(16));
+  nameReaders(network, addressesOf(network, ZONE_READERS));
   await network.time.runUntil(6000);
   const before = network.store.polls;
   const others = [1, 2, 4, 5, 7, 8];
-  nameReaders(network, places(network, others));
+  nameReaders(network, addressesOf(network, others));
   await network.time.runUntil(6500);
   network.store.write(`${PREFIX}/x`);
   await network.time.runUntil(6800);
@@ -289,24 +293,24 @@
   for (const { counters } of network.nodes) assert.ok(counters.fallbacks <= 1);
 });
 
-test('nodes that are named in place of readers that died tell at once what these had told them', async () => {
-  const network = networkOf(seededRandom(17));
-  nameReaders(network, places(network, [0, 1]));
+test('new readers relay at once what they received from the readers that they replace', async () => {
+  const network = createNetwork(seededRandom(17));
+  nameReaders(network, addressesOf(network, [0, 1]));
   await network.time.runUntil(6000);
   for (const node of network.nodes.slice(0, 2)) node.isAlive = false;
-  nameReaders(network, places(network, [2, 3]));
+  nameReaders(network, addressesOf(network, [2, 3]));
   // Shorter than a poll of the store, longer than the timeout of an unresponsive reader.
   await network.time.runUntil(8300);
   for (const { counters } of network.nodes.slice(4)) assert.is(counters.fallbacks, 0);
 });
 
-test('readers that tell each other what is old grow no younger by that', async () => {
-  const network = zonedNetwork(seededRandom(14));
-  nameReaders(network, places(network, ZONE_READERS));
+test('readers that relay old data to each other do not count it as newer', async () => {
+  const network = createZonedNetwork(seededRandom(14));
+  nameReaders(network, addressesOf(network, ZONE_READERS));
   await network.time.runUntil(6000);
   for (const { address } of network.nodes) network.store.cutOff.add(address.nodeId);
-  // Each of the two is told that the other one reads the store.
-  const pair = places(network, [6, 7]);
+  // Each of the two is configured to follow the other one.
+  const pair = addressesOf(network, [6, 7]);
   for (const node of network.nodes.slice(6, 8)) {
     const others = pair.filter(({ nodeId }) => nodeId !== node.address.nodeId);
     node.followed.setReaders({ type: 'relay', readers: others });
@@ -352,7 +356,10 @@
   },
   otherReaders: (network, random) => {
     const first = Math.floor(random() * NODES);
-    nameReaders(network, places(network, [first, (first + 1 + Math.floor(random() * 5)) % NODES]));
+    nameReaders(
+      network,
+      addressesOf(network, [first, (first + 1 + Math.floor(random() * 5)) % NODES]),
+    );
     return () => {};
   },
 };
@@ -361,15 +368,15 @@
   return items[Math.floor(random() * items.length)] as Item;
 }
 
-/** Finds the nodes that the store serves and has served for the last `BOUND_MS`. */
-class Served {
-  readonly #badAt = new Map<string, Milliseconds>();
+/** Finds the nodes that have had access to the store for the last `BOUND_MS`. */
+class HealthyNodes {
+  readonly #lastUnhealthyAt = new Map<string, Milliseconds>();
 
-  look({ nodes, store, time }: ReaderNetwork): VirtualNode[] {
+  refresh({ nodes, store, time }: ReaderNetwork): VirtualNode[] {
     return nodes.filter(({ address: { nodeId }, isAlive }) => {
-      const isBad = !isAlive || store.cutOff.has(nodeId) || store.refused.has(nodeId);
-      if (isBad) this.#badAt.set(nodeId, time.now);
-      return time.now - (this.#badAt.get(nodeId) ?? Number.NEGATIVE_INFINITY) > BOUND_MS;
+      const isUnhealthy = !isAlive || store.cutOff.has(nodeId) || store.refused.has(nodeId);
+      if (isUnhealthy) this.#lastUnhealthyAt.set(nodeId, time.now);
+      return time.now - (this.#lastUnhealthyAt.get(nodeId) ?? Number.NEGATIVE_INFINITY) > BOUND_MS;
     });
   }
 }
@@ -389,21 +396,21 @@
   },
 };
 
-test('under any faults each node is told every change, once, in order and in time', () =>
-  playDays((random) => {
-    const network = networkOf(random);
-    nameReaders(network, places(network, [0, 1]));
+test('under any faults each node is notified of every change, once, in order and in time', () =>
+  playSeeds((random) => {
+    const network = createNetwork(random);
+    nameReaders(network, addressesOf(network, [0, 1]));
     return network;
   }, FAULTS));
 
-test('the same in several zones, where readers of zones follow those of the store', () =>
-  playDays((random) => {
-    const network = zonedNetwork(random, random() < 0.5);
-    nameReaders(network, places(network, ZONE_READERS));
+test('the same in several zones, where readers of zones follow the polling readers', () =>
+  playSeeds((random) => {
+    const network = createZonedNetwork(random, random() < 0.5);
+    nameReaders(network, addressesOf(network, ZONE_READERS));
     return network;
   }, ZONED_FAULTS));
 
-async function playDays(
+async function playSeeds(
   networkFor: (random: () => number) => ReaderNetwork,
   faults: typeof FAULTS,
 ): Promise<void> {
@@ -411,21 +418,21 @@
     const random = seededRandom(seed);
     const network = networkFor(random);
     const { store, time } = network;
-    const served = new Served();
+    const served = new HealthyNodes();
     const writtenAt = new Map<number, Milliseconds>();
     const log: string[] = [];
-    for (let now = 100; now <= DAY_MS; now += 100) {
+    for (let now = 100; now <= SIMULATED_MS; now += 100) {
       await time.runUntil(now);
       if (random() < 0.15) {
         store.write(`${PREFIX}/${now}`, random() < 0.1 ? LARGE_VALUE : '');
         writtenAt.set(store.revision, now);
       } else if (random() < 0.1) store.write('elsewhere');
-      if (random() < 0.06 && now < DAY_MS - 2 * LONGEST_FAULT_MS) {
-        const [name, strike] = pick(Object.entries(faults), random);
+      if (random() < 0.06 && now < SIMULATED_MS - 2 * MAX_FAULT_MS) {
+        const [name, inject] = pick(Object.entries(faults), random);
         log.push(`${now} ${name}`);
-        time.after(LONGEST_FAULT_MS * random(), strike(network, random));
+        time.after(MAX_FAULT_MS * random(), inject(network, random));
       }
-      for (const node of served.look(network)) {
+      for (const node of served.refresh(network)) {
         const due = [...writtenAt].filter(([, at]) => at < now - BOUND_MS).map(([key]) => key);
         const missing = due.filter((revision) => !node.notified.includes(revision));
         const context = `seed ${seed}, ${node.address.nodeId} at ${now}: ${log.join(', ')}`;
--- a/test/property/wire-form.test.ts
+++ b/test/property/wire-form.test.ts
@@ -1,4 +1,4 @@
-/** The array form of messages carries everything, also through the codec, and refuses what is malformed. */
+/** The array format of messages keeps all fields, also through the codec, and malformed messages are rejected. */
 import fc from 'fast-check';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -63,7 +63,7 @@
   return decodeValue(encodeValue(value, MAX_BYTES));
 }
 
-/** Without fields that are undefined, with bytes as text, so that values compare. */
+/** Removes undefined fields and converts bytes to text, so that values can be compared. */
 function comparable(value: unknown): unknown {
   if (value instanceof Uint8Array) return Buffer.from(value).toString('hex');
   if (Array.isArray(value)) return value.map(comparable);
@@ -72,7 +72,7 @@
   return Object.fromEntries(fields.map(([name, field]) => [name, comparable(field)]));
 }
 
-test('an open message comes out as it went in', () => {
+test('an open message is unchanged by encoding and decoding', () => {
   fc.assert(
     fc.property(open, (message) => {
       const parsed = openSchema.safeParse(openFromWire(overTheWire(openToWire(message))));
@@ -83,7 +83,7 @@
   );
 });
 
-test('an end comes out as it went in, with and without a position', () => {
+test('an end message is unchanged by encoding and decoding, with and without a position', () => {
   const end = fc.record(
     {
       type: fc.constant('end' as const),
@@ -109,7 +109,7 @@
   );
 });
 
-test('an error that carries a position comes out as it went in', () => {
+test('an error message with a position is unchanged by encoding and decoding', () => {
   fc.assert(
     fc.property(position, (at) => {
       const message = {
@@ -129,7 +129,7 @@
   );
 });
 
-test('arrays of anything else are refused by the schemas, never thrown on', () => {
+test('arbitrary arrays are rejected by the schemas without an exception', () => {
   fc.assert(
     fc.property(fc.array(fc.anything(), { maxLength: 20 }), (value) => {
       assert.not.ok(openSchema.safeParse(openFromWire(value)).success);
