--- a/test/run.ts
+++ b/test/run.ts
@@ -1,19 +1,20 @@
 /**
- * Test runner: each `*.test.js` file runs in a process of its own under uvu, several at a time.
- * Arguments are substrings of file paths to run; none means all. Files named in KNOWN-RED.txt
- * are run and printed but do not change the exit code.
+ * Test runner: runs each `*.test.js` file under uvu in its own process, several at a time. Arguments are substrings of
+ * the file paths to run; without arguments all files run. Files in KNOWN-RED.txt are run and printed, but do not change
+ * the exit code.
  */
 import { spawn } from 'node:child_process';
 import { existsSync, readdirSync, readFileSync } from 'node:fs';
 import { dirname, join, relative } from 'node:path';
 import { fileURLToPath } from 'node:url';
 
-const CONCURRENT_FILES = 4;
-/** Ends files that hang. The one that computes most takes 80 s of a core, which a busy machine may give it in five minutes. */
+const MAX_CONCURRENT_FILES = 4;
+/** Kills files that hang. The longest one uses 80 s of CPU time, which may take five minutes on a busy machine. */
 const FILE_TIMEOUT_MS = 400_000;
-/** Told of a file that names no failure though fewer tests passed than there are. */
-const UNNAMED = 'uvu drops the errors of a test and of a hook after it where both fail';
-const MILLISECONDS_PER_SECOND = 1000;
+/** Printed for a file with fewer passed tests than total that exits with 0 and so names no failure. */
+const UNNAMED_FAILURE_HINT =
+  'uvu drops the errors of a test and of a hook after it where both fail';
+const MS_PER_SECOND = 1000;
 const testRoot = dirname(fileURLToPath(import.meta.url));
 const NODE_FLAGS = [
   '--enable-source-maps',
@@ -24,7 +25,7 @@
 
 interface FileResult {
   readonly file: string;
-  /** Undefined if a signal ended it. */
+  /** Undefined if a signal ended the process. */
   readonly exitCode: number | undefined;
   readonly signal: NodeJS.Signals | undefined;
   readonly tookMs: number;
@@ -51,7 +52,7 @@
     .filter((name) => name.length > 0);
 }
 
-function countOf(output: string, label: string): number {
+function parseCount(output: string, label: string): number {
   const match = new RegExp(`${label}:\\s+(\\d+)`).exec(output);
   return match?.[1] === undefined ? 0 : Number(match[1]);
 }
@@ -81,26 +82,26 @@
         exitCode: code ?? undefined,
         signal: endedBy ?? undefined,
         tookMs: performance.now() - startedAt,
-        passed: countOf(output, 'Passed'),
-        total: countOf(output, 'Total'),
+        passed: parseCount(output, 'Passed'),
+        total: parseCount(output, 'Total'),
         output,
       });
     });
   });
 }
 
-function report(result: FileResult, known: boolean): void {
+function printResult(result: FileResult, isKnownRed: boolean): void {
   const failed = isFailed(result);
-  const verdict = failed ? (known ? 'KNOWN RED' : 'FAILED') : 'ok';
+  const verdict = failed ? (isKnownRed ? 'KNOWN RED' : 'FAILED') : 'ok';
   const source = relative(repositoryRoot, join(testRoot, result.file));
   console.log(`${verdict}  ${source}  ${result.passed}/${result.total}`);
   if (!failed) return;
-  const seconds = (result.tookMs / MILLISECONDS_PER_SECOND).toFixed(1);
-  console.log(`${result.output}\nended after ${seconds} s with ${endOf(result)}`);
-  if (result.exitCode === 0) console.log(UNNAMED);
+  const seconds = (result.tookMs / MS_PER_SECOND).toFixed(1);
+  console.log(`${result.output}\nended after ${seconds} s with ${describeExit(result)}`);
+  if (result.exitCode === 0) console.log(UNNAMED_FAILURE_HINT);
 }
 
-function endOf({ exitCode, signal }: FileResult): string {
+function describeExit({ exitCode, signal }: FileResult): string {
   return signal === undefined ? `exit code ${exitCode}` : `signal ${signal}`;
 }
 
@@ -113,20 +114,20 @@
   const knownRed = readKnownRed();
   let passed = 0;
   let failed = 0;
-  let redFiles = 0;
+  let failedFiles = 0;
   const worker = async (): Promise<void> => {
     for (let file = queue.shift(); file !== undefined; file = queue.shift()) {
       const result = await runFile(file);
-      const known = knownRed.some((name) => result.file.includes(name.replace(/\.ts$/, '')));
-      report(result, known);
+      const isKnownRed = knownRed.some((name) => result.file.includes(name.replace(/\.ts$/, '')));
+      printResult(result, isKnownRed);
       passed += result.passed;
-      if (!known) failed += result.total - result.passed;
-      if (!known && isFailed(result)) redFiles += 1;
+      if (!isKnownRed) failed += result.total - result.passed;
+      if (!isKnownRed && isFailed(result)) failedFiles += 1;
     }
   };
-  await Promise.all(Array.from({ length: CONCURRENT_FILES }, worker));
-  console.log(`${passed} passed, ${Math.max(failed, redFiles)} failed`);
-  process.exitCode = redFiles > 0 || passed === 0 ? 1 : 0;
+  await Promise.all(Array.from({ length: MAX_CONCURRENT_FILES }, worker));
+  console.log(`${passed} passed, ${Math.max(failed, failedFiles)} failed`);
+  process.exitCode = failedFiles > 0 || passed === 0 ? 1 : 0;
 }
 
 await main();
