--- a/test/support/direct-load.ts
+++ b/test/support/direct-load.ts
@@ -112,32 +112,32 @@
   /** Runs one operation; false if the session can't be used after it. */
   async #operate(session: RecordedSession): Promise<boolean> {
     this.#operation += 1;
-    const thing = `k${Math.floor(this.#random() * KEY_COUNT)}`;
+    const key = `k${Math.floor(this.#random() * KEY_COUNT)}`;
     const data = `v${this.options.seed}-${this.#operation}`;
     if (this.options.usesValues === true && this.#random() < SESSION_VALUES_FRACTION) {
-      return this.#useValues(session, thing);
+      return this.#useValues(session, key);
     }
     const writes = this.#random() < (this.options.writes ?? 0.5);
-    if (this.#random() < 0.4) return this.#transaction(session, thing, data, writes);
-    const answer = await (writes ? session.write(thing, data) : session.read(thing));
+    if (this.#random() < 0.4) return this.#transaction(session, key, data, writes);
+    const answer = await (writes ? session.write(key, data) : session.read(key));
     if (this.#succeeded(answer)) this.done[writes ? 'writes' : 'reads'] += 1;
     return answer.state === 'I';
   }
 
   /** An error ends the session, as in the users' clients. */
-  async #useValues(session: RecordedSession, thing: string): Promise<boolean> {
+  async #useValues(session: RecordedSession, key: string): Promise<boolean> {
     const set = await session.set('tone', `t${this.#operation}`);
     if (!this.#succeeded(set)) return false;
     const shape = `q${this.options.seed}`;
     if (!this.#succeeded(await session.prepare('p1', 'read', shape))) return false;
-    const answer = await session.execute('p1', thing);
+    const answer = await session.execute('p1', key);
     if (this.#succeeded(answer)) this.done.reads += 1;
     return this.#succeeded(await session.deallocate('p1')) && answer.state === 'I';
   }
 
   async #transaction(
     session: RecordedSession,
-    thing: string,
+    key: string,
     data: string,
     writes: boolean,
   ): Promise<boolean> {
@@ -145,7 +145,7 @@
     const count = 1 + Math.floor(this.#random() * MAX_STATEMENTS);
     for (let number = 0; number < count && answer.state === 'T'; number += 1) {
       await pause((this.options.transactionPauseMs ?? PAUSE_MS) * this.#random());
-      answer = await (writes && number > 0 ? session.write(thing, data) : session.read(thing));
+      answer = await (writes && number > 0 ? session.write(key, data) : session.read(key));
       this.#succeeded(answer);
     }
     if (answer.state === 'E') return (await session.rollback()).state === 'I';
--- a/test/support/direct-session.ts
+++ b/test/support/direct-session.ts
@@ -62,16 +62,16 @@
     return session;
   }
 
-  read(thing: string): Promise<LineAnswer> {
-    return this.#run({ kind: 'read', text: `READ ${thing}` });
+  read(key: string): Promise<LineAnswer> {
+    return this.#run({ kind: 'read', text: `READ ${key}` });
   }
 
-  write(thing: string, data: string): Promise<LineAnswer> {
-    return this.#run({ kind: 'write', text: `WRITE ${thing} ${data}` });
+  write(key: string, data: string): Promise<LineAnswer> {
+    return this.#run({ kind: 'write', text: `WRITE ${key} ${data}` });
   }
 
-  execute(name: string, thing: string, data?: string): Promise<LineAnswer> {
-    const text = ['EXECUTE', name, thing, ...(data === undefined ? [] : [data])].join(' ');
+  execute(name: string, key: string, data?: string): Promise<LineAnswer> {
+    const text = ['EXECUTE', name, key, ...(data === undefined ? [] : [data])].join(' ');
     const prepared = this.#shapes.get(name);
     return this.#run({ kind: prepared?.kind ?? 'read', text, shape: prepared?.shape });
   }
