--- a/bench/demo/direct.ts
+++ b/bench/demo/direct.ts
@@ -45,7 +45,7 @@
   const killedAt = monotonicMs();
   await cluster.platform.set(`/instances/${PRIMARY}/crash`);
   writeLine(`the primary ${PRIMARY} crashed`);
-  const primary = await cluster.platform.newPrimary(SERVICE, PRIMARY);
+  const primary = await cluster.platform.waitForNewPrimary(SERVICE, PRIMARY);
   writeLine(`${primary.id} is the primary of term ${primary.term}`);
   await pause(LOAD_AFTER_FAILOVER_MS);
   await Promise.all(clients.map((client) => client.stop()));
--- a/bench/soak/configuration.ts
+++ b/bench/soak/configuration.ts
@@ -1,12 +1,9 @@
 /** The operator's configuration in a soak: publishes changes one by one and checks acknowledged versions. */
 import type { Milliseconds } from '../../src/core/units.js';
-import {
-  type ConfigurationProbe,
-  checkConfigurationKept,
-} from '../../test/support/direct-answers.js';
+import { type ConfigurationProbe, checkServedRoutes } from '../../test/support/direct-answers.js';
 import { type DirectCluster, ROUTES, type TestRoute } from '../../test/support/direct-cluster.js';
 import type { DirectGatewayProcess } from '../../test/support/direct-process.js';
-import { startCode } from '../../test/support/line-client.js';
+import { startErrorCode } from '../../test/support/line-client.js';
 import { until } from '../../test/support/until.js';
 import { ControlCallError } from '../harness/control-client.js';
 import type { ConfigurationChange } from './planned-schedule.js';
@@ -104,7 +101,7 @@
     let missing: readonly string[] = [];
     const isInForce = async (): Promise<boolean> => {
       const probes = await Promise.all(this.cluster.gateways.map((one) => this.#probe(one)));
-      missing = checkConfigurationKept(probes.flat()).map(({ detail }) => detail);
+      missing = checkServedRoutes(probes.flat()).map(({ detail }) => detail);
       return missing.length === 0 && probes.every((one) => one.length > 0);
     };
     try {
@@ -141,7 +138,7 @@
       return await Promise.all(
         [...databases].map(async (database) => ({
           ...{ gateway: gateway.name, database, isExpected: expected.includes(database) },
-          code: await startCode(gateway.callersPort, database),
+          code: await startErrorCode(gateway.callersPort, database),
         })),
       );
     } catch {
--- a/test/property/postgres/backend-chunking.test.ts
+++ b/test/property/postgres/backend-chunking.test.ts
@@ -59,7 +59,7 @@
   return chunks;
 }
 
-test('any answer in any chunking: relayed and held back are its two parts, messages whole', () => {
+test('for any chunks, a response is divided into a relayed and a held-back part of whole messages', () => {
   const property = fc.property(
     fc.array(stepArbitrary, { maxLength: 25 }),
     fc.array(fc.integer({ min: 1, max: 400 }), { minLength: 1, maxLength: 12 }),
--- a/test/property/postgres/caller-messages.test.ts
+++ b/test/property/postgres/caller-messages.test.ts
@@ -39,7 +39,7 @@
   return { type, buffer, start: 0, end: buffer.length };
 }
 
-test('arbitrary extended messages give whole messages or a typed error', () => {
+test('arbitrary extended-query messages give complete messages or a typed error', () => {
   const messages = fc.array(fc.tuple(fc.constantFrom(...EXTENDED_TYPES), body), { maxLength: 5 });
   fc.assert(
     fc.property(fc.array(messages), fc.boolean(), fc.boolean(), (batches, failed, flush) => {
@@ -68,7 +68,7 @@
   );
 });
 
-test('arbitrary first messages and log-in texts give a result', () => {
+test('arbitrary start-up messages and log-in texts give a result', () => {
   const codes = fc.constantFrom(196608, 196610, 80877102, 80877103, 80877104, 131072, 0);
   fc.assert(
     fc.property(codes, body, fc.string(), (code, content, text) => {
--- a/test/property/postgres/statements.test.ts
+++ b/test/property/postgres/statements.test.ts
@@ -70,7 +70,7 @@
     return upper ? text.toUpperCase() : text;
   });
 
-test('a writing statement is never a read, whatever stands around it', () => {
+test('a writing statement is never classified as a read, whatever surrounds it', () => {
   const before = fc.constantFrom('', 'select 1;', ';;', '/* read */', "select 'a' ;");
   const after = fc.constantFrom('', ';', '; select 1', ' -- select', '/* x */');
   fc.assert(
@@ -82,7 +82,7 @@
   );
 });
 
-test('a writing call is found behind literals, and a literal makes no write', () => {
+test('a writing call is found after literals, and a literal alone is no write', () => {
   const strings = literalOf.filter((quote) => !quote('').startsWith('"'));
   fc.assert(
     fc.property(strings, trickyText, writingStatement, (quote, content, writing) => {
@@ -107,7 +107,7 @@
   );
 });
 
-test('any value comes back from its URL-encoded marker', () => {
+test('any value is decoded from its URL-encoded marker', () => {
   fc.assert(
     fc.property(fc.string({ unit: 'grapheme', minLength: 1, maxLength: 50 }), (value) => {
       const encoded = encodeURIComponent(value).replaceAll("'", '%27').replaceAll('*', '%2A');
@@ -118,7 +118,7 @@
   );
 });
 
-test('arbitrary text: the lexer covers it, and nothing throws', () => {
+test('the lexer covers arbitrary text, and nothing throws', () => {
   fc.assert(
     fc.property(fc.oneof(trickyText, fc.string({ unit: 'binary' })), (text) => {
       const lexer = new Lexer(text);
@@ -135,7 +135,7 @@
   );
 });
 
-test('the normal form has the words of the text, and is its own normal form', () => {
+test('the normal form has the words of the text, and normalising it changes nothing', () => {
   fc.assert(
     fc.property(trickyText, (text) => {
       const normal = normalize(text);
--- a/test/property/successor-proof.test.ts
+++ b/test/property/successor-proof.test.ts
@@ -22,15 +22,15 @@
   const simulation = new PromotionSimulation({ seed, services: 1 });
   simulation.run(4000);
   const { group, clock, platform } = simulation;
-  const primary = group.leader;
+  const primary = group.primary;
   const [ending, lagging] = group.instances.filter((instance) => instance !== primary);
   if (ending === undefined || lagging === undefined) throw new Error('a group has three instances');
-  lagging.deafUntil = clock.now + LAG_MS;
+  lagging.notReceivingUntil = clock.now + LAG_MS;
   simulation.run(500);
   platform.downUntil = clock.now + OUTAGE_MS;
   group.crash(primary);
-  const isBegun = simulation.runUntil(() => isChanging(simulation), STEP_MS, OUTAGE_MS);
-  assert.ok(isBegun, `no change was begun, seed ${seed}`);
+  const hasStarted = simulation.runUntil(() => isChanging(simulation), STEP_MS, OUTAGE_MS);
+  assert.ok(hasStarted, `no change has started, seed ${seed}`);
   group.remove(ending);
   group.join();
   simulation.run(500);
@@ -39,15 +39,15 @@
   return simulation;
 }
 
-test('the successor in place of a primary is proof enough', () => {
+test('a change succeeds when only the successor at the primary’s address has the log', () => {
   for (const seed of SEEDS) {
     const simulation = play(seed);
-    assert.equal(simulation.violations, [], `seed ${seed}\n${simulation.story}`);
+    assert.equal(simulation.violations, [], `seed ${seed}\n${simulation.eventLog}`);
     const before = simulation.group.commits;
     simulation.run(1000);
     assert.ok(
       simulation.group.commits > before,
-      `writes stopped, seed ${seed}\n${simulation.story}`,
+      `writes stopped, seed ${seed}\n${simulation.eventLog}`,
     );
   }
 });
--- a/test/property/wire-form.test.ts
+++ b/test/property/wire-form.test.ts
@@ -75,7 +75,7 @@
   return Object.fromEntries(fields.map(([name, field]) => [name, comparable(field)]));
 }
 
-test('an open message comes out as it went in', () => {
+test('an open message is unchanged by encoding and decoding', () => {
   fc.assert(
     fc.property(open, (message) => {
       const parsed = openSchema.safeParse(openFromWire(overTheWire(openToWire(message))));
@@ -86,7 +86,7 @@
   );
 });
 
-test('an end comes out as it went in, with and without a position', () => {
+test('an end message is unchanged by encoding and decoding, with and without a position', () => {
   const end = fc.record(
     {
       type: fc.constant('end' as const),
@@ -112,7 +112,7 @@
   );
 });
 
-test('an error that carries a position comes out as it went in', () => {
+test('an error message with a position is unchanged by encoding and decoding', () => {
   fc.assert(
     fc.property(position, (at) => {
       const message = {
@@ -132,7 +132,7 @@
   );
 });
 
-test('arrays of anything else are refused by the schemas, never thrown on', () => {
+test('arbitrary arrays are rejected by the schemas without an exception', () => {
   fc.assert(
     fc.property(fc.array(fc.anything(), { maxLength: 20 }), (value) => {
       assert.not.ok(openSchema.safeParse(openFromWire(value)).success);
--- a/test/unit/direct-standin.test.ts
+++ b/test/unit/direct-standin.test.ts
@@ -290,7 +290,7 @@
   });
   assert.is(summarize(await primary.query('a2', 'WRITE k lost')), 'TIMEOUT I');
   assert.is(await promote(SECOND), 200);
-  assert.is((await platform.newPrimary(SERVICE, FIRST)).term, 2);
+  assert.is((await platform.waitForNewPrimary(SERVICE, FIRST)).term, 2);
   assert.is(summarize(await primary.query('a3', 'BEGIN')), '- T');
   await platform.set(`/groups/${SERVICE}/cuts`, { pairs: [] });
   await until('the old primary steps down', async () => {
@@ -365,7 +365,7 @@
   await until('the registration is gone', async () => (await entryOf(FIRST)) === undefined);
   assert.is(await promote(FIRST), 409);
   assert.is(await promote(SECOND), 200);
-  await platform.newPrimary(SERVICE, FIRST);
+  await platform.waitForNewPrimary(SERVICE, FIRST);
   await platform.set(`/instances/${FIRST}/return`);
   const entry = await entryOf(FIRST);
   assert.equal([entry?.database_role, entry?.state], ['replica', 'ready']);
--- a/test/unit/direct/instance-control.test.ts
+++ b/test/unit/direct/instance-control.test.ts
@@ -21,7 +21,7 @@
   const [socket] = instance.sockets;
   assert.ok(socket !== undefined);
   await once(socket, 'close');
-  assert.is(instance.opened, 1);
+  assert.is(instance.acceptedConnections, 1);
   instance.stop();
 });
 
@@ -32,7 +32,7 @@
   for (let call = 0; call < 5; call += 1) {
     assert.ok((await control.status(entry, LONG_MS)).isOk());
   }
-  assert.is(instance.opened, 1);
+  assert.is(instance.acceptedConnections, 1);
   control.close();
   instance.stop();
 });
@@ -49,10 +49,10 @@
     assert.instance(error, InstanceControlError);
     assert.is(error instanceof InstanceControlError ? error.answer : '', 'connection-limit');
   }
-  assert.is(instance.opened, 1);
+  assert.is(instance.acceptedConnections, 1);
   now += 100;
   await control.status(entry, LONG_MS);
-  assert.is(instance.opened, 2);
+  assert.is(instance.acceptedConnections, 2);
   instance.stop();
 });
 
--- a/test/unit/direct/pooled-status.test.ts
+++ b/test/unit/direct/pooled-status.test.ts
@@ -44,7 +44,7 @@
   assert.is(result.isOk() && result.value.role, 'replica');
   assert.is(pool.size, 1);
   assert.ok((await pool.acquire(ownRequest(performance.now() + LONG_MS))).isOk());
-  assert.is(instance.opened, 1);
+  assert.is(instance.acceptedConnections, 1);
   stop();
 });
 
@@ -52,7 +52,7 @@
   const { instance, entry, pool, status, stop } = await setUp();
   await pool.acquire(ownRequest(performance.now() + LONG_MS));
   assert.ok((await status.status(entry, LONG_MS)).isOk());
-  assert.is(instance.opened, 2);
+  assert.is(instance.acceptedConnections, 2);
   stop();
 });
 
@@ -64,7 +64,7 @@
     const error = result.isErr() ? result.error : undefined;
     assert.is(error instanceof InstanceControlError ? error.answer : '', 'connection-limit');
   }
-  assert.is(instance.opened, 1);
+  assert.is(instance.acceptedConnections, 1);
   stop();
 });
 
--- a/test/unit/direct/relay.test.ts
+++ b/test/unit/direct/relay.test.ts
@@ -70,7 +70,7 @@
   assert.equal([error, state], [undefined, 'idle']);
   assert.equal(position, { timeline: 1, lsn: 2n });
   borrower.pool.release(connection);
-  assert.equal(instance.heard, [{ connection: 1, text: 'WRITE k \xe9\xff v' }]);
+  assert.equal(instance.received, [{ connection: 1, text: 'WRITE k \xe9\xff v' }]);
 });
 
 test('the remaining time to the latency target and the transaction flag of a request reach the pool of the owner', async () => {
@@ -117,7 +117,7 @@
   }
   for (const connection of held) connection.close();
   assert.equal(
-    instance.heard.map(({ text }) => text),
+    instance.received.map(({ text }) => text),
     ['READ a', 'READ a'],
   );
 });
@@ -148,7 +148,7 @@
   synchronise(second, new Map(), undefined, lineWire);
   await answerTo(second, 'READ b');
   borrower.pool.release(second);
-  const texts = instance.heard.map(({ text }) => text);
+  const texts = instance.received.map(({ text }) => text);
   assert.equal(texts, ['SET tz utc', 'PREPARE p1 READ q1', 'READ a', 'RESET', 'READ b']);
   assert.is(instance.connectionCount, 1);
 });
@@ -174,7 +174,7 @@
   await owner(1).stop();
   const failed = await borrower.acquire();
   assert.instance(failed._unsafeUnwrapErr(), InstanceOwnersUnreachableError);
-  assert.is(instance.heard.length, 1);
+  assert.is(instance.received.length, 1);
 });
 
 test('if the link is lost after the grant and before the statement, nothing has run', async () => {
@@ -188,15 +188,15 @@
   const other = await lease();
   await answerTo(other, 'WRITE k v');
   borrower.pool.release(other);
-  assert.is(instance.heard.filter(({ text }) => text === 'WRITE k v').length, 1);
+  assert.is(instance.received.filter(({ text }) => text === 'WRITE k v').length, 1);
 });
 
 test('if the link is lost after the statement was sent, it may have run', async () => {
   await start(2);
-  instance.hold = 'WRITE';
+  instance.heldText = 'WRITE';
   const connection = await lease();
   const exchange = runStatement(connection, 'WRITE k v');
-  await instance.hears('WRITE k v');
+  await instance.waitForStatement('WRITE k v');
   await owner(0).transport.close();
   assert.is((await lossOf(exchange)).fault, 'owner');
   assert.ok(borrower.health.isAvoided('owner-0'));
@@ -221,15 +221,15 @@
   const next = await lease();
   await answerTo(next, 'READ a');
   borrower.pool.release(next);
-  assert.is((await instance.hears('READ a')).connection, 2);
+  assert.is((await instance.waitForStatement('READ a')).connection, 2);
 });
 
 test('a response that arrives after its lease was abandoned is discarded', async () => {
   await start(1);
-  instance.hold = 'READ late';
+  instance.heldText = 'READ late';
   const first = await lease();
   const exchange = runStatement(first, 'READ late');
-  await instance.hears('READ late');
+  await instance.waitForStatement('READ late');
   first.close();
   assert.is((await lossOf(exchange)).fault, 'instance');
   const second = await lease();
@@ -257,17 +257,17 @@
   await answerTo(next, 'READ a');
   borrower.pool.release(next);
   assert.equal(
-    instance.heard.map(({ text }) => text),
+    instance.received.map(({ text }) => text),
     ['READ a'],
   );
 });
 
 test('the loss of the connection to an instance is distinguished from the loss of an owner', async () => {
   await start(1);
-  instance.hold = 'WRITE';
+  instance.heldText = 'WRITE';
   const connection = await lease();
   const exchange = runStatement(connection, 'WRITE k v');
-  await instance.hears('WRITE k v');
+  await instance.waitForStatement('WRITE k v');
   owner(0).pool.destroy();
   assert.is((await lossOf(exchange)).fault, 'instance');
   assert.not(borrower.health.isAvoided('owner-0'));
@@ -318,7 +318,7 @@
   const refused = await answerTo(fresh, 'WRITE k v');
   assert.is(refused.error?.code, 'busy');
   assert.is((await answerTo(inside, 'COMMIT')).error, undefined);
-  assert.not(instance.heard.some(({ text }) => text === 'WRITE k v'));
+  assert.not(instance.received.some(({ text }) => text === 'WRITE k v'));
 });
 
 test('messages that are rejected together are all reported before a connection ends', async () => {
@@ -359,7 +359,7 @@
   const queries = Array.from({ length: 20 }, () => borrower.pool.lender?.position(2000));
   const answers = await Promise.all(queries);
   for (const position of answers) assert.equal(position, { timeline: 1, lsn: 2n });
-  assert.is(instance.heard.length, 1);
+  assert.is(instance.received.length, 1);
 });
 
 interface ReadOptions {
@@ -389,7 +389,7 @@
   (await read('EXECUTE shared l', { values, prepared: PREPARED }))._unsafeUnwrap();
   (await read('READ m'))._unsafeUnwrap();
   assert.equal(
-    instance.heard.map(({ connection, text }) => `${connection}: ${text}`),
+    instance.received.map(({ connection, text }) => `${connection}: ${text}`),
     [
       ...['1: SET zone a', '1: PREPARE shared READ q1', '1: EXECUTE shared k'],
       ...['1: EXECUTE shared l', '1: RESET', '1: READ m'],
@@ -399,12 +399,12 @@
 
 test('prepared statements that an instance does not know are prepared again', async () => {
   await start(1);
-  instance.fail = { text: 'EXECUTE', code: 'UNPREPARED' };
+  instance.failing = { text: 'EXECUTE', code: 'UNPREPARED' };
   const first = (await read('EXECUTE shared k', { prepared: PREPARED }))._unsafeUnwrap();
   assert.is(first.error?.code, 'unprepared');
-  instance.fail = undefined;
+  instance.failing = undefined;
   (await read('EXECUTE shared k', { prepared: PREPARED }))._unsafeUnwrap();
-  assert.is(instance.heard.filter(({ text }) => text.startsWith('PREPARE')).length, 2);
+  assert.is(instance.received.filter(({ text }) => text.startsWith('PREPARE')).length, 2);
 });
 
 test('an owner that does not respond to a read is skipped', async () => {
@@ -435,7 +435,7 @@
   for (const connection of held) pool.release(connection);
   (await next)._unsafeUnwrap();
   assert.equal(
-    instance.heard.map(({ text }) => text),
+    instance.received.map(({ text }) => text),
     ['READ next'],
   );
 });
@@ -458,11 +458,11 @@
 
 test('if an instance does not respond to a read its connection is closed, and the owner is not considered faulty', async () => {
   await start(1);
-  instance.hold = 'READ';
+  instance.heldText = 'READ';
   assert.instance((await read('READ k'))._unsafeUnwrapErr(), InstanceConnectionLostError);
   await until('the connection ended', () => instance.ended.length === 1);
   assert.not(borrower.health.isAvoided('owner-0'));
-  instance.hold = undefined;
+  instance.heldText = undefined;
   (await read('READ l'))._unsafeUnwrap();
 });
 
--- a/test/unit/promotion-gap.test.ts
+++ b/test/unit/promotion-gap.test.ts
@@ -19,19 +19,19 @@
 /** Cuts the first group's primary off from every node: it neither responds nor refuses connections. */
 function cutOffPrimary(simulation: PromotionSimulation): void {
   const { group, network, nodes } = simulation;
-  for (const { name } of nodes) network.cut(name, group.leader.id, MAX_GAP_MS);
+  for (const { name } of nodes) network.cut(name, group.primary.id, MAX_GAP_MS);
 }
 
 /** Virtual time until most nodes know the next primary. */
 function gapMs(simulation: PromotionSimulation): number {
   const { group, nodes, clock } = simulation;
-  const old = group.leader;
+  const old = group.primary;
   const startedAt = clock.now;
   const hasEnded = (): boolean => {
     const informedNodes = nodes.filter(({ machine, now }) => {
-      return machine?.primaryOf(group.service, now)?.id === group.leader.id;
+      return machine?.primaryOf(group.service, now)?.id === group.primary.id;
     });
-    return group.leader !== old && informedNodes.length > nodes.length / 2;
+    return group.primary !== old && informedNodes.length > nodes.length / 2;
   };
   while (!hasEnded() && clock.now - startedAt < MAX_GAP_MS) simulation.run(STEP_MS);
   assert.equal(simulation.violations, []);
@@ -66,7 +66,7 @@
 
 test('nodes notice soon that the store is reachable again', () => {
   const gap = medianGapMs((simulation) => {
-    simulation.store.goDown(5000, true);
+    simulation.store.startOutage(5000, true);
     simulation.run(4800);
     cutOffPrimary(simulation);
     simulation.run(200);
@@ -86,7 +86,7 @@
 
 test('the leader logs its primary change as finished, once', () => {
   const simulation = createSettledSimulation(1);
-  simulation.group.crash(simulation.group.leader);
+  simulation.group.crash(simulation.group.primary);
   simulation.run(2000);
   const lines = simulation.nodes.flatMap(({ log }) => log);
   assert.is(lines.filter((line) => line.includes('primary changed')).length, 1);
--- a/test/unit/store-return.test.ts
+++ b/test/unit/store-return.test.ts
@@ -9,7 +9,7 @@
 import { PrefixReader } from '../../src/direct/prefix-reader.js';
 import type { Store } from '../../src/platform/contract.js';
 import { StoreUnavailableError } from '../../src/platform/errors.js';
-import { feed } from '../support/promotion-feed.js';
+import { handleEvents } from '../support/promotion-feed.js';
 
 test('the first response after an outage is reported once, also the very first response', () => {
   const detector = new StoreOutageDetector();
@@ -38,7 +38,7 @@
     ...{ type: 'store-failed', isLeaseGone: false, retryAfterMs: undefined },
   });
   const requestTypesAfter = (event: PromotionEvent, at: number): string[] =>
-    feed(machine, [event], at, refuse).map(({ type }) => type);
+    handleEvents(machine, [event], at, refuse).map(({ type }) => type);
   const { unregisteredReadDelayMs } = DEFAULT_PROMOTION_TIMINGS;
   requestTypesAfter({ type: 'start' }, 0);
   requestTypesAfter({ type: 'tick' }, unregisteredReadDelayMs);
