--- a/scale/components/machine-list.ts
+++ b/scale/components/machine-list.ts
@@ -1,4 +1,4 @@
-/** The platform's machine list at a given size: what each node reads whenever it changes. */
+/** Measures a node's cost of a new machine list at a given fleet size. */
 import { z } from 'zod';
 import { MachineListReplica } from '../../src/core/machine-list/replica.js';
 import type { Hash64 } from '../../src/core/ownership/rendezvous.js';
@@ -11,52 +11,52 @@
 import { decodeValue, encodeValue } from '../../src/peer/codec.js';
 import type { Machine } from '../../src/platform/contract.js';
 import { machineSchema } from '../../src/platform/machine-schema.js';
-import { rounded } from '../distribution.js';
-import type { NodePlace } from '../hollow-node.js';
-import { kept, meanMs } from './measure.js';
-import { LETTER } from './sizes.js';
+import { roundTo } from '../distribution.js';
+import type { NodeLocation } from '../hollow-node.js';
+import { meanMs, measureMemory } from './measure.js';
+import { DESIGN_SIZE } from './sizes.js';
 
 const READS = 3;
 const SLOTS = 20;
 const MAX_CONNECTIONS = 200;
-const answerSchema = z.object({ version: z.int(), machines: z.array(z.unknown()) });
+const responseSchema = z.object({ version: z.int(), machines: z.array(z.unknown()) });
 
 export interface MachineListCost {
   readonly machines: number;
   readonly bytes: number;
   readonly parseMs: number;
   readonly memoryBytes: number;
-  /** A reader: the answer parsed, hashed and taken over. */
+  /** A reader's time to parse, hash and apply a response. */
   readonly readerMs: number;
-  /** Any other node: a push of one changed machine, from the wire to the list of all machines. */
+  /** Any other node's time for a push of one changed machine, from decoding to the list of all machines. */
   readonly followerMs: number;
   readonly pushBytes: number;
   readonly replicaBytes: number;
 }
 
-/** Costs of a list of this size, for those who read it and for those who are told of changes. */
-export function machineListCost(
-  places: readonly NodePlace[],
+/** Costs for nodes that poll the list and for nodes to which changes are pushed. */
+export function measureMachineList(
+  locations: readonly NodeLocation[],
   groups: number,
   hash: Hash64,
 ): MachineListCost {
-  const text = JSON.stringify({ version: 1, machines: machinesOf(places, groups) });
-  const { built, bytes: memoryBytes } = kept(() => readMachines(text, true) ?? []);
+  const text = JSON.stringify({ version: 1, machines: createMachines(locations, groups) });
+  const { built, bytes: memoryBytes } = measureMemory(() => parseMachines(text, true) ?? []);
   const parseMs = meanMs(READS, () => {
-    readMachines(text, true);
+    parseMachines(text, true);
   });
   return {
     machines: built.length,
     bytes: text.length,
-    parseMs: rounded(parseMs),
+    parseMs: roundTo(parseMs),
     memoryBytes,
-    ...exchangeCost(text, hash),
+    ...measureExchange(text, hash),
   };
 }
 
-function exchangeCost(text: string, hash: Hash64) {
-  const entries = (readMachines(text, true) ?? []).map((machine) => toListEntry(machine, hash));
-  const { built: reader, bytes: replicaBytes } = kept(() => {
+function measureExchange(text: string, hash: Hash64) {
+  const entries = (parseMachines(text, true) ?? []).map((machine) => toListEntry(machine, hash));
+  const { built: reader, bytes: replicaBytes } = measureMemory(() => {
     const replica = new MachineListReplica<Machine>();
     replica.replace({ epoch: 0, version: 1 }, entries);
     return replica;
@@ -68,7 +68,7 @@
   let followerTotalMs = 0;
   const readerMs = meanMs(READS, () => {
     version += 1;
-    const read = readMachines(text, true) ?? [];
+    const read = parseMachines(text, true) ?? [];
     const [first, ...rest] = read.map((machine) => toListEntry(machine, hash));
     if (first === undefined) return;
     const state = version % 2 === 0 ? 'leaving' : 'live';
@@ -94,16 +94,16 @@
     followerTotalMs += performance.now() - startedAt;
   }
   return {
-    readerMs: rounded(readerMs),
-    followerMs: rounded(followerTotalMs / READS),
+    readerMs: roundTo(readerMs),
+    followerMs: roundTo(followerTotalMs / READS),
     pushBytes,
     replicaBytes,
   };
 }
 
-/** As the machine list's client reads an answer; one without news it does not take apart. */
-export function readMachines(text: string, isNew: boolean): Machine[] | undefined {
-  const { machines } = answerSchema.parse(JSON.parse(text));
+/** Parses a response as the machine list client does: the machines only if the version is new. */
+export function parseMachines(text: string, isNew: boolean): Machine[] | undefined {
+  const { machines } = responseSchema.parse(JSON.parse(text));
   if (!isNew) return undefined;
   return machines.flatMap((entry) => {
     const parsed = machineSchema.safeParse(entry);
@@ -111,9 +111,9 @@
   });
 }
 
-/** A list of these proxies and of the instances of so many groups. */
-export function machinesOf(places: readonly NodePlace[], groups: number): Machine[] {
-  const proxies = places.map(
+/** Creates a list of these proxies and of the instances of `groups` groups. */
+export function createMachines(locations: readonly NodeLocation[], groups: number): Machine[] {
+  const proxies = locations.map(
     ({ nodeId, zone, host, peerPort }): Machine => ({
       role: 'proxy',
       name: nodeId,
@@ -123,19 +123,19 @@
       state: 'live',
     }),
   );
-  const databases = Array.from({ length: groups * LETTER.instancesPerGroup }, (_, index) =>
-    databaseOf(index, places),
+  const databases = Array.from({ length: groups * DESIGN_SIZE.instancesPerGroup }, (_, index) =>
+    createDatabase(index, locations),
   );
   return [...proxies, ...databases];
 }
 
-function databaseOf(index: number, places: readonly NodePlace[]): Machine {
-  const group = Math.floor(index / LETTER.instancesPerGroup);
+function createDatabase(index: number, locations: readonly NodeLocation[]): Machine {
+  const group = Math.floor(index / DESIGN_SIZE.instancesPerGroup);
   return {
     role: 'database',
-    name: `group-${group}-instance-${index % LETTER.instancesPerGroup}`,
+    name: `group-${group}-instance-${index % DESIGN_SIZE.instancesPerGroup}`,
     group: `group-${group}`,
-    zone: places[index % places.length]?.zone ?? 'zone',
+    zone: locations[index % locations.length]?.zone ?? 'zone',
     host: `10.200.${Math.floor(index / 250) % 250}.${1 + (index % 250)}`,
     port: 5432,
     slots: SLOTS,
--- a/scale/components/measure.ts
+++ b/scale/components/measure.ts
@@ -1,8 +1,8 @@
-/** Measures single parts of a node: processor time of an operation, memory of a state. */
+/** Measures processor time of an operation and memory of a value. */
 import { setFlagsFromString } from 'node:v8';
 import { runInNewContext } from 'node:vm';
 
-/** Bytes of the heap and of buffers after a full collection. */
+/** Bytes of the heap and of buffers after a full garbage collection. */
 export function heapBytes(): number {
   setFlagsFromString('--expose-gc');
   const collect: unknown = runInNewContext('gc');
@@ -11,7 +11,7 @@
   return heapUsed + external;
 }
 
-/** Mean processor time of one of `count` runs, ms. */
+/** Mean processor time of `count` runs, in ms. */
 export function meanMs(count: number, run: (index: number) => void): number {
   const startedAt = process.cpuUsage();
   for (let index = 0; index < count; index += 1) run(index);
@@ -19,8 +19,11 @@
   return (user + system) / 1000 / count;
 }
 
-/** What `build` gives, and the bytes that it keeps. */
-export function kept<Built>(build: () => Built): { readonly built: Built; readonly bytes: number } {
+/** Returns what `build` returns, and the bytes that it retains. */
+export function measureMemory<Built>(build: () => Built): {
+  readonly built: Built;
+  readonly bytes: number;
+} {
   const before = heapBytes();
   const built = build();
   return { built, bytes: Math.max(0, heapBytes() - before) };
--- a/scale/components/owner.ts
+++ b/scale/components/owner.ts
@@ -1,8 +1,7 @@
 /**
- * The groups that one owner keeps at the letter's size: the real group machines over instances that
- * answer at once, quiet and under requests. Counts probes and the processor time of the machines.
+ * Measures the groups of one owner at the design size: the real group state machines over simulated instances
+ * with fixed response times, idle and under load. Counts probes and the state machines' processor time.
  */
-
 import type { GroupEffect, GroupEvent, InstanceState } from '../../src/core/group/contract.js';
 import { DatabaseGroup } from '../../src/core/group/database-group.js';
 import { DEFAULT_OWNERS_PER_GROUP } from '../../src/core/ownership/owner-index.js';
@@ -10,21 +9,23 @@
 import { MILLISECONDS_PER_SECOND, type Milliseconds } from '../../src/core/units.js';
 import { POSITION_QUERY } from '../../src/postgres/backend/position-query.js';
 import { DeadlineTimer } from '../deadline-timer.js';
-import { rounded } from '../distribution.js';
+import { roundTo } from '../distribution.js';
 import { VirtualClock } from '../virtual-clock.js';
-import { kept } from './measure.js';
-import { LETTER } from './sizes.js';
-
-/** Groups of which one node is an owner. */
-export const OWNED_GROUPS = Math.ceil((LETTER.groups * DEFAULT_OWNERS_PER_GROUP) / LETTER.nodes);
-const SETTLE_MS = 10_000;
+import { measureMemory } from './measure.js';
+import { DESIGN_SIZE } from './sizes.js';
+
+/** Number of groups of which one node is an owner. */
+export const OWNED_GROUPS = Math.ceil(
+  (DESIGN_SIZE.groups * DEFAULT_OWNERS_PER_GROUP) / DESIGN_SIZE.nodes,
+);
+const WARM_UP_MS = 10_000;
 const MEASURED_MS = 20_000;
 const PROBE_ROUND_TRIP_MS = 1;
-const RUN_MS = 2;
-const CONNECT_MS = 5;
-const REQUEST_LIFE_MS = 5000;
+const STATEMENT_DURATION_MS = 2;
+const CONNECT_DURATION_MS = 5;
+const REQUEST_TIMEOUT_MS = 5000;
 
-/** Lengths of the answer's messages, by PostgreSQL's message formats: six columns of one row. */
+/** Message lengths of the response by PostgreSQL's message formats: one row of six columns. */
 const ROW_DESCRIPTION_BYTES = 7 + 6 * (18 + 20);
 const DATA_ROW_BYTES = 7 + 6 * 4 + 1 + 1 + 24 + 1 + 10 + 10;
 const COMPLETE_AND_READY_BYTES = 15 + 6;
@@ -41,35 +42,33 @@
 
 export interface OwnerCost {
   readonly groups: number;
-  /** Requests a second and group. */
   readonly requestsPerSecondPerGroup: number;
   readonly memoryBytesPerGroup: number;
   readonly probesPerSecond: number;
   readonly probeBytesPerSecond: number;
-  /** Share of a core that the machines take, requests included. */
+  /** Fraction of a core that the state machines use, requests included. */
   readonly cpuCoreShare: number;
   readonly requestsReleased: number;
 }
 
-/** One owner's groups at this rate. */
-export function ownerCost(requestsPerSecondPerGroup: number): OwnerCost {
+export function measureOwner(requestsPerSecondPerGroup: number): OwnerCost {
   const clock = new VirtualClock();
-  const { built: groups, bytes } = kept(() =>
+  const { built: groups, bytes } = measureMemory(() =>
     Array.from({ length: OWNED_GROUPS }, (_, index) => new HollowGroup(clock, `group-${index}`)),
   );
   for (const group of groups) group.start(requestsPerSecondPerGroup);
-  clock.runUntil(SETTLE_MS);
+  clock.runUntil(WARM_UP_MS);
   for (const group of groups) group.resetCounts();
-  clock.runUntil(SETTLE_MS + MEASURED_MS);
+  clock.runUntil(WARM_UP_MS + MEASURED_MS);
   const seconds = MEASURED_MS / MILLISECONDS_PER_SECOND;
   const probes = sumOf(groups, (group) => group.probes) / seconds;
   return {
     groups: OWNED_GROUPS,
     requestsPerSecondPerGroup,
     memoryBytesPerGroup: Math.round(bytes / OWNED_GROUPS),
-    probesPerSecond: rounded(probes),
+    probesPerSecond: roundTo(probes),
     probeBytesPerSecond: Math.round(probes * PROBE_BYTES),
-    cpuCoreShare: rounded(sumOf(groups, (group) => group.processorMs) / MEASURED_MS, 5),
+    cpuCoreShare: roundTo(sumOf(groups, (group) => group.processorMs) / MEASURED_MS, 5),
     requestsReleased: sumOf(groups, (group) => group.released),
   };
 }
@@ -97,7 +96,7 @@
   }
 
   start(requestsPerSecond: number): void {
-    const instances = Array.from({ length: LETTER.instancesPerGroup }, (_, index) => ({
+    const instances = Array.from({ length: DESIGN_SIZE.instancesPerGroup }, (_, index) => ({
       name: `instance-${index}`,
       zone: `zone-${index}`,
       slots: 20,
@@ -134,18 +133,18 @@
     const startedAt = performance.now();
     const effects = this.#machine.handle(event, this.#clock.now);
     this.processorMs += performance.now() - startedAt;
-    for (const effect of effects) this.#carryOut(effect);
+    for (const effect of effects) this.#executeEffect(effect);
     this.#timer.arm();
   }
 
-  #carryOut(effect: GroupEffect): void {
+  #executeEffect(effect: GroupEffect): void {
     if (effect.type === 'probe') this.#probe(effect);
     else if (effect.type === 'open-connection') {
       const { connectionId } = effect;
-      this.#later(CONNECT_MS, { type: 'connection-opened', connectionId });
+      this.#schedule(CONNECT_DURATION_MS, { type: 'connection-opened', connectionId });
     } else if (effect.type === 'reset-connection') {
       const { connectionId } = effect;
-      this.#later(PROBE_ROUND_TRIP_MS, { type: 'connection-reset', connectionId });
+      this.#schedule(PROBE_ROUND_TRIP_MS, { type: 'connection-reset', connectionId });
     } else if (effect.type === 'run') this.#run(effect);
     else if (effect.type === 'release') this.released += 1;
   }
@@ -153,17 +152,17 @@
   #probe({ probeId, instance }: Extract<GroupEffect, { type: 'probe' }>): void {
     this.probes += 1;
     const state = this.#stateOf(instance);
-    this.#later(PROBE_ROUND_TRIP_MS, { type: 'probe-answered', probeId, state });
+    this.#schedule(PROBE_ROUND_TRIP_MS, { type: 'probe-answered', probeId, state });
   }
 
   #run({ requestId, onPrimary }: Extract<GroupEffect, { type: 'run' }>): void {
     if (onPrimary) this.#lsn += 1n;
     const position = onPrimary ? { timeline: 1, lsn: this.#lsn } : undefined;
     const result = { type: 'completed', position } as const;
-    this.#later(RUN_MS, { type: 'run-finished', requestId, result });
+    this.#schedule(STATEMENT_DURATION_MS, { type: 'run-finished', requestId, result });
   }
 
-  #later(delay: Milliseconds, event: GroupEvent): void {
+  #schedule(delay: Milliseconds, event: GroupEvent): void {
     this.#clock.after(delay, () => this.#handle(event));
   }
 
@@ -176,7 +175,7 @@
     };
   }
 
-  /** Every tenth is a write. */
+  /** Every tenth request is a write. */
   #nextRequest(): GroupRequest {
     this.#requests += 1;
     const isWrite = this.#requests % 10 === 0;
@@ -191,7 +190,7 @@
       stalenessBoundMs: 500,
       repeatable: !isWrite,
       session: { type: 'known', position: { timeline: 0, lsn: 0n } },
-      deadline: this.#clock.now + REQUEST_LIFE_MS,
+      deadline: this.#clock.now + REQUEST_TIMEOUT_MS,
       hold: 'statement',
       zone: 'zone-0',
     };
--- a/scale/components/ownership.ts
+++ b/scale/components/ownership.ts
@@ -1,10 +1,10 @@
-/** The owners of the letter's 15,000 groups as one node keeps them, at several fleet sizes. */
+/** Measures the owners of the design size's 15,000 groups as one node keeps them, at a given fleet size. */
 import type { ConfigurationMember } from '../../src/core/configuration/relays.js';
 import { type GroupPlacement, OwnerIndex } from '../../src/core/ownership/owner-index.js';
 import type { Hash64 } from '../../src/core/ownership/rendezvous.js';
 import { NodeRanker } from '../../src/core/session/node-ranker.js';
-import { rounded } from '../distribution.js';
-import { kept, meanMs } from './measure.js';
+import { roundTo } from '../distribution.js';
+import { meanMs, measureMemory } from './measure.js';
 
 const CHANGES = 20;
 const LOOK_UPS = 2000;
@@ -13,21 +13,21 @@
   readonly members: number;
   readonly groups: number;
   readonly memoryBytes: number;
-  /** From nothing, at the start of a node. */
+  /** Time to build the index from scratch, as at a node's start. */
   readonly buildMs: number;
   readonly memberAddedMs: number;
   readonly memberRemovedMs: number;
-  /** Choice of the home nodes of one session among all nodes. */
+  /** Time to rank all nodes as home nodes of one session. */
   readonly rankNodesMs: number;
 }
 
-export function ownershipCost(
+export function measureOwnership(
   hash: Hash64,
   members: readonly ConfigurationMember[],
   groups: readonly GroupPlacement[],
 ): OwnershipCost {
   let buildMs = 0;
-  const { built: index, bytes } = kept(() => {
+  const { built: index, bytes } = measureMemory(() => {
     const fresh = new OwnerIndex(hash);
     buildMs = meanMs(1, () => {
       fresh.addMembers(members);
@@ -52,9 +52,9 @@
     members: members.length,
     groups: groups.length,
     memoryBytes: bytes,
-    buildMs: rounded(buildMs),
-    memberAddedMs: rounded(memberAddedMs, 3),
-    memberRemovedMs: rounded(memberRemovedMs, 3),
-    rankNodesMs: rounded(rankNodesMs, 3),
+    buildMs: roundTo(buildMs),
+    memberAddedMs: roundTo(memberAddedMs, 3),
+    memberRemovedMs: roundTo(memberRemovedMs, 3),
+    rankNodesMs: roundTo(rankNodesMs, 3),
   };
 }
--- a/scale/components/session-table.ts
+++ b/scale/components/session-table.ts
@@ -1,7 +1,7 @@
-/** The positions that a home node keeps of sessions. */
+/** Measures the table of session positions on a home node. */
 import { SessionPositionTable } from '../../src/core/session/position-table.js';
-import { rounded } from '../distribution.js';
-import { kept, meanMs } from './measure.js';
+import { roundTo } from '../distribution.js';
+import { meanMs, measureMemory } from './measure.js';
 
 const SESSIONS = 20_000;
 
@@ -11,14 +11,14 @@
   readonly recordMs: number;
 }
 
-export function sessionTableCost(): SessionTableCost {
+export function measureSessionTable(): SessionTableCost {
   const table = new SessionPositionTable({ startedAt: 0 });
   const record = (index: number, lsn: bigint): void => {
     const session = { tenant: 'tenant-0001', sessionId: `session-${index}-0123456789abcdef` };
     const positions = [{ group: 'group-0001', position: { timeline: 1, lsn } }];
     table.handle({ type: 'record', session, positions }, 1);
   };
-  const { bytes } = kept(() => {
+  const { bytes } = measureMemory(() => {
     for (let index = 0; index < SESSIONS; index += 1) record(index, 1n);
     return table;
   });
@@ -26,6 +26,6 @@
   return {
     sessions: table.sessionCount,
     memoryBytesPerSession: Math.round(bytes / SESSIONS),
-    recordMs: rounded(recordMs, 5),
+    recordMs: roundTo(recordMs, 5),
   };
 }
--- a/scale/components/sizes.ts
+++ b/scale/components/sizes.ts
@@ -1,5 +1,5 @@
-/** The letter's size, and what of it falls to one node. */
-export const LETTER = {
+/** The size for which the system is designed. */
+export const DESIGN_SIZE = {
   nodes: 4600,
   groups: 15_000,
   instancesPerGroup: 3,
@@ -12,4 +12,4 @@
   zones: 18,
 } as const;
 
-export const CONNECTIONS_PER_NODE = Math.ceil(LETTER.clientConnections / LETTER.nodes);
+export const CONNECTIONS_PER_NODE = Math.ceil(DESIGN_SIZE.clientConnections / DESIGN_SIZE.nodes);
--- a/scale/convergence.ts
+++ b/scale/convergence.ts
@@ -1,16 +1,16 @@
-/** When a change of a member was known to every node that could know it. */
+/** Measures when a membership change was known to every node that could learn of it. */
 import { MILLISECONDS_PER_SECOND, type Milliseconds } from '../src/core/units.js';
-import { type Distribution, distributionOf } from './distribution.js';
+import { computeDistribution, type Distribution } from './distribution.js';
 import type { HollowNode } from './hollow-node.js';
 import type { VirtualClock } from './virtual-clock.js';
 
-/** How often open changes are looked at: the resolution of the figures. */
-const LOOK_PERIOD_MS = 100;
+/** Interval between checks of open changes; the resolution of the figures. */
+const CHECK_PERIOD_MS = 100;
 
-/** What others should come to see of a node. */
+/** The view of a node that all other nodes should reach. */
 export interface ExpectedView {
   readonly nodeId: string;
-  /** Undefined: the node is gone or leaving. */
+  /** Undefined: the node is dead, removed or leaving. */
   readonly incarnation: number | undefined;
 }
 
@@ -26,12 +26,12 @@
   readonly #open = new Map<string, OpenChange>();
   readonly #times = new Map<string, Milliseconds[]>();
 
-  /** @param observers nodes that are to see the changes: running, and on the larger side of a cut */
+  /** @param observers nodes that must learn of the changes: running, and on the larger side of a partition */
   constructor(clock: VirtualClock, observers: () => readonly HollowNode[]) {
     this.#clock = clock;
     this.#observers = observers;
-    clock.every(LOOK_PERIOD_MS, () => {
-      this.#look();
+    clock.every(CHECK_PERIOD_MS, () => {
+      this.#checkOpenChanges();
       return true;
     });
   }
@@ -40,17 +40,17 @@
     return this.#open.size;
   }
 
-  /** Something happened to a node; a later change of the same node takes the place of this one. */
+  /** Records a change of a node; it replaces an open change of the same node. */
   expect(view: ExpectedView): void {
     this.#open.set(view.nodeId, { ...view, at: this.#clock.now, phase: this.phase });
   }
 
-  /** Times of the changes of a phase. */
+  /** Convergence times of the changes of a phase. */
   figures(phase: string): Distribution {
-    return distributionOf(this.#times.get(phase) ?? []);
+    return computeDistribution(this.#times.get(phase) ?? []);
   }
 
-  /** Open changes for a message, at most some. */
+  /** Formats the first few open changes for a message. */
   describeOpen(): string {
     const open = [...this.#open.values()].slice(0, 5);
     return open
@@ -58,11 +58,11 @@
       .join(', ');
   }
 
-  #look(): void {
+  #checkOpenChanges(): void {
     if (this.#open.size === 0) return;
     const observers = this.#observers();
     for (const change of [...this.#open.values()]) {
-      if (!observers.every((node) => sees(node, change))) continue;
+      if (!observers.every((node) => hasExpectedView(node, change))) continue;
       this.#open.delete(change.nodeId);
       const times = this.#times.get(change.phase) ?? [];
       times.push(this.#clock.now - change.at);
@@ -71,7 +71,7 @@
   }
 }
 
-function sees(node: HollowNode, { nodeId, incarnation }: ExpectedView): boolean {
+function hasExpectedView(node: HollowNode, { nodeId, incarnation }: ExpectedView): boolean {
   if (node.identity.nodeId === nodeId) return true;
   const member = node.membership.machine.member(nodeId);
   if (incarnation === undefined) {
--- a/scale/deadline-timer.ts
+++ b/scale/deadline-timer.ts
@@ -1,4 +1,4 @@
-/** Wakes a state machine at its next deadline, with one timer at a time. */
+/** Runs a callback at a state machine's next deadline. */
 import type { Milliseconds } from '../src/core/units.js';
 import type { VirtualClock } from './virtual-clock.js';
 
@@ -8,7 +8,7 @@
   readonly #onDue: () => void;
   #armedAt = Number.POSITIVE_INFINITY;
 
-  /** @param onDue runs when a deadline has passed; it is to arm the timer again */
+  /** @param onDue runs when a deadline has passed; it must arm the timer again */
   constructor(
     clock: VirtualClock,
     nextDeadline: () => Milliseconds | undefined,
@@ -19,7 +19,7 @@
     this.#onDue = onDue;
   }
 
-  /** To be called after everything that may have moved the deadline. */
+  /** Must be called after anything that may have changed the deadline. */
   arm(): void {
     const deadline = this.#nextDeadline();
     if (deadline === undefined || deadline >= this.#armedAt) return;
@@ -28,7 +28,7 @@
   }
 
   #fire(deadline: Milliseconds): void {
-    // A timer that an earlier one has overtaken.
+    // The timer was replaced by one with an earlier deadline.
     if (deadline !== this.#armedAt) return;
     this.#armedAt = Number.POSITIVE_INFINITY;
     const due = this.#nextDeadline();
--- a/scale/distribution.ts
+++ b/scale/distribution.ts
@@ -10,23 +10,23 @@
 
 const DECIMALS = 1;
 
-/** All zero if there is nothing to summarise; `count` tells. */
-export function distributionOf(values: readonly Milliseconds[]): Distribution {
+/** All figures, `count` included, are 0 if there are no values. */
+export function computeDistribution(values: readonly Milliseconds[]): Distribution {
   const sorted = [...values].sort((left, right) => left - right);
   return {
     count: sorted.length,
-    p50: rounded(quantile(sorted, 0.5)),
-    p99: rounded(quantile(sorted, 0.99)),
-    max: rounded(sorted.at(-1) ?? 0),
+    p50: roundTo(quantile(sorted, 0.5)),
+    p99: roundTo(quantile(sorted, 0.99)),
+    max: roundTo(sorted.at(-1) ?? 0),
   };
 }
 
-/** Rounded for a report. */
-export function rounded(value: number, decimals: number = DECIMALS): number {
+/** Rounds a figure for a report. */
+export function roundTo(value: number, decimals: number = DECIMALS): number {
   return Number(value.toFixed(decimals));
 }
 
-/** The value that the share of all values does not exceed. */
-function quantile(sorted: readonly number[], share: number): number {
-  return sorted[Math.max(0, Math.ceil(sorted.length * share) - 1)] ?? 0;
+/** The smallest value that this fraction of all values does not exceed. */
+function quantile(sorted: readonly number[], fraction: number): number {
+  return sorted[Math.max(0, Math.ceil(sorted.length * fraction) - 1)] ?? 0;
 }
--- a/scale/fleet.ts
+++ b/scale/fleet.ts
@@ -1,34 +1,34 @@
-/** A fleet of hollow nodes around one store: starts, stops and cuts them, publishes, keeps time. */
+/** A fleet of hollow nodes with one store: starts, stops and partitions nodes, and publishes changes. */
 import { createRandom, type Random } from '../bench/load/random.js';
 import type { Hash64 } from '../src/core/ownership/rendezvous.js';
 import type { Milliseconds } from '../src/core/units.js';
 import { ConvergenceWatch } from './convergence.js';
 import type { ListReaders } from './hollow-machine-list.js';
 import type { HollowContext } from './hollow-membership.js';
-import { HollowNode, type NodePlace } from './hollow-node.js';
-import { groupsFor, HollowOwnership } from './hollow-ownership.js';
+import { HollowNode, type NodeLocation } from './hollow-node.js';
+import { createGroupsForFleet, HollowOwnership } from './hollow-ownership.js';
 import { ListTimes } from './list-times.js';
 import { Meters } from './meters.js';
 import { HollowNetwork } from './network.js';
 import { FleetObserver } from './observer.js';
-import { regionOf, ZONE_COUNT, zoneName } from './places.js';
 import { SimulatedMachineList } from './simulated-machine-list.js';
 import { SimulatedStore } from './simulated-store.js';
-import { storedTemplate, storedTenant } from './tenants.js';
+import { createTemplate, createTenant } from './tenants.js';
 import { VirtualClock } from './virtual-clock.js';
+import { regionOf, ZONE_COUNT, zoneName } from './zones.js';
 
-/** Changes of configuration a day at the letter's size; the same at any number of nodes. */
+/** Configuration changes per day at the design size; not scaled with the number of nodes. */
 const PUBLISHES_PER_DAY = 38_000;
-/** Changes of the machine list a day at the letter's size; the same at any number of nodes. */
+/** Machine list changes per day at the design size; not scaled with the number of nodes. */
 const LIST_CHANGES_PER_DAY = 4_878;
-/** The list's changes have random numbers of their own, apart from those of the faults. */
+/** Machine list changes use a random sequence of their own, so that they don't alter the faults. */
 const LIST_SEED_OFFSET = 1_000_003;
 const DAY_MS = 86_400_000;
-/** Incarnations are times since the Unix epoch; virtual time starts here. */
+/** Unix time at which virtual time starts; incarnations are Unix times. */
 const EPOCH_MS = 1_790_000_000_000;
-/** Nodes that work out the owners of all groups; what one works out is what each would. */
-const OWNERSHIP_SAMPLE = 8;
-/** Starts of the first lives are spread over this time. */
+/** Nodes that compute the owners of all groups; every node would compute the same. */
+const OWNERSHIP_SAMPLE_NODES = 8;
+/** The nodes' first starts are spread over this time. */
 const BOOT_SPREAD_MS = 2000;
 const FIRST_PORT = 10_000;
 
@@ -45,12 +45,12 @@
   readonly meters = new Meters();
   readonly store = new SimulatedStore(() => this.clock.now);
   readonly observer = new FleetObserver(() => this.clock.now);
-  readonly convergence = new ConvergenceWatch(this.clock, () => this.#observers());
+  readonly convergence = new ConvergenceWatch(this.clock, () => this.#observingNodes());
   readonly machineList: SimulatedMachineList;
   readonly listTimes: ListTimes;
   readonly random: Random;
   readonly #listRandom: Random;
-  readonly places: readonly NodePlace[];
+  readonly locations: readonly NodeLocation[];
   readonly network: HollowNetwork;
   readonly #options: FleetOptions;
   readonly #context: HollowContext;
@@ -64,37 +64,40 @@
     const { clock, meters, random } = this;
     this.network = new HollowNetwork({ clock, random, meters });
     this.#context = { clock, network: this.network, meters, random: random.fraction };
-    this.places = placesOf(options.nodes);
+    this.locations = createNodeLocations(options.nodes);
     this.#listRandom = createRandom(options.seed + LIST_SEED_OFFSET);
-    this.machineList = new SimulatedMachineList(this.places, groupsFor(options.nodes).length);
+    this.machineList = new SimulatedMachineList(
+      this.locations,
+      createGroupsForFleet(options.nodes).length,
+    );
     this.listTimes = new ListTimes(this.machineList, () => clock.now);
   }
 
-  /** Lives that run, paused ones too. */
+  /** Running nodes, including paused ones. */
   get running(): readonly HollowNode[] {
     return [...this.#running.values()];
   }
 
-  /** Nodes that keep the owners of all groups. */
+  /** Nodes that compute the owners of all groups. */
   get ownershipNodes(): readonly HollowNode[] {
     return this.running.filter((node) => node.ownership !== undefined);
   }
 
-  /** Starts all nodes with a first configuration in the store; publishes begin at once. */
+  /** Starts all nodes with an initial configuration in the store; publishing begins at once. */
   boot(): void {
     const tenants = Array.from({ length: this.#options.tenants }, (_, index) =>
-      storedTenant(index, 1),
+      createTenant(index, 1),
     );
-    this.store.publish([storedTemplate(), ...tenants]);
-    for (const [index, place] of this.places.entries()) {
+    this.store.publish([createTemplate(), ...tenants]);
+    for (const [index, location] of this.locations.entries()) {
       const delay = this.random.fraction() * BOOT_SPREAD_MS;
-      this.clock.after(delay, () => this.#start(place, this.#ownershipFor(index)));
+      this.clock.after(delay, () => this.#start(location, this.#createOwnership(index)));
     }
     this.#schedulePublish();
     this.#scheduleListChange();
   }
 
-  /** Nodes that poll the machine list at present. */
+  /** Number of nodes that poll the machine list. */
   get listReaders(): number {
     const { now } = this.clock;
     return this.running.filter(({ machineList }) => {
@@ -106,44 +109,42 @@
     this.clock.runUntil(this.clock.now + durationMs);
   }
 
-  /** Runs until all changes are known everywhere; false if that is not so after the limit. */
-  settle(limitMs: Milliseconds, stepMs: Milliseconds = 500): boolean {
-    const end = this.clock.now + limitMs;
+  /** Runs until all membership changes are known on all nodes; false if that takes longer than the timeout. */
+  settle(timeoutMs: Milliseconds, stepMs: Milliseconds = 500): boolean {
+    const end = this.clock.now + timeoutMs;
     while (this.convergence.openChanges > 0 && this.clock.now < end) this.run(stepMs);
     return this.convergence.openChanges === 0;
   }
 
-  /** Ends a node without a word. */
+  /** Stops a node without notice to its peers. */
   crash(nodeId: string): void {
     const node = this.#running.get(nodeId);
     if (node === undefined) return;
     node.crash();
-    this.#forget(node);
+    this.#removeNode(node);
     this.convergence.expect({ nodeId, incarnation: undefined });
   }
 
-  /** Starts a new life of a node that does not run. */
-  restart(place: NodePlace): void {
-    if (!this.#running.has(place.nodeId)) this.#start(place, undefined);
+  /** Starts a new incarnation of a node that isn't running. */
+  restart(location: NodeLocation): void {
+    if (!this.#running.has(location.nodeId)) this.#start(location, undefined);
   }
 
-  /** Begins a planned stop. */
-  beginLeave(nodeId: string): void {
+  beginGracefulShutdown(nodeId: string): void {
     const node = this.#running.get(nodeId);
     if (node === undefined) return;
     node.leave();
     this.convergence.expect({ nodeId, incarnation: undefined });
   }
 
-  /** Ends a planned stop. */
-  endLeave(nodeId: string): void {
+  endGracefulShutdown(nodeId: string): void {
     const node = this.#running.get(nodeId);
     if (node === undefined) return;
     node.stop();
-    this.#forget(node);
+    this.#removeNode(node);
   }
 
-  /** Nothing passes between this region and the others, the store's among them. */
+  /** Blocks all traffic between this region and the others, including the store's region. */
   cutRegion(region: number): void {
     this.#cutRegion = region;
     this.network.isCut = (from, to) => (regionOf(from) === region) !== (regionOf(to) === region);
@@ -164,13 +165,13 @@
     return this.running.filter((node) => regionOf(node.zoneIndex) === region);
   }
 
-  #start(place: NodePlace, ownership: HollowOwnership | undefined): void {
+  #start(location: NodeLocation, ownership: HollowOwnership | undefined): void {
     const incarnation = EPOCH_MS + Math.floor(this.clock.now);
     const { store, observer } = this;
     const context = this.#context;
     const node = new HollowNode({
       context,
-      place,
+      location,
       incarnation,
       store,
       observer,
@@ -182,30 +183,30 @@
         onApplied: (version) => this.listTimes.onApplied(version),
       },
     });
-    this.#running.set(place.nodeId, node);
+    this.#running.set(location.nodeId, node);
     this.network.attach(node);
     observer.onStarted(node);
     this.convergence.expect(node.identity);
-    node.start(this.places);
+    node.start(this.locations);
   }
 
-  #forget(node: HollowNode): void {
+  #removeNode(node: HollowNode): void {
     this.#running.delete(node.identity.nodeId);
     this.observer.onStopped(node);
   }
 
-  #ownershipFor(index: number): HollowOwnership | undefined {
-    const every = Math.max(1, Math.floor(this.places.length / OWNERSHIP_SAMPLE));
-    if (index % every !== 0 || index / every >= OWNERSHIP_SAMPLE) return undefined;
-    const groups = groupsFor(this.places.length);
-    return this.meters.timed(
+  #createOwnership(index: number): HollowOwnership | undefined {
+    const every = Math.max(1, Math.floor(this.locations.length / OWNERSHIP_SAMPLE_NODES));
+    if (index % every !== 0 || index / every >= OWNERSHIP_SAMPLE_NODES) return undefined;
+    const groups = createGroupsForFleet(this.locations.length);
+    return this.meters.measure(
       'ownership',
-      () => new HollowOwnership(this.#options.hash, groups, this.places),
+      () => new HollowOwnership(this.#options.hash, groups, this.locations),
     );
   }
 
-  /** Who is to see changes: running, not paused, not cut off from the larger side. */
-  #observers(): readonly HollowNode[] {
+  /** Nodes that must learn of changes: running, not leaving, not paused, and on the larger side of a partition. */
+  #observingNodes(): readonly HollowNode[] {
     return this.running.filter((node) => !this.#isCutOff(node) && !node.isLeaving);
   }
 
@@ -216,7 +217,7 @@
   #scheduleListChange(): void {
     const delay = this.#listRandom.exponential(DAY_MS / LIST_CHANGES_PER_DAY);
     this.clock.after(delay, () => {
-      this.machineList.toggle(this.#listRandom.fraction(), this.clock.now);
+      this.machineList.toggleLeaving(this.#listRandom.fraction(), this.clock.now);
       this.#scheduleListChange();
     });
   }
@@ -232,19 +233,19 @@
   #publish(): void {
     if (this.store.isDown) return;
     this.#published += 1;
-    const tenant = storedTenant(this.random.below(this.#options.tenants), this.#published + 1);
+    const tenant = createTenant(this.random.below(this.#options.tenants), this.#published + 1);
     const cutOff = new Set(this.running.filter((node) => this.#isCutOff(node)));
     const revision = this.store.publish([tenant]);
     this.observer.onPublished(revision, cutOff);
   }
 }
 
-/** Places spread evenly over all zones. */
-export function placesOf(count: number): NodePlace[] {
-  return Array.from({ length: count }, (_, index) => placeOf(index));
+/** Locations spread evenly over all zones. */
+export function createNodeLocations(count: number): NodeLocation[] {
+  return Array.from({ length: count }, (_, index) => createNodeLocation(index));
 }
 
-function placeOf(index: number): NodePlace {
+function createNodeLocation(index: number): NodeLocation {
   const zoneIndex = index % ZONE_COUNT;
   const third = Math.floor(index / 250) % 250;
   return {
--- a/scale/hollow-configuration.ts
+++ b/scale/hollow-configuration.ts
@@ -1,4 +1,4 @@
-/** The configuration of one hollow node: the real agent and messages over the simulated network. */
+/** The configuration service of a hollow node: the real agent and messages over the simulated network. */
 import { ConfigurationAgent } from '../src/core/configuration/agent.js';
 import type {
   ConfigurationAgentEffect,
@@ -38,7 +38,7 @@
   readonly peer: ConfigurationMember;
   readonly sinceRevision: number;
   readonly entries: readonly ConfigurationEntry[];
-  /** Revision of the pages so far; undefined before the first. */
+  /** Revision of the pages received so far; undefined before the first. */
   readonly revision: number | undefined;
 }
 
@@ -71,7 +71,7 @@
     );
   }
 
-  /** True while this life of the node holds a relay slot, as far as it knows. */
+  /** True while this incarnation believes that it holds a relay slot. */
   get isRelay(): boolean {
     return this.#store.holdsSlot;
   }
@@ -80,7 +80,7 @@
     this.handle({ type: 'started' });
   }
 
-  /** The process is gone: its watch ends with its connection. */
+  /** Ends the watch, as when the process is gone and its connection closes. */
   stop(): void {
     this.#store.close();
   }
@@ -92,25 +92,25 @@
   receiveCall(method: string, body: WireValue, from: NodeIdentity): WireValue {
     const { nodeId } = from;
     if (method === DIGEST_METHOD) {
-      const { digest } = this.#timed(() => digestRequestSchema.parse(body));
-      const answer = this.#timed(() => this.agent.digestResponse());
+      const { digest } = this.#measure(() => digestRequestSchema.parse(body));
+      const response = this.#measure(() => this.agent.digestResponse());
       this.handle({ type: 'digest-received', nodeId, digest });
-      return answer;
+      return response;
     }
     if (method === PUSH_METHOD) {
-      const push = this.#timed(() => pushRequestSchema.parse(body));
+      const push = this.#measure(() => pushRequestSchema.parse(body));
       this.handle({ type: 'push-received', nodeId, ...push });
       return { revision: this.agent.replica.revision };
     }
-    return this.#timed(() => {
+    return this.#measure(() => {
       const { sinceRevision, afterKey } = fetchRequestSchema.parse(body);
       return selectPage(this.agent.replica.changesSince(sinceRevision), afterKey);
     });
   }
 
   handle(event: ConfigurationAgentEvent): void {
-    const effects = this.#timed(() => this.agent.handle(event, this.#context.clock.now));
-    for (const effect of effects) this.#carryOut(effect);
+    const effects = this.#measure(() => this.agent.handle(event, this.#context.clock.now));
+    for (const effect of effects) this.#executeEffect(effect);
     this.#timer.arm();
   }
 
@@ -118,11 +118,11 @@
     return this.isRelay ? 'relay' : 'configuration';
   }
 
-  #timed<Result>(run: () => Result): Result {
-    return this.#context.meters.timed(this.#role, run);
+  #measure<Result>(run: () => Result): Result {
+    return this.#context.meters.measure(this.#role, run);
   }
 
-  #carryOut(effect: ConfigurationAgentEffect): void {
+  #executeEffect(effect: ConfigurationAgentEffect): void {
     switch (effect.type) {
       case 'apply':
         this.#listener.onApplied(effect.snapshot);
@@ -131,7 +131,7 @@
         this.#listener.onReady();
         return;
       case 'ask-digest':
-        this.#askDigest(effect.peer);
+        this.#requestDigest(effect.peer);
         return;
       case 'fetch': {
         const { peer, sinceRevision } = effect;
@@ -142,15 +142,15 @@
         this.#push(effect);
         return;
       default:
-        this.#store.carryOut(effect satisfies StoreEffect);
+        this.#store.executeEffect(effect satisfies StoreEffect);
     }
   }
 
-  #askDigest(peer: ConfigurationMember): void {
-    const body = { digest: this.#timed(() => this.agent.replica.digest()) };
+  #requestDigest(peer: ConfigurationMember): void {
+    const body = { digest: this.#measure(() => this.agent.replica.digest()) };
     this.#call(peer, DIGEST_METHOD, body, 'configuration-digests', (value) => {
-      const answer = this.#timed(() => digestResponseSchema.parse(value));
-      this.handle({ type: 'digest-answered', nodeId: peer.nodeId, answer });
+      const response = this.#measure(() => digestResponseSchema.parse(value));
+      this.handle({ type: 'digest-answered', nodeId: peer.nodeId, answer: response });
     });
   }
 
@@ -164,7 +164,7 @@
 
   #onPage(progress: FetchProgress, value: WireValue): void {
     const { peer, sinceRevision } = progress;
-    const { delta, more } = this.#timed(() => fetchResponseSchema.parse(value));
+    const { delta, more } = this.#measure(() => fetchResponseSchema.parse(value));
     const { revision } = delta;
     if (progress.revision !== undefined && progress.revision !== revision) {
       this.handle({ type: 'peer-failed', nodeId: peer.nodeId });
@@ -180,7 +180,7 @@
 
   #push({ peer, root, delta }: Extract<ConfigurationAgentEffect, { type: 'push' }>): void {
     if (!fitsInOnePush(delta)) {
-      this.#askDigest(peer);
+      this.#requestDigest(peer);
       return;
     }
     this.#call(peer, PUSH_METHOD, { root, delta }, 'configuration-pushes', () => undefined);
@@ -191,7 +191,7 @@
     method: string,
     body: WireValue,
     mechanism: Mechanism,
-    onAnswer: (value: WireValue) => void,
+    onResponse: (value: WireValue) => void,
   ): void {
     this.#context.network.call(this.#node, {
       to: { host: peer.host, peerPort: peer.port },
@@ -200,7 +200,7 @@
       timeoutMs: CALL_TIMEOUT_MS,
       mechanism,
       role: this.#role,
-      onAnswer,
+      onResponse: onResponse,
       onFailure: () => {
         if (method === PUSH_METHOD) return;
         this.handle({ type: 'peer-failed', nodeId: peer.nodeId });
--- a/scale/hollow-machine-list.ts
+++ b/scale/hollow-machine-list.ts
@@ -1,4 +1,4 @@
-/** The machine list of one hollow node: the real agent and messages over the simulated network. */
+/** The machine list of a hollow node: the real agent and messages over the simulated network. */
 import type { ConfigurationMember } from '../src/core/configuration/relays.js';
 import { MachineListAgent } from '../src/core/machine-list/agent.js';
 import type { MachineListEffect, MachineListEvent } from '../src/core/machine-list/contract.js';
@@ -24,22 +24,22 @@
 import type { NodeIdentity, WireValue } from '../src/peer/contract.js';
 import type { Machine } from '../src/platform/contract.js';
 import { DEFAULT_MACHINE_LIST_OPTIONS } from '../src/platform/machine-list-client.js';
-import { readMachines } from './components/machine-list.js';
+import { parseMachines } from './components/machine-list.js';
 import { DeadlineTimer } from './deadline-timer.js';
 import type { HollowContext } from './hollow-membership.js';
 import type { Mechanism } from './meters.js';
 import type { NetworkNode } from './network.js';
-import { latencyBetween, STORE_REGION, ZONES_PER_REGION } from './places.js';
-import type { ListText, SimulatedMachineList } from './simulated-machine-list.js';
+import type { MachineListResponse, SimulatedMachineList } from './simulated-machine-list.js';
+import { latencyBetween, STORE_REGION, ZONES_PER_REGION } from './zones.js';
 
 const CALL_TIMEOUT_MS = 1000;
-/** Zone that stands for the service's place. */
+/** Zone of the machine list service. */
 const SERVICE_ZONE_INDEX = STORE_REGION * ZONES_PER_REGION;
 
-/** Who polls the list service. */
+/** Which nodes poll the list service. */
 export type ListReaders = 'two-a-zone' | 'every-node';
 
-/** What the list of a hollow node is made of. */
+/** Options and dependencies of HollowMachineList. */
 export interface HollowMachineListOptions {
   readonly context: HollowContext;
   readonly node: NetworkNode;
@@ -57,12 +57,11 @@
   readonly digest: ListDigest | undefined;
 }
 
-/** One node's list. */
 export class HollowMachineList {
   readonly agent: MachineListAgent<Machine>;
   readonly #options: HollowMachineListOptions;
   readonly #timer: DeadlineTimer;
-  #isReading = false;
+  #shouldPoll = false;
   #isPolling = false;
   #knownVersion = 0;
 
@@ -86,7 +85,7 @@
     if (node.isRunning && !node.isPaused) this.#handle({ type: 'tick' });
   }
 
-  /** A node that is told of no other reads for itself, as every node did once. */
+  /** With `every-node`, the agent learns of no other nodes, so that it polls for itself. */
   setMembers(members: readonly ConfigurationMember[]): void {
     if (this.#options.readers === 'every-node') return;
     this.#handle({ type: 'members-changed', members });
@@ -95,18 +94,18 @@
   receiveCall(method: string, body: WireValue, from: NodeIdentity): WireValue {
     const { nodeId } = from;
     if (method === REPORT_METHOD) {
-      const report = this.#timed(() => reportFromWire(reportSchema.parse(body)));
-      const answer = this.#report();
+      const report = this.#measure(() => reportFromWire(reportSchema.parse(body)));
+      const response = this.#report();
       this.#handle({ type: 'report-received', nodeId, report });
-      return answer;
+      return response;
     }
     if (method === PUSH_METHOD) {
-      const push = this.#timed(() => pushSchema.parse(body));
-      const delta = this.#timed(() => deltaFromWire(push, this.#options.hash));
+      const push = this.#measure(() => pushSchema.parse(body));
+      const delta = this.#measure(() => deltaFromWire(push, this.#options.hash));
       this.#handle({ type: 'push-received', nodeId, root: push.root, delta });
       return null;
     }
-    return this.#timed(() => {
+    return this.#measure(() => {
       const { hashes, afterBucket } = fetchRequestSchema.parse(body);
       return buildPage(this.agent.replica.differingBuckets(hashesFromWire(hashes)), afterBucket);
     });
@@ -114,32 +113,32 @@
 
   #handle(event: MachineListEvent<Machine>): void {
     const { now } = this.#options.context.clock;
-    const effects = this.#timed(() => this.agent.handle(event, now));
-    for (const effect of effects) this.#carryOut(effect);
+    const effects = this.#measure(() => this.agent.handle(event, now));
+    for (const effect of effects) this.#executeEffect(effect);
     this.#timer.arm();
   }
 
-  #timed<Result>(run: () => Result): Result {
-    return this.#options.context.meters.timed('machine-list', run);
+  #measure<Result>(run: () => Result): Result {
+    return this.#options.context.meters.measure('machine-list', run);
   }
 
   #report(): WireValue {
-    return this.#timed(() => reportToWire(this.agent.report(this.#options.context.clock.now)));
+    return this.#measure(() => reportToWire(this.agent.report(this.#options.context.clock.now)));
   }
 
-  #carryOut(effect: MachineListEffect<Machine>): void {
+  #executeEffect(effect: MachineListEffect<Machine>): void {
     switch (effect.type) {
       case 'set-reading':
-        this.#isReading = effect.isPolling;
+        this.#shouldPoll = effect.isPolling;
         this.#poll();
         return;
       case 'apply':
         this.#knownVersion = effect.stamp.version;
-        this.#timed(() => this.agent.replica.items());
+        this.#measure(() => this.agent.replica.items());
         this.#options.onApplied(effect.stamp.version);
         return;
       case 'ask-report':
-        this.#askReport(effect.peer);
+        this.#requestReport(effect.peer);
         return;
       case 'fetch': {
         const hashes = hashesToWire(this.agent.replica.bucketHashes());
@@ -147,7 +146,7 @@
         return;
       }
       case 'push': {
-        const body = this.#timed(() => pushToWire(effect.root, effect.delta));
+        const body = this.#measure(() => pushToWire(effect.root, effect.delta));
         this.#call(effect.peer, PUSH_METHOD, body, 'machine-list-pushes', () => undefined);
       }
     }
@@ -155,9 +154,9 @@
 
   // ---- peers
 
-  #askReport(peer: ConfigurationMember): void {
+  #requestReport(peer: ConfigurationMember): void {
     this.#call(peer, REPORT_METHOD, this.#report(), 'machine-list-reports', (value) => {
-      const report = this.#timed(() => reportFromWire(reportSchema.parse(value)));
+      const report = this.#measure(() => reportFromWire(reportSchema.parse(value)));
       this.#handle({ type: 'report-received', nodeId: peer.nodeId, report });
     });
   }
@@ -172,14 +171,14 @@
   #onPage(progress: FetchProgress, value: WireValue): void {
     const { peer, buckets } = progress;
     const { nodeId } = peer;
-    const { digest, buckets: page, more } = this.#timed(() => fetchResponseSchema.parse(value));
+    const { digest, buckets: page, more } = this.#measure(() => fetchResponseSchema.parse(value));
     if (progress.digest !== undefined && progress.digest.hash !== digest.hash) {
       this.#handle({ type: 'peer-failed', nodeId });
       return;
     }
     let last = -1;
     for (const [index, machines] of page) {
-      const entries = this.#timed(() =>
+      const entries = this.#measure(() =>
         machines.map((one) => toListEntry(one, this.#options.hash)),
       );
       buckets.set(index, entries);
@@ -194,7 +193,7 @@
     method: string,
     body: WireValue,
     mechanism: Mechanism,
-    onAnswer: (value: WireValue) => void,
+    onResponse: (value: WireValue) => void,
   ): void {
     const { context, node } = this.#options;
     context.network.call(node, {
@@ -204,37 +203,37 @@
       timeoutMs: CALL_TIMEOUT_MS,
       mechanism,
       role: 'machine-list',
-      onAnswer,
+      onResponse: onResponse,
       onFailure: () => this.#handle({ type: 'peer-failed', nodeId: peer.nodeId }),
     });
   }
 
-  // ---- the service, with a long poll at a time
+  // ---- the list service, with one long poll at a time
 
   #poll(): void {
-    if (!this.#isReading || this.#isPolling || !this.#options.node.isRunning) return;
+    if (!this.#shouldPoll || this.#isPolling || !this.#options.node.isRunning) return;
     this.#isPolling = true;
     const { context, service } = this.#options;
-    const { pollWaitMs, responseTimeoutMs: answerTimeoutMs } = DEFAULT_MACHINE_LIST_OPTIONS;
-    const asked = this.#knownVersion;
+    const { pollWaitMs, responseTimeoutMs } = DEFAULT_MACHINE_LIST_OPTIONS;
+    const versionAtPoll = this.#knownVersion;
     let isAnswered = false;
-    const answer = (): void => {
+    const respond = (): void => {
       if (isAnswered) return;
       isAnswered = true;
       if (this.#isCut()) {
-        context.clock.after(answerTimeoutMs, () => this.#pollAgain());
+        context.clock.after(responseTimeoutMs, () => this.#pollAgain());
         return;
       }
-      // Counted once for the node: the service is none of them.
-      context.meters.sent('machine-list-service', service.pollBytes() / 2);
-      const list = service.answer();
-      context.clock.after(this.#latency(), () => this.#onAnswer(asked, list));
+      // Half of the bytes: figures count each message twice, for sender and receiver, and the service is no node.
+      context.meters.recordSent('machine-list-service', service.pollBytes() / 2);
+      const list = service.response();
+      context.clock.after(this.#latency(), () => this.#onPollResponse(versionAtPoll, list));
     };
     context.clock.after(this.#latency(), () => {
-      if (asked !== service.version) answer();
+      if (versionAtPoll !== service.version) respond();
       else {
-        service.onNext(answer);
-        context.clock.after(pollWaitMs, answer);
+        service.onNextVersion(respond);
+        context.clock.after(pollWaitMs, respond);
       }
     });
   }
@@ -244,21 +243,21 @@
     this.#poll();
   }
 
-  /** As the real client: the text is parsed each time, the machines only where the list is another. */
-  #onAnswer(asked: number, { version, text }: ListText): void {
+  /** As in the real client, the text is always parsed, the machines only if the version is new. */
+  #onPollResponse(versionAtPoll: number, { version, text }: MachineListResponse): void {
     const { node, hash, context } = this.#options;
     if (!node.isRunning) return;
     if (node.isPaused) {
-      node.keepForLater(() => this.#onAnswer(asked, { version, text }));
+      node.deferUntilResumed(() => this.#onPollResponse(versionAtPoll, { version, text }));
       return;
     }
     const isNew = version !== this.#knownVersion;
-    const entries = this.#timed(() =>
-      readMachines(text, isNew)?.map((one) => toListEntry(one, hash)),
+    const entries = this.#measure(() =>
+      parseMachines(text, isNew)?.map((one) => toListEntry(one, hash)),
     );
     this.#knownVersion = version;
-    if (this.#isReading)
-      this.#handle({ type: 'read', reading: { knownVersion: asked, version, entries } });
+    if (this.#shouldPoll)
+      this.#handle({ type: 'read', reading: { knownVersion: versionAtPoll, version, entries } });
     context.clock.after(DEFAULT_MACHINE_LIST_OPTIONS.minPollPeriodMs, () => this.#pollAgain());
   }
 
--- a/scale/hollow-membership.ts
+++ b/scale/hollow-membership.ts
@@ -1,4 +1,4 @@
-/** The membership of one hollow node: the real machine and codec over the simulated network. */
+/** The membership of a hollow node: the real state machine and codec over the simulated network. */
 import type {
   MemberEvent,
   MembershipEffect,
@@ -28,7 +28,7 @@
 const SYNC_TIMEOUT_MS = 2000;
 const CLUSTER_SECRET = Buffer.alloc(32, 7);
 
-/** What the parts of a hollow node stand on. */
+/** Dependencies shared by the parts of a hollow node. */
 export interface HollowContext {
   readonly clock: VirtualClock;
   readonly network: HollowNetwork;
@@ -38,7 +38,7 @@
 }
 
 export interface HollowMembershipListener {
-  /** The changes that one event brought. */
+  /** Receives all changes caused by one event. */
   onMembersChanged(events: readonly MemberEvent[]): void;
 }
 
@@ -71,64 +71,64 @@
     this.handle({ type: 'start', nodes });
   }
 
-  /** Runs what is due, unless the node is paused or gone. */
+  /** Handles due deadlines unless the node is paused or stopped. */
   tick(): void {
     if (this.#node.isRunning && !this.#node.isPaused) this.handle({ type: 'tick' });
   }
 
   receiveDatagram(datagram: Buffer): void {
-    const message = this.#timed(() => decodeDatagram(datagram, CLUSTER_SECRET));
+    const message = this.#measure(() => decodeDatagram(datagram, CLUSTER_SECRET));
     this.handle({ type: 'message', message });
   }
 
-  /** Answers a call of a peer. */
+  /** Responds to a call from a peer. */
   receiveCall(method: string, body: WireValue): WireValue {
     if (method === SYNC_PUSH_METHOD) {
-      const push = this.#timed(() => syncPushFromWire(body));
+      const push = this.#measure(() => syncPushFromWire(body));
       this.handle({ type: 'sync-pushed', push });
       return null;
     }
-    const request = this.#timed(() => syncRequestFromWire(body));
+    const request = this.#measure(() => syncRequestFromWire(body));
     this.#reply = undefined;
     this.handle({ type: 'sync-requested', requestId: 0, request });
     const reply: SyncResponse | undefined = this.#reply;
     if (reply === undefined) throw new ScaleRunError('a running node did not answer a sync');
-    return this.#timed(() => syncResponseToWire(reply));
+    return this.#measure(() => syncResponseToWire(reply));
   }
 
   handle(event: MembershipEvent): void {
-    const effects = this.#timed(() => this.machine.handle(event, this.#context.clock.now));
+    const effects = this.#measure(() => this.machine.handle(event, this.#context.clock.now));
     const changes: MemberEvent[] = [];
     for (const effect of effects) {
       if (effect.type === 'member-changed') changes.push(effect.event);
-      else this.#carryOut(effect);
+      else this.#executeEffect(effect);
     }
     this.#timer.arm();
     if (changes.length > 0) this.#listener.onMembersChanged(changes);
   }
 
-  #timed<Result>(run: () => Result): Result {
-    return this.#context.meters.timed('member', run);
+  #measure<Result>(run: () => Result): Result {
+    return this.#context.meters.measure('member', run);
   }
 
-  #carryOut(effect: MembershipEffect): void {
+  #executeEffect(effect: MembershipEffect): void {
     if (effect.type === 'send') {
-      const datagram = this.#timed(() => encodeDatagram(effect.message, CLUSTER_SECRET));
+      const datagram = this.#measure(() => encodeDatagram(effect.message, CLUSTER_SECRET));
       this.#context.network.sendDatagram(this.#node, effect.to, datagram);
     } else if (effect.type === 'sync') this.#sync(effect);
     else if (effect.type === 'sync-reply') this.#reply = effect.answer;
     else if (effect.type === 'sync-push') {
-      const body = this.#timed(() => syncPushToWire(effect.push));
+      const body = this.#measure(() => syncPushToWire(effect.push));
       this.#call(effect.to, SYNC_PUSH_METHOD, body, () => undefined);
     }
   }
 
   #sync({ to, request }: Extract<MembershipEffect, { type: 'sync' }>): void {
-    const body = this.#timed(() => syncRequestToWire(request));
+    const body = this.#measure(() => syncRequestToWire(request));
     const { cursor } = request;
     this.#call(to, SYNC_METHOD, body, (value) => {
-      const answer = this.#timed(() => syncResponseFromWire(value));
-      this.handle({ type: 'sync-answered', from: to, cursor, answer });
+      const response = this.#measure(() => syncResponseFromWire(value));
+      this.handle({ type: 'sync-answered', from: to, cursor, answer: response });
     });
   }
 
@@ -136,7 +136,7 @@
     to: { readonly host: string; readonly peerPort: number },
     method: string,
     body: WireValue,
-    onAnswer: (answer: WireValue) => void,
+    onResponse: (response: WireValue) => void,
   ): void {
     this.#context.network.call(this.#node, {
       to,
@@ -145,8 +145,8 @@
       timeoutMs: SYNC_TIMEOUT_MS,
       mechanism: 'membership-sync',
       role: 'member',
-      onAnswer,
-      // As in the real service: the next sync is timed.
+      onResponse: onResponse,
+      // As in the real service, a failed sync isn't retried; the next one follows on schedule.
       onFailure: () => undefined,
     });
   }
--- a/scale/hollow-node.ts
+++ b/scale/hollow-node.ts
@@ -1,4 +1,4 @@
-/** One life of one hollow node: real membership, configuration and ownership, no data plane. */
+/** One incarnation of a hollow node: real membership, configuration and ownership, no data plane. */
 import type { ConfigurationSnapshot } from '../src/core/configuration/model.js';
 import type { ConfigurationMember } from '../src/core/configuration/relays.js';
 import type { ListedNode, MemberEvent, NodeAddress } from '../src/core/membership/contract.js';
@@ -11,15 +11,15 @@
 import type { NetworkNode } from './network.js';
 import type { SimulatedStore } from './simulated-store.js';
 
-/** The real service looks at the members once a second, besides being told of changes. */
-const MEMBERS_POLL_MS = 1000;
+/** The real service reads the members once a second, in addition to change notifications. */
+const MEMBERS_POLL_PERIOD_MS = 1000;
 
-/** A place in the fleet that lives one after the other take. */
-export interface NodePlace extends ListedNode {
+/** Id and address of a node, which its consecutive incarnations share. */
+export interface NodeLocation extends ListedNode {
   readonly zoneIndex: number;
 }
 
-/** Told of what a life of a node sees and applies. */
+/** Receives what an incarnation of a node observes and applies. */
 export interface HollowNodeObserver {
   onMembersChanged(node: HollowNode, events: readonly MemberEvent[]): void;
   onApplied(node: HollowNode, snapshot: ConfigurationSnapshot): void;
@@ -28,7 +28,7 @@
 
 export interface HollowNodeOptions {
   readonly context: HollowContext;
-  readonly place: NodePlace;
+  readonly location: NodeLocation;
   readonly incarnation: number;
   readonly store: SimulatedStore;
   readonly observer: HollowNodeObserver;
@@ -36,7 +36,7 @@
     HollowMachineListOptions,
     'service' | 'readers' | 'hash' | 'onApplied'
   >;
-  /** Undefined on most nodes: the owners that one node works out are those of all. */
+  /** Undefined on most nodes, since all nodes would compute the same owners. */
   readonly ownership: HollowOwnership | undefined;
 }
 
@@ -44,7 +44,7 @@
   readonly identity: NodeIdentity;
   readonly address: NodeAddress;
   readonly zoneIndex: number;
-  readonly place: NodePlace;
+  readonly location: NodeLocation;
   readonly membership: HollowMembership;
   readonly configuration: HollowConfiguration;
   readonly machineList: HollowMachineList;
@@ -54,17 +54,17 @@
   #isRunning = true;
   #isPaused = false;
   #isLeaving = false;
-  #kept: (() => void)[] = [];
+  #deferredArrivals: (() => void)[] = [];
   #members: readonly ConfigurationMember[] = [];
-  /** As in the real node, the view is kept until the membership tells of a change. */
+  /** As in the real node, the view is cached until the membership reports a change. */
   #isViewStale = true;
 
   constructor(options: HollowNodeOptions) {
-    const { context, place, incarnation, store } = options;
-    const { nodeId, zone, host, peerPort, zoneIndex } = place;
+    const { context, location, incarnation, store } = options;
+    const { nodeId, zone, host, peerPort, zoneIndex } = location;
     this.#context = context;
     this.#observer = options.observer;
-    this.place = place;
+    this.location = location;
     this.identity = { nodeId, incarnation };
     this.address = { host, peerPort };
     this.zoneIndex = zoneIndex;
@@ -94,32 +94,32 @@
     return this.#isPaused;
   }
 
-  /** True from the beginning of the planned stop on. */
+  /** True once the graceful shutdown has begun. */
   get isLeaving(): boolean {
     return this.#isLeaving;
   }
 
-  /** @param nodes what the machine list tells */
+  /** @param nodes the nodes in the machine list */
   start(nodes: readonly ListedNode[]): void {
     this.membership.start(nodes);
     this.configuration.start();
     this.machineList.start();
-    this.#context.clock.every(MEMBERS_POLL_MS, () => this.#poll());
+    this.#context.clock.every(MEMBERS_POLL_PERIOD_MS, () => this.#poll());
   }
 
-  /** Ends this life without a word. */
+  /** Ends this incarnation without notice to peers. */
   crash(): void {
     this.#isRunning = false;
     this.configuration.stop();
   }
 
-  /** The planned stop begins. */
+  /** Begins the graceful shutdown. */
   leave(): void {
     this.#isLeaving = true;
     this.membership.handle({ type: 'leave' });
   }
 
-  /** The planned stop ends: gives the relay slot back and tells some members. */
+  /** Ends the graceful shutdown: releases the relay slot and notifies some members. */
   stop(): void {
     const event = { type: 'candidacy-changed', candidate: false } as const;
     this.configuration.handle({ type: 'relay', event });
@@ -127,24 +127,24 @@
     this.crash();
   }
 
-  /** As by SIGSTOP: nothing runs, what arrives waits. */
+  /** As by SIGSTOP: nothing runs, and arriving messages are deferred. */
   pause(): void {
     this.#isPaused = true;
   }
 
-  /** As in a real process, due timers run before what has arrived meanwhile is read. */
+  /** As in a real process, due timers run before the deferred messages are read. */
   resume(): void {
     this.#isPaused = false;
     this.membership.tick();
     this.configuration.tick();
     this.machineList.tick();
-    const kept = this.#kept;
-    this.#kept = [];
-    for (const arrival of kept) if (this.#isRunning) arrival();
+    const deferredArrivals = this.#deferredArrivals;
+    this.#deferredArrivals = [];
+    for (const arrival of deferredArrivals) if (this.#isRunning) arrival();
   }
 
-  keepForLater(arrival: () => void): void {
-    this.#kept.push(arrival);
+  deferUntilResumed(arrival: () => void): void {
+    this.#deferredArrivals.push(arrival);
   }
 
   receiveDatagram(datagram: Buffer): void {
@@ -163,31 +163,31 @@
     return true;
   }
 
-  /** As the real node, which looks at nothing anew for a revision alone. */
+  /** As in the real node, a changed configuration revision alone doesn't refresh the view. */
   #onMembersChanged(events: readonly MemberEvent[]): void {
     if (events.every(({ change }) => change === 'revision-changed')) return;
     this.#isViewStale = true;
     this.#updateMembers();
     const { ownership } = this;
     if (ownership !== undefined) {
-      this.#context.meters.timed('ownership', () => ownership.onMembersChanged(events));
+      this.#context.meters.measure('ownership', () => ownership.onMembersChanged(events));
     }
     this.#observer.onMembersChanged(this, events);
   }
 
-  /** What the node's composition tells the configuration: the live members. */
+  /** Passes the live members to the configuration and the machine list, as the real node does. */
   #updateMembers(): void {
     if (!this.#isViewStale) return;
     this.#isViewStale = false;
-    const members = this.#context.meters.timed('configuration', () => this.#liveMembers());
-    if (isSame(members, this.#members)) return;
+    const members = this.#context.meters.measure('configuration', () => this.#liveMembers());
+    if (haveSameNodeIds(members, this.#members)) return;
     this.#members = members;
     this.configuration.handle({ type: 'members-changed', members });
     this.machineList.setMembers(members);
   }
 
   #liveMembers(): ConfigurationMember[] {
-    return this.membership.machine.members().filter(isLive).map(memberOf);
+    return this.membership.machine.members().filter(isLive).map(toConfigurationMember);
   }
 
   #onApplied(snapshot: ConfigurationSnapshot): void {
@@ -197,16 +197,16 @@
   }
 }
 
-/** Neither dead nor on its planned stop. */
+/** True if the member is neither dead nor leaving. */
 export function isLive(member: Member): boolean {
   return member.status === 'alive' || member.status === 'suspect';
 }
 
-function memberOf({ nodeId, zone, host, peerPort }: Member): ConfigurationMember {
+function toConfigurationMember({ nodeId, zone, host, peerPort }: Member): ConfigurationMember {
   return { nodeId, zone, host, port: peerPort };
 }
 
-function isSame(
+function haveSameNodeIds(
   left: readonly ConfigurationMember[],
   right: readonly ConfigurationMember[],
 ): boolean {
--- a/scale/hollow-ownership.ts
+++ b/scale/hollow-ownership.ts
@@ -1,4 +1,4 @@
-/** The owners of all groups as one hollow node works them out, with a count of what moved. */
+/** The owners of all groups as one hollow node computes them, with a count of moved ownerships. */
 import type { MemberEvent } from '../src/core/membership/contract.js';
 import {
   DEFAULT_OWNERS_PER_GROUP,
@@ -9,19 +9,19 @@
 import type { Hash64, OwnerCandidate } from '../src/core/ownership/rendezvous.js';
 import type { ZoneName } from '../src/core/request.js';
 import { isLive } from './hollow-node.js';
-import { ZONE_COUNT, ZONES_PER_REGION, zoneName } from './places.js';
+import { ZONE_COUNT, ZONES_PER_REGION, zoneName } from './zones.js';
 
-/** Groups for each node, as at the letter's size: 15,000 over 4,600. */
+/** As at the design size: 15,000 groups on 4,600 nodes. */
 const GROUPS_PER_NODE = 15_000 / 4_600;
 
-/** What membership changes have cost so far. */
+/** Ownership moves caused by membership changes so far. */
 export interface MoveCount {
-  /** Members that came or went. */
+  /** Members that joined or left. */
   readonly memberChanges: number;
-  /** Ownerships that went to another node. */
+  /** Ownerships that moved to another node. */
   readonly moves: number;
-  /** Ownerships that had to move: those of a member that went, the share of one that came. */
-  readonly leastMoves: number;
+  /** Ownerships that had to move: all of a member that left, the average number for one that joined. */
+  readonly minMoves: number;
 }
 
 export class HollowOwnership {
@@ -30,7 +30,7 @@
   readonly #groupCount: number;
   #memberChanges = 0;
   #moves = 0;
-  #leastMoves = 0;
+  #minMoves = 0;
 
   constructor(hash: Hash64, groups: readonly GroupPlacement[], members: readonly OwnerCandidate[]) {
     this.index = new OwnerIndex(hash);
@@ -47,19 +47,19 @@
     }
   }
 
-  moveCount(): MoveCount {
+  countMoves(): MoveCount {
     return {
       memberChanges: this.#memberChanges,
       moves: this.#moves,
-      leastMoves: this.#leastMoves,
+      minMoves: this.#minMoves,
     };
   }
 
   #add(nodeId: string, zone: ZoneName): void {
     if (this.#members.has(nodeId)) return;
     this.#members.add(nodeId);
-    const share = (this.#groupCount * DEFAULT_OWNERS_PER_GROUP) / this.#members.size;
-    this.#count(this.index.addMember({ nodeId, zone }), share);
+    const expectedMoves = (this.#groupCount * DEFAULT_OWNERS_PER_GROUP) / this.#members.size;
+    this.#count(this.index.addMember({ nodeId, zone }), expectedMoves);
   }
 
   #remove(nodeId: string): void {
@@ -68,22 +68,22 @@
     this.#count(this.index.removeMember(nodeId), owned);
   }
 
-  #count(changes: readonly OwnersChange[], least: number): void {
+  #count(changes: readonly OwnersChange[], minMoves: number): void {
     this.#memberChanges += 1;
-    this.#leastMoves += least;
+    this.#minMoves += minMoves;
     for (const { previous, owners } of changes) {
       this.#moves += owners.filter((nodeId) => !previous.includes(nodeId)).length;
     }
   }
 }
 
-/** Groups in proportion to the nodes. */
-export function groupsFor(nodeCount: number): GroupPlacement[] {
-  return groupsOf(Math.round(nodeCount * GROUPS_PER_NODE));
+/** Creates groups in proportion to the nodes. */
+export function createGroupsForFleet(nodeCount: number): GroupPlacement[] {
+  return createGroups(Math.round(nodeCount * GROUPS_PER_NODE));
 }
 
-/** Groups with instances in the three zones of one region each. */
-export function groupsOf(count: number): GroupPlacement[] {
+/** Creates groups, each with instances in the three zones of one region. */
+export function createGroups(count: number): GroupPlacement[] {
   return Array.from({ length: count }, (_, index) => {
     const firstZone = (index * ZONES_PER_REGION) % ZONE_COUNT;
     const zones = Array.from({ length: ZONES_PER_REGION }, (__, zone) =>
--- a/scale/hollow-store-client.ts
+++ b/scale/hollow-store-client.ts
@@ -1,4 +1,4 @@
-/** One node's requests to the simulated store: delayed by place, counted, failing as it fails. */
+/** One node's requests to the simulated store: delayed by latency, counted, and failing while the store is down. */
 import type {
   ConfigurationAgentEffect,
   ConfigurationAgentEvent,
@@ -9,22 +9,22 @@
 import { DEFAULT_STORE_CLIENT_OPTIONS } from '../src/platform/store-client.js';
 import type { HollowContext } from './hollow-membership.js';
 import type { NetworkNode } from './network.js';
-import { latencyBetween, STORE_REGION, ZONES_PER_REGION } from './places.js';
 import { SHORT_EXCHANGE_BYTES, type SimulatedStore, type StoreWatcher } from './simulated-store.js';
+import { latencyBetween, STORE_REGION, ZONES_PER_REGION } from './zones.js';
 
 export type StoreEffect = Exclude<
   ConfigurationAgentEffect,
   { readonly type: 'apply' | 'ready' | 'ask-digest' | 'fetch' | 'push' }
 >;
 
-/** Zone that stands for the store's place. */
+/** Zone of the store. */
 const STORE_ZONE_INDEX = STORE_REGION * ZONES_PER_REGION;
-/** Time that the store takes for any request. */
-const SERVICE_MS = 2;
-/** Requests of a claim that succeeds: read the slots, grant a lease, put the key. */
+/** Time that the store takes to handle a request. */
+const REQUEST_DURATION_MS = 2;
+/** Requests of a successful claim: read the slots, grant a lease, put the key. */
 const CLAIM_REQUESTS = 3;
 
-/** Carries out the store effects of one life of one node. */
+/** Executes the store effects of one incarnation of a node. */
 export class HollowStoreClient {
   readonly #context: HollowContext;
   readonly #node: NetworkNode;
@@ -33,7 +33,7 @@
   readonly #report: (event: ConfigurationAgentEvent) => void;
   #watcher: StoreWatcher | undefined;
   #lease: RelayLease | undefined;
-  /** Configuration revision of the last read: the watch goes on from there. */
+  /** Configuration revision of the last read; the watch continues from there. */
   #readRevision = 0;
 
   constructor(
@@ -58,7 +58,7 @@
     this.#endWatch();
   }
 
-  carryOut(effect: StoreEffect): void {
+  executeEffect(effect: StoreEffect): void {
     switch (effect.type) {
       case 'read-store':
         this.#read();
@@ -84,8 +84,8 @@
   }
 
   #read(): void {
-    this.#ask(this.#store.readBytes(), {
-      answer: () => {
+    this.#request(this.#store.readBytes(), {
+      respond: () => {
         const delta = this.#store.changesSince(0);
         const storeRevision = this.#store.revision;
         return () => {
@@ -93,85 +93,85 @@
           this.#report({ type: 'store-read', storeRevision, delta });
         };
       },
-      failure: () => this.#report({ type: 'store-read-failed', retryAfterMs: 0 }),
+      fail: () => this.#report({ type: 'store-read-failed', retryAfterMs: 0 }),
     });
   }
 
   #checkHead(): void {
-    this.#ask(SHORT_EXCHANGE_BYTES, {
-      answer: () => {
+    this.#request(SHORT_EXCHANGE_BYTES, {
+      respond: () => {
         const { headRevision } = this.#store;
         return () => this.#report({ type: 'head-checked', headRevision });
       },
-      failure: () => this.#report({ type: 'head-check-failed', retryAfterMs: 0 }),
+      fail: () => this.#report({ type: 'head-check-failed', retryAfterMs: 0 }),
     });
   }
 
   #claim(): void {
-    this.#ask(SHORT_EXCHANGE_BYTES, {
-      answer: () => {
+    this.#request(SHORT_EXCHANGE_BYTES, {
+      respond: () => {
         const event = this.#store.claim(this.#zone);
-        if (event.type === 'claimed') this.#countMore(CLAIM_REQUESTS - 1);
+        if (event.type === 'claimed') this.#countFurtherRequests(CLAIM_REQUESTS - 1);
         return () => {
           if (event.type === 'claimed') this.#lease = event.lease;
           this.#reportRelay(event);
         };
       },
-      failure: () => this.#reportRelay({ type: 'claim-failed', retryAfterMs: 0 }),
+      fail: () => this.#reportRelay({ type: 'claim-failed', retryAfterMs: 0 }),
     });
   }
 
   #renew(lease: RelayLease): void {
-    this.#ask(SHORT_EXCHANGE_BYTES, {
-      answer: () => {
+    this.#request(SHORT_EXCHANGE_BYTES, {
+      respond: () => {
         const event = this.#store.renew(lease);
         return () => {
           if (event.type === 'lease-lapsed') this.#lease = undefined;
           this.#reportRelay(event);
         };
       },
-      failure: () => this.#reportRelay({ type: 'renewal-failed', retryAfterMs: 0 }),
+      fail: () => this.#reportRelay({ type: 'renewal-failed', retryAfterMs: 0 }),
     });
   }
 
   #release(lease: RelayLease): void {
     this.#lease = undefined;
-    this.#ask(SHORT_EXCHANGE_BYTES, {
-      answer: () => {
+    this.#request(SHORT_EXCHANGE_BYTES, {
+      respond: () => {
         this.#store.release(lease);
         return () => undefined;
       },
-      failure: () => undefined,
+      fail: () => undefined,
     });
   }
 
   #openWatch(): void {
     this.#endWatch();
     this.#context.meters.storeRequests += 1;
-    this.#context.meters.sent('store', SHORT_EXCHANGE_BYTES);
+    this.#context.meters.recordSent('store', SHORT_EXCHANGE_BYTES);
     const watcher: StoreWatcher = {
       sinceRevision: this.#readRevision,
       onDelta: (delta, bytes) => {
-        this.#context.meters.sent('store', bytes);
-        this.#arrive(watcher, () => this.#report({ type: 'watch-delta', delta }));
+        this.#context.meters.recordSent('store', bytes);
+        this.#deliver(watcher, () => this.#report({ type: 'watch-delta', delta }));
       },
-      onEnd: () => this.#arrive(watcher, () => this.#report({ type: 'watch-ended' })),
+      onEnd: () => this.#deliver(watcher, () => this.#report({ type: 'watch-ended' })),
     };
     this.#watcher = watcher;
-    this.#later(this.#latency(), () => {
+    this.#schedule(this.#latency(), () => {
       if (this.#watcher !== watcher) return;
       if (this.#store.isDown || this.#isCut()) watcher.onEnd();
       else this.#store.watch(watcher);
     });
   }
 
-  /** A watch behind a cut hears nothing, not even progress; the client ends it for its silence. */
-  #arrive(watcher: StoreWatcher, run: () => void): void {
+  /** A watch that is cut off receives nothing, not even progress; the client ends it after its silence timeout. */
+  #deliver(watcher: StoreWatcher, run: () => void): void {
     const isCut = this.#isCut();
     if (isCut) this.#store.endWatch(watcher);
     const delay = isCut ? DEFAULT_STORE_CLIENT_OPTIONS.watchSilenceMs : this.#latency();
     const report = isCut ? () => this.#report({ type: 'watch-ended' }) : run;
-    this.#later(delay, () => {
+    this.#schedule(delay, () => {
       if (this.#watcher === watcher) report();
     });
   }
@@ -181,25 +181,25 @@
     this.#watcher = undefined;
   }
 
-  #ask(
+  #request(
     bytes: number,
-    outcome: { readonly answer: () => () => void; readonly failure: () => void },
+    outcome: { readonly respond: () => () => void; readonly fail: () => void },
   ): void {
     this.#context.meters.storeRequests += 1;
     if (this.#isCut()) {
-      this.#later(DEFAULT_STORE_CLIENT_OPTIONS.requestTimeoutMs, outcome.failure);
+      this.#schedule(DEFAULT_STORE_CLIENT_OPTIONS.requestTimeoutMs, outcome.fail);
       return;
     }
-    this.#context.meters.sent('store', this.#store.isDown ? SHORT_EXCHANGE_BYTES : bytes);
-    this.#later(this.#latency() + SERVICE_MS, () => {
-      const report = this.#store.isDown ? outcome.failure : outcome.answer();
-      this.#later(this.#latency(), report);
+    this.#context.meters.recordSent('store', this.#store.isDown ? SHORT_EXCHANGE_BYTES : bytes);
+    this.#schedule(this.#latency() + REQUEST_DURATION_MS, () => {
+      const report = this.#store.isDown ? outcome.fail : outcome.respond();
+      this.#schedule(this.#latency(), report);
     });
   }
 
-  #countMore(requests: number): void {
+  #countFurtherRequests(requests: number): void {
     this.#context.meters.storeRequests += requests;
-    this.#context.meters.sent('store', requests * SHORT_EXCHANGE_BYTES);
+    this.#context.meters.recordSent('store', requests * SHORT_EXCHANGE_BYTES);
   }
 
   #reportRelay(event: RelayRoleEvent): void {
@@ -215,10 +215,10 @@
     return latencyBetween(this.#node.zoneIndex, STORE_ZONE_INDEX, random);
   }
 
-  #later(delay: Milliseconds, run: () => void): void {
+  #schedule(delay: Milliseconds, run: () => void): void {
     this.#context.clock.after(delay, () => {
       if (!this.#node.isRunning) return;
-      if (this.#node.isPaused) this.#node.keepForLater(run);
+      if (this.#node.isPaused) this.#node.deferUntilResumed(run);
       else run();
     });
   }
--- a/scale/list-times.ts
+++ b/scale/list-times.ts
@@ -1,9 +1,9 @@
-/** How long published machine lists take until a node has them. */
+/** Measures the delay from the publication of a machine list until a node applies it. */
 import type { Milliseconds } from '../src/core/units.js';
-import { type Distribution, distributionOf } from './distribution.js';
+import { computeDistribution, type Distribution } from './distribution.js';
 import type { SimulatedMachineList } from './simulated-machine-list.js';
 
-/** Times by phase. */
+/** Delays by phase. */
 export class ListTimes {
   phase = 'boot';
   readonly #times = new Map<string, Milliseconds[]>();
@@ -13,7 +13,7 @@
     private readonly now: () => Milliseconds,
   ) {}
 
-  /** A node has taken a version over. */
+  /** Records that a node has applied a version. */
   onApplied(version: number): void {
     const publishedAt = this.service.publishedAt.get(version);
     if (publishedAt === undefined) return;
@@ -22,8 +22,8 @@
     this.#times.set(this.phase, times);
   }
 
-  /** Times of the lists that were taken over in a phase. */
+  /** Delays of the lists that were applied in a phase. */
   figures(phase: string): Distribution {
-    return distributionOf(this.#times.get(phase) ?? []);
+    return computeDistribution(this.#times.get(phase) ?? []);
   }
 }
--- a/scale/main.ts
+++ b/scale/main.ts
@@ -1,4 +1,7 @@
-/** `npm run scale`: hollow nodes in virtual time, one size after the other. See docs/design/scale-run.md. */
+/**
+ * `npm run scale`: runs clusters of hollow nodes in virtual time, one size after the other. A hollow node runs the real
+ * control plane over a simulated network and has no data plane. See docs/design/scale-run.md.
+ */
 import { writeFileSync } from 'node:fs';
 import { loadHash64 } from '../src/core/ownership/hash.js';
 import { measureComponents } from './components/run.js';
@@ -26,11 +29,11 @@
   if (options.jsonFile !== undefined) {
     writeFileSync(options.jsonFile, `${JSON.stringify(report, undefined, 2)}\n`);
   }
-  return sizes.every(isGood) ? 0 : 1;
+  return sizes.every(hasPassed) ? 0 : 1;
 }
 
-/** Nothing reverted, and every phase came to rest. */
-function isGood({ reverts, settled, faults }: SizeFigures): boolean {
+/** True if no node reverted to an older configuration and every phase settled. */
+function hasPassed({ reverts, settled, faults }: SizeFigures): boolean {
   return reverts === 0 && settled && faults.every((fault) => fault.settled);
 }
 
--- a/scale/meters.ts
+++ b/scale/meters.ts
@@ -1,12 +1,12 @@
 /**
- * Counts what nodes spend: bytes by mechanism as they would be on the wire, processor time of the
- * real handlers and codecs by role. Processor time is the only figure that is not repeatable: each
- * role gets its share of the process's processor time, garbage collection included, so that a busy
- * machine does not count.
+ * Counts the costs of nodes: bytes by mechanism as they would be on the wire, and processor time of the
+ * real handlers and codecs by role. Processor time is the only figure that is not repeatable: each role
+ * gets its fraction of the process's processor time, garbage collection included, so that other load on
+ * the machine doesn't count.
  */
 const MICROSECONDS_PER_SECOND = 1_000_000;
 
-/** What carries bytes. */
+/** Mechanisms that send bytes. */
 export const MECHANISMS = [
   'probes-and-gossip',
   'membership-sync',
@@ -22,7 +22,7 @@
 ] as const;
 export type Mechanism = (typeof MECHANISMS)[number];
 
-/** Who spends processor time. */
+/** Roles that use processor time. */
 export const CONTROL_ROLES = [
   'member',
   'configuration',
@@ -46,14 +46,14 @@
   #processorAtStart = process.cpuUsage();
   storeRequests = 0;
 
-  /** Bytes of one message on its way, headers of the network included. */
-  sent(mechanism: Mechanism, bytes: number): void {
+  /** Counts one message and its bytes, network headers included. */
+  recordSent(mechanism: Mechanism, bytes: number): void {
     this.#bytes.set(mechanism, (this.#bytes.get(mechanism) ?? 0) + bytes);
     this.#messages.set(mechanism, (this.#messages.get(mechanism) ?? 0) + 1);
   }
 
-  /** Runs a real handler or codec and adds the time that it took. */
-  timed<Result>(role: ControlRole, run: () => Result): Result {
+  /** Runs a real handler or codec and adds its duration to the role. */
+  measure<Result>(role: ControlRole, run: () => Result): Result {
     const startedAt = performance.now();
     const result = run();
     const tookMs = performance.now() - startedAt;
@@ -78,8 +78,8 @@
 
   processorSeconds(role: ControlRole): number {
     const { user, system } = process.cpuUsage(this.#processorAtStart);
-    const share = (this.#elapsedMs.get(role) ?? 0) / (performance.now() - this.#startedAt);
-    return (share * (user + system)) / MICROSECONDS_PER_SECOND;
+    const fraction = (this.#elapsedMs.get(role) ?? 0) / (performance.now() - this.#startedAt);
+    return (fraction * (user + system)) / MICROSECONDS_PER_SECOND;
   }
 
   totalProcessorSeconds(): number {
--- a/scale/observer.ts
+++ b/scale/observer.ts
@@ -1,6 +1,6 @@
 /**
- * Watches all nodes of a run from outside: when each publish was in force on each node, whether
- * any node ever went back, and when each change of a member was known to all who could know it.
+ * Observes all nodes of a run from outside: when each publish was in force on each node, and whether
+ * any node ever reverted to an older configuration.
  */
 import type {
   ConfigurationRevision,
@@ -9,27 +9,27 @@
 import type { MemberEvent } from '../src/core/membership/contract.js';
 import type { TenantName } from '../src/core/request.js';
 import type { Milliseconds } from '../src/core/units.js';
-import { type Distribution, distributionOf } from './distribution.js';
+import { computeDistribution, type Distribution } from './distribution.js';
 import type { HollowNode, HollowNodeObserver } from './hollow-node.js';
 
 interface Publish {
   readonly revision: ConfigurationRevision;
   readonly at: Milliseconds;
   readonly phase: string;
-  /** Nodes that could not hear of it then: paused, or behind a cut. */
+  /** Nodes that could not receive it at that time: paused or cut off. */
   readonly cutOff: ReadonlySet<HollowNode>;
 }
 
-/** Name under which the delays of nodes that were cut off are kept. */
+/** Phase name under which the delays of cut-off nodes are recorded. */
 export function cutOffPhase(phase: string): string {
   return `${phase}, cut off`;
 }
 
-/** What a life of a node has shown so far. */
+/** Observations of one incarnation of a node. */
 interface NodeRecord {
   revision: ConfigurationRevision;
   readonly tenants: Map<TenantName, ConfigurationRevision>;
-  /** Publishes before this index were in force when the node became ready, or have been counted. */
+  /** Publishes before this index were in force when the node became ready, or are already counted. */
   nextPublish: number;
   ready: boolean;
 }
@@ -40,11 +40,11 @@
 }
 
 export class FleetObserver implements HollowNodeObserver {
-  /** Name of the present phase: publishes are counted under it. */
+  /** Name of the current phase; publishes are counted under it. */
   phase = 'boot';
   readonly #now: () => Milliseconds;
   readonly #records = new Map<HollowNode, NodeRecord>();
-  /** The last revision that was in force at each node id, over all its lives. */
+  /** The last revision that was in force for each node id, across its incarnations. */
   readonly #lastRevisions = new Map<string, ConfigurationRevision>();
   readonly #publishes: Publish[] = [];
   readonly #delays = new Map<string, Milliseconds[]>();
@@ -56,7 +56,7 @@
     this.#now = now;
   }
 
-  /** Times that something older than before was in force at a node. */
+  /** How often a node went back to an older revision. */
   get reverts(): number {
     return this.#reverts;
   }
@@ -76,7 +76,7 @@
   }
 
   onMembersChanged(_node: HollowNode, _events: readonly MemberEvent[]): void {
-    // Convergence is looked at from outside, by ConvergenceWatch.
+    // ConvergenceWatch measures convergence by comparing the nodes' views.
   }
 
   onReady(node: HollowNode): void {
@@ -86,7 +86,7 @@
     record.nextPublish = this.#publishes.length;
     this.#startDelays.push(this.#now() - (this.#startedAt.get(node) ?? this.#now()));
     const { nodeId } = node.identity;
-    // A restarted node must not serve by something older than its earlier life did.
+    // A restarted node must not serve with an older revision than its previous incarnation did.
     if (record.revision < (this.#lastRevisions.get(nodeId) ?? 0)) this.#reverts += 1;
     this.#lastRevisions.set(nodeId, record.revision);
   }
@@ -94,33 +94,33 @@
   onApplied(node: HollowNode, snapshot: ConfigurationSnapshot): void {
     const record = this.#records.get(node);
     if (record === undefined) return;
-    this.#checkForward(record, snapshot);
+    this.#countReverts(record, snapshot);
     record.revision = snapshot.revision;
     if (!record.ready) return;
     this.#lastRevisions.set(node.identity.nodeId, snapshot.revision);
-    this.#countInForce(node, record);
+    this.#recordInForceDelays(node, record);
   }
 
-  /** Delays of the publishes of a phase, over all nodes that were ready at the publish. */
-  inForce(phase: string): InForceFigures {
+  /** Delays of the publishes of a phase on all nodes that were ready at the publish. */
+  inForceFigures(phase: string): InForceFigures {
     const publishes = this.#publishes.filter((publish) => publish.phase === phase).length;
-    return { publishes, ...distributionOf(this.#delays.get(phase) ?? []) };
+    return { publishes, ...computeDistribution(this.#delays.get(phase) ?? []) };
   }
 
-  /** From the start of a life to its configuration in hand. */
+  /** Time from a node's start until its configuration is available. */
   timeToReady(): Distribution {
-    return distributionOf(this.#startDelays);
+    return computeDistribution(this.#startDelays);
   }
 
-  /** Nodes that are ready and lack a publish of at least this age. */
-  lacking(ageMs: Milliseconds): number {
+  /** Counts ready nodes on which a publish of at least this age is not in force. */
+  countOutdatedNodes(ageMs: Milliseconds): number {
     const due = this.#publishes.filter(({ at }) => at <= this.#now() - ageMs).at(-1);
     if (due === undefined) return 0;
     const ready = [...this.#records.values()].filter((record) => record.ready);
     return ready.filter((record) => record.revision < due.revision).length;
   }
 
-  #checkForward(record: NodeRecord, snapshot: ConfigurationSnapshot): void {
+  #countReverts(record: NodeRecord, snapshot: ConfigurationSnapshot): void {
     if (snapshot.revision < record.revision) this.#reverts += 1;
     for (const [tenant, policy] of snapshot.tenantsByName) {
       const before = record.tenants.get(tenant) ?? 0;
@@ -129,7 +129,7 @@
     }
   }
 
-  #countInForce(node: HollowNode, record: NodeRecord): void {
+  #recordInForceDelays(node: HollowNode, record: NodeRecord): void {
     for (;;) {
       const publish = this.#publishes[record.nextPublish];
       if (publish === undefined || publish.revision > record.revision) return;
--- a/scale/options.ts
+++ b/scale/options.ts
@@ -3,26 +3,26 @@
 import { readFlags } from '../bench/flags.js';
 import { MILLISECONDS_PER_SECOND, type Milliseconds } from '../src/core/units.js';
 import { ScaleUsageError } from './errors.js';
-import { FAULT_SCENARIOS, type FaultScenario, faultNamed } from './faults.js';
+import { FAULT_SCENARIOS, type FaultScenario, findFault } from './faults.js';
 import type { ListReaders } from './hollow-machine-list.js';
 
 export const SCALE_HELP = `npm run scale -- --nodes 50,100,200,400 --json FILE [flags]
 
-  --nodes N,...       sizes of the fleet, one after the other           [50,100,200,400]
-  --seed N            of places, delays, faults and publishes           [1]
-  --duration SECONDS  of the quiet phase and of each fault's own part   [60]
-  --tenants N         in the configuration                              [200]
-  --faults NAME,...   or none                                           [all]
-  --list-readers WHO  two-a-zone or every-node, as it was before        [two-a-zone]
-  --components        measure single parts at the letter's size as well
+  --nodes N,...       sizes of the fleet, run one after the other       [50,100,200,400]
+  --seed N            seed of locations, delays, faults and publishes   [1]
+  --duration SECONDS  length of the steady phase and of each fault      [60]
+  --tenants N         number of tenants in the configuration            [200]
+  --faults NAME,...   faults to run, or none                            [all]
+  --list-readers WHO  who polls the machine list: two-a-zone, every-node [two-a-zone]
+  --components        also measure single components, up to the design size
   --real N            also measure N real proxy processes without callers [0]
-  --json FILE         the figures
+  --json FILE         write the figures to FILE
 
 Faults: ${FAULT_SCENARIOS.map(({ name }) => name).join(', ')}
 `;
 
 const ALL_FAULTS = FAULT_SCENARIOS.map(({ name }) => name).join(',');
-const LEAST_NODES = 18;
+const MIN_NODES = 18;
 const MAX_REAL_PROXIES = 60;
 
 const schema = z.strictObject({
@@ -36,7 +36,7 @@
   real: z.coerce.number().int().min(0).max(MAX_REAL_PROXIES).default(0),
   json: z.string().optional(),
 });
-const sizesSchema = z.array(z.coerce.number().int().min(LEAST_NODES)).min(1);
+const sizesSchema = z.array(z.coerce.number().int().min(MIN_NODES)).min(1);
 
 export interface ScaleOptions {
   readonly sizes: readonly number[];
@@ -51,13 +51,12 @@
   readonly jsonFile: string | undefined;
 }
 
-/** Flags without a value. */
-const SWITCHES: readonly string[] = ['components'];
+const BOOLEAN_FLAGS: readonly string[] = ['components'];
 
 /** @throws ScaleUsageError */
 export function parseScaleArguments(args: readonly string[]): ScaleOptions {
   const flags = schema.safeParse(
-    readFlags(args, Object.keys(schema.shape), SWITCHES, ScaleUsageError),
+    readFlags(args, Object.keys(schema.shape), BOOLEAN_FLAGS, ScaleUsageError),
   );
   if (!flags.success) throw new ScaleUsageError(z.prettifyError(flags.error));
   const { nodes, seed, duration, tenants, faults, components, real, json } = flags.data;
@@ -68,7 +67,7 @@
     seed,
     durationMs: duration * MILLISECONDS_PER_SECOND,
     tenants,
-    faults: faults === 'none' ? [] : faults.split(',').map(faultNamed),
+    faults: faults === 'none' ? [] : faults.split(',').map(findFault),
     components,
     listReaders: flags.data['list-readers'],
     realProxies: real,
--- a/scale/real-processes.ts
+++ b/scale/real-processes.ts
@@ -1,7 +1,7 @@
 /**
- * A few real `meadowstack proxy` processes with a store, a machine list and one database group, on
- * loopback and without callers: what control costs them, kernel and garbage collection included, to
- * hold beside what hollow nodes cost.
+ * Measures the control-plane cost of a few real `meadowstack proxy` processes with a store, a machine list
+ * and one database group, on loopback and without callers. Kernel time and garbage collection are included;
+ * the figures serve to check those of hollow nodes.
  */
 import { readFileSync } from 'node:fs';
 import { setTimeout as pause } from 'node:timers/promises';
@@ -9,7 +9,7 @@
 import { processorSeconds } from '../bench/overhead/processor-time.js';
 import { MILLISECONDS_PER_SECOND, type Milliseconds } from '../src/core/units.js';
 import type { NodeStatus } from '../src/node/node-status.js';
-import { rounded } from './distribution.js';
+import { roundTo } from './distribution.js';
 import { ScaleRunError } from './errors.js';
 
 const WARM_UP_MS = 15_000;
@@ -17,7 +17,7 @@
 const BYTES_PER_KILOBYTE = 1024;
 const GROUP = 'orders';
 const ZONES = ['a', 'b', 'c'];
-const SHARE_DECIMALS = 4;
+const CPU_SHARE_DECIMALS = 4;
 
 const TEMPLATE = `kind: Template
 name: standard
@@ -41,16 +41,16 @@
 export interface RealProcessFigures {
   readonly proxies: number;
   readonly seconds: number;
-  /** Of one process, everything included: probes of the group's instances by its owners too. */
+  /** Of one whole process, including the owners' probes of the group's instances. */
   readonly cpuCoreShare: number;
   readonly cpuCoreShareMax: number;
-  /** Membership datagrams and bytes of peer links, sent and received. */
+  /** Membership datagrams and peer links, sent and received. */
   readonly bytesPerSecondPerNode: number;
   readonly residentBytes: number;
   readonly storeRequestsPerNodePerMinute: number;
 }
 
-interface ProxyReading {
+interface ProxySample {
   readonly processorSeconds: number;
   readonly bytes: number;
   readonly storeRequests: number;
@@ -73,12 +73,12 @@
   try {
     await pause(WARM_UP_MS);
     const published = publishUntil(cluster, publishing.signal);
-    const before = await readAll(cluster);
+    const before = await sampleProxies(cluster);
     await pause(durationMs);
-    const after = await readAll(cluster);
+    const after = await sampleProxies(cluster);
     publishing.abort();
     await published;
-    return figuresOf(cluster, before, after, durationMs / MILLISECONDS_PER_SECOND);
+    return computeFigures(cluster, before, after, durationMs / MILLISECONDS_PER_SECOND);
   } finally {
     publishing.abort();
     await cluster.stop();
@@ -92,12 +92,12 @@
   }
 }
 
-function readAll(cluster: Cluster): Promise<ProxyReading[]> {
+function sampleProxies(cluster: Cluster): Promise<ProxySample[]> {
   return Promise.all(
     [...cluster.proxies.values()].map(async ({ pid, admin }) => {
-      if (admin === undefined) throw new ScaleRunError('a proxy without an admin port');
-      const answer = await fetch(`http://${admin.host}:${admin.port}/status`);
-      const { membership, peers, configuration } = (await answer.json()) as NodeStatus;
+      if (admin === undefined) throw new ScaleRunError('a proxy has no admin port');
+      const response = await fetch(`http://${admin.host}:${admin.port}/status`);
+      const { membership, peers, configuration } = (await response.json()) as NodeStatus;
       return {
         processorSeconds: processorSeconds(pid) ?? 0,
         bytes:
@@ -108,10 +108,10 @@
   );
 }
 
-function figuresOf(
+function computeFigures(
   cluster: Cluster,
-  before: readonly ProxyReading[],
-  after: readonly ProxyReading[],
+  before: readonly ProxySample[],
+  after: readonly ProxySample[],
   seconds: number,
 ): RealProcessFigures {
   const spent = after.map((reading, index) => {
@@ -125,11 +125,14 @@
   return {
     proxies: after.length,
     seconds,
-    cpuCoreShare: rounded(meanOf(spent.map(({ processor }) => processor)), SHARE_DECIMALS),
-    cpuCoreShareMax: rounded(Math.max(...spent.map(({ processor }) => processor)), SHARE_DECIMALS),
-    bytesPerSecondPerNode: rounded(meanOf(spent.map(({ bytes }) => bytes))),
+    cpuCoreShare: roundTo(meanOf(spent.map(({ processor }) => processor)), CPU_SHARE_DECIMALS),
+    cpuCoreShareMax: roundTo(
+      Math.max(...spent.map(({ processor }) => processor)),
+      CPU_SHARE_DECIMALS,
+    ),
+    bytesPerSecondPerNode: roundTo(meanOf(spent.map(({ bytes }) => bytes))),
     residentBytes: Math.round(meanOf(resident)),
-    storeRequestsPerNodePerMinute: rounded(meanOf(after.map((one) => one.storeRequests))),
+    storeRequestsPerNodePerMinute: roundTo(meanOf(after.map((one) => one.storeRequests))),
   };
 }
 
--- a/scale/scale-run.ts
+++ b/scale/scale-run.ts
@@ -1,8 +1,8 @@
-/** Runs one size of fleet through a quiet phase and all faults, and gives its figures. */
+/** Runs a fleet of one size through a steady phase and all faults, and returns its figures. */
 import type { Hash64 } from '../src/core/ownership/rendezvous.js';
 import { MILLISECONDS_PER_SECOND, type Milliseconds } from '../src/core/units.js';
 import { heapBytes } from './components/measure.js';
-import { type Distribution, rounded } from './distribution.js';
+import { type Distribution, roundTo } from './distribution.js';
 import { ScaleRunError } from './errors.js';
 import type { FaultScenario } from './faults.js';
 import { HollowFleet } from './fleet.js';
@@ -10,15 +10,15 @@
 import { CONTROL_ROLES, type ControlRole, MECHANISMS, type Mechanism } from './meters.js';
 import { cutOffPhase } from './observer.js';
 
-const BOOT_LIMIT_MS = 120_000;
-/** Quiet time between the boot and what is measured: the news of a boot is spread at a bounded rate. */
-const BOOT_REST_MS = 120_000;
-const REST_BETWEEN_FAULTS_MS = 20_000;
+const BOOT_TIMEOUT_MS = 120_000;
+/** Idle time between boot and measurement: membership updates of the boot are disseminated at a bounded rate. */
+const SETTLING_AFTER_BOOT_MS = 120_000;
+const PAUSE_BETWEEN_FAULTS_MS = 20_000;
 const SECONDS_PER_MINUTE = 60;
 const STEADY_PHASE = 'steady';
 const PROCESSOR_DECIMALS = 5;
-/** Any publish older than this is to be in force everywhere at the end of a phase. */
-const IN_FORCE_LIMIT_MS = 6000;
+/** At the end of a phase, every publish older than this must be in force on all nodes. */
+const MAX_IN_FORCE_DELAY_MS = 6000;
 
 export interface SizeOptions {
   readonly nodes: number;
@@ -31,24 +31,24 @@
   readonly log: (line: string) => void;
 }
 
-/** What a phase cost, and what it did to configuration and membership. */
+/** Costs of one phase, and its delays in configuration, membership and machine list. */
 export interface PhaseFigures {
   readonly name: string;
   readonly virtualSeconds: number;
-  /** All changes were known everywhere, and all publishes in force, within their limits. */
+  /** All membership changes were known and all publishes in force on all nodes within their limits. */
   readonly settled: boolean;
-  /** Sent and received by a node, headers of the network included. */
+  /** Sent and received by a node, network headers included. */
   readonly bytesPerSecondPerNode: number;
   readonly messagesPerSecondPerNode: number;
   readonly bytesByMechanism: Readonly<Record<Mechanism, number>>;
-  /** Share of a core that handlers and codecs of control take on a node. */
+  /** Fraction of a core that the control plane's handlers and codecs use on a node. */
   readonly cpuCoreShare: number;
   readonly cpuByRole: Readonly<Record<ControlRole, number>>;
   readonly configInForceMs: Distribution;
-  /** The same on nodes that were paused or behind a cut when it was published. */
+  /** The same on nodes that were paused or cut off at the time of the publish. */
   readonly configInForceCutOffMs: Distribution;
   readonly membershipConvergeMs: Distribution;
-  /** From the publication of a machine list until a node has it; nodes that were down count. */
+  /** From the publication of a machine list until a node applies it; includes nodes that were down. */
   readonly machineListInForceMs: Distribution;
   readonly listReaders: number;
   readonly storeRequestsPerNodePerMinute: number;
@@ -57,7 +57,7 @@
 }
 
 export interface MoveFigures {
-  /** Members that came or went, as one node counted them. */
+  /** Members that joined or left, as one node counted them. */
   readonly memberChanges: number;
   readonly movesPerChange: number;
   readonly leastMovesPerChange: number;
@@ -66,7 +66,7 @@
 export interface SizeFigures extends Omit<PhaseFigures, 'name' | 'membershipConvergeMs'> {
   readonly nodes: number;
   readonly memoryBytesPerNode: number;
-  /** The slowest change of any phase. */
+  /** The slowest change in any of the fault phases. */
   readonly membershipConvergeMs: number;
   readonly bootMs: number;
   readonly timeToReadyMs: Distribution;
@@ -90,27 +90,29 @@
     const heapBefore = heapBytes();
     const fleet = this.#fleet;
     fleet.boot();
-    fleet.run(REST_BETWEEN_FAULTS_MS / 10);
-    if (!fleet.settle(BOOT_LIMIT_MS)) {
-      throw new ScaleRunError(`no fleet after the boot: ${fleet.convergence.describeOpen()}`);
+    fleet.run(PAUSE_BETWEEN_FAULTS_MS / 10);
+    if (!fleet.settle(BOOT_TIMEOUT_MS)) {
+      throw new ScaleRunError(
+        `membership did not converge after the boot: ${fleet.convergence.describeOpen()}`,
+      );
     }
     const bootMs = fleet.clock.now;
-    fleet.run(BOOT_REST_MS);
+    fleet.run(SETTLING_AFTER_BOOT_MS);
     this.#ownershipNodes = fleet.ownershipNodes.length;
     const memoryBytesPerNode = Math.round((heapBytes() - heapBefore) / this.#options.nodes);
-    const steady = this.#phase(STEADY_PHASE, () => {
+    const steady = this.#runPhase(STEADY_PHASE, () => {
       fleet.run(this.#options.durationMs);
       return true;
     });
-    const faults = this.#options.faults.map((fault) => this.#fault(fault));
-    return this.#figures(steady, faults, {
+    const faults = this.#options.faults.map((fault) => this.#runFault(fault));
+    return this.#computeFigures(steady, faults, {
       memoryBytesPerNode,
       bootMs,
       wallSeconds: (performance.now() - startedAt) / MILLISECONDS_PER_SECOND,
     });
   }
 
-  #figures(
+  #computeFigures(
     steady: PhaseFigures,
     faults: readonly PhaseFigures[],
     rest: Pick<SizeFigures, 'memoryBytesPerNode' | 'bootMs' | 'wallSeconds'>,
@@ -130,97 +132,103 @@
       watchesOpen: fleet.store.watchCount,
       faults,
       memoryBytesPerNode: rest.memoryBytesPerNode,
-      bootMs: rounded(rest.bootMs),
-      wallSeconds: rounded(rest.wallSeconds),
+      bootMs: roundTo(rest.bootMs),
+      wallSeconds: roundTo(rest.wallSeconds),
     };
   }
 
-  #fault(fault: FaultScenario): PhaseFigures {
-    const figures = this.#phase(fault.name, () => fault.run(this.#fleet, this.#options.durationMs));
-    this.#fleet.run(REST_BETWEEN_FAULTS_MS);
+  #runFault(fault: FaultScenario): PhaseFigures {
+    const figures = this.#runPhase(fault.name, () =>
+      fault.run(this.#fleet, this.#options.durationMs),
+    );
+    this.#fleet.run(PAUSE_BETWEEN_FAULTS_MS);
     return figures;
   }
 
-  #phase(name: string, run: () => boolean): PhaseFigures {
+  #runPhase(name: string, run: () => boolean): PhaseFigures {
     const fleet = this.#fleet;
-    const before = { at: fleet.clock.now, reverts: fleet.observer.reverts, moves: this.#moves() };
+    const before = {
+      at: fleet.clock.now,
+      reverts: fleet.observer.reverts,
+      moves: this.#countMoves(),
+    };
     fleet.observer.phase = name;
     fleet.convergence.phase = name;
     fleet.listTimes.phase = name;
     fleet.meters.reset();
     const settled = run();
     const seconds = (fleet.clock.now - before.at) / MILLISECONDS_PER_SECOND;
-    const costs = this.#costs(seconds);
-    // Publishes of the last moments are still on their way.
+    const costs = this.#computeCosts(seconds);
+    // Lets the last publishes of the phase take effect.
     fleet.observer.phase = `after ${name}`;
-    fleet.run(IN_FORCE_LIMIT_MS);
+    fleet.run(MAX_IN_FORCE_DELAY_MS);
     const figures: PhaseFigures = {
       name,
-      virtualSeconds: rounded(seconds),
-      settled: settled && fleet.observer.lacking(IN_FORCE_LIMIT_MS) === 0,
+      virtualSeconds: roundTo(seconds),
+      settled: settled && fleet.observer.countOutdatedNodes(MAX_IN_FORCE_DELAY_MS) === 0,
       ...costs,
-      configInForceMs: fleet.observer.inForce(name),
-      configInForceCutOffMs: fleet.observer.inForce(cutOffPhase(name)),
+      configInForceMs: fleet.observer.inForceFigures(name),
+      configInForceCutOffMs: fleet.observer.inForceFigures(cutOffPhase(name)),
       membershipConvergeMs: fleet.convergence.figures(name),
       machineListInForceMs: fleet.listTimes.figures(name),
       listReaders: fleet.listReaders,
       reverts: fleet.observer.reverts - before.reverts,
-      moves: movesSince(before.moves, this.#moves()),
+      moves: computeMoves(before.moves, this.#countMoves()),
     };
-    this.#options.log(describe(this.#options.nodes, figures));
+    this.#options.log(formatPhase(this.#options.nodes, figures));
     return figures;
   }
 
-  #costs(seconds: number) {
+  #computeCosts(seconds: number) {
     const { meters } = this.#fleet;
     const perNode = this.#options.nodes * seconds;
-    const cpuByRole = recordOf(CONTROL_ROLES, (role) => {
+    const cpuByRole = createRecord(CONTROL_ROLES, (role) => {
       const nodes = role === 'ownership' ? this.#ownershipNodes * seconds : perNode;
-      return rounded(meters.processorSeconds(role) / Math.max(1, nodes), PROCESSOR_DECIMALS);
+      return roundTo(meters.processorSeconds(role) / Math.max(1, nodes), PROCESSOR_DECIMALS);
     });
     const cpuCoreShare = CONTROL_ROLES.reduce((sum, role) => sum + cpuByRole[role], 0);
     return {
-      // Every byte that one node sends another receives.
-      bytesPerSecondPerNode: rounded((2 * meters.totalBytes()) / perNode),
-      messagesPerSecondPerNode: rounded((2 * meters.totalMessages()) / perNode),
-      bytesByMechanism: recordOf(MECHANISMS, (mechanism) =>
-        rounded((2 * meters.traffic(mechanism).bytes) / perNode),
+      // Twice, since each byte sent by one node is received by another.
+      bytesPerSecondPerNode: roundTo((2 * meters.totalBytes()) / perNode),
+      messagesPerSecondPerNode: roundTo((2 * meters.totalMessages()) / perNode),
+      bytesByMechanism: createRecord(MECHANISMS, (mechanism) =>
+        roundTo((2 * meters.traffic(mechanism).bytes) / perNode),
       ),
-      cpuCoreShare: rounded(cpuCoreShare, PROCESSOR_DECIMALS),
+      cpuCoreShare: roundTo(cpuCoreShare, PROCESSOR_DECIMALS),
       cpuByRole,
-      storeRequestsPerNodePerMinute: rounded(
+      storeRequestsPerNodePerMinute: roundTo(
         (meters.storeRequests * SECONDS_PER_MINUTE) / perNode,
         3,
       ),
     };
   }
 
-  #moves() {
+  #countMoves() {
     const [node] = this.#fleet.ownershipNodes;
-    return node?.ownership?.moveCount() ?? { memberChanges: 0, moves: 0, leastMoves: 0 };
+    return node?.ownership?.countMoves() ?? { memberChanges: 0, moves: 0, minMoves: 0 };
   }
 }
 
-type Moves = ReturnType<NonNullable<HollowFleet['running'][number]['ownership']>['moveCount']>;
+type Moves = ReturnType<NonNullable<HollowFleet['running'][number]['ownership']>['countMoves']>;
 
-function movesSince(before: Moves, after: Moves): MoveFigures {
+function computeMoves(before: Moves, after: Moves): MoveFigures {
   const memberChanges = after.memberChanges - before.memberChanges;
-  const perChange = (total: number): number => rounded(total / Math.max(1, memberChanges), 2);
+  const perChange = (total: number): number => roundTo(total / Math.max(1, memberChanges), 2);
   return {
     memberChanges,
     movesPerChange: perChange(after.moves - before.moves),
-    leastMovesPerChange: perChange(after.leastMoves - before.leastMoves),
+    leastMovesPerChange: perChange(after.minMoves - before.minMoves),
   };
 }
 
-function recordOf<Key extends string>(
+function createRecord<Key extends string>(
   keys: readonly Key[],
   measure: (key: Key) => number,
 ): Record<Key, number> {
   return Object.fromEntries(keys.map((key) => [key, measure(key)])) as Record<Key, number>;
 }
 
-function describe(nodes: number, figures: PhaseFigures): string {
+function formatPhase(nodes: number, figures: PhaseFigures): string {
   const { name, virtualSeconds, settled, configInForceMs, membershipConvergeMs } = figures;
   return [
     `${nodes} nodes, ${name} (${virtualSeconds} s): ${figures.bytesPerSecondPerNode} B/s`,
--- a/scale/simulated-store.ts
+++ b/scale/simulated-store.ts
@@ -1,6 +1,6 @@
 /**
  * The platform's key-value store as the nodes of a scale run see it: declarations with revisions,
- * relay slots with leases, watches. Answers have the size of etcd's JSON gateway.
+ * relay slots with leases, watches. Responses have the size of those of etcd's JSON gateway.
  */
 import type { DeclarationKey } from '../src/core/configuration/declaration.js';
 import {
@@ -22,15 +22,15 @@
 import type { StoredDeclaration } from './tenants.js';
 
 const LEASE_MS = RELAY_LEASE_SECONDS * MILLISECONDS_PER_SECOND;
-/** Head of an HTTP request or answer with its network headers, bytes. */
+/** Header of an HTTP request or response, with network headers. */
 const HTTP_OVERHEAD_BYTES = 260;
-/** JSON around one key and value. */
+/** JSON around one key-value pair. */
 const KEY_VALUE_OVERHEAD_BYTES = 110;
 const BASE64_RATIO = 4 / 3;
-/** Bytes of an answer without keys, and of a short request such as a lease renewal. */
+/** Bytes of a short request, such as a lease renewal, with a response without keys. */
 export const SHORT_EXCHANGE_BYTES = 2 * HTTP_OVERHEAD_BYTES + 160;
 
-/** A watch of one life of one node. */
+/** A watch of one incarnation of a node. */
 export interface StoreWatcher {
   sinceRevision: number;
   onDelta(delta: ConfigurationDelta, bytes: number): void;
@@ -39,7 +39,7 @@
 
 interface HeldSlot {
   readonly leaseId: string;
-  until: Milliseconds;
+  leaseExpiresAt: Milliseconds;
 }
 
 export class SimulatedStore {
@@ -60,7 +60,7 @@
     return this.#headRevision;
   }
 
-  /** Revision of the last change of anything, relay slots included. */
+  /** Revision of the last change to any key, relay slots included. */
   get revision(): number {
     return this.#revision;
   }
@@ -73,7 +73,7 @@
     return this.#watchers.size;
   }
 
-  /** Down: requests fail and watches end. */
+  /** While the store is down, requests fail; its open watches end at once. */
   setDown(isDown: boolean): void {
     this.#isDown = isDown;
     if (!isDown) return;
@@ -82,7 +82,7 @@
     for (const watcher of watchers) watcher.onEnd();
   }
 
-  /** Applies one publish; gives its revision. */
+  /** Applies one publish and returns its revision. */
   publish(declarations: readonly StoredDeclaration[]): number {
     this.#revision += 1;
     this.#headRevision = this.#revision;
@@ -98,10 +98,10 @@
     return { sinceRevision, revision: this.#headRevision, entries };
   }
 
-  /** Bytes of a read of everything, request and answer. */
+  /** Bytes of the request and response of a full read. */
   readBytes(): number {
     const request = rangeRequest(CURRENT_PREFIX).length;
-    return 2 * HTTP_OVERHEAD_BYTES + request + bytesOfEntries([...this.#entries.values()]);
+    return 2 * HTTP_OVERHEAD_BYTES + request + countEntryBytes([...this.#entries.values()]);
   }
 
   watch(watcher: StoreWatcher): void {
@@ -116,11 +116,11 @@
   claim(zone: ZoneName): RelayRoleEvent {
     for (let slot = 0; slot < RELAYS_PER_ZONE; slot += 1) {
       const key = `${zone}/${slot}`;
-      if ((this.#slots.get(key)?.until ?? 0) > this.#now()) continue;
+      if ((this.#slots.get(key)?.leaseExpiresAt ?? 0) > this.#now()) continue;
       this.#leases += 1;
       this.#revision += 1;
       const lease = { leaseId: String(this.#leases), slot };
-      this.#slots.set(key, { leaseId: lease.leaseId, until: this.#now() + LEASE_MS });
+      this.#slots.set(key, { leaseId: lease.leaseId, leaseExpiresAt: this.#now() + LEASE_MS });
       return { type: 'claimed', lease };
     }
     return { type: 'claim-refused' };
@@ -128,8 +128,8 @@
 
   renew(lease: RelayLease): RelayRoleEvent {
     const held = [...this.#slots.values()].find(({ leaseId }) => leaseId === lease.leaseId);
-    if (held === undefined || held.until <= this.#now()) return { type: 'lease-lapsed' };
-    held.until = this.#now() + LEASE_MS;
+    if (held === undefined || held.leaseExpiresAt <= this.#now()) return { type: 'lease-lapsed' };
+    held.leaseExpiresAt = this.#now() + LEASE_MS;
     return { type: 'renewed' };
   }
 
@@ -143,12 +143,12 @@
     if (watcher.sinceRevision >= this.#headRevision) return;
     const delta = this.changesSince(watcher.sinceRevision);
     watcher.sinceRevision = delta.revision;
-    watcher.onDelta(delta, bytesOfEntries(delta.entries));
+    watcher.onDelta(delta, countEntryBytes(delta.entries));
   }
 }
 
-/** Bytes of entries and of the head key in an answer of the store. */
-function bytesOfEntries(entries: readonly ConfigurationEntry[]): number {
+/** Bytes of the entries and of the head key in a response of the store. */
+function countEntryBytes(entries: readonly ConfigurationEntry[]): number {
   const head = KEY_VALUE_OVERHEAD_BYTES + HEAD_KEY.length * BASE64_RATIO;
   const rest = entries.reduce((sum, { key, value }) => {
     const text = (currentKeyOf(key).length + value.length) * BASE64_RATIO;
--- a/scale/tenants.ts
+++ b/scale/tenants.ts
@@ -1,4 +1,4 @@
-/** The synthetic configuration of a scale run: one template, many tenants, changes to single ones. */
+/** The synthetic configuration of a scale run: one template, many tenants, and changes to single tenants. */
 import {
   type Declaration,
   type DeclarationKey,
@@ -8,8 +8,8 @@
 import type { StoredEntry } from '../src/core/configuration/store-layout.js';
 
 const VERIFIER = `SCRAM-SHA-256$4096:${'A'.repeat(22)}==$${'B'.repeat(43)}=:${'C'.repeat(43)}=`;
-/** Declared connection limits run through this many values, so that each change is one. */
-const CONNECTION_VALUES = 90;
+/** Connection limits cycle through this number of values, so that each version differs from the last. */
+const CONNECTION_LIMIT_VALUES = 90;
 
 const TEMPLATE = declarationSchema.parse({
   kind: 'Template',
@@ -33,18 +33,18 @@
   },
 });
 
-/** A declaration as the store holds it. */
+/** A declaration in its stored form. */
 export interface StoredDeclaration {
   readonly key: DeclarationKey;
   readonly value: string;
 }
 
-export function storedTemplate(): StoredDeclaration {
-  return stored(TEMPLATE, 1);
+export function createTemplate(): StoredDeclaration {
+  return toStoredDeclaration(TEMPLATE, 1);
 }
 
-/** Version `version` of tenant number `index`; each version has another connection limit. */
-export function storedTenant(index: number, version: number): StoredDeclaration {
+/** Builds one version of a tenant; consecutive versions differ in the connection limit. */
+export function createTenant(index: number, version: number): StoredDeclaration {
   const name = tenantName(index);
   const tenant = declarationSchema.parse({
     kind: 'Tenant',
@@ -54,17 +54,17 @@
     scramVerifier: VERIFIER,
     parameters: {
       databases: [{ database: 'orders', group: `group-${index}` }],
-      connections: 1 + (version % CONNECTION_VALUES),
+      connections: 1 + (version % CONNECTION_LIMIT_VALUES),
     },
   });
-  return stored(tenant, version);
+  return toStoredDeclaration(tenant, version);
 }
 
 export function tenantName(index: number): string {
   return `tenant-${index}`;
 }
 
-function stored(declaration: Declaration, version: number): StoredDeclaration {
+function toStoredDeclaration(declaration: Declaration, version: number): StoredDeclaration {
   const entry: StoredEntry = { version, publishId: `publish-${version}`, declaration };
   return { key: keyOf(declaration), value: JSON.stringify(entry) };
 }
--- a/scale/virtual-clock.ts
+++ b/scale/virtual-clock.ts
@@ -1,4 +1,4 @@
-/** The simulation's clock: a binary heap of actions; equal times run in the order of scheduling. */
+/** The simulation's clock: a binary heap of actions; actions due at the same time run in scheduling order. */
 import type { Milliseconds } from '../src/core/units.js';
 
 interface ScheduledAction {
@@ -22,14 +22,14 @@
     this.#push({ at: this.#now + Math.max(0, delay), order: this.#order, run });
   }
 
-  /** Runs the action every `period` ms until it returns false. */
+  /** Runs the action every `period` ms of virtual time until it returns false. */
   every(period: Milliseconds, run: () => boolean): void {
     this.after(period, () => {
       if (run()) this.every(period, run);
     });
   }
 
-  /** Runs everything that is due until `end`, and stands there afterwards. */
+  /** Runs all actions due up to `end`, and sets the clock to `end`. */
   runUntil(end: Milliseconds): void {
     for (let first = this.#heap[0]; first !== undefined && first.at <= end; first = this.#heap[0]) {
       this.#removeFirst();
