--- a/test/integration/direct/fleet-return.test.ts
+++ b/test/integration/direct/fleet-return.test.ts
@@ -1,4 +1,4 @@
-/** Every gateway of a fleet with owners is killed at once, and all start again. */
+/** All gateways of a cluster with owners are killed at once and restarted. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { readLog } from '../../../src/observability/log-reader.js';
@@ -11,7 +11,7 @@
 const KEPT_OUTPUT_CHARACTERS = 5_000_000;
 const STEPS = ['configuration', 'instances', 'fleet', 'primaries', 'trust', 'ready'];
 
-test('a fleet that was killed at once serves again through its owners, and tells how it came back', async () => {
+test('gateways killed all at once serve again through owners after a restart, and log each step of their start', async () => {
   const cluster = await DirectCluster.start({
     ...{ gateways: GATEWAYS, gatewayFlags: ['--largest-direct-fleet', '1'] },
     keptOutput: KEPT_OUTPUT_CHARACTERS,
@@ -22,14 +22,15 @@
     clients.add({ database: 'intake', gateway: index, seed: 10 + index }),
     clients.add({ database: 'assign', gateway: index, seed: 20 + index }),
   ]);
-  const lent = () => Promise.all(indexes.map((i) => cluster.figure(i, 'leases_given_total')));
-  await until('leases', async () => (await lent()).some((count) => count > 0));
+  const readLeaseCounts = () =>
+    Promise.all(indexes.map((i) => cluster.figure(i, 'leases_given_total')));
+  await until('leases', async () => (await readLeaseCounts()).some((count) => count > 0));
   await Promise.all(indexes.map((index) => cluster.kill(index)));
   const restarted = indexes.map((index) => cluster.restart(index));
   await Promise.all(restarted.map((gateway) => cluster.ready(gateway)));
   await Promise.all(steady.map((client) => client.moreWrites(3)));
   await Promise.all(steady.map((client) => client.moreReads(3)));
-  assert.ok((await lent()).some((count) => count > 0));
+  assert.ok((await readLeaseCounts()).some((count) => count > 0));
   const lines = restarted.flatMap((gateway) => readLog(gateway.output()).lines);
   const account = accountOfStart(lines);
   const reached = new Map(account?.steps.map(({ step, nodes }) => [step, nodes]));
--- a/test/integration/direct/isolated-gateway.test.ts
+++ b/test/integration/direct/isolated-gateway.test.ts
@@ -1,4 +1,4 @@
-/** A direct gateway that can't see what the others decide: cut from the store, or frozen. */
+/** A direct gateway that doesn't learn of the others' decisions: cut off from the store, or paused. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { DirectCluster } from '../../support/direct-cluster.js';
@@ -6,11 +6,11 @@
 import { until } from '../../support/until.js';
 
 const SERVICE = 'orders';
-const OLD = 'i-orders-1';
+const OLD_PRIMARY = 'i-orders-1';
 const ISOLATED = 1;
-const HELD = 'i-orders-2';
-const BACK = 'i-orders-3';
-const FORGOTTEN = '"event":"member forgotten"';
+const HELD_REPLICA = 'i-orders-2';
+const RETURNING_REPLICA = 'i-orders-3';
+const MEMBER_FORGOTTEN_EVENT = '"event":"member forgotten"';
 
 let cluster: DirectCluster;
 let steady: LoadClient[] = [];
@@ -26,7 +26,7 @@
   const databases = ['intake', 'assign', 'lookup'];
   steady = [0, 2].flatMap((gateway) => databases.map(clientOf(gateway)));
   isolated = databases.map(clientOf(ISOLATED));
-  await served([...steady, ...isolated]);
+  await awaitServed([...steady, ...isolated]);
 }
 
 test.after.each(async () => {
@@ -35,8 +35,8 @@
   await cluster.stop();
 });
 
-/** Each client succeeds some times more. */
-async function served(clients: readonly LoadClient[]): Promise<void> {
+/** Waits until each client has had five more successful requests. */
+async function awaitServed(clients: readonly LoadClient[]): Promise<void> {
   await Promise.all(
     clients.map((client) =>
       client.database === 'lookup' ? client.moreReads(5) : client.moreWrites(5),
@@ -44,60 +44,60 @@
   );
 }
 
-async function endWithNoRuleBroken(): Promise<void> {
-  await served([...steady, ...isolated]);
+async function stopAndCheckViolations(): Promise<void> {
+  await awaitServed([...steady, ...isolated]);
   await Promise.all([...steady, ...isolated].map((client) => client.stop()));
   assert.equal(await cluster.violations(), []);
 }
 
-/** The primary reaches no replica, though every gateway reaches it. */
+/** Cuts the primary off from its replicas; every gateway still reaches it. */
 async function cutPrimary(isCut: boolean): Promise<void> {
   await cutPrimaryFrom(isCut ? ['i-orders-2', 'i-orders-3'] : []);
 }
 
 async function cutPrimaryFrom(replicas: readonly string[]): Promise<void> {
-  const pairs = replicas.map((replica) => [OLD, replica]);
+  const pairs = replicas.map((replica) => [OLD_PRIMARY, replica]);
   await cluster.platform.set(`/groups/${SERVICE}/cuts`, { pairs });
 }
 
-async function oldPrimaryFollows(): Promise<void> {
+async function awaitOldPrimaryFollows(): Promise<void> {
   await until('the old primary follows', async () => {
-    return (await cluster.platform.instance(OLD)).role === 'replica';
+    return (await cluster.platform.instance(OLD_PRIMARY)).role === 'replica';
   });
 }
 
-/** Another leads, the old primary is reached again and follows it, and the isolated gateway hears of it. */
-async function endUnderNewPrimary(): Promise<void> {
-  await cluster.platform.newPrimary(SERVICE, OLD);
-  await served(steady);
+/** Waits for a new primary, reconnects the old one as its replica, and then the isolated gateway to the store. */
+async function finishUnderNewPrimary(): Promise<void> {
+  await cluster.platform.newPrimary(SERVICE, OLD_PRIMARY);
+  await awaitServed(steady);
   await cutPrimary(false);
-  await oldPrimaryFollows();
+  await awaitOldPrimaryFollows();
   await cluster.setCutFromStore(ISOLATED, false);
-  await endWithNoRuleBroken();
+  await stopAndCheckViolations();
 }
 
-test('a gateway that is cut from the store serves nothing stale from a primary that is replaced', async () => {
+test('a gateway cut off from the store serves no stale read from a replaced primary', async () => {
   await start();
   await cluster.setCutFromStore(ISOLATED, true);
   await cutPrimary(true);
-  await endUnderNewPrimary();
+  await finishUnderNewPrimary();
 });
 
-test('the others replace a crashed primary while any one gateway is cut from the store', async () => {
+test('a crashed primary is replaced while one gateway is cut off from the store', async () => {
   await start();
   await cluster.setCutFromStore(ISOLATED, true);
-  await cluster.platform.set(`/instances/${OLD}/crash`);
-  await cluster.platform.newPrimary(SERVICE, OLD);
-  await served(steady);
+  await cluster.platform.set(`/instances/${OLD_PRIMARY}/crash`);
+  await cluster.platform.newPrimary(SERVICE, OLD_PRIMARY);
+  await awaitServed(steady);
   await cluster.setCutFromStore(ISOLATED, false);
-  await cluster.platform.set(`/instances/${OLD}/return`);
-  await endWithNoRuleBroken();
+  await cluster.platform.set(`/instances/${OLD_PRIMARY}/return`);
+  await stopAndCheckViolations();
 });
 
-test('nothing is acknowledged beside the replica that is about to lead', async () => {
+test('during a promotion, no write is acknowledged by the old primary and the other replica', async () => {
   await start('--promote-ms', '1500');
   await cluster.setCutFromStore(ISOLATED, true);
-  await cluster.platform.set(`/instances/${OLD}/faults`, { isDeafToControl: true });
+  await cluster.platform.set(`/instances/${OLD_PRIMARY}/faults`, { isDeafToControl: true });
   await cutPrimary(true);
   let chosen: string | undefined;
   await until('the promotion call', async () => {
@@ -105,43 +105,44 @@
     return chosen !== undefined;
   });
   await cutPrimaryFrom([chosen ?? '']);
-  await endUnderNewPrimary();
+  await finishUnderNewPrimary();
 });
 
 /**
- * A replica ends and is forgotten. The primary then reaches no replica and does not hear the leader, so that the other
- * replica is held and about to be promoted. The one that had ended comes back beside it, and receives what the gateway
- * that hears of none of this still writes: acknowledged there, it is lost with the promotion. What showed the cause: the
- * held replica tells of its hold to whoever asks its status, and the gateway only looked for a later term.
+ * A replica crashes and is removed from the members. The primary is then cut off from its replicas and receives no calls
+ * from the leader, so that the other replica is held and about to be promoted. The crashed one returns and receives log
+ * from the old primary, to which the isolated gateway still writes: a write acknowledged there is lost with the promotion.
+ * The fault was that the gateway looked only for a later term, and ignored the hold that a held replica reports with its
+ * status.
  */
-test('nothing is acknowledged by a replica that comes back beside the one that is about to lead', async () => {
+test('during a promotion, no write is acknowledged by a replica that rejoins the old primary', async () => {
   await start('--promote-ms', '1500');
-  await cluster.platform.set(`/instances/${BACK}/crash`);
-  await until('the replica is forgotten', () =>
-    cluster.gateways.some((gateway) => gateway.output().includes(FORGOTTEN)),
+  await cluster.platform.set(`/instances/${RETURNING_REPLICA}/crash`);
+  await until('the replica is removed from the members', () =>
+    cluster.gateways.some((gateway) => gateway.output().includes(MEMBER_FORGOTTEN_EVENT)),
   );
   await cluster.setCutFromStore(ISOLATED, true);
-  await cluster.platform.set(`/instances/${OLD}/faults`, { isDeafToControl: true });
+  await cluster.platform.set(`/instances/${OLD_PRIMARY}/faults`, { isDeafToControl: true });
   await cutPrimary(true);
   await until('the promotion call', async () => {
     return (await cluster.platform.log()).promotionCalls.length > 0;
   });
-  await cutPrimaryFrom([HELD]);
-  await cluster.platform.set(`/instances/${BACK}/return`);
-  await endUnderNewPrimary();
+  await cutPrimaryFrom([HELD_REPLICA]);
+  await cluster.platform.set(`/instances/${RETURNING_REPLICA}/return`);
+  await finishUnderNewPrimary();
 });
 
-test('a gateway that was frozen while a primary was replaced does no harm when it wakes', async () => {
+test('a gateway that was paused while a primary was replaced breaks no rule when it resumes', async () => {
   await start();
   const { process: frozen } = cluster.gateway(ISOLATED);
   frozen.kill('SIGSTOP');
   await cutPrimary(true);
-  await cluster.platform.newPrimary(SERVICE, OLD);
-  await served(steady);
+  await cluster.platform.newPrimary(SERVICE, OLD_PRIMARY);
+  await awaitServed(steady);
   frozen.kill('SIGCONT');
   await cutPrimary(false);
-  await oldPrimaryFollows();
-  await endWithNoRuleBroken();
+  await awaitOldPrimaryFollows();
+  await stopAndCheckViolations();
 });
 
 test.run();
--- a/test/integration/direct/keys.test.ts
+++ b/test/integration/direct/keys.test.ts
@@ -1,4 +1,4 @@
-/** Callers with keys: who runs what, keys that are taken away or passed on, quotas, and that no key is ever shown. */
+/** Callers with keys: tenants by key, revoked and reassigned keys, quotas, and that no key appears in any output. */
 import { setTimeout as pause } from 'node:timers/promises';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -11,10 +11,10 @@
   { name: 'acme', keys: [KEYS.first, KEYS.second] },
   { name: 'zeta', keys: [KEYS.other] },
 ];
-const REVOKE_MS = 2500;
-const STRICT = { strict_revocation: true, revoke_timeout_ms: REVOKE_MS };
+const REVOKE_TIMEOUT_MS = 2500;
+const STRICT = { strict_revocation: true, revoke_timeout_ms: REVOKE_TIMEOUT_MS };
 const HOST = '127.0.0.1';
-const MANY = 100_000_000;
+const KEPT_OUTPUT_CHARACTERS = 100_000_000;
 
 let cluster: DirectCluster;
 
@@ -34,21 +34,19 @@
 }
 
 let lastId = 0;
-function write(client: LineClient, thing: string) {
+function write(client: LineClient, item: string) {
   lastId += 1;
-  return client.query(`id${lastId}`, `WRITE ${thing} v`);
+  return client.query(`id${lastId}`, `WRITE ${item} v`);
 }
 
-/** Who the instances were told for each text that ran. */
-async function accountsOf(thing: string): Promise<string[]> {
+/** The account that the instances received with each write of an item. */
+async function listAccounts(item: string): Promise<string[]> {
   const { runs } = await cluster.platform.log();
-  return runs
-    .filter(({ text }) => text.startsWith(`WRITE ${thing} `))
-    .map(({ account }) => account);
+  return runs.filter(({ text }) => text.startsWith(`WRITE ${item} `)).map(({ account }) => account);
 }
 
-/** All that the gateways wrote, and all of their figures. */
-async function everythingShown(): Promise<string> {
+/** All output and metrics of the gateways. */
+async function collectOutputsAndMetrics(): Promise<string> {
   const figures = cluster.gateways.map(async ({ internalPort }) => {
     const answer = await fetch(`http://${HOST}:${internalPort}/metrics`);
     return answer.text();
@@ -57,18 +55,22 @@
   return [...outputs, ...(await Promise.all(figures))].join('\n');
 }
 
-test('statements run as the tenant that holds the key, and keys are shown nowhere', async () => {
-  cluster = await DirectCluster.start({ tenants: TENANTS, bounds: STRICT, keptOutput: MANY });
+test('statements run as the tenant of their key, and no key appears in output or metrics', async () => {
+  cluster = await DirectCluster.start({
+    tenants: TENANTS,
+    bounds: STRICT,
+    keptOutput: KEPT_OUTPUT_CHARACTERS,
+  });
   const [acme, zeta] = [await open(KEYS.first), await open(KEYS.other)];
   assert.is((await write(acme, 'a')).error, undefined);
   assert.is((await write(zeta, 'z')).error, undefined);
-  assert.equal(await accountsOf('a'), ['acme']);
-  assert.equal(await accountsOf('z'), ['zeta']);
+  assert.equal(await listAccounts('a'), ['acme']);
+  assert.equal(await listAccounts('z'), ['zeta']);
 
   const stranger = await connect();
   assert.is((await stranger.start('intake', 'k-nobody-11')).error?.code, 'UNKNOWNKEY');
 
-  // One key passes on to another tenant, the other one goes; the sessions stay open.
+  // One key is reassigned to another tenant, the other one is revoked; the sessions stay open.
   const second = await open(KEYS.second);
   await cluster.publish(ROUTES, [
     { name: 'acme', keys: [] },
@@ -77,13 +79,13 @@
   await until('the key is refused', async () => (await write(second, 's')).error !== undefined);
   assert.is((await write(second, 's')).error?.code, 'UNKNOWNKEY');
   assert.is((await write(acme, 'b')).error, undefined);
-  assert.equal(await accountsOf('b'), ['zeta']);
+  assert.equal(await listAccounts('b'), ['zeta']);
 
-  const shown = await everythingShown();
+  const shown = await collectOutputsAndMetrics();
   for (const key of [...Object.values(KEYS), 'k-nobody-11']) assert.not.match(shown, key);
 });
 
-test('an open transaction ends when its key is taken away, and nothing of it is kept', async () => {
+test('an open transaction is aborted when its key is revoked, and none of its writes is kept', async () => {
   cluster = await DirectCluster.start({ tenants: TENANTS, bounds: STRICT });
   const client = await open(KEYS.first);
   const bystander = await open(KEYS.second);
@@ -102,38 +104,38 @@
   late.destroy();
 });
 
-test('a gateway that can ask nobody stops at the bound, and goes on once the store answers', async () => {
+test('a gateway that can confirm no key refuses requests within the revocation timeout, until it reaches the store', async () => {
   cluster = await DirectCluster.start({ tenants: TENANTS, bounds: STRICT, cuttable: true });
   const client = await open(KEYS.first);
   assert.is((await write(client, 'a')).error, undefined);
   await cluster.setCutFromStore(0, true);
   const cutAt = performance.now();
-  await until('refused for want of a proof', async () => {
+  await until('refused since its key is not confirmed', async () => {
     const { error } = await write(client, 'b');
     return error?.code === 'BUSY' && /confirmed by the store; retry after \d+ ms/.test(error.text);
   });
-  assert.ok(performance.now() - cutAt < REVOKE_MS + 1000);
-  const before = (await accountsOf('b')).length;
+  assert.ok(performance.now() - cutAt < REVOKE_TIMEOUT_MS + 1000);
+  const before = (await listAccounts('b')).length;
   await write(client, 'b');
-  assert.is((await accountsOf('b')).length, before);
+  assert.is((await listAccounts('b')).length, before);
   await cluster.setCutFromStore(0, false);
   await until('served again', async () => (await write(client, 'c')).error === undefined);
 });
 
-test('a gateway cut off from the store goes on by the word of another one', async () => {
+test('a gateway cut off from the store accepts keys that another gateway confirms', async () => {
   const options = { tenants: TENANTS, bounds: STRICT, cuttable: true, gateways: 2 };
   cluster = await DirectCluster.start(options);
   await cluster.peersKnown();
   const client = await open(KEYS.first);
   await cluster.setCutFromStore(0, true);
-  await pause(REVOKE_MS + 1500);
+  await pause(REVOKE_TIMEOUT_MS + 1500);
   const { error } = await client.query('r1', 'READ a');
-  // The primary may not be trusted without the store; the key is.
+  // Without the store the primary may be in doubt, but the key must not be.
   assert.not.match(error?.text ?? '', /confirmed by the store/);
   assert.is(await cluster.figure(0, 'keys_unproven_total'), 0);
 });
 
-test('a tenant runs no more than its quota over all gateways, and others are not touched', async () => {
+test('a tenant runs no more than its quota across all gateways, and other tenants are not affected', async () => {
   const [ratePerSecond, burst] = [20, 20];
   const tenants = [
     { name: 'acme', keys: [KEYS.first], ratePerSecond, burst },
@@ -143,8 +145,8 @@
   cluster = await DirectCluster.start({ tenants, bounds, gateways: 2, contracts: ['quota'] });
   const hot = await Promise.all([0, 1, 0, 1].map((gateway) => open(KEYS.first, gateway)));
   const quiet = await open(KEYS.other, 1);
-  await until('keepers are named', async () => (await write(quiet, 'q')).error === undefined);
-  const beganAt = performance.now();
+  await until('keepers are assigned', async () => (await write(quiet, 'q')).error === undefined);
+  const startedAt = performance.now();
   const refusals: string[] = [];
   await Promise.all(
     hot.map(async (client) => {
@@ -155,9 +157,9 @@
       }
     }),
   );
-  const tookS = (performance.now() - beganAt) / 1000;
-  const ran = (await accountsOf('h')).length;
-  assert.ok(ran <= ratePerSecond * tookS + burst + 4, `${ran} in ${tookS} s`);
+  const elapsedSeconds = (performance.now() - startedAt) / 1000;
+  const ran = (await listAccounts('h')).length;
+  assert.ok(ran <= ratePerSecond * elapsedSeconds + burst + 4, `${ran} in ${elapsedSeconds} s`);
   assert.ok(ran >= burst, `${ran} ran`);
   assert.is(ran + refusals.length, 400);
   for (const refusal of refusals) assert.match(refusal, /^BUSY beyond .*retry after \d+ ms$/);
--- a/test/integration/direct/lifecycle.test.ts
+++ b/test/integration/direct/lifecycle.test.ts
@@ -1,4 +1,4 @@
-/** A direct gateway's own life: planned stop, changes of the configuration, an outage of the store. */
+/** Lifecycle of a direct gateway: graceful shutdown, kill, configuration changes, an outage of the store. */
 import { setTimeout as pause } from 'node:timers/promises';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -8,8 +8,8 @@
 import { startCode } from '../../support/line-client.js';
 import { until } from '../../support/until.js';
 
-/** Longer than the gateways' leases. */
-const STORE_DOWN_MS = 6000;
+/** Longer than the gateways' leases, so that they expire. */
+const STORE_OUTAGE_MS = 6000;
 const NEW_ROUTE: TestRoute = { database: 'archive', service: 'orders', routeType: 'primary' };
 
 let cluster: DirectCluster;
@@ -20,7 +20,7 @@
   clients = new DirectLoad(cluster);
 }
 
-function load(database: string, gateway: number, seed: number): LoadClient {
+function addClient(database: string, gateway: number, seed: number): LoadClient {
   return clients.add({ database, gateway, seed });
 }
 
@@ -31,11 +31,11 @@
 }
 
 for (const signals of ['one SIGTERM', 'a second SIGTERM after it'] as const) {
-  test(`on ${signals} an open transaction may end, idle sessions close, and the process ends`, async () => {
+  test(`on ${signals} an open transaction can commit, idle sessions are closed, and the process exits`, async () => {
     await start(2);
     const session = await cluster.open('intake', 0);
     const idle = await cluster.open('intake', 0);
-    const other = load('intake', 1, 1);
+    const other = addClient('intake', 1, 1);
     await idle.succeed(() => idle.read('k'));
     await session.succeed(async () => {
       await session.begin();
@@ -43,7 +43,7 @@
     });
     const gateway = cluster.gateway(0);
     gateway.process.kill('SIGTERM');
-    await until('it is not ready', async () => !(await isReady(gateway)));
+    await until('the gateway is not ready', async () => !(await isReady(gateway)));
     if (signals !== 'one SIGTERM') gateway.process.kill('SIGTERM');
     assert.is((await session.write('k', 'w')).state, 'T');
     assert.equal((await session.read('k')).rows, ['w']);
@@ -58,10 +58,10 @@
 }
 
 /**
- * Stops that overlap send the signal again. The second one found the stop under way, took it for done and ended the process
- * at once: what was passed on to an instance was cut, and its caller had no answer.
+ * Overlapping stop procedures send the signal twice. If the second signal takes the running shutdown for a finished one, the
+ * process exits at once, statements in flight at an instance are cut, and their callers get no answer.
  */
-test('a second SIGTERM does not shorten the stop', async () => {
+test('a second SIGTERM does not shorten the graceful shutdown', async () => {
   await start(2);
   const session = await cluster.open('intake', 0);
   await session.succeed(async () => {
@@ -70,10 +70,10 @@
   });
   const gateway = cluster.gateway(0);
   gateway.process.kill('SIGTERM');
-  await until('it stops', () => gateway.output().includes('"stopping"'));
+  await until('the shutdown begins', () => gateway.output().includes('"stopping"'));
   gateway.process.kill('SIGTERM');
   assert.is((await session.write('k', 'w')).state, 'T');
-  await until('its callers are told to leave', () => {
+  await until('the callers get the stop notice', () => {
     return gateway.output().includes('"sessions told to leave"');
   });
   const commit = await session.commit();
@@ -82,7 +82,7 @@
   await clients.endWithNoRuleBroken();
 });
 
-test('a SIGKILL of a gateway leaves no transaction behind', async () => {
+test('a SIGKILL of a gateway leaves no transaction open', async () => {
   await start(2);
   const session = await cluster.open('intake', 0);
   await session.succeed(async () => {
@@ -97,9 +97,9 @@
   await clients.endWithNoRuleBroken();
 });
 
-test('a change of the configuration adds and removes a route', async () => {
+test('a configuration change adds or removes a route on every gateway', async () => {
   await start(2);
-  const steady = [load('intake', 0, 1), load('assign', 1, 2)];
+  const steady = [addClient('intake', 0, 1), addClient('assign', 1, 2)];
   assert.is(await startCodeAt(0, 'archive'), 'NODATABASE');
   await cluster.publish([...ROUTES, NEW_ROUTE]);
   for (const gateway of [0, 1]) {
@@ -125,10 +125,10 @@
 for (const down of ['silent', 'unavailable'] as const) {
   test(`requests are served while the store is down (${down})`, async () => {
     await start(2);
-    const steady = [load('intake', 0, 1), load('assign', 1, 2)];
+    const steady = [addClient('intake', 0, 1), addClient('assign', 1, 2)];
     await Promise.all(steady.map((client) => client.moreWrites(5)));
     await cluster.platform.set('/store/faults', { down, leasesWait: false, entriesLapse: true });
-    await pause(STORE_DOWN_MS);
+    await pause(STORE_OUTAGE_MS);
     await Promise.all(steady.map((client) => client.moreWrites(5)));
     await cluster.platform.set('/store/faults', { down: 'no' });
     await cluster.publish([...ROUTES, NEW_ROUTE]);
@@ -143,14 +143,14 @@
   });
 }
 
-test('a primary that crashes while the store is down is replaced once it is back', async () => {
+test('a primary that crashes while the store is down is replaced once the store is back', async () => {
   await start(2);
-  const steady = [load('intake', 0, 1), load('assign', 1, 2)];
+  const steady = [addClient('intake', 0, 1), addClient('assign', 1, 2)];
   await Promise.all(steady.map((client) => client.moreWrites(5)));
   await cluster.platform.set('/store/faults', { down: 'silent', leasesWait: false });
   await cluster.platform.set('/instances/i-orders-1/crash');
-  const isHurt = ({ errors }: LoadClient): boolean => Object.keys(errors).length > 0;
-  await until('the clients notice', () => steady.every(isHurt));
+  const hasErrors = ({ errors }: LoadClient): boolean => Object.keys(errors).length > 0;
+  await until('the clients notice', () => steady.every(hasErrors));
   await cluster.platform.set('/store/faults', { down: 'no' });
   await cluster.platform.newPrimary('orders', 'i-orders-1');
   await Promise.all(steady.map((client) => client.moreWrites(5)));
--- a/test/integration/direct/owners.test.ts
+++ b/test/integration/direct/owners.test.ts
@@ -1,4 +1,4 @@
-/** Fleets too large for every node to connect to every instance: statements pass through owners. */
+/** Clusters too large for each gateway to connect to each instance: gateways use connections lent by owners. */
 import { setTimeout as pause } from 'node:timers/promises';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -8,19 +8,19 @@
 import { until } from '../../support/until.js';
 
 const GATEWAYS = 5;
-/** A busy machine may keep a client of the test from going on for a while. */
+/** Large, since on a busy machine a test client may stall inside of a transaction. */
 const TRANSACTION_IDLE_MS = 15_000;
-/** An owner without leases ends 2.2 s after the signal, and half of its grace period is 3 s. */
+/** Between 2.2 s, after which an owner without leases has exited, and 3 s, half of its grace period. */
 const TRANSACTION_PAUSE_MS = 2700;
-const LEASED = 'leases_asked_total';
-const LENT = 'lent_connections';
-const POSITIONS = 'positions_told_total';
-const GIVEN = 'leases_given_total';
+const LEASE_REQUESTS_METRIC = 'leases_asked_total';
+const LENT_CONNECTIONS_METRIC = 'lent_connections';
+const POSITIONS_METRIC = 'positions_told_total';
+const LEASES_METRIC = 'leases_given_total';
 
 let cluster: DirectCluster;
 let clients: DirectLoad;
 
-/** Two owners and a spare one of each instance; some gateways own none of some instance. */
+/** Each instance gets two owners and a spare one, so that some gateways own no connection to an instance. */
 async function start(): Promise<void> {
   const gatewayFlags = ['--largest-direct-fleet', '1'];
   const transactionIdleMs = TRANSACTION_IDLE_MS;
@@ -28,27 +28,27 @@
   clients = new DirectLoad(cluster);
 }
 
-function load(database: string, gateway: number, seed: number): LoadClient {
+function addClient(database: string, gateway: number, seed: number): LoadClient {
   return clients.add({ database, gateway, seed });
 }
 
 test.after.each(() => clients.stop());
 
-async function total(name: string): Promise<number> {
+async function sumMetric(name: string): Promise<number> {
   const figures = cluster.gateways.map((_, index) => cluster.figure(index, name));
   return (await Promise.all(figures)).reduce((sum, value) => sum + value, 0);
 }
 
-test('sessions of every kind are served through owners', async () => {
+test('sessions on each type of route are served through owners', async () => {
   await start();
   const steady = cluster.gateways.flatMap((_, index) => [
-    load('intake', index, 10 + index),
-    load('assign', index, 20 + index),
-    load('lookup', index, 30 + index),
+    addClient('intake', index, 10 + index),
+    addClient('assign', index, 20 + index),
+    addClient('lookup', index, 30 + index),
   ]);
-  await until('leases', async () => (await total(GIVEN)) > 50);
+  await until('leases', async () => (await sumMetric(LEASES_METRIC)) > 50);
   await Promise.all(steady.slice(0, 10).map((client) => client.moreWrites(5)));
-  assert.ok((await total(LEASED)) > 50);
+  assert.ok((await sumMetric(LEASE_REQUESTS_METRIC)) > 50);
   await clients.endWithNoRuleBroken();
 });
 
@@ -58,65 +58,65 @@
   readonly owner: number;
 }
 
-/** A transaction that has written, at a gateway that leases the connection, and who lends it. */
-async function leasedTransaction(): Promise<LeasedTransaction> {
+/** Opens a transaction with a write at a gateway that leases the connection, and finds the owner that lends it. */
+async function beginLeasedTransaction(): Promise<LeasedTransaction> {
   for (const gateway of cluster.gateways.keys()) {
     const session = await cluster.open('intake', gateway);
     await session.succeed(async () => {
       await session.begin();
       return session.write('lonely', 'never');
     });
-    const lent = cluster.gateways.map((_, index) => cluster.figure(index, LENT));
+    const lent = cluster.gateways.map((_, index) => cluster.figure(index, LENT_CONNECTIONS_METRIC));
     const owner = (await Promise.all(lent)).indexOf(1);
     if (owner >= 0) return { session, gateway, owner };
     await session.rollback();
     session.close();
   }
-  throw new Error('no gateway leases');
+  throw new Error('no gateway leases a connection');
 }
 
-test('an owner that is killed inside a transaction leaves nothing of it behind', async () => {
+test('a transaction is rolled back if the owner that lends its connection is killed', async () => {
   await start();
-  await until('leases', async () => (await total(POSITIONS)) > 0);
-  const { session, gateway, owner } = await leasedTransaction();
+  await until('leases', async () => (await sumMetric(POSITIONS_METRIC)) > 0);
+  const { session, gateway, owner } = await beginLeasedTransaction();
   cluster.gateway(owner).process.kill('SIGKILL');
   await cluster.gateway(owner).ended;
   const commit = await session.commit();
   assert.ok(['ABORTED', 'INDOUBT'].includes(commit.error?.code ?? ''), commit.error?.code);
   const others = cluster.gateways.map((_, index) => index).filter((index) => index !== owner);
-  const steady = others.map((index) => load('intake', index, index));
+  const steady = others.map((index) => addClient('intake', index, index));
   await Promise.all(steady.map((client) => client.moreWrites(5)));
   const reader = await cluster.open('intake', gateway);
   assert.equal((await reader.succeed(() => reader.read('lonely'))).rows, ['-']);
   await clients.endWithNoRuleBroken();
 });
 
-test('an owner that is stopped as planned ends no transaction, and others go on', async () => {
+test('a graceful shutdown of an owner aborts no transaction, and the other gateways are served', async () => {
   await start();
-  await until('leases', async () => (await total(POSITIONS)) > 0);
-  const { session, owner } = await leasedTransaction();
+  await until('leases', async () => (await sumMetric(POSITIONS_METRIC)) > 0);
+  const { session, owner } = await beginLeasedTransaction();
   cluster.gateway(owner).process.kill('SIGTERM');
   await pause(TRANSACTION_PAUSE_MS);
   const commit = await session.commit();
   assert.is(commit.error, undefined, `${commit.error?.code} ${commit.error?.text}`);
   const others = cluster.gateways.map((_, index) => index).filter((index) => index !== owner);
   const steady = others.flatMap((index) => [
-    load('intake', index, index),
-    load('lookup', index, 9),
+    addClient('intake', index, index),
+    addClient('lookup', index, 9),
   ]);
   assert.is(await cluster.gateway(owner).ended, 0);
   await Promise.all(steady.map((client) => client.moreReads(20)));
   await clients.endWithNoRuleBroken();
 });
 
-test('a primary that crashes under leases is replaced, and sessions go on', async () => {
+test('a primary that crashes while connections are leased is replaced, and sessions continue', async () => {
   await start();
-  const steady = cluster.gateways.map((_, index) => load('assign', index, index));
+  const steady = cluster.gateways.map((_, index) => addClient('assign', index, index));
   await Promise.all(steady.map((client) => client.moreWrites(5)));
-  const old = (await cluster.platform.instances()).find(({ role }) => role === 'primary');
-  assert.ok(old);
-  await cluster.platform.set(`/instances/${old.id}/crash`);
-  await cluster.platform.newPrimary('orders', old.id);
+  const oldPrimary = (await cluster.platform.instances()).find(({ role }) => role === 'primary');
+  assert.ok(oldPrimary);
+  await cluster.platform.set(`/instances/${oldPrimary.id}/crash`);
+  await cluster.platform.newPrimary('orders', oldPrimary.id);
   await Promise.all(steady.map((client) => client.moreWrites(5)));
   await clients.endWithNoRuleBroken();
 });
--- a/test/integration/direct/planned-stop.test.ts
+++ b/test/integration/direct/planned-stop.test.ts
@@ -1,7 +1,7 @@
 /**
- * A planned stop while answers are owed. Two ways were found in which a request that had been read whole
- * ended without an answer: a second signal to stop ended the process at once, whatever still ran; and what
- * still waited at nine tenths of the grace period was cut without a word.
+ * Graceful shutdown with unanswered requests. Guards against two faults by which a completely received
+ * request got no answer: a second stop signal ended the process at once, with statements still running; and
+ * requests still waiting after nine tenths of the grace period were cut without an error.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import { test } from 'uvu';
@@ -20,9 +20,9 @@
   },
 ];
 const PRIMARY = 'i-orders-1';
-/** The stand-in works 2 ms on a statement: 2 s. */
+/** Times 2 ms, the stand-in's time for a statement: 2 s. */
 const SLOW_FACTOR = 1000;
-/** 200 s, longer than any test. */
+/** Times 2 ms: 200 s, longer than any test. */
 const STUCK_FACTOR = 100_000;
 const SIGNAL_GAP_MS = 200;
 
@@ -34,7 +34,7 @@
 
 test.after.each(() => cluster.stop());
 
-/** A write that its instance works on for so many times the usual time; its outcome comes later. */
+/** Starts a write that takes its instance `slowFactor` times as long as usual; resolves once it is running there. */
 async function beginSlowWrite(
   session: RecordedSession,
   slowFactor: number,
@@ -47,7 +47,7 @@
   return { outcome };
 }
 
-test('a second signal to stop cuts no statement', async () => {
+test('a second stop signal cuts no running statement', async () => {
   await start();
   const session = await cluster.open('intake');
   await session.succeed(() => session.write('k', 'first'));
@@ -60,7 +60,7 @@
   assert.is(await ended, 0);
 });
 
-test('a statement that outlasts the stop is answered before its connection ends', async () => {
+test('a statement that outlasts the grace period fails with TIMEOUT before its connection is closed', async () => {
   await start();
   const session = await cluster.open('intake');
   await session.succeed(() => session.write('k', 'first'));
--- a/test/integration/direct/planned-work.test.ts
+++ b/test/integration/direct/planned-work.test.ts
@@ -1,6 +1,6 @@
 /**
- * Planned work while statements run, wait and rest in transactions: configurations in quick succession, SIGHUP, and a
- * primary that leaves. Each statement gets an answer, and no caller's connection ends.
+ * Maintenance while statements run and wait and transactions are idle: configurations in quick succession, SIGHUP, and a
+ * primary that is drained. Each statement gets an answer, and no caller's connection is closed.
  */
 import { setTimeout as pause } from 'node:timers/promises';
 import { test } from 'uvu';
@@ -17,7 +17,7 @@
 const NEW_ROUTE: TestRoute = { database: 'archive', service: 'orders', routeType: 'primary' };
 const OTHER_SERVICE: TestRoute = { database: 'books', service: 'stock', routeType: 'primary' };
 const SHORTER_TIMEOUT_MS = 1200;
-/** The stand-in works 2 ms on a statement: 0.5 s. */
+/** Times 2 ms, the stand-in's time for a statement: 0.5 s. */
 const SLOW_FACTOR = 250;
 
 let cluster: DirectCluster;
@@ -35,7 +35,7 @@
 
 test.after.each(() => clients.stop());
 
-/** Versions that add and remove a route and change time-outs; the routes in use stay. */
+/** Publishes versions that add and remove a route and change timeouts; the routes in use stay. */
 async function publishQuickly(): Promise<void> {
   const shorter = ROUTES.map((route) => ({ ...route, timeoutMs: SHORTER_TIMEOUT_MS }));
   for (let version = 0; version < VERSIONS; version += 1) {
@@ -55,7 +55,7 @@
 };
 
 for (const [name, flags] of Object.entries(FLEETS)) {
-  test(`configurations, SIGHUP and a primary that leaves end no connection (${name})`, async () => {
+  test(`configurations, SIGHUP and a drained primary close no caller connection (${name})`, async () => {
     const steady = await start(flags);
     const plan = { extraMs: 0, replaceAfterMs: 500, replacementId: 'i-orders-9' };
     await cluster.platform.set(`/instances/${PRIMARY}/drain`, plan);
@@ -68,14 +68,14 @@
   });
 }
 
-test('a service that leaves the configuration and comes back answers what was asked of it', async () => {
+test('statements in flight are answered while their service is removed from the configuration and added again', async () => {
   cluster = await DirectCluster.start();
   clients = new DirectLoad(cluster);
   const writer = await cluster.open('intake');
-  const resting = await cluster.open('intake');
+  const idleTransaction = await cluster.open('intake');
   await writer.succeed(() => writer.write('k', 'first'));
-  await resting.begin();
-  await resting.read('k');
+  await idleTransaction.begin();
+  await idleTransaction.read('k');
   await cluster.platform.set(`/instances/${PRIMARY}/faults`, { slowFactor: SLOW_FACTOR });
   const written = outcomeOf(writer.write('k', 'second'));
   await until('the instance works on it', async () => {
@@ -91,7 +91,7 @@
   await cluster.publish(ROUTES);
   assert.is.not(await written, NO_ANSWER);
   await cluster.platform.set(`/instances/${PRIMARY}/faults`, { slowFactor: 1 });
-  assert.is.not(await outcomeOf(resting.commit()), NO_ANSWER);
+  assert.is.not(await outcomeOf(idleTransaction.commit()), NO_ANSWER);
   await writer.succeed(() => writer.write('k', 'third'));
   await clients.endWithNoRuleBroken();
 });
--- a/test/integration/direct/readers.test.ts
+++ b/test/integration/direct/readers.test.ts
@@ -1,4 +1,4 @@
-/** Fleets in which a few nodes read the store for the others, with real processes. */
+/** Clusters in which a few nodes (the readers) watch the store for the others, with real processes. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { DirectCluster, ROUTES } from '../../support/direct-cluster.js';
@@ -6,91 +6,94 @@
 
 const GATEWAYS = 5;
 const READERS = 2;
-/** The configuration and the directory. */
+/** Watched prefixes: the configuration and the directory. */
 const PREFIXES = 2;
-const WATCHES = 'store_watches';
-const VERSION = 'configuration_version';
+const WATCHES_METRIC = 'store_watches';
+const VERSION_METRIC = 'configuration_version';
 
 let cluster: DirectCluster;
 
 async function start(): Promise<void> {
   const gatewayFlags = ['--smallest-reader-fleet', String(GATEWAYS - 1)];
   cluster = await DirectCluster.start({ gateways: GATEWAYS, gatewayFlags, cuttable: true });
-  await until('readers', async () => (await watchers()).length === READERS);
+  await until('readers', async () => (await listWatchers()).length === READERS);
 }
 
 test.after.each(() => cluster.stop());
 
-const running = (): number[] =>
+const listRunning = (): number[] =>
   [...cluster.gateways.entries()]
     .filter(([, { process: child }]) => child.exitCode === null && child.signalCode === null)
     .map(([index]) => index);
 
-/** Gateways that watch the store; throws nothing while some watch a part of it. */
-async function watchers(): Promise<number[]> {
+/** Gateways that watch the store; empty while any gateway watches only a part of the prefixes. */
+async function listWatchers(): Promise<number[]> {
   const figures = await Promise.all(
-    running().map(async (index) => ({ index, watches: await cluster.figure(index, WATCHES) })),
+    listRunning().map(async (index) => ({
+      index,
+      watches: await cluster.figure(index, WATCHES_METRIC),
+    })),
   );
   if (figures.some(({ watches }) => watches !== 0 && watches !== PREFIXES)) return [];
   return figures.filter(({ watches }) => watches > 0).map(({ index }) => index);
 }
 
-async function inForce(version: number): Promise<void> {
-  for (const index of running()) {
+async function awaitInForce(version: number): Promise<void> {
+  for (const index of listRunning()) {
     await until(
       `version ${version} at gateway ${index}`,
-      async () => (await cluster.figure(index, VERSION)) >= version,
+      async () => (await cluster.figure(index, VERSION_METRIC)) >= version,
     );
   }
 }
 
-test('two nodes read the store, and all others hear of changes from them', async () => {
+test('two nodes watch the store, and all others receive changes from them', async () => {
   await start();
-  const readers = await watchers();
+  const readers = await listWatchers();
   await cluster.publish(ROUTES);
-  await inForce(2);
-  for (const index of running()) {
+  await awaitInForce(2);
+  for (const index of listRunning()) {
     const isReader = readers.includes(index);
-    const told = await cluster.figure(index, 'readers_events_from_readers_total');
-    assert.is(told > 0, !isReader, `gateway ${index}`);
+    const received = await cluster.figure(index, 'readers_events_from_readers_total');
+    assert.is(received > 0, !isReader, `gateway ${index}`);
   }
   const session = await cluster.open(
     'intake',
-    running().find((index) => !readers.includes(index)),
+    listRunning().find((index) => !readers.includes(index)),
   );
   await session.succeed(() => session.write('a', 'one'));
   session.close();
   assert.equal(await cluster.violations(), []);
 });
 
-test('a reader that is killed is replaced, and nothing is missed meanwhile', async () => {
+test('a killed reader is replaced, and no configuration is missed meanwhile', async () => {
   await start();
-  const [first] = await watchers();
+  const [first] = await listWatchers();
   await cluster.kill(first as number);
   await cluster.publish(ROUTES);
-  await inForce(2);
+  await awaitInForce(2);
   await until('another reader', async () => {
-    const now = await watchers();
+    const now = await listWatchers();
     return now.length === READERS && !now.includes(first as number);
   });
   await cluster.publish(ROUTES);
-  await inForce(3);
+  await awaitInForce(3);
 });
 
-test('readers that the store ignores are left, and a node that it ignores hears from readers', async () => {
+test('a node cut off from the store receives changes from readers, and readers cut off from it are replaced', async () => {
   await start();
-  const readers = await watchers();
-  const others = running().filter((index) => !readers.includes(index));
+  const readers = await listWatchers();
+  const others = listRunning().filter((index) => !readers.includes(index));
   await cluster.setCutFromStore(others[0] as number, true);
   await cluster.publish(ROUTES);
-  await inForce(2);
+  await awaitInForce(2);
   await cluster.setCutFromStore(others[0] as number, false);
   for (const index of readers) await cluster.setCutFromStore(index, true);
   await cluster.publish(ROUTES);
   for (const index of others) {
     await until(
       `version 3 at gateway ${index}`,
-      async () => (await cluster.figure(index, VERSION)) >= 3,
+      async () => (await cluster.figure(index, VERSION_METRIC)) >= 3,
     );
   }
 });
--- a/test/integration/direct/sessions.test.ts
+++ b/test/integration/direct/sessions.test.ts
@@ -1,4 +1,4 @@
-/** Sessions through one direct gateway: what a client reads, and what it must not share. */
+/** Sessions through one direct gateway: reads of own writes, and isolation between sessions. */
 import { setTimeout as pause } from 'node:timers/promises';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -17,11 +17,11 @@
   await cluster.stop();
 });
 
-async function noRuleBroken(): Promise<void> {
+async function assertNoViolations(): Promise<void> {
   assert.equal(await cluster.violations(), []);
 }
 
-test('a session reads what it wrote, on every type of route', async () => {
+test('a session reads its own writes on routes that allow writes, and gets an answer on a lookup route', async () => {
   await start('--lag-ms', '300');
   for (const database of ['intake', 'assign']) {
     const session = await cluster.open(database);
@@ -33,53 +33,53 @@
   }
   const lookup = await cluster.open('lookup');
   assert.is((await lookup.succeed(() => lookup.read('k'))).rows.length, 1);
-  await noRuleBroken();
+  await assertNoViolations();
 });
 
-test('figures tell how long statements, waits, answers and calls to the store took', async () => {
+test('metrics record the durations of statements, connection waits, instance responses and store calls', async () => {
   await start();
   const session = await cluster.open('intake');
   await session.succeed(() => session.write('k', 'v'));
   const done = 'statement_duration_seconds_count{route_type="primary",outcome="done"}';
   const late = 'statement_duration_seconds_count{route_type="primary",outcome="late"}';
-  const told = [await cluster.figure(0, done), await cluster.figure(0, late)];
-  assert.is(told.filter((count) => count === 1).length, 1);
+  const counts = [await cluster.figure(0, done), await cluster.figure(0, late)];
+  assert.is(counts.filter((count) => count === 1).length, 1);
   assert.ok(
     (await cluster.figure(0, 'connection_wait_seconds_count{way="own",outcome="given"}')) > 0,
   );
   assert.ok((await cluster.figure(0, 'instance_answer_seconds_count')) > 0);
   assert.ok((await cluster.figure(0, 'store_call_seconds_count{call="range",outcome="done"}')) > 0);
-  await noRuleBroken();
+  await assertNoViolations();
 });
 
-test('a database that no route names is refused', async () => {
+test('a database without a route is refused with NODATABASE', async () => {
   await start();
   const client = await LineClient.connect('127.0.0.1', cluster.gateway(0).callersPort);
   assert.is((await client.start('nowhere', 'u1')).error?.code, 'NODATABASE');
   await client.closed;
 });
 
-/** A transaction with pauses that writes and reads by prepared names, whose end is given. */
-async function transact(
+/** Runs a transaction with pauses that writes and reads by prepared statements, and commits it or rolls it back. */
+async function runTransaction(
   session: RecordedSession,
-  thing: string,
+  key: string,
   data: string,
   row: string,
-  isKept: boolean,
+  shouldCommit: boolean,
 ): Promise<LineAnswer> {
   const begun = await session.begin();
   if (begun.error !== undefined) return begun;
   await pause(3);
-  const written = await session.execute('s1', thing, data);
+  const written = await session.execute('s1', key, data);
   if (written.error !== undefined) return written;
   await pause(5);
-  const read = await session.execute('s2', thing);
+  const read = await session.execute('s2', key);
   if (read.error !== undefined) return read;
   assert.equal(read.rows, [row]);
-  return isKept ? await session.commit() : await session.rollback();
+  return shouldCommit ? await session.commit() : await session.rollback();
 }
 
-test('transactions that pause keep their names, values and connections apart', async () => {
+test('concurrent transactions with pauses keep prepared statements, settings and data apart', async () => {
   await start('--max-connections', '6');
   const sessions = await Promise.all(Array.from({ length: 3 }, () => cluster.open('intake')));
   for (const [index, session] of sessions.entries()) {
@@ -88,26 +88,28 @@
     await session.prepare('s2', 'read', `read-shape-${index}`);
   }
   const rounds = sessions.map(async (session, index) => {
-    let kept = '-';
+    let committed = '-';
     for (let round = 0; round < 8; round += 1) {
-      const isKept = round % 4 !== 3;
-      const thing = `k${index}`;
+      const shouldCommit = round % 4 !== 3;
+      const key = `k${index}`;
       const data = `v${round}`;
       const shape = `read-shape-${index}`;
-      await session.succeed(() => transact(session, thing, data, `${shape} ${data}`, isKept));
-      if (isKept) kept = data;
-      const { rows } = await session.succeed(() => session.execute('s2', thing));
-      assert.equal(rows, [`${shape} ${kept}`]);
+      await session.succeed(() =>
+        runTransaction(session, key, data, `${shape} ${data}`, shouldCommit),
+      );
+      if (shouldCommit) committed = data;
+      const { rows } = await session.succeed(() => session.execute('s2', key));
+      assert.equal(rows, [`${shape} ${committed}`]);
       if (round === 4) await session.set('zone', `other-${index}`);
       if (round === 5) await session.prepare('s1', 'write', `other-shape-${index}`);
     }
   });
   await Promise.all(rounds);
   assert.is((await sessions[0]?.deallocate('s1'))?.error, undefined);
-  await noRuleBroken();
+  await assertNoViolations();
 });
 
-test('a client that leaves in the middle of a transaction takes nothing along', async () => {
+test('a transaction is rolled back if its client disconnects inside of it', async () => {
   await start();
   const leaver = await cluster.open('intake');
   await leaver.set('zone', 'west');
@@ -120,10 +122,10 @@
   for (let round = 0; round < 10; round += 1) {
     assert.equal((await session.succeed(() => session.read('k'))).rows, ['-']);
   }
-  await noRuleBroken();
+  await assertNoViolations();
 });
 
-test('answers that are lost or broken off lead to no second effect', async () => {
+test('responses of an instance that are lost, truncated or failed cause no statement to take effect twice', async () => {
   await start();
   const clients = [1, 2, 3, 4].map((seed) => {
     return new LoadClient(cluster, { database: seed % 2 ? 'intake' : 'assign', seed });
@@ -134,7 +136,7 @@
     await Promise.all(clients.map((client) => client.moreWrites(5)));
   }
   await Promise.all(clients.map((client) => client.stop()));
-  await noRuleBroken();
+  await assertNoViolations();
 });
 
 test.run();
--- a/test/integration/direct/soak.test.ts
+++ b/test/integration/direct/soak.test.ts
@@ -1,15 +1,18 @@
-/** A few rounds of the soak, each with planned work: signals, stops and configurations in series. */
+/** A few rounds of the soak run, each with maintenance work: signals, stops and series of configurations. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { FAULT_SPAN_MS, playRound } from '../../../bench/soak/round.js';
 import { drawSchedule } from '../../../bench/soak/schedule.js';
 import { seededRandom } from '../../support/random.js';
 
-/** What each seed draws that the others don't. */
+/** Seeds, each with the event that only its schedule contains. */
 const ROUNDS = [
-  { seed: 3000, what: 'a second signal while a gateway stops, beside new configurations' },
-  { seed: 13_000, what: 'gateways that are paused again and again while they stop' },
-  { seed: 7000, what: 'all gateways killed right after a configuration was acknowledged' },
+  {
+    seed: 3000,
+    what: 'a second signal while a gateway stops, with new configurations at the same time',
+  },
+  { seed: 13_000, what: 'gateways that are paused repeatedly while they stop' },
+  { seed: 7000, what: 'all gateways killed right after a configuration is acknowledged' },
 ] as const;
 
 for (const { seed, what } of ROUNDS) {
