--- a/test/integration/cluster/answers.test.ts
+++ b/test/integration/cluster/answers.test.ts
@@ -1,6 +1,6 @@
 /**
- * Each caller gets the whole answer to its own request and nothing else: with hundreds of callers at
- * once over both hops, beside large answers, and beside a caller that stops reading.
+ * Each caller gets the complete response to its own request and nothing else: with hundreds of concurrent
+ * callers over both hops, during large responses, and while another caller stops reading.
  */
 import { once } from 'node:events';
 import type { Socket } from 'node:net';
@@ -21,16 +21,16 @@
 
 const NODES = ['proxy-1', 'proxy-2'];
 const MANY_CALLERS = 500;
-const LOGINS_AT_ONCE = 50;
+const CONCURRENT_LOGINS = 50;
 const LARGE_ROWS = 10_000;
 /**
- * 200 MB: more than the kernel may hold on three hops (36 MB each where its buffers may grow to 32 and 4 MB) beside
- * what the nodes may.
+ * 200 MB: more than kernel buffers on three hops (36 MB each where they may grow to 32 and 4 MB) and the nodes' own
+ * buffers can hold together.
  */
 const UNREAD_ROWS = 200_000;
 const MEBIBYTE = 1024 * 1024;
-/** Much less than what the caller does not read. */
-const LARGEST_GROWTH_BYTES = 24 * MEBIBYTE;
+/** Much less than the unread response. */
+const MAX_GROWTH_BYTES = 24 * MEBIBYTE;
 
 const test = suite<{ cluster: Cluster }>('answers');
 
@@ -48,11 +48,11 @@
   await cluster.stop();
 });
 
-/** In waves: a proxy takes only so many log-ins at once. */
+/** Connects in batches, since a proxy limits concurrent log-ins. */
 async function connectMany(cluster: Cluster, count: number): Promise<TestCaller[]> {
   const callers: TestCaller[] = [];
   while (callers.length < count) {
-    const size = Math.min(LOGINS_AT_ONCE, count - callers.length);
+    const size = Math.min(CONCURRENT_LOGINS, count - callers.length);
     const wave = Array.from({ length: size }, (_, index) => connectCaller(cluster, nodeOf(index)));
     callers.push(...(await Promise.all(wave)));
   }
@@ -63,11 +63,11 @@
   return NODES[index % NODES.length] ?? '';
 }
 
-test('500 callers at once each get their own rows, by three ways of asking', async ({
+test('500 concurrent callers each get their own rows by simple, extended and prepared queries', async ({
   cluster,
 }) => {
   const callers = await connectMany(cluster, MANY_CALLERS);
-  const asking = callers.map(async ({ client }, index) => {
+  const requests = callers.map(async ({ client }, index) => {
     const value = `caller-${index}`;
     const simple = await client.query(`SELECT '${value}' AS value /*meadowstack_kind='lookup'*/`);
     const extended = await client.query('SELECT $1::text AS value', [value]);
@@ -81,11 +81,11 @@
     assert.equal(rows, [[{ value }], [{ value }], [{ value }]]);
     assert.equal(written.rows, [{ state: value }]);
   });
-  await Promise.all(asking);
+  await Promise.all(requests);
   await Promise.all(callers.map(({ client }) => client.end()));
 });
 
-test('answers of 10,000 rows and point reads beside them are whole and unmixed', async ({
+test('responses of 10,000 rows and concurrent point reads are complete and not mixed up', async ({
   cluster,
 }) => {
   const large = Array.from({ length: 4 }, async (_, index) => {
@@ -123,7 +123,7 @@
   return connection.stream;
 }
 
-test('a caller that stops reading costs bounded memory and nobody else’s time', async ({
+test('a caller that stops reading uses bounded memory and does not block other callers', async ({
   cluster,
 }) => {
   const group = cluster.group(GROUP);
@@ -140,7 +140,7 @@
   });
   const ended = once(query, 'end');
   idle.client.query(query);
-  await until('the answer has begun', () => rowsRead > 0);
+  await until('the response has begun', () => rowsRead > 0);
   let growth = [0];
   for (let round = 0; round < 100; round += 1) {
     const { client } = await connectCaller(cluster, nodeOf(round));
@@ -148,10 +148,13 @@
     await client.end();
     const now = await Promise.all(NODES.map((nodeId) => residentBytes(cluster, nodeId)));
     growth = now.map((bytes, index) => bytes - (before[index] ?? 0));
-    assert.ok(Math.max(...growth) < LARGEST_GROWTH_BYTES, `grew by ${growth.join(', ')} bytes`);
+    assert.ok(Math.max(...growth) < MAX_GROWTH_BYTES, `grew by ${growth.join(', ')} bytes`);
   }
   const { runningStatements, bufferedOutputBytes } = await group.state(name);
-  assert.ok(runningStatements >= 1, `the answer waits at its instance (${bufferedOutputBytes})`);
+  assert.ok(
+    runningStatements >= 1,
+    `the response is held back at its instance (${bufferedOutputBytes})`,
+  );
   socketOf(idle).resume();
   await ended;
   assert.is(rowsRead, UNREAD_ROWS);
--- a/test/integration/cluster/caller-tls.test.ts
+++ b/test/integration/cluster/caller-tls.test.ts
@@ -1,4 +1,4 @@
-/** TLS of callers through a real proxy process, with log-ins over plain TCP refused. */
+/** Caller TLS with a real proxy process that refuses log-ins over plain TCP. */
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -46,7 +46,7 @@
   await client.end();
 });
 
-test('a caller without TLS is refused before it sends its proof', async ({ cluster }) => {
+test('a caller without TLS is refused with SQLSTATE 28000', async ({ cluster }) => {
   const client = clientOf(cluster, false);
   client.on('error', () => undefined);
   const refused = await client.connect().then(
--- a/test/integration/cluster/configuration-faults.test.ts
+++ b/test/integration/cluster/configuration-faults.test.ts
@@ -35,10 +35,10 @@
 /** All in one zone, so that two of them relay to the others. */
 const NODES = ['proxy-1', 'proxy-2', 'proxy-3', 'proxy-4'];
 const ZONE = 'a';
-const RELAYS_A_ZONE = 2;
+const RELAYS_PER_ZONE = 2;
 const TENANT_KEY: DeclarationKey = `tenant/${TENANT.name}`;
 const ROUNDS = 6;
-const LOST_ANSWERS_SEED = 7;
+const LOST_RESPONSES_SEED = 7;
 
 interface Context {
   cluster: Cluster;
@@ -73,8 +73,8 @@
   assert.equal(checkConfiguration(history, Number.POSITIVE_INFINITY), []);
 }
 
-async function relaysKnown({ recorder }: Context): Promise<void> {
-  await until('the relays are known', () => recorder.relays.length === RELAYS_A_ZONE);
+async function awaitRelaysKnown({ recorder }: Context): Promise<void> {
+  await until('the relays are known', () => recorder.relays.length === RELAYS_PER_ZONE);
 }
 
 function declarationText(connections: number): string {
@@ -107,11 +107,11 @@
   return { client, publisher };
 }
 
-test('operators who race with lost answers: each accepted publish is applied once, in one order', async (context) => {
+test('with concurrent operators and lost responses, each accepted publish is applied once and has its own revision', async (context) => {
   const { cluster, recorder } = context;
   // While responses are lost, a relay's claim may fail repeatedly; no node then watches the store.
-  await relaysKnown(context);
-  await cluster.store.setFaults({ loseAnswerProbability: 0.4, seed: LOST_ANSWERS_SEED });
+  await awaitRelaysKnown(context);
+  await cluster.store.setFaults({ loseAnswerProbability: 0.4, seed: LOST_RESPONSES_SEED });
   const accepted = new Map<string, number>();
   const refused: string[] = [];
   const race = async (name: string, base: number): Promise<void> => {
@@ -167,11 +167,11 @@
   assertNotReverted(context);
 });
 
-test('relays that are paused hold up nobody else and come back to the newest', async (context) => {
+test('paused relays delay no other proxy, and get the newest configuration when they resume', async (context) => {
   const { cluster, recorder } = context;
   // silent-from-start.test.ts covers relays that become silent before any node heard from them.
   await allHeard(cluster, NODES);
-  await relaysKnown(context);
+  await awaitRelaysKnown(context);
   const { relays } = recorder;
   const others = NODES.filter((nodeId) => !relays.includes(nodeId));
   for (const relay of relays) {
@@ -199,7 +199,7 @@
   ['down', { outage: 'refuse' }],
   ['slow', { answerDelayMs: 1500 }],
 ] as const) {
-  test(`a proxy that restarts while the store is ${name} never shows an older version`, async (context) => {
+  test(`a proxy that restarts while the store is ${name} has no older revision`, async (context) => {
     const { cluster, recorder } = context;
     const revision = await publish(context, name === 'down' ? 4001 : 4002);
     await inForce(cluster, revision);
--- a/test/integration/cluster/configuration.test.ts
+++ b/test/integration/cluster/configuration.test.ts
@@ -21,7 +21,7 @@
   await cluster.stop();
 });
 
-test('a lowered connection limit ends the sessions that are too many', async ({ cluster }) => {
+test('a lowered connection limit ends the sessions beyond it', async ({ cluster }) => {
   const callers = await Promise.all([1, 2, 3].map(() => connectCaller(cluster, 'proxy-1')));
   let open = callers.length;
   const ended = new Promise<void>((resolve) => {
@@ -32,7 +32,7 @@
       });
     }
   });
-  // However a limit of one is shared among the proxies, this proxy may hold at most one.
+  // Whichever proxy gets the share of a limit of one, this proxy may hold at most one session.
   await cluster.publishTexts([tenantYaml({ ...tenant, parameters: '  connections: 1' })]);
   await ended;
   const survivors = await Promise.all(
--- a/test/integration/cluster/departures.test.ts
+++ b/test/integration/cluster/departures.test.ts
@@ -1,6 +1,6 @@
 /**
- * Back ends and proxies that leave, under load: a leaving back end gets no new work soon after its
- * mark is visible, and a planned stop of any proxy cuts nothing and loses no transaction.
+ * Back ends that are decommissioned and proxies that stop, under load: a back end marked as leaving soon gets no
+ * new work, and a graceful shutdown of any proxy cuts no request and loses no transaction.
  */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -19,13 +19,13 @@
 import { until } from '../../support/until.js';
 
 const PART_MS = 2_000;
-/** Far above what a busy machine delays a heartbeat by: a leaving replica must not be elected. */
+/** Far above the delay of a heartbeat on a busy machine, so that no election makes a leaving replica primary. */
 const ELECTION_TIMEOUT_MS = 5_000;
-/** Far above what a busy machine takes for a request: only the restarts may make one fail. */
+/** Far above a request's duration on a busy machine, so that only the restarts can make one fail. */
 const DEADLINE_MS = 10_000;
-const WRITES_BETWEEN = 20;
-/** No new work from then on after the mark is visible. */
-const GRACE_MS = 2_000;
+const WRITES_PER_STEP = 20;
+/** Time after the mark is visible from which a back end must get no new work. */
+const LEAVING_GRACE_MS = 2_000;
 const OBSERVED_MS = 4_500;
 
 const test = suite<{ cluster: Cluster }>('departures');
@@ -34,7 +34,7 @@
   context.cluster = await startLoadedCluster({
     seed: 3,
     electionTimeoutMs: ELECTION_TIMEOUT_MS,
-    // A proxy that leaves closes its links: nothing here shows by their silence.
+    // Long timeouts: a stopping proxy closes its links, so that no test needs silent links to be detected.
     proxyFlags: [PATIENT_LINKS],
   });
 });
@@ -43,7 +43,7 @@
   await cluster.stop();
 });
 
-/** Marks an instance as leaving and resolves once it was observed long enough. */
+/** Marks an instance as leaving, and resolves when it has been observed for OBSERVED_MS. */
 async function observeLeaving(
   cluster: Cluster,
   name: string,
@@ -55,20 +55,20 @@
   assert.ok(machine);
   await cluster.machines.markLeaving({ role: 'database', name });
   const visibleAt = nowMs();
-  const marked = recorder.leaving(name, visibleAt);
+  const endRecord = recorder.leaving(name, visibleAt);
   await meanwhile();
   await until('observed beyond the grace', () => nowMs() > visibleAt + OBSERVED_MS);
-  marked();
+  endRecord();
   await cluster.machines.upsert({ ...machine, state: 'live' });
 }
 
 function assertNoLateWork(history: History): void {
   assert.is(history.leavings.length, 1);
-  assert.equal(checkLeaving(history, GRACE_MS), []);
+  assert.equal(checkLeaving(history, LEAVING_GRACE_MS), []);
   assertPromisesKept(history);
 }
 
-test('a leaving replica gets no new work', async ({ cluster }) => {
+test('a replica marked as leaving gets no new work after the grace period', async ({ cluster }) => {
   const group = cluster.group(LOADED_GROUP);
   const history = await loadUnderFault({
     cluster,
@@ -88,7 +88,9 @@
   assertNoLateWork(history);
 });
 
-test('a leaving primary gets no new work once the group has another', async ({ cluster }) => {
+test('a primary marked as leaving gets no new work after another instance is promoted', async ({
+  cluster,
+}) => {
   const group = cluster.group(LOADED_GROUP);
   const history = await loadUnderFault({
     cluster,
@@ -98,17 +100,17 @@
       const primary = await group.waitForPrimary();
       const successor = group.instances.find(({ name }) => name !== primary.name);
       assert.ok(successor);
-      await progress.writesDone(WRITES_BETWEEN);
+      await progress.writesDone(WRITES_PER_STEP);
       await observeLeaving(cluster, primary.name, recorder, async () => {
         await group.promote(successor.name);
-        await progress.writesDone(WRITES_BETWEEN);
+        await progress.writesDone(WRITES_PER_STEP);
       });
     },
   });
   assertNoLateWork(history);
 });
 
-test('a rolling restart of all proxies cuts nothing and loses no transaction', async ({
+test('a rolling restart of all proxies leaves no request of unknown outcome and aborts no transaction', async ({
   cluster,
 }) => {
   const history = await loadUnderFault({
@@ -118,7 +120,7 @@
     deadlineMs: DEADLINE_MS,
     fault: async (progress, recorder) => {
       for (const { nodeId, zone, stop } of [...cluster.proxies.values()]) {
-        await progress.writesDone(WRITES_BETWEEN);
+        await progress.writesDone(WRITES_PER_STEP);
         const requestedAt = nowMs();
         recorder.proxyStopped(nodeId);
         const exitCode = (await stop()) ?? undefined;
@@ -126,7 +128,7 @@
         await cluster.startProxy({ nodeId, zone });
         recorder.proxyStarted(nodeId);
       }
-      await progress.writesDone(WRITES_BETWEEN);
+      await progress.writesDone(WRITES_PER_STEP);
     },
   });
   assert.is(history.plannedStops.length, 3);
--- a/test/integration/cluster/lost-position.test.ts
+++ b/test/integration/cluster/lost-position.test.ts
@@ -1,4 +1,4 @@
-/** A session whose position the group has lost is told so at once, and goes on. */
+/** A session whose position the group has lost gets an error at once, and stays usable. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { Cluster } from '../../../bench/harness/cluster.js';
@@ -18,7 +18,7 @@
   await cluster.stop();
 });
 
-test('a group that lost its data tells sessions of before, which then read what there is', async ({
+test('after a group lost its data, an earlier session gets POSITION-LOST once and then reads the present data', async ({
   cluster,
 }) => {
   const before = await connectCaller(cluster, 'proxy-1');
@@ -36,8 +36,8 @@
 
   const session = { 'meadowstack.session': before.sessionToken() };
   const moved = await connectCaller(cluster, 'proxy-2', session);
-  const told = await failureOf(moved.client.query(LOOKUP));
-  assert.is(told?.detail, POSITION_LOST);
+  const error = await failureOf(moved.client.query(LOOKUP));
+  assert.is(error?.detail, POSITION_LOST);
   assert.is(Number((await moved.client.query(LOOKUP)).rows[0].count), 0);
 
   const movedAgain = { 'meadowstack.session': moved.sessionToken() };
--- a/test/integration/cluster/machine-list.test.ts
+++ b/test/integration/cluster/machine-list.test.ts
@@ -29,7 +29,7 @@
 }
 
 /** Waits until exactly two proxies poll the list service, and returns them. */
-async function twoReaders(cluster: Cluster, nodeIds: readonly string[]): Promise<string[]> {
+async function awaitTwoReaders(cluster: Cluster, nodeIds: readonly string[]): Promise<string[]> {
   let readers: string[] = [];
   await until(`${READERS} readers among ${nodeIds.join()}`, async () => {
     readers = await readersAmong(cluster, nodeIds);
@@ -38,11 +38,11 @@
   return readers;
 }
 
-/** Publishes a change of the list; resolves once the given nodes have it. */
+/** Publishes a change of the list, and waits until the given nodes have it. */
 async function publishTo(cluster: Cluster, nodeIds: readonly string[], name: string) {
-  const place = { zone: ZONE, host: '127.0.0.1', port: 1, slots: 1, maxConnections: 5 };
+  const location = { zone: ZONE, host: '127.0.0.1', port: 1, slots: 1, maxConnections: 5 };
   const state = 'leaving';
-  await cluster.machines.upsert({ role: 'database', group: 'other', name, state, ...place });
+  await cluster.machines.upsert({ role: 'database', group: 'other', name, state, ...location });
   const { version } = await cluster.machines.state();
   for (const nodeId of nodeIds) {
     await until(`${nodeId} has version ${version}`, async () => {
@@ -51,8 +51,10 @@
   }
 }
 
-test('two proxies read, and the others have each change without a poll', async ({ cluster }) => {
-  const readers = await twoReaders(cluster, NODES);
+test('two proxies poll the list, and the others receive each change without polling', async ({
+  cluster,
+}) => {
+  const readers = await awaitTwoReaders(cluster, NODES);
   const others = NODES.filter((nodeId) => !readers.includes(nodeId));
   const polls = async () => {
     const statuses = await Promise.all(others.map((nodeId) => statusOf(cluster, nodeId)));
@@ -63,23 +65,25 @@
   assert.equal(await polls(), before);
 });
 
-test('paused readers are replaced, and catch up when they go on', async ({ cluster }) => {
-  const readers = await twoReaders(cluster, NODES);
+test('paused readers are replaced, and become readers again when they resume', async ({
+  cluster,
+}) => {
+  const readers = await awaitTwoReaders(cluster, NODES);
   const others = NODES.filter((nodeId) => !readers.includes(nodeId));
   for (const nodeId of readers) cluster.proxy(nodeId).pause();
   await publishTo(cluster, others, 'other-4');
   for (const nodeId of readers) cluster.proxy(nodeId).resume();
   await publishTo(cluster, NODES, 'other-5');
-  assert.equal((await twoReaders(cluster, NODES)).sort(), readers.sort());
+  assert.equal((await awaitTwoReaders(cluster, NODES)).sort(), readers.sort());
 });
 
 test('a killed reader is replaced', async ({ cluster }) => {
-  const [killed] = await twoReaders(cluster, NODES);
+  const [killed] = await awaitTwoReaders(cluster, NODES);
   assert.ok(killed);
   await cluster.proxy(killed).kill();
   const rest = NODES.filter((nodeId) => nodeId !== killed);
   await publishTo(cluster, rest, 'other-6');
-  assert.not((await twoReaders(cluster, rest)).includes(killed));
+  assert.not((await awaitTwoReaders(cluster, rest)).includes(killed));
 });
 
 test.run();
--- a/test/integration/cluster/planned-stop-owner.test.ts
+++ b/test/integration/cluster/planned-stop-owner.test.ts
@@ -1,4 +1,4 @@
-/** A planned stop of the owner of a group, with work of another proxy's callers under way on it. */
+/** Graceful shutdown of a group's owner while it runs requests for callers of another proxy. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { Cluster } from '../../../bench/harness/cluster.js';
@@ -27,9 +27,7 @@
   await cluster.stop();
 });
 
-test('statements and transactions of callers at other proxies go on to their end', async ({
-  cluster,
-}) => {
+test('statements and transactions of callers at another proxy complete', async ({ cluster }) => {
   const { owner, gateway } = await soleOwner(cluster);
   const connect = async () => (await connectCaller(cluster, gateway)).client;
   const [transaction, slowRead, slowWrite, busy] = await Promise.all([
@@ -42,7 +40,7 @@
   await transaction.query(`INSERT INTO orders VALUES (1, 'before the stop')`);
   const read = slowRead.query('SELECT pg_sleep(1.5)');
   const write = slowWrite.query(`INSERT INTO orders VALUES (2, pg_sleep(1.5)::text)`);
-  // A failure is told where they are awaited below, not by the end of this process.
+  // Failures are reported where the promises are awaited below; they must not end the process as unhandled rejections.
   for (const answer of [read, write]) answer.catch(() => undefined);
   await cluster
     .group(GROUP)
--- a/test/integration/cluster/planned-stop.test.ts
+++ b/test/integration/cluster/planned-stop.test.ts
@@ -1,4 +1,4 @@
-/** A planned stop cuts no request in progress, and the fleet goes on. */
+/** A graceful shutdown cuts no request in progress, and the other proxy keeps serving. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { Cluster } from '../../../bench/harness/cluster.js';
@@ -17,7 +17,7 @@
   await cluster.stop();
 });
 
-test('running requests and open transactions finish, idle sessions end with 57P01, exit code 0', async ({
+test('on a graceful shutdown requests and transactions finish, idle sessions get 57P01, and the exit code is 0', async ({
   cluster,
 }) => {
   const running = await connectCaller(cluster, 'proxy-1');
@@ -25,12 +25,12 @@
   const idle = await connectCaller(cluster, 'proxy-1');
   await transaction.client.query('BEGIN');
   await transaction.client.query(`INSERT INTO orders VALUES (1, 'in a transaction')`);
-  const farewell = new Promise<string | undefined>((resolve) =>
+  const idleError = new Promise<string | undefined>((resolve) =>
     idle.client.once('error', (error: { code?: string }) => resolve(error.code)),
   );
   const slow = running.client.query('SELECT pg_sleep(1)');
   const exited = cluster.proxy('proxy-1').stop();
-  assert.is(await farewell, '57P01');
+  assert.is(await idleError, '57P01');
   await transaction.client.query(`INSERT INTO orders VALUES (2, 'in a transaction')`);
   await transaction.client.query('COMMIT');
   assert.is((await slow).rowCount, 1);
@@ -41,7 +41,7 @@
   await other.client.end();
 });
 
-test('a restarted proxy serves again while the store is down', async ({ cluster }) => {
+test('a proxy that restarts while the store is down serves callers', async ({ cluster }) => {
   await cluster.store.setFaults({ outage: 'refuse' });
   await cluster.startProxy({ nodeId: 'proxy-1', zone: 'a' });
   const { client } = await connectCaller(cluster, 'proxy-1');
--- a/test/integration/cluster/primary-cut-off.test.ts
+++ b/test/integration/cluster/primary-cut-off.test.ts
@@ -1,6 +1,6 @@
 /**
- * A primary that is cut off and goes on to believe that it leads: no acknowledged write is lost, no
- * keyed write runs twice, "not run" never ran, and every caller gets a final answer.
+ * A primary that is cut off and still believes that it is the primary: no acknowledged write is lost, no
+ * keyed write runs twice, no write reported as not run has run, and every caller gets a final response.
  */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -25,7 +25,7 @@
   await cluster.stop();
 });
 
-/** Cuts the primary from its peers only; proxies still reach it and it believes that it leads. */
+/** Cuts the primary off from its peers only; proxies still reach it, and it believes that it is the primary. */
 async function cutFromPeers(target: Target, directions: 'both' | 'in' | 'out'): Promise<void> {
   const { group, primary, progress } = target;
   const timeline = await nextTimeline(target);
@@ -56,7 +56,7 @@
     fault: (target) => cutFromPeers(target, 'both'),
   },
   {
-    name: 'its heartbeats are lost, but it hears its peers',
+    name: 'unable to send heartbeats, but still receives from its peers',
     seed: 103,
     fault: (target) => cutFromPeers(target, 'out'),
   },
@@ -79,13 +79,13 @@
 ];
 
 for (const scenario of SCENARIOS) {
-  test(`a primary is ${scenario.name}`, async ({ cluster }) => {
+  test(`no promise is broken while a primary is ${scenario.name}`, async ({ cluster }) => {
     const history = await runScenario(cluster, scenario);
     assertPromisesKept(history, scenario.killedProxies);
   });
 }
 
-test('without confirmation a primary cut off from its peers loses acknowledged writes', async () => {
+test('without confirmation, acknowledged writes on a primary cut off from its peers are lost', async () => {
   const proxyFlags = ['--test-policy=without-confirmation'];
   const cluster = await startLoadedCluster({ seed: 2, proxyFlags });
   try {
--- a/test/integration/cluster/primary-failure.test.ts
+++ b/test/integration/cluster/primary-failure.test.ts
@@ -1,6 +1,6 @@
 /**
- * A primary that is paused, killed, or fails along with something else: no acknowledged write is
- * lost, no keyed write runs twice, "not run" never ran, and every caller gets a final answer.
+ * A primary that is paused or killed, alone or together with another fault: no acknowledged write is lost, no
+ * keyed write runs twice, no write reported as not run has run, and every caller gets a final response.
  */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -50,7 +50,7 @@
     },
   },
   {
-    name: 'two failovers, one upon the other',
+    name: 'replaced twice in quick succession',
     seed: 106,
     fault: async (target) => {
       const { group, primary, progress } = target;
@@ -71,16 +71,16 @@
     fault: async (target) => {
       const { group, primary, progress } = target;
       const timeline = await nextTimeline(target);
-      const [behind] = group.instances.filter(({ name }) => name !== primary.name);
-      assert.ok(behind);
-      await group.setFaults(behind.name, { receiveStall: true, replayLagMs: 500 });
+      const [lagging] = group.instances.filter(({ name }) => name !== primary.name);
+      assert.ok(lagging);
+      await group.setFaults(lagging.name, { receiveStall: true, replayLagMs: 500 });
       await progress.writesDone(WRITES_AFTER);
       await group.kill(primary.name);
       await group.waitForPrimary(timeline);
-      // A majority has to receive a write before it is acknowledged: two are left, so both must.
-      await group.setFaults(behind.name, { receiveStall: false });
+      // A majority must receive a write before it is acknowledged; with two instances left, both must receive it.
+      await group.setFaults(lagging.name, { receiveStall: false });
       await progress.writesDone(WRITES_AFTER);
-      await group.setFaults(behind.name, { replayLagMs: 0 });
+      await group.setFaults(lagging.name, { replayLagMs: 0 });
       await group.restart(primary.name);
     },
   },
@@ -118,7 +118,7 @@
 ];
 
 for (const scenario of SCENARIOS) {
-  test(`a primary is ${scenario.name}`, async ({ cluster }) => {
+  test(`no promise is broken if the primary is ${scenario.name}`, async ({ cluster }) => {
     const history = await runScenario(cluster, scenario);
     assertPromisesKept(history, scenario.killedProxies);
   });
--- a/test/integration/cluster/shared-connections.test.ts
+++ b/test/integration/cluster/shared-connections.test.ts
@@ -1,6 +1,6 @@
 /**
- * Pooled connections shared by tenants and callers: no state of a session reaches the next user, and
- * a cancel never hits someone else's statement.
+ * Pooled connections shared by tenants and callers: no session state leaks to the next user, and a cancel
+ * request never cancels another caller's statement.
  */
 import { once } from 'node:events';
 import { connect } from 'node:net';
@@ -46,7 +46,7 @@
   return client;
 }
 
-test('settings of a transaction end with it, for the same tenant and for another', async ({
+test('SET LOCAL ends with its transaction, for the same tenant and for another', async ({
   cluster,
 }) => {
   const { client } = await connectCaller(cluster, 'proxy-1');
@@ -64,7 +64,7 @@
   await Promise.all([client.end(), other.end()]);
 });
 
-test('what would outlive the transaction on a pooled connection is refused', async ({
+test('statements that leave session state on a pooled connection are refused', async ({
   cluster,
 }) => {
   const { client } = await connectCaller(cluster, 'proxy-1');
@@ -82,7 +82,7 @@
   await client.end();
 });
 
-test('prepared statements of one name stay apart between callers and tenants', async ({
+test('prepared statements of the same name are separate for each caller and tenant', async ({
   cluster,
 }) => {
   const callers = await Promise.all([
@@ -108,7 +108,7 @@
   await Promise.all(callers.map((client) => client.end()));
 });
 
-/** Sends a CancelRequest for whatever the caller runs, on a connection of its own. */
+/** Sends a CancelRequest for the caller's running statement on a separate connection. */
 async function sendCancel(cluster: Cluster, nodeId: string, { client }: TestCaller): Promise<void> {
   const { processID, secretKey } = client as unknown as { processID: number; secretKey: number };
   const { host, port } = cluster.proxy(nodeId).callers;
@@ -119,7 +119,9 @@
   await once(socket, 'close');
 }
 
-test('many cancels at once hit only the statements of their own callers', async ({ cluster }) => {
+test('concurrent cancel requests cancel only the statements of their own callers', async ({
+  cluster,
+}) => {
   const CALLERS = 16;
   const ROUNDS = 25;
   let cancelled = 0;
@@ -132,7 +134,7 @@
       const error = await running;
       if (error !== undefined) {
         cancelled += 1;
-        // Cancelled while it ran, while it waited, or while it waited to be tried again.
+        // Cancelled while it ran, while it was queued, or while it waited for a retry.
         const told = error.code === CANCELLED ? '' : error.detail;
         assert.match(told ?? '', /^$|^MS-NOT-RUN-CALLER-GONE:|^MS-READ-CONNECTION-LOST:/);
       }
--- a/test/integration/cluster/silent-from-start.test.ts
+++ b/test/integration/cluster/silent-from-start.test.ts
@@ -27,7 +27,9 @@
 
 test.after(({ cluster }) => cluster.stop());
 
-test('relays by rank that nobody ever heard from hold up no configuration', async ({ cluster }) => {
+test('highest-ranked relays that no node ever heard from do not delay a configuration', async ({
+  cluster,
+}) => {
   for (const nodeId of SILENT) {
     await cluster.startProxy({ nodeId, zone: ZONE });
     cluster.proxy(nodeId).pause();
@@ -41,7 +43,7 @@
     const heard = members.map((member) => member.nodeId);
     assert.not(
       heard.some((one) => SILENT.includes(one)),
-      `${nodeId} heard from a silent one`,
+      `${nodeId} heard from a silent node`,
     );
     await inForce(cluster, revision, [nodeId]);
   }
--- a/test/integration/cluster/tenant-limits.test.ts
+++ b/test/integration/cluster/tenant-limits.test.ts
@@ -1,4 +1,4 @@
-/** A tenant's connection limit across real proxies: one may use all of it, all together never more. */
+/** A tenant's connection limit across real proxies: one proxy may use all of it, and the sum never exceeds it. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { Cluster } from '../../../bench/harness/cluster.js';
@@ -30,7 +30,7 @@
   return { ...TENANT, databases: [GROUP], template: 'standard', parameters };
 }
 
-/** Resolves to the connection, or to the SQLSTATE with which it was refused. */
+/** Resolves to the connected caller, or to the SQLSTATE with which it was refused. */
 function tryConnect(cluster: Cluster, nodeId: string): Promise<TestCaller | string> {
   return connectCaller(cluster, nodeId).catch((error: { code: string }) => error.code);
 }
@@ -52,7 +52,9 @@
   return Promise.all(callers.map(({ client }) => client.end()));
 }
 
-test('one proxy may serve all of the limit, and no proxy more', async ({ cluster }) => {
+test('one proxy may use the whole limit, and further connections are refused on every proxy', async ({
+  cluster,
+}) => {
   const first = await connectMany(cluster, 'proxy-1', LIMIT + 3);
   assert.is(first.callers.length, LIMIT);
   assert.equal(first.refusals, ['53300', '53300', '53300']);
@@ -62,7 +64,7 @@
   await endAll(first.callers);
 });
 
-test('what one proxy gives back the other can use', async ({ cluster }) => {
+test('connections that one proxy releases can be used by the other', async ({ cluster }) => {
   const first = await connectMany(cluster, 'proxy-1', LIMIT);
   await endAll(first.callers);
   const callers: TestCaller[] = [];
@@ -87,7 +89,7 @@
   await endAll(callers);
 });
 
-test('a lowered limit ends open connections, and no more than it must', async ({ cluster }) => {
+test('a lowered limit ends exactly the open connections beyond it', async ({ cluster }) => {
   const callers: TestCaller[] = [];
   await until('proxy-1 serves all', async () => {
     callers.push(...(await connectMany(cluster, 'proxy-1', LIMIT - callers.length)).callers);
--- a/test/integration/cluster/transactions.test.ts
+++ b/test/integration/cluster/transactions.test.ts
@@ -1,6 +1,6 @@
 /**
- * Transactions with real processes: a proxy or a caller that goes at any step leaves no transaction
- * open and the caller is told rightly; nothing of a session reaches another tenant.
+ * Transactions with real processes: if a proxy is killed or a caller disconnects at any step, no transaction
+ * stays open, and the caller gets the right error.
  */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -40,15 +40,15 @@
   await cluster.startProxy({ nodeId, zone });
 }
 
-async function rowsOf(cluster: Cluster, id: number): Promise<number> {
+async function countRows(cluster: Cluster, id: number): Promise<number> {
   const { client } = await connectCaller(cluster, 'proxy-1');
   const found = await client.query('SELECT id FROM orders WHERE id = $1', [id]);
   await client.end();
   return found.rows.length;
 }
 
-/** A caller that goes without a farewell. */
-function vanish({ client }: TestCaller): void {
+/** Destroys a caller's connection without Terminate. */
+function disconnect({ client }: TestCaller): void {
   const { connection } = client as unknown as { connection: { stream: { destroy(): void } } };
   connection.stream.destroy();
 }
@@ -56,17 +56,19 @@
 for (const [index, step] of TRANSACTION_STEPS.entries()) {
   const committed = step === 'COMMIT is on its way';
 
-  test(`the gateway is killed when ${step}`, async ({ cluster }) => {
+  test(`no transaction stays open if the gateway is killed when ${step}`, async ({ cluster }) => {
     const { gateway } = await soleOwner(cluster);
     const caller = await connectCaller(cluster, gateway);
     const pending = await bringTo(cluster, caller, step, 100 + index);
     await killAndReplace(cluster, gateway);
     await pending.answer;
     await noOpenTransactions(cluster.group(GROUP));
-    assert.is(await rowsOf(cluster, 100 + index), committed ? 1 : 0);
+    assert.is(await countRows(cluster, 100 + index), committed ? 1 : 0);
   });
 
-  test(`the owner is killed when ${step}`, async ({ cluster }) => {
+  test(`the caller gets the outcome, and no transaction stays open, if the owner is killed when ${step}`, async ({
+    cluster,
+  }) => {
     const { owner, gateway } = await soleOwner(cluster);
     const caller = await connectCaller(cluster, gateway);
     const pending = await bringTo(cluster, caller, step, 200 + index);
@@ -76,25 +78,25 @@
     await noOpenTransactions(cluster.group(GROUP));
     await caller.client.query('ROLLBACK');
     await caller.client.query('INSERT INTO orders VALUES ($1, $2)', [300 + index, 'goes on']);
-    assert.is(await rowsOf(cluster, 200 + index), committed ? 1 : 0);
-    assert.is(await rowsOf(cluster, 300 + index), 1);
+    assert.is(await countRows(cluster, 200 + index), committed ? 1 : 0);
+    assert.is(await countRows(cluster, 300 + index), 1);
     await caller.client.end();
   });
 
-  test(`the caller vanishes when ${step}`, async ({ cluster }) => {
+  test(`no transaction stays open if the caller disconnects when ${step}`, async ({ cluster }) => {
     const { gateway } = await soleOwner(cluster);
     const caller = await connectCaller(cluster, gateway);
     const primary = await cluster.group(GROUP).waitForPrimary();
     const pending = await bringTo(cluster, caller, step, 400 + index);
-    vanish(caller);
+    disconnect(caller);
     await pending.answer;
     await cluster.faults.heal(primary.name);
     await noOpenTransactions(cluster.group(GROUP));
-    assert.is(await rowsOf(cluster, 400 + index), committed ? 1 : 0);
+    assert.is(await countRows(cluster, 400 + index), committed ? 1 : 0);
   });
 }
 
-test('a block whose transaction was lost stays failed until the caller ends it', async ({
+test('a transaction block whose transaction was lost stays failed until the caller ends it', async ({
   cluster,
 }) => {
   const { owner, gateway } = await soleOwner(cluster);
@@ -106,16 +108,18 @@
   assert.is((await failureOf(caller.client.query(insert, ['b'])))?.code, '25P02');
   const commit = await caller.client.query('COMMIT');
   assert.is(commit.command, 'ROLLBACK');
-  assert.is((await rowsOf(cluster, 500)) + (await rowsOf(cluster, 501)), 0);
+  assert.is((await countRows(cluster, 500)) + (await countRows(cluster, 501)), 0);
   await caller.client.end();
 });
 
-test('many transactions of callers that come and go leave nothing open', async ({ cluster }) => {
+test('concurrent callers that commit or disconnect leave no open transaction and exactly the committed rows', async ({
+  cluster,
+}) => {
   const rounds = Array.from({ length: 60 }, async (_, index) => {
     const caller = await connectCaller(cluster, index % 2 === 0 ? 'proxy-1' : 'proxy-2');
     await caller.client.query('BEGIN');
     await caller.client.query('INSERT INTO orders VALUES ($1, $2)', [1000 + index, 'x']);
-    if (index % 3 === 0) vanish(caller);
+    if (index % 3 === 0) disconnect(caller);
     else await caller.client.query('COMMIT');
     if (index % 3 !== 0) await caller.client.end();
   });
--- a/test/integration/cluster/whole-path.test.ts
+++ b/test/integration/cluster/whole-path.test.ts
@@ -1,4 +1,4 @@
-/** The whole path with real processes: caller, two proxies, a database group, the platform. */
+/** The whole request path with real processes: caller, two proxies, a database group, the platform. */
 import type pg from 'pg';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -7,10 +7,10 @@
 
 const test = suite<{ cluster: Cluster }>('whole path');
 const ALREADY_DONE = 'MS-ALREADY-DONE';
-/** The outcome is unknown, or the transaction around the claim was surely rolled back. */
-const MAY_BE_ASKED_AGAIN = ['08007', '08006'];
+/** SQLSTATEs for an unknown outcome, and for a transaction around the claim that was provably rolled back. */
+const RETRYABLE_CODES = ['08007', '08006'];
 
-/** As a caller should: asked again with the same key if it isn't known to be done. */
+/** Retries with the same idempotency key until the statement is known to be done, as a caller should. */
 async function runKeyed(client: pg.Client, statement: string): Promise<void> {
   for (;;) {
     const error = await client.query(statement).then(
@@ -18,7 +18,7 @@
       (cause: { code: string; detail?: string }) => cause,
     );
     if (error === undefined || error.detail?.includes(ALREADY_DONE)) return;
-    assert.ok(MAY_BE_ASKED_AGAIN.includes(error.code), error.code);
+    assert.ok(RETRYABLE_CODES.includes(error.code), error.code);
   }
 }
 
@@ -36,7 +36,7 @@
   await cluster.stop();
 });
 
-test('a session reads its own write through the other proxy, also where staleness is tolerated', async ({
+test('a session reads its own write through the other proxy, even with a kind that allows staleness', async ({
   cluster,
 }) => {
   for (let id = 1; id <= 20; id += 1) {
@@ -52,7 +52,9 @@
   }
 });
 
-test('a session that moves with nothing but its id reads its own write', async ({ cluster }) => {
+test('a session that moves to another proxy with only its id reads its own write', async ({
+  cluster,
+}) => {
   const session = { 'meadowstack.session_id': 'walker-1' };
   const writer = await connectCaller(cluster, 'proxy-1', session);
   await writer.client.query(`INSERT INTO orders VALUES (100, 'by id')`);
@@ -78,7 +80,7 @@
   await Promise.all([first.client.end(), second.client.end()]);
 });
 
-test('a session that is told "done earlier" sees what was done, wherever it moves', async ({
+test('a session that gets MS-ALREADY-DONE reads the earlier write, also through another proxy', async ({
   cluster,
 }) => {
   for (let id = 210; id < 220; id += 1) {
@@ -87,9 +89,9 @@
     await first.client.query(unlock);
     const byId = { 'meadowstack.session_id': `asker-${id}` };
     for (const session of [{}, byId]) {
-      const asker = await connectCaller(cluster, 'proxy-2', session);
-      await runKeyed(asker.client, unlock);
-      const token = asker.sessionToken();
+      const retrying = await connectCaller(cluster, 'proxy-2', session);
+      await runKeyed(retrying.client, unlock);
+      const token = retrying.sessionToken();
       assert.is.not(token, '');
       const moved = session === byId ? byId : { 'meadowstack.session': token };
       const reader = await connectCaller(cluster, 'proxy-1', moved);
@@ -97,7 +99,7 @@
         `SELECT state FROM orders WHERE id = ${id} /*meadowstack_kind='lookup'*/`,
       );
       assert.is(found.rows[0]?.state, 'unlock');
-      await Promise.all([asker.client.end(), reader.client.end()]);
+      await Promise.all([retrying.client.end(), reader.client.end()]);
     }
     await first.client.end();
   }
@@ -116,7 +118,7 @@
   await client.end();
 });
 
-test('large answers and large statements pass', async ({ cluster }) => {
+test('large responses and large statements are passed on completely', async ({ cluster }) => {
   const { client } = await connectCaller(cluster, 'proxy-2');
   const rows = await client.query(`SELECT * FROM generate_series(1, ${MANY_ROWS})`);
   assert.is(rows.rows.length, MANY_ROWS);
@@ -129,7 +131,7 @@
   await client.end();
 });
 
-test('a forged token is refused at log-in and harms nobody else', async ({ cluster }) => {
+test('a forged session token is refused, and other callers are served', async ({ cluster }) => {
   const session = { 'meadowstack.session': 'v1.k1.AAAA.forged' };
   const refused = await connectCaller(cluster, 'proxy-1', session).then(
     (caller) =>
@@ -145,7 +147,7 @@
   await client.end();
 });
 
-test('writes go on after the primary is killed', async ({ cluster }) => {
+test('writes continue after the primary is killed', async ({ cluster }) => {
   const { client } = await connectCaller(cluster, 'proxy-1');
   await client.query(`INSERT INTO orders VALUES (500, 'before')`);
   const group = cluster.group(GROUP);
