--- a/test/integration/bench/deployment-run.test.ts
+++ b/test/integration/bench/deployment-run.test.ts
@@ -1,4 +1,4 @@
-/** Whole runs of the bench, as short as they show what they must. */
+/** Short but complete runs of the bench. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { DEPLOYMENTS, type Deployment } from '../../../bench/deployments.js';
@@ -13,7 +13,7 @@
   groups: DEPLOYMENTS.bureau.groups.slice(0, 1),
 };
 
-/** No test here is about elections: a machine that is busy must not hold one in the middle. */
+/** Long, so that a busy machine causes no election during a test. */
 const ELECTION_TIMEOUT_MS = 60_000;
 
 const OPTIONS: BenchOptions = {
@@ -35,7 +35,7 @@
   return report.violations.sessionReadsOwnWrites;
 }
 
-test('with a planned stop and racing operators no promise is broken, and all are observed', async () => {
+test('with a planned stop and concurrent operators no promise is broken, and planned stops are observed', async () => {
   const run = await runBench({ ...OPTIONS, faults: [PROXY_PLANNED_STOP, OPERATORS_RACING] });
   const { report, history } = run;
   assert.equal(report.firstViolations, []);
@@ -54,7 +54,7 @@
   assert.not.match(page, /<script|https?:\/\/(?!www\.w3\.org)/);
 });
 
-/** From its beginning to the end of the run no replica has what was just written. */
+/** From the start of the fault to the end of the run, no replica has recent writes. */
 const REPLICAS_FAR_BEHIND: Fault = {
   name: 'replicas-far-behind',
   summary: 'all replicas of all groups replay a minute late',
@@ -71,7 +71,7 @@
   },
 };
 
-test('replicas far behind are harmless to us, and break what any-replica would promise', async () => {
+test('with replicas far behind our policy breaks no promise, and any-replica misses own writes', async () => {
   const faults = [REPLICAS_FAR_BEHIND];
   const ours = await runBench({ ...OPTIONS, faults });
   assert.equal(ours.report.firstViolations, []);
@@ -79,7 +79,7 @@
   assert.ok(ownWritesMissed(anyReplica) > 0);
 });
 
-test('primary-only reads from no replica', async () => {
+test('the policy primary-only reads from no replica', async () => {
   const run = await runBench({ ...OPTIONS, durationMs: 1_000, policy: 'primary-only' });
   assert.is(run.report.replicaReadShare, 0);
   assert.ok(run.report.outcomes.done > 0);
--- a/test/integration/bench/dev-cluster.test.ts
+++ b/test/integration/bench/dev-cluster.test.ts
@@ -1,4 +1,4 @@
-/** `npm run dev`: the first line tells where everything is, faults are driven by name, SIGINT ends it. */
+/** `npm run dev`: the first line describes all addresses, faults are started by name, and SIGINT stops the cluster. */
 import pg from 'pg';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -40,7 +40,7 @@
   }
 }
 
-test('callers are served, a fault begins and ends, and SIGINT leaves nothing behind', async () => {
+test('callers are served, a fault begins and ends, and SIGINT stops all processes', async () => {
   const child = await startChild('bench/dev/main.js', [], descriptionSchema);
   const description = child.announcement;
   const exitCode = new Promise<number | null>((resolve) => child.process.once('exit', resolve));
--- a/test/integration/bench/load-generator.test.ts
+++ b/test/integration/bench/load-generator.test.ts
@@ -15,7 +15,7 @@
 
 const SEED = 7;
 const GROUP = 'group';
-/** No test here is about elections: a machine that is busy must not hold one in the middle. */
+/** Long, so that a busy machine causes no election during a test. */
 const ELECTION_TIMEOUT_MS = 60_000;
 const CREDENTIALS = { user: 'app', password: '', database: 'app' };
 
@@ -39,7 +39,7 @@
   );
 }
 
-/** Runs a deployment's load straight against these instances, which take the proxies' place. */
+/** Runs a deployment's load directly against these instances instead of proxies. */
 async function runAgainst(
   instances: readonly DatabaseInstanceHandle[],
   group: DatabaseGroup,
@@ -60,7 +60,7 @@
 }
 
 for (const name of ['bureau', 'trust'] satisfies DeploymentName[]) {
-  test(`the ${name} load runs whole against a primary and its history has no violation`, async () => {
+  test(`the ${name} load completes against a primary, and its history has no violation`, async () => {
     const group = await startDatabaseGroup({
       group: GROUP,
       electionTimeoutMs: ELECTION_TIMEOUT_MS,
@@ -71,7 +71,7 @@
       const { load, history } = await runAgainst([primary], group, deployment);
       const violations = checkHistory(history);
       assert.equal(violations, []);
-      // On a starved machine the generator itself may come too late to send: that is no answer.
+      // On an overloaded machine the generator itself may be too late to send a request; it then has no response.
       const answered = load.requests.filter(({ errorCode }) => errorCode !== 'NOT-SENT');
       const failures = answered.filter(({ outcome }) => outcome !== 'done');
       assert.equal(failures, []);
@@ -92,7 +92,7 @@
       assert.equal(Object.keys(figures.serviceByKind).sort(), kinds);
       const effects = history.requests.filter(({ effectRow }) => effectRow !== undefined);
       assert.ok(effects.length > 10);
-      // The checkers see these writes: without the log each of them counts as lost.
+      // Proves that the checkers examine these writes: without the commit log each counts as lost.
       const withoutLog = checkHistory({ ...history, commits: [] });
       const lost = withoutLog.filter(({ reason }) => reason === 'acknowledged-write-lost');
       assert.is(lost.length, effects.length);
@@ -102,7 +102,7 @@
   });
 }
 
-test('sessions that move to a lagging replica are found to miss their writes', async () => {
+test('the checkers find that sessions which move to a lagging replica miss their own writes', async () => {
   const group = await startDatabaseGroup({ group: GROUP, electionTimeoutMs: ELECTION_TIMEOUT_MS });
   const deployment: Deployment = { ...DEPLOYMENTS.trust, groups: [GROUP] };
   try {
--- a/test/integration/bench/pass-through.test.ts
+++ b/test/integration/bench/pass-through.test.ts
@@ -5,7 +5,7 @@
 import { OverheadArgumentError, parseAddress } from '../../../bench/overhead/address.js';
 import { startPassThrough } from '../../../bench/overhead/pass-through.js';
 
-test('bytes pass both ways, and the end of one side ends the other', async () => {
+test('bytes are forwarded in both directions, and the end of one side ends the other', async () => {
   const echo = createServer((socket) => socket.pipe(socket));
   echo.listen(0, '127.0.0.1');
   await once(echo, 'listening');
@@ -21,7 +21,7 @@
   echo.close();
 });
 
-test('load goes to loopback only', () => {
+test('load is sent to loopback addresses only', () => {
   assert.equal(parseAddress('127.0.0.2:5432'), { host: '127.0.0.2', port: 5432 });
   for (const text of ['10.0.0.1:5432', '127.0.0.1', 'localhost:1', '']) {
     assert.throws(
--- a/test/integration/cluster/shared-connections.test.ts
+++ b/test/integration/cluster/shared-connections.test.ts
@@ -135,8 +135,8 @@
       if (error !== undefined) {
         cancelled += 1;
         // Cancelled while it ran, while it was queued, or while it waited for a retry.
-        const told = error.code === CANCELLED ? '' : error.detail;
-        assert.match(told ?? '', /^$|^MS-NOT-RUN-CALLER-GONE:|^MS-READ-CONNECTION-LOST:/);
+        const detail = error.code === CANCELLED ? '' : error.detail;
+        assert.match(detail ?? '', /^$|^MS-NOT-RUN-CALLER-GONE:|^MS-READ-CONNECTION-LOST:/);
       }
     }
     await caller.client.end();
--- a/test/integration/commands.test.ts
+++ b/test/integration/commands.test.ts
@@ -36,11 +36,11 @@
 }
 
 /** Runs a command against the test's store. */
-function ask(...args: string[]): Promise<CommandResult> {
+function runOnStore(...args: string[]): Promise<CommandResult> {
   return runCommand([...args, '--store', `http://${store.host}:${store.port}`]);
 }
 
-function reportOf(result: CommandResult): z.output<typeof publishReport> {
+function parseReport(result: CommandResult): z.output<typeof publishReport> {
   assert.is(result.exitCode, 0, `${result.stderr}${result.stdout}`);
   return publishReport.parse(result.json);
 }
@@ -48,29 +48,31 @@
 test('publishes several files at once, shows, lists, rolls back and keeps a history', async () => {
   const template = file('template.yaml', TEMPLATE_YAML);
   const tenants = file('tenants.yaml', `${tenantYaml('a', 10)}---\n${tenantYaml('b', 10)}`);
-  const dry = await ask('tenant', 'publish', template, tenants, '--dry-run');
+  const dry = await runOnStore('tenant', 'publish', template, tenants, '--dry-run');
   assert.match(dry.stdout, /put tenant\/a version 1\n.*nothing was published/s);
-  assert.match((await ask('tenant', 'list')).stdout, /^NAME +VERSION +REVISION[^\n]*\n$/);
+  assert.match((await runOnStore('tenant', 'list')).stdout, /^NAME +VERSION +REVISION[^\n]*\n$/);
 
-  const first = reportOf(await ask('tenant', 'publish', template, tenants, '--json'));
+  const first = parseReport(await runOnStore('tenant', 'publish', template, tenants, '--json'));
   assert.is(first.changed, true);
-  const again = reportOf(await ask('tenant', 'publish', template, tenants, '--json'));
+  const again = parseReport(await runOnStore('tenant', 'publish', template, tenants, '--json'));
   assert.is(again.changed, false);
-  assert.match((await ask('tenant', 'list')).stdout, /^b +1 +\d+ +standard +b +true$/m);
-  assert.match((await ask('template', 'show', 'standard')).stdout, /maximum: 5000/);
+  assert.match((await runOnStore('tenant', 'list')).stdout, /^b +1 +\d+ +standard +b +true$/m);
+  assert.match((await runOnStore('template', 'show', 'standard')).stdout, /maximum: 5000/);
 
   const changed = file('a.yaml', tenantYaml('a', 20));
-  const second = reportOf(await ask('tenant', 'publish', changed, '--json', '-m', 'more'));
+  const second = parseReport(
+    await runOnStore('tenant', 'publish', changed, '--json', '-m', 'more'),
+  );
   assert.ok(second.revision > first.revision);
-  const rollback = await ask('config', 'rollback', 'tenant/a', '--to', '1', '--json');
-  assert.ok(reportOf(rollback).revision > second.revision);
-  assert.match((await ask('tenant', 'show', 'a')).stdout, /version 3.*connections: 10/s);
-  const history = await ask('config', 'history', 'tenant/a');
+  const rollback = await runOnStore('config', 'rollback', 'tenant/a', '--to', '1', '--json');
+  assert.ok(parseReport(rollback).revision > second.revision);
+  assert.match((await runOnStore('tenant', 'show', 'a')).stdout, /version 3.*connections: 10/s);
+  const history = await runOnStore('config', 'history', 'tenant/a');
   assert.is(history.stdout.trim().split('\n').length, 4);
-  assert.match((await ask('config', 'history')).stdout, /more\n.*rollback to version 1/s);
+  assert.match((await runOnStore('config', 'history')).stdout, /more\n.*rollback to version 1/s);
 });
 
-test('a verifier is computed from the password and never shown unasked', async () => {
+test('a verifier is computed from the password, and is shown only on request', async () => {
   const text = tenantYaml('sealed').replace(/scramVerifier.*\n/, '');
   const path = file('sealed.yaml', text);
   const env = { SEALED_PASSWORD: 'pencil' };
@@ -78,41 +80,50 @@
   const publish = ['tenant', 'publish', path, '--store', url, '--json'];
   assert.is((await runCommand(publish)).exitCode, 4);
   const withPassword = [...publish, '--password-env', 'SEALED_PASSWORD'];
-  assert.is(reportOf(await runCommand(withPassword, env)).changed, true);
-  assert.is(reportOf(await runCommand(withPassword, env)).changed, false, 'the verifier is kept');
+  assert.is(parseReport(await runCommand(withPassword, env)).changed, true);
+  assert.is(
+    parseReport(await runCommand(withPassword, env)).changed,
+    false,
+    'the verifier is kept',
+  );
   assert.is((await runCommand(withPassword)).exitCode, 2);
-  assert.not.match((await ask('tenant', 'show', 'sealed')).stdout, /4096:[A-Za-z0-9+/]/);
-  const shown = await ask('tenant', 'show', 'sealed', '--show-verifier');
+  assert.not.match((await runOnStore('tenant', 'show', 'sealed')).stdout, /4096:[A-Za-z0-9+/]/);
+  const shown = await runOnStore('tenant', 'show', 'sealed', '--show-verifier');
   assert.match(shown.stdout, /SCRAM-SHA-256\$4096:[A-Za-z0-9+/]/);
 });
 
-test('exit codes tell usage, conflict, invalid declaration and store apart', async () => {
+test('usage, conflict, invalid declaration and unavailable store have different exit codes', async () => {
   const path = file('conflict.yaml', tenantYaml('a', 33));
-  const conflict = await ask('tenant', 'publish', path, '--expect', 'tenant/a=1', '--json');
+  const conflict = await runOnStore('tenant', 'publish', path, '--expect', 'tenant/a=1', '--json');
   assert.is(conflict.exitCode, 3);
   assert.match(conflict.stdout, /"MS-PUBLISH-CONFLICT".*"current".*"proposed"/s);
-  const invalid = await ask('tenant', 'publish', file('bad.yaml', tenantYaml('a', 101)));
+  const invalid = await runOnStore('tenant', 'publish', file('bad.yaml', tenantYaml('a', 101)));
   assert.is(invalid.exitCode, 4);
   assert.match(invalid.stderr, /bad.yaml:8:3: parameters.connections: expected number to be <=100/);
-  assert.is((await ask('tenant', 'publish', join(directory, 'none.yaml'))).exitCode, 2);
-  assert.is((await ask('tenant', 'publish')).exitCode, 2);
-  assert.is((await ask('tenant', 'show', 'nobody')).exitCode, 2);
-  assert.is((await ask('template', 'remove', 'standard')).exitCode, 4);
+  assert.is((await runOnStore('tenant', 'publish', join(directory, 'none.yaml'))).exitCode, 2);
+  assert.is((await runOnStore('tenant', 'publish')).exitCode, 2);
+  assert.is((await runOnStore('tenant', 'show', 'nobody')).exitCode, 2);
+  assert.is((await runOnStore('template', 'remove', 'standard')).exitCode, 4);
   const nowhere = ['tenant', 'list', '--store', 'http://127.0.0.1:1'];
   assert.is((await runCommand(nowhere)).exitCode, 5);
 });
 
-test('a publish whose answer is lost is applied once and reported with its revision', async () => {
+test('a publish whose response is lost is applied once and reported with its revision', async () => {
   const path = file('lost.yaml', tenantYaml('lost', 5));
   await store.setFaults({ loseNextAnswers: 1 });
-  const report = reportOf(await ask('tenant', 'publish', path, '--json', '--publish-id', 'lost-1'));
+  const report = parseReport(
+    await runOnStore('tenant', 'publish', path, '--json', '--publish-id', 'lost-1'),
+  );
   assert.is(report.alreadyApplied, true);
-  const repeated = await ask('tenant', 'publish', path, '--json', '--publish-id', 'lost-1');
-  assert.is(reportOf(repeated).revision, report.revision);
-  assert.is((await ask('config', 'history', 'tenant/lost')).stdout.trim().split('\n').length, 2);
+  const repeated = await runOnStore('tenant', 'publish', path, '--json', '--publish-id', 'lost-1');
+  assert.is(parseReport(repeated).revision, report.revision);
+  assert.is(
+    (await runOnStore('config', 'history', 'tenant/lost')).stdout.trim().split('\n').length,
+    2,
+  );
 });
 
-test('validates without a store', async () => {
+test('config validate works without a store', async () => {
   const template = file('template.yaml', TEMPLATE_YAML);
   const good = await runCommand(['config', 'validate', template, file('t.yaml', tenantYaml('t'))]);
   assert.is(good.exitCode, 0);
@@ -140,7 +151,7 @@
   return { server, address: `127.0.0.1:${port}`, asked };
 }
 
-test('status and drain ask admin ports', async () => {
+test('status and drain send requests to admin ports', async () => {
   const { server, address, asked } = await startAdmin();
   const status = await runCommand(['status', '--admin', address]);
   assert.is(status.exitCode, 0, status.stderr);
--- a/test/integration/configuration-service.test.ts
+++ b/test/integration/configuration-service.test.ts
@@ -90,13 +90,13 @@
   return outcome._unsafeUnwrap().revision;
 }
 
-function inForce(context: Context, revision: number): Promise<void> {
+function awaitInForce(context: Context, revision: number): Promise<void> {
   return until('all nodes to follow', () =>
     context.nodes.every((node) => node.service.status().revision === revision),
   );
 }
 
-test('relays watch, the rest is pushed to, and a change is in force on all', async (context) => {
+test('relays watch the store, the other nodes get pushes, and a change is in force on all nodes', async (context) => {
   await publish(context, 'first', TEMPLATE_YAML, tenantYaml('a', 10));
   for (const [index, zone] of ['x', 'y', 'x', 'y', 'x', 'y'].entries()) {
     await startNode(context, `n${index}`, zone);
@@ -107,7 +107,7 @@
     () => context.nodes.filter(({ service }) => service.status().watching).length === 4,
   );
   const revision = await publish(context, 'second', tenantYaml('a', 30));
-  await inForce(context, revision);
+  await awaitInForce(context, revision);
   for (const { service, revisions } of context.nodes) {
     assert.is(service.snapshot().tenantsByUser.get('a')?.maxConnections, 30);
     assert.equal(
@@ -118,7 +118,7 @@
   }
 });
 
-test('two candidates that claim at the same moment take both slots', async (context) => {
+test('two candidates that claim at the same time get one relay slot each', async (context) => {
   const sessions = ['n0', 'n1'].map((nodeId) => new StoreSession(context.operator, nodeId, 'x'));
   const leases = await Promise.all(sessions.map((session) => session.claimRelay(() => true)));
   const slots = leases.map((lease) => lease._unsafeUnwrap()?.slot);
@@ -127,7 +127,7 @@
   assert.is(third._unsafeUnwrap(), undefined);
 });
 
-test('the slot of a holder that is not live is taken over, once', async (context) => {
+test('the relay slot of a node that is not live is taken over by one candidate only', async (context) => {
   const sessionOf = (nodeId: string) => new StoreSession(context.operator, nodeId, 'y');
   const first = (await sessionOf('n0').claimRelay(() => true))._unsafeUnwrap();
   assert.ok(first);
@@ -141,10 +141,10 @@
   );
   await sessionOf('n0').releaseRelay(first);
   const late = await sessionOf('n4').claimRelay(() => true);
-  assert.is(late._unsafeUnwrap(), undefined, 'the former holder gives nothing back');
+  assert.is(late._unsafeUnwrap(), undefined, 'the previous holder releases no slot');
 });
 
-test('a compacted or broken watch is begun again without going back', async (context) => {
+test('a broken or compacted watch is restarted without reverting to an older revision', async (context) => {
   const first = await publish(context, 'first', TEMPLATE_YAML, tenantYaml('a', 10));
   const node = await startNode(context, 'n0', 'x');
   await until('all nodes to follow', () => node.service.status().watching);
@@ -154,15 +154,15 @@
   await context.store.heal();
   const second = await publish(context, 'second', tenantYaml('a', 30));
   await context.store.compact();
-  await inForce(context, second);
+  await awaitInForce(context, second);
   assert.equal(node.revisions, [first, second]);
 });
 
-test('a node that starts with the store down takes the configuration of its peers', async (context) => {
+test('a node that starts while the store is down gets the configuration from its peers', async (context) => {
   const revision = await publish(context, 'first', TEMPLATE_YAML, tenantYaml('a', 10));
   await startNode(context, 'n0', 'x');
   await startNode(context, 'n1', 'y');
-  await inForce(context, revision);
+  await awaitInForce(context, revision);
   await context.store.setFaults({ outage: 'reset' });
   const late = await startNode(context, 'n2', 'x');
   await late.service.ready;
--- a/test/integration/database-replication.test.ts
+++ b/test/integration/database-replication.test.ts
@@ -41,24 +41,24 @@
   return rows.map((row) => row.id);
 }
 
-/** Resolves when an instance has replayed everything that `of` has committed. */
-async function caughtUp(name: string, of: string): Promise<void> {
+/** Waits until an instance has replayed everything that instance `of` has committed. */
+async function awaitCaughtUp(name: string, of: string): Promise<void> {
   const { lsn, timeline } = await group.state(of);
   await group.waitForState(name, (state) => state.replayed === lsn && state.timeline === timeline);
 }
 
-async function electedAfter(timeline: number, old: string): Promise<DatabaseInstanceHandle> {
+async function awaitElection(timeline: number, old: string): Promise<DatabaseInstanceHandle> {
   for (;;) {
     const primary = await group.waitForPrimary(timeline);
     if (primary.name !== old) return primary;
   }
 }
 
-test('replicas catch up and show their position', async () => {
+test('replicas catch up and report their position', async () => {
   const client = await open('group-a');
   await client.query("INSERT INTO item VALUES (1, 'a'), (2, 'b')");
   const primary = await client.query('SELECT pg_current_wal_lsn() AS lsn');
-  await caughtUp('group-b', 'group-a');
+  await awaitCaughtUp('group-b', 'group-a');
   const replica = await open('group-b');
   const position = await replica.query(`SELECT pg_is_in_recovery() AS recovery,
     (SELECT timeline_id FROM pg_control_checkpoint()) AS timeline,
@@ -70,10 +70,10 @@
   assert.equal(await ids('group-b'), [1, 2]);
 });
 
-test('replay lag and a receive stall hold a replica back until they end', async () => {
+test('replay lag and a receive stall delay a replica until they end', async () => {
   const client = await open('group-a');
-  await caughtUp('group-b', 'group-a');
-  await caughtUp('group-c', 'group-a');
+  await awaitCaughtUp('group-b', 'group-a');
+  await awaitCaughtUp('group-c', 'group-a');
   await group.setFaults('group-b', { replayLagMs: 600_000 });
   await group.setFaults('group-c', { receiveStall: true });
   await client.query("INSERT INTO item VALUES (1, 'a')");
@@ -83,33 +83,33 @@
   assert.is.not((await group.state('group-c')).received, lsn);
   assert.equal(await ids('group-b'), []);
   await group.setFaults('group-c', { receiveStall: false });
-  await caughtUp('group-c', 'group-a');
+  await awaitCaughtUp('group-c', 'group-a');
   assert.equal(await ids('group-c'), [1]);
 });
 
-test('the death of the primary elects a replica that has all it received', async () => {
+test('after the primary is killed, the replica that received its whole log is elected', async () => {
   const client = await open('group-a');
-  await caughtUp('group-b', 'group-a');
+  await awaitCaughtUp('group-b', 'group-a');
   await group.setFaults('group-b', { receiveStall: true });
   await client.query("INSERT INTO item VALUES (1, 'a')");
-  await caughtUp('group-c', 'group-a');
+  await awaitCaughtUp('group-c', 'group-a');
   await group.kill('group-a');
-  const primary = await electedAfter(2, 'group-a');
+  const primary = await awaitElection(2, 'group-a');
   assert.is(primary.name, 'group-c');
   await group.setFaults('group-b', { receiveStall: false });
   const successor = await open('group-c');
   await successor.query("INSERT INTO item VALUES (2, 'b')");
-  await caughtUp('group-b', 'group-c');
+  await awaitCaughtUp('group-b', 'group-c');
   assert.equal(await ids('group-b'), [1, 2]);
 });
 
-test('a cut-off primary accepts writes, then rewinds and closes its connections', async () => {
+test('a primary that is cut off accepts writes, and after rejoining discards them and closes its connections', async () => {
   const client = await open('group-a');
   await client.query("INSERT INTO item VALUES (1, 'a')");
-  await caughtUp('group-b', 'group-a');
-  await caughtUp('group-c', 'group-a');
+  await awaitCaughtUp('group-b', 'group-a');
+  await awaitCaughtUp('group-c', 'group-a');
   await group.isolate('group-a', true);
-  const primary = await electedAfter(2, 'group-a');
+  const primary = await awaitElection(2, 'group-a');
   await client.query("INSERT INTO item VALUES (2, 'lost')");
   assert.is((await group.state('group-a')).role, 'primary');
   const successor = await open(primary.name);
@@ -119,7 +119,7 @@
   });
   await group.isolate('group-a', false);
   assert.is(await ended, '57P01');
-  await caughtUp('group-a', primary.name);
+  await awaitCaughtUp('group-a', primary.name);
   assert.equal(await ids('group-a'), [1, 3]);
   const { entries, discarded } = await group.commitLog('group-a');
   assert.equal(
@@ -129,9 +129,9 @@
   assert.equal(entries, (await group.commitLog(primary.name)).entries);
 });
 
-test('a paused primary loses its role and follows when it runs again', async () => {
-  await caughtUp('group-b', 'group-a');
-  await caughtUp('group-c', 'group-a');
+test('a paused primary is replaced, and becomes a replica when it resumes', async () => {
+  await awaitCaughtUp('group-b', 'group-a');
+  await awaitCaughtUp('group-c', 'group-a');
   group.pause('group-a');
   const names = ['group-b', 'group-c'];
   const states = names.map((name) => group.waitForState(name, ({ timeline }) => timeline >= 2));
@@ -141,35 +141,35 @@
   assert.ok(old.history.some(({ event }) => event === 'demoted'));
 });
 
-test('one replica cut off from the primary does not disturb the group', async () => {
-  await caughtUp('group-b', 'group-a');
-  await caughtUp('group-c', 'group-a');
+test('a replica cut off from the primary causes no election, and catches up later', async () => {
+  await awaitCaughtUp('group-b', 'group-a');
+  await awaitCaughtUp('group-c', 'group-a');
   await group.setFaults('group-b', { cutPeers: ['group-a'] });
   const client = await open('group-a');
   for (let id = 0; id < 200; id += 1) {
     await client.query('INSERT INTO item VALUES ($1, $2)', [id, 'x']);
     await group.state('group-b');
   }
-  await caughtUp('group-c', 'group-a');
+  await awaitCaughtUp('group-c', 'group-a');
   assert.is((await group.state('group-a')).role, 'primary');
   assert.is((await group.state('group-a')).timeline, 1);
   await group.setFaults('group-b', { cutPeers: [] });
-  await caughtUp('group-b', 'group-a');
+  await awaitCaughtUp('group-b', 'group-a');
 });
 
-test('a killed instance that starts again gets a snapshot and follows', async () => {
+test('a killed instance that is restarted gets a snapshot and catches up', async () => {
   const client = await open('group-a');
   await client.query("INSERT INTO item VALUES (1, 'a')");
   await group.kill('group-c');
   await client.query("INSERT INTO item VALUES (2, 'b')");
   await group.restart('group-c');
-  await caughtUp('group-c', 'group-a');
+  await awaitCaughtUp('group-c', 'group-a');
   assert.equal(await ids('group-c'), [1, 2]);
   const { entries } = await group.commitLog('group-c');
   assert.equal(entries, (await group.commitLog('group-a')).entries);
 });
 
-test('no instance outlives its harness, not even a paused one', async () => {
+test('all instances exit when their harness is killed, even a paused one', async () => {
   const harness = new URL('../../bench/harness/database-group.js', import.meta.url);
   const script = `import { startDatabaseGroup } from ${JSON.stringify(harness.href)};
     const group = await startDatabaseGroup({ group: 'orphan' });
@@ -184,7 +184,7 @@
   await Promise.all(instances.map(({ host, pgPort }) => untilRefused(host, pgPort)));
 });
 
-/** Resolves when nothing listens on a port any more. */
+/** Waits until nothing listens on a port any more. */
 async function untilRefused(host: string, port: number): Promise<void> {
   for (;;) {
     const listening = await new Promise<boolean>((resolve) => {
@@ -196,10 +196,10 @@
   }
 }
 
-test('promotion by the control port moves the role', async () => {
-  await caughtUp('group-b', 'group-a');
+test('promotion by the control port makes a replica the primary and the primary a replica', async () => {
+  await awaitCaughtUp('group-b', 'group-a');
   await group.promote('group-b');
-  const primary = await electedAfter(2, 'group-a');
+  const primary = await awaitElection(2, 'group-a');
   assert.is(primary.name, 'group-b');
   await group.waitForState('group-a', (state) => state.role === 'replica');
 });
--- a/test/integration/database-sessions.test.ts
+++ b/test/integration/database-sessions.test.ts
@@ -67,7 +67,7 @@
   assert.is(await codeOf(open({ user: 'eve' })), '28P01');
 });
 
-test('prepared statements, parameters and types', async () => {
+test('prepared statements return rows with parameters and types', async () => {
   const client = await open();
   const text =
     'SELECT $1::int + 1 AS n, $2::bool AS b, $3::text AS t, $4::bigint AS big, $5::jsonb AS j';
@@ -80,7 +80,7 @@
   assert.equal(wide.rows, [{ n: 5_000_000, v: 'ééé' }]);
 });
 
-test('errors leave the session usable and a failed block waits for its end', async () => {
+test('a session stays usable after an error, and a failed block until its end', async () => {
   const client = await open();
   await client.query("INSERT INTO item VALUES (1, 'a')");
   assert.is(await codeOf(client.query('INSERT INTO item VALUES ($1, $2)', [1, 'b'])), '23505');
@@ -94,14 +94,14 @@
   await client.query('ROLLBACK');
 });
 
-test('several statements of one simple query are one transaction', async () => {
+test('several statements in one simple query run as one transaction', async () => {
   const client = await open();
   const text = "INSERT INTO item VALUES (50, 'x'); INSERT INTO item VALUES (50, 'y')";
   assert.is(await codeOf(client.query(text)), '23505');
   assert.equal((await client.query('SELECT * FROM item WHERE id = 50')).rows, []);
 });
 
-test('a lost client is rolled back and its locks end', async () => {
+test('the transaction of a lost client is rolled back and its locks are released', async () => {
   const lost = await open();
   const other = await open();
   await other.query("INSERT INTO item VALUES (60, 'old')");
@@ -113,7 +113,7 @@
   assert.equal((await waiting).rows, [{ name: 'old+' }]);
 });
 
-test('cancel requests end the running statement only', async () => {
+test('a cancel request cancels the running statement only', async () => {
   const client = await open();
   const sleeping = codeOf(client.query('SELECT pg_sleep(600)'));
   await group.waitForState(NAME, (state) => state.runningStatements === 1);
@@ -158,7 +158,7 @@
   assert.equal([empty.slotsInUse, empty.queuedStatements], [0, 0]);
 });
 
-test('a reader that stops holds back the answer, not the memory', async () => {
+test('a stopped reader blocks the response, with bounded memory', async () => {
   const socket = new Socket();
   const client = await open({ stream: () => socket });
   const rows = 100_000;
@@ -188,7 +188,7 @@
   assert.is(await answer, '12DDsDDDCZ');
 });
 
-/** Types of the messages that arrive until so many ReadyForQuery did. */
+/** Types of the messages received up to the ReadyForQuery number `batches`. */
 function collectTypes(stream: Socket, batches: number): Promise<string> {
   return new Promise((resolve) => {
     stream.removeAllListeners('data');
@@ -217,7 +217,7 @@
   return types;
 }
 
-test('pipelined batches are answered in order; an error skips to its Sync only', async () => {
+test('pipelined batches are answered in order, and an error skips messages up to its own Sync only', async () => {
   const client = await open();
   const batch = (text: string): Buffer =>
     Buffer.concat([
@@ -257,7 +257,7 @@
   }
 });
 
-test('a crash after the commit keeps it, a crash before does not', async () => {
+test('a transaction is kept by a crash after its commit and lost by a crash before', async () => {
   await group.setFaults(NAME, { crashAfterCommit: 1 });
   const kept = await open();
   assert.ok(await codeOf(kept.query("INSERT INTO item VALUES (70, 'kept')")));
@@ -271,7 +271,7 @@
   assert.equal(entries.at(-1)?.keys, ['item/70 put']);
 });
 
-test('an instance can refuse connections and take them again', async () => {
+test('an instance can refuse connections and accept them again', async () => {
   await group.setFaults(NAME, { refuseConnections: true });
   assert.is(await codeOf(open()), 'ECONNREFUSED');
   await group.setFaults(NAME, { refuseConnections: false });
--- a/test/integration/fault-proxy.test.ts
+++ b/test/integration/fault-proxy.test.ts
@@ -9,7 +9,7 @@
 const SEED = 20261202;
 const ROUTE = 'route';
 
-/** One end of a connection, with all that it has received. */
+/** One end of a connection, with all data that it has received. */
 class End {
   #chunks: Buffer[] = [];
   bytes = 0;
@@ -65,7 +65,7 @@
   await context.proxy.stop();
 });
 
-/** A client whose connection to the proxy is made; the target may not have heard of it yet. */
+/** Connects a client to the proxy; the target may not have accepted the connection yet. */
 async function connectClient(context: Context): Promise<End> {
   const socket = connectSocket({ port: context.port, host: '127.0.0.1', allowHalfOpen: true });
   const end = new End(socket);
@@ -74,17 +74,17 @@
   return end;
 }
 
-/** A client and the target's end of the same connection. */
+/** Connects a client; returns it and the target's end of the same connection. */
 async function connectPair(context: Context): Promise<{ client: End; target: End }> {
   const known = context.targetEnds.length;
   const client = await connectClient(context);
-  await until('the target has it', () => context.targetEnds.length > known);
+  await until('the target accepts the connection', () => context.targetEnds.length > known);
   const target = context.targetEnds.at(-1);
   assert.ok(target);
   return { client, target: target as End };
 }
 
-/** An odd length, so that a piece that is lost or swapped shows wherever it lies. */
+/** Not a multiple of usual chunk sizes, so that lost or reordered chunks are found at any position. */
 const NOISE_BLOCK_BYTES = 65_537;
 const noiseBlock = Buffer.alloc(NOISE_BLOCK_BYTES);
 const noiseGenerator = xoroshiro128plus(SEED);
@@ -92,25 +92,25 @@
   noiseBlock[index] = uniformInt(noiseGenerator, 0, 255);
 }
 
-/** So many bytes of a seeded generator, repeated. */
+/** Returns `length` bytes: a block from a seeded generator, repeated. */
 function noise(length: number): Buffer {
   return Buffer.alloc(length, noiseBlock);
 }
 
-async function isCarried(client: End, target: End, bytes: Buffer): Promise<void> {
+async function assertForwarded(client: End, target: End, bytes: Buffer): Promise<void> {
   const before = target.bytes;
   client.socket.write(bytes);
   await until('all bytes', () => target.bytes >= before + bytes.length);
   assert.ok(target.received.subarray(before).equals(bytes));
 }
 
-test('without faults bytes, ends and counters are carried both ways', async (context) => {
+test('without faults, bytes and ends are forwarded and counted in both directions', async (context) => {
   const { client, target } = await connectPair(context);
-  await isCarried(client, target, noise(3_000_000));
-  await isCarried(target, client, noise(2_000_000));
+  await assertForwarded(client, target, noise(3_000_000));
+  await assertForwarded(target, client, noise(2_000_000));
   client.socket.end();
   await until('the end', () => target.ended);
-  await isCarried(target, client, noise(1000));
+  await assertForwarded(target, client, noise(1000));
   target.socket.end();
   await until('both closed', () => client.closed && target.closed);
   await until('none open', async () => {
@@ -127,14 +127,14 @@
 });
 
 for (const direction of ['up', 'down'] as const) {
-  test(`a cut one way (${direction}) holds that way only; healed, all flows on`, async (context) => {
+  test(`a one-way cut (${direction}) holds back that direction only, and delivers all bytes after it is healed`, async (context) => {
     const { client, target } = await connectPair(context);
     const [source, sink] = direction === 'up' ? [client, target] : [target, client];
-    await isCarried(source, sink, noise(1000));
+    await assertForwarded(source, sink, noise(1000));
     await context.proxy.setFaults(ROUTE, { [direction]: { cut: true } });
     const held = noise(5_000_000);
     source.socket.write(held);
-    await isCarried(sink, source, noise(2000));
+    await assertForwarded(sink, source, noise(2000));
     assert.is(sink.bytes, 1000);
     source.socket.end();
     await context.proxy.heal(ROUTE);
@@ -143,7 +143,7 @@
   });
 }
 
-test('a cut both ways holds resets back and new connections up', async (context) => {
+test('a two-way cut holds back resets and new connections until it is healed', async (context) => {
   const { client, target } = await connectPair(context);
   await context.proxy.cut(ROUTE);
   client.socket.resetAndDestroy();
@@ -162,32 +162,32 @@
 });
 
 for (const closedSide of ['client', 'target'] as const) {
-  test(`half-open: the ${closedSide} is closed, the other told only when healed`, async (context) => {
+  test(`half-open: the ${closedSide} is closed, and the other side is reset only when healed`, async (context) => {
     const { client, target } = await connectPair(context);
-    const [closed, untold] = closedSide === 'client' ? [client, target] : [target, client];
+    const [closed, unnotified] = closedSide === 'client' ? [client, target] : [target, client];
     assert.is(await context.proxy.halfOpen(ROUTE, closedSide), 1);
-    await until('one side is told', () => closed.ended);
-    untold.socket.write(noise(1000));
+    await until('one side has got the end', () => closed.ended);
+    unnotified.socket.write(noise(1000));
     closed.socket.end();
-    await until('one side is gone', () => closed.closed);
+    await until('one side is closed', () => closed.closed);
     const other = await connectPair(context);
-    await isCarried(other.client, other.target, noise(10));
-    assert.equal([untold.ended, untold.closed, closed.bytes], [false, false, 0]);
+    await assertForwarded(other.client, other.target, noise(10));
+    assert.equal([unnotified.ended, unnotified.closed, closed.bytes], [false, false, 0]);
     await context.proxy.heal(ROUTE);
-    await until('the other is told', () => untold.closed);
-    assert.is(untold.errorCode, 'ECONNRESET');
-    await isCarried(other.client, other.target, noise(11));
+    await until('the other side is closed', () => unnotified.closed);
+    assert.is(unnotified.errorCode, 'ECONNRESET');
+    await assertForwarded(other.client, other.target, noise(11));
   });
 }
 
-test('refused connections fail, those that are open go on', async (context) => {
+test('new connections are refused, and open connections keep working', async (context) => {
   const { client, target } = await connectPair(context);
   await context.proxy.setFaults(ROUTE, { refuse: true });
   assert.is((await connectClient(context)).errorCode, 'ECONNREFUSED');
-  await isCarried(client, target, noise(1000));
+  await assertForwarded(client, target, noise(1000));
   await context.proxy.heal(ROUTE);
   const again = await connectPair(context);
-  await isCarried(again.client, again.target, noise(1000));
+  await assertForwarded(again.client, again.target, noise(1000));
 });
 
 test('a reset reaches both sides', async (context) => {
@@ -197,39 +197,39 @@
   assert.equal([client.errorCode, target.errorCode], ['ECONNRESET', 'ECONNRESET']);
 });
 
-test('a target that refuses is a reset to the client', async (context) => {
+test('if the target refuses the connection, the client is reset', async (context) => {
   context.target.close();
   const client = await connectClient(context);
   await until('the reset', () => client.closed);
   assert.is((await context.proxy.route(ROUTE)).counters.dialsFailed, 1);
 });
 
-test('a throttle lets through no more than its rate, and all of it', async (context) => {
+test('a throttle forwards all bytes at no more than its rate', async (context) => {
   const { client, target } = await connectPair(context);
   const bytesPerSecond = 200_000;
   await context.proxy.setFaults(ROUTE, { up: { bytesPerSecond } });
   const bytes = noise(60_000);
   const startedAt = performance.now();
-  await isCarried(client, target, bytes);
+  await assertForwarded(client, target, bytes);
   const tookMs = performance.now() - startedAt;
-  // A lower bound only: the last piece of the throttle is sent without waiting after it.
+  // A lower bound only, since the throttle does not wait after its last chunk.
   assert.ok(tookMs >= (bytes.length / bytesPerSecond) * 1000 * 0.9, `took ${tookMs} ms`);
 });
 
-test('latency delays each way by at least that long', async (context) => {
+test('latency delays each direction by at least its value', async (context) => {
   const { client, target } = await connectPair(context);
   await context.proxy.setFaults(ROUTE, { up: { latencyMs: 60 }, down: { latencyMs: 40 } });
   const startedAt = performance.now();
-  await isCarried(client, target, noise(100));
-  await isCarried(target, client, noise(100));
+  await assertForwarded(client, target, noise(100));
+  await assertForwarded(target, client, noise(100));
   assert.ok(performance.now() - startedAt >= 98);
 });
 
-test('bytes sent after a latency is lifted do not overtake those before', async (context) => {
+test('bytes sent after a latency is removed do not overtake earlier bytes', async (context) => {
   const { client, target } = await connectPair(context);
   await context.proxy.setFaults(ROUTE, { up: { latencyMs: 400 } });
   client.socket.write('first');
-  await until('the proxy has it', async () => {
+  await until('the proxy has received the bytes', async () => {
     return (await context.proxy.route(ROUTE)).counters.bytesUp === 5;
   });
   await context.proxy.setFaults(ROUTE, { up: { latencyMs: 0 } });
@@ -238,7 +238,7 @@
   assert.is(target.received.toString(), 'firstsecond');
 });
 
-test('a reader that stops is felt by the writer, whatever the faults', async (context) => {
+test('a stopped reader blocks the writer under each fault', async (context) => {
   for (const latencyMs of [0, 5]) {
     const { client, target } = await connectPair(context);
     await context.proxy.setFaults(ROUTE, { up: { latencyMs } });
@@ -262,7 +262,7 @@
   }
 });
 
-test('faults that change under load lose and reorder nothing', async (context) => {
+test('faults that change under load lose and reorder no bytes', async (context) => {
   const { client, target } = await connectPair(context);
   const generator = xoroshiro128plus(SEED);
   const up = noise(4_000_000);
@@ -284,7 +284,7 @@
   assert.ok(client.received.equals(down));
 });
 
-test('routes are named once, listed and removed', async ({ proxy, target }) => {
+test('route names are unique, and routes are listed and removed', async ({ proxy, target }) => {
   const address = target.address();
   const targetPort = typeof address === 'object' && address !== null ? address.port : 0;
   const again = await proxy.addRoute({ name: ROUTE, targetHost: '127.0.0.1', targetPort }).then(
--- a/test/integration/machine-list-client.test.ts
+++ b/test/integration/machine-list-client.test.ts
@@ -56,7 +56,7 @@
   await until(expected.join(), () => names(client).join() === expected.join());
 }
 
-test('machines come, leave and go', async ({ machines, client }) => {
+test('added, leaving and removed machines are reported', async ({ machines, client }) => {
   const versions: number[] = [];
   client.onChange = (list) => versions.push(list.length);
   await machines.upsert(database);
@@ -71,7 +71,7 @@
   assert.is(client.counters().changes, versions.length);
 });
 
-test('an outage takes no machine off, and changes come after it', async (context) => {
+test('an outage removes no machine from the list, and later changes are received', async (context) => {
   const { machines, client } = context;
   await machines.upsert(proxy('p1'));
   await untilNames(client, 'p1:live');
@@ -83,11 +83,11 @@
     await machines.setFaults({ outage: 'none' });
     const version = client.counters().version;
     await machines.upsert(proxy('p1'));
-    await until('news', () => client.counters().version > version);
+    await until('a new version', () => client.counters().version > version);
   }
 });
 
-test('availability is told once for each change of it', async ({ machines, client }) => {
+test('each change of availability is reported once', async ({ machines, client }) => {
   const states: boolean[] = [];
   client.onAvailability = (error) => states.push(error === undefined);
   await until('a poll', () => client.counters().version > 0);
@@ -98,7 +98,7 @@
   assert.equal(states, [false, true]);
 });
 
-test('malformed entries are counted and skipped, the rest is kept', async (context) => {
+test('malformed entries are counted and skipped, and the other entries are kept', async (context) => {
   const { machines, client } = context;
   await machines.upsert(proxy('p1'));
   await untilNames(client, 'p1:live');
@@ -108,7 +108,7 @@
   assert.equal(names(client), ['p1:live']);
 });
 
-test('an answer of nothing but malformed entries empties no list', async (context) => {
+test('a response with only malformed entries does not empty the list', async (context) => {
   const { machines, client } = context;
   await machines.upsert(proxy('p1'));
   await untilNames(client, 'p1:live');
@@ -123,7 +123,7 @@
   assert.equal(names(client), ['p1:live']);
 });
 
-test('a list that restarts empty is not believed', async (context) => {
+test('an empty list of a restarted service is ignored until it lists machines', async (context) => {
   const { machines, client } = context;
   await machines.upsert(proxy('p1'));
   await untilNames(client, 'p1:live');
@@ -136,7 +136,7 @@
   await untilNames(client, 'p2:live');
 });
 
-test('a frozen list shows changes only when it thaws', async ({ machines, client }) => {
+test('a frozen list shows changes only after it is unfrozen', async ({ machines, client }) => {
   await machines.setFrozen(true);
   await machines.upsert(proxy('p1'));
   await machines.claim({ role: 'proxy', name: 'other' }, 'live');
@@ -147,7 +147,10 @@
   await untilNames(client, 'p1:live');
 });
 
-test('the list may call the dead live and the live dead', async ({ machines, client }) => {
+test('the list may report a removed machine as live and omit a live one', async ({
+  machines,
+  client,
+}) => {
   await machines.upsert(proxy('dead'));
   await machines.upsert(proxy('live'));
   await machines.claim({ role: 'proxy', name: 'dead' }, 'live');
--- a/test/integration/membership-service.test.ts
+++ b/test/integration/membership-service.test.ts
@@ -59,11 +59,11 @@
   }
 }
 
-function sees(node: TestNode, nodeId: string, status: string): boolean {
+function hasStatus(node: TestNode, nodeId: string, status: string): boolean {
   return node.service.member(nodeId)?.status === status;
 }
 
-test('nodes find each other, hear of a leaving one, and of its stop', async () => {
+test('nodes discover each other, and learn that a node is leaving and that it has stopped', async () => {
   const nodes = await startFleet(4);
   const [first, second, third, leaver] = nodes as [TestNode, TestNode, TestNode, TestNode];
   const stayers = [first, second, third];
@@ -74,26 +74,26 @@
   );
   await until(() => nodes.every((node) => node.service.isJoined));
   leaver.service.announceLeaving();
-  await until(() => stayers.every((node) => sees(node, 'n3', 'leaving')));
+  await until(() => stayers.every((node) => hasStatus(node, 'n3', 'leaving')));
   await stopAll([leaver]);
-  await until(() => stayers.every((node) => sees(node, 'n3', 'dead')));
+  await until(() => stayers.every((node) => hasStatus(node, 'n3', 'dead')));
   await stopAll(stayers);
 });
 
-test('a node that answers no datagram any more is found dead', async () => {
+test('a node that stops responding to datagrams is declared dead', async () => {
   const nodes = await startFleet(3);
   const [first, second, victim] = nodes as [TestNode, TestNode, TestNode];
-  await until(() => sees(first, 'n2', 'alive') && sees(second, 'n2', 'alive'));
+  await until(() => hasStatus(first, 'n2', 'alive') && hasStatus(second, 'n2', 'alive'));
   const changes: string[] = [];
   first.service.onMemberChanged = ({ change, member }) =>
     changes.push(`${change} ${member.nodeId}`);
   victim.service.closeSocket();
-  await until(() => sees(first, 'n2', 'dead') && sees(second, 'n2', 'dead'));
+  await until(() => hasStatus(first, 'n2', 'dead') && hasStatus(second, 'n2', 'dead'));
   assert.ok(changes.includes('failed n2'));
   await stopAll(nodes);
 });
 
-test('datagrams from strangers are counted and change nothing', async () => {
+test('datagrams that fail authentication are counted and change nothing', async () => {
   const [node] = (await startFleet(1)) as [TestNode];
   const stranger = createSocket('udp4');
   const send = (datagram: Buffer): void => {
--- a/test/integration/observability/admin-server.test.ts
+++ b/test/integration/observability/admin-server.test.ts
@@ -25,35 +25,35 @@
 
 test.after(() => server.close());
 
-function ask(path: string, method = 'GET'): Promise<Response> {
+function request(path: string, method = 'GET'): Promise<Response> {
   return fetch(`http://127.0.0.1:${server.port}${path}`, { method });
 }
 
-test('metrics are scraped fresh', async () => {
-  const text = await (await ask('/metrics')).text();
+test('each scrape returns current metrics of the node and the process', async () => {
+  const text = await (await request('/metrics')).text();
   assert.match(text, 'meadowstack_configuration_revision{node="n1"} 7');
   assert.match(text, 'process_resident_memory_bytes');
 });
 
-test('readiness tells its reasons', async () => {
-  assert.is((await ask('/health/live')).status, 200);
-  assert.is((await ask('/health/ready')).status, 200);
+test('a node that is not ready responds 503 with its reasons', async () => {
+  assert.is((await request('/health/live')).status, 200);
+  assert.is((await request('/health/ready')).status, 200);
   ready = false;
-  const refused = await ask('/health/ready');
+  const refused = await request('/health/ready');
   assert.is(refused.status, 503);
   assert.equal(await refused.json(), { ready: false, reasons: ['no-configuration'] });
 });
 
-test('status by GET, drain only by POST, and nothing else', async () => {
-  assert.equal(await (await ask('/status')).json(), { node: 'n1' });
-  assert.is((await ask('/drain')).status, 405);
+test('status is read by GET, drain needs POST, and other paths are not found', async () => {
+  assert.equal(await (await request('/status')).json(), { node: 'n1' });
+  assert.is((await request('/drain')).status, 405);
   assert.is(drained, 0);
-  assert.is((await ask('/drain', 'POST')).status, 202);
+  assert.is((await request('/drain', 'POST')).status, 202);
   assert.is(drained, 1);
-  assert.is((await ask('/nothing')).status, 404);
+  assert.is((await request('/nothing')).status, 404);
 });
 
-test('a port that is taken gives a typed error', async () => {
+test('a port in use gives MS-ADMIN-LISTEN', async () => {
   const metrics = createMetrics('n2', false);
   const again = await startAdminServer({
     host: '127.0.0.1',
--- a/test/integration/owner-stream.test.ts
+++ b/test/integration/owner-stream.test.ts
@@ -1,6 +1,4 @@
-/**
- * The owner's side of a request on real instances: the result that it reports for a refused write.
- */
+/** The owner's side of a write on stand-in instances: the result that it reports. */
 import { serialize } from 'pg-protocol';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -116,13 +114,13 @@
   }
 }
 
-test('a write that meets an instance in recovery did not run, and nothing of it is told', async ({
+test('a write on an instance in recovery is reported as not writable, and nothing of it is relayed', async ({
   group,
 }) => {
   await assertRefusedInRecovery(group);
 });
 
-test('a write that made its own transaction read only is the database’s own error', async ({
+test('a write in a transaction that the statement itself made read only is reported as a database error', async ({
   group,
 }) => {
   const text = `SET TRANSACTION READ ONLY; ${INSERT}`;
@@ -130,7 +128,9 @@
   assert.is(result.type, 'database-error');
 });
 
-test('a write on the primary is completed', async ({ group }) => {
+test('a write on the primary is reported as completed, with or without an idempotency key', async ({
+  group,
+}) => {
   const primary = await primaryOf(group);
   const plain = await reportOf(group, primary, openMessage(INSERT));
   assert.is(plain.result.type, 'completed');
@@ -139,7 +139,9 @@
   assert.is(keyed.result.type, 'completed');
 });
 
-test('the same where the table of keys is there already', async ({ group }) => {
+test('a write on an instance in recovery is refused the same way if the table of idempotency keys exists', async ({
+  group,
+}) => {
   const { lsn } = await group.state(await primaryOf(group));
   await group.waitForState(await replicaOf(group), (state) => state.replayed === lsn);
   await assertRefusedInRecovery(group);
--- a/test/integration/peer-transport.test.ts
+++ b/test/integration/peer-transport.test.ts
@@ -48,7 +48,7 @@
   await Promise.all(nodes.map((node) => node.transport.close()));
 }
 
-test('data and messages arrive in order, both ways, and the end is orderly', async () => {
+test('data and messages arrive in order in both directions, and the stream ends without error', async () => {
   const [a, b] = await pair({ onStream: echo }, { clusterSecret: SECRET });
   const stream = a.transport.openStream(b.address, { kind: 'echo' });
   const received: string[] = [];
@@ -68,7 +68,7 @@
   await closeAll(a, b);
 });
 
-test('a call made after a stream was opened, in the same turn, disturbs neither', async () => {
+test('a stream and a call opened in the same event loop turn both work', async () => {
   const [a, b] = await pair({ onStream: echo, onCall: async (_method, body) => body });
   const stream = a.transport.openStream(b.address, 'first');
   const answer = a.transport.call(b.address, 'echo', 'second', CALL_TIMEOUT_MS);
@@ -105,7 +105,7 @@
   await closeAll(a, b);
 });
 
-test('a stopped reader holds no more than the window, and holds up no other stream', async () => {
+test('a stopped reader buffers no more than its window, and does not block other streams', async () => {
   const windowBytes = 64 * 1024;
   const streams: PeerStream[] = [];
   let held = 0;
@@ -144,7 +144,7 @@
   await closeAll(a, b);
 });
 
-test('a small answer is not held up by a huge one on the same link', async () => {
+test('a small response is not delayed by a huge one on the same link', async () => {
   const huge = 30 * 1024 * 1024;
   const options = { limits: { windowBytes: huge * 2, maxQueuedBytes: huge * 2 } };
   const [a, b] = await pair(
@@ -165,11 +165,11 @@
   await new Promise<void>((resolve) => {
     small.onData = () => resolve();
   });
-  assert.ok(hugeBytes < huge, 'the small answer came before the end of the huge one');
+  assert.ok(hugeBytes < huge, 'the small response came before the end of the huge one');
   await closeAll(a, b);
 });
 
-test('calls are answered, fail with the remote code, and time out', async () => {
+test('calls are answered, fail with the remote error code, or time out', async () => {
   const [a, b] = await pair({
     onCall: async (method, body, from) => {
       if (method === 'fail') throw new PeerUnreachableError('x', 'for the test');
@@ -189,7 +189,7 @@
   await closeAll(a, b);
 });
 
-test('an answer that comes after the timeout is dropped and counted', async () => {
+test('a response that arrives after the timeout is dropped and counted', async () => {
   let answerNow = (): void => undefined;
   const [a, b] = await pair({
     onCall: () =>
@@ -205,7 +205,7 @@
   await closeAll(a, b);
 });
 
-test('a peer that is down gives an error that proves that nothing left', async () => {
+test('a stream to a peer that is down ends with an error that states that no bytes were written', async () => {
   const [a, b] = await pair({});
   await b.transport.close();
   const stream = a.transport.openStream(b.address, 'any');
@@ -218,7 +218,7 @@
   await closeAll(a);
 });
 
-test('loss of the link ends all its streams and tells whether a byte left', async () => {
+test('loss of a link ends all its streams with an error, which states whether any bytes were written', async () => {
   const accepted: PeerStream[] = [];
   const [a, b] = await pair({ onStream: (_header, stream) => accepted.push(stream) });
   const sent = a.transport.openStream(b.address, 'sent');
@@ -234,7 +234,7 @@
   await closeAll(a);
 });
 
-test('what a stopping node has not accepted is proven not to have been acted on', async () => {
+test('a stream that a stopping node has not accepted ends with PeerUnreachableError', async () => {
   let accepted = 0;
   const [a, b] = await pair({
     onStream: (header, stream) => {
@@ -259,7 +259,7 @@
   await closeAll(a);
 });
 
-test('a stopping node waits for nobody who has no stream at it', async () => {
+test('a stopping node does not wait for peers without open streams', async () => {
   const [a, b] = await pair({ onStream: echo });
   const stream = a.transport.openStream(b.address, 'over');
   stream.send('sent');
@@ -295,7 +295,7 @@
   await closeAll(a, b);
 });
 
-test('what was written before the end arrives before the close, even at a paused reader', async () => {
+test('data written before the end arrives before the close, even at a paused reader', async () => {
   const received: string[] = [];
   const streams: PeerStream[] = [];
   let end: Promise<unknown> = Promise.resolve();
@@ -320,7 +320,7 @@
   await closeAll(a, b);
 });
 
-test('a stranger without the secret opens no link', async () => {
+test('a node without the cluster secret opens no link', async () => {
   let streams = 0;
   const b = await listen('b', { onStream: () => (streams += 1) }, { clusterSecret: SECRET });
   const wrong = await listen(
@@ -338,7 +338,7 @@
   await closeAll(b, wrong, none);
 });
 
-test('a dialler that skips its proof is refused', async () => {
+test('a dialler that sends no proof of the secret is refused', async () => {
   const b = await listen('b', {}, { clusterSecret: SECRET });
   const socket = await rawConnection(b.address);
   socket.write(new Handshake('dialler', { nodeId: 'x', incarnation: 1 }, undefined).start());
@@ -392,7 +392,7 @@
   await closeAll(b);
 });
 
-test('a silent peer is found by missed heartbeats', async () => {
+test('streams to a silent peer end as lost after missed heartbeats', async () => {
   const sockets: Socket[] = [];
   const silent = createServer((socket) => {
     sockets.push(socket);
@@ -415,7 +415,7 @@
   await new Promise<void>((resolve) => silent.close(() => resolve()));
 });
 
-test('another incarnation at the same address is told', async () => {
+test('a new incarnation at the same address is reported', async () => {
   const changes: number[] = [];
   const events = {
     onIdentityChanged: (_peer: unknown, _previous: unknown, now: { incarnation: number }) =>
@@ -425,7 +425,7 @@
   const first = await listen('b', {});
   await a.transport.call(first.address, 'x', null, CALL_TIMEOUT_MS);
   await first.transport.close();
-  assert.is(a.transport.counters().linksLost, 0, 'a planned stop loses nothing');
+  assert.is(a.transport.counters().linksLost, 0, 'a graceful shutdown loses no link');
   const identity = { nodeId: 'b', incarnation: 2 };
   const second = new TcpPeerTransport({ identity, handlers: handlersOf({}) });
   (await second.listen(first.address))._unsafeUnwrap();
--- a/test/integration/postgres/backend-connection.test.ts
+++ b/test/integration/postgres/backend-connection.test.ts
@@ -112,7 +112,7 @@
   });
 }
 
-test('start-up parameters go out, parameter status comes in, rows come from query()', async () => {
+test('start-up parameters are sent, parameter status is stored, and query() returns rows', async () => {
   let startup: readonly string[] = [];
   await withConnection(
     async (session) => {
@@ -130,7 +130,7 @@
   );
 });
 
-test('a missing prepared statement is sent once, and its ParseComplete is swallowed', async () => {
+test('a missing prepared statement is sent once, and its ParseComplete is not relayed', async () => {
   const seen: string[] = [];
   await withConnection(
     async (session) => {
@@ -152,7 +152,7 @@
   );
 });
 
-test('a Parse that fails is answered in place and tried again the next time', async () => {
+test('the error of a failed Parse is the response to its batch, and the next batch sends the Parse again', async () => {
   const seen: string[] = [];
   await withConnection(
     async (session) => {
@@ -173,7 +173,7 @@
   );
 });
 
-test('the least recently used statement is closed; DISCARD ALL forgets all', async () => {
+test('the least recently used statement is closed at the limit, and DISCARD ALL removes all statements', async () => {
   const seen: string[] = [];
   const done = [messages.BIND_COMPLETE, DONE, ready()];
   await withConnection(
@@ -201,7 +201,7 @@
   );
 });
 
-test('a failed trailing query leaves the caller with the error of its own batch only', async () => {
+test('an error of the appended query is not relayed, only that of the caller’s own batch', async () => {
   const seen: string[] = [];
   await withConnection(
     async (session) => {
@@ -222,7 +222,7 @@
   );
 });
 
-test('an unlawful message closes the connection with a typed error', async () => {
+test('an unexpected message closes the connection with a typed error', async () => {
   const counters = createBackendCounters();
   await withConnection(
     async (session) => {
@@ -244,7 +244,7 @@
   );
 });
 
-test('a FATAL error ends the batch as lost, tells why, and reaches no caller', async () => {
+test('a FATAL error ends the batch as lost, gives the reason, and is not relayed', async () => {
   const fatal = messages.errorResponse({ severity: 'FATAL', code: '57P01', message: 'stop' });
   await withConnection(
     async (session) => {
@@ -262,7 +262,7 @@
   );
 });
 
-test('a second batch is refused unwritten while one runs; query errors are typed', async () => {
+test('a second batch is refused before any byte is written while one runs, and query errors are typed', async () => {
   await withConnection(
     async (session) => {
       await session.readUntil('Q');
@@ -302,7 +302,7 @@
           if (paused) return;
           paused = true;
           connection.pause();
-          // Two turns of the event loop, by which everything already read has been relayed.
+          // After two turns of the event loop, everything already read has been relayed.
           void setImmediate().then(async () => {
             bytesAtPause = relayedBytes;
             await setImmediate();
@@ -354,7 +354,7 @@
   );
 });
 
-test('cancel: a close that can not be seen makes the connection unusable', async () => {
+test('cancel: if the close of the cancel connection is not observed, the connection becomes unusable', async () => {
   let finishBatch: (() => void) | undefined;
   const cancelSeen = new Promise<void>((resolve) => {
     finishBatch = resolve;
@@ -380,7 +380,7 @@
   );
 });
 
-test('refusals on connecting are told apart', async () => {
+test('each kind of refusal on connecting gives its own failure', async () => {
   const refusals = { '53300': 'refused-by-limit', '28P01': 'authentication', '57P03': 'refused' };
   for (const [code, failure] of Object.entries(refusals)) {
     const server = await startScriptedServer({
@@ -395,7 +395,7 @@
   }
 });
 
-test('unreachable, silent, and garbled servers give typed errors', async () => {
+test('unreachable and silent servers and malformed responses give typed errors', async () => {
   const silent = await startScriptedServer({ onSession: async () => undefined });
   const timeout = await connectBackend({ ...optionsFor(silent.port), connectTimeoutMs: 50 });
   assert.is(timeout._unsafeUnwrapErr().failure, 'timeout');
--- a/test/integration/postgres/backend-standin.test.ts
+++ b/test/integration/postgres/backend-standin.test.ts
@@ -77,7 +77,7 @@
   });
 }
 
-test('every instance tells its role, timeline and positions', async () => {
+test('every instance reports its role, timeline and positions', async () => {
   const states = await Promise.all(
     group.instances.map(async ({ name }) => {
       const rows = (await (await connectTo(name)).query(POSITION_QUERY))._unsafeUnwrap();
@@ -88,7 +88,7 @@
   assert.is(new Set(states.map((state) => state.receivedPosition.timeline)).size, 1);
 });
 
-test('a wrong password and a full instance are told apart', async () => {
+test('a wrong password and a full instance give different failures', async () => {
   const { name } = await group.waitForPrimary();
   const wrong = await connectBackend({ ...options(name), password: 'other' });
   assert.is(wrong._unsafeUnwrapErr().failure, 'authentication');
@@ -101,7 +101,7 @@
   assert.is(refused, 'refused-by-limit');
 });
 
-test('prepared statements, writes with a trailing position, and a failed transaction', async () => {
+test('writes by prepared statements return a position, except in a failed transaction', async () => {
   const connection = await connectToPrimary();
   (await connection.query('CREATE TABLE item (id int PRIMARY KEY, name text)'))._unsafeUnwrap();
   const insert = {
@@ -135,7 +135,7 @@
   (await connection.query('ROLLBACK'))._unsafeUnwrap();
 });
 
-test('DISCARD ALL loses the statements, and they are prepared again', async () => {
+test('statements are prepared again after DISCARD ALL', async () => {
   const connection = await connectToPrimary();
   const select = {
     requires: [{ backendName: 'one', text: 'SELECT 1', parameterTypes: [] }],
@@ -152,7 +152,7 @@
   }
 });
 
-test('cancel ends the running statement, and the connection takes the next one', async () => {
+test('cancel ends the running statement, and the connection stays usable', async () => {
   const connection = await connectToPrimary();
   const sleeping = run(connection, {
     messages: serialize.query('SELECT pg_sleep(60)'),
--- a/test/integration/postgres/caller-messages.test.ts
+++ b/test/integration/postgres/caller-messages.test.ts
@@ -82,7 +82,7 @@
   await Promise.all(fixtures.splice(0).map(({ server }) => server.close()));
 });
 
-test('acknowledgements stand in the order of their messages', async () => {
+test('acknowledgements are sent in the order of their messages', async () => {
   const [caller] = await rawCaller();
   caller.send(parse('a', 'select 1'), bind({ statement: 'a' }), execute(), parse('b', 'select 2'));
   caller.send(close({ type: 'S', name: 'a' }), describe('S', 'b'), sync());
@@ -95,7 +95,7 @@
   assert.equal(await caller.until('ZI'), 'E26000 ZI');
 });
 
-test('a statement whose batch failed is not kept; another text under a kept name is refused', async () => {
+test('a statement of a failed batch is not stored, and a stored name can not be parsed with another text', async () => {
   const [caller, { handler }] = await rawCaller();
   handler.intercept = (connection) => {
     handler.intercept = undefined;
@@ -118,7 +118,7 @@
   assert.equal(await caller.until('ZI'), 'E42P05 ZI');
 });
 
-test("the back end's error for a Parse comes alone, and the name stays free", async () => {
+test("the back end's error for a Parse is the only response, and the name stays free", async () => {
   const [caller, { handler }] = await rawCaller();
   const failOnce = (): void => {
     handler.intercept = (connection) => {
@@ -155,7 +155,7 @@
   assert.equal(await caller.until('ZI'), 'E26000 ZI');
 });
 
-test('Flush brings the answers so far; an error then skips to Sync', async () => {
+test('Flush sends the responses so far, and a later error skips messages up to Sync', async () => {
   const [caller, { handler }] = await rawCaller();
   caller.send(parse('a', 'select 1'), describe('S', 'a'), flush());
   assert.equal(await caller.until('T'), '1 t T');
@@ -186,7 +186,7 @@
   assert.equal(await caller.until('ZI'), 'E34000 ZI');
 });
 
-test('function calls are refused, copy data ends the connection', async () => {
+test('function calls are refused, and copy data closes the connection', async () => {
   const [caller] = await rawCaller();
   caller.send(Buffer.from([0x46, 0, 0, 0, 4]));
   assert.equal(await caller.until('ZI'), 'E0A000 ZI');
@@ -194,7 +194,7 @@
   assert.equal(await caller.until('closed'), 'E0A000 closed');
 });
 
-test('prepared statements are bounded by number and size', async () => {
+test('prepared statements beyond the limits of number and size are refused', async () => {
   const limits = { preparedStatements: 2, preparedStatementBytes: 200 };
   const [caller] = await rawCaller({ limits });
   caller.send(parse('a', 'select 1'), parse('b', 'select 2'), sync());
@@ -240,7 +240,7 @@
   return Buffer.from([0x49, 0, 0, 0, 4]);
 }
 
-test('a log-in that stalls or that sends garbage is cut', async () => {
+test('a log-in that stalls or sends malformed data is closed with an error', async () => {
   const limits = { startupTimeoutMs: 50, lingerMs: 50, unauthenticatedConnections: 1 };
   const [, fixture] = await rawCaller({ limits });
   const stalled = new RawCaller(connect(fixture.port, '127.0.0.1'));
--- a/test/integration/postgres/caller.test.ts
+++ b/test/integration/postgres/caller.test.ts
@@ -57,7 +57,7 @@
   open.fixtures = [];
 });
 
-test('log-in, parameters and simple queries', async () => {
+test('a caller logs in, gets its parameters, and runs simple queries', async () => {
   const fixture = await start();
   const options = '-c meadowstack.session=a\\ b --meadowstack.session-id=me';
   const client = await connected(fixture, { options, application_name: 'orders' });
@@ -93,7 +93,7 @@
   }
 });
 
-test('unnamed statements pass as they are, many pipelined queries in order', async () => {
+test('unnamed statements are passed on unchanged, and pipelined queries are answered in order', async () => {
   const fixture = await start();
   const client = await connected(fixture, { pipeliningEnabled: true } as pg.ClientConfig);
   const texts = Array.from({ length: 200 }, (_, index) => `select ${index}, $1::int`);
@@ -105,7 +105,7 @@
   assert.ok(fixture.handler.batches.every(({ requires }) => requires.length === 0));
 });
 
-test('wrong passwords and unknown users get the same exchange and the same error', async () => {
+test('a wrong password and an unknown user get the same message exchange and the same error', async () => {
   const fixture = await start();
   const failures = [
     { user: USER, password: 'wrong' },
@@ -121,7 +121,7 @@
   assert.equal(fixture.handler.connections.length, 0);
 });
 
-test('the connection limit holds and a place comes back', async () => {
+test('connections beyond the limit are refused, and a closed connection makes room for another', async () => {
   const fixture = await start();
   const clients = await Promise.all([1, 2, 3].map(() => connected(fixture)));
   await assert.rejects(clientOf(fixture).connect(), { code: '53300' });
@@ -134,7 +134,7 @@
   assert.equal(fixture.server.openConnections().length, 3);
 });
 
-test('a typed error ends one request and leaves the connection', async () => {
+test('a typed error ends one request, and the connection stays usable', async () => {
   const fixture = await start();
   const client = await connected(fixture);
   fixture.handler.intercept = (connection) => {
@@ -151,7 +151,7 @@
   await client.query('select 2');
 });
 
-test('a refusal in a transaction block fails the block: COMMIT rolls back', async () => {
+test('a refusal in a transaction block fails the block, and COMMIT rolls back', async () => {
   const fixture = await start();
   const client = await connected(fixture);
   await client.query('begin');
@@ -168,7 +168,7 @@
   assert.deepEqual(fixture.handler.batches.at(-1)?.statements, ['commit']);
 });
 
-test('cancel reaches the running batch of its key only', async () => {
+test('a cancel request cancels only the running batch of its key', async () => {
   const fixture = await start();
   const client = await connected(fixture);
   const { processID, secretKey } = client as unknown as { processID: number; secretKey: number };
@@ -205,7 +205,7 @@
   await once(socket, 'close');
 }
 
-test('TLS, and refusal of plain connections where it is required', async () => {
+test('TLS connections are accepted, and plain ones are refused where TLS is required', async () => {
   const pem = await generate([{ name: 'commonName', value: 'localhost' }]);
   const tls = { certificate: pem.cert, privateKey: pem.private, required: true };
   const fixture = await start({ tls });
@@ -258,7 +258,7 @@
   assert.ok(pauses > 0);
 });
 
-test('a malformed or oversized message ends its own connection only', async () => {
+test('a malformed or oversized message closes its own connection only', async () => {
   const fixture = await start({ limits: { messageBytes: 1000 } });
   const other = await connected(fixture);
   const client = await connected(fixture);
@@ -272,7 +272,7 @@
   await other.query('select 1');
 });
 
-test('stopping ends log-ins, then connections between their requests', async () => {
+test('on a stop new log-ins are refused, and connections are closed between their requests', async () => {
   const fixture = await start();
   const client = await connected(fixture);
   fixture.server.stopAccepting();
--- a/test/integration/store-client.test.ts
+++ b/test/integration/store-client.test.ts
@@ -18,10 +18,10 @@
 import { StoreClient, type StoreClientOptions } from '../../src/platform/store-client.js';
 import { until } from '../support/until.js';
 
-const PATIENT_MS = 15_000;
-const IMPATIENT_MS = 300;
+const LONG_TIMEOUT_MS = 15_000;
+const SHORT_TIMEOUT_MS = 300;
 /** Far longer than the impatient client's timeout. */
-const SLOW_ANSWER_MS = 60_000;
+const SLOW_RESPONSE_MS = 60_000;
 
 interface Context {
   store: RunningStore;
@@ -59,8 +59,8 @@
 
 test.before.each(async (context) => {
   context.store = await startStore({ progressIntervalMs: 50 });
-  context.patient = connect(context.store, PATIENT_MS);
-  context.impatient = connect(context.store, IMPATIENT_MS);
+  context.patient = connect(context.store, LONG_TIMEOUT_MS);
+  context.impatient = connect(context.store, SHORT_TIMEOUT_MS);
 });
 
 test.after.each(async (context) => {
@@ -73,7 +73,7 @@
   return (await client.range(prefix))._unsafeUnwrap().entries.map((entry) => entry.key);
 }
 
-test('a compare-and-swap that loses tells what the key holds', async ({ patient }) => {
+test('a failed compare-and-swap returns the current value of the key', async ({ patient }) => {
   const key = 'configuration/größe';
   const first = await patient.transaction([{ key, modRevision: 0 }], [put(key, 'ä1')]);
   const second = await patient.transaction([{ key, modRevision: 0 }], [put(key, '2')]);
@@ -88,7 +88,9 @@
   });
 });
 
-test('a prefix covers its keys only, the empty one every key', async ({ patient }) => {
+test('a range of a prefix returns its keys only, and that of the empty prefix all keys', async ({
+  patient,
+}) => {
   await patient.transaction([], [put('a/1'), put('a/2'), put('a0'), put('b')]);
   assert.equal(await keysIn(patient, 'a/'), ['a/1', 'a/2']);
   assert.equal(await keysIn(patient, ''), ['a/1', 'a/2', 'a0', 'b']);
@@ -96,7 +98,7 @@
   assert.equal(await keysIn(patient, 'a/'), ['a/2']);
 });
 
-test('a lost answer leaves the outcome unknown, and the change stands', async (context) => {
+test('a lost response leaves the outcome unknown, and the change is applied', async (context) => {
   const { store, patient } = context;
   await store.setFaults({ loseNextAnswers: 1 });
   const error = (await patient.transaction([], [put('k')]))._unsafeUnwrapErr();
@@ -106,7 +108,7 @@
   assert.is(patient.counters().answersLost, 1);
 });
 
-test('answers lost by chance are the same for the same seed', async ({ store, patient }) => {
+test('the same seed loses the same responses', async ({ store, patient }) => {
   const lostIn = async (): Promise<boolean[]> => {
     await store.setFaults({ loseAnswerProbability: 0.5, seed: 7 });
     const lost: boolean[] = [];
@@ -120,7 +122,7 @@
   assert.equal(await lostIn(), first);
 });
 
-test('a refused connection surely changed nothing, and service resumes', async (context) => {
+test('a refused connection fails with a known outcome, and requests succeed after the outage', async (context) => {
   const { store, patient } = context;
   await store.setFaults({ outage: 'refuse' });
   const error = (await patient.transaction([], [put('k')]))._unsafeUnwrapErr();
@@ -131,7 +133,7 @@
 });
 
 for (const outage of ['hang', 'reset'] as const) {
-  test(`during an outage (${outage}) only changes are of unknown outcome`, async (context) => {
+  test(`during an outage (${outage}) changes have an unknown outcome, and reads have not`, async (context) => {
     const { store, impatient } = context;
     await store.setFaults({ outage });
     const change = (await impatient.transaction([], [put('k')]))._unsafeUnwrapErr();
@@ -142,9 +144,9 @@
   });
 }
 
-test('an answer later than the time-out is lost, and the change stands', async (context) => {
+test('a response after the timeout counts as lost, and the change is applied', async (context) => {
   const { store, patient, impatient } = context;
-  await store.setFaults({ answerDelayMs: SLOW_ANSWER_MS });
+  await store.setFaults({ answerDelayMs: SLOW_RESPONSE_MS });
   const error = (await impatient.transaction([], [put('k')]))._unsafeUnwrapErr();
   assert.instance(error, StoreAnswerLostError);
   await store.heal();
@@ -163,12 +165,12 @@
   const counter = (await store.counters()).find((each) => each.path === '/v3/kv/txn');
   assert.equal(
     [counter?.client, counter?.requests, counter?.rateLimited],
-    [`waits-${PATIENT_MS}`, 2, 1],
+    [`waits-${LONG_TIMEOUT_MS}`, 2, 1],
   );
   assert.is(patient.requestCount(), 3);
 });
 
-test('a watch tells history and news in order, of its prefix only', async ({ patient }) => {
+test('a watch reports past and new events of its prefix only, in order', async ({ patient }) => {
   const record = recorder();
   await patient.transaction([], [put('w/0'), put('other')]);
   patient.watch('w/', 1, record);
@@ -183,7 +185,10 @@
   assert.is(record.ends.length, 0);
 });
 
-test('a watch over a hang that ends in time misses nothing', async ({ store, patient }) => {
+test('a watch misses no event during a hang that ends before its timeout', async ({
+  store,
+  patient,
+}) => {
   const record = recorder();
   patient.watch('', 1, record);
   await patient.transaction([], [put('a')]);
@@ -198,7 +203,10 @@
   assert.equal(record.events.map(keyOf), ['a', 'b', 'b', 'c']);
 });
 
-test('a watch of compacted history ends and says so', async ({ store, patient }) => {
+test('a watch of a compacted revision ends with StoreCompactedError', async ({
+  store,
+  patient,
+}) => {
   for (const value of ['1', '2', '3']) await patient.transaction([], [put('k', value)]);
   await store.compact();
   const record = recorder();
@@ -211,25 +219,28 @@
   assert.equal(record.events, []);
 });
 
-test('a silent watch ends once, a watch that hears of progress does not', async (context) => {
+test('a silent watch ends once after its timeout, and one with a longer timeout continues', async (context) => {
   const { store, impatient, patient } = context;
   const silent = recorder();
   const lasting = recorder();
   impatient.watch('k', 1, silent);
   patient.watch('k', 1, lasting);
   await patient.transaction([], [put('k')]);
-  await until('both live', () => silent.events.length + lasting.events.length === 2);
+  await until(
+    'both watches receive the event',
+    () => silent.events.length + lasting.events.length === 2,
+  );
   await store.setFaults({ outage: 'hang' });
   await until('the end', () => silent.ends.length > 0);
   assert.instance(silent.ends[0]?.error, StoreWatchEndedError);
   assert.is(silent.ends[0]?.compacted, false);
   await store.heal();
   await patient.transaction([], [put('k2')]);
-  await until('news', () => lasting.events.length === 2);
+  await until('the next event', () => lasting.events.length === 2);
   assert.equal([silent.ends.length, silent.events.length, lasting.ends.length], [1, 1, 0]);
 });
 
-test('watches that end leave no connection behind', async ({ store, patient }) => {
+test('closed watches leave no watch open at the store', async ({ store, patient }) => {
   const record = recorder();
   const closers = Array.from({ length: 5 }, () => patient.watch('k', 1, record));
   await until('five watches', async () => (await store.state()).watches === 5);
@@ -240,7 +251,7 @@
   assert.equal([record.ends.length, patient.counters().watchesOpen], [0, 0]);
 });
 
-test('a lease that lapses takes its keys along and cannot be used again', async (context) => {
+test('an expired lease deletes its keys and cannot be used again', async (context) => {
   const { patient } = context;
   const leaseId = (await patient.grantLease(1))._unsafeUnwrap();
   const record = recorder();
@@ -256,7 +267,7 @@
   assert.instance(late._unsafeUnwrapErr(), StoreRequestRejectedError);
 });
 
-test('a hang that turns into a refusal drops the requests that it held', async (context) => {
+test('requests held by a hang are dropped when it turns into a refusal', async (context) => {
   const { store, patient } = context;
   await store.setFaults({ outage: 'hang' });
   const pending = patient.transaction([], [put('k')]);
@@ -267,7 +278,7 @@
   assert.equal(await keysIn(patient, ''), []);
 });
 
-test('a closed client fails the calls that are open and makes no others', async (context) => {
+test('closing a client fails its open calls, and later calls fail as well', async (context) => {
   const { store, patient } = context;
   await store.setFaults({ outage: 'hang' });
   const warnings: string[] = [];
@@ -282,32 +293,32 @@
   assert.equal(warnings, []);
 });
 
-test('a revoked lease takes its keys along', async ({ patient }) => {
+test('revoking a lease deletes its keys', async ({ patient }) => {
   const leaseId = (await patient.grantLease(60))._unsafeUnwrap();
   await patient.transaction([], [{ type: 'put', key: 'held', value: '', leaseId }]);
   assert.ok((await patient.revokeLease(leaseId)).isOk());
   assert.equal(await keysIn(patient, ''), []);
 });
 
-const MALFORMED_ANSWERS = [
+const MALFORMED_RESPONSES = [
   'not JSON',
   '{"header":{}, "kvs": 3, "responses": 3, "result": 3}',
   '{"header":{"revision":"99999999999999999999"}}',
   '{"header":{"revision":"1"},"kvs":[{"key":"%"}],"responses":[{"response_range":3}]}',
 ];
 
-test('malformed answers are protocol errors and leave a change unknown', async () => {
-  const bodies = [...MALFORMED_ANSWERS, ...MALFORMED_ANSWERS];
+test('malformed responses are protocol errors and leave the outcome of a change unknown', async () => {
+  const bodies = [...MALFORMED_RESPONSES, ...MALFORMED_RESPONSES];
   const server = createServer((_request, response) => response.end(bodies.shift()));
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const { port } = server.address() as AddressInfo;
-  const client = connect({ host: '127.0.0.1', port }, PATIENT_MS);
-  for (const _ of MALFORMED_ANSWERS) {
+  const client = connect({ host: '127.0.0.1', port }, LONG_TIMEOUT_MS);
+  for (const _ of MALFORMED_RESPONSES) {
     const read = (await client.range('k'))._unsafeUnwrapErr();
     assert.instance(read, StoreProtocolError);
     assert.is(read.outcomeUnknown, false);
   }
-  for (const _ of MALFORMED_ANSWERS) {
+  for (const _ of MALFORMED_RESPONSES) {
     const change = (await client.transaction([], [put('k')]))._unsafeUnwrapErr();
     assert.instance(change, StoreProtocolError);
     assert.is(change.outcomeUnknown, true);
